--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -31,6 +31,9 @@
     /// The watch asked for changes that are no longer kept.
     #[error("the revision is too old")]
     TooOld,
+    /// Not carried out: the request is malformed, or larger than the state service takes.
+    #[error("refused by the state service: {0}")]
+    Rejected(String),
     /// An answer that makes no sense.
     #[error("unexpected answer {0}: {1}")]
     Unexpected(u16, String),
@@ -167,6 +170,10 @@
             StatusCode::BAD_REQUEST if body.windows(13).any(|w| w == b"no such lease") => {
                 Err(StoreError::NoLease)
             }
+            StatusCode::BAD_REQUEST => {
+                let why = String::from_utf8_lossy(&body[..body.len().min(200)]).into_owned();
+                Err(StoreError::Rejected(why))
+            }
             _ => Err(Self::odd(status, &body)),
         }
     }
--- a/crates/constants/src/lib.rs
+++ b/crates/constants/src/lib.rs
@@ -18,6 +18,14 @@
 pub const CLOCK_DRIFT: f64 = 0.001;
 /// Added to a worker's lease before it counts as surely over, ms.
 pub const WORKER_LEASE_MARGIN_MS: u64 = 500;
+/// Changes in the transaction that wins an election: leader, term and marks. The state service must take so
+/// many at a time.
+pub const ELECTION_OPS: usize = 3;
+/// Changes in the transaction that ends a job: its final state is put, its record deleted.
+pub const FINAL_OPS: usize = 2;
+/// What the state service rejected by itself is tried again after this, ms: nothing tells when it would be
+/// taken, and nothing else waits for it.
+pub const REJECTED_RETRY_MS: u64 = 5_000;
 /// Largest pause before a node stands for leadership after it saw none, ms. Spreads the candidates.
 pub const ELECTION_JITTER_MS: u64 = 150;
 
@@ -47,6 +55,9 @@
 pub const SMALL_JOB_TASKS: u32 = 8;
 /// Small jobs that share a record of marks: a kilobyte, rewritten for each handful of jobs that begin.
 pub const SHARED_MARKS: usize = 64;
+/// What a job takes in such a record at most, bytes: the longest id, its quotes and the comma, and its share of
+/// the envelope.
+pub const SHARED_MARK_BYTES: usize = 26;
 /// Relative change of a minimum that makes its record be written again (the design's quarter).
 pub const MINIMUM_REWRITE_CHANGE: f64 = 0.25;
 /// Share of the store's request rate that one node's ledger allows itself; only the leader's has any use
@@ -75,6 +86,8 @@
 pub const ROSTER_RECORD_PREFIX: &str = "record-";
 /// Tasks in one progress record: 4 KiB of bits, which fit in any sensible value limit as base64.
 pub const PROGRESS_CHUNK_TASKS: u32 = 16_384;
+/// The same where values must be small, at least: below that the records of large jobs become too many.
+pub const PROGRESS_CHUNK_LEAST: u32 = 512;
 
 /// Time limit for one request to the cloud, ms.
 pub const CLOUD_TIMEOUT_MS: u64 = 6_000;
@@ -226,6 +239,11 @@
 pub const GANG_TRIES: u32 = 3;
 /// Tries in a row that a job of which tasks have completed may fail before it pauses.
 pub const PROVEN_ERRORS: u32 = 3;
+/// A replica of a daemon that has run for this long, ms, worked: that it ended is no reason for a pause.
+pub const REPLICA_STEADY_MS: u64 = 30_000;
+/// Errors of a daemon's replicas are forgotten after this long without another, ms: it has no completed tasks
+/// that would speak for it, and lives for long. Above the longest pause with its jitter.
+pub const REPLICA_FORGIVEN_MS: u64 = 120_000;
 /// Finished tasks of a job whose mean time tells whether a machine is slow.
 pub const SOLID_MEAN_TASKS: u32 = 4;
 /// A task that took this many times the mean of its job was slow. Tasks of one job differ by half.
--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -390,17 +390,18 @@
                 && Room::of_flavor(f).fits(&need)
         };
         let types: Vec<bool> = flavors.iter().map(allowed).collect();
-        // A gang runs all at once, so the zones that it may be in must be enough for all of it.
+        // All tasks of a gang or a daemon run at once, so the zones that it may be in must be enough for all.
+        let at_once = spec.is_gang() || spec.is_endless();
         let zones = self.params.zones.iter().filter(|zone| {
             let there = |f: &Flavor| allowed(f) && f.yards.contains(zone);
             spec.yard.as_ref().is_none_or(|y| y == *zone) && flavors.iter().any(there)
         });
         let zones = if spec.together { zones.take(1).count() } else { zones.count() };
         let room = u64::from(spec.zone_cap()) * zones as u64;
-        if spec.is_gang() && types.contains(&true) && room < u64::from(spec.pieces) {
-            return Some(Err("a gang that must spread can't be in one zone".into()));
+        if at_once && types.contains(&true) && room < u64::from(spec.pieces) {
+            return Some(Err("tasks that must spread can't all be in one zone".into()));
         }
-        let least = if spec.is_gang() { spec.pieces } else { 1 };
+        let least = if at_once { spec.pieces } else { 1 };
         let limit = (team.cpus_max, team.gpus_max);
         let team = TeamView { limit, ..TeamView::default() };
         Some(fits_somewhere(&types, &need, least, &team))
@@ -422,20 +423,14 @@
         match self.runnable(&spec) {
             None => return later("the machine types are not known yet"),
             Some(Ok(())) => {}
-            Some(Err(why)) => {
-                // What was accepted once is never refused later.
-                return match self.stored(&self.stores.submissions, &id).await {
-                    Ok(Stored::Nothing) => Verdict::Refused(422, why),
-                    Ok(_) => self.status(&id, from_peer).await,
-                    Err(e) => Verdict::Later(e.to_string()),
-                };
-            }
+            Some(Err(why)) => return self.refuse_unless_accepted(&id, 422, why, from_peer).await,
         }
         let owner = spec.owner.clone();
         let record = JobRecord { spec, at_ms: wall_ms(), marked: true };
         let Ok(value) = serde_json::to_value(&record) else { return later("internal") };
         if value.to_string().len() as f64 > self.params.state.value_kb * 1024.0 {
-            return Verdict::Refused(400, "the job's description is too long".into());
+            let why = "the job's description is too long".to_owned();
+            return self.refuse_unless_accepted(&id, 400, why, from_peer).await;
         }
         let transaction = Transaction {
             guards: vec![
@@ -464,6 +459,21 @@
         }
     }
 
+    /// Refuses a job, but never one that was accepted before: limits and machine types change.
+    async fn refuse_unless_accepted(
+        &self,
+        id: &JobId,
+        status: u16,
+        why: String,
+        from_peer: bool,
+    ) -> Verdict {
+        match self.stored(&self.stores.submissions, id).await {
+            Ok(Stored::Nothing) => Verdict::Refused(status, why),
+            Ok(_) => self.status(id, from_peer).await,
+            Err(e) => Verdict::Later(e.to_string()),
+        }
+    }
+
     /// The state service may refuse this node alone, or not be reached from here: another one may get through.
     async fn elsewhere(&self, ask: PeerAsk, why: &StoreError, from_peer: bool) -> Verdict {
         // The limits are everybody's: another controller would ask for the same.
--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -100,6 +100,38 @@
     pub value_kb: f64,
     /// Changes in a transaction.
     pub txn_ops: usize,
+    /// Limits that replace these at some moment that nobody announces.
+    #[serde(default)]
+    pub next: Option<NextStateLimits>,
+}
+
+/// The limits that the state service will have later. What is missing stays as it is.
+#[derive(Debug, Clone, Default, PartialEq, Deserialize)]
+pub struct NextStateLimits {
+    /// Requests a second.
+    #[serde(default)]
+    pub rps: Option<f64>,
+    /// Changes a second.
+    #[serde(default)]
+    pub write_rps: Option<f64>,
+    /// Largest value, KiB.
+    #[serde(default)]
+    pub value_kb: Option<f64>,
+    /// Changes in a transaction.
+    #[serde(default)]
+    pub txn_ops: Option<usize>,
+}
+
+impl StateSettings {
+    /// Lowers each limit to the smaller of the present and the next one. The change comes unannounced, so
+    /// writes that keep to both need not notice it.
+    fn keep_to_both(&mut self) {
+        let Some(next) = &self.next else { return };
+        self.rps = next.rps.map_or(self.rps, |rps| rps.min(self.rps));
+        self.write_rps = next.write_rps.map_or(self.write_rps, |rps| rps.min(self.write_rps));
+        self.value_kb = next.value_kb.map_or(self.value_kb, |kb| kb.min(self.value_kb));
+        self.txn_ops = next.txn_ops.map_or(self.txn_ops, |ops| ops.min(self.txn_ops));
+    }
 }
 
 /// Limits of the cloud.
@@ -200,7 +232,7 @@
 
     /// Reads and checks settings.
     pub fn parse(text: &str) -> Result<Self, String> {
-        let settings: Self = toml::from_str(text).map_err(|e| {
+        let mut settings: Self = toml::from_str(text).map_err(|e| {
             let message = e.message().to_owned();
             match e.span() {
                 Some(span) => {
@@ -212,6 +244,7 @@
             }
         })?;
         settings.check()?;
+        settings.settings.state.keep_to_both();
         Ok(settings)
     }
 
@@ -247,7 +280,14 @@
             ("settings.cloud.rps", p.cloud.rps),
             ("settings.machine_limits.core_share", p.machine_limits.core_share),
         ];
-        for (name, value) in positive {
+        let next = p.state.next.clone().unwrap_or_default();
+        let later = [
+            ("settings.state.next.rps", next.rps),
+            ("settings.state.next.write_rps", next.write_rps),
+            ("settings.state.next.value_kb", next.value_kb),
+        ];
+        let later = later.into_iter().filter_map(|(name, value)| Some((name, value?)));
+        for (name, value) in positive.into_iter().chain(later) {
             if !(value.is_finite() && value > 0.0) {
                 return Err(format!("{name} must be a number above 0, not {value}"));
             }
@@ -264,8 +304,15 @@
         if p.machine_limits.max_sockets == 0 {
             return Err("settings.machine_limits.max_sockets must be at least 1".into());
         }
-        if p.state.txn_ops < 2 {
-            return Err("settings.state.txn_ops must be at least 2".into());
+        let operations = [
+            ("settings.state.txn_ops", Some(p.state.txn_ops)),
+            ("settings.state.next.txn_ops", next.txn_ops),
+        ];
+        for (name, value) in operations {
+            if value.is_some_and(|ops| ops < hookway_constants::ELECTION_OPS) {
+                let least = hookway_constants::ELECTION_OPS;
+                return Err(format!("{name} must be at least {least}"));
+            }
         }
         for team in &p.teams {
             for value in [team.cpus, team.cpus_max, team.gpus, team.gpus_max] {
--- a/crates/controller/src/ledger/blame.rs
+++ b/crates/controller/src/ledger/blame.rs
@@ -49,9 +49,13 @@
         if self.errors > 0 && since <= self.failed_at {
             return;
         }
+        if self.spec.is_endless() && now >= self.failed_at + constants::REPLICA_FORGIVEN_MS {
+            self.errors = 0;
+        }
         self.failed_at = now;
         self.errors += 1;
-        if self.done > 0 && self.errors < constants::PROVEN_ERRORS {
+        let proven = self.done > 0 || self.spec.is_endless() && !self.unproven();
+        if proven && self.errors < constants::PROVEN_ERRORS {
             return;
         }
         let pause = constants::ERROR_PAUSE_MS << (self.errors - 1).min(10);
@@ -71,6 +75,22 @@
     }
 }
 
+impl Job {
+    /// A replica of a daemon said that it is done. It runs again, and if it ended at once, after a pause.
+    pub(super) fn replica_completed(
+        &mut self,
+        host: &str,
+        running_since: Option<u64>,
+        placed_at: u64,
+        now: u64,
+    ) {
+        let ran_ms = running_since.map_or(0, |since| now.saturating_sub(since));
+        if ran_ms < constants::REPLICA_STEADY_MS {
+            self.failed(host, placed_at, now);
+        }
+    }
+}
+
 impl Ledger {
     /// A task of job `key`, placed at `since`, has failed on a machine.
     pub(super) fn blame(&mut self, name: &str, key: u64, since: u64, now: u64) {
--- a/crates/controller/src/ledger/checkin.rs
+++ b/crates/controller/src/ledger/checkin.rs
@@ -532,7 +532,8 @@
     }
 
     fn ended_with(&mut self, name: &str, key: u64, held: &Held, cause: Cause, now: u64) {
-        if cause == Cause::Done {
+        let endless = self.jobs.get(&key).is_some_and(|j| j.spec.is_endless());
+        if cause == Cause::Done && !endless {
             // After a silence nobody knows when it ended, and of one that an earlier leader started,
             // when it began: such times would make the mean too short.
             let heard = self.hosts.get(name).map_or(0, |h| h.last_answer);
@@ -562,6 +563,7 @@
         let Some(host) = self.hosts.get_mut(name) else { return };
         match cause {
             Cause::Error => self.blame(name, key, held.since, now),
+            Cause::Done => job.replica_completed(name, held.running_since, held.since, now),
             Cause::NoRoom | Cause::Busy => {
                 host.pause_until = now + constants::NO_ROOM_PAUSE_MS;
             }
@@ -573,7 +575,7 @@
     /// A task has completed. A gang completes together.
     pub(super) fn complete(&mut self, key: u64, index: u32, took_ms: Option<u64>) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
-        if job.over.is_some() {
+        if job.over.is_some() || job.spec.is_endless() {
             return;
         }
         job.errors = 0;
@@ -593,9 +595,8 @@
                 job.sum_ms += took;
                 job.timed += 1;
             }
-            let chunk = Job::chunk_of(i);
-            if !job.chunks[chunk].dirty {
-                job.chunks[chunk].dirty = true;
+            let chunk = job.progress.chunk_of(i);
+            if job.progress.queue(chunk) {
                 self.writer.chunks.push_back((key, chunk));
             }
         }
@@ -649,7 +650,9 @@
             // The result must be durable before the worker may forget it.
             let job = e.job.and_then(|k| self.jobs.get(&k));
             let needed = e.cause == Cause::Done
-                && job.is_some_and(|j| j.over.is_none() && !j.durable[e.index as usize]);
+                && job.is_some_and(|j| {
+                    j.over.is_none() && !j.spec.is_endless() && !j.progress.is_durable(e.index)
+                });
             if !needed {
                 orders.push(Order::Reap { piece: e.piece.clone(), r#try: e.attempt });
             }
--- a/crates/controller/src/ledger/commit.rs
+++ b/crates/controller/src/ledger/commit.rs
@@ -4,7 +4,8 @@
 use crate::config::Params;
 use crate::records::{
     FinalRecord, LANES, LaneRecord, MINIMUMS, MinimumRecord, ProgressRecord, ROSTER,
-    SharedMarksRecord, final_key, job_key, minimum_key, progress_key, roster_key, shared_marks_key,
+    SharedMarksRecord, final_key, job_key, minimum_key, progress_key, progress_place, roster_key,
+    shared_marks_key,
 };
 use hookway_constants as constants;
 use hookway_policy::needs_rewrite;
@@ -58,6 +59,10 @@
     pub opens: BTreeSet<u64>,
     bucket: Bucket,
     minimum_bucket: Bucket,
+    /// Changes that a transaction may have, lowered when the state service rejects one.
+    most_changes: usize,
+    /// What was rejected by itself, with the time from which it is tried again, ms.
+    rejected: VecDeque<(u64, Item)>,
     busy: bool,
     pause_until: u64,
     deposed: bool,
@@ -71,7 +76,7 @@
             finals: VecDeque::new(),
             chunks: VecDeque::new(),
             roster: Roster::new(params.state.value_kb),
-            marks: SharedMarks::default(),
+            marks: SharedMarks::new(params.state.value_kb),
             stamps: HashMap::new(),
             old_entries: HashMap::new(),
             trash: VecDeque::new(),
@@ -80,6 +85,8 @@
             opens: BTreeSet::new(),
             bucket: Bucket::new(rate * constants::LEADER_WRITE_SHARE, now),
             minimum_bucket: Bucket::new(rate * constants::MINIMUM_WRITE_SHARE, now),
+            most_changes: params.state.txn_ops,
+            rejected: VecDeque::new(),
             busy: false,
             pause_until: 0,
             deposed: false,
@@ -111,6 +118,12 @@
     key == LANES || key.starts_with(MINIMUMS) || key.starts_with(ROSTER)
 }
 
+/// Whether a record is no larger than a value may be.
+fn fits(record: &impl serde::Serialize, value_kb: f64) -> bool {
+    let length = serde_json::to_string(record).map_or(usize::MAX, |text| text.len());
+    length as f64 <= value_kb * 1024.0
+}
+
 #[derive(Debug, Clone)]
 enum Item {
     Final(u64, FinalRecord),
@@ -140,6 +153,8 @@
     Applied(u64),
     /// Surely not carried out; to be tried again later.
     NotDone,
+    /// Surely not carried out, as it is larger than the state service takes; to be tried in smaller parts.
+    Rejected,
     /// Some condition failed, or nothing is known. These keys were read again since.
     Unsure(Vec<Learned>),
 }
@@ -195,7 +210,8 @@
             return None;
         }
         let tokens = self.writer.bucket.fill(now).floor() as usize;
-        let most = self.setup.params.state.txn_ops.min(tokens);
+        self.retry_rejected(now);
+        let most = self.writer.most_changes.min(tokens);
         if most < 2 {
             return None;
         }
@@ -233,12 +249,15 @@
             let Some(job) = self.jobs.get_mut(&key) else { continue };
             let Some(state) = job.ending.filter(|_| job.over.is_none()) else { continue };
             job.deciding = true;
-            let record = FinalRecord {
+            let mut record = FinalRecord {
                 state,
                 done: job.done,
                 owner: job.spec.owner.clone(),
                 notes: job.notes.iter().cloned().collect(),
             };
+            if !fits(&record, self.setup.params.state.value_kb) {
+                record.notes.clear();
+            }
             let Ok(value) = serde_json::to_value(&record) else { continue };
             commit.guard(final_key(&job.id), 0);
             commit.put(final_key(&job.id), value);
@@ -272,7 +291,10 @@
             held.iter().filter_map(named).collect()
         };
         let value_kb = self.setup.params.state.value_kb;
-        let Some(value) = self.writer.roster.record(number, value_kb, images) else { return };
+        let Some(value) = self.writer.roster.record(number, value_kb, images) else {
+            self.writer.roster.divide(number);
+            return;
+        };
         let members = self.writer.roster.members(number).map(|(host, _)| {
             let images = self.hosts.get(host).map(super::Host::image_set).unwrap_or_default();
             (host.clone(), images)
@@ -289,23 +311,29 @@
     }
 
     fn add_chunks(&mut self, commit: &mut Commit) {
+        let mut waiting = Vec::new();
         while commit.open(1)
             && let Some((key, chunk)) = self.writer.chunks.pop_front()
         {
             let Some(job) = self.jobs.get_mut(&key) else { continue };
             // What is over, or about to be, needs no progress record.
             if !job.live() {
-                job.chunks[chunk].dirty = false;
+                job.progress.unqueue(chunk);
                 continue;
             }
-            let record = ProgressRecord::new(&job.bits(chunk));
+            if job.progress.must_wait(chunk) {
+                waiting.push((key, chunk));
+                continue;
+            }
+            let record = ProgressRecord::new(&job.results(chunk));
             let Ok(value) = serde_json::to_value(&record) else { continue };
-            job.chunks[chunk].dirty = false;
-            let name = progress_key(&job.id, chunk);
-            commit.guard(name.clone(), job.chunks[chunk].stamp);
+            job.progress.unqueue(chunk);
+            let name = job.progress.key(&job.id, chunk);
+            commit.guard(name.clone(), job.progress.stamp(chunk));
             commit.put(name, value);
             commit.items.push(Item::Chunk(key, chunk, record));
         }
+        self.writer.chunks.extend(waiting);
     }
 
     fn add_opens(&mut self, commit: &mut Commit) {
@@ -316,8 +344,10 @@
             let Some(job) = self.jobs.get_mut(&key) else { continue };
             if job.small() && job.written_minimum.is_none() {
                 if job.live() {
-                    let fresh = || self.writer.marks.add(&job.id);
-                    let number = *job.shared_mark.get_or_insert_with(fresh);
+                    // A record of an earlier leader may be larger than values may be now.
+                    let kept = job.shared_mark.filter(|n| !self.writer.marks.too_large(*n));
+                    let number = kept.unwrap_or_else(|| self.writer.marks.add(&job.id));
+                    job.shared_mark = Some(number);
                     shared.entry(number).or_default().push(key);
                 }
                 continue;
@@ -352,7 +382,7 @@
             self.lanes.iter().map(|(name, lane)| (name, lane.record())).collect();
         let Ok(value) = serde_json::to_value(&lanes) else { return };
         // It is a hint: where there are too many lanes for one value, the next leader does without.
-        if value.to_string().len() as f64 > self.setup.params.state.value_kb * 1024.0 {
+        if !fits(&value, self.setup.params.state.value_kb) {
             return;
         }
         self.writer.minimum_bucket.units -= 1.0;
@@ -405,16 +435,11 @@
             CommitResult::NotDone => {
                 self.writer.pause_until = now + constants::LEADER_RETRY_MS;
                 for item in commit.items {
-                    if let Item::Final(key, _) = &item
-                        && let Some(job) = self.jobs.get_mut(key)
-                    {
-                        // This one was not carried out; an earlier one without an answer still may be, and
-                        // other controllers then tell the end that they read.
-                        job.deciding = job.in_doubt;
-                    }
+                    self.not_carried_out(&item);
                     self.again(item);
                 }
             }
+            CommitResult::Rejected => self.rejected(commit, now),
             CommitResult::Unsure(learned) => {
                 for (key, value) in learned {
                     if key == self.writer.lead.key {
@@ -439,13 +464,54 @@
         }
     }
 
+    /// An end that was not carried out this time. An earlier transaction with it that had no answer still may
+    /// be, and other controllers then tell the end that they read.
+    fn not_carried_out(&mut self, item: &Item) {
+        if let Item::Final(key, _) = item
+            && let Some(job) = self.jobs.get_mut(key)
+        {
+            job.deciding = job.in_doubt;
+        }
+    }
+
+    /// The state service rejected a transaction for its size. It is tried again in smaller parts; what is
+    /// rejected by itself waits and holds up nothing else.
+    fn rejected(&mut self, commit: Commit, now: u64) {
+        self.writer.pause_until = now + constants::LEADER_RETRY_MS;
+        let changes = commit.transaction.apply.len();
+        self.writer.most_changes = (changes / 2).max(constants::FINAL_OPS);
+        let alone = commit.items.len() == 1;
+        for item in commit.items {
+            self.not_carried_out(&item);
+            if alone {
+                let retry_at = now + constants::REJECTED_RETRY_MS;
+                self.writer.rejected.push_back((retry_at, item));
+            } else {
+                self.again(item);
+            }
+        }
+    }
+
+    /// What was rejected by itself goes back to its queue after a while.
+    fn retry_rejected(&mut self, now: u64) {
+        while self.writer.rejected.front().is_some_and(|(retry_at, _)| now >= *retry_at)
+            && let Some((_, item)) = self.writer.rejected.pop_front()
+        {
+            self.again(item);
+        }
+    }
+
     fn applied(&mut self, item: Item, epoch: u64) {
         match item {
             Item::Final(key, record) => self.decide(key, record),
             Item::Chunk(key, chunk, record) => {
-                self.durable(key, chunk, epoch, &record);
+                if let Some(job) = self.jobs.get(&key) {
+                    let from = job.progress.range(chunk).start;
+                    self.durable(key, from, epoch, Some(&record));
+                }
             }
-            Item::Roster(_, members) => {
+            Item::Roster(number, members) => {
+                self.writer.roster.stored(number, members.iter().map(|(host, _)| host.as_str()));
                 for (host, images) in members {
                     // What is gone meanwhile has left its record, which is out of date already.
                     if let Some(h) = self.hosts.get_mut(&host) {
@@ -492,7 +558,11 @@
                     self.writer.finals.push_front(key);
                 }
             }
-            Item::Chunk(key, chunk, _) => self.queue_if_needed(key, chunk),
+            Item::Chunk(key, chunk, _) => {
+                if self.jobs.get_mut(&key).is_some_and(|job| job.progress.queue(chunk)) {
+                    self.writer.chunks.push_back((key, chunk));
+                }
+            }
             Item::Roster(number, _) => self.writer.roster.again(number),
             Item::Trash(key) => self.writer.trash.push_back(key),
             Item::Lanes => self.writer.lanes = true,
@@ -508,11 +578,7 @@
 
     fn queue_if_needed(&mut self, key: u64, chunk: usize) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
-        let from = chunk * constants::PROGRESS_CHUNK_TASKS as usize;
-        let missing =
-            job.bits(chunk).iter().enumerate().any(|(i, done)| *done && !job.durable[from + i]);
-        if missing && !job.chunks[chunk].dirty {
-            job.chunks[chunk].dirty = true;
+        if job.has_unstored_results(chunk) && job.progress.queue(chunk) {
             self.writer.chunks.push_back((key, chunk));
         }
     }
@@ -535,55 +601,56 @@
                 }
             }
             "p" => {
-                let Some(chunk) = parts.next().and_then(|c| c.parse().ok()) else { return };
+                let Some((_, from)) = progress_place(key) else { return };
                 let stamp = value.as_ref().map_or(0, |kv| kv.stamp);
                 let record =
                     value.and_then(|kv| serde_json::from_value::<ProgressRecord>(kv.v).ok());
-                self.learn_progress(job, chunk, stamp, record.as_ref());
+                self.learn_progress(job, from, stamp, record.as_ref());
             }
             _ => {}
         }
     }
 
-    /// A progress record as it is in the store.
+    /// The progress record that begins at task `from`, as it is in the store.
     pub(super) fn learn_progress(
         &mut self,
         key: u64,
-        chunk: usize,
+        from: u32,
         stamp: u64,
         record: Option<&ProgressRecord>,
     ) {
-        let Some(job) = self.jobs.get_mut(&key) else { return };
-        if chunk >= job.chunks.len() {
-            return;
+        self.durable(key, from, stamp, record);
+        let Some(job) = self.jobs.get(&key) else { return };
+        let chunk = job.progress.chunk_of(from);
+        if from < job.spec.pieces {
+            self.queue_if_needed(key, chunk);
         }
-        job.chunks[chunk].stamp = stamp;
-        if let Some(record) = record {
-            self.durable(key, chunk, stamp, record);
-        }
-        self.queue_if_needed(key, chunk);
     }
 
-    fn durable(&mut self, key: u64, chunk: usize, stamp: u64, record: &ProgressRecord) {
+    /// Results are in the store.
+    fn durable(&mut self, key: u64, from: u32, stamp: u64, record: Option<&ProgressRecord>) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
-        job.chunks[chunk].stamp = stamp;
-        let from = chunk as u32 * constants::PROGRESS_CHUNK_TASKS;
-        for i in record.set() {
-            let index = from + i;
-            if index >= job.spec.pieces {
-                break;
-            }
-            job.durable[index as usize] = true;
-            if job.slots[index as usize] != Slot::Done {
+        // A replica's end is no result, whatever a record says.
+        if job.spec.is_endless() || from >= job.spec.pieces {
+            return;
+        }
+        let others = job.progress.learn(from, stamp, record);
+        for index in record.map(ProgressRecord::set).unwrap_or_default() {
+            let index = from.saturating_add(index);
+            if index < job.spec.pieces && job.slots[index as usize] != Slot::Done {
                 job.slots[index as usize] = Slot::Done;
                 job.free.remove(&index);
                 job.done += 1;
             }
         }
+        for chunk in others {
+            if job.progress.queue(chunk) {
+                self.writer.chunks.push_back((key, chunk));
+            }
+        }
         self.stops_due = true;
-        if job.over.is_some() {
-            let name = progress_key(&job.id, chunk);
-            self.writer.trash.push_back(name);
+        if job.over.is_some() && stamp != 0 {
+            self.writer.trash.push_back(progress_key(&job.id, from));
         }
         self.finish_if_done(key);
     }
@@ -591,7 +658,7 @@
     /// All tasks of a job are done: its end is to be written.
     pub(super) fn finish_if_done(&mut self, key: u64) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
-        if job.done == job.spec.pieces && job.ending.is_none() {
+        if job.done == job.spec.pieces && job.ending.is_none() && !job.spec.is_endless() {
             job.ending = Some(JobState::Done);
             self.writer.finals.push_back(key);
         }
--- a/crates/controller/src/ledger/marks.rs
+++ b/crates/controller/src/ledger/marks.rs
@@ -6,14 +6,28 @@
 /// minute or two, and a record for each would take the write budget of all others; so they share records.
 ///
 /// Being named in a record that the store may hold is what counts: a job stays in its record until it is over.
-#[derive(Debug, Default)]
+#[derive(Debug)]
 pub(super) struct SharedMarks {
+    /// Jobs that a record may name.
+    most: usize,
     records: BTreeMap<u64, BTreeSet<JobId>>,
     /// The record that is being filled.
     current: u64,
 }
 
 impl SharedMarks {
+    /// No marks yet, in values of at most `value_kb` KiB.
+    pub fn new(value_kb: f64) -> Self {
+        let fit = value_kb * 1024.0 / constants::SHARED_MARK_BYTES as f64;
+        let most = (fit as usize).clamp(1, constants::SHARED_MARKS);
+        Self { most, records: BTreeMap::new(), current: 0 }
+    }
+
+    /// Whether a record names more jobs than one value may.
+    pub fn too_large(&self, number: u64) -> bool {
+        self.records.get(&number).is_some_and(|jobs| jobs.len() > self.most)
+    }
+
     /// A record that an earlier leader wrote, or one that can't be read: its number is taken.
     pub fn loaded(&mut self, number: u64, jobs: BTreeSet<JobId>) {
         self.current = self.current.max(number + 1);
@@ -22,7 +36,7 @@
 
     /// Puts a job into the record that is being filled; the record's number.
     pub fn add(&mut self, id: &JobId) -> u64 {
-        let full = |jobs: &BTreeSet<JobId>| jobs.len() >= constants::SHARED_MARKS;
+        let full = |jobs: &BTreeSet<JobId>| jobs.len() >= self.most;
         if self.records.get(&self.current).is_some_and(full) {
             self.current += 1;
         }
--- a/crates/controller/src/ledger/mod.rs
+++ b/crates/controller/src/ledger/mod.rs
@@ -9,12 +9,14 @@
 mod fleet;
 mod marks;
 mod model;
+mod progress;
 mod roster;
 mod schedule;
 
 pub use commit::{Commit, CommitResult, Learned};
 pub use fleet::FleetAction;
-pub use model::{Aims, Ended, Expected, Held, Host, Job, Kill, Phase, Recent, Slot};
+pub use model::{Aims, Ended, Expected, Held, Host, Job, JobContext, Kill, Phase, Recent, Slot};
+pub use progress::Progress;
 
 use crate::blocks::Blocks;
 use crate::config::{OperatorSettings, Params};
@@ -299,21 +301,16 @@
             self.job_seen(&kv.key, kv.v, at, true);
         }
         for kv in loaded.progress {
-            let found = kv.key.split('/').collect::<Vec<_>>();
-            let place = match found.as_slice() {
-                [_, id, chunk] => JobId::parse(id)
-                    .and_then(|id| self.by_id.get(&id).copied())
-                    .zip(chunk.parse::<usize>().ok()),
-                _ => None,
-            };
+            let place = crate::records::progress_place(&kv.key)
+                .and_then(|(id, from)| Some((*self.by_id.get(&id)?, from)));
             match (place, serde_json::from_value::<ProgressRecord>(kv.v)) {
-                (Some((job, chunk)), Ok(record)) => {
-                    self.learn_progress(job, chunk, kv.stamp, Some(&record));
+                (Some((job, from)), Ok(record)) => {
+                    self.learn_progress(job, from, kv.stamp, Some(&record));
                 }
-                (Some((job, chunk)), Err(e)) => {
+                (Some((job, from)), Err(e)) => {
                     // What it says is done runs once more, and the new record replaces just this version.
                     tracing::error!("{}: the progress record can't be read: {e}", kv.key);
-                    self.learn_progress(job, chunk, kv.stamp, None);
+                    self.learn_progress(job, from, kv.stamp, None);
                 }
                 (None, _) if orphan(&kv.key) => self.writer.trash(kv.key),
                 (None, _) => {}
@@ -523,7 +520,6 @@
         let image = self.image(&record.spec.bundle);
         let team =
             self.setup.params.teams.iter().position(|t| t.name == record.spec.owner).unwrap_or(0);
-        let zones = self.setup.params.zones.len();
         self.next_job += 1;
         let key = self.next_job;
         let aims = self.aims_of(&record.spec);
@@ -549,13 +545,24 @@
         lane.images.insert(image);
         lane.loaners &= record.spec.loaners;
         self.writer.lanes |= before != Some(lane.record());
-        let job = Job::new(record, &aims, team, image, zones, inherited, at);
+        let context = JobContext {
+            team,
+            image,
+            zones: self.setup.params.zones.len(),
+            value_kb: self.setup.params.state.value_kb,
+            inherited,
+        };
+        let job = Job::new(record, &aims, &context, at);
         self.by_id.insert(id, key);
         self.jobs.insert(key, job);
     }
 
     /// A job's own deadline, or what the aims promise its class.
+    /// A daemon has none: all of its replicas are wanted all the time, and a late one is wanted no less.
     fn aims_of(&self, spec: &JobSpec) -> Aims {
+        if spec.is_endless() {
+            return Aims::default();
+        }
         let mut start_s: Vec<f64> = self.aims(spec, "wait").collect();
         start_s.sort_by(f64::total_cmp);
         let finished = self.aims(spec, "finished").next();
@@ -677,10 +684,8 @@
         job.ending = Some(record.state);
         job.deciding = false;
         job.free.clear();
-        for chunk in 0..job.chunks.len() {
-            if job.chunks[chunk].stamp != 0 {
-                self.writer.trash(crate::records::progress_key(&job.id, chunk));
-            }
+        for key in job.progress.stored_keys(&job.id) {
+            self.writer.trash(key);
         }
         match job.shared_mark {
             Some(number) if self.writer.marks.remove(number, &job.id) => {
--- a/crates/controller/src/ledger/model.rs
+++ b/crates/controller/src/ledger/model.rs
@@ -1,4 +1,5 @@
 use super::Moment;
+use super::progress::Progress;
 use crate::records::{FinalRecord, JobRecord};
 use hookway_constants as constants;
 use hookway_policy::Room;
@@ -53,15 +54,6 @@
     Done,
 }
 
-/// A progress record.
-#[derive(Debug, Clone, Default)]
-pub struct Chunk {
-    /// Its version in the store; 0 if there is none.
-    pub stamp: u64,
-    /// Has results that are not durable.
-    pub dirty: bool,
-}
-
 /// What is expected of a job, in s after its submission.
 #[derive(Debug, Clone, Default)]
 pub struct Aims {
@@ -71,6 +63,21 @@
     pub start_s: Vec<f64>,
 }
 
+/// What a job's picture needs to know beside its record.
+#[derive(Debug, Clone, Copy)]
+pub struct JobContext {
+    /// Index of its team.
+    pub team: usize,
+    /// Number that stands for its image.
+    pub image: u32,
+    /// Number of zones.
+    pub zones: usize,
+    /// Largest value that the state service takes, KiB.
+    pub value_kb: f64,
+    /// An earlier leader may have started some of it.
+    pub inherited: bool,
+}
+
 /// A job that is not over, or not yet off all machines.
 #[derive(Debug)]
 pub struct Job {
@@ -100,10 +107,8 @@
     pub strays: Vec<u32>,
     /// Completed tasks.
     pub done: u32,
-    /// Per task: the completion is in the store.
-    pub durable: Vec<bool>,
-    /// Progress records.
-    pub chunks: Vec<Chunk>,
+    /// Which results are in the store.
+    pub progress: Progress,
     /// Tasks that hold a place.
     pub held: u32,
     /// Tasks that run, for display.
@@ -160,38 +165,28 @@
 
 impl Job {
     /// A job as it was accepted.
-    pub fn new(
-        record: JobRecord,
-        aims: &Aims,
-        team: usize,
-        image: u32,
-        zones: usize,
-        inherited: bool,
-        at: Moment,
-    ) -> Self {
+    pub fn new(record: JobRecord, aims: &Aims, context: &JobContext, at: Moment) -> Self {
         let spec = record.spec;
         let age = (at.wall as f64 - record.at_ms as f64).max(0.0) / 1000.0;
         let submitted = at.now as f64 / 1000.0 - age;
         let pieces = spec.pieces as usize;
-        let chunks = pieces.div_ceil(constants::PROGRESS_CHUNK_TASKS as usize);
         Self {
             id: spec.name_id.clone(),
-            team,
-            image,
+            team: context.team,
+            image: context.image,
             need: Room::of_task(&spec),
             submitted,
             due: aims.due_s.map(|d| submitted + d),
             start_by: aims.start_s.iter().map(|s| submitted + s).collect(),
-            inherited,
+            inherited: context.inherited,
             slots: vec![Slot::Free; pieces],
             free: (0..spec.pieces).collect(),
             strays: Vec::new(),
             done: 0,
-            durable: vec![false; pieces],
-            chunks: vec![Chunk::default(); chunks],
+            progress: Progress::new(spec.pieces, context.value_kb),
             held: 0,
             running: 0,
-            per_zone: vec![0; zones],
+            per_zone: vec![0; context.zones],
             sum_ms: 0,
             timed: 0,
             attempt: None,
@@ -234,11 +229,6 @@
         self.spec.pieces - self.done
     }
 
-    /// The chunk that a task's result goes to.
-    pub fn chunk_of(index: u32) -> usize {
-        (index / constants::PROGRESS_CHUNK_TASKS) as usize
-    }
-
     /// So far the store should let tasks be started so that `index` can be: some more than that, as
     /// each step costs a write.
     pub fn open_to(&self, index: u32) -> u32 {
@@ -250,11 +240,15 @@
     }
 
     /// The results of a chunk, as they are in memory.
-    pub fn bits(&self, chunk: usize) -> Vec<bool> {
-        let size = constants::PROGRESS_CHUNK_TASKS as usize;
-        let from = chunk * size;
-        let to = (from + size).min(self.slots.len());
-        self.slots[from..to].iter().map(|s| *s == Slot::Done).collect()
+    pub fn results(&self, chunk: usize) -> Vec<bool> {
+        self.progress.range(chunk).map(|i| self.slots[i as usize] == Slot::Done).collect()
+    }
+
+    /// Whether some result of a chunk is not in the store.
+    pub fn has_unstored_results(&self, chunk: usize) -> bool {
+        let unstored =
+            |i: u32| self.slots[i as usize] == Slot::Done && !self.progress.is_durable(i);
+        self.progress.range(chunk).any(unstored)
     }
 
     /// Keeps a reason for the user.
--- /dev/null
+++ b/crates/controller/src/ledger/progress/tests.rs
@@ -0,0 +1,47 @@
+use super::*;
+
+const SMALL_VALUE_KB: f64 = 2.0;
+
+fn id() -> JobId {
+    JobId::parse("req-000001").unwrap()
+}
+
+#[test]
+fn a_large_value_holds_a_whole_chunk_and_a_small_one_a_part_of_it() {
+    let large = Progress::new(40_000, 8.0);
+    let keys: Vec<String> = (0..3).map(|chunk| large.key(&id(), chunk)).collect();
+    assert_eq!(keys, ["p/req-000001/0", "p/req-000001/1", "p/req-000001/2"]);
+    let small = Progress::new(40_000, SMALL_VALUE_KB);
+    let keys: Vec<String> = (0..3).map(|chunk| small.key(&id(), chunk)).collect();
+    assert_eq!(keys, ["p/req-000001/0", "p/req-000001/0/8192", "p/req-000001/1"]);
+    let all_done: Vec<bool> = small.range(0).map(|_| true).collect();
+    let length = serde_json::to_string(&ProgressRecord::new(&all_done)).unwrap().len();
+    assert!(length as f64 <= SMALL_VALUE_KB * 1024.0, "{length} bytes");
+}
+
+#[test]
+fn a_record_written_under_a_larger_limit_is_overwritten_only_once_its_parts_are_stored() {
+    let mut progress = Progress::new(16_384, SMALL_VALUE_KB);
+    let mut results = vec![false; 16_384];
+    results[5] = true;
+    results[9_000] = true;
+    let others = progress.learn(0, 7, Some(&ProgressRecord::new(&results)));
+    assert_eq!(others, [1], "the second part needs a record of its own");
+    assert!(progress.is_durable(5) && progress.is_durable(9_000));
+    assert!(progress.queue(1));
+    assert!(progress.must_wait(0), "what it holds of the second part is stored nowhere else");
+    progress.unqueue(1);
+    assert!(progress.must_wait(0), "the second part is under way, not stored");
+    let part = ProgressRecord::new(&results[8_192..]);
+    assert_eq!(progress.learn(8_192, 8, Some(&part)), [0usize; 0]);
+    assert!(!progress.must_wait(0));
+}
+
+#[test]
+fn a_part_of_a_size_that_is_not_in_use_counts_and_is_not_overwritten() {
+    let mut progress = Progress::new(16_384, 8.0);
+    let part = ProgressRecord::new(&[true]);
+    assert_eq!(progress.learn(8_192, 8, Some(&part)), [0usize; 0]);
+    assert!(progress.is_durable(8_192));
+    assert_eq!(progress.stamp(0), 0);
+}
--- a/crates/controller/src/ledger/roster.rs
+++ b/crates/controller/src/ledger/roster.rs
@@ -16,6 +16,8 @@
     /// Records that can't be read. They stay as they are until the leases of their machines are surely
     /// over: the next leader must know that it does not know all machines.
     unreadable: BTreeSet<u64>,
+    /// Machines that move to another record, with the one that still names them in the store.
+    moving: HashMap<String, u64>,
 }
 
 impl Roster {
@@ -29,6 +31,7 @@
             urgent: BTreeSet::new(),
             stale: BTreeSet::new(),
             unreadable: BTreeSet::new(),
+            moving: HashMap::new(),
         }
     }
 
@@ -47,7 +50,13 @@
 
     /// A record that an earlier leader wrote.
     pub fn loaded(&mut self, number: u64, host: &str, at_ms: u64) {
-        self.records.entry(number).or_default().insert(host.to_owned(), at_ms);
+        let members = self.records.entry(number).or_default();
+        if self.of.contains_key(host) {
+            // That leader was moving it between records when it ended. One of them is enough.
+            self.stale.insert(number);
+            return;
+        }
+        members.insert(host.to_owned(), at_ms);
         self.of.insert(host.to_owned(), number);
     }
 
@@ -56,6 +65,12 @@
         if self.of.contains_key(host) {
             return;
         }
+        let number = self.add_to_open_record(host, at_ms);
+        self.urgent.insert(number);
+    }
+
+    /// Adds a machine to a record with room, or to a new one.
+    fn add_to_open_record(&mut self, host: &str, at_ms: u64) -> u64 {
         let open = self.records.iter().find(|(_, members)| members.len() < self.most);
         let number = open.map_or_else(
             || {
@@ -66,16 +81,46 @@
         );
         self.records.entry(number).or_default().insert(host.to_owned(), at_ms);
         self.of.insert(host.to_owned(), number);
-        self.urgent.insert(number);
+        number
+    }
+
+    /// A record is larger than a value may be: it was written under a larger limit. What is too much of it
+    /// moves to other records, and only once the store has those is it written again.
+    pub fn divide(&mut self, number: u64) {
+        let Some(members) = self.records.get(&number) else { return };
+        let staying = members.iter().filter(|(host, _)| !self.moving.contains_key(*host));
+        let surplus: Vec<(String, u64)> =
+            staying.skip(self.most).map(|(host, at_ms)| (host.clone(), *at_ms)).collect();
+        for (host, at_ms) in surplus {
+            let target = self.add_to_open_record(&host, at_ms);
+            self.stale.insert(target);
+            self.moving.insert(host, number);
+        }
+    }
+
+    /// A record with these machines is in the store.
+    pub fn stored<'a>(&mut self, number: u64, hosts: impl Iterator<Item = &'a str>) {
+        for host in hosts {
+            let here = self.of.get(host) == Some(&number);
+            if here && let Some(source) = self.moving.remove(host) {
+                self.remove_from(source, host);
+            }
+        }
+    }
+
+    /// A record no longer names a machine.
+    fn remove_from(&mut self, number: u64, host: &str) {
+        if let Some(members) = self.records.get_mut(&number) {
+            members.remove(host);
+        }
+        self.stale.insert(number);
     }
 
     /// A machine is gone. That its entry stays a while longer costs the next leader a look only.
     pub fn drop(&mut self, host: &str) {
-        if let Some(number) = self.of.remove(host) {
-            if let Some(members) = self.records.get_mut(&number) {
-                members.remove(host);
-            }
-            self.stale.insert(number);
+        let numbers = [self.of.remove(host), self.moving.remove(host)];
+        for number in numbers.into_iter().flatten() {
+            self.remove_from(number, host);
         }
     }
 
@@ -119,8 +164,8 @@
         name.strip_prefix(constants::ROSTER_RECORD_PREFIX)?.parse().ok()
     }
 
-    /// What is written of a record. `images` says what a machine holds; without room for the hints
-    /// they are left out.
+    /// What is written of a record; `None` if its machines alone are too many for a value. `images` says what a
+    /// machine holds; without room for the hints they are left out.
     pub fn record<'a>(
         &self,
         number: u64,
@@ -143,14 +188,18 @@
             }
             record.hosts.insert(host.clone(), entry);
         }
+        let fits = |value: &serde_json::Value| value.to_string().len() as f64 <= value_kb * 1024.0;
         let value = serde_json::to_value(&record).ok()?;
-        if value.to_string().len() as f64 <= value_kb * 1024.0 {
+        if fits(&value) {
             return Some(value);
         }
         record.images.clear();
         for entry in record.hosts.values_mut() {
             entry.images.clear();
         }
-        serde_json::to_value(&record).ok()
+        serde_json::to_value(&record).ok().filter(fits)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/controller/src/ledger/roster/tests.rs
@@ -0,0 +1,61 @@
+use super::*;
+
+const SMALL_VALUE_KB: f64 = 2.0;
+
+fn write(roster: &mut Roster, number: u64, stored: &mut BTreeMap<u64, BTreeSet<String>>) -> bool {
+    let Some(value) = roster.record(number, SMALL_VALUE_KB, |_| Vec::new()) else {
+        roster.divide(number);
+        return false;
+    };
+    assert!(value.to_string().len() as f64 <= SMALL_VALUE_KB * 1024.0);
+    let hosts: Vec<String> = roster.members(number).map(|(host, _)| host.clone()).collect();
+    stored.insert(number, hosts.iter().cloned().collect());
+    roster.stored(number, hosts.iter().map(String::as_str));
+    true
+}
+
+#[test]
+fn a_record_too_large_for_the_new_limit_is_divided_and_no_machine_is_ever_missing() {
+    let mut roster = Roster::new(SMALL_VALUE_KB);
+    let hosts: BTreeSet<String> = (0..64).map(|n| format!("m-{n:06}")).collect();
+    let mut stored = BTreeMap::from([(3, hosts.clone())]);
+    for host in &hosts {
+        roster.loaded(3, host, 1_764_654_219_000);
+    }
+    roster.hint("m-000001");
+    for _ in 0..40 {
+        let Some(number) = roster.next_stale() else { break };
+        write(&mut roster, number, &mut stored);
+        let named: BTreeSet<String> = stored.values().flatten().cloned().collect();
+        assert_eq!(named, hosts, "a crash now would hide a machine");
+    }
+    assert_eq!(stored.values().map(BTreeSet::len).sum::<usize>(), 64, "each in one record");
+    assert!(stored.len() >= 4);
+}
+
+#[test]
+fn a_machine_that_goes_while_it_moves_leaves_both_records() {
+    let mut roster = Roster::new(SMALL_VALUE_KB);
+    for n in 0..64 {
+        roster.loaded(0, &format!("m-{n:06}"), 1);
+    }
+    roster.divide(0);
+    roster.drop("m-000063");
+    let mut stored = BTreeMap::new();
+    while let Some(number) = roster.next_stale() {
+        write(&mut roster, number, &mut stored);
+    }
+    assert!(!stored.values().any(|hosts: &BTreeSet<String>| hosts.contains("m-000063")));
+    assert_eq!(stored.values().map(BTreeSet::len).sum::<usize>(), 63);
+}
+
+#[test]
+fn a_machine_that_two_records_name_after_a_crash_stays_in_one() {
+    let mut roster = Roster::new(SMALL_VALUE_KB);
+    roster.loaded(0, "m-000001", 1);
+    roster.loaded(1, "m-000001", 1);
+    assert_eq!(roster.next_stale(), Some(1));
+    assert_eq!(roster.members(1).count(), 0);
+    roster.drop("m-000001");
+    assert_eq!(roster.members(0).count(), 0);
+}
--- a/crates/controller/src/ledger/schedule.rs
+++ b/crates/controller/src/ledger/schedule.rs
@@ -413,7 +413,9 @@
                 let goes = host.notice.map(|at| at.saturating_sub(now) as f64);
                 let hopeless = !job.spec.is_gang()
                     && job.solid_mean().zip(goes).is_some_and(|(mean, goes)| mean - ran > goes);
-                if held.kill.is_none() && (idle || job.spec.saves() || hopeless) {
+                // A replica never finishes first.
+                let moves = idle || job.spec.saves() || job.spec.is_endless() || hopeless;
+                if held.kill.is_none() && moves {
                     stops.push(i);
                 }
             }
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -623,6 +623,10 @@
             return CommitResult::NotDone;
         }
         Err(StoreError::TooMany) => return CommitResult::NotDone,
+        Err(StoreError::Rejected(why)) => {
+            tracing::error!("transaction of {} changes: {why}", commit.transaction.apply.len());
+            return CommitResult::Rejected;
+        }
         Ok(CommitOutcome::Refused(keys)) => tracing::info!("transaction refused: {keys:?}"),
         Err(e) => tracing::info!("transaction unclear: {e}"),
     }
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -8,6 +8,7 @@
 //! | `j/<job>` | an accepted job that is not over |
 //! | `f/<job>` | the final state of a job; written once, never changed |
 //! | `p/<job>/<chunk>` | which tasks of a job are done, as bits |
+//! | `p/<job>/<chunk>/<task>` | the same from that task on, where a value can't hold a whole chunk |
 //! | `m/<job>` | the job's minimum and mean task time (hints for the next leader), and how far its tasks may have been started |
 //! | `m/shared-<n>` | small jobs (gangs, and arrays of a few tasks) that may have been started |
 //! | `r/record-<n>` | machines that may have tasks, and the images they hold (a hint) |
@@ -18,6 +19,7 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
+use hookway_constants as constants;
 use hookway_policy::Room;
 use hookway_wire::{JobId, JobSpec, JobState, JobStatus};
 use serde::{Deserialize, Serialize};
@@ -198,9 +200,27 @@
     format!("{FINALS}{id}")
 }
 
-/// `p/<job>/<chunk>`.
-pub fn progress_key(id: &JobId, chunk: usize) -> String {
-    format!("{PROGRESS}{id}/{chunk}")
+/// The key of the progress record whose first task is `from`.
+pub fn progress_key(id: &JobId, from: u32) -> String {
+    let chunk = from / constants::PROGRESS_CHUNK_TASKS;
+    if from.is_multiple_of(constants::PROGRESS_CHUNK_TASKS) {
+        format!("{PROGRESS}{id}/{chunk}")
+    } else {
+        format!("{PROGRESS}{id}/{chunk}/{from}")
+    }
+}
+
+/// The job and the first task of such a key.
+pub fn progress_place(key: &str) -> Option<(JobId, u32)> {
+    let parts: Vec<&str> = key.strip_prefix(PROGRESS)?.split('/').collect();
+    let (id, from) = match parts.as_slice() {
+        [id, chunk] => {
+            (id, chunk.parse::<u32>().ok()?.checked_mul(constants::PROGRESS_CHUNK_TASKS)?)
+        }
+        [id, _, from] => (id, from.parse().ok()?),
+        _ => return None,
+    };
+    Some((JobId::parse(id)?, from))
 }
 
 /// `m/<job>`.
--- a/crates/policy/src/order.rs
+++ b/crates/policy/src/order.rs
@@ -57,7 +57,8 @@
     let mut rates: Vec<(f64, f64, usize)> = Vec::new();
     for (i, job) in jobs.iter().enumerate() {
         if job.gang || job.endless {
-            room -= f64::from(job.running.max(job.startable)) * job.need.cpus;
+            let tasks = if job.endless { job.unfinished } else { job.running.max(job.startable) };
+            room -= f64::from(tasks) * job.need.cpus;
             continue;
         }
         let Some(due) = job.due.filter(|_| !late(job, now)) else { continue };
@@ -80,6 +81,12 @@
     !job.gang && !job.endless && job.due.is_none() && job.start_by.is_empty()
 }
 
+/// Whether tasks of the job wait of which nothing has run or runs. A replica of a daemon that is not running
+/// counts as such by itself: no other replica does its work.
+fn waits_unseen(job: &JobView) -> bool {
+    job.unseen() || job.endless
+}
+
 /// The order of the design, within each rank: jobs with nothing finished or running first, oldest
 /// first; then earliest deadline, each up to its minimum. What is left goes to the job with the least
 /// work left. Jobs that are late, or can't be in time together with the others on `capacity` CPUs, come
@@ -92,9 +99,9 @@
         (0..jobs.len()).filter(|i| jobs[*i].startable > 0).partition(|i| jobs[*i].doubtful);
     let (mut free, open): (Vec<usize>, Vec<usize>) =
         open.into_iter().partition(|i| unhurried(&jobs[*i]));
-    let mut unseen: Vec<usize> = open.iter().copied().filter(|i| jobs[*i].unseen()).collect();
+    let mut unseen: Vec<usize> = open.iter().copied().filter(|i| waits_unseen(&jobs[*i])).collect();
     unseen.sort_by(|a, b| who_starts_first(&jobs[*a], &jobs[*b], now));
-    let mut seen: Vec<usize> = open.iter().copied().filter(|i| !jobs[*i].unseen()).collect();
+    let mut seen: Vec<usize> = open.iter().copied().filter(|i| !waits_unseen(&jobs[*i])).collect();
     seen.sort_by(|a, b| {
         let order = last(*a).cmp(&last(*b));
         let (a, b) = (&jobs[*a], &jobs[*b]);
@@ -105,7 +112,9 @@
     });
     let mut list = Vec::new();
     for job in &unseen {
-        let tasks = if jobs[*job].gang { jobs[*job].startable } else { 1 };
+        let view = &jobs[*job];
+        // What a gang needs at least is all of it, and so is a daemon's minimum.
+        let tasks = if view.gang || view.endless { view.startable } else { 1 };
         list.push(Turn { job: *job, tasks, leftover: false });
     }
     // However much comes in time, what has waited long gets on.
@@ -137,7 +146,8 @@
     }
     // Leftovers are spread to the job with the least work left first: of those that can be in time,
     // most are, when there is not enough for all. Ranks have had their say above.
-    let mut rest: Vec<usize> = unseen.into_iter().chain(seen).filter(|i| !jobs[*i].gang).collect();
+    let in_parts = |i: &usize| !jobs[*i].gang && !jobs[*i].endless;
+    let mut rest: Vec<usize> = unseen.into_iter().chain(seen).filter(in_parts).collect();
     let work = |j: &JobView| f64::from(j.startable) * j.task_time() * j.need.cpus;
     rest.sort_by(|a, b| {
         let order = last(*a).cmp(&last(*b));
--- a/crates/policy/src/preempt.rs
+++ b/crates/policy/src/preempt.rs
@@ -105,8 +105,8 @@
 }
 
 /// Finds room for waiting work that may push other work aside: work of higher rank, and work within
-/// its team's guarantee. Only what the job needs at least is made room for: a gang whole, an array
-/// one task a round.
+/// its team's guarantee. Only what the job needs at least is made room for: a gang whole, all replicas of a
+/// daemon, an array one task a round.
 pub fn evict(world: &World) -> Vec<Eviction> {
     // A look at all that runs is worth it only where something may be pushed aside at all.
     let held = world.hosts.iter().flat_map(|h| &h.held);
@@ -115,7 +115,8 @@
     let mut waiting: Vec<usize> = (0..world.jobs.len())
         .filter(|i| {
             let job = &world.jobs[*i];
-            let short = if job.gang { job.startable == job.pieces } else { job.unseen() };
+            let short =
+                if job.gang { job.startable == job.pieces } else { job.unseen() || job.endless };
             // One batch of stops at a time: machines that are being cleared for it stay kept.
             let clearing = world.hosts.iter().any(|h| h.kept_for == Some(*i));
             job.startable > 0
@@ -134,15 +135,18 @@
     let mut all = evict_for_deadlines(world);
     for job_ix in waiting {
         let job = &world.jobs[job_ix];
-        let tasks = if job.gang { job.startable } else { 1 };
+        let tasks = if job.gang || job.endless { job.startable } else { 1 };
         let team_allows = world.teams.get(job.team).is_none_or(|t| t.allows(&job.need) >= tasks);
         if !team_allows {
             all.extend(evict_for_quota(world, job_ix, tasks));
             continue;
         }
-        if let Some(found) =
-            cheapest_eviction(world, job_ix, tasks, &taken).filter(|f| !f.victims.is_empty())
-        {
+        let mut found = cheapest_eviction(world, job_ix, tasks, &taken);
+        if found.is_none() && job.endless {
+            // Some replicas are better than none.
+            found = cheapest_eviction(world, job_ix, 1, &taken);
+        }
+        if let Some(found) = found.filter(|f| !f.victims.is_empty()) {
             for host in &found.hosts {
                 taken[*host] = true;
             }
