--- a/crates/constants/src/lib.rs
+++ b/crates/constants/src/lib.rs
@@ -234,8 +234,8 @@
 pub const UNPROVEN_BLAME: f64 = 0.5;
 /// Machines that a job remembers to have failed on. Enough to tell that they are many.
 pub const FAILED_ON_KEPT: usize = 16;
-/// Tries in a row that a gang may fail before it counts as failing everywhere: it needs many machines,
-/// and meets a faulty one the sooner.
+/// Tries in a row that a gang, or a daemon, may fail before it counts as failing everywhere: it needs many
+/// machines, and meets a faulty one the sooner.
 pub const GANG_TRIES: u32 = 3;
 /// Tries in a row that a job of which tasks have completed may fail before it pauses.
 pub const PROVEN_ERRORS: u32 = 3;
--- a/crates/controller/src/ledger/blame.rs
+++ b/crates/controller/src/ledger/blame.rs
@@ -12,7 +12,8 @@
     /// It failed, and nothing speaks for it: no task has completed, and not more of them run than there
     /// are machines that it failed on.
     pub fn doubtful(&self) -> bool {
-        let tries = if self.spec.is_gang() { constants::GANG_TRIES } else { 1 };
+        let all_wanted = self.spec.is_gang() || self.spec.is_endless();
+        let tries = if all_wanted { constants::GANG_TRIES } else { 1 };
         self.errors >= tries && self.unproven()
     }
 
@@ -92,6 +93,23 @@
 }
 
 impl Ledger {
+    /// A daemon of which a replica has run for a while works, whatever failed before: it has no completed tasks
+    /// that would show it.
+    pub(super) fn forgive_steady_daemons(&mut self, now: u64) {
+        let failed = |job: &Job| job.spec.is_endless() && job.errors > 0;
+        if !self.jobs.values().any(failed) {
+            return;
+        }
+        let steady = |since: &u64| now >= since + constants::REPLICA_STEADY_MS;
+        for held in self.hosts.values().flat_map(|host| &host.held) {
+            let Some(job) = held.job.and_then(|key| self.jobs.get_mut(&key)) else { continue };
+            if failed(job) && held.running_since.as_ref().is_some_and(steady) {
+                job.errors = 0;
+                job.failed_on.clear();
+            }
+        }
+    }
+
     /// A task of job `key`, placed at `since`, has failed on a machine.
     pub(super) fn blame(&mut self, name: &str, key: u64, since: u64, now: u64) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
--- a/crates/controller/src/ledger/schedule.rs
+++ b/crates/controller/src/ledger/schedule.rs
@@ -315,6 +315,7 @@
         self.mend_gangs(now);
         self.clear_noticed(now);
         self.give_up_stuck(now);
+        self.forgive_steady_daemons(now);
         if self.jobs.is_empty() || self.flavors.is_empty() {
             return;
         }
--- a/crates/controller/tests/model.rs
+++ b/crates/controller/tests/model.rs
@@ -76,4 +76,6 @@
     assert!(all.errors > 300 && all.greeted > 100 && all.kept > 50, "{all:?}");
     assert!(all.withdrawn > 100 && all.withdrawn_without_leader > 30, "{all:?}");
     assert!(all.stopped_by_holders > 0 && all.asked > 100_000, "{all:?}");
+    assert!(all.replica_starts > 300 && all.replicas_in_place > 50, "{all:?}");
+    assert!(all.small_rosters > 500, "{all:?}");
 }
--- a/crates/controller/tests/world/controllers.rs
+++ b/crates/controller/tests/world/controllers.rs
@@ -12,7 +12,10 @@
 };
 use hookway_controller::records::LEAD_NOW;
 use hookway_testkit::{SETTINGS, flavors};
-use hookway_wire::{CheckIn, DirectOrders, Guard, HostState, JobId, JobState, ListedHost, Order};
+use hookway_wire::{
+    Change, CheckIn, DirectOrders, Guard, HostState, JobId, JobState, ListedHost, Order,
+    Transaction,
+};
 use rand::RngExt;
 use std::collections::BTreeSet;
 
@@ -36,6 +39,7 @@
 pub(super) struct Controller {
     pub setup: Setup,
     pub holding: Holding,
+    pub version: Version,
     nonce: u64,
     /// When its process began.
     begun: u64,
@@ -57,19 +61,35 @@
     pub outage_at: Option<u64>,
 }
 
+/// Which version a process is of.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Version {
+    /// Writes records as large as the state service takes at first.
+    Old,
+    /// Keeps to the limits that the state service has later.
+    New,
+}
+
+/// What the state service takes later: small enough that a record of the old version is too large.
+const NEXT_LIMITS: &str =
+    "\n[settings.state.next]\nvalue_kb = 0.25\ntxn_ops = 3\nwrite_rps = 20.0\n";
+
 impl Controller {
-    pub fn new(n: usize, nonce: u64, now: u64) -> Self {
+    pub fn new(n: usize, version: Version, nonce: u64, now: u64) -> Self {
         let siblings = NODES.iter().enumerate().filter(|(other, _)| *other != n);
+        let limits = if version == Version::New { NEXT_LIMITS } else { "" };
+        let settings = format!("{SETTINGS}{limits}");
         let setup = Setup {
             label: NODES[n].0.into(),
             domain: NODES[n].1.into(),
             siblings: siblings.map(|(_, (l, z))| ((*l).to_owned(), (*z).to_owned())).collect(),
-            params: Settings::parse(SETTINGS).expect("sound settings").settings,
+            params: Settings::parse(&settings).expect("sound settings").settings,
             operator: OperatorSettings::default(),
         };
         Self {
             holding: Holding::new(NODES[n].0, nonce, HOLDER_PATIENCE),
             setup,
+            version,
             nonce,
             begun: now,
             leader: None,
@@ -115,8 +135,13 @@
         Moment { now: self.now, wall: 1_000_000 + self.now }
     }
 
-    /// A process ends; another one runs under its name soon.
+    /// A process ends; another one of the same version runs under its name soon.
     pub(super) fn kill(&mut self, n: usize) {
+        self.replace(n, self.controllers[n].version);
+    }
+
+    /// A process ends; one of this version runs under its name soon.
+    pub(super) fn replace(&mut self, n: usize, version: Version) {
         let nonce = self.rng.random();
         let back = match self.rng.random_range(0..2) {
             0 => self.span(100, 800),
@@ -124,7 +149,7 @@
         };
         let old = &self.controllers[n];
         let cuts = (old.no_store_until, old.no_peers_until, old.no_workers_until, old.refused);
-        let mut next = Controller::new(n, nonce, self.now + back);
+        let mut next = Controller::new(n, version, nonce, self.now + back);
         (next.no_store_until, next.no_peers_until, next.no_workers_until, next.refused) = cuts;
         self.controllers[n] = next;
     }
@@ -359,12 +384,27 @@
             self.send(|| Message::Greet(n, term, index(&host) - 1));
         }
         if let Some(commit) = commit {
+            self.check_limits(n, &commit.transaction);
             let slow = self.chance(200);
             let delay = if slow { self.span(500, 3_000) } else { 10 };
             self.at(now + delay, Message::Commit(n, term, Box::new(commit)));
         }
     }
 
+    /// A controller keeps to the limits that it knows of.
+    fn check_limits(&mut self, n: usize, transaction: &Transaction) {
+        let limits = &self.controllers[n].setup.params.state;
+        let changes = transaction.apply.len();
+        assert!(changes <= limits.txn_ops, "{changes} changes, and a limit of {}", limits.txn_ops);
+        for change in &transaction.apply {
+            let Change::Put { put, v, .. } = change else { continue };
+            let length = v.to_string().len() as f64;
+            assert!(length <= limits.value_kb * 1024.0, "{put}: {length} bytes");
+            let divided = self.controllers[n].version == Version::New && put.starts_with("r/");
+            self.counts.small_rosters += usize::from(divided);
+        }
+    }
+
     /// A transaction reaches the state service, or does not; its answer may get lost.
     pub(super) fn carry_out(&mut self, n: usize, term: u64, commit: Box<Commit>) {
         let now = self.now;
--- a/crates/controller/tests/world/machines.rs
+++ b/crates/controller/tests/world/machines.rs
@@ -1,12 +1,18 @@
 //! Machines with their workers and tasks, and the rules at each start.
 
-use super::{CALM_AT, Message, NODES, PATIENCE, REPORT_EVERY, Reply, World, mistaken};
+use super::{CALM_AT, Message, NODES, PATIENCE, REPLICAS_AT, REPORT_EVERY, Reply, World, mistaken};
 use hookway_clients::Delivery;
 use hookway_testkit::ScriptedWorker;
-use hookway_wire::{Cause, DirectOrders};
+use hookway_wire::{Cause, DirectOrders, JobSpec};
 use rand::RngExt;
 use std::collections::BTreeMap;
 
+/// A replica of a daemon completes after this long, ms, which is no end of it.
+const REPLICA_ENDS_AFTER: u64 = 40_000;
+
+/// A replica that moves runs again within this, ms.
+const REPLICA_MOVES_WITHIN: u64 = 5_000;
+
 pub(super) struct Machine {
     pub worker: ScriptedWorker,
     pub name: String,
@@ -165,6 +171,9 @@
             let same = self.machines[m].worker.live().iter().filter(|t| **t == task).count();
             assert!(same <= 1, "{task} is on one machine twice");
             self.check_bounds(m, &task);
+            let replica =
+                |j: &JobSpec| j.is_endless() && task.split('/').next() == Some(j.name_id.as_str());
+            self.counts.replica_starts += usize::from(self.jobs.iter().any(replica));
             self.machines[m].since.insert(task, self.now);
         }
     }
@@ -292,12 +301,16 @@
                 machine.next_report = machine.next_report.min(now + 100);
                 continue;
             }
+            // A replica runs on, but for one that ends now and then.
+            let endless = |j: &JobSpec| j.name_id.as_str() == id && j.is_endless();
+            let endless = self.jobs.iter().any(endless);
             let takes = match task.ends_with('7') {
+                _ if endless => REPLICA_ENDS_AFTER,
                 _ if long => 90_000,
                 true => 25_000,
                 false => 6_000,
             };
-            if now < since + takes {
+            if now < since + takes || endless && now >= CALM_AT {
                 continue;
             }
             machine.worker.end(&task, Cause::Done);
@@ -311,6 +324,31 @@
         }
     }
 
+    /// The troubles have been over for a while: every replica of every daemon is on a machine, but for the
+    /// moment in which it moves to another one.
+    pub(super) fn check_replicas(&mut self) {
+        if !(REPLICAS_AT - REPLICA_MOVES_WITHIN..=REPLICAS_AT).contains(&self.now) {
+            return;
+        }
+        let live = self.machines.iter().filter(|m| !m.dead).flat_map(|m| m.worker.live());
+        self.replicas_seen.extend(live);
+        if self.now < REPLICAS_AT {
+            return;
+        }
+        for spec in self.jobs.iter().filter(|j| j.is_endless() && !mistaken(j.name_id.as_str())) {
+            let id = &spec.name_id;
+            let withdrawn = self.told.get(id).is_some_and(|told| told.withdrawn_at.is_some());
+            if withdrawn || self.over(id) {
+                continue;
+            }
+            for replica in 0..spec.pieces {
+                let there = self.replicas_seen.contains(&format!("{id}/{replica}"));
+                assert!(there, "replica {replica} does not run\n{}", self.describe(id));
+                self.counts.replicas_in_place += 1;
+            }
+        }
+    }
+
     /// The tasks of a withdrawn job are gone in time, whoever can be reached.
     pub(super) fn check_withdrawn(&self) {
         let cancel_ms = (self.controllers[0].setup.params.workers.cancel_s * 1000.0) as u64;
--- a/crates/controller/tests/world/mod.rs
+++ b/crates/controller/tests/world/mod.rs
@@ -11,7 +11,7 @@
 mod scenarios;
 mod users;
 
-use controllers::Controller;
+use controllers::{Controller, Version};
 use hookway_clients::Delivery;
 use hookway_controller::holders::{BlockLease, Renewal};
 use hookway_controller::ledger::Commit;
@@ -26,6 +26,12 @@
 
 /// Troubles end here, ms.
 pub const CALM_AT: u64 = 200_000;
+/// The new version replaces the old one, a controller at a time, from here on, ms: while troubles last.
+const UPGRADE_AT: u64 = 60_000;
+/// Pause between two controllers that are replaced, ms.
+const UPGRADE_EVERY: u64 = 15_000;
+/// Every replica of every daemon runs by then, ms.
+pub const REPLICAS_AT: u64 = CALM_AT + 60_000;
 /// By then all must be done, ms. A team at its limit of four tasks may have a dozen of 90 s before it.
 pub const END_AT: u64 = 1_200_000;
 const STEP: u64 = 100;
@@ -102,6 +108,9 @@
     pub resumed_terms: usize,
     pub tight_starts: usize,
     pub bound_starts: usize,
+    pub replica_starts: usize,
+    pub replicas_in_place: usize,
+    pub small_rosters: usize,
 }
 
 impl Counts {
@@ -121,6 +130,9 @@
             resumed_terms: self.resumed_terms + other.resumed_terms,
             tight_starts: self.tight_starts + other.tight_starts,
             bound_starts: self.bound_starts + other.bound_starts,
+            replica_starts: self.replica_starts + other.replica_starts,
+            replicas_in_place: self.replicas_in_place + other.replicas_in_place,
+            small_rosters: self.small_rosters + other.small_rosters,
         }
     }
 }
@@ -144,6 +156,8 @@
     pub jobs: Vec<JobSpec>,
     told: BTreeMap<JobId, Told>,
     done: BTreeSet<String>,
+    /// Replicas that were on a machine of late.
+    replicas_seen: BTreeSet<String>,
     pub counts: Counts,
 }
 
@@ -158,7 +172,8 @@
 
 impl World {
     pub fn new(seed: u64) -> Self {
-        let controllers = (0..NODES.len()).map(|n| Controller::new(n, n as u64, 0)).collect();
+        let controllers =
+            (0..NODES.len()).map(|n| Controller::new(n, Version::Old, n as u64, 0)).collect();
         Self {
             rng: StdRng::seed_from_u64(seed),
             now: 0,
@@ -176,6 +191,7 @@
             jobs: Vec::new(),
             told: BTreeMap::new(),
             done: BTreeSet::new(),
+            replicas_seen: BTreeSet::new(),
             counts: Counts::default(),
         }
     }
@@ -283,6 +299,15 @@
         let _ = self.store.commit(&Transaction { guards: vec![], apply: vec![gone] });
     }
 
+    /// The new version comes, a controller at a time.
+    fn upgrade(&mut self) {
+        for n in 0..NODES.len() {
+            if self.now == UPGRADE_AT + n as u64 * UPGRADE_EVERY {
+                self.replace(n, Version::New);
+            }
+        }
+    }
+
     /// What strikes whole zones and controllers.
     fn trouble(&mut self) {
         let now = self.now;
@@ -290,6 +315,7 @@
             self.run_scenario();
             return self.calm_down();
         }
+        self.upgrade();
         if self.chance(3) {
             let zone = self.rng.random_range(0..ZONES.len());
             self.zone_cut_until[zone] = now + self.span(2_000, 70_000);
@@ -432,6 +458,7 @@
             for n in 0..NODES.len() {
                 self.run_controller(n);
             }
+            self.check_replicas();
             self.ask_around();
             self.check_withdrawn();
         }
--- a/crates/controller/tests/world/users.rs
+++ b/crates/controller/tests/world/users.rs
@@ -1,11 +1,14 @@
 //! Users: what they submit, ask and withdraw at any controller, and what they are told.
 
-use super::{CALM_AT, Message, NODES, World, mistaken};
+use super::{Message, NODES, REPLICAS_AT, Version, World, mistaken};
 use hookway_controller::ledger::{Lookup, Withdrawal};
 use hookway_controller::records::{JobRecord, LEAD_NOW, final_key, job_key};
 use hookway_wire::{Change, Guard, JobId, JobSpec, JobState, Transaction};
 use rand::RngExt;
 
+/// Replicas of a daemon, at most: those of all of them find room beside a team at its limit.
+const MOST_REPLICAS: u64 = 3;
+
 /// What a user hears of a job.
 #[derive(Debug, PartialEq, Eq)]
 enum Heard {
@@ -27,7 +30,15 @@
             "tight" => self.span(1, 16),
             _ => self.span(1, 80),
         };
-        let shape = if gang { "group" } else { "array" };
+        // Nothing of the new version is asked before all controllers are of it.
+        let new = self.controllers.iter().all(|c| c.version == Version::New);
+        let daemon = new && !gang && owner == "team" && self.rng.random_range(0..3) == 0;
+        let (shape, rank) = match (gang, daemon) {
+            (true, _) => ("group", "normal"),
+            (_, true) => ("daemon", "production"),
+            _ => ("array", "normal"),
+        };
+        let pieces = if daemon { pieces.min(MOST_REPLICAS) } else { pieces };
         let (together, spread) = match self.rng.random_range(0..5) {
             0 => (true, false),
             1 => (false, true),
@@ -35,7 +46,7 @@
         };
         let text = format!(
             r#"{{"NameId":"req-{n:06}","Lane":"train","Owner":"{owner}","Shape":"{shape}",
-            "Rank":"normal","Pieces":{pieces},"Vcpus":1.0,"Gpus":0,"RamGb":1,"Bundle":"img",
+            "Rank":"{rank}","Pieces":{pieces},"Vcpus":1.0,"Gpus":0,"RamGb":1,"Bundle":"img",
             "ImageGb":1,"Together":{together},"Spread":{spread},"Loaners":true,"GuessS":10,
             "SnapshotEveryS":0,"SnapshotS":0,"DueS":60}}"#
         );
@@ -59,8 +70,9 @@
         if self.jobs.is_empty() {
             return;
         }
-        if self.now >= CALM_AT + 60_000 && self.now.is_multiple_of(5_000) {
-            let wrong = self.jobs.iter().filter(|j| mistaken(j.name_id.as_str()));
+        if self.now >= REPLICAS_AT && self.now.is_multiple_of(5_000) {
+            let ends = |j: &&JobSpec| mistaken(j.name_id.as_str()) || j.is_endless();
+            let wrong = self.jobs.iter().filter(ends);
             let ids: Vec<JobId> = wrong.map(|j| j.name_id.clone()).collect();
             for id in ids {
                 (0..NODES.len()).for_each(|n| self.withdraw_at(n, &id));
@@ -198,6 +210,7 @@
             let id = &spec.name_id;
             let Some(kv) = self.store.get(&final_key(id)) else { continue };
             if kv.v["state"].as_str() == Some("done") {
+                assert!(!spec.is_endless(), "{id} is a daemon, and is called done");
                 let all = (0..spec.pieces).all(|i| self.done.contains(&format!("{id}/{i}")));
                 assert!(all, "{id} is called done before all of its tasks are");
             }
