--- /dev/null
+++ b/crates/controller/tests/formats.rs
@@ -0,0 +1,234 @@
+//! Every format as production reads and writes it: records in the state service, frames between controllers,
+//! HTTP messages. `fixtures/production.txt` has what commit a77378733694 wrote for the values below, one a line;
+//! whatever is renamed in the code, it must be read as these values and written as these bytes.
+#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+
+use hookway_controller::api::{Told, Verdict};
+use hookway_controller::holders::{BlockLease, Renewal};
+use hookway_controller::peers::{PeerAnswer, PeerAsk};
+use hookway_controller::records::{
+    FinalRecord, ImagesRecord, JobRecord, LaneRecord, LeadRecord, MinimumRecord, ProgressRecord,
+    RosterEntry, RosterRecord, SharedMarksRecord,
+};
+use hookway_policy::Room;
+use hookway_wire::{
+    Cause, Change, CheckIn, CheckInAnswer, CommitAnswer, DirectOrders, ErrorBody, Event, Flavor,
+    Flavors, Grant, GrantRequest, Guard, HostNames, HostState, JobId, JobSpec, JobState, JobStatus,
+    KeyPage, KeyValue, ListedHost, Order, PieceReport, PieceState, RentRequest, ReportElsewhere,
+    Transaction, WatchAnswer,
+};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Debug;
+
+const FIXTURES: &str = include_str!("fixtures/production.txt");
+
+fn fixture(name: &str) -> &'static str {
+    let found = FIXTURES.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    found.unwrap_or_else(|| panic!("no fixture {name}"))
+}
+
+/// A value is written as the JSON of the fixture, and read from it.
+fn json<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
+    let written = serde_json::to_value(value).expect("a value");
+    let pinned: serde_json::Value = serde_json::from_str(fixture(name)).expect("JSON");
+    assert_eq!(written, pinned, "{name} is written differently");
+    let read: T = serde_json::from_value(pinned).expect("a value");
+    assert_eq!(&read, value, "{name} is read differently");
+}
+
+/// The same for a frame, byte by byte.
+fn frame<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
+    let config = bincode::config::standard();
+    let bytes = bincode::serde::encode_to_vec(value, config).expect("a frame");
+    let written: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
+    assert_eq!(written, fixture(name), "{name} is written differently");
+    let (read, _): (T, usize) = bincode::serde::decode_from_slice(&bytes, config).expect("a frame");
+    assert_eq!(&read, value, "{name} is read differently");
+}
+
+fn id() -> JobId {
+    JobId::parse("req-000412").expect("an id")
+}
+
+fn spec(shape: &str) -> JobSpec {
+    let text = format!(
+        r#"{{"NameId":"req-000412","Lane":"train","Owner":"vision","Shape":"{shape}","Rank":"high",
+        "Pieces":16,"Vcpus":8.0,"Gpus":1.0,"RamGb":64.0,"Bundle":"img-07","ImageGb":6.2,
+        "Flavors":["g8"],"Yard":"a","Together":true,"Spread":false,"Loaners":true,"GuessS":240.0,
+        "SnapshotEveryS":30.0,"SnapshotS":4.0,"DueS":900.0}}"#
+    );
+    JobSpec::parse(text.as_bytes()).expect("a sound job")
+}
+
+fn status(state: JobState) -> JobStatus {
+    JobStatus {
+        name_id: id(),
+        status: state,
+        done: 3,
+        running: 13,
+        owner: Some("vision".into()),
+        commander: Some("worker-1".into()),
+        notes: vec!["task 3 failed".into()],
+    }
+}
+
+fn report() -> CheckIn {
+    let piece = |piece: &str, status, cause, saved| PieceReport {
+        piece: piece.into(),
+        r#try: 2,
+        status,
+        cause,
+        saved,
+    };
+    CheckIn {
+        host: "m-000231".into(),
+        addr: "10.1.0.232:9000".into(),
+        flavor: "g8".into(),
+        yard: "a".into(),
+        loaners: true,
+        tenure: 1,
+        tick: 88,
+        baton: 41,
+        eviction_s: Some(12.5),
+        pieces: vec![
+            piece("req-000412/3", PieceState::Running, None, None),
+            piece("req-000412/4", PieceState::Pulling, None, None),
+            piece("req-000412/5", PieceState::Waiting, None, None),
+            piece("req-000412/6", PieceState::Saving, None, None),
+            piece("req-000398/0", PieceState::Ended, Some(Cause::Done), None),
+            piece("req-000398/1", PieceState::Ended, Some(Cause::Stopped), Some(true)),
+            piece("req-000398/2", PieceState::Ended, Some(Cause::NoRoom), None),
+        ],
+    }
+}
+
+fn orders() -> Vec<Order> {
+    vec![
+        Order::Run { piece: "req-000412/4".into(), r#try: 2 },
+        Order::Kill { piece: "req-000377/1".into(), r#try: 1, wind_down_s: 10.0 },
+        Order::Reap { piece: "req-000398/0".into(), r#try: 1 },
+    ]
+}
+
+#[test]
+fn records_in_the_state_service_are_read_and_written_as_in_production() {
+    let job = |shape: &str| JobRecord { spec: spec(shape), at_ms: 1_764_654_219_000, marked: true };
+    json("record-job-array", &job("array"));
+    json("record-job-group", &job("group"));
+    json("record-job-daemon", &job("daemon"));
+    json("record-lead", &LeadRecord { label: "worker-1".into(), term: 4_097, nonce: 77 });
+    let ended = |state, notes| FinalRecord { state, done: 3, owner: "vision".into(), notes };
+    json("record-final-done", &ended(JobState::Done, vec![]));
+    json("record-final-withdrawn", &ended(JobState::Withdrawn, vec!["a note".into()]));
+    let mut results = vec![false; 20];
+    (results[0], results[9], results[19]) = (true, true, true);
+    json("record-progress", &ProgressRecord::new(&results));
+    let minimum = MinimumRecord { least: 7, timed: 4, sum_ms: 91_000, opened: 32 };
+    json("record-minimum", &minimum);
+    json("record-marks", &SharedMarksRecord { jobs: BTreeSet::from([id()]) });
+    let entry = RosterEntry { at_ms: 1_764_654_219_000, images: vec![0] };
+    let bare = RosterEntry { at_ms: 1_764_654_219_001, images: vec![] };
+    let hosts = BTreeMap::from([("m-000231".to_owned(), entry), ("m-000232".to_owned(), bare)]);
+    json("record-roster", &RosterRecord { hosts, images: vec![("img-07".into(), 6.2)] });
+    json("record-images", &ImagesRecord { images: vec![("img-07".into(), 6.2)] });
+    let need = Room { cpus: 8.0, gpus: 1.0, ram: 64.0 };
+    json("record-lane", &LaneRecord { need, image_gb: 6.2, loaners: true, gangs: false });
+}
+
+#[test]
+fn frames_between_controllers_are_read_and_written_as_in_production() {
+    let told = |state| Told::from(status(state));
+    let bare = Told { owner: None, commander: None, notes: vec![], ..told(JobState::Queued) };
+    frame("ask-status", &PeerAsk::Status("req-000412".into()));
+    frame("ask-withdraw", &PeerAsk::Withdraw("req-000412".into()));
+    frame("ask-submit", &PeerAsk::Submit(b"{\"NameId\":1}".to_vec()));
+    let renewal = |echo, answered_ago_ms| Renewal {
+        label: "worker-1".into(),
+        nonce: u64::MAX,
+        uptime_ms: 70_000,
+        echo,
+        answered_ago_ms,
+    };
+    frame("ask-renew", &PeerAsk::Renew(renewal(Some((4_097, 300)), Some(1_500))));
+    frame("ask-renew-first", &PeerAsk::Renew(renewal(None, None)));
+    frame("ask-over", &PeerAsk::Over(told(JobState::Withdrawn)));
+    let verdict = |verdict| PeerAnswer::Verdict(verdict);
+    frame("answer-accepted", &verdict(Verdict::Accepted(bare)));
+    frame("answer-known-running", &verdict(Verdict::Known(told(JobState::Running))));
+    frame("answer-known-done", &verdict(Verdict::Known(told(JobState::Done))));
+    frame("answer-absent", &verdict(Verdict::Absent));
+    frame("answer-refused", &verdict(Verdict::Refused(422, "no room".into())));
+    frame("answer-later", &verdict(Verdict::Later("not now".into())));
+    let lease =
+        BlockLease { term: 4_097, stamp: 70_000, zones: vec!["a".into()], lease_ms: 30_000 };
+    frame("answer-block", &PeerAnswer::Block(Some(lease)));
+    frame("answer-no-block", &PeerAnswer::Block(None));
+}
+
+#[test]
+fn messages_of_users_and_workers_are_read_and_written_as_in_production() {
+    json("http-job", &spec("group"));
+    json("http-status", &status(JobState::Running));
+    let bare = JobStatus { owner: None, commander: None, notes: vec![], ..status(JobState::Done) };
+    json("http-status-bare", &bare);
+    json("http-error", &ErrorBody { error: "no such job".into() });
+    json("http-report", &report());
+    json("http-report-answer", &CheckInAnswer { baton: 41, orders: orders() });
+    json("http-orders", &DirectOrders { baton: 41, tenure: 1, orders: orders() });
+    json("http-elsewhere", &ReportElsewhere { foreman: Some("worker-2".into()) });
+    json("http-nowhere", &ReportElsewhere { foreman: None });
+}
+
+#[test]
+fn messages_of_the_state_service_and_the_cloud_are_read_and_written_as_in_production() {
+    let v = serde_json::json!({ "a": 1 });
+    let put = Change::Put { put: "a/b".into(), v: v.clone(), permit: Some(7) };
+    let guards = vec![Guard { key: "a/b".into(), stamp: 0 }];
+    let apply = vec![put, Change::put("a/c", v.clone()), Change::delete("c/d")];
+    json("store-commit", &Transaction { guards, apply });
+    json("store-commit-answer", &CommitAnswer { failed: vec!["a/b".into()], epoch: 431 });
+    let pair = KeyValue { key: "a/b".into(), v: v.clone(), stamp: 412, permit: Some(7) };
+    json("store-pair", &pair);
+    json("store-page", &KeyPage { pairs: vec![pair], has_next: true, epoch: 431 });
+    json("store-grant-request", &GrantRequest { ttl_ms: 5_000 });
+    json("store-grant", &Grant { permit: 7 });
+    let events = vec![
+        Event::Put { put: "c/9".into(), v, stamp: 433 },
+        Event::Delete { delete: "c/d".into(), stamp: 432 },
+    ];
+    json("store-watch", &WatchAnswer { epoch: 433, events });
+    let rent = RentRequest {
+        hire: "h-4097-1".into(),
+        flavor: "g8".into(),
+        yard: "a".into(),
+        loaners: true,
+        how_many: 12,
+    };
+    json("cloud-rent", &rent);
+    json("cloud-hosts", &HostNames { hosts: vec!["m-000231".into()] });
+    let flavor = Flavor {
+        label: "g8".into(),
+        vcpus: 96.0,
+        gpus: 8.0,
+        ram_gb: 768.0,
+        local_gb: 200.0,
+        fetch_gb_per_s: 1.0,
+        hourly: 12.0,
+        market_price: Some(4.5),
+        ready_s: 45.0,
+        yards: vec!["a".into(), "b".into()],
+    };
+    json("cloud-flavors", &Flavors { flavors: vec![flavor] });
+    let listed = ListedHost {
+        name_id: "m-000231".into(),
+        addr: Some("10.1.0.232:9000".into()),
+        flavor: "g8".into(),
+        yard: "a".into(),
+        loaners: true,
+        status: HostState::Running,
+        age_s: 61.5,
+    };
+    json("cloud-listed", &listed);
+}
