--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod blocks;
 pub mod config;
 pub mod door;
+pub mod frame;
 pub mod holders;
 pub mod lead;
 pub mod ledger;
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -1,7 +1,8 @@
-//! The link between controllers: length-prefixed bincode over TCP. A node that is asked something
+//! The link between controllers: length-prefixed frames over TCP. A node that is asked something
 //! by a user that only the leader knows, or that can't reach the state service itself, asks here.
 
 use crate::api::{Desk, Told, Verdict};
+use crate::frame::{self, FrameError, FrameVersion};
 use crate::holders::{BlockLease, Renewal};
 use crate::silence::Silence;
 use hookway_constants as constants;
@@ -53,36 +54,43 @@
     Io(#[from] std::io::Error),
     /// The message can't be read or written.
     #[error("message: {0}")]
-    Message(String),
-}
-
-fn config() -> impl bincode::config::Config {
-    bincode::config::standard().with_limit::<{ constants::PEER_FRAME_LIMIT }>()
+    Frame(#[from] FrameError),
+    /// The message is longer than any may be.
+    #[error("the message is too long")]
+    TooLong,
+    /// The answer is not one to this question.
+    #[error("not an answer to this")]
+    Mismatch,
+    /// The controller that was asked does not lead.
+    #[error("it does not lead")]
+    NotLeading,
 }
 
 async fn send<T: Serialize>(stream: &mut TcpStream, message: &T) -> Result<(), PeerError> {
-    let body = bincode::serde::encode_to_vec(message, config())
-        .map_err(|e| PeerError::Message(e.to_string()))?;
-    let length = u32::try_from(body.len()).map_err(|e| PeerError::Message(e.to_string()))?;
-    let mut frame = length.to_be_bytes().to_vec();
-    frame.extend(body);
-    stream.write_all(&frame).await?;
+    let body = frame::encode(message)?;
+    let length = u32::try_from(body.len()).map_err(|_| PeerError::TooLong)?;
+    let mut bytes = length.to_be_bytes().to_vec();
+    bytes.extend(body);
+    stream.write_all(&bytes).await?;
     Ok(())
 }
 
-async fn receive<T: for<'de> Deserialize<'de>>(stream: &mut TcpStream) -> Result<T, PeerError> {
+async fn receive<T: for<'de> Deserialize<'de>>(
+    stream: &mut TcpStream,
+) -> Result<(T, FrameVersion), PeerError> {
     let length = stream.read_u32().await? as usize;
     if length > constants::PEER_FRAME_LIMIT {
-        return Err(PeerError::Message("too long".into()));
+        return Err(PeerError::TooLong);
     }
     let mut body = vec![0; length];
     stream.read_exact(&mut body).await?;
-    bincode::serde::decode_from_slice(&body, config())
-        .map(|(message, _)| message)
-        .map_err(|e| PeerError::Message(e.to_string()))
+    Ok(frame::decode(&body)?)
 }
 
-async fn over(stream: &mut TcpStream, ask: &PeerAsk) -> Result<PeerAnswer, PeerError> {
+async fn request(
+    stream: &mut TcpStream,
+    ask: &PeerAsk,
+) -> Result<(PeerAnswer, FrameVersion), PeerError> {
     send(stream, ask).await?;
     receive(stream).await
 }
@@ -93,6 +101,8 @@
     addresses: HashMap<String, String>,
     idle: Mutex<HashMap<String, Vec<TcpStream>>>,
     silent: Mutex<HashMap<String, Silence>>,
+    /// The versions that the others' answers named last.
+    versions: Mutex<HashMap<String, FrameVersion>>,
 }
 
 impl Peers {
@@ -118,7 +128,7 @@
         }
         match self.exchange(name, ask, limit_ms).await? {
             PeerAnswer::Verdict(verdict) => Ok(verdict),
-            PeerAnswer::Block(_) => Err(PeerError::Message("not an answer to this".into())),
+            PeerAnswer::Block(_) => Err(PeerError::Mismatch),
         }
     }
 
@@ -134,7 +144,21 @@
         let ask = PeerAsk::Renew(renewal);
         match self.exchange(name, &ask, constants::PEER_TIMEOUT_MS).await? {
             PeerAnswer::Block(Some(lease)) => Ok(lease),
-            _ => Err(PeerError::Message("it does not lead".into())),
+            PeerAnswer::Block(None) => Err(PeerError::NotLeading),
+            PeerAnswer::Verdict(_) => Err(PeerError::Mismatch),
+        }
+    }
+
+    /// The version that another controller's last answer named; `None` before the first. Messages that came with
+    /// a later one must not be sent to it.
+    pub fn version(&self, name: &str) -> Option<FrameVersion> {
+        self.versions.lock().ok()?.get(name).copied()
+    }
+
+    fn note_version(&self, name: &str, version: FrameVersion) {
+        let Ok(mut versions) = self.versions.lock() else { return };
+        if versions.insert(name.to_owned(), version) != Some(version) {
+            tracing::info!("controller {name}: formats of version {}", version.0);
         }
     }
 
@@ -170,18 +194,19 @@
             let kept = self.idle.lock().ok().and_then(|mut i| i.get_mut(name)?.pop());
             // A kept connection may have died since; every question may be asked twice.
             let old = match kept {
-                Some(mut stream) => over(&mut stream, ask).await.ok().map(|a| (stream, a)),
+                Some(mut stream) => request(&mut stream, ask).await.ok().map(|a| (stream, a)),
                 None => None,
             };
-            let (stream, answer) = match old {
+            let (stream, (answer, version)) = match old {
                 Some(found) => found,
                 None => {
                     let mut stream = TcpStream::connect(address).await?;
                     stream.set_nodelay(true)?;
-                    let answer = over(&mut stream, ask).await?;
+                    let answer = request(&mut stream, ask).await?;
                     (stream, answer)
                 }
             };
+            self.note_version(name, version);
             if let Ok(mut idle) = self.idle.lock() {
                 let kept = idle.entry(name.to_owned()).or_default();
                 if kept.len() < constants::PEER_IDLE {
@@ -204,7 +229,7 @@
                 let desk = desk.clone();
                 tokio::spawn(async move {
                     let _ = stream.set_nodelay(true);
-                    while let Ok(ask) = receive::<PeerAsk>(&mut stream).await {
+                    while let Ok((ask, _)) = receive::<PeerAsk>(&mut stream).await {
                         let answer = desk.answer_peer(ask).await;
                         if send(&mut stream, &answer).await.is_err() {
                             break;
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -4,6 +4,7 @@
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_controller::api::{Told, Verdict};
+use hookway_controller::frame::{self, CURRENT, FrameVersion};
 use hookway_controller::holders::{BlockLease, Renewal};
 use hookway_controller::peers::{PeerAnswer, PeerAsk};
 use hookway_controller::records::{
@@ -167,6 +168,33 @@
     frame("answer-no-block", &PeerAnswer::Block(None));
 }
 
+#[test]
+fn a_frame_names_its_version_where_production_ignores_it() {
+    let ask = PeerAsk::Status("req-000412".into());
+    let bytes = frame::encode(&ask).expect("a frame");
+    let written: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
+    assert_eq!(written, format!("{}01", fixture("ask-status")));
+    // As production reads it: what follows the message is not looked at.
+    let config = bincode::config::standard();
+    let (read, _): (PeerAsk, usize) =
+        bincode::serde::decode_from_slice(&bytes, config).expect("a frame");
+    assert_eq!(read, ask);
+    assert_eq!(frame::decode::<PeerAsk>(&bytes).expect("a frame"), (ask.clone(), CURRENT));
+    // A frame of production, and one of a later version that says more.
+    let old = &bytes[..bytes.len() - 1];
+    let (read, version) = frame::decode::<PeerAsk>(old).expect("a frame");
+    assert_eq!((read, version), (ask.clone(), FrameVersion(0)));
+    let later = [old, &[9, 1, 2, 3]].concat();
+    let (read, version) = frame::decode::<PeerAsk>(&later).expect("a frame");
+    assert_eq!((read, version), (ask, FrameVersion(9)));
+}
+
+#[test]
+fn a_message_that_only_later_versions_know_is_refused() {
+    assert!(frame::decode::<PeerAsk>(&[200, 1, 2]).is_err());
+    assert!(frame::decode::<PeerAsk>(&[]).is_err());
+}
+
 #[test]
 fn messages_of_users_and_workers_are_read_and_written_as_in_production() {
     json("http-job", &spec("group"));
