--- a/crates/controller/src/config/tests.rs
+++ b/crates/controller/src/config/tests.rs
@@ -27,3 +27,32 @@
     assert!(OperatorSettings::parse("[fleet]\nidle = 30\n").unwrap_err().contains("idle"));
     assert!(OperatorSettings::parse("[fleet]\nidle_return_s = soon\n").is_err());
 }
+
+#[test]
+fn writes_keep_to_the_smaller_of_the_present_and_the_next_limits() {
+    let now = Settings::parse(SETTINGS).unwrap().settings.state;
+    assert_eq!((now.write_rps, now.value_kb, now.txn_ops), (25.0, 8.0, 8));
+    let next = "[settings.state.next]\nwrite_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 16\nnew = 1\n";
+    let both = Settings::parse(&format!("{SETTINGS}{next}")).unwrap().settings.state;
+    assert_eq!((both.write_rps, both.value_kb, both.txn_ops), (18.0, 2.0, 8));
+    assert_eq!(both.rps, now.rps, "what is missing stays as it is");
+}
+
+#[test]
+fn next_limits_out_of_range_are_refused_by_name() {
+    for wrong in [
+        "write_rps = 0.0",
+        "write_rps = 'few'",
+        "value_kb = -2.0",
+        "value_kb = nan",
+        "rps = inf",
+        "txn_ops = 2",
+        "txn_ops = 2.5",
+    ] {
+        let broken = format!("{SETTINGS}[settings.state.next]\n{wrong}\n");
+        let why = Settings::parse(&broken).unwrap_err();
+        let name = wrong.split(' ').next().unwrap();
+        assert!(why.contains(name), "{wrong}: {why}");
+    }
+    assert!(Settings::parse(&SETTINGS.replace("txn_ops = 8", "txn_ops = 2")).is_err());
+}
--- a/crates/controller/tests/api.rs
+++ b/crates/controller/tests/api.rs
@@ -9,9 +9,9 @@
 use hookway_controller::ledger::{Lookup, Withdrawal};
 use hookway_controller::node::{Ask, CheckInReply};
 use hookway_controller::peers::{PeerAsk, PeerError, Peers};
-use hookway_controller::records::job_key;
+use hookway_controller::records::{JobRecord, job_key};
 use hookway_testkit::{SETTINGS, StoreServer};
-use hookway_wire::{CheckInAnswer, ErrorBody, Flavor, JobId, JobState, JobStatus};
+use hookway_wire::{CheckInAnswer, ErrorBody, Flavor, JobId, JobSpec, JobState, JobStatus};
 use salvo::Service;
 use salvo::http::StatusCode;
 use salvo::test::{ResponseExt, TestClient};
@@ -370,3 +370,52 @@
     tokio::time::advance(Duration::from_millis(1_100)).await;
     assert!(took().await >= Duration::from_secs(1), "one tries");
 }
+
+/// A daemon of four replicas that need 32 of its team's 100 CPUs.
+fn daemon() -> String {
+    let free =
+        JOB.replace("\"group\"", "\"daemon\"").replace("\"Together\":true", "\"Together\":false");
+    free.replace("\"GuessS\":240.0", "\"GuessS\":0")
+}
+
+#[tokio::test]
+async fn a_daemon_that_needs_more_than_its_teams_limit_gets_422() {
+    let server = StoreServer::default();
+    let address = server.start().await.expect("a free port");
+    let api = api_at(Node::Follows, true, View::default(), Some(&address));
+    let large = daemon().replace("\"Pieces\":4", "\"Pieces\":13");
+    let (status, text, _) = post(&api, "/api/jobs", &large).await;
+    assert_eq!(status, StatusCode::UNPROCESSABLE_ENTITY, "{text}");
+    assert!(reason(&text).contains("limit"), "{text}");
+    assert_eq!(post(&api, "/api/jobs", &daemon()).await.0, StatusCode::CREATED);
+    assert_eq!(post(&api, "/api/jobs", &daemon()).await.0, StatusCode::OK);
+    let other =
+        |id: &str, from: &str, to: &str| daemon().replace("req-000412", id).replace(from, to);
+    // An array of as many tasks may run them one after the other.
+    let array =
+        other("req-000413", "\"daemon\"", "\"array\"").replace("\"Pieces\":4", "\"Pieces\":13");
+    assert_eq!(post(&api, "/api/jobs", &array).await.0, StatusCode::CREATED);
+    // An estimate or a deadline says nothing of a daemon, and does no harm.
+    let due = other("req-000414", "\"GuessS\":0", "\"GuessS\":60,\"DueS\":90");
+    assert_eq!(post(&api, "/api/jobs", &due).await.0, StatusCode::CREATED);
+    for (from, to) in [("\"Pieces\":4", "\"Pieces\":0"), ("\"Spread\":false,", "")] {
+        let (status, text, _) = post(&api, "/api/jobs", &other("req-000415", from, to)).await;
+        assert_eq!(status, StatusCode::BAD_REQUEST, "{text}");
+    }
+}
+
+#[tokio::test]
+async fn a_job_accepted_under_larger_limits_is_never_refused_as_too_long() {
+    let server = StoreServer::default();
+    let address = server.start().await.expect("a free port");
+    let api = api_at(Node::Follows, true, View::default(), Some(&address));
+    let long = JOB.replace("img-07", &"x".repeat(9_000));
+    let (status, text, _) = post(&api, "/api/jobs", &long).await;
+    assert_eq!(status, StatusCode::BAD_REQUEST, "{text}");
+    let spec: JobSpec = serde_json::from_str(&long).expect("a job");
+    let record = JobRecord { spec, at_ms: 1, marked: true };
+    let value = serde_json::to_value(record).expect("a record");
+    let key = job_key(&JobId::parse("req-000412").expect("an id"));
+    server.with(|store| store.put(&key, value));
+    assert_eq!(post(&api, "/api/jobs", &long).await.0, StatusCode::OK);
+}
--- a/crates/controller/tests/ledger.rs
+++ b/crates/controller/tests/ledger.rs
@@ -1537,3 +1537,66 @@
     }
     assert_eq!(other.live().len(), 0, "it runs on a machine that is not heard");
 }
+
+/// What the state service does with transactions of more than so many changes.
+fn commit_within(play: &mut Play, most_changes: usize) -> Vec<usize> {
+    let mut applied = Vec::new();
+    for _ in 0..60 {
+        play.now += 1_000;
+        let Some(commit) = play.ledger.next_commit(play.now) else { continue };
+        let changes = commit.transaction.apply.len();
+        let result = if changes > most_changes {
+            CommitResult::Rejected
+        } else {
+            applied.push(changes);
+            CommitResult::Applied(play.store.commit(&commit.transaction).expect("applied"))
+        };
+        play.ledger.committed(commit, result, play.now);
+    }
+    applied
+}
+
+#[test]
+fn a_rejected_transaction_is_tried_again_in_smaller_parts_and_nothing_is_lost() {
+    let mut play = Play::start();
+    let ids: Vec<JobId> =
+        (0..12).map(|n| play.submit(job(&format!("req-{n:06}"), "array", 1))).collect();
+    for id in &ids {
+        assert_eq!(play.ledger.withdraw(id), Withdrawal::Pending);
+    }
+    let applied = commit_within(&mut play, 3);
+    assert!(applied.iter().all(|changes| *changes <= 3), "{applied:?}");
+    for id in &ids {
+        assert_eq!(play.stored_final(id).as_deref(), Some("withdrawn"));
+    }
+}
+
+#[test]
+fn what_is_rejected_by_itself_holds_up_nothing_else_and_is_tried_again() {
+    let mut play = Play::start();
+    let (poison, other) = (job("req-000001", "array", 1), job("req-000002", "array", 1));
+    let ids = [play.submit(poison), play.submit(other)];
+    for id in &ids {
+        play.ledger.withdraw(id);
+    }
+    let mut tries = 0;
+    for _ in 0..40 {
+        play.now += 500;
+        let Some(commit) = play.ledger.next_commit(play.now) else { continue };
+        let poisoned = commit.transaction.apply.iter().any(|c| c.key() == final_key(&ids[0]));
+        tries += usize::from(poisoned);
+        // The state service comes round after some seconds.
+        let result = if poisoned && play.now < 12_000 {
+            CommitResult::Rejected
+        } else {
+            CommitResult::Applied(play.store.commit(&commit.transaction).expect("applied"))
+        };
+        play.ledger.committed(commit, result, play.now);
+        if play.now == 4_000 {
+            assert_eq!(play.stored_final(&ids[1]).as_deref(), Some("withdrawn"));
+            assert_eq!(play.stored_final(&ids[0]), None);
+        }
+    }
+    assert_eq!(play.stored_final(&ids[0]).as_deref(), Some("withdrawn"));
+    assert!(tries <= 6, "{tries} tries");
+}
--- a/crates/policy/src/preempt.rs
+++ b/crates/policy/src/preempt.rs
@@ -41,10 +41,10 @@
     covered && world.teams.get(other.team).is_some_and(|t| t.beyond_guarantee())
 }
 
-/// The cheapest set of tasks whose end makes room for one task of `job` on `host`.
-fn on_host(world: &World, job: usize, host: &HostView, free: Room) -> Option<(f64, Vec<u64>)> {
-    let need = world.jobs[job].need;
-    let mut room = free;
+/// The cheapest set of tasks whose end makes room for so many tasks of `job` on `host`.
+fn on_host(world: &World, job: usize, host: &HostView, tasks: u32) -> Option<(f64, Vec<u64>)> {
+    let need = world.jobs[job].need.times(tasks);
+    let mut room = host.free;
     for held in host.held.iter().filter(|h| h.leaving) {
         room.give(&held.need);
     }
@@ -257,6 +257,36 @@
     (team.allows(&job.need) >= tasks && !found.victims.is_empty()).then_some(found)
 }
 
+/// What room for one task more than planned costs on each machine, with the tasks to stop; cheapest first.
+fn picks(
+    world: &World,
+    job_ix: usize,
+    zone: Option<usize>,
+    taken: &[bool],
+    planned: &[u32],
+    warm: bool,
+) -> Vec<(f64, usize, Vec<u64>)> {
+    let job = &world.jobs[job_ix];
+    let mut picks: Vec<(f64, usize, Vec<u64>)> = Vec::new();
+    for (i, host) in world.hosts.iter().enumerate() {
+        let tasks = planned[i] + 1;
+        let closed = taken[i]
+            || !host.open
+            || host.booting
+            || host.kept_for.is_some_and(|k| k != job_ix)
+            || host.shunned_by.contains(&job_ix)
+            || zone.is_some_and(|z| z != host.yard)
+            || !job.allows(host.flavor, host.yard, host.loaner)
+            || !host.total.fits(&job.need.times(tasks))
+            || (warm && crate::place::fetch_time(world, job, host) > 0.0);
+        if !closed && let Some((price, victims)) = on_host(world, job_ix, host, tasks) {
+            picks.push((price, i, victims));
+        }
+    }
+    picks.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+    picks
+}
+
 fn evict_for(
     world: &World,
     job_ix: usize,
@@ -273,44 +303,43 @@
     for zone in zones {
         let mut cost = 0.0;
         let mut found = Eviction { job: job_ix, hosts: vec![], victims: vec![] };
-        let mut used = taken.to_vec();
+        let mut planned = vec![0u32; world.hosts.len()];
         let mut per_zone = job.per_zone.clone();
         let mut left = tasks;
-        // What a machine costs does not depend on the others, so each is judged once.
-        let mut picks: Vec<(f64, usize, Vec<u64>)> = Vec::new();
-        for (i, host) in world.hosts.iter().enumerate() {
-            let closed = used[i]
-                || !host.open
-                || host.booting
-                || host.kept_for.is_some_and(|k| k != job_ix)
-                || host.shunned_by.contains(&job_ix)
-                || zone.is_some_and(|z| z != host.yard)
-                || !job.allows(host.flavor, host.yard, host.loaner)
-                || !host.total.fits(&job.need)
-                || (warm && crate::place::fetch_time(world, job, host) > 0.0);
-            if !closed && let Some((price, victims)) = on_host(world, job_ix, host, host.free) {
-                picks.push((price, i, victims));
+        // One task's victims on each machine; further ones of a daemon there only if that is not enough.
+        let passes = if job.endless { tasks } else { 1 };
+        for _ in 0..passes {
+            let picks = picks(world, job_ix, zone, taken, &planned, warm);
+            let before = left;
+            for (price, host, victims) in picks {
+                if left == 0 {
+                    break;
+                }
+                let yard = world.hosts[host].yard;
+                if per_zone.get(yard).copied().unwrap_or(0) >= job.zone_cap {
+                    continue;
+                }
+                cost += price;
+                // Whatever else fits on the machine once it is clear goes there too.
+                let free = world.hosts[host].free.count(&job.need).saturating_sub(planned[host]);
+                let fits = free.max(1).min(left);
+                left -= fits;
+                planned[host] += fits;
+                if let Some(n) = per_zone.get_mut(yard) {
+                    *n += fits;
+                }
+                if !found.hosts.contains(&host) {
+                    found.hosts.push(host);
+                }
+                for victim in victims {
+                    if !found.victims.contains(&(host, victim)) {
+                        found.victims.push((host, victim));
+                    }
+                }
             }
-        }
-        picks.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        for (price, host, victims) in picks {
-            if left == 0 {
+            if left == 0 || left == before {
                 break;
             }
-            let yard = world.hosts[host].yard;
-            if per_zone.get(yard).copied().unwrap_or(0) >= job.zone_cap {
-                continue;
-            }
-            used[host] = true;
-            cost += price;
-            // Whatever else fits on the machine once it is clear goes there too.
-            let fits = world.hosts[host].free.count(&job.need).max(1).min(left);
-            left -= fits;
-            if let Some(n) = per_zone.get_mut(world.hosts[host].yard) {
-                *n += fits;
-            }
-            found.hosts.push(host);
-            found.victims.extend(victims.into_iter().map(|v| (host, v)));
         }
         if left == 0 && best.as_ref().is_none_or(|(b, _)| cost < *b) {
             best = Some((cost, found));
