--- a/crates/controller/src/ledger/mod.rs
+++ b/crates/controller/src/ledger/mod.rs
@@ -480,12 +480,21 @@
 
     /// How long blocks are leased at this moment, ms. Tasks of a withdrawn job must be gone within the
     /// time for a cancellation, also where nobody can stop them and a holder keeps their worker alive. So
-    /// no lease is given while such a task, or one of an unknown job, may be anywhere: all leases were
-    /// given before its user was told, and end early enough for its worker's lease to follow.
+    /// while such a task may be anywhere, a lease ends no later than one that was given when its user asked,
+    /// before anybody was told: early enough for its worker's lease to follow. While a task of an unknown job
+    /// may be anywhere, or of one whose withdrawal another controller decided, no lease is given.
     pub fn block_lease(&self, now: u64) -> u64 {
-        let withdrawn = |j: &Job| j.ending == Some(JobState::Withdrawn) && j.held > 0;
-        let gone = self.strangers == 0 && !self.jobs.values().any(withdrawn);
-        if gone && self.settled(now) { block_lease_ms(&self.setup) } else { 0 }
+        if self.strangers > 0 || !self.settled(now) {
+            return 0;
+        }
+        let withdrawn = |j: &&Job| j.ending == Some(JobState::Withdrawn) && j.held > 0;
+        let longest = block_lease_ms(&self.setup);
+        let left = |job: &Job| {
+            let since_asked = job.withdraw_asked_at.map(|at| now.saturating_sub(at));
+            since_asked.map_or(0, |ms| longest.saturating_sub(ms))
+        };
+        let shortest = self.jobs.values().filter(withdrawn).map(left).min();
+        shortest.unwrap_or(longest)
     }
 
     /// Zones whose block this leader holds itself.
@@ -623,6 +632,7 @@
     /// A user withdraws a job. Nothing of it is started from here on, even before the decision is
     /// durable.
     pub fn withdraw(&mut self, id: &JobId) -> Withdrawal {
+        let now = self.told.now;
         let Some(key) = self.by_id.get(id).copied() else { return Withdrawal::NotHere };
         let Some(job) = self.jobs.get_mut(&key) else { return Withdrawal::NotHere };
         if let Some(record) = &job.over {
@@ -631,6 +641,7 @@
         if job.ending.is_none() {
             tracing::info!("job {id}: its user withdraws it");
             job.ending = Some(JobState::Withdrawn);
+            job.withdraw_asked_at = Some(now);
             self.stops_due = true;
             self.unproven.insert(key);
             self.write_proven(self.told.now);
--- a/crates/controller/src/ledger/model.rs
+++ b/crates/controller/src/ledger/model.rs
@@ -125,6 +125,8 @@
     pub broken: bool,
     /// What it is to end as, once that is durable.
     pub ending: Option<JobState>,
+    /// When its user asked this leader to withdraw it, ms; `None` if another controller decided it.
+    pub withdraw_asked_at: Option<u64>,
     /// The end is being written, or whether it was written is not known.
     pub deciding: bool,
     /// Some transaction with its end had no answer: it may be carried out at any time.
@@ -192,6 +194,7 @@
             attempt: None,
             broken: false,
             ending: None,
+            withdraw_asked_at: None,
             deciding: false,
             in_doubt: false,
             over: None,
