--- a/crates/controller/src/holders.rs
+++ b/crates/controller/src/holders.rs
@@ -241,6 +241,12 @@
         self.echo = None;
     }
 
+    /// Whether the leader was there a moment ago. Where it was not, workers that report here had better look for
+    /// the holder of their block than be sent back to a leader that does not answer them.
+    pub fn leader_in_touch(&self, now: u64) -> bool {
+        now < self.contact + self.patience_ms
+    }
+
     /// The answer that keeps a worker of this block alive while the leader can't be reached; `None` if
     /// this node may not give one, or need not: a worker without tasks has nothing to lose, and shall go
     /// on looking for the leader.
@@ -254,7 +260,7 @@
         over: impl Fn(&JobId) -> bool,
     ) -> Option<KeptAlive> {
         let grant = self.grant.as_ref().filter(|g| now < g.until)?;
-        let late = now >= self.contact + self.patience_ms;
+        let late = !self.leader_in_touch(now);
         let mine = grant.zones.contains(&report.yard);
         // A token above the term's range is a later leader's.
         let known = report.baton < grant.term + constants::TOKENS_PER_TERM;
--- a/crates/controller/src/holders/tests.rs
+++ b/crates/controller/src/holders/tests.rs
@@ -145,3 +145,17 @@
     assert!(next.keep(&report("b", 5), 30_000, |_| false).is_some());
     assert!(!holders.lease_over("b", 1_000, WORKER, 38_000 + LEASE), "it still holds its block");
 }
+
+#[test]
+fn a_controller_that_lost_the_leader_sends_no_worker_back_to_it() {
+    let mut holders = holders(0);
+    let mut other = Holding::new("three", 9, 4_000);
+    assert!(other.leader_in_touch(3_999), "a process that has just begun knows no better");
+    assert!(!other.leader_in_touch(4_000));
+    // It holds no block, as another controller of its zone does; the leader's answer is word of it all the same.
+    exchange(&mut holders, &mut Holding::new("one", 1, 4_000), 9_000);
+    other.leased(BlockLease { term: 5, stamp: 1, zones: vec![], lease_ms: 0 }, 10_000, 10_000);
+    assert!(other.leader_in_touch(13_999));
+    assert!(!other.leader_in_touch(14_000));
+    assert_eq!(other.keep(&report("b", 5), 14_000, |_| false), None, "it may not answer itself");
+}
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -138,9 +138,11 @@
     fn not_leading(&self, ask: Ask) {
         match ask {
             Ask::CheckIn(report, reply) => {
-                let leader = self.view.borrow().leader.clone();
+                let now = self.clock.now();
+                let in_touch = self.holding.borrow().leader_in_touch(now);
+                let leader = self.view.borrow().leader.clone().filter(|_| in_touch);
                 let other = leader.filter(|l| *l != self.setup.label);
-                let kept = self.keep_alive(&report, self.clock.now());
+                let kept = self.keep_alive(&report, now);
                 let _ = reply.send(kept.unwrap_or(CheckInReply::Elsewhere(other)));
             }
             Ask::Status(_, reply) => drop(reply.send(None)),
--- a/crates/controller/tests/world/controllers.rs
+++ b/crates/controller/tests/world/controllers.rs
@@ -500,7 +500,10 @@
                         Reply::Answer(kept.answer)
                     }
                     (None, Some(_)) => Reply::Unsure,
-                    (None, None) => Reply::Elsewhere(node.seen.filter(|l| *l != n)),
+                    (None, None) => {
+                        let in_touch = node.holding.leader_in_touch(now - node.begun);
+                        Reply::Elsewhere(node.seen.filter(|l| *l != n && in_touch))
+                    }
                 }
             }
         };
