--- a/crates/wire/src/job/tests.rs
+++ b/crates/wire/src/job/tests.rs
@@ -8,12 +8,12 @@
 #[test]
 fn a_good_job_is_read_and_null_may_be_missing() {
     let job = JobSpec::parse(GOOD.as_bytes()).unwrap();
-    assert_eq!((job.pieces, job.rank, job.shape), (16, Rank::High, Shape::Group));
-    let endless = GOOD.replace("\"group\"", "\"daemon\"");
-    assert!(JobSpec::parse(endless.as_bytes()).unwrap().is_endless());
+    assert_eq!((job.tasks, job.priority, job.kind), (16, Priority::High, JobKind::Gang));
+    let daemon = GOOD.replace("\"group\"", "\"daemon\"");
+    assert!(JobSpec::parse(daemon.as_bytes()).unwrap().is_daemon());
     let short = GOOD.replace(r#""Yard":null,"#, "").replace(r#","DueS":900.0"#, "");
     let job = JobSpec::parse(short.as_bytes()).unwrap();
-    assert_eq!((job.yard, job.due_s), (None, None));
+    assert_eq!((job.zone, job.deadline_s), (None, None));
 }
 
 #[test]
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -13,6 +13,7 @@
     pub stamp: u64,
     /// The lease that the key hangs on.
     #[serde(default)]
+    #[serde(rename = "Permit")]
     pub permit: Option<u64>,
 }
 
@@ -26,6 +27,7 @@
     #[serde(default)]
     pub has_next: bool,
     /// Revision of the store.
+    #[serde(rename = "Epoch")]
     pub epoch: u64,
 }
 
@@ -52,6 +54,7 @@
         v: Value,
         /// The lease to hang it on.
         #[serde(default, skip_serializing_if = "Option::is_none")]
+        #[serde(rename = "Permit")]
         permit: Option<u64>,
     },
     /// Removes a key.
@@ -117,6 +120,7 @@
 #[serde(rename_all = "PascalCase")]
 pub struct Grant {
     /// Its number.
+    #[serde(rename = "Permit")]
     pub permit: u64,
 }
 
@@ -149,6 +153,7 @@
 #[serde(rename_all = "PascalCase")]
 pub struct WatchAnswer {
     /// Revision of the store.
+    #[serde(rename = "Epoch")]
     pub epoch: u64,
     /// What changed.
     #[serde(default)]
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -3,7 +3,7 @@
 /// The state of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum PieceState {
+pub enum TaskState {
     /// Waiting for its image.
     Pulling,
     /// Gang task, waits for the others.
@@ -61,13 +61,15 @@
 /// One task in a worker's report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct PieceReport {
+pub struct TaskReport {
     /// The task, as `req-000412/3`.
-    pub piece: String,
+    #[serde(rename = "Piece")]
+    pub task: String,
     /// The attempt.
+    #[serde(rename = "Try")]
     pub r#try: u64,
     /// Its state.
-    pub status: PieceState,
+    pub status: TaskState,
     /// Why it ended.
     #[serde(default)]
     pub cause: Option<Cause>,
@@ -81,28 +83,36 @@
 #[serde(rename_all = "PascalCase")]
 pub struct CheckIn {
     /// The machine.
+    #[serde(rename = "Host")]
     pub host: String,
     /// Where its worker listens.
     pub addr: String,
     /// Machine type.
-    pub flavor: String,
+    #[serde(rename = "Flavor")]
+    pub machine_type: String,
     /// Zone.
-    pub yard: String,
+    #[serde(rename = "Yard")]
+    pub zone: String,
     /// Spot machine.
-    pub loaners: bool,
+    #[serde(rename = "Loaners")]
+    pub spot: bool,
     /// Session.
+    #[serde(rename = "Tenure")]
     pub tenure: u64,
     /// Sequence number.
     pub tick: u64,
     /// Highest token seen.
     #[serde(default)]
+    #[serde(rename = "Baton")]
     pub baton: u64,
     /// Seconds until the cloud takes the machine.
     #[serde(default)]
+    #[serde(rename = "EvictionS")]
     pub eviction_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(default)]
-    pub pieces: Vec<PieceReport>,
+    #[serde(rename = "Pieces")]
+    pub tasks: Vec<TaskReport>,
 }
 
 /// A command to a worker.
@@ -113,26 +123,33 @@
     #[serde(rename_all = "PascalCase")]
     Run {
         /// The task.
-        piece: String,
+        #[serde(rename = "Piece")]
+        task: String,
         /// The attempt.
+        #[serde(rename = "Try")]
         r#try: u64,
     },
     /// Stop a task.
     #[serde(rename_all = "PascalCase")]
     Kill {
         /// The task.
-        piece: String,
+        #[serde(rename = "Piece")]
+        task: String,
         /// The attempt.
+        #[serde(rename = "Try")]
         r#try: u64,
         /// Time it has to save, s.
+        #[serde(rename = "WindDownS")]
         wind_down_s: f64,
     },
     /// Remove an ended task from the reports.
     #[serde(rename_all = "PascalCase")]
     Reap {
         /// The task.
-        piece: String,
+        #[serde(rename = "Piece")]
+        task: String,
         /// The attempt.
+        #[serde(rename = "Try")]
         r#try: u64,
     },
 }
@@ -142,8 +159,10 @@
 #[serde(rename_all = "PascalCase")]
 pub struct CheckInAnswer {
     /// The token.
+    #[serde(rename = "Baton")]
     pub baton: u64,
     /// Commands, in order.
+    #[serde(rename = "Orders")]
     pub orders: Vec<Order>,
 }
 
@@ -152,10 +171,13 @@
 #[serde(rename_all = "PascalCase")]
 pub struct DirectOrders {
     /// The token.
+    #[serde(rename = "Baton")]
     pub baton: u64,
     /// The session that they are for.
+    #[serde(rename = "Tenure")]
     pub tenure: u64,
     /// Commands, in order.
+    #[serde(rename = "Orders")]
     pub orders: Vec<Order>,
 }
 
@@ -165,6 +187,7 @@
 pub struct ReportElsewhere {
     /// The node to report to, if it is known.
     #[serde(skip_serializing_if = "Option::is_none")]
+    #[serde(rename = "Foreman")]
     pub foreman: Option<String>,
 }
 
--- a/crates/wire/src/worker/tests.rs
+++ b/crates/wire/src/worker/tests.rs
@@ -2,10 +2,10 @@
 
 #[test]
 fn orders_and_reports_look_as_the_protocol_says() {
-    let run = Order::Run { piece: "req-000412/4".into(), r#try: 2 };
+    let run = Order::Run { task: "req-000412/4".into(), r#try: 2 };
     let text = serde_json::to_string(&run).unwrap();
     assert_eq!(text, r#"{"Verb":"run","Piece":"req-000412/4","Try":2}"#);
-    let kill = Order::Kill { piece: "req-000377/1".into(), r#try: 1, wind_down_s: 10.0 };
+    let kill = Order::Kill { task: "req-000377/1".into(), r#try: 1, wind_down_s: 10.0 };
     let text = serde_json::to_string(&kill).unwrap();
     assert_eq!(text, r#"{"Verb":"kill","Piece":"req-000377/1","Try":1,"WindDownS":10.0}"#);
     let report: CheckIn = serde_json::from_str(
@@ -15,6 +15,6 @@
               {"Piece":"req-000398/0","Try":1,"Status":"ended","Cause":"no_room"}]}"#,
     )
     .unwrap();
-    assert_eq!(report.pieces[1].cause, Some(Cause::NoRoom));
+    assert_eq!(report.tasks[1].cause, Some(Cause::NoRoom));
     assert_eq!(report.eviction_s, None);
 }
