--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -247,7 +247,20 @@
     placed
 }
 
-/// Whether the machines that are up or booting could hold all of a gang if nothing else were on them.
+/// What a machine has for a job once all that ends by itself, or gives way to it, is gone: replicas of daemons
+/// that are no lower in priority stay.
+fn room_in_the_end(world: &World, job: &JobView, host: &HostView) -> Room {
+    let mut room = host.total;
+    for held in &host.held {
+        let other = &world.jobs[held.job];
+        if other.daemon && other.priority >= job.priority && !held.leaving {
+            room.take(&held.need);
+        }
+    }
+    room
+}
+
+/// Whether the machines that are up or booting could hold all of a gang if nothing but daemons were on them.
 pub(crate) fn could_hold(world: &World, job_ix: usize) -> bool {
     let job = &world.jobs[job_ix];
     let mut per_zone = vec![0u32; zones(world)];
@@ -255,7 +268,8 @@
         let able = job.allows(host.machine_type, host.zone, host.spot);
         if able && !host.shunned_by.contains(&job_ix) {
             let here = &mut per_zone[host.zone];
-            *here = here.saturating_add(host.total.count(&job.need)).min(job.zone_cap);
+            let room = room_in_the_end(world, job, host);
+            *here = here.saturating_add(room.count(&job.need)).min(job.zone_cap);
         }
     }
     let most = if job.one_zone {
@@ -277,7 +291,7 @@
                 && h.kept_for.is_none_or(|k| k == job_ix)
                 && !h.shunned_by.contains(&job_ix)
                 && job.allows(h.machine_type, h.zone, h.spot)
-                && h.total.fits(&job.need)
+                && room_in_the_end(world, job, h).fits(&job.need)
         })
         .collect();
     let used = |i: &usize| 1.0 - world.hosts[*i].free.share_of(&world.hosts[*i].total);
@@ -294,7 +308,7 @@
                 continue;
             }
             let open = job.zone_cap.saturating_sub(per_zone[host.zone]);
-            let fits = host.total.count(&job.need).min(left).min(open);
+            let fits = room_in_the_end(world, job, host).count(&job.need).min(left).min(open);
             if fits > 0 {
                 per_zone[host.zone] += fits;
                 left -= fits;
--- a/crates/policy/src/place/tests.rs
+++ b/crates/policy/src/place/tests.rs
@@ -245,3 +245,32 @@
     assert!(fits_somewhere(&[true], &room(3.0), 2, &team).is_err(), "a gang of two");
     assert!(fits_somewhere(&[false], &room(1.0), 1, &team).is_err());
 }
+
+#[test]
+fn no_machine_is_kept_for_a_gang_whose_room_daemons_hold_for_good() {
+    let daemon =
+        JobView { daemon: true, priority: Priority::Production, startable: 0, ..job(1.0, 4) };
+    let gang = JobView { gang: true, zone_cap: 1, ..job(4.0, 2) };
+    let mut full = host(1);
+    full.free = Room::default();
+    full.held = (0..4)
+        .map(|tag| crate::HeldView {
+            tag,
+            job: 0,
+            need: job(1.0, 1).need,
+            elapsed: 9.0,
+            leaving: false,
+        })
+        .collect();
+    let array = job(1.0, 4);
+    let mut w = world(vec![daemon, gang, array], vec![host(0), full]);
+    w.now = 30.0;
+    let placed = place(&mut w);
+    let of_array = placed.placements.iter().filter(|p| p.job == 2).flat_map(|p| &p.hosts).count();
+    assert_eq!(of_array, 4, "the empty machine is not kept");
+    // What is lower in priority gives way to the gang, so there is something to wait for.
+    let low = JobView { daemon: true, priority: Priority::Low, startable: 0, ..job(1.0, 4) };
+    w = World { jobs: vec![low, w.jobs[1].clone(), job(1.0, 4)], ..w };
+    w.hosts[0].free = w.hosts[0].total;
+    assert!(place(&mut w).placements.is_empty());
+}
