--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -128,7 +128,7 @@
     /// watch from there misses nothing.
     pub async fn list(&self, prefix: &str) -> Result<(Vec<KeyValue>, u64), StoreError> {
         let mut all: Vec<KeyValue> = Vec::new();
-        let mut first_epoch = None;
+        let mut first_revision = None;
         loop {
             self.turn().await?;
             let mut path = format!("/keys?Prefix={}", utf8_percent_encode(prefix, ESCAPED));
@@ -142,11 +142,11 @@
                 return Err(Self::odd(status, &body));
             }
             let page: KeyPage = Self::read(status, &body)?;
-            let epoch = *first_epoch.get_or_insert(page.epoch);
+            let revision = *first_revision.get_or_insert(page.revision);
             let empty = page.pairs.is_empty();
             all.extend(page.pairs);
             if !page.has_next || empty {
-                return Ok((all, epoch));
+                return Ok((all, revision));
             }
         }
     }
@@ -161,7 +161,7 @@
         match status {
             StatusCode::OK => {
                 let answer: CommitAnswer = Self::read(status, &body)?;
-                Ok(CommitOutcome::Applied(answer.epoch))
+                Ok(CommitOutcome::Applied(answer.revision))
             }
             StatusCode::CONFLICT => {
                 let answer: CommitAnswer = Self::read(status, &body)?;
@@ -187,16 +187,16 @@
             self.call(Method::POST, "/grants", Some(body), constants::STORE_TIMEOUT_MS).await?;
         match status {
             StatusCode::OK | StatusCode::CREATED => {
-                Self::read::<Grant>(status, &body).map(|g| g.permit)
+                Self::read::<Grant>(status, &body).map(|g| g.lease_id)
             }
             _ => Err(Self::odd(status, &body)),
         }
     }
 
     /// Extends a lease. Goes ahead of everything else: the budget is charged but never waited for.
-    pub async fn extend(&self, permit: u64) -> Result<(), StoreError> {
+    pub async fn extend(&self, lease_id: u64) -> Result<(), StoreError> {
         let _ = self.budget.take(1.0);
-        let path = format!("/grants/{permit}/extend");
+        let path = format!("/grants/{lease_id}/extend");
         let (status, body) = self
             .call(Method::POST, &path, Some(b"{}".to_vec()), constants::EXTEND_TIMEOUT_MS)
             .await?;
@@ -208,8 +208,8 @@
     }
 
     /// Ends a lease.
-    pub async fn release(&self, permit: u64) -> Result<(), StoreError> {
-        let path = format!("/grants/{permit}");
+    pub async fn release(&self, lease_id: u64) -> Result<(), StoreError> {
+        let path = format!("/grants/{lease_id}");
         self.call(Method::DELETE, &path, None, constants::STORE_TIMEOUT_MS).await.map(|_| ())
     }
 
--- a/crates/clients/src/worker.rs
+++ b/crates/clients/src/worker.rs
@@ -1,6 +1,6 @@
 use crate::{HttpClient, HttpError};
 use hookway_constants as constants;
-use hookway_wire::{CheckIn, DirectOrders};
+use hookway_wire::{CheckIn, DirectCommands};
 use hyper::{Method, StatusCode};
 use std::sync::Arc;
 use std::time::Duration;
@@ -39,19 +39,19 @@
 impl WorkerClient {
     /// Sends commands that only stop tasks, a bounded number at a time. What would wait for long is left
     /// to the answer to the worker's next report, which says the same.
-    pub async fn stop(&self, address: &str, orders: &DirectOrders) {
+    pub async fn stop(&self, address: &str, commands: &DirectCommands) {
         let wait = Duration::from_millis(constants::PUSH_WAIT_MS);
         if let Ok(Ok(_permit)) = tokio::time::timeout(wait, self.stops.acquire()).await {
-            self.send(address, orders).await;
+            self.send(address, commands).await;
         }
     }
 
     /// Tells a worker a new leader's token and asks what is on its machine. The session is not known yet: the
     /// first one, most likely; if not, the refusal names it.
-    pub async fn greet(&self, address: &str, baton: u64) -> Option<CheckIn> {
-        let mut tenure = 1;
+    pub async fn greet(&self, address: &str, token: u64) -> Option<CheckIn> {
+        let mut session = 1;
         for _ in 0..2 {
-            let hello = DirectOrders { baton, tenure, orders: vec![] };
+            let hello = DirectCommands { token, session, commands: vec![] };
             let body = serde_json::to_vec(&hello).ok()?;
             let limit = Duration::from_millis(constants::WORKER_TIMEOUT_MS);
             let post = self.http.at(address);
@@ -59,7 +59,7 @@
             let report: CheckIn = serde_json::from_slice(&answer.1).ok()?;
             match answer.0 {
                 StatusCode::OK => return Some(report),
-                StatusCode::CONFLICT if report.tenure != tenure => tenure = report.tenure,
+                StatusCode::CONFLICT if report.session != session => session = report.session,
                 _ => return None,
             }
         }
@@ -67,8 +67,8 @@
     }
 
     /// Sends commands to the worker at `address`.
-    pub async fn send(&self, address: &str, orders: &DirectOrders) -> Delivery {
-        let Ok(body) = serde_json::to_vec(orders) else { return Delivery::NotSent };
+    pub async fn send(&self, address: &str, commands: &DirectCommands) -> Delivery {
+        let Ok(body) = serde_json::to_vec(commands) else { return Delivery::NotSent };
         let limit = Duration::from_millis(constants::WORKER_TIMEOUT_MS);
         match self.http.at(address).exchange(Method::POST, "/orders", Some(body), limit).await {
             Ok((StatusCode::OK, body)) => match serde_json::from_slice(&body) {
--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -637,9 +637,9 @@
                 res.status_code(StatusCode::OK);
                 res.render(Json(answer));
             }
-            CheckInReply::Elsewhere(foreman) => {
+            CheckInReply::Elsewhere(report_to) => {
                 res.status_code(StatusCode::MISDIRECTED_REQUEST);
-                res.render(Json(ReportElsewhere { foreman }));
+                res.render(Json(ReportElsewhere { report_to }));
             }
             CheckInReply::Answer(..) | CheckInReply::Unsure => {
                 unavailable(res, "not entitled to answer", constants::RETRY_AFTER_S)
--- a/crates/controller/src/holders.rs
+++ b/crates/controller/src/holders.rs
@@ -11,7 +11,7 @@
 //! when its lease surely ends. docs/safety.md has the proof.
 
 use hookway_constants as constants;
-use hookway_wire::{CheckIn, CheckInAnswer, JobId, Order, TaskId, TaskReport, TaskState};
+use hookway_wire::{CheckIn, CheckInAnswer, Command, JobId, TaskId, TaskReport, TaskState};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -263,7 +263,7 @@
         let late = !self.leader_in_touch(now);
         let mine = grant.zones.contains(&report.zone);
         // A token above the term's range is a later leader's.
-        let known = report.baton < grant.term + constants::TOKENS_PER_TERM;
+        let known = report.token < grant.term + constants::TOKENS_PER_TERM;
         let busy = report.tasks.iter().any(|p| p.status != TaskState::Ended);
         if !(late && mine && known && busy) {
             return None;
@@ -271,10 +271,13 @@
         self.answered = Some(now);
         let ended = |p: &&TaskReport| p.status == TaskState::Ended;
         let useless = |p: &&TaskReport| TaskId::parse(&p.task).is_some_and(|t| over(&t.job));
-        let stop =
-            |p: &TaskReport| Order::Kill { task: p.task.clone(), r#try: p.r#try, wind_down_s: 0.0 };
-        let orders = report.tasks.iter().filter(|p| !ended(p) && useless(p)).map(stop).collect();
-        let answer = CheckInAnswer { baton: report.baton.max(grant.term), orders };
+        let stop = |p: &TaskReport| Command::Kill {
+            task: p.task.clone(),
+            attempt: p.attempt,
+            grace_s: 0.0,
+        };
+        let commands = report.tasks.iter().filter(|p| !ended(p) && useless(p)).map(stop).collect();
+        let answer = CheckInAnswer { token: report.token.max(grant.term), commands };
         Some(KeptAlive { answer, until: grant.until })
     }
 }
--- a/crates/controller/src/lead.rs
+++ b/crates/controller/src/lead.rs
@@ -55,7 +55,7 @@
     /// The guard that every durable write carries.
     pub guard: Guard,
     /// The lease.
-    pub permit: u64,
+    pub lease_id: u64,
     /// The leader before kept marks of how far tasks of jobs may have been started.
     pub marked: bool,
 }
@@ -125,29 +125,29 @@
         let mut nonce: u64 = rand::rng().random();
         loop {
             match self.look().await {
-                Ok((Found::Leader(kv, record), epoch)) => {
+                Ok((Found::Leader(kv, record), revision)) => {
                     if record.label == self.label && record.nonce == nonce {
                         // Our own transaction, whose answer was lost.
-                        if let Some(permit) = kv.permit {
-                            self.lead(&record, kv.stamp, permit, 0, false).await;
+                        if let Some(lease_id) = kv.lease_id {
+                            self.lead(&record, kv.stamp, lease_id, 0, false).await;
                             nonce = rand::rng().random();
                             continue;
                         }
                     }
                     if record.label == self.label
-                        && let Some(permit) = kv.permit
+                        && let Some(lease_id) = kv.lease_id
                     {
                         // One process runs under this name at a time, so that leader is our own
                         // earlier process, which is dead. Whatever it still has under way carries
                         // its guard and fails.
                         tracing::info!("ending the lease of this node's earlier process");
-                        if self.store.release(permit).await.is_err() {
+                        if self.store.release(lease_id).await.is_err() {
                             self.pause(constants::LEADER_RETRY_MS).await;
                         }
                         continue;
                     }
                     self.publish(Some(record.label), None);
-                    self.follow(epoch).await;
+                    self.follow(revision).await;
                 }
                 Ok((Found::Nobody { term, term_stamp, marked }, _)) => {
                     let jitter = rand::rng().random_range(0..=constants::ELECTION_JITTER_MS);
@@ -176,19 +176,19 @@
     }
 
     async fn look(&self) -> Result<(Found, u64), StoreError> {
-        let (pairs, epoch) = self.store.list(LEAD).await?;
+        let (pairs, revision) = self.store.list(LEAD).await?;
         let now = pairs.iter().find(|p| p.key == LEAD_NOW);
         if let Some(kv) = now
             && let Ok(record) = serde_json::from_value::<LeadRecord>(kv.v.clone())
         {
             let mut kv = kv.clone();
-            if kv.permit.is_none()
+            if kv.lease_id.is_none()
                 && record.label == self.label
                 && let Some(full) = self.store.get(LEAD_NOW).await?
             {
                 kv = full;
             }
-            return Ok((Found::Leader(kv, record), epoch));
+            return Ok((Found::Leader(kv, record), revision));
         }
         let term = pairs.iter().find(|p| p.key == LEAD_TERM);
         let marks = pairs.iter().find(|p| p.key == LEAD_MARKS);
@@ -197,13 +197,13 @@
             term_stamp: term.map_or(0, |t| t.stamp),
             marked: term.map(|t| &t.v) == marks.map(|m| &m.v),
         };
-        Ok((found, epoch))
+        Ok((found, revision))
     }
 
     /// Waits until the leader's key goes.
-    async fn follow(&self, mut epoch: u64) {
+    async fn follow(&self, mut revision: u64) {
         loop {
-            match self.store.watch(LEAD, epoch, constants::WATCH_WAIT_MS).await {
+            match self.store.watch(LEAD, revision, constants::WATCH_WAIT_MS).await {
                 Ok(answer) => {
                     if answer.events.iter().any(|e| match e {
                         Event::Delete { delete, .. } => delete == LEAD_NOW,
@@ -211,7 +211,7 @@
                     }) {
                         return;
                     }
-                    epoch = epoch.max(answer.epoch);
+                    revision = revision.max(answer.revision);
                 }
                 Err(e) => {
                     tracing::debug!("leadership watch: {e}");
@@ -224,8 +224,8 @@
 
     async fn stand(&self, nonce: u64, term: u64, term_stamp: u64, marked: bool) {
         let sent = self.clock.now();
-        let permit = match self.store.grant(constants::LEADER_TTL_MS).await {
-            Ok(permit) => permit,
+        let lease_id = match self.store.grant(constants::LEADER_TTL_MS).await {
+            Ok(lease_id) => lease_id,
             Err(e) => {
                 tracing::debug!("no lease for leadership: {e}");
                 return self.pause(constants::LEADER_RETRY_MS).await;
@@ -242,18 +242,18 @@
                 Guard { key: LEAD_TERM.into(), stamp: term_stamp },
             ],
             apply: vec![
-                Change::Put { put: LEAD_NOW.into(), v: value, permit: Some(permit) },
+                Change::Put { put: LEAD_NOW.into(), v: value, lease_id: Some(lease_id) },
                 Change::put(LEAD_TERM, serde_json::json!(last)),
                 Change::put(LEAD_MARKS, serde_json::json!(last)),
             ],
         };
         match self.store.commit(&transaction).await {
-            Ok(CommitOutcome::Applied(epoch)) => {
+            Ok(CommitOutcome::Applied(revision)) => {
                 let until = valid_until(sent, constants::LEADER_TTL_MS);
-                self.lead(&record, epoch, permit, until, marked).await;
+                self.lead(&record, revision, lease_id, until, marked).await;
             }
             Ok(CommitOutcome::Refused(_)) => {
-                let _ = self.store.release(permit).await;
+                let _ = self.store.release(lease_id).await;
             }
             // Unclear: the next look tells, by the nonce, whether it was applied.
             Err(e) => {
@@ -264,11 +264,11 @@
     }
 
     /// Leads until the lease is lost.
-    async fn lead(&self, record: &LeadRecord, stamp: u64, permit: u64, until: u64, marked: bool) {
+    async fn lead(&self, record: &LeadRecord, stamp: u64, lease_id: u64, until: u64, marked: bool) {
         tracing::info!("leading, term {}", record.term);
         self.validity.set(record.term, until);
         let guard = Guard { key: LEAD_NOW.into(), stamp };
-        let mandate = Mandate { term: record.term, guard, permit, marked };
+        let mandate = Mandate { term: record.term, guard, lease_id, marked };
         self.publish(Some(self.label.clone()), Some(mandate));
         let mut pause = if until == 0 { 0 } else { constants::LEADER_EXTEND_EVERY_MS };
         let gave_up = loop {
@@ -277,7 +277,7 @@
                 () = self.doubt.notified() => break true,
             }
             let sent = self.clock.now();
-            match self.store.extend(permit).await {
+            match self.store.extend(lease_id).await {
                 Ok(()) => {
                     self.validity.set(record.term, valid_until(sent, constants::LEADER_TTL_MS));
                     pause = constants::LEADER_EXTEND_EVERY_MS;
@@ -292,7 +292,7 @@
         self.validity.set(record.term, 0);
         tracing::info!("not leading any more");
         self.publish(None, None);
-        let _ = self.store.release(permit).await;
+        let _ = self.store.release(lease_id).await;
         if gave_up {
             // Another node shall have it.
             self.pause(constants::ABSTAIN_MS).await;
--- a/crates/controller/src/ledger/checkin.rs
+++ b/crates/controller/src/ledger/checkin.rs
@@ -2,11 +2,11 @@
 use hookway_clients::Delivery;
 use hookway_constants as constants;
 use hookway_wire::{
-    Cause, CheckIn, CheckInAnswer, DirectOrders, Order, TaskId, TaskReport, TaskState,
+    Cause, CheckIn, CheckInAnswer, Command, DirectCommands, TaskId, TaskReport, TaskState,
 };
 
 /// Most commands in one answer, so that its only line stays far below 64 KiB.
-const ORDERS_AT_MOST: usize = 400;
+const COMMANDS_AT_MOST: usize = 400;
 
 /// Why a machine is given back that reports, but takes no answer.
 const HEARS_NOTHING: &str = "it reports, but hears nothing";
@@ -40,13 +40,13 @@
         }
         self.expire_if_silent(name, now);
         let host = self.hosts.get_mut(name)?;
-        let stamp = (report.tenure, report.tick);
+        let stamp = (report.session, report.tick);
         // Reports can arrive minutes late; only a newer one may change the picture. A session whose
         // lease has surely run out can't be heard from again: such a report is late, whatever its
         // number.
         if stamp <= host.reported
-            || report.tenure < host.newest.0
-            || report.tenure <= host.dead_tenure
+            || report.session < host.newest.0
+            || report.session <= host.dead_session
         {
             tracing::debug!("machine {name}: old report {stamp:?}, newest is {:?}", host.newest);
             return None;
@@ -55,13 +55,13 @@
         self.judge_hearing(name, report, now);
         self.expire_if_silent(name, now);
         let host = self.hosts.get_mut(name)?;
-        if report.tenure <= host.dead_tenure {
+        if report.session <= host.dead_session {
             return None;
         }
         // The worker sent this one before it answered commands that came straight to it: what it says
         // is out of date, but the worker waits for an answer.
         let overtaken = stamp < host.newest;
-        let new_session = host.heard && report.tenure > host.newest.0;
+        let new_session = host.heard && report.session > host.newest.0;
         if !host.heard {
             tracing::info!(
                 "machine {name}: up, {:.1} s old",
@@ -89,11 +89,11 @@
         // A report can be older than this leader's term although it is the newest that it has seen,
         // and what the earlier leader started since is not in it. One that carries this term's token
         // was sent after the worker had seen it, so it names everything.
-        if report.baton >= self.term {
+        if report.token >= self.term {
             self.unheard.remove(name);
         }
         if new_session {
-            tracing::info!("machine {name}: session {}, its tasks are gone", report.tenure);
+            tracing::info!("machine {name}: session {}, its tasks are gone", report.session);
             self.clear_host(name, now, Leave::Lost);
         }
         if !overtaken {
@@ -109,21 +109,21 @@
         } else {
             self.fill(name, now);
         }
-        let orders = self.orders_for(name, now);
+        let commands = self.commands_for(name, now);
         let host = self.hosts.get_mut(name)?;
-        host.soon = if orders.is_empty() { 0 } else { now + constants::REPORT_SOON_MS };
-        let baton = self.term + host.bump;
+        host.soon = if commands.is_empty() { 0 } else { now + constants::REPORT_SOON_MS };
+        let token = self.term + host.bump;
         let mut expected = Expected { answered_before, answered_at: now, ..Expected::default() };
-        expected.token = (baton > report.baton).then_some(baton);
-        for order in &orders {
+        expected.token = (token > report.token).then_some(token);
+        for order in &commands {
             match order {
-                Order::Run { task, r#try } => expected.runs.push((task.clone(), *r#try)),
-                Order::Reap { task, r#try } => expected.reaps.push((task.clone(), *r#try)),
-                Order::Kill { .. } => {}
+                Command::Run { task, attempt } => expected.runs.push((task.clone(), *attempt)),
+                Command::Reap { task, attempt } => expected.reaps.push((task.clone(), *attempt)),
+                Command::Kill { .. } => {}
             }
         }
         host.expected = expected;
-        Some(CheckInAnswer { baton, orders })
+        Some(CheckInAnswer { token, commands })
     }
 
     /// Whether the worker took the last answer, as far as its next report shows it. A worker has one
@@ -170,7 +170,7 @@
     /// Such a command may arrive late, or twice, and after `reap` a second arrival would start the
     /// task again. So the machine's token rises with each: every later answer, and with it every
     /// `reap`, carries a higher one, after which the worker refuses the command.
-    pub fn take_direct(&mut self, now: u64) -> Vec<(String, String, DirectOrders)> {
+    pub fn take_direct(&mut self, now: u64) -> Vec<(String, String, DirectCommands)> {
         let mut sends = Vec::new();
         if self.directs >= constants::DIRECT_AT_MOST {
             return sends;
@@ -221,14 +221,14 @@
             let token = self.term + host.bump;
             host.bump += 1;
             host.direct = true;
-            let mut orders = Vec::with_capacity(chosen.len());
+            let mut commands = Vec::with_capacity(chosen.len());
             for i in chosen {
                 let held = &mut host.held[i];
                 held.phase = Phase::Pushed(token);
-                orders.push(Order::Run { task: held.task.clone(), r#try: held.attempt });
+                commands.push(Command::Run { task: held.task.clone(), attempt: held.attempt });
             }
-            let orders = DirectOrders { baton: token, tenure: host.newest.0, orders };
-            sends.push((name, host.addr.clone(), orders));
+            let commands = DirectCommands { token, session: host.newest.0, commands };
+            sends.push((name, host.addr.clone(), commands));
         }
         self.directs += sends.len();
         sends
@@ -241,11 +241,11 @@
         host.direct = false;
         match delivery {
             Delivery::Done(report) => {
-                let stamp = (report.tenure, report.tick);
+                let stamp = (report.session, report.tick);
                 // Only of the session that was addressed; it renews no lease.
                 if report.host == name
-                    && report.tenure == host.newest.0
-                    && report.tenure > host.dead_tenure
+                    && report.session == host.newest.0
+                    && report.session > host.dead_session
                     && stamp > host.newest
                 {
                     host.newest = stamp;
@@ -300,12 +300,12 @@
     /// the worker may be in a session whose lease began just now.
     pub fn greeted(&mut self, name: &str, report: Option<CheckIn>, now: u64) {
         self.greetings = self.greetings.saturating_sub(1);
-        let Some(report) = report.filter(|r| r.host == name && r.baton >= self.term) else {
+        let Some(report) = report.filter(|r| r.host == name && r.token >= self.term) else {
             return;
         };
         let Some(host) = self.hosts.get_mut(name) else { return };
-        let stamp = (report.tenure, report.tick);
-        let over = report.tenure <= host.dead_tenure || host.closing.is_some();
+        let stamp = (report.session, report.tick);
+        let over = report.session <= host.dead_session || host.closing.is_some();
         if over || host.heard || stamp <= host.newest {
             return;
         }
@@ -345,7 +345,7 @@
             };
             let found = before
                 .iter()
-                .position(|h| h.attempt == reported.r#try && h.task == reported.task)
+                .position(|h| h.attempt == reported.attempt && h.task == reported.task)
                 .filter(|i| !std::mem::replace(&mut seen[*i], true));
             let Some(found) = found else {
                 fresh.push((task, reported));
@@ -393,7 +393,7 @@
                 }
                 // Under a higher token the worker refuses the command, whenever it arrives.
                 Phase::Pushed(token) => {
-                    if report.baton > token {
+                    if report.token > token {
                         held.phase = Phase::Planned;
                         self.planned_on.insert(name.to_owned());
                     }
@@ -426,7 +426,7 @@
                 job: key,
                 task: reported.task.clone(),
                 index: task.index,
-                attempt: reported.r#try,
+                attempt: reported.attempt,
                 cause,
             });
             if let (Some(key), Cause::Done) = (key, cause) {
@@ -438,7 +438,7 @@
             job: key,
             task: reported.task.clone(),
             index: task.index,
-            attempt: reported.r#try,
+            attempt: reported.attempt,
             phase: Phase::On(reported.status),
             stray: true,
             kill: None,
@@ -449,14 +449,14 @@
         };
         if let Some(job) = job {
             let first = job.slots[task.index as usize] == Slot::Free && job.live();
-            let same_gang =
-                !job.spec.is_gang() || job.attempt.is_none_or(|attempt| attempt == reported.r#try);
+            let same_gang = !job.spec.is_gang()
+                || job.attempt.is_none_or(|attempt| attempt == reported.attempt);
             if first && same_gang {
                 held.stray = false;
                 job.slots[task.index as usize] = Slot::Held;
                 job.free.remove(&task.index);
                 if job.spec.is_gang() {
-                    job.attempt = Some(reported.r#try);
+                    job.attempt = Some(reported.attempt);
                 }
             }
             if held.stray {
@@ -637,15 +637,15 @@
         if let Some(kill) = held.kill {
             let patience = (job.spec.save_s * 1000.0) as u64 + constants::STOP_PATIENCE_MS;
             let late = now.saturating_sub(kill.since) > patience;
-            return Some(if late { 0.0 } else { kill.wind_down_s });
+            return Some(if late { 0.0 } else { kill.grace_s });
         }
         (job.spec.is_gang() && (job.broken || job.attempt != Some(held.attempt))).then_some(0.0)
     }
 
     /// The commands for a machine, in answer to its newest report.
-    fn orders_for(&mut self, name: &str, now: u64) -> Vec<Order> {
-        let mut orders = Vec::new();
-        let Some(host) = self.hosts.get(name) else { return orders };
+    fn commands_for(&mut self, name: &str, now: u64) -> Vec<Command> {
+        let mut commands = Vec::new();
+        let Some(host) = self.hosts.get(name) else { return commands };
         for e in &host.ended {
             // The result must be durable before the worker may forget it.
             let job = e.job.and_then(|k| self.jobs.get(&k));
@@ -654,7 +654,7 @@
                     j.over.is_none() && !j.spec.is_daemon() && !j.progress.is_durable(e.index)
                 });
             if !needed {
-                orders.push(Order::Reap { task: e.task.clone(), r#try: e.attempt });
+                commands.push(Command::Reap { task: e.task.clone(), attempt: e.attempt });
             }
         }
         let stays = host.closing.is_none() && host.notice.is_none();
@@ -670,12 +670,16 @@
                     dropped.push((h.task.clone(), h.attempt));
                 }
                 (Phase::Planned, Some(_)) => dropped.push((h.task.clone(), h.attempt)),
-                (_, Some(wind_down_s)) => {
-                    orders.push(Order::Kill { task: h.task.clone(), r#try: h.attempt, wind_down_s })
-                }
-                (Phase::Planned, None) if may_start && opened && orders.len() < ORDERS_AT_MOST => {
+                (_, Some(grace_s)) => commands.push(Command::Kill {
+                    task: h.task.clone(),
+                    attempt: h.attempt,
+                    grace_s,
+                }),
+                (Phase::Planned, None)
+                    if may_start && opened && commands.len() < COMMANDS_AT_MOST =>
+                {
                     tracing::debug!("task {} attempt {}: start on {name}", h.task, h.attempt);
-                    orders.push(Order::Run { task: h.task.clone(), r#try: h.attempt });
+                    commands.push(Command::Run { task: h.task.clone(), attempt: h.attempt });
                     h.phase = Phase::Sent;
                 }
                 _ => {}
@@ -687,13 +691,13 @@
         for (task, attempt) in dropped {
             self.unplan(name, &task, attempt, now);
         }
-        orders.truncate(ORDERS_AT_MOST * 2);
-        orders
+        commands.truncate(COMMANDS_AT_MOST * 2);
+        commands
     }
 
     /// Commands to stop that should not wait for the workers' reports: address and commands. Each
     /// is handed out once; if it gets lost, the answer to the next report says the same.
-    pub fn take_pushes(&mut self, now: u64) -> Vec<(String, DirectOrders)> {
+    pub fn take_pushes(&mut self, now: u64) -> Vec<(String, DirectCommands)> {
         let mut pushes = Vec::new();
         if !std::mem::take(&mut self.stops_due) {
             return pushes;
@@ -712,26 +716,26 @@
                 .iter()
                 .enumerate()
                 .filter(|(_, h)| !h.pushed && matches!(h.phase, Phase::On(_)))
-                .filter_map(|(i, h)| self.must_stop(h, now).map(|wind_down_s| (i, wind_down_s)))
-                .take(ORDERS_AT_MOST)
+                .filter_map(|(i, h)| self.must_stop(h, now).map(|grace_s| (i, grace_s)))
+                .take(COMMANDS_AT_MOST)
                 .collect();
             if stops.is_empty() {
                 continue;
             }
             let Some(host) = self.hosts.get_mut(&name) else { continue };
-            let mut orders = Vec::with_capacity(stops.len());
-            for (i, wind_down_s) in stops {
+            let mut commands = Vec::with_capacity(stops.len());
+            for (i, grace_s) in stops {
                 let held = &mut host.held[i];
                 held.pushed = true;
-                orders.push(Order::Kill {
+                commands.push(Command::Kill {
                     task: held.task.clone(),
-                    r#try: held.attempt,
-                    wind_down_s,
+                    attempt: held.attempt,
+                    grace_s,
                 });
             }
-            let tenure = host.newest.0;
-            let baton = self.term + host.bump;
-            pushes.push((host.addr.clone(), DirectOrders { baton, tenure, orders }));
+            let session = host.newest.0;
+            let token = self.term + host.bump;
+            pushes.push((host.addr.clone(), DirectCommands { token, session, commands }));
         }
         pushes
     }
@@ -769,7 +773,7 @@
             .machine_types
             .iter()
             .find(|f| f.label == host.machine_type)
-            .map_or(0.0, |f| f.local_gb);
+            .map_or(0.0, |f| f.cache_gb);
         let used: Vec<(u32, f64)> = host
             .held
             .iter()
@@ -829,9 +833,9 @@
         if !self.holders.lease_over(&host.zone, host.last_answer, lease, now) {
             return false;
         }
-        if host.heard && host.dead_tenure < host.newest.0 {
+        if host.heard && host.dead_session < host.newest.0 {
             tracing::info!("machine {name}: silent, its lease is over");
-            host.dead_tenure = host.newest.0;
+            host.dead_session = host.newest.0;
             self.clear_host(name, now, Leave::Lost);
         }
         self.unheard.remove(name);
--- a/crates/controller/src/ledger/commit.rs
+++ b/crates/controller/src/ledger/commit.rs
@@ -420,16 +420,16 @@
     pub fn committed(&mut self, commit: Commit, result: CommitResult, now: u64) {
         self.writer.busy = false;
         match result {
-            CommitResult::Applied(epoch) => {
+            CommitResult::Applied(revision) => {
                 for change in &commit.transaction.apply {
                     match change {
-                        Change::Put { put, .. } if is_own(put) => self.writer.stamp(put, epoch),
+                        Change::Put { put, .. } if is_own(put) => self.writer.stamp(put, revision),
                         Change::Put { .. } => {}
                         Change::Delete { delete } => self.writer.stamp(delete, 0),
                     }
                 }
                 for item in commit.items {
-                    self.applied(item, epoch);
+                    self.applied(item, revision);
                 }
             }
             CommitResult::NotDone => {
@@ -501,13 +501,13 @@
         }
     }
 
-    fn applied(&mut self, item: Item, epoch: u64) {
+    fn applied(&mut self, item: Item, revision: u64) {
         match item {
             Item::Final(key, record) => self.decide(key, record),
             Item::Chunk(key, chunk, record) => {
                 if let Some(job) = self.jobs.get(&key) {
                     let from = job.progress.range(chunk).start;
-                    self.durable(key, from, epoch, Some(&record));
+                    self.durable(key, from, revision, Some(&record));
                 }
             }
             Item::Roster(number, members) => {
--- a/crates/controller/src/ledger/fleet.rs
+++ b/crates/controller/src/ledger/fleet.rs
@@ -20,7 +20,7 @@
 /// A rental under way.
 #[derive(Debug, Clone)]
 pub(super) struct Renting {
-    hire: String,
+    request_id: String,
     machine_type: usize,
     zone: usize,
     spot: bool,
@@ -36,8 +36,11 @@
                     continue;
                 };
                 for spot in [false, true] {
-                    let price =
-                        if spot { machine_type.market_price } else { Some(machine_type.hourly) };
+                    let price = if spot {
+                        machine_type.spot_price
+                    } else {
+                        Some(machine_type.price_per_hour)
+                    };
                     let sold_out =
                         self.sold_out.get(&(f, zone, spot)).is_some_and(|until| now < *until);
                     // One request at a time for each: what it brings counts as coming, and asking for
@@ -102,24 +105,24 @@
             }
             left -= count;
             let offer = &offers[rent.offer];
-            self.next_hire += 1;
+            self.next_request += 1;
             // Never used again, by no node: the term leads the name.
-            let hire = format!("h-{}-{}", self.term, self.next_hire);
+            let request_id = format!("h-{}-{}", self.term, self.next_request);
             let request = RentRequest {
-                hire: hire.clone(),
+                request_id: request_id.clone(),
                 machine_type: self.machine_types[offer.machine_type].label.clone(),
                 zone: self.setup.params.zones[offer.zone].clone(),
                 spot: offer.spot,
-                how_many: count,
+                count,
             };
             tracing::info!(
-                "rental {hire}: {count} x {} in {}{}",
+                "rental {request_id}: {count} x {} in {}{}",
                 request.machine_type,
                 request.zone,
                 if offer.spot { ", spot" } else { "" }
             );
             self.renting.push(Renting {
-                hire,
+                request_id,
                 machine_type: offer.machine_type,
                 zone: offer.zone,
                 spot: offer.spot,
@@ -154,7 +157,7 @@
             if sizes.is_empty() { 0.0 } else { sizes.iter().sum::<f64>() / sizes.len() as f64 };
         let fetch = machine_type.fetch_s(mean);
         let factor = constants::IDLE_RETURN_FACTOR;
-        let again = ((machine_type.ready_s + fetch) * factor * 1000.0) as u64;
+        let again = ((machine_type.boot_s + fetch) * factor * 1000.0) as u64;
         self.setup.operator.idle_return_ms.unwrap_or(again)
     }
 
@@ -200,7 +203,7 @@
                 else {
                     continue;
                 };
-                let quick = machine_type.ready_s + machine_type.fetch_s(seen.image_gb) < within;
+                let quick = machine_type.boot_s + machine_type.fetch_s(seen.image_gb) < within;
                 let busy = host.held.iter().any(|h| {
                     h.job.and_then(|k| self.jobs.get(&k)).is_some_and(|j| j.spec.class == *class)
                 });
@@ -268,7 +271,7 @@
     /// Machines with work that have missed their reports while most others of their zone have not. A
     /// deletion proves their tasks gone, which the list and their leases do only much later.
     fn lost_hosts(&self, now: u64, patience: u64) -> HashSet<String> {
-        let live = |h: &Host| h.heard && h.dead_tenure < h.newest.0;
+        let live = |h: &Host| h.heard && h.dead_session < h.newest.0;
         let quiet = |h: &Host| now.saturating_sub(h.last_answer.max(self.resumed_at));
         let silent = |h: &Host| quiet(h) >= patience;
         // In a cut machines fall silent one by one, each when its next report is due.
@@ -342,7 +345,7 @@
                 .machine_types
                 .iter()
                 .find(|f| f.label == host.machine_type)
-                .map_or(60_000.0, |f| f.ready_s * 1000.0);
+                .map_or(60_000.0, |f| f.boot_s * 1000.0);
             let patience =
                 (ready_ms * constants::BOOT_GIVE_UP_FACTOR) as u64 + constants::BOOT_GIVE_UP_MS;
             // One of the roster has been up.
@@ -379,10 +382,12 @@
 
     /// The cloud answered a rental. `None`: no capacity.
     pub fn rented(&mut self, request: &RentRequest, hosts: Option<Vec<String>>, now: u64) {
-        let Some(i) = self.renting.iter().position(|r| r.hire == request.hire) else { return };
+        let Some(i) = self.renting.iter().position(|r| r.request_id == request.request_id) else {
+            return;
+        };
         let renting = self.renting.swap_remove(i);
         let got = hosts.as_ref().map_or(0, Vec::len);
-        tracing::info!("rental {}: {got} of {}", renting.hire, renting.count);
+        tracing::info!("rental {}: {got} of {}", renting.request_id, renting.count);
         if got < renting.count as usize {
             let offer = (renting.machine_type, renting.zone, renting.spot);
             self.sold_out.insert(offer, now + constants::SOLD_OUT_MS);
@@ -449,7 +454,7 @@
             if entry.status == HostState::Failed && host.closing != Some("failed") {
                 tracing::info!("machine {name}: failed");
                 host.closing = Some("failed");
-                host.dead_tenure = u64::MAX;
+                host.dead_session = u64::MAX;
                 self.clear_host(name, now, Leave::Lost);
                 self.unheard.remove(name);
             }
--- a/crates/controller/src/ledger/mod.rs
+++ b/crates/controller/src/ledger/mod.rs
@@ -130,7 +130,7 @@
     setup: Setup,
     term: u64,
     next_try: u64,
-    next_hire: u64,
+    next_request: u64,
     next_job: u64,
     machine_types: Vec<MachineType>,
     images: HashMap<String, u32>,
@@ -242,7 +242,7 @@
             setup,
             term,
             next_try: 0,
-            next_hire: 0,
+            next_request: 0,
             next_job: 0,
             machine_types,
             images: HashMap::new(),
@@ -739,7 +739,7 @@
             let old = host
                 .first_listed
                 .is_some_and(|since| since + (constants::SURELY_UP_MS as i64) < self.won_at as i64);
-            if host.heard && host.dead_tenure < host.newest.0 {
+            if host.heard && host.dead_session < host.newest.0 {
                 expected += 1;
                 latest = latest.max(host.last_answer);
             } else if !host.heard && old && self.unheard.contains(name) {
--- a/crates/controller/src/ledger/model.rs
+++ b/crates/controller/src/ledger/model.rs
@@ -300,7 +300,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Kill {
     /// Time to save, s.
-    pub wind_down_s: f64,
+    pub grace_s: f64,
     /// When it was decided, ms.
     pub since: u64,
 }
@@ -369,9 +369,9 @@
             return None;
         }
         let there = |(task, attempt): &(String, u64)| {
-            report.tasks.iter().any(|p| p.r#try == *attempt && p.task == *task)
+            report.tasks.iter().any(|p| p.attempt == *attempt && p.task == *task)
         };
-        let shown = self.token.is_none_or(|t| report.baton >= t)
+        let shown = self.token.is_none_or(|t| report.token >= t)
             && self.runs.iter().all(there)
             && !self.reaps.iter().any(there);
         Some(shown)
@@ -404,7 +404,7 @@
     /// Its next report is expected before this, ms.
     pub soon: u64,
     /// Sessions up to this one are surely over.
-    pub dead_tenure: u64,
+    pub dead_session: u64,
     /// What its next report shows if it has taken the last answer.
     pub expected: Expected,
     /// Answers in a row that it surely did not take.
@@ -458,7 +458,7 @@
             soon: 0,
             expected: Expected::default(),
             deaf: 0,
-            dead_tenure: 0,
+            dead_session: 0,
             last_answer: now,
             rostered: false,
             born: now,
@@ -479,8 +479,8 @@
 
     /// What its newest message says of the machine itself.
     pub fn described(&mut self, report: &CheckIn, now: u64) {
-        self.newest = (report.tenure, report.tick);
-        self.notice = report.eviction_s.map(|s| now + (s.max(0.0) * 1000.0) as u64);
+        self.newest = (report.session, report.tick);
+        self.notice = report.notice_s.map(|s| now + (s.max(0.0) * 1000.0) as u64);
         self.addr.clone_from(&report.addr);
         self.machine_type.clone_from(&report.machine_type);
         self.zone.clone_from(&report.zone);
--- a/crates/controller/src/ledger/schedule.rs
+++ b/crates/controller/src/ledger/schedule.rs
@@ -60,7 +60,9 @@
         let cheapest_cpu = self
             .machine_types
             .iter()
-            .flat_map(|f| [Some(f.hourly), f.market_price].map(|p| p.map(|p| p / f.cpus.max(0.1))))
+            .flat_map(|f| {
+                [Some(f.price_per_hour), f.spot_price].map(|p| p.map(|p| p / f.cpus.max(0.1)))
+            })
             .flatten()
             .fold(f64::INFINITY, f64::min);
         let world = World {
@@ -527,9 +529,9 @@
         let Some(key) = held.job else { return };
         let (task, attempt) = (held.task.clone(), held.attempt);
         let Some(job) = self.jobs.get(&key) else { return };
-        let wind_down_s = if job.spec.saves() { job.spec.save_s + 1.0 } else { 0.0 };
+        let grace_s = if job.spec.saves() { job.spec.save_s + 1.0 } else { 0.0 };
         self.stops_due = true;
-        let kill = Kill { wind_down_s, since: now };
+        let kill = Kill { grace_s, since: now };
         let gang = job.spec.is_gang();
         for host in self.hosts.values_mut() {
             for h in &mut host.held {
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -221,9 +221,9 @@
         term.helpers.spawn(async move {
             loop {
                 match load(&store).await {
-                    Ok((mut loaded, epoch)) => {
+                    Ok((mut loaded, revision)) => {
                         loaded.marked = marked;
-                        let _ = notes.send(Note::Loaded(loaded, epoch)).await;
+                        let _ = notes.send(Note::Loaded(loaded, revision)).await;
                         return;
                     }
                     Err(e) => {
@@ -235,14 +235,14 @@
         });
     }
 
-    fn start_watching(&self, term: &mut Term, epoch: u64) {
+    fn start_watching(&self, term: &mut Term, revision: u64) {
         let (store, notes) = (self.store.clone(), term.notes.clone());
         term.helpers.spawn(async move {
-            let mut epoch = epoch;
+            let mut revision = revision;
             loop {
-                match store.watch(JOBS, epoch, constants::WATCH_WAIT_MS).await {
+                match store.watch(JOBS, revision, constants::WATCH_WAIT_MS).await {
                     Ok(answer) => {
-                        epoch = epoch.max(answer.epoch);
+                        revision = revision.max(answer.revision);
                         for event in answer.events {
                             if let Event::Put { put, v, .. } = event
                                 && notes.send(Note::JobPut(put, v)).await.is_err()
@@ -255,7 +255,7 @@
                         let _ = notes.send(Note::Reload).await;
                         match store.list(JOBS).await {
                             Ok((jobs, at)) => {
-                                epoch = at;
+                                revision = at;
                                 for kv in jobs {
                                     if notes.send(Note::JobPut(kv.key, kv.v)).await.is_err() {
                                         return;
@@ -329,7 +329,7 @@
     fn take(&self, term: &mut Term, note: Note) {
         let at = self.clock.moment();
         match note {
-            Note::Loaded(loaded, epoch) => {
+            Note::Loaded(loaded, revision) => {
                 let machine_types = self.machine_types.borrow().as_ref().map(|f| f.to_vec());
                 let ledger = Ledger::new(
                     self.setup.clone(),
@@ -341,7 +341,7 @@
                 );
                 tracing::info!("term {}: {}", term.mandate.term, ledger.summary(at.now));
                 term.ledger = Some(ledger);
-                self.start_watching(term, epoch);
+                self.start_watching(term, revision);
             }
             Note::JobPut(key, value) => {
                 if let Some(ledger) = &mut term.ledger {
@@ -438,9 +438,9 @@
             return;
         }
         let Some(ledger) = term.ledger.as_mut() else { return };
-        for (address, orders) in ledger.take_pushes(now) {
+        for (address, commands) in ledger.take_pushes(now) {
             let workers = self.workers.clone();
-            term.helpers.spawn(async move { workers.stop(&address, &orders).await });
+            term.helpers.spawn(async move { workers.stop(&address, &commands).await });
         }
         // Every report comes by here, and machines whose tasks wait for the store are looked at in vain.
         let due = now >= term.last_direct + constants::DIRECT_EVERY_MS;
@@ -448,17 +448,17 @@
         if due {
             term.last_direct = now;
         }
-        for (host, address, orders) in sends {
+        for (host, address, commands) in sends {
             let (workers, notes) = (self.workers.clone(), term.notes.clone());
             let entitled = self.entitlement(term.mandate.term);
             term.helpers.spawn(async move {
                 // Nothing that was queued while this process stood still goes out on a stale right.
                 let delivery = if entitled() {
-                    workers.send(&address, &orders).await
+                    workers.send(&address, &commands).await
                 } else {
                     Delivery::NotSent
                 };
-                let _ = notes.send(Note::Delivered(host, orders.baton, delivery)).await;
+                let _ = notes.send(Note::Delivered(host, commands.token, delivery)).await;
             });
         }
         let Some(commit) = ledger.next_commit(now) else { return };
@@ -576,7 +576,7 @@
                             return;
                         }
                         Err(e) => {
-                            tracing::debug!("rental {} (term {term}): {e}", request.hire);
+                            tracing::debug!("rental {} (term {term}): {e}", request.request_id);
                             pause(1_000).await;
                         }
                     }
@@ -605,13 +605,13 @@
 }
 
 async fn load(store: &StoreClient) -> Result<(Loaded, u64), StoreError> {
-    let (jobs, epoch) = store.list(JOBS).await?;
+    let (jobs, revision) = store.list(JOBS).await?;
     let (progress, _) = store.list(PROGRESS).await?;
     let (minimums, _) = store.list(MINIMUMS).await?;
     let (roster, _) = store.list(ROSTER).await?;
     let (images, _) = store.list(IMAGES).await?;
     let classes = store.get(CLASSES).await?;
-    Ok((Loaded { jobs, progress, minimums, roster, images, classes, marked: false }, epoch))
+    Ok((Loaded { jobs, progress, minimums, roster, images, classes, marked: false }, revision))
 }
 
 /// Commits; if the outcome is anything but plain, reads the keys again, since a lost answer says
@@ -620,7 +620,7 @@
 /// `away` is called when the state service turns out not to be there for this node.
 async fn carry_out(store: &StoreClient, commit: &Commit, away: impl Fn()) -> CommitResult {
     match store.commit(&commit.transaction).await {
-        Ok(CommitOutcome::Applied(epoch)) => return CommitResult::Applied(epoch),
+        Ok(CommitOutcome::Applied(revision)) => return CommitResult::Applied(revision),
         Err(StoreError::Unavailable) => {
             away();
             return CommitResult::NotDone;
--- a/crates/controller/tests/api.rs
+++ b/crates/controller/tests/api.rs
@@ -70,7 +70,7 @@
             let leads = node == Node::Leads;
             match ask {
                 Ask::CheckIn(_, reply) => {
-                    let answer = CheckInAnswer { baton: 7, orders: vec![] };
+                    let answer = CheckInAnswer { token: 7, commands: vec![] };
                     let _ = reply.send(if leads {
                         CheckInReply::Answer(answer, Instant::now() + Duration::from_secs(60))
                     } else if node == Node::LedOnce {
@@ -104,11 +104,11 @@
         cpus: 96.0,
         gpus: 8.0,
         memory_gb: 768.0,
-        local_gb: 200.0,
+        cache_gb: 200.0,
         fetch_gb_per_s: 1.0,
-        hourly: 12.0,
-        market_price: Some(4.5),
-        ready_s: 45.0,
+        price_per_hour: 12.0,
+        spot_price: Some(4.5),
+        boot_s: 45.0,
         zones: vec!["a".into()],
     };
     let (_, view) = watch::channel(seen);
--- a/crates/controller/tests/daemons.rs
+++ b/crates/controller/tests/daemons.rs
@@ -6,7 +6,7 @@
 use hookway_constants as constants;
 use hookway_controller::ledger::lease_over_ms;
 use hookway_testkit::ScriptedWorker;
-use hookway_wire::{Cause, JobId, JobSpec, JobState, Order, Priority};
+use hookway_wire::{Cause, Command, JobId, JobSpec, JobState, Priority};
 use play::{Play, job, setup, small};
 
 /// Replicas of one CPU, of the highest priority.
@@ -59,7 +59,7 @@
     let mut play = Play::start();
     let mut worker = small("m-1", "a");
     let id = running(&mut play, &mut worker);
-    let before = play.store.epoch();
+    let before = play.store.revision();
     for _ in 0..50 {
         run_for(&mut play, &mut worker, constants::REPLICA_STEADY_MS);
         worker.end("req-000001/0", Cause::Done);
@@ -70,7 +70,7 @@
     }
     play.settle(&mut [&mut worker]);
     assert!(worker.started.len() > 40);
-    assert_eq!(play.store.epoch(), before, "nothing is written for a replica that runs again");
+    assert_eq!(play.store.revision(), before, "nothing is written for a replica that runs again");
     play.ledger.withdraw(&id);
     play.settle(&mut [&mut worker]);
     assert_eq!(play.stored_final(&id).as_deref(), Some("withdrawn"));
@@ -189,8 +189,8 @@
     let id = running(&mut play, &mut worker);
     worker.end("req-000001/0", Cause::Done);
     let mut next = Play::lead(play.store.clone(), 2, 60_000);
-    let orders = next.beat(&mut worker);
-    assert!(orders.iter().any(|o| matches!(o, Order::Reap { .. })), "{orders:?}");
+    let commands = next.beat(&mut worker);
+    assert!(commands.iter().any(|o| matches!(o, Command::Reap { .. })), "{commands:?}");
     for _ in 0..4 {
         next.settle(&mut [&mut worker]);
     }
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -13,10 +13,10 @@
 };
 use hookway_policy::Room;
 use hookway_wire::{
-    Cause, Change, CheckIn, CheckInAnswer, CommitAnswer, DirectOrders, ErrorBody, Event, Grant,
-    GrantRequest, Guard, HostNames, HostState, JobId, JobSpec, JobState, JobStatus, KeyPage,
-    KeyValue, ListedHost, MachineType, MachineTypes, Order, RentRequest, ReportElsewhere,
-    TaskReport, TaskState, Transaction, WatchAnswer,
+    Cause, Change, CheckIn, CheckInAnswer, Command, CommitAnswer, DirectCommands, ErrorBody, Event,
+    Grant, GrantRequest, Guard, HostNames, HostState, JobId, JobSpec, JobState, JobStatus, KeyPage,
+    KeyValue, ListedHost, MachineType, MachineTypes, RentRequest, ReportElsewhere, TaskReport,
+    TaskState, Transaction, WatchAnswer,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -78,7 +78,7 @@
 fn report() -> CheckIn {
     let task = |task: &str, status, cause, saved| TaskReport {
         task: task.into(),
-        r#try: 2,
+        attempt: 2,
         status,
         cause,
         saved,
@@ -89,10 +89,10 @@
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
-        tenure: 1,
+        session: 1,
         tick: 88,
-        baton: 41,
-        eviction_s: Some(12.5),
+        token: 41,
+        notice_s: Some(12.5),
         tasks: vec![
             task("req-000412/3", TaskState::Running, None, None),
             task("req-000412/4", TaskState::Pulling, None, None),
@@ -105,11 +105,11 @@
     }
 }
 
-fn orders() -> Vec<Order> {
+fn commands() -> Vec<Command> {
     vec![
-        Order::Run { task: "req-000412/4".into(), r#try: 2 },
-        Order::Kill { task: "req-000377/1".into(), r#try: 1, wind_down_s: 10.0 },
-        Order::Reap { task: "req-000398/0".into(), r#try: 1 },
+        Command::Run { task: "req-000412/4".into(), attempt: 2 },
+        Command::Kill { task: "req-000377/1".into(), attempt: 1, grace_s: 10.0 },
+        Command::Reap { task: "req-000398/0".into(), attempt: 1 },
     ]
 }
 
@@ -203,36 +203,36 @@
     json("http-status-bare", &bare);
     json("http-error", &ErrorBody { error: "no such job".into() });
     json("http-report", &report());
-    json("http-report-answer", &CheckInAnswer { baton: 41, orders: orders() });
-    json("http-orders", &DirectOrders { baton: 41, tenure: 1, orders: orders() });
-    json("http-elsewhere", &ReportElsewhere { foreman: Some("worker-2".into()) });
-    json("http-nowhere", &ReportElsewhere { foreman: None });
+    json("http-report-answer", &CheckInAnswer { token: 41, commands: commands() });
+    json("http-orders", &DirectCommands { token: 41, session: 1, commands: commands() });
+    json("http-elsewhere", &ReportElsewhere { report_to: Some("worker-2".into()) });
+    json("http-nowhere", &ReportElsewhere { report_to: None });
 }
 
 #[test]
 fn messages_of_the_state_service_and_the_cloud_are_read_and_written_as_in_production() {
     let v = serde_json::json!({ "a": 1 });
-    let put = Change::Put { put: "a/b".into(), v: v.clone(), permit: Some(7) };
+    let put = Change::Put { put: "a/b".into(), v: v.clone(), lease_id: Some(7) };
     let guards = vec![Guard { key: "a/b".into(), stamp: 0 }];
     let apply = vec![put, Change::put("a/c", v.clone()), Change::delete("c/d")];
     json("store-commit", &Transaction { guards, apply });
-    json("store-commit-answer", &CommitAnswer { failed: vec!["a/b".into()], epoch: 431 });
-    let pair = KeyValue { key: "a/b".into(), v: v.clone(), stamp: 412, permit: Some(7) };
+    json("store-commit-answer", &CommitAnswer { failed: vec!["a/b".into()], revision: 431 });
+    let pair = KeyValue { key: "a/b".into(), v: v.clone(), stamp: 412, lease_id: Some(7) };
     json("store-pair", &pair);
-    json("store-page", &KeyPage { pairs: vec![pair], has_next: true, epoch: 431 });
+    json("store-page", &KeyPage { pairs: vec![pair], has_next: true, revision: 431 });
     json("store-grant-request", &GrantRequest { ttl_ms: 5_000 });
-    json("store-grant", &Grant { permit: 7 });
+    json("store-grant", &Grant { lease_id: 7 });
     let events = vec![
         Event::Put { put: "c/9".into(), v, stamp: 433 },
         Event::Delete { delete: "c/d".into(), stamp: 432 },
     ];
-    json("store-watch", &WatchAnswer { epoch: 433, events });
+    json("store-watch", &WatchAnswer { revision: 433, events });
     let rent = RentRequest {
-        hire: "h-4097-1".into(),
+        request_id: "h-4097-1".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
-        how_many: 12,
+        count: 12,
     };
     json("cloud-rent", &rent);
     json("cloud-hosts", &HostNames { hosts: vec!["m-000231".into()] });
@@ -241,11 +241,11 @@
         cpus: 96.0,
         gpus: 8.0,
         memory_gb: 768.0,
-        local_gb: 200.0,
+        cache_gb: 200.0,
         fetch_gb_per_s: 1.0,
-        hourly: 12.0,
-        market_price: Some(4.5),
-        ready_s: 45.0,
+        price_per_hour: 12.0,
+        spot_price: Some(4.5),
+        boot_s: 45.0,
         zones: vec!["a".into(), "b".into()],
     };
     json("cloud-flavors", &MachineTypes { machine_types: vec![machine_type] });
--- a/crates/controller/tests/leadership.rs
+++ b/crates/controller/tests/leadership.rs
@@ -49,7 +49,7 @@
     two.view.wait_for(|v| v.leader.as_deref() == Some("one")).await.expect("the actor lives");
     assert_eq!(two.view.borrow().mandate, None, "one leader at a time");
     // The lease ends, as it does when it is not extended in time.
-    server.end(first.permit);
+    server.end(first.lease_id);
     let second = tokio::select! {
         m = leads(&mut two) => m,
         m = async { one.view.wait_for(|v| v.mandate.as_ref().is_some_and(|m| m.term > 1)).await
@@ -69,7 +69,7 @@
 async fn a_restarted_node_ends_the_lease_of_its_earlier_process() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
-    let permit = server.grant();
+    let lease_id = server.grant();
     let record = LeadRecord { label: "one".into(), term: 4, nonce: 1 };
     let before = Transaction {
         guards: vec![],
@@ -77,7 +77,7 @@
             Change::Put {
                 put: LEAD_NOW.into(),
                 v: serde_json::to_value(record).expect("a record"),
-                permit: Some(permit),
+                lease_id: Some(lease_id),
             },
             Change::put(LEAD_TERM, serde_json::json!(4)),
         ],
@@ -85,7 +85,7 @@
     server.with(|store| store.commit(&before)).expect("applied");
     let mut one = start("one", &address);
     assert_eq!(leads(&mut one).await.term, 5);
-    assert!(!server.end(permit), "the old lease is over");
+    assert!(!server.end(lease_id), "the old lease is over");
 }
 
 #[tokio::test]
--- a/crates/controller/tests/ledger.rs
+++ b/crates/controller/tests/ledger.rs
@@ -12,7 +12,8 @@
 use hookway_controller::records::{JobRecord, LEAD_NOW, final_key, job_key};
 use hookway_testkit::{MemoryStore, SETTINGS, ScriptedWorker, machine_types};
 use hookway_wire::{
-    Cause, Change, DirectOrders, Guard, HostState, JobId, JobState, ListedHost, Order, Transaction,
+    Cause, Change, Command, DirectCommands, Guard, HostState, JobId, JobState, ListedHost,
+    Transaction,
 };
 use play::{Play, job, listed, setup, small};
 
@@ -31,19 +32,19 @@
     let report = w.report();
     let answer = play.ledger.check_in(&report, play.now).expect("an answer");
     assert!(
-        !answer.orders.iter().any(|o| matches!(o, Order::Reap { .. })),
+        !answer.commands.iter().any(|o| matches!(o, Command::Reap { .. })),
         "the result is not durable yet"
     );
     assert_eq!(play.state(&id), JobState::Queued);
     let commit = play.ledger.next_commit(play.now).expect("the end is to be written");
     assert_eq!(play.ledger.status(&id), Lookup::Deciding);
-    let epoch = play.store.commit(&commit.transaction).expect("applied");
-    play.ledger.committed(commit, CommitResult::Applied(epoch), play.now);
+    let revision = play.store.commit(&commit.transaction).expect("applied");
+    play.ledger.committed(commit, CommitResult::Applied(revision), play.now);
     assert_eq!(play.ledger.take_decided()[0].1.state, JobState::Done);
     w.take(&answer);
     play.now += 500;
-    let orders = play.beat(&mut w);
-    assert!(orders.iter().any(|o| matches!(o, Order::Reap { .. })));
+    let commands = play.beat(&mut w);
+    assert!(commands.iter().any(|o| matches!(o, Command::Reap { .. })));
 }
 
 #[test]
@@ -53,7 +54,7 @@
     play.submit(job("req-000001", "array", 1));
     let report = w.report();
     let answer = play.ledger.check_in(&report, play.now).expect("an answer");
-    assert_eq!(answer.orders, [], "a crash now must not hide a started task");
+    assert_eq!(answer.commands, [], "a crash now must not hide a started task");
     w.take(&answer);
     play.flush();
     assert!(play.rostered("m-1"));
@@ -105,7 +106,7 @@
     let mut next = Play::lead(play.store.clone(), 2, 10_000);
     assert!(!next.ledger.settled(next.now));
     next.beat(&mut w);
-    assert_eq!(w.baton, 2, "the token rises with the term");
+    assert_eq!(w.token, 2, "the token rises with the term");
     next.beat(&mut w);
     assert!(next.ledger.settled(next.now));
     next.settle(&mut [&mut w]);
@@ -285,7 +286,7 @@
     play.wait(500);
     let report = w.report();
     let lost = play.ledger.check_in(&report, play.now).expect("an answer");
-    assert!(matches!(lost.orders[..], [Order::Run { .. }]));
+    assert!(matches!(lost.commands[..], [Command::Run { .. }]));
     play.now += 4_000;
     play.beat(&mut w);
     assert_eq!(w.started.len(), 1);
@@ -533,22 +534,22 @@
 }
 
 /// A machine that is up, quiet, and has just been given a task.
-fn with_a_direct_start(play: &mut Play, w: &mut ScriptedWorker) -> DirectOrders {
+fn with_a_direct_start(play: &mut Play, w: &mut ScriptedWorker) -> DirectCommands {
     play.settle(&mut [w]);
     play.submit(job("req-000001", "array", 1));
     play.wait(1_000);
-    let (host, _, orders) = play.ledger.take_direct(play.now).pop().expect("a start");
+    let (host, _, commands) = play.ledger.take_direct(play.now).pop().expect("a start");
     assert_eq!(host, "m-1");
-    orders
+    commands
 }
 
 #[test]
 fn a_start_goes_straight_to_a_quiet_machine() {
     let mut play = Play::start();
     let mut w = small("m-1", "a");
-    let orders = with_a_direct_start(&mut play, &mut w);
-    let report = w.orders(&orders).expect("carried out");
-    play.ledger.delivered("m-1", orders.baton, Delivery::Done(report), play.now);
+    let commands = with_a_direct_start(&mut play, &mut w);
+    let report = w.commands(&commands).expect("carried out");
+    play.ledger.delivered("m-1", commands.token, Delivery::Done(report), play.now);
     assert_eq!(w.live(), ["req-000001/0"]);
     play.settle(&mut [&mut w]);
     assert_eq!(w.started.len(), 1);
@@ -559,16 +560,16 @@
 fn a_copy_of_a_direct_start_does_not_run_the_task_again() {
     let mut play = Play::start();
     let mut w = small("m-1", "a");
-    let orders = with_a_direct_start(&mut play, &mut w);
-    let report = w.orders(&orders).expect("carried out");
+    let commands = with_a_direct_start(&mut play, &mut w);
+    let report = w.commands(&commands).expect("carried out");
     // The task ends, and its report comes before the answer to the command is read.
     w.end("req-000001/0", Cause::Done);
     play.settle(&mut [&mut w]);
-    play.ledger.delivered("m-1", orders.baton, Delivery::Done(report), play.now);
+    play.ledger.delivered("m-1", commands.token, Delivery::Done(report), play.now);
     play.settle(&mut [&mut w]);
     assert_eq!(w.live().len() + w.report().tasks.len(), 0, "done, and forgotten by the worker");
     // After `reap` the worker would start the attempt again: only its higher token keeps it off.
-    assert_eq!(w.orders(&orders), None);
+    assert_eq!(w.commands(&commands), None);
     assert_eq!(w.started.len(), 1);
 }
 
@@ -576,19 +577,19 @@
 fn a_direct_start_without_an_answer_holds_its_place_until_it_can_not_arrive_any_more() {
     let mut play = Play::start();
     let (mut w, mut other) = (small("m-1", "a"), small("m-2", "a"));
-    let orders = with_a_direct_start(&mut play, &mut w);
+    let commands = with_a_direct_start(&mut play, &mut w);
     // No answer comes: the command may lie in the network for minutes.
-    play.ledger.delivered("m-1", orders.baton, Delivery::Unclear, play.now);
+    play.ledger.delivered("m-1", commands.token, Delivery::Unclear, play.now);
     play.settle(&mut [&mut other]);
     assert_eq!(other.started, [], "it may still start on m-1");
     // The next answer raises the token of m-1, and the report after it proves that.
     play.beat(&mut w);
-    assert!(w.baton > orders.baton);
+    assert!(w.token > commands.token);
     play.settle(&mut [&mut other]);
     assert_eq!(other.started, [], "the worker had not seen the higher token when it reported");
     play.now += 5_000;
     play.settle(&mut [&mut w]);
-    assert_eq!(w.orders(&orders), None, "the late command is refused");
+    assert_eq!(w.commands(&commands), None, "the late command is refused");
     assert_eq!(w.started.len() + other.started.len(), 1);
 }
 
@@ -596,8 +597,8 @@
 fn a_start_that_was_never_sent_goes_elsewhere_at_once() {
     let mut play = Play::start();
     let (mut w, mut other) = (small("m-1", "a"), small("m-2", "a"));
-    let orders = with_a_direct_start(&mut play, &mut w);
-    play.ledger.delivered("m-1", orders.baton, Delivery::NotSent, play.now);
+    let commands = with_a_direct_start(&mut play, &mut w);
+    play.ledger.delivered("m-1", commands.token, Delivery::NotSent, play.now);
     play.settle(&mut [&mut other]);
     assert_eq!(
         other.live(),
@@ -610,11 +611,11 @@
 fn a_report_that_was_overtaken_by_a_direct_start_is_answered_and_settles_nothing() {
     let mut play = Play::start();
     let mut w = small("m-1", "a");
-    let orders = with_a_direct_start(&mut play, &mut w);
+    let commands = with_a_direct_start(&mut play, &mut w);
     // The worker reports just before the command arrives; the report comes after its answer.
     let late = w.report();
-    let report = w.orders(&orders).expect("carried out");
-    play.ledger.delivered("m-1", orders.baton, Delivery::Done(report), play.now);
+    let report = w.commands(&commands).expect("carried out");
+    play.ledger.delivered("m-1", commands.token, Delivery::Done(report), play.now);
     let answer = play.ledger.check_in(&late, play.now).expect("the worker waits for it");
     w.take(&answer);
     play.settle(&mut [&mut w]);
@@ -633,7 +634,7 @@
     // to the worker is answered with a report that lacks it.
     let report = w.report();
     let answer = play.ledger.check_in(&report, play.now).expect("an answer");
-    assert_eq!(answer.orders.len(), 1);
+    assert_eq!(answer.commands.len(), 1);
     let between = w.report();
     play.ledger.delivered("m-1", 1, Delivery::Done(between), play.now);
     for _ in 0..6 {
@@ -885,13 +886,13 @@
 fn a_refused_direct_start_holds_its_place_until_a_report_shows_that_no_copy_was_carried_out() {
     let mut play = Play::start();
     let (mut w, mut other) = (small("m-1", "a"), small("m-2", "a"));
-    let orders = with_a_direct_start(&mut play, &mut w);
+    let commands = with_a_direct_start(&mut play, &mut w);
     // A copy of the command is carried out; then the worker takes an answer with a higher token, and
     // the command itself is refused.
-    w.orders(&orders).expect("carried out");
-    w.baton += 1;
-    assert_eq!(w.orders(&orders), None);
-    play.ledger.delivered("m-1", orders.baton, Delivery::Refused, play.now);
+    w.commands(&commands).expect("carried out");
+    w.token += 1;
+    assert_eq!(w.commands(&commands), None);
+    play.ledger.delivered("m-1", commands.token, Delivery::Refused, play.now);
     play.settle(&mut [&mut other]);
     assert_eq!(other.started, [], "it runs on m-1");
     play.settle(&mut [&mut w, &mut other]);
@@ -1050,8 +1051,8 @@
                 assert!(v.to_string().len() <= value_most);
             }
         }
-        let epoch = play.store.commit(&commit.transaction).expect("applied");
-        play.ledger.committed(commit, CommitResult::Applied(epoch), play.now);
+        let revision = play.store.commit(&commit.transaction).expect("applied");
+        play.ledger.committed(commit, CommitResult::Applied(revision), play.now);
         play.now += 1_000;
         commits += 1;
     }
@@ -1330,9 +1331,9 @@
     next.ledger.listed(&list, next.now, next.now);
     next.now += 1_500;
     assert_eq!(next.ledger.take_greetings(next.now).len(), 2);
-    let hello = DirectOrders { baton: 9_000, tenure: 1, orders: vec![] };
+    let hello = DirectCommands { token: 9_000, session: 1, commands: vec![] };
     for (name, w) in [("m-1", &mut one), ("m-2", &mut two)] {
-        let report = w.orders(&hello);
+        let report = w.commands(&hello);
         next.ledger.greeted(name, report, next.now);
     }
     assert!(next.ledger.settled(next.now), "both have named everything");
@@ -1356,8 +1357,8 @@
     let mut next = Play::lead(play.store.clone(), 5_000, 20_000);
     w.expire();
     next.now = 30_000;
-    let hello = DirectOrders { baton: 5_000, tenure: 2, orders: vec![] };
-    let report = w.orders(&hello);
+    let hello = DirectCommands { token: 5_000, session: 2, commands: vec![] };
+    let report = w.commands(&hello);
     next.ledger.greeted("m-1", report, next.now);
     next.now += 500;
     next.wait(0);
@@ -1391,7 +1392,7 @@
     play.now += 2_000;
     let report = w.report();
     let answer = play.ledger.check_in(&report, play.now).expect("an answer");
-    assert!(!answer.orders.is_empty(), "it may forget the task that failed");
+    assert!(!answer.commands.is_empty(), "it may forget the task that failed");
     play.now += 8_000;
     let kept = play.now;
     play.ledger.kept_alive("m-1", kept);
--- a/crates/controller/tests/meetings.rs
+++ b/crates/controller/tests/meetings.rs
@@ -7,7 +7,7 @@
 use hookway_controller::ledger::{CommitResult, Lookup, Withdrawal, lease_over_ms};
 use hookway_controller::records::minimum_key;
 use hookway_testkit::{MemoryStore, ScriptedWorker};
-use hookway_wire::{Cause, DirectOrders, HostState, JobId, JobState, Order};
+use hookway_wire::{Cause, Command, DirectCommands, HostState, JobId, JobState};
 use play::{Play, job, listed, setup, small};
 
 /// Machines of both zones with a task each, of a job that is bound to zones in some way.
@@ -158,8 +158,8 @@
         assert_eq!(play.ledger.withdraw(&id), Withdrawal::Unproven);
         assert_eq!(play.stored_final(&id), None);
     }
-    let stops = play.ledger.check_in(&report, play.now).expect("the leader answers").orders;
-    assert!(matches!(stops.as_slice(), [Order::Kill { .. }]), "{stops:?}");
+    let stops = play.ledger.check_in(&report, play.now).expect("the leader answers").commands;
+    assert!(matches!(stops.as_slice(), [Command::Kill { .. }]), "{stops:?}");
     worker.end(&worker.live()[0].clone(), Cause::Stopped);
     play.beat(&mut worker);
     play.wait(100);
@@ -218,8 +218,8 @@
     let held_back = worker.report();
     let mut next = Play::lead(play.store.clone(), 2, play.now + 6_000);
     // It asks the worker, which tells it what it has under its token.
-    let hello = DirectOrders { baton: 2, tenure: worker.session(), orders: vec![] };
-    let told = worker.orders(&hello).expect("a higher token");
+    let hello = DirectCommands { token: 2, session: worker.session(), commands: vec![] };
+    let told = worker.commands(&hello).expect("a higher token");
     next.ledger.listed(&[listed("m-1", HostState::Running, 60.0)], next.now, next.now);
     next.ledger.greeted("m-1", Some(told), next.now);
     next.settle(&mut [&mut worker]);
--- a/crates/controller/tests/play/mod.rs
+++ b/crates/controller/tests/play/mod.rs
@@ -7,7 +7,7 @@
 use hookway_controller::ledger::{CommitResult, Ledger, Loaded, Lookup, Moment, Setup};
 use hookway_controller::records::{JobRecord, LEAD_NOW, final_key, job_key};
 use hookway_testkit::{MemoryStore, SETTINGS, ScriptedWorker, machine_types};
-use hookway_wire::{Guard, HostState, JobId, JobSpec, JobState, ListedHost, Order};
+use hookway_wire::{Command, Guard, HostState, JobId, JobSpec, JobState, ListedHost};
 
 pub fn job(id: &str, kind: &str, tasks: u32) -> JobSpec {
     let text = format!(
@@ -80,7 +80,7 @@
     pub fn flush(&mut self) {
         while let Some(commit) = self.ledger.next_commit(self.now) {
             let result = match self.store.commit(&commit.transaction) {
-                Ok(epoch) => CommitResult::Applied(epoch),
+                Ok(revision) => CommitResult::Applied(revision),
                 Err(_) => {
                     let keys = commit.keys();
                     CommitResult::Unsure(
@@ -93,15 +93,15 @@
     }
 
     /// One report of a worker, answered; the commands.
-    pub fn beat(&mut self, worker: &mut ScriptedWorker) -> Vec<Order> {
+    pub fn beat(&mut self, worker: &mut ScriptedWorker) -> Vec<Command> {
         let report = worker.report();
         let answer = self.ledger.check_in(&report, self.now);
-        let orders = answer.as_ref().map(|a| a.orders.clone()).unwrap_or_default();
+        let commands = answer.as_ref().map(|a| a.commands.clone()).unwrap_or_default();
         if let Some(answer) = answer {
             worker.take(&answer);
         }
         self.flush();
-        orders
+        commands
     }
 
     /// Time passes, with a scheduling round.
--- a/crates/controller/tests/world/controllers.rs
+++ b/crates/controller/tests/world/controllers.rs
@@ -13,7 +13,7 @@
 use hookway_controller::records::LEAD_NOW;
 use hookway_testkit::{SETTINGS, machine_types};
 use hookway_wire::{
-    Change, CheckIn, DirectOrders, Guard, HostState, JobId, JobState, ListedHost, Order,
+    Change, CheckIn, Command, DirectCommands, Guard, HostState, JobId, JobState, ListedHost,
     Transaction,
 };
 use rand::RngExt;
@@ -325,7 +325,7 @@
                 FleetAction::Rent(request) => {
                     let mut names = Vec::new();
                     let up = self.machines.iter().filter(|m| !m.dead).count();
-                    for _ in 0..(request.how_many as usize).min(8usize.saturating_sub(up)) {
+                    for _ in 0..(request.count as usize).min(8usize.saturating_sub(up)) {
                         self.machines.push(Machine::new(self.machines.len() + 1, now));
                         names.push(format!("m-{}", self.machines.len()));
                     }
@@ -342,41 +342,41 @@
 
     fn send_orders(&mut self, n: usize, leader: &mut Leader) {
         let (now, term) = (self.now, leader.term);
-        let mut messages: Vec<(usize, DirectOrders, bool)> = Vec::new();
+        let mut messages: Vec<(usize, DirectCommands, bool)> = Vec::new();
         let index = |host: &str| -> usize { host[2..].parse().expect("a number") };
-        for (host, _, orders) in leader.ledger.take_direct(now) {
-            messages.push((index(&host) - 1, orders, true));
+        for (host, _, commands) in leader.ledger.take_direct(now) {
+            messages.push((index(&host) - 1, commands, true));
         }
         let greetings = leader.ledger.take_greetings(now);
         let stops = leader.ledger.take_pushes(now);
         let commit = leader.ledger.next_commit(now);
         // Stops carry no reply that the ledger waits for. Their address says nothing here, so they go
         // to the machine that has the task.
-        for (_, orders) in stops {
-            let Some(task) = orders.orders.iter().find_map(|o| match o {
-                Order::Kill { task, r#try, .. } => Some((task.clone(), *r#try)),
+        for (_, commands) in stops {
+            let Some(task) = commands.commands.iter().find_map(|o| match o {
+                Command::Kill { task, attempt, .. } => Some((task.clone(), *attempt)),
                 _ => None,
             }) else {
                 continue;
             };
             if let Some(m) = self.machines.iter().position(|m| m.worker.live().contains(&task.0)) {
-                messages.push((m, orders, false));
+                messages.push((m, commands, false));
             }
         }
-        for (m, orders, waits) in messages {
+        for (m, commands, waits) in messages {
             let term = if waits { term } else { 0 };
             let name = self.machines[m].name.clone();
             if waits && self.chance(50) {
                 // No connection: surely not sent.
                 let at = now + self.span(5, 50);
-                let outcome = Message::Delivered(n, term, name, orders.baton, Delivery::NotSent);
+                let outcome = Message::Delivered(n, term, name, commands.token, Delivery::NotSent);
                 self.at(at, outcome);
                 continue;
             }
-            self.send(|| Message::Direct(n, term, m, orders.clone()));
+            self.send(|| Message::Direct(n, term, m, commands.clone()));
             if waits {
                 // Whatever comes back, the sender gives up after a while.
-                let outcome = Message::Delivered(n, term, name, orders.baton, Delivery::Unclear);
+                let outcome = Message::Delivered(n, term, name, commands.token, Delivery::Unclear);
                 self.at(now + 1_500, outcome);
             }
         }
@@ -434,9 +434,9 @@
             Some(self.store.commit(&commit.transaction))
         };
         match applied {
-            Some(Ok(epoch)) if !lost && self.controllers[n].up(now) => {
+            Some(Ok(revision)) if !lost && self.controllers[n].up(now) => {
                 if let Some(leader) = self.controllers[n].leading(term) {
-                    leader.ledger.committed(*commit, CommitResult::Applied(epoch), now);
+                    leader.ledger.committed(*commit, CommitResult::Applied(revision), now);
                 }
             }
             _ => {
@@ -496,7 +496,7 @@
                             leader.ledger.kept_alive(&report.host, now);
                         }
                         self.counts.kept += 1;
-                        self.counts.stopped_by_holders += kept.answer.orders.len();
+                        self.counts.stopped_by_holders += kept.answer.commands.len();
                         Reply::Answer(kept.answer)
                     }
                     (None, Some(_)) => Reply::Unsure,
--- a/crates/controller/tests/world/machines.rs
+++ b/crates/controller/tests/world/machines.rs
@@ -3,7 +3,7 @@
 use super::{CALM_AT, Message, NODES, PATIENCE, REPLICAS_AT, REPORT_EVERY, Reply, World, mistaken};
 use hookway_clients::Delivery;
 use hookway_testkit::ScriptedWorker;
-use hookway_wire::{Cause, DirectOrders, JobSpec};
+use hookway_wire::{Cause, DirectCommands, JobSpec};
 use rand::RngExt;
 use std::collections::BTreeMap;
 
@@ -96,7 +96,7 @@
                 let before = machine.worker.started.len();
                 if machine.worker.take(&answer) {
                     machine.lease_from = sent;
-                    if !answer.orders.is_empty() {
+                    if !answer.commands.is_empty() {
                         machine.next_report = machine.next_report.min(now + 500);
                     }
                 }
@@ -113,7 +113,13 @@
         }
     }
 
-    pub(super) fn direct_arrives(&mut self, n: usize, term: u64, m: usize, orders: DirectOrders) {
+    pub(super) fn direct_arrives(
+        &mut self,
+        n: usize,
+        term: u64,
+        m: usize,
+        commands: DirectCommands,
+    ) {
         let now = self.now;
         let linked = self.worker_linked(n, m);
         let machine = &self.machines[m];
@@ -123,18 +129,18 @@
         if now < machine.hung_until {
             // It is carried out when the machine goes on, if it still may be.
             let at = machine.hung_until + 100;
-            return self.at(at, Message::Direct(n, term, m, orders));
+            return self.at(at, Message::Direct(n, term, m, commands));
         }
         self.expire(m);
         let machine = &mut self.machines[m];
         let before = machine.worker.started.len();
-        let report = machine.worker.orders(&orders);
+        let report = machine.worker.commands(&commands);
         let name = machine.name.clone();
         self.check_starts(m, before);
         if term > 0 {
             let delivery = report.map_or(Delivery::Refused, Delivery::Done);
             let delay = self.span(5, 50);
-            let reply = Message::Delivered(n, term, name, orders.baton, delivery);
+            let reply = Message::Delivered(n, term, name, commands.token, delivery);
             self.at(now + delay, reply);
         }
     }
@@ -149,9 +155,9 @@
         self.expire(m);
         let machine = &mut self.machines[m];
         // It is asked again under the session that its refusal names.
-        let tenure = machine.worker.session();
-        let hello = DirectOrders { baton: term, tenure, orders: vec![] };
-        let report = machine.worker.orders(&hello);
+        let session = machine.worker.session();
+        let hello = DirectCommands { token: term, session, commands: vec![] };
+        let report = machine.worker.commands(&hello);
         let name = machine.name.clone();
         self.send(|| Message::Greeted(n, term, name.clone(), report.clone()));
     }
--- a/crates/controller/tests/world/mod.rs
+++ b/crates/controller/tests/world/mod.rs
@@ -16,7 +16,7 @@
 use hookway_controller::holders::{BlockLease, Renewal};
 use hookway_controller::ledger::Commit;
 use hookway_testkit::MemoryStore;
-use hookway_wire::{CheckIn, CheckInAnswer, DirectOrders, JobId, JobSpec, Transaction};
+use hookway_wire::{CheckIn, CheckInAnswer, DirectCommands, JobId, JobSpec, Transaction};
 use machines::Machine;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -56,7 +56,7 @@
     /// A controller tells another that a job is over.
     Over(usize, usize, JobId),
     /// Controller, its term (0: no reply is waited for), machine.
-    Direct(usize, u64, usize, DirectOrders),
+    Direct(usize, u64, usize, DirectCommands),
     /// To a controller in a term: machine, token, outcome.
     Delivered(usize, u64, String, u64, Delivery),
     Greet(usize, u64, usize),
@@ -402,7 +402,7 @@
                     self.controllers[n].over.insert(id);
                 }
             }
-            Message::Direct(n, term, m, orders) => self.direct_arrives(n, term, m, orders),
+            Message::Direct(n, term, m, commands) => self.direct_arrives(n, term, m, commands),
             Message::Delivered(n, term, name, token, delivery) => {
                 if let Some(leader) = self.controllers[n].leading(term) {
                     leader.ledger.delivered(&name, token, delivery, now);
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -205,7 +205,7 @@
         .iter()
         .enumerate()
         .filter(|(i, _)| job.machine_types.get(*i).copied().unwrap_or(false))
-        .map(|(_, f)| f.ready_s + f.fetch_s(job.image_gb))
+        .map(|(_, f)| f.boot_s + f.fetch_s(job.image_gb))
         .fold(f64::INFINITY, f64::min);
     if fastest.is_finite() { fastest } else { 0.0 }
 }
@@ -232,7 +232,7 @@
         let tasks = fits.min(short).min(open[offer.zone]);
         // Boot and image fetch are paid for too, spread over a nominal minute of work.
         let fetch = machine_type.fetch_s(job.image_gb);
-        let overhead = 1.0 + (machine_type.ready_s + fetch) / 60.0;
+        let overhead = 1.0 + (machine_type.boot_s + fetch) / 60.0;
         let price = offer.price * overhead / f64::from(tasks);
         if best.is_none_or(|(b, _, _)| price < b) {
             best = Some((price, i, fits));
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -14,7 +14,7 @@
 struct Inner {
     store: MemoryStore,
     permits: HashSet<u64>,
-    next_permit: u64,
+    next_lease: u64,
     refusing: bool,
     refused: usize,
 }
@@ -61,17 +61,17 @@
     /// A lease without a request.
     pub fn grant(&self) -> u64 {
         let mut inner = self.lock();
-        inner.next_permit += 1;
-        let permit = inner.next_permit;
-        inner.permits.insert(permit);
-        permit
+        inner.next_lease += 1;
+        let lease_id = inner.next_lease;
+        inner.permits.insert(lease_id);
+        lease_id
     }
 
     /// Ends a lease, as if it had not been extended in time.
-    pub fn end(&self, permit: u64) -> bool {
+    pub fn end(&self, lease_id: u64) -> bool {
         let mut inner = self.lock();
-        let had = inner.permits.remove(&permit);
-        inner.store.end_permit(permit);
+        let had = inner.permits.remove(&lease_id);
+        inner.store.end_lease(lease_id);
         drop(inner);
         self.changed.notify_waiters();
         had
@@ -124,7 +124,7 @@
             What::List => {
                 let store = &server.lock().store;
                 let pairs = store.list(&prefix);
-                res.render(Json(KeyPage { pairs, has_next: false, epoch: store.epoch() }));
+                res.render(Json(KeyPage { pairs, has_next: false, revision: store.revision() }));
             }
             What::Get => {
                 let key = req.param::<String>("key").unwrap_or_default();
@@ -133,7 +133,7 @@
                     Some(kv) => res.render(Json(kv)),
                     None => {
                         res.status_code(StatusCode::NOT_FOUND);
-                        res.render(Json(json!({ "Epoch": inner.store.epoch() })));
+                        res.render(Json(json!({ "Epoch": inner.store.revision() })));
                     }
                 }
             }
@@ -143,16 +143,16 @@
                     return;
                 };
                 let outcome = server.with(|store| store.commit(&transaction));
-                let epoch = server.lock().store.epoch();
+                let revision = server.lock().store.revision();
                 match outcome {
-                    Ok(epoch) => res.render(Json(CommitAnswer { failed: vec![], epoch })),
+                    Ok(revision) => res.render(Json(CommitAnswer { failed: vec![], revision })),
                     Err(failed) => {
                         res.status_code(StatusCode::CONFLICT);
-                        res.render(Json(CommitAnswer { failed, epoch }));
+                        res.render(Json(CommitAnswer { failed, revision }));
                     }
                 }
             }
-            What::Grant => res.render(Json(Grant { permit: server.grant() })),
+            What::Grant => res.render(Json(Grant { lease_id: server.grant() })),
             What::Extend if server.lock().permits.contains(&id) => res.render(Json(json!({}))),
             What::End if server.end(id) => res.render(Json(json!({}))),
             What::Extend | What::End => {
@@ -168,8 +168,8 @@
                     }
                     changed.await;
                 };
-                let epoch = server.lock().store.epoch();
-                res.render(Json(WatchAnswer { epoch, events }));
+                let revision = server.lock().store.revision();
+                res.render(Json(WatchAnswer { revision, events }));
             }
         }
     }
--- a/crates/testkit/src/settings.rs
+++ b/crates/testkit/src/settings.rs
@@ -53,11 +53,11 @@
         cpus: 4.0,
         gpus: 0.0,
         memory_gb: 16.0,
-        local_gb: 50.0,
+        cache_gb: 50.0,
         fetch_gb_per_s: 0.5,
-        hourly: 1.0,
-        market_price: Some(0.3),
-        ready_s: 20.0,
+        price_per_hour: 1.0,
+        spot_price: Some(0.3),
+        boot_s: 20.0,
         zones: vec!["a".into(), "b".into()],
     }]
 }
--- a/crates/testkit/src/store.rs
+++ b/crates/testkit/src/store.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Default, Clone)]
 pub struct MemoryStore {
     keys: BTreeMap<String, KeyValue>,
-    epoch: u64,
+    revision: u64,
     events: Vec<(u64, Event)>,
 }
 
@@ -23,26 +23,26 @@
             return Err(failed);
         }
         if transaction.apply.is_empty() {
-            return Ok(self.epoch);
+            return Ok(self.revision);
         }
-        self.epoch += 1;
+        self.revision += 1;
         for change in &transaction.apply {
             match change {
-                Change::Put { put, v, permit } => {
+                Change::Put { put, v, lease_id } => {
                     let kv = KeyValue {
                         key: put.clone(),
                         v: v.clone(),
-                        stamp: self.epoch,
-                        permit: *permit,
+                        stamp: self.revision,
+                        lease_id: *lease_id,
                     };
                     self.keys.insert(put.clone(), kv);
-                    let event = Event::Put { put: put.clone(), v: v.clone(), stamp: self.epoch };
-                    self.events.push((self.epoch, event));
+                    let event = Event::Put { put: put.clone(), v: v.clone(), stamp: self.revision };
+                    self.events.push((self.revision, event));
                 }
                 Change::Delete { delete } => self.remove(delete.clone()),
             }
         }
-        Ok(self.epoch)
+        Ok(self.revision)
     }
 
     /// Sets a key without conditions; its version.
@@ -63,18 +63,18 @@
 
     fn remove(&mut self, key: String) {
         if self.keys.remove(&key).is_some() {
-            let event = Event::Delete { delete: key, stamp: self.epoch };
-            self.events.push((self.epoch, event));
+            let event = Event::Delete { delete: key, stamp: self.revision };
+            self.events.push((self.revision, event));
         }
     }
 
     /// A lease ends: its keys go.
-    pub fn end_permit(&mut self, permit: u64) {
-        self.epoch += 1;
+    pub fn end_lease(&mut self, lease_id: u64) {
+        self.revision += 1;
         let keys: Vec<String> = self
             .keys
             .values()
-            .filter(|kv| kv.permit == Some(permit))
+            .filter(|kv| kv.lease_id == Some(lease_id))
             .map(|kv| kv.key.clone())
             .collect();
         for key in keys {
@@ -83,8 +83,8 @@
     }
 
     /// The revision.
-    pub fn epoch(&self) -> u64 {
-        self.epoch
+    pub fn revision(&self) -> u64 {
+        self.revision
     }
 
     /// Changes of keys with a prefix after a revision.
@@ -93,7 +93,8 @@
             Event::Put { put, .. } => put.clone(),
             Event::Delete { delete, .. } => delete.clone(),
         };
-        let wanted = |(epoch, e): &&(u64, Event)| *epoch > after && key(e).starts_with(prefix);
+        let wanted =
+            |(revision, e): &&(u64, Event)| *revision > after && key(e).starts_with(prefix);
         self.events.iter().filter(wanted).map(|(_, e)| e.clone()).collect()
     }
 }
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -1,4 +1,4 @@
-use hookway_wire::{Cause, CheckIn, CheckInAnswer, DirectOrders, Order, TaskReport, TaskState};
+use hookway_wire::{Cause, CheckIn, CheckInAnswer, Command, DirectCommands, TaskReport, TaskState};
 
 /// A worker that carries out commands as the protocol says, and whose tasks change state when the
 /// test says so. It counts what must never happen.
@@ -6,7 +6,7 @@
 pub struct ScriptedWorker {
     report: CheckIn,
     /// Highest token seen.
-    pub baton: u64,
+    pub token: u64,
     /// Starts that were carried out, as task and attempt.
     pub started: Vec<(String, u64)>,
 }
@@ -20,13 +20,13 @@
             machine_type: machine_type.into(),
             zone: zone.into(),
             spot: false,
-            tenure: 1,
+            session: 1,
             tick: 0,
-            baton: 0,
-            eviction_s: None,
+            token: 0,
+            notice_s: None,
             tasks: vec![],
         };
-        Self { report, baton: 0, started: vec![] }
+        Self { report, token: 0, started: vec![] }
     }
 
     /// Its zone.
@@ -36,51 +36,51 @@
 
     /// Its session.
     pub fn session(&self) -> u64 {
-        self.report.tenure
+        self.report.session
     }
 
     /// Its next report.
     pub fn report(&mut self) -> CheckIn {
         self.report.tick += 1;
-        self.report.baton = self.baton;
+        self.report.token = self.token;
         self.report.clone()
     }
 
     /// The cloud announces that it takes the machine.
     pub fn notice(&mut self, seconds: f64) {
-        self.report.eviction_s = Some(seconds);
+        self.report.notice_s = Some(seconds);
     }
 
     /// Takes an answer; `false` if it had to be dropped for its token.
     pub fn take(&mut self, answer: &CheckInAnswer) -> bool {
-        if answer.baton < self.baton {
+        if answer.token < self.token {
             return false;
         }
-        self.baton = answer.baton;
-        for order in &answer.orders {
+        self.token = answer.token;
+        for order in &answer.commands {
             match order {
-                Order::Run { task, r#try } => {
-                    if self.find(task, *r#try).is_none() {
-                        self.started.push((task.clone(), *r#try));
+                Command::Run { task, attempt } => {
+                    if self.find(task, *attempt).is_none() {
+                        self.started.push((task.clone(), *attempt));
                         self.report.tasks.push(TaskReport {
                             task: task.clone(),
-                            r#try: *r#try,
+                            attempt: *attempt,
                             status: TaskState::Running,
                             cause: None,
                             saved: None,
                         });
                     }
                 }
-                Order::Kill { task, r#try, .. } => {
-                    if let Some(i) = self.find(task, *r#try)
+                Command::Kill { task, attempt, .. } => {
+                    if let Some(i) = self.find(task, *attempt)
                         && self.report.tasks[i].status != TaskState::Ended
                     {
                         self.end_at(i, Cause::Stopped);
                     }
                 }
-                Order::Reap { task, r#try } => {
+                Command::Reap { task, attempt } => {
                     self.report.tasks.retain(|p| {
-                        !(p.task == *task && p.r#try == *r#try && p.status == TaskState::Ended)
+                        !(p.task == *task && p.attempt == *attempt && p.status == TaskState::Ended)
                     });
                 }
             }
@@ -89,16 +89,16 @@
     }
 
     /// Commands come straight to it. The report after them, or `None` if it refuses them.
-    pub fn orders(&mut self, orders: &DirectOrders) -> Option<CheckIn> {
-        if orders.tenure != self.report.tenure || orders.baton < self.baton {
+    pub fn commands(&mut self, commands: &DirectCommands) -> Option<CheckIn> {
+        if commands.session != self.report.session || commands.token < self.token {
             return None;
         }
-        self.take(&CheckInAnswer { baton: orders.baton, orders: orders.orders.clone() });
+        self.take(&CheckInAnswer { token: commands.token, commands: commands.commands.clone() });
         Some(self.report())
     }
 
     fn find(&self, task: &str, attempt: u64) -> Option<usize> {
-        self.report.tasks.iter().position(|p| p.task == task && p.r#try == attempt)
+        self.report.tasks.iter().position(|p| p.task == task && p.attempt == attempt)
     }
 
     fn end_at(&mut self, i: usize, cause: Cause) {
@@ -129,6 +129,6 @@
     /// Its lease runs out: it kills and forgets everything.
     pub fn expire(&mut self) {
         self.report.tasks.clear();
-        self.report.tenure += 1;
+        self.report.session += 1;
     }
 }
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -18,20 +18,20 @@
     /// Space for images, GB.
     #[serde(default)]
     #[serde(rename = "LocalGb")]
-    pub local_gb: f64,
+    pub cache_gb: f64,
     /// Image fetch rate.
     #[serde(default)]
     pub fetch_gb_per_s: f64,
     /// Price of an ordinary machine per hour.
     #[serde(rename = "Hourly")]
-    pub hourly: f64,
+    pub price_per_hour: f64,
     /// Current price of a spot machine per hour.
     #[serde(default)]
     #[serde(rename = "MarketPrice")]
-    pub market_price: Option<f64>,
+    pub spot_price: Option<f64>,
     /// Nominal boot time, s.
     #[serde(rename = "ReadyS")]
-    pub ready_s: f64,
+    pub boot_s: f64,
     /// Zones that offer it.
     #[serde(rename = "Yards")]
     pub zones: Vec<String>,
@@ -45,7 +45,7 @@
 
     /// Current price per hour of a spot or ordinary machine.
     pub fn price(&self, spot: bool) -> f64 {
-        if spot { self.market_price.unwrap_or(self.hourly) } else { self.hourly }
+        if spot { self.spot_price.unwrap_or(self.price_per_hour) } else { self.price_per_hour }
     }
 }
 
@@ -64,7 +64,7 @@
 pub struct RentRequest {
     /// Its name, never used again.
     #[serde(rename = "Hire")]
-    pub hire: String,
+    pub request_id: String,
     /// Machine type.
     #[serde(rename = "Flavor")]
     pub machine_type: String,
@@ -76,7 +76,7 @@
     pub spot: bool,
     /// Machines asked for.
     #[serde(rename = "HowMany")]
-    pub how_many: u32,
+    pub count: u32,
 }
 
 /// Machines, by name: the answer to a rental, the body of a deletion.
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -14,7 +14,7 @@
     /// The lease that the key hangs on.
     #[serde(default)]
     #[serde(rename = "Permit")]
-    pub permit: Option<u64>,
+    pub lease_id: Option<u64>,
 }
 
 /// A page of keys.
@@ -28,7 +28,7 @@
     pub has_next: bool,
     /// Revision of the store.
     #[serde(rename = "Epoch")]
-    pub epoch: u64,
+    pub revision: u64,
 }
 
 /// A condition of a transaction.
@@ -55,7 +55,7 @@
         /// The lease to hang it on.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         #[serde(rename = "Permit")]
-        permit: Option<u64>,
+        lease_id: Option<u64>,
     },
     /// Removes a key.
     #[serde(rename_all = "PascalCase")]
@@ -68,7 +68,7 @@
 impl Change {
     /// A put without a lease.
     pub fn put(key: impl Into<String>, v: Value) -> Self {
-        Self::Put { put: key.into(), v, permit: None }
+        Self::Put { put: key.into(), v, lease_id: None }
     }
 
     /// A removal.
@@ -104,7 +104,7 @@
     pub failed: Vec<String>,
     /// Revision.
     #[serde(rename = "Epoch")]
-    pub epoch: u64,
+    pub revision: u64,
 }
 
 /// A request for a lease.
@@ -121,7 +121,7 @@
 pub struct Grant {
     /// Its number.
     #[serde(rename = "Permit")]
-    pub permit: u64,
+    pub lease_id: u64,
 }
 
 /// A change that a watch reports.
@@ -154,7 +154,7 @@
 pub struct WatchAnswer {
     /// Revision of the store.
     #[serde(rename = "Epoch")]
-    pub epoch: u64,
+    pub revision: u64,
     /// What changed.
     #[serde(default)]
     pub events: Vec<Event>,
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -67,7 +67,7 @@
     pub task: String,
     /// The attempt.
     #[serde(rename = "Try")]
-    pub r#try: u64,
+    pub attempt: u64,
     /// Its state.
     pub status: TaskState,
     /// Why it ended.
@@ -98,17 +98,17 @@
     pub spot: bool,
     /// Session.
     #[serde(rename = "Tenure")]
-    pub tenure: u64,
+    pub session: u64,
     /// Sequence number.
     pub tick: u64,
     /// Highest token seen.
     #[serde(default)]
     #[serde(rename = "Baton")]
-    pub baton: u64,
+    pub token: u64,
     /// Seconds until the cloud takes the machine.
     #[serde(default)]
     #[serde(rename = "EvictionS")]
-    pub eviction_s: Option<f64>,
+    pub notice_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(default)]
     #[serde(rename = "Pieces")]
@@ -118,7 +118,7 @@
 /// A command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "Verb", rename_all = "lowercase")]
-pub enum Order {
+pub enum Command {
     /// Start a task.
     #[serde(rename_all = "PascalCase")]
     Run {
@@ -127,7 +127,7 @@
         task: String,
         /// The attempt.
         #[serde(rename = "Try")]
-        r#try: u64,
+        attempt: u64,
     },
     /// Stop a task.
     #[serde(rename_all = "PascalCase")]
@@ -137,10 +137,10 @@
         task: String,
         /// The attempt.
         #[serde(rename = "Try")]
-        r#try: u64,
+        attempt: u64,
         /// Time it has to save, s.
         #[serde(rename = "WindDownS")]
-        wind_down_s: f64,
+        grace_s: f64,
     },
     /// Remove an ended task from the reports.
     #[serde(rename_all = "PascalCase")]
@@ -150,7 +150,7 @@
         task: String,
         /// The attempt.
         #[serde(rename = "Try")]
-        r#try: u64,
+        attempt: u64,
     },
 }
 
@@ -160,25 +160,25 @@
 pub struct CheckInAnswer {
     /// The token.
     #[serde(rename = "Baton")]
-    pub baton: u64,
+    pub token: u64,
     /// Commands, in order.
     #[serde(rename = "Orders")]
-    pub orders: Vec<Order>,
+    pub commands: Vec<Command>,
 }
 
 /// Commands sent straight to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct DirectOrders {
+pub struct DirectCommands {
     /// The token.
     #[serde(rename = "Baton")]
-    pub baton: u64,
+    pub token: u64,
     /// The session that they are for.
     #[serde(rename = "Tenure")]
-    pub tenure: u64,
+    pub session: u64,
     /// Commands, in order.
     #[serde(rename = "Orders")]
-    pub orders: Vec<Order>,
+    pub commands: Vec<Command>,
 }
 
 /// The answer of a node that is not the one to report to.
@@ -188,7 +188,7 @@
     /// The node to report to, if it is known.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "Foreman")]
-    pub foreman: Option<String>,
+    pub report_to: Option<String>,
 }
 
 #[cfg(test)]
--- a/crates/wire/src/worker/tests.rs
+++ b/crates/wire/src/worker/tests.rs
@@ -2,10 +2,10 @@
 
 #[test]
 fn orders_and_reports_look_as_the_protocol_says() {
-    let run = Order::Run { task: "req-000412/4".into(), r#try: 2 };
+    let run = Command::Run { task: "req-000412/4".into(), attempt: 2 };
     let text = serde_json::to_string(&run).unwrap();
     assert_eq!(text, r#"{"Verb":"run","Piece":"req-000412/4","Try":2}"#);
-    let kill = Order::Kill { task: "req-000377/1".into(), r#try: 1, wind_down_s: 10.0 };
+    let kill = Command::Kill { task: "req-000377/1".into(), attempt: 1, grace_s: 10.0 };
     let text = serde_json::to_string(&kill).unwrap();
     assert_eq!(text, r#"{"Verb":"kill","Piece":"req-000377/1","Try":1,"WindDownS":10.0}"#);
     let report: CheckIn = serde_json::from_str(
@@ -16,5 +16,5 @@
     )
     .unwrap();
     assert_eq!(report.tasks[1].cause, Some(Cause::NoRoom));
-    assert_eq!(report.eviction_s, None);
+    assert_eq!(report.notice_s, None);
 }
