--- a/crates/clients/src/cloud.rs
+++ b/crates/clients/src/cloud.rs
@@ -1,6 +1,8 @@
 use crate::{Budget, HttpClient, HttpError};
 use hookway_constants as constants;
-use hookway_wire::{HostList, HostNames, ListedHost, MachineType, MachineTypes, RentRequest};
+use hookway_wire::{
+    ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, RentRequest,
+};
 use hyper::{Method, StatusCode};
 use std::sync::Arc;
 use std::time::Duration;
@@ -82,8 +84,8 @@
             serde_json::to_vec(request).map_err(|e| CloudError::Unexpected(0, e.to_string()))?;
         let (status, body) = self.call(Method::POST, "/rentals", Some(body)).await?;
         match status {
-            StatusCode::OK => serde_json::from_slice::<HostNames>(&body)
-                .map(|h| RentOutcome::Rented(h.hosts))
+            StatusCode::OK => serde_json::from_slice::<MachineNames>(&body)
+                .map(|h| RentOutcome::Rented(h.machines))
                 .map_err(|e| CloudError::Unexpected(200, e.to_string())),
             StatusCode::SERVICE_UNAVAILABLE if body.windows(11).any(|w| w == b"no capacity") => {
                 Ok(RentOutcome::NoCapacity)
@@ -93,16 +95,16 @@
     }
 
     /// Deletes machines. Once this returns `Ok`, they and all that was on them are gone.
-    pub async fn delete(&self, hosts: &[String]) -> Result<(), CloudError> {
-        let body = serde_json::to_vec(&HostNames { hosts: hosts.to_vec() })
+    pub async fn delete(&self, machines: &[String]) -> Result<(), CloudError> {
+        let body = serde_json::to_vec(&MachineNames { machines: machines.to_vec() })
             .map_err(|e| CloudError::Unexpected(0, e.to_string()))?;
         let (status, body) = self.call(Method::POST, "/rentals/delete", Some(body)).await?;
         if status == StatusCode::OK { Ok(()) } else { Err(Self::odd(status, &body)) }
     }
 
     /// The whole machine list.
-    pub async fn machines(&self) -> Result<Vec<ListedHost>, CloudError> {
-        let mut all: Vec<ListedHost> = Vec::new();
+    pub async fn machines(&self) -> Result<Vec<ListedMachine>, CloudError> {
+        let mut all: Vec<ListedMachine> = Vec::new();
         loop {
             let mut path = format!("/rentals?Most={}", constants::LIST_PAGE);
             if let Some(last) = all.last() {
@@ -112,10 +114,10 @@
             if status != StatusCode::OK {
                 return Err(Self::odd(status, &body));
             }
-            let page: HostList = serde_json::from_slice(&body)
+            let page: MachineList = serde_json::from_slice(&body)
                 .map_err(|e| CloudError::Unexpected(200, e.to_string()))?;
-            let empty = page.hosts.is_empty();
-            all.extend(page.hosts);
+            let empty = page.machines.is_empty();
+            all.extend(page.machines);
             if !page.has_next || empty {
                 return Ok(all);
             }
--- a/crates/clients/src/http.rs
+++ b/crates/clients/src/http.rs
@@ -31,7 +31,7 @@
 }
 
 impl HttpClient {
-    /// A client for `address` (`host:port`).
+    /// A client for `address` (`machine:port`).
     pub fn new(address: &str) -> Self {
         Self::keeping(address, 8, Duration::from_millis(constants::CLIENT_IDLE_MS))
     }
--- a/crates/clients/src/worker.rs
+++ b/crates/clients/src/worker.rs
@@ -48,7 +48,7 @@
 
     /// Tells a worker a new leader's token and asks what is on its machine. The session is not known yet: the
     /// first one, most likely; if not, the refusal names it.
-    pub async fn greet(&self, address: &str, token: u64) -> Option<CheckIn> {
+    pub async fn ask_for_report(&self, address: &str, token: u64) -> Option<CheckIn> {
         let mut session = 1;
         for _ in 0..2 {
             let hello = DirectCommands { token, session, commands: vec![] };
--- a/crates/constants/src/lib.rs
+++ b/crates/constants/src/lib.rs
@@ -127,7 +127,7 @@
 /// Pause between two readings of the machine list, ms.
 pub const CLOUD_LIST_EVERY_MS: u64 = 3_000;
 /// Added to that for each machine, ms: reading a thousand entries takes milliseconds of a whole core.
-pub const CLOUD_LIST_PER_HOST_MS: u64 = 4;
+pub const CLOUD_LIST_PER_MACHINE_MS: u64 = 4;
 /// Pause between two readings of the machine types (their prices move), ms.
 pub const MACHINE_TYPES_EVERY_MS: u64 = 60_000;
 /// Pause before a failed reading of the machine types, ms.
@@ -202,7 +202,7 @@
 pub const ROUND_AT_REPORT_MS: u64 = 40;
 /// What a scheduling round takes for each machine, and for each pair of a machine and a job that
 /// waits, microseconds of a whole core (measured on this code, rounded up).
-pub const ROUND_HOST_US: f64 = 3.0;
+pub const ROUND_MACHINE_US: f64 = 3.0;
 /// The same for each pair of a machine and a job that waits.
 pub const ROUND_PAIR_US: f64 = 0.03;
 /// Share of the core that settings give which scheduling rounds may take. The rest is for reports,
@@ -298,7 +298,7 @@
 pub const LOOSE_FIT_PENALTY_S: f64 = 4.0;
 /// What a machine costs that could hold a task of a gang, for any other task, likewise. Below the fetch
 /// of most images, so that images still decide.
-pub const GANG_HOST_PENALTY_S: f64 = 8.0;
+pub const GANG_MACHINE_PENALTY_S: f64 = 8.0;
 /// What a machine costs at twice the lowest price of a CPU, likewise.
 pub const PRICE_PENALTY_S: f64 = 2.0;
 /// Weight of a machine's missing image against its price when choosing where a task goes, s.
--- a/crates/controller/src/blocks.rs
+++ b/crates/controller/src/blocks.rs
@@ -23,8 +23,8 @@
 
 impl Blocks {
     /// Leases a machine to `holder` until `until_ms`, unless another holder's lease still runs.
-    pub fn lease(&mut self, host: &str, holder: &str, now_ms: u64, until_ms: u64) -> bool {
-        match self.leases.get_mut(host) {
+    pub fn lease(&mut self, machine: &str, holder: &str, now_ms: u64, until_ms: u64) -> bool {
+        match self.leases.get_mut(machine) {
             Some(l) if l.holder != holder && l.until_ms > now_ms => false,
             Some(l) if l.holder == holder => {
                 l.until_ms = l.until_ms.max(until_ms);
@@ -32,20 +32,20 @@
             }
             _ => {
                 let lease = BlockLease { holder: holder.to_owned(), until_ms };
-                self.leases.insert(host.to_owned(), lease);
+                self.leases.insert(machine.to_owned(), lease);
                 true
             }
         }
     }
 
     /// Whether `holder` holds the machine now.
-    pub fn holds(&self, host: &str, holder: &str, now_ms: u64) -> bool {
-        self.leases.get(host).is_some_and(|l| l.holder == holder && l.until_ms > now_ms)
+    pub fn holds(&self, machine: &str, holder: &str, now_ms: u64) -> bool {
+        self.leases.get(machine).is_some_and(|l| l.holder == holder && l.until_ms > now_ms)
     }
 
     /// Forgets a machine that is gone.
-    pub fn forget(&mut self, host: &str) {
-        self.leases.remove(host);
+    pub fn forget(&mut self, machine: &str) {
+        self.leases.remove(machine);
     }
 
     /// The part of a minimum that falls to a block: its share of all machines, rounded up.
--- a/crates/controller/src/holders/tests.rs
+++ b/crates/controller/src/holders/tests.rs
@@ -11,7 +11,7 @@
 
 fn report(zone: &str, token: u64) -> CheckIn {
     CheckIn {
-        host: "m-1".into(),
+        machine: "m-1".into(),
         addr: "127.0.0.1:1".into(),
         machine_type: "small".into(),
         zone: zone.into(),
--- a/crates/controller/src/ledger/blame.rs
+++ b/crates/controller/src/ledger/blame.rs
@@ -5,7 +5,7 @@
 //! condemns machines nor takes anything from jobs that work; one that met a faulty machine goes on
 //! elsewhere at once.
 
-use super::{Host, Job, Ledger};
+use super::{Job, Ledger, Machine};
 use hookway_constants as constants;
 
 impl Job {
@@ -35,17 +35,17 @@
     /// never so many that too few are left.
     pub fn shuns(&self, name: &str, machines: usize) -> bool {
         let most = machines / 2;
-        self.failed_on.iter().rev().take(most).any(|host| host == name)
+        self.failed_on.iter().rev().take(most).any(|machine| machine == name)
     }
 
     /// A task of it, placed at `since`, has failed on a machine. Errors of tasks that were placed before the
     /// last error count with that one: they are one try.
-    fn failed(&mut self, host: &str, since: u64, now: u64) {
-        if !self.failed_on.iter().any(|h| h == host) {
+    fn failed(&mut self, machine: &str, since: u64, now: u64) {
+        if !self.failed_on.iter().any(|h| h == machine) {
             if self.failed_on.len() >= constants::FAILED_ON_KEPT {
                 self.failed_on.pop_front();
             }
-            self.failed_on.push_back(host.to_owned());
+            self.failed_on.push_back(machine.to_owned());
         }
         if self.errors > 0 && since <= self.failed_at {
             return;
@@ -80,14 +80,14 @@
     /// A replica of a daemon said that it is done. It runs again, and if it ended at once, after a pause.
     pub(super) fn replica_completed(
         &mut self,
-        host: &str,
+        machine: &str,
         running_since: Option<u64>,
         placed_at: u64,
         now: u64,
     ) {
         let ran_ms = running_since.map_or(0, |since| now.saturating_sub(since));
         if ran_ms < constants::REPLICA_STEADY_MS {
-            self.failed(host, placed_at, now);
+            self.failed(machine, placed_at, now);
         }
     }
 }
@@ -101,7 +101,7 @@
             return;
         }
         let steady = |since: &u64| now >= since + constants::REPLICA_STEADY_MS;
-        for held in self.hosts.values().flat_map(|host| &host.held) {
+        for held in self.machines.values().flat_map(|machine| &machine.held) {
             let Some(job) = held.job.and_then(|key| self.jobs.get_mut(&key)) else { continue };
             if failed(job) && held.running_since.as_ref().is_some_and(steady) {
                 job.errors = 0;
@@ -115,21 +115,22 @@
         let Some(job) = self.jobs.get_mut(&key) else { return };
         job.failed(name, since, now);
         let proven = job.weight() >= 1.0;
-        let Some(host) = self.hosts.get_mut(name) else { return };
-        if !host.failed.contains(&key) {
-            host.failed.push(key);
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        if !machine.failed.contains(&key) {
+            machine.failed.push(key);
         }
         if proven {
-            host.pause_until = host.pause_until.max(now + constants::NO_ROOM_PAUSE_MS);
+            machine.pause_until = machine.pause_until.max(now + constants::NO_ROOM_PAUSE_MS);
         }
-        let blamed = |host: &Host| -> f64 {
-            host.failed.iter().filter_map(|k| self.jobs.get(k)).map(Job::weight).sum()
+        let blamed = |machine: &Machine| -> f64 {
+            machine.failed.iter().filter_map(|k| self.jobs.get(k)).map(Job::weight).sum()
         };
-        let faulty = self.hosts.get(name).is_some_and(|h| blamed(h) >= constants::FAULTY_BLAME);
-        let Some(host) = self.hosts.get_mut(name).filter(|h| faulty && h.closing.is_none()) else {
+        let faulty = self.machines.get(name).is_some_and(|h| blamed(h) >= constants::FAULTY_BLAME);
+        let Some(machine) = self.machines.get_mut(name).filter(|h| faulty && h.closing.is_none())
+        else {
             return;
         };
         tracing::info!("machine {name}: faulty, to be returned");
-        host.closing = Some("faulty");
+        machine.closing = Some("faulty");
     }
 }
--- a/crates/controller/src/ledger/checkin.rs
+++ b/crates/controller/src/ledger/checkin.rs
@@ -1,4 +1,4 @@
-use super::{Ended, Expected, Held, Host, Job, Ledger, Phase, Slot, lease_over_ms};
+use super::{Ended, Expected, Held, Job, Ledger, Machine, Phase, Slot, lease_over_ms};
 use hookway_clients::Delivery;
 use hookway_constants as constants;
 use hookway_wire::{
@@ -26,63 +26,63 @@
     /// A worker reports. `None`: not to be answered with a 200, because the report is old, or comes
     /// from a session or machine that is surely over.
     pub fn check_in(&mut self, report: &CheckIn, now: u64) -> Option<CheckInAnswer> {
-        let name = report.host.as_str();
-        if self.buried.contains(name) {
+        let name = report.machine.as_str();
+        if self.gone_machines.contains(name) {
             return None;
         }
-        if !self.hosts.contains_key(name) {
+        if !self.machines.contains_key(name) {
             tracing::info!(
                 "machine {name}: first report ({}, {})",
                 report.machine_type,
                 report.zone
             );
-            self.hosts.insert(name.to_owned(), Host::new(now));
+            self.machines.insert(name.to_owned(), Machine::new(now));
         }
         self.expire_if_silent(name, now);
-        let host = self.hosts.get_mut(name)?;
+        let machine = self.machines.get_mut(name)?;
         let stamp = (report.session, report.tick);
         // Reports can arrive minutes late; only a newer one may change the picture. A session whose
         // lease has surely run out can't be heard from again: such a report is late, whatever its
         // number.
-        if stamp <= host.reported
-            || report.session < host.newest.0
-            || report.session <= host.dead_session
+        if stamp <= machine.reported
+            || report.session < machine.newest.0
+            || report.session <= machine.dead_session
         {
-            tracing::debug!("machine {name}: old report {stamp:?}, newest is {:?}", host.newest);
+            tracing::debug!("machine {name}: old report {stamp:?}, newest is {:?}", machine.newest);
             return None;
         }
-        host.reported = stamp;
+        machine.reported = stamp;
         self.judge_hearing(name, report, now);
         self.expire_if_silent(name, now);
-        let host = self.hosts.get_mut(name)?;
-        if report.session <= host.dead_session {
+        let machine = self.machines.get_mut(name)?;
+        if report.session <= machine.dead_session {
             return None;
         }
         // The worker sent this one before it answered commands that came straight to it: what it says
         // is out of date, but the worker waits for an answer.
-        let overtaken = stamp < host.newest;
-        let new_session = host.heard && report.session > host.newest.0;
-        if !host.heard {
+        let overtaken = stamp < machine.newest;
+        let new_session = machine.heard && report.session > machine.newest.0;
+        if !machine.heard {
             tracing::info!(
                 "machine {name}: up, {:.1} s old",
-                (now - host.born.min(now)) as f64 / 1e3
+                (now - machine.born.min(now)) as f64 / 1e3
             );
         }
         // The lease of a session that was not known may have begun just now, whenever the machine was last
         // answered.
-        if new_session || !host.heard {
-            host.last_answer = now;
+        if new_session || !machine.heard {
+            machine.last_answer = now;
         }
-        host.heard = true;
-        if host.closing == Some(super::fleet::SILENT) && !self.deleting.contains(name) {
-            host.closing = None;
+        machine.heard = true;
+        if machine.closing == Some(super::fleet::SILENT) && !self.deleting.contains(name) {
+            machine.closing = None;
         }
         if !overtaken {
-            host.described(report, now);
+            machine.described(report, now);
         }
         // Only now: a machine that never reported holds nothing, and the next leader need not wait for
         // it.
-        if !host.rostered {
+        if !machine.rostered {
             let at_ms = self.wall_at(now);
             self.writer.roster.want(name, at_ms);
         }
@@ -94,14 +94,14 @@
         }
         if new_session {
             tracing::info!("machine {name}: session {}, its tasks are gone", report.session);
-            self.clear_host(name, now, Leave::Lost);
+            self.clear_machine(name, now, Leave::Lost);
         }
         if !overtaken {
             self.take_report(name, report, now, false);
         }
-        let answered_before = self.hosts.get(name)?.last_answer;
-        if let Some(host) = self.hosts.get_mut(name) {
-            host.last_answer = now;
+        let answered_before = self.machines.get(name)?.last_answer;
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.last_answer = now;
         }
         // As with the paper's heartbeats, room that a report shows free is filled in its answer.
         if now >= self.last_round + self.round_pause() {
@@ -110,9 +110,9 @@
             self.fill(name, now);
         }
         let commands = self.commands_for(name, now);
-        let host = self.hosts.get_mut(name)?;
-        host.soon = if commands.is_empty() { 0 } else { now + constants::REPORT_SOON_MS };
-        let token = self.term + host.bump;
+        let machine = self.machines.get_mut(name)?;
+        machine.soon = if commands.is_empty() { 0 } else { now + constants::REPORT_SOON_MS };
+        let token = self.term + machine.bump;
         let mut expected = Expected { answered_before, answered_at: now, ..Expected::default() };
         expected.token = (token > report.token).then_some(token);
         for order in &commands {
@@ -122,7 +122,7 @@
                 Command::Kill { .. } => {}
             }
         }
-        host.expected = expected;
+        machine.expected = expected;
         Some(CheckInAnswer { token, commands })
     }
 
@@ -131,36 +131,36 @@
     /// heard and never will be: it renewed no lease. A machine that hears nothing for several answers
     /// gets no new work and is given back; what is on it counts until its lease is surely over.
     fn judge_hearing(&mut self, name: &str, report: &CheckIn, now: u64) {
-        let Some(host) = self.hosts.get_mut(name) else { return };
-        let expected = std::mem::take(&mut host.expected);
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        let expected = std::mem::take(&mut machine.expected);
         let Some(taken) = expected.taken(report) else { return };
         if taken {
-            host.deaf = 0;
-            if host.closing == Some(HEARS_NOTHING) {
+            machine.deaf = 0;
+            if machine.closing == Some(HEARS_NOTHING) {
                 tracing::info!("machine {name}: hears again");
-                host.closing = None;
+                machine.closing = None;
             }
             return;
         }
         // All machines are looked at only when one was deaf to an answer. When many are, it is this
         // node's answers that are late.
-        let deaf_now = self.hosts.values().filter(|h| h.deaf >= constants::DEAF_ANSWERS).count();
-        let few = deaf_now * 4 <= self.hosts.len().max(4);
+        let deaf_now = self.machines.values().filter(|h| h.deaf >= constants::DEAF_ANSWERS).count();
+        let few = deaf_now * 4 <= self.machines.len().max(4);
         let pause =
             (self.setup.params.workers.report_s * 1000.0 * constants::LONGEST_REPORT) as u64;
-        let Some(host) = self.hosts.get_mut(name) else { return };
-        host.deaf += 1;
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        machine.deaf += 1;
         // Unless it was answered since: as a holder, while this leader's lease was in doubt.
-        if host.last_answer <= expected.answered_at {
-            host.last_answer = expected.answered_before;
+        if machine.last_answer <= expected.answered_at {
+            machine.last_answer = expected.answered_before;
         }
         // One answer may get lost by itself.
-        if host.deaf > 1 {
-            host.pause_until = host.pause_until.max(now + pause);
+        if machine.deaf > 1 {
+            machine.pause_until = machine.pause_until.max(now + pause);
         }
-        if host.deaf >= constants::DEAF_ANSWERS && host.closing.is_none() && few {
+        if machine.deaf >= constants::DEAF_ANSWERS && machine.closing.is_none() && few {
             tracing::info!("machine {name}: {HEARS_NOTHING}");
-            host.closing = Some(HEARS_NOTHING);
+            machine.closing = Some(HEARS_NOTHING);
         }
     }
 
@@ -180,26 +180,26 @@
             if self.directs + sends.len() >= constants::DIRECT_AT_MOST {
                 break;
             }
-            let Some(host) = self.hosts.get(&name) else {
+            let Some(machine) = self.machines.get(&name) else {
                 self.planned_on.remove(&name);
                 continue;
             };
-            if host.direct || !host.rostered || now < host.soon {
+            if machine.direct || !machine.rostered || now < machine.soon {
                 continue;
             }
             self.planned_on.remove(&name);
-            let able = host.heard
-                && !host.addr.is_empty()
-                && host.closing.is_none()
-                && host.notice.is_none()
-                && host.bump + 1 < constants::TOKENS_PER_TERM;
+            let able = machine.heard
+                && !machine.addr.is_empty()
+                && machine.closing.is_none()
+                && machine.notice.is_none()
+                && machine.bump + 1 < constants::TOKENS_PER_TERM;
             if !able {
                 continue;
             }
             let mut unopened = false;
-            let chosen: Vec<usize> = (0..host.held.len())
+            let chosen: Vec<usize> = (0..machine.held.len())
                 .filter(|i| {
-                    let h = &host.held[*i];
+                    let h = &machine.held[*i];
                     let job = h.job.and_then(|k| self.jobs.get(&k));
                     h.phase == Phase::Planned
                         && self.must_stop(h, now).is_none()
@@ -217,18 +217,18 @@
             if chosen.is_empty() {
                 continue;
             }
-            let Some(host) = self.hosts.get_mut(&name) else { continue };
-            let token = self.term + host.bump;
-            host.bump += 1;
-            host.direct = true;
+            let Some(machine) = self.machines.get_mut(&name) else { continue };
+            let token = self.term + machine.bump;
+            machine.bump += 1;
+            machine.direct = true;
             let mut commands = Vec::with_capacity(chosen.len());
             for i in chosen {
-                let held = &mut host.held[i];
+                let held = &mut machine.held[i];
                 held.phase = Phase::Pushed(token);
                 commands.push(Command::Run { task: held.task.clone(), attempt: held.attempt });
             }
-            let commands = DirectCommands { token, session: host.newest.0, commands };
-            sends.push((name, host.addr.clone(), commands));
+            let commands = DirectCommands { token, session: machine.newest.0, commands };
+            sends.push((name, machine.addr.clone(), commands));
         }
         self.directs += sends.len();
         sends
@@ -237,18 +237,18 @@
     /// What became of starts that were sent straight to a worker under `token`.
     pub fn delivered(&mut self, name: &str, token: u64, delivery: Delivery, now: u64) {
         self.directs = self.directs.saturating_sub(1);
-        let Some(host) = self.hosts.get_mut(name) else { return };
-        host.direct = false;
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        machine.direct = false;
         match delivery {
             Delivery::Done(report) => {
                 let stamp = (report.session, report.tick);
                 // Only of the session that was addressed; it renews no lease.
-                if report.host == name
-                    && report.session == host.newest.0
-                    && report.session > host.dead_session
-                    && stamp > host.newest
+                if report.machine == name
+                    && report.session == machine.newest.0
+                    && report.session > machine.dead_session
+                    && stamp > machine.newest
                 {
-                    host.newest = stamp;
+                    machine.newest = stamp;
                     self.take_report(name, &report, now, true);
                 }
             }
@@ -257,14 +257,14 @@
             Delivery::Refused => {}
             Delivery::NotSent => {
                 self.not_started(name, token);
-                if let Some(host) = self.hosts.get_mut(name) {
-                    host.pause_until = now + constants::UNREACHED_PAUSE_MS;
+                if let Some(machine) = self.machines.get_mut(name) {
+                    machine.pause_until = now + constants::UNREACHED_PAUSE_MS;
                 }
                 tracing::debug!("machine {name}: can't be reached");
                 self.unplan_all(name, now);
             }
             Delivery::Unclear => {
-                host.pause_until = now + constants::UNREACHED_PAUSE_MS;
+                machine.pause_until = now + constants::UNREACHED_PAUSE_MS;
                 self.unplan_all(name, now);
             }
         }
@@ -285,10 +285,14 @@
             if chosen.len() >= room {
                 break;
             }
-            let Some(host) = self.hosts.get_mut(name) else { continue };
-            if !host.heard && !host.greeted && !host.addr.is_empty() && host.closing.is_none() {
-                host.greeted = true;
-                chosen.push((name.clone(), host.addr.clone()));
+            let Some(machine) = self.machines.get_mut(name) else { continue };
+            if !machine.heard
+                && !machine.greeted
+                && !machine.addr.is_empty()
+                && machine.closing.is_none()
+            {
+                machine.greeted = true;
+                chosen.push((name.clone(), machine.addr.clone()));
             }
         }
         self.greetings += chosen.len();
@@ -300,26 +304,26 @@
     /// the worker may be in a session whose lease began just now.
     pub fn greeted(&mut self, name: &str, report: Option<CheckIn>, now: u64) {
         self.greetings = self.greetings.saturating_sub(1);
-        let Some(report) = report.filter(|r| r.host == name && r.token >= self.term) else {
+        let Some(report) = report.filter(|r| r.machine == name && r.token >= self.term) else {
             return;
         };
-        let Some(host) = self.hosts.get_mut(name) else { return };
+        let Some(machine) = self.machines.get_mut(name) else { return };
         let stamp = (report.session, report.tick);
-        let over = report.session <= host.dead_session || host.closing.is_some();
-        if over || host.heard || stamp <= host.newest {
+        let over = report.session <= machine.dead_session || machine.closing.is_some();
+        if over || machine.heard || stamp <= machine.newest {
             return;
         }
-        host.heard = true;
-        host.last_answer = now;
-        host.described(&report, now);
+        machine.heard = true;
+        machine.last_answer = now;
+        machine.described(&report, now);
         self.unheard.remove(name);
         self.take_report(name, &report, now, true);
     }
 
     /// Starts that were sent under `token` surely won't arrive any more.
     fn not_started(&mut self, name: &str, token: u64) {
-        let Some(host) = self.hosts.get_mut(name) else { return };
-        for held in host.held.iter_mut().filter(|h| h.phase == Phase::Pushed(token)) {
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        for held in machine.held.iter_mut().filter(|h| h.phase == Phase::Pushed(token)) {
             held.phase = Phase::Planned;
         }
         self.planned_on.insert(name.to_owned());
@@ -331,9 +335,9 @@
     /// have been on its way to it at that moment.
     fn take_report(&mut self, name: &str, report: &CheckIn, now: u64, direct: bool) {
         self.count_running(name, false);
-        let Some(host) = self.hosts.get_mut(name) else { return };
-        let before = std::mem::take(&mut host.held);
-        host.ended.clear();
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        let before = std::mem::take(&mut machine.held);
+        machine.ended.clear();
         let mut seen = vec![false; before.len()];
         let mut keep: Vec<Held> = Vec::with_capacity(before.len());
         let mut left: Vec<(Held, Leave)> = Vec::new();
@@ -354,7 +358,7 @@
             let mut held = before[found].clone();
             if reported.status == TaskState::Ended {
                 let cause = reported.cause.unwrap_or(Cause::Other);
-                host.ended.push(Ended {
+                machine.ended.push(Ended {
                     job: held.job,
                     task: reported.task.clone(),
                     index: held.index,
@@ -402,7 +406,7 @@
                 Phase::On(_) => left.push((held, Leave::Lost)),
             }
         }
-        host.held = keep;
+        machine.held = keep;
         for (held, leave) in left {
             self.leave(name, &held, leave, now);
         }
@@ -419,10 +423,10 @@
         let job = key.and_then(|k| self.jobs.get_mut(&k));
         let job = job.filter(|j| task.index < j.spec.tasks);
         let key = if job.is_some() { key } else { None };
-        let Some(host) = self.hosts.get_mut(name) else { return };
+        let Some(machine) = self.machines.get_mut(name) else { return };
         if reported.status == TaskState::Ended {
             let cause = reported.cause.unwrap_or(Cause::Other);
-            host.ended.push(Ended {
+            machine.ended.push(Ended {
                 job: key,
                 task: reported.task.clone(),
                 index: task.index,
@@ -465,7 +469,7 @@
                 job.free.remove(&task.index);
             }
             job.held += 1;
-            if let Some(zone) = self.setup.params.zone(&host.zone) {
+            if let Some(zone) = self.setup.params.zone(&machine.zone) {
                 job.per_zone[zone] += 1;
             }
         }
@@ -478,12 +482,12 @@
             held.attempt,
             if held.stray { ", which should not run" } else { "" }
         );
-        host.held.push(held);
+        machine.held.push(held);
     }
 
     /// A task has left its place on a machine.
     pub(super) fn leave(&mut self, name: &str, held: &Held, leave: Leave, now: u64) {
-        let zone = self.hosts.get(name).map(|h| h.zone.clone()).unwrap_or_default();
+        let zone = self.machines.get(name).map(|h| h.zone.clone()).unwrap_or_default();
         let Some(key) = held.job else {
             self.strangers = self.strangers.saturating_sub(1);
             return;
@@ -536,21 +540,21 @@
         if cause == Cause::Done && !daemon {
             // After a silence nobody knows when it ended, and of one that an earlier leader started,
             // when it began: such times would make the mean too short.
-            let heard = self.hosts.get(name).map_or(0, |h| h.last_answer);
+            let heard = self.machines.get(name).map_or(0, |h| h.last_answer);
             let report_ms = self.setup.params.workers.report_s * 1000.0;
             let silence = now.saturating_sub(heard) as f64 > 2.0 * report_ms;
             let known = !silence && !held.found;
             let took = held.running_since.filter(|_| known).map(|s| now.saturating_sub(s));
             let mean = self.jobs.get(&key).and_then(Job::solid_mean);
             self.complete(key, held.index, took);
-            if let Some(host) = self.hosts.get_mut(name) {
-                host.failed.clear();
+            if let Some(machine) = self.machines.get_mut(name) {
+                machine.failed.clear();
                 if let (Some(took), Some(mean)) = (took, mean) {
                     let slow = took as f64 > mean * constants::SLOW_TASK_RATIO;
-                    host.slow = if slow { host.slow + 1 } else { 0 };
-                    if host.slow >= constants::SLOW_TASKS && host.closing.is_none() {
+                    machine.slow = if slow { machine.slow + 1 } else { 0 };
+                    if machine.slow >= constants::SLOW_TASKS && machine.closing.is_none() {
                         tracing::info!("machine {name}: slow, to be returned");
-                        host.closing = Some("slow");
+                        machine.closing = Some("slow");
                     }
                 }
             }
@@ -560,12 +564,12 @@
         if !held.stray && job.over.is_none() {
             job.note(format!("task {} {} (machine {name})", held.index, cause.plain()));
         }
-        let Some(host) = self.hosts.get_mut(name) else { return };
+        let Some(machine) = self.machines.get_mut(name) else { return };
         match cause {
             Cause::Error => self.blame(name, key, held.since, now),
             Cause::Done => job.replica_completed(name, held.running_since, held.since, now),
             Cause::NoRoom | Cause::Busy => {
-                host.pause_until = now + constants::NO_ROOM_PAUSE_MS;
+                machine.pause_until = now + constants::NO_ROOM_PAUSE_MS;
             }
             Cause::Unknown => job.pause_until = now + constants::ERROR_PAUSE_MS,
             _ => {}
@@ -604,11 +608,11 @@
     }
 
     /// Everything that was on a machine is gone.
-    pub(super) fn clear_host(&mut self, name: &str, now: u64, why: Leave) {
+    pub(super) fn clear_machine(&mut self, name: &str, now: u64, why: Leave) {
         self.count_running(name, false);
-        let Some(host) = self.hosts.get_mut(name) else { return };
-        host.ended.clear();
-        let held = std::mem::take(&mut host.held);
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        machine.ended.clear();
+        let held = std::mem::take(&mut machine.held);
         for h in held {
             let leave = if h.phase == Phase::Planned { Leave::NotStarted } else { why };
             self.leave(name, &h, leave, now);
@@ -616,14 +620,14 @@
     }
 
     /// A machine is proven gone.
-    pub(super) fn bury(&mut self, name: &str, now: u64) {
-        self.clear_host(name, now, Leave::Lost);
-        self.hosts.remove(name);
+    pub(super) fn machine_gone(&mut self, name: &str, now: u64) {
+        self.clear_machine(name, now, Leave::Lost);
+        self.machines.remove(name);
         self.writer.roster.drop(name);
         self.unheard.remove(name);
         self.blocks.forget(name);
         self.deleting.remove(name);
-        self.buried.insert(name.to_owned());
+        self.gone_machines.insert(name.to_owned());
         tracing::info!("machine {name}: gone");
     }
 
@@ -645,8 +649,8 @@
     /// The commands for a machine, in answer to its newest report.
     fn commands_for(&mut self, name: &str, now: u64) -> Vec<Command> {
         let mut commands = Vec::new();
-        let Some(host) = self.hosts.get(name) else { return commands };
-        for e in &host.ended {
+        let Some(machine) = self.machines.get(name) else { return commands };
+        for e in &machine.ended {
             // The result must be durable before the worker may forget it.
             let job = e.job.and_then(|k| self.jobs.get(&k));
             let needed = e.cause == Cause::Done
@@ -657,9 +661,9 @@
                 commands.push(Command::Reap { task: e.task.clone(), attempt: e.attempt });
             }
         }
-        let stays = host.closing.is_none() && host.notice.is_none();
-        let may_start = stays && host.rostered;
-        let mut held = host.held.clone();
+        let stays = machine.closing.is_none() && machine.notice.is_none();
+        let may_start = stays && machine.rostered;
+        let mut held = machine.held.clone();
         let mut dropped = Vec::new();
         for h in &mut held {
             let job = h.job.and_then(|k| self.jobs.get(&k));
@@ -685,8 +689,8 @@
                 _ => {}
             }
         }
-        if let Some(host) = self.hosts.get_mut(name) {
-            host.held = held;
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.held = held;
         }
         for (task, attempt) in dropped {
             self.unplan(name, &task, attempt, now);
@@ -704,14 +708,14 @@
         }
         // A machine that has missed its report would only hold a socket until the time limit.
         let quiet = self.report_due_ms();
-        let names: Vec<String> = self.hosts.keys().cloned().collect();
+        let names: Vec<String> = self.machines.keys().cloned().collect();
         for name in names {
-            let Some(host) = self.hosts.get(&name) else { continue };
-            let silent = now >= host.last_answer.max(self.resumed_at) + quiet;
-            if !host.heard || host.addr.is_empty() || silent {
+            let Some(machine) = self.machines.get(&name) else { continue };
+            let silent = now >= machine.last_answer.max(self.resumed_at) + quiet;
+            if !machine.heard || machine.addr.is_empty() || silent {
                 continue;
             }
-            let stops: Vec<(usize, f64)> = host
+            let stops: Vec<(usize, f64)> = machine
                 .held
                 .iter()
                 .enumerate()
@@ -722,10 +726,10 @@
             if stops.is_empty() {
                 continue;
             }
-            let Some(host) = self.hosts.get_mut(&name) else { continue };
+            let Some(machine) = self.machines.get_mut(&name) else { continue };
             let mut commands = Vec::with_capacity(stops.len());
             for (i, grace_s) in stops {
-                let held = &mut host.held[i];
+                let held = &mut machine.held[i];
                 held.pushed = true;
                 commands.push(Command::Kill {
                     task: held.task.clone(),
@@ -733,17 +737,17 @@
                     grace_s,
                 });
             }
-            let session = host.newest.0;
-            let token = self.term + host.bump;
-            pushes.push((host.addr.clone(), DirectCommands { token, session, commands }));
+            let session = machine.newest.0;
+            let token = self.term + machine.bump;
+            pushes.push((machine.addr.clone(), DirectCommands { token, session, commands }));
         }
         pushes
     }
 
     /// Drops all starts on a machine that were never sent.
     fn unplan_all(&mut self, name: &str, now: u64) {
-        let Some(host) = self.hosts.get(name) else { return };
-        let planned: Vec<(String, u64)> = host
+        let Some(machine) = self.machines.get(name) else { return };
+        let planned: Vec<(String, u64)> = machine
             .held
             .iter()
             .filter(|h| h.phase == Phase::Planned)
@@ -756,25 +760,25 @@
 
     /// Drops a start that was never sent.
     pub(super) fn unplan(&mut self, name: &str, task: &str, attempt: u64, now: u64) {
-        let Some(host) = self.hosts.get_mut(name) else { return };
-        let found = host
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        let found = machine
             .held
             .iter()
             .position(|h| h.phase == Phase::Planned && h.attempt == attempt && h.task == task);
         if let Some(i) = found {
-            let held = host.held.remove(i);
+            let held = machine.held.remove(i);
             self.leave(name, &held, Leave::NotStarted, now);
         }
     }
 
     fn touch_images(&mut self, name: &str) {
-        let Some(host) = self.hosts.get_mut(name) else { return };
+        let Some(machine) = self.machines.get_mut(name) else { return };
         let cache = self
             .machine_types
             .iter()
-            .find(|f| f.label == host.machine_type)
+            .find(|f| f.label == machine.machine_type)
             .map_or(0.0, |f| f.cache_gb);
-        let used: Vec<(u32, f64)> = host
+        let used: Vec<(u32, f64)> = machine
             .held
             .iter()
             .filter(|h| matches!(h.phase, Phase::On(_)))
@@ -782,19 +786,19 @@
             .map(|j| (j.image, j.spec.image_gb))
             .collect();
         for (image, gb) in used {
-            if host.images.last().is_none_or(|(i, _)| *i != image) {
-                host.touch_image(image, gb, cache);
+            if machine.images.last().is_none_or(|(i, _)| *i != image) {
+                machine.touch_image(image, gb, cache);
             }
         }
-        if host.image_set() != host.written_images {
+        if machine.image_set() != machine.written_images {
             self.writer.roster.hint(name);
         }
     }
 
     /// Adds the running tasks of a machine to their jobs' counts for display, or takes them off.
     fn count_running(&mut self, name: &str, add: bool) {
-        let Some(host) = self.hosts.get(name) else { return };
-        for held in &host.held {
+        let Some(machine) = self.machines.get(name) else { return };
+        for held in &machine.held {
             let runs = matches!(held.phase, Phase::On(TaskState::Running | TaskState::Saving));
             if runs && let Some(job) = held.job.and_then(|k| self.jobs.get_mut(&k)) {
                 job.running = if add { job.running + 1 } else { job.running.saturating_sub(1) };
@@ -810,16 +814,16 @@
             self.writer.roster.forget_unreadable();
         }
         let quiet = (self.setup.params.workers.report_s * 2500.0) as u64;
-        let names: Vec<String> = self.hosts.keys().cloned().collect();
+        let names: Vec<String> = self.machines.keys().cloned().collect();
         for name in names {
             if self.expire_if_silent(&name, now) {
                 continue;
             }
-            let Some(host) = self.hosts.get_mut(&name) else { continue };
-            if host.kept.is_some_and(|(_, until)| now >= until) {
-                host.kept = None;
+            let Some(machine) = self.machines.get_mut(&name) else { continue };
+            if machine.kept.is_some_and(|(_, until)| now >= until) {
+                machine.kept = None;
             }
-            if now >= host.last_answer + quiet {
+            if now >= machine.last_answer + quiet {
                 self.unplan_all(&name, now);
             }
         }
@@ -829,14 +833,14 @@
     /// with them its session.
     fn expire_if_silent(&mut self, name: &str, now: u64) -> bool {
         let lease = lease_over_ms(&self.setup.params);
-        let Some(host) = self.hosts.get_mut(name) else { return false };
-        if !self.holders.lease_over(&host.zone, host.last_answer, lease, now) {
+        let Some(machine) = self.machines.get_mut(name) else { return false };
+        if !self.holders.lease_over(&machine.zone, machine.last_answer, lease, now) {
             return false;
         }
-        if host.heard && host.dead_session < host.newest.0 {
+        if machine.heard && machine.dead_session < machine.newest.0 {
             tracing::info!("machine {name}: silent, its lease is over");
-            host.dead_session = host.newest.0;
-            self.clear_host(name, now, Leave::Lost);
+            machine.dead_session = machine.newest.0;
+            self.clear_machine(name, now, Leave::Lost);
         }
         self.unheard.remove(name);
         true
--- a/crates/controller/src/ledger/commit.rs
+++ b/crates/controller/src/ledger/commit.rs
@@ -107,9 +107,9 @@
     }
 
     /// A machine of the older format's roster: it moves to a record.
-    pub fn old_entry(&mut self, host: &str, at_ms: u64) {
-        self.old_entries.insert(host.to_owned(), roster_key(host));
-        self.roster.want(host, at_ms);
+    pub fn old_entry(&mut self, machine: &str, at_ms: u64) {
+        self.old_entries.insert(machine.to_owned(), roster_key(machine));
+        self.roster.want(machine, at_ms);
     }
 }
 
@@ -285,8 +285,8 @@
 
     fn add_roster_record(&mut self, commit: &mut Commit, number: u64) {
         let names = &self.image_names;
-        let images = |host: &str| -> Vec<(&str, f64)> {
-            let held = self.hosts.get(host).map(|h| h.images.as_slice()).unwrap_or_default();
+        let images = |machine: &str| -> Vec<(&str, f64)> {
+            let held = self.machines.get(machine).map(|h| h.images.as_slice()).unwrap_or_default();
             let named = |(i, gb): &(u32, f64)| Some((names.get(*i as usize)?.as_str(), *gb));
             held.iter().filter_map(named).collect()
         };
@@ -295,9 +295,10 @@
             self.writer.roster.divide(number);
             return;
         };
-        let members = self.writer.roster.members(number).map(|(host, _)| {
-            let images = self.hosts.get(host).map(super::Host::image_set).unwrap_or_default();
-            (host.clone(), images)
+        let members = self.writer.roster.members(number).map(|(machine, _)| {
+            let images =
+                self.machines.get(machine).map(super::Machine::image_set).unwrap_or_default();
+            (machine.clone(), images)
         });
         let members: Vec<(String, Vec<u32>)> = members.collect();
         let key = Roster::key(number);
@@ -511,14 +512,16 @@
                 }
             }
             Item::Roster(number, members) => {
-                self.writer.roster.stored(number, members.iter().map(|(host, _)| host.as_str()));
-                for (host, images) in members {
+                self.writer
+                    .roster
+                    .stored(number, members.iter().map(|(machine, _)| machine.as_str()));
+                for (machine, images) in members {
                     // What is gone meanwhile has left its record, which is out of date already.
-                    if let Some(h) = self.hosts.get_mut(&host) {
+                    if let Some(h) = self.machines.get_mut(&machine) {
                         h.rostered = true;
                         h.written_images = images;
                     }
-                    if let Some(old) = self.writer.old_entries.remove(&host) {
+                    if let Some(old) = self.writer.old_entries.remove(&machine) {
                         self.writer.trash.push_back(old);
                     }
                 }
--- a/crates/controller/src/ledger/fleet.rs
+++ b/crates/controller/src/ledger/fleet.rs
@@ -1,8 +1,8 @@
 use super::checkin::Leave;
-use super::{Host, Ledger, lease_over_ms};
+use super::{Ledger, Machine, lease_over_ms};
 use hookway_constants as constants;
-use hookway_policy::{HostView, Offer, Room, plan_fleet};
-use hookway_wire::{HostState, ListedHost, MachineType, RentRequest};
+use hookway_policy::{MachineView, Offer, Room, plan_fleet};
+use hookway_wire::{ListedMachine, MachineState, MachineType, RentRequest};
 use std::collections::{HashMap, HashSet};
 
 /// Why a machine is given back that does not report any more.
@@ -70,7 +70,7 @@
         for r in &self.renting {
             let total = Room::of_machine_type(&self.machine_types[r.machine_type]);
             for _ in 0..r.count {
-                scene.world.hosts.push(HostView {
+                scene.world.machines.push(MachineView {
                     machine_type: r.machine_type,
                     zone: r.zone,
                     spot: r.spot,
@@ -94,7 +94,7 @@
             .setup
             .operator
             .most_machines
-            .saturating_sub(scene.world.hosts.len().max(self.hosts.len()));
+            .saturating_sub(scene.world.machines.len().max(self.machines.len()));
         let mut left = u32::try_from(room).unwrap_or(u32::MAX);
         for rent in plan.rent {
             let count = rent.count.min(constants::RENT_AT_MOST).min(left);
@@ -131,19 +131,19 @@
             actions.push(FleetAction::Rent(request));
         }
         let needed: HashSet<&str> = scene
-            .hosts
+            .machines
             .iter()
             .zip(&plan.needed)
             .filter(|(_, needed)| **needed)
             .map(|(name, _)| name.as_str())
             .collect();
-        let mut doomed = self.doomed(now, &needed, &cut);
-        doomed.truncate(constants::DELETE_AT_MOST);
-        if !doomed.is_empty() {
-            for name in &doomed {
+        let mut machines_to_delete = self.machines_to_delete(now, &needed, &cut);
+        machines_to_delete.truncate(constants::DELETE_AT_MOST);
+        if !machines_to_delete.is_empty() {
+            for name in &machines_to_delete {
                 self.deleting.insert(name.clone());
             }
-            actions.push(FleetAction::Delete(doomed));
+            actions.push(FleetAction::Delete(machines_to_delete));
         }
         actions
     }
@@ -170,14 +170,14 @@
                 .filter(|j| j.live() && !j.doubtful() && j.spec.class == *name)
                 .map(super::Job::unfinished)
                 .sum();
-            let per_host = self
+            let per_machine = self
                 .machine_types
                 .iter()
                 .map(|f| Room::of_machine_type(f).count(&class.need))
                 .max()
                 .unwrap_or(0)
                 .max(1);
-            class.needed.push_back((now, tasks.div_ceil(per_host) as usize));
+            class.needed.push_back((now, tasks.div_ceil(per_machine) as usize));
             let window = constants::SPARE_WINDOW_MS;
             while class.needed.front().is_some_and(|(t, _)| now > t + window) {
                 class.needed.pop_front();
@@ -196,35 +196,35 @@
             };
             let Some(seen) = self.classes.get(class) else { continue };
             let mut free: Vec<(usize, f64, &String)> = Vec::new();
-            let mut busy_hosts = 0;
-            for (name, host) in &self.hosts {
+            let mut busy_machines = 0;
+            for (name, machine) in &self.machines {
                 let Some(machine_type) =
-                    self.machine_types.iter().find(|f| f.label == host.machine_type)
+                    self.machine_types.iter().find(|f| f.label == machine.machine_type)
                 else {
                     continue;
                 };
                 let quick = machine_type.boot_s + machine_type.fetch_s(seen.image_gb) < within;
-                let busy = host.held.iter().any(|h| {
+                let busy = machine.held.iter().any(|h| {
                     h.job.and_then(|k| self.jobs.get(&k)).is_some_and(|j| j.spec.class == *class)
                 });
-                busy_hosts += usize::from(busy);
+                busy_machines += usize::from(busy);
                 if quick
                     || busy
-                    || !host.heard
-                    || host.closing.is_some()
-                    || host.notice.is_some()
-                    || (host.spot && !seen.spot)
+                    || !machine.heard
+                    || machine.closing.is_some()
+                    || machine.notice.is_some()
+                    || (machine.spot && !seen.spot)
                     || !Room::of_machine_type(machine_type).fits(&seen.need)
-                    || now >= host.last_answer + lease_over_ms(&self.setup.params)
+                    || now >= machine.last_answer + lease_over_ms(&self.setup.params)
                 {
                     continue;
                 }
-                let images = host.images.iter().filter(|(i, _)| seen.images.contains(i)).count();
-                free.push((images, machine_type.price(host.spot), name));
+                let images = machine.images.iter().filter(|(i, _)| seen.images.contains(i)).count();
+                free.push((images, machine_type.price(machine.spot), name));
             }
             // As many as the class needed at a time of late, and one in any case.
             let peak = seen.needed.iter().map(|(_, n)| *n).max().unwrap_or(0);
-            let keep = peak.saturating_sub(busy_hosts).max(1);
+            let keep = peak.saturating_sub(busy_machines).max(1);
             free.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.total_cmp(&b.1)));
             spares.extend(free.into_iter().take(keep).map(|(_, _, name)| name.clone()));
         }
@@ -235,14 +235,14 @@
     /// one_zone a network is cut, and they may be back.
     fn few_missing(
         &self,
-        counts: impl Fn(&Host) -> bool,
-        missing: impl Fn(&str, &Host) -> bool,
+        counts: impl Fn(&Machine) -> bool,
+        missing: impl Fn(&str, &Machine) -> bool,
     ) -> HashSet<&str> {
         let mut zones: HashMap<&str, (usize, usize)> = HashMap::new();
-        for (name, host) in self.hosts.iter().filter(|(_, h)| counts(h)) {
-            let (all, gone) = zones.entry(&host.zone).or_default();
+        for (name, machine) in self.machines.iter().filter(|(_, h)| counts(h)) {
+            let (all, gone) = zones.entry(&machine.zone).or_default();
             *all += 1;
-            *gone += usize::from(missing(name, host));
+            *gone += usize::from(missing(name, machine));
         }
         let few = |(all, gone): &(usize, usize)| {
             gone < all && (*gone == 1 || *gone as f64 <= *all as f64 * constants::LOST_SHARE)
@@ -255,10 +255,10 @@
     fn cut_zones(&self, now: u64) -> HashSet<String> {
         let late = self.report_due_ms();
         let mut zones: HashMap<&str, (usize, usize)> = HashMap::new();
-        for host in self.hosts.values().filter(|h| h.rostered && !h.zone.is_empty()) {
-            let since = if host.heard { host.last_answer } else { self.won_at };
+        for machine in self.machines.values().filter(|h| h.rostered && !h.zone.is_empty()) {
+            let since = if machine.heard { machine.last_answer } else { self.won_at };
             let quiet = now >= since.max(self.resumed_at) + late;
-            let (all, gone) = zones.entry(&host.zone).or_default();
+            let (all, gone) = zones.entry(&machine.zone).or_default();
             *all += 1;
             *gone += usize::from(quiet);
         }
@@ -270,17 +270,17 @@
 
     /// Machines with work that have missed their reports while most others of their zone have not. A
     /// deletion proves their tasks gone, which the list and their leases do only much later.
-    fn lost_hosts(&self, now: u64, patience: u64) -> HashSet<String> {
-        let live = |h: &Host| h.heard && h.dead_session < h.newest.0;
-        let quiet = |h: &Host| now.saturating_sub(h.last_answer.max(self.resumed_at));
-        let silent = |h: &Host| quiet(h) >= patience;
+    fn silent_machines(&self, now: u64, patience: u64) -> HashSet<String> {
+        let live = |h: &Machine| h.heard && h.dead_session < h.newest.0;
+        let quiet = |h: &Machine| now.saturating_sub(h.last_answer.max(self.resumed_at));
+        let silent = |h: &Machine| quiet(h) >= patience;
         // In a cut machines fall silent one by one, each when its next report is due.
         let late = self.report_due_ms();
         let few = self.few_missing(live, |_, h| quiet(h) >= late);
-        let lost = |(_, h): &(&String, &Host)| {
+        let lost = |(_, h): &(&String, &Machine)| {
             live(h) && silent(h) && !h.held.is_empty() && few.contains(h.zone.as_str())
         };
-        self.hosts.iter().filter(lost).map(|(name, _)| name.clone()).collect()
+        self.machines.iter().filter(lost).map(|(name, _)| name.clone()).collect()
     }
 
     /// Machines of the roster that have not reported since the takeover while most others of their zone
@@ -288,17 +288,22 @@
     fn unheard_lost(&self) -> HashSet<String> {
         let unheard = |name: &str| self.unheard.contains(name);
         let few = self.few_missing(|h| h.heard || !h.zone.is_empty(), |name, _| unheard(name));
-        let lost = |(name, h): &(&String, &Host)| unheard(name) && few.contains(h.zone.as_str());
-        self.hosts.iter().filter(lost).map(|(name, _)| name.clone()).collect()
+        let lost = |(name, h): &(&String, &Machine)| unheard(name) && few.contains(h.zone.as_str());
+        self.machines.iter().filter(lost).map(|(name, _)| name.clone()).collect()
     }
 
     /// Machines to delete now.
-    fn doomed(&mut self, now: u64, needed: &HashSet<&str>, cut: &HashSet<String>) -> Vec<String> {
+    fn machines_to_delete(
+        &mut self,
+        now: u64,
+        needed: &HashSet<&str>,
+        cut: &HashSet<String>,
+    ) -> Vec<String> {
         let lease = lease_over_ms(&self.setup.params);
         let settled = self.settled(now);
         let idle_return: HashMap<String, u64> =
             self.machine_types.iter().map(|f| (f.label.clone(), self.idle_return(f))).collect();
-        let mut doomed = Vec::new();
+        let mut machines_to_delete = Vec::new();
         let waiting = self.jobs.values().any(|j| j.inherited && j.live() && !j.free.is_empty());
         // Time for a worker to report once, to try each node with one that hangs among them, and to
         // report again with the new token.
@@ -311,96 +316,96 @@
             && now + constants::UNHEARD_WORTH_MS < self.unheard_since + lease;
         self.note_needs(now);
         let spares = self.spares(now);
-        let lost = self.lost_hosts(now, unheard_patience);
+        let lost = self.silent_machines(now, unheard_patience);
         let unheard_lost = if unheard_go { self.unheard_lost() } else { HashSet::new() };
-        for (name, host) in &mut self.hosts {
-            let cut = cut.contains(&host.zone);
+        for (name, machine) in &mut self.machines {
+            let cut = cut.contains(&machine.zone);
             let needed = cut || needed.contains(name.as_str());
-            if !host.held.is_empty() || !host.ended.is_empty() {
-                host.idle_since = None;
-            } else if host.heard && host.idle_since.is_none() {
-                host.idle_since = Some(now);
+            if !machine.held.is_empty() || !machine.ended.is_empty() {
+                machine.idle_since = None;
+            } else if machine.heard && machine.idle_since.is_none() {
+                machine.idle_since = Some(now);
             }
             if self.deleting.contains(name) {
                 continue;
             }
-            let idle = host.idle_since.map_or(0, |s| now.saturating_sub(s));
-            let patience = idle_return.get(&host.machine_type).copied().unwrap_or(u64::MAX);
-            if host.closing.is_none()
-                && host.heard
+            let idle = machine.idle_since.map_or(0, |s| now.saturating_sub(s));
+            let patience = idle_return.get(&machine.machine_type).copied().unwrap_or(u64::MAX);
+            if machine.closing.is_none()
+                && machine.heard
                 && settled
                 && !needed
                 && idle >= patience
                 && !spares.contains(name)
             {
-                host.closing = Some("idle");
+                machine.closing = Some("idle");
             }
             // Silence while this node could not answer is not the machine's.
-            let quiet_since = host.last_answer.max(self.resumed_at);
+            let quiet_since = machine.last_answer.max(self.resumed_at);
             let wait = if cut { constants::CUT_PATIENCE_MS } else { constants::SILENT_RETURN_MS };
-            if (host.heard || host.rostered) && now >= quiet_since + lease + wait {
-                host.closing = Some(SILENT);
+            if (machine.heard || machine.rostered) && now >= quiet_since + lease + wait {
+                machine.closing = Some(SILENT);
             }
             let ready_ms = self
                 .machine_types
                 .iter()
-                .find(|f| f.label == host.machine_type)
+                .find(|f| f.label == machine.machine_type)
                 .map_or(60_000.0, |f| f.boot_s * 1000.0);
             let patience =
                 (ready_ms * constants::BOOT_GIVE_UP_FACTOR) as u64 + constants::BOOT_GIVE_UP_MS;
             // One of the roster has been up.
-            let never_up = !host.heard
-                && !host.rostered
-                && now >= host.born + patience
+            let never_up = !machine.heard
+                && !machine.rostered
+                && now >= machine.born + patience
                 && now >= self.resumed_at + lease;
             if never_up {
-                host.closing = Some("never came up");
+                machine.closing = Some("never came up");
             }
             // Work of earlier terms waits for machines that have not reported. A deletion proves
             // what is on them gone, sooner than their lease would.
             if unheard_lost.contains(name) {
-                host.closing = Some("not heard since the takeover");
+                machine.closing = Some("not heard since the takeover");
             }
             // The same for what is on a machine that has fallen silent by itself.
             let lost = lost.contains(name);
             if lost {
-                host.closing = Some(SILENT);
+                machine.closing = Some(SILENT);
             }
-            let empty = lost || host.held.is_empty() && host.ended.is_empty();
-            let taken = host.notice.is_some() && host.heard;
-            if taken && empty && host.closing.is_none() {
-                host.closing = Some("the cloud wants it back");
+            let empty = lost || machine.held.is_empty() && machine.ended.is_empty();
+            let taken = machine.notice.is_some() && machine.heard;
+            if taken && empty && machine.closing.is_none() {
+                machine.closing = Some("the cloud wants it back");
             }
-            if host.closing.is_some() && empty {
-                let why = host.closing.unwrap_or_default();
+            if machine.closing.is_some() && empty {
+                let why = machine.closing.unwrap_or_default();
                 tracing::info!("machine {name}: returning it ({why})");
-                doomed.push(name.clone());
+                machines_to_delete.push(name.clone());
             }
         }
-        doomed
+        machines_to_delete
     }
 
     /// The cloud answered a rental. `None`: no capacity.
-    pub fn rented(&mut self, request: &RentRequest, hosts: Option<Vec<String>>, now: u64) {
+    pub fn rented(&mut self, request: &RentRequest, machines: Option<Vec<String>>, now: u64) {
         let Some(i) = self.renting.iter().position(|r| r.request_id == request.request_id) else {
             return;
         };
         let renting = self.renting.swap_remove(i);
-        let got = hosts.as_ref().map_or(0, Vec::len);
+        let got = machines.as_ref().map_or(0, Vec::len);
         tracing::info!("rental {}: {got} of {}", renting.request_id, renting.count);
         if got < renting.count as usize {
             let offer = (renting.machine_type, renting.zone, renting.spot);
             self.sold_out.insert(offer, now + constants::SOLD_OUT_MS);
         }
-        for name in hosts.unwrap_or_default() {
-            if self.buried.contains(&name) {
+        for name in machines.unwrap_or_default() {
+            if self.gone_machines.contains(&name) {
                 continue;
             }
-            let host = self.hosts.entry(name).or_insert_with(|| Host::new(now));
-            if !host.heard {
-                host.machine_type.clone_from(&request.machine_type);
-                host.zone.clone_from(&request.zone);
-                host.spot = request.spot;
+            let machine = self.machines.entry(name).or_insert_with(|| Machine::new(now));
+            if !machine.heard {
+                machine.machine_type.clone_from(&request.machine_type);
+                machine.zone.clone_from(&request.zone);
+                machine.spot = request.spot;
             }
         }
     }
@@ -408,7 +413,7 @@
     /// The cloud confirmed a deletion: the machines and all that was on them are gone.
     pub fn deleted(&mut self, names: &[String], now: u64) {
         for name in names {
-            self.bury(name, now);
+            self.machine_gone(name, now);
         }
     }
 
@@ -420,42 +425,42 @@
     }
 
     /// The machine list, asked for at `asked`.
-    pub fn listed(&mut self, list: &[ListedHost], asked: u64, now: u64) {
+    pub fn listed(&mut self, list: &[ListedMachine], asked: u64, now: u64) {
         for entry in list {
             let name = &entry.id;
-            if self.buried.contains(name) {
+            if self.gone_machines.contains(name) {
                 continue;
             }
             let age_ms = (entry.age_s.max(0.0) * 1000.0) as u64;
-            if !self.hosts.contains_key(name) {
-                if entry.status == HostState::Failed {
+            if !self.machines.contains_key(name) {
+                if entry.status == MachineState::Failed {
                     // Nothing runs there, but it stays listed until it is deleted.
-                    let mut host = Host::new(now);
-                    host.closing = Some("failed");
-                    self.hosts.insert(name.clone(), host);
+                    let mut machine = Machine::new(now);
+                    machine.closing = Some("failed");
+                    self.machines.insert(name.clone(), machine);
                     continue;
                 }
                 tracing::info!("machine {name}: found in the list, {:.0} s old", entry.age_s);
-                let mut host = Host::new(now);
-                host.born = now.saturating_sub(age_ms);
-                self.hosts.insert(name.clone(), host);
+                let mut machine = Machine::new(now);
+                machine.born = now.saturating_sub(age_ms);
+                self.machines.insert(name.clone(), machine);
             }
-            let Some(host) = self.hosts.get_mut(name) else { continue };
-            if !host.heard {
-                host.machine_type.clone_from(&entry.machine_type);
-                host.zone.clone_from(&entry.zone);
-                host.spot = entry.spot;
+            let Some(machine) = self.machines.get_mut(name) else { continue };
+            if !machine.heard {
+                machine.machine_type.clone_from(&entry.machine_type);
+                machine.zone.clone_from(&entry.zone);
+                machine.spot = entry.spot;
                 if let Some(addr) = &entry.addr {
-                    host.addr.clone_from(addr);
+                    machine.addr.clone_from(addr);
                 }
-                host.born = host.born.min(now.saturating_sub(age_ms));
+                machine.born = machine.born.min(now.saturating_sub(age_ms));
             }
-            host.first_listed.get_or_insert(now as i64);
-            if entry.status == HostState::Failed && host.closing != Some("failed") {
+            machine.first_listed.get_or_insert(now as i64);
+            if entry.status == MachineState::Failed && machine.closing != Some("failed") {
                 tracing::info!("machine {name}: failed");
-                host.closing = Some("failed");
-                host.dead_session = u64::MAX;
-                self.clear_host(name, now, Leave::Lost);
+                machine.closing = Some("failed");
+                machine.dead_session = u64::MAX;
+                self.clear_machine(name, now, Leave::Lost);
                 self.unheard.remove(name);
             }
         }
@@ -464,17 +469,17 @@
         let lag = (self.setup.params.cloud.list_lag_s * 1000.0 * constants::UNLISTED_LAGS) as u64;
         let listed: HashSet<&str> = list.iter().map(|e| e.id.as_str()).collect();
         let gone: Vec<String> = self
-            .hosts
+            .machines
             .iter()
-            .filter(|(name, host)| {
-                host.first_listed.is_some_and(|f| asked as i64 > f + lag as i64)
+            .filter(|(name, machine)| {
+                machine.first_listed.is_some_and(|f| asked as i64 > f + lag as i64)
                     && !listed.contains(name.as_str())
             })
             .map(|(name, _)| name.clone())
             .collect();
         for name in gone {
             tracing::info!("machine {name}: not listed any more");
-            self.bury(&name, now);
+            self.machine_gone(&name, now);
         }
     }
 }
--- a/crates/controller/src/ledger/mod.rs
+++ b/crates/controller/src/ledger/mod.rs
@@ -15,7 +15,7 @@
 
 pub use commit::{Commit, CommitResult, Learned};
 pub use fleet::FleetAction;
-pub use model::{Aims, Ended, Expected, Held, Host, Job, JobContext, Kill, Phase, Recent, Slot};
+pub use model::{Aims, Ended, Expected, Held, Job, JobContext, Kill, Machine, Phase, Recent, Slot};
 pub use progress::Progress;
 
 use crate::blocks::Blocks;
@@ -103,7 +103,7 @@
     /// Unfinished jobs.
     pub jobs: usize,
     /// Machines, booting ones included.
-    pub hosts: usize,
+    pub machines: usize,
     /// Machines that are up.
     pub up: usize,
     /// Tasks that hold a place.
@@ -118,7 +118,7 @@
 
 impl std::fmt::Display for Summary {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{} jobs, {} machines ({} up), ", self.jobs, self.hosts, self.up)?;
+        write!(f, "{} jobs, {} machines ({} up), ", self.jobs, self.machines, self.up)?;
         write!(f, "{} tasks placed; CPUs: {:.0} up, ", self.tasks, self.cpus)?;
         write!(f, "{:.0} placed, {:.0} waited for", self.placed, self.waiting)
     }
@@ -139,9 +139,9 @@
     by_id: HashMap<JobId, u64>,
     /// Jobs that ended in this term: a late event must not bring them back.
     ended: Recent<JobId>,
-    hosts: BTreeMap<String, Host>,
+    machines: BTreeMap<String, Machine>,
     /// Machines that this leader knows to be gone: late reports must not bring them back.
-    buried: Recent<String>,
+    gone_machines: Recent<String>,
     blocks: Blocks,
     /// Machines of the roster that have not reported to this leader yet.
     unheard: BTreeSet<String>,
@@ -250,8 +250,8 @@
             jobs: BTreeMap::new(),
             by_id: HashMap::new(),
             ended: Recent::new(constants::RECENT_KEPT),
-            hosts: BTreeMap::new(),
-            buried: Recent::new(constants::RECENT_KEPT),
+            machines: BTreeMap::new(),
+            gone_machines: Recent::new(constants::RECENT_KEPT),
             blocks: Blocks::default(),
             unheard: BTreeSet::new(),
             unheard_since: at.now,
@@ -370,7 +370,7 @@
             let Some(name) = kv.key.strip_prefix(crate::records::ROSTER) else { continue };
             let Some(number) = roster::Roster::number(name) else {
                 let since = kv.v.get("at_ms").and_then(serde_json::Value::as_u64);
-                self.inherit_host(name, since, Vec::new(), at);
+                self.inherit_machine(name, since, Vec::new(), at);
                 self.writer.old_entry(name, since.unwrap_or(at.wall));
                 continue;
             };
@@ -386,18 +386,18 @@
                 }
             };
             let images = self.images_of(&record.images);
-            for (host, entry) in record.hosts {
+            for (machine, entry) in record.machines {
                 let held = entry.images.iter().filter_map(|i| images.get(*i).copied()).collect();
-                self.inherit_host(&host, Some(entry.at_ms), held, at);
-                self.writer.roster.loaded(number, &host, entry.at_ms);
+                self.inherit_machine(&machine, Some(entry.at_ms), held, at);
+                self.writer.roster.loaded(number, &machine, entry.at_ms);
             }
         }
         for kv in loaded.images {
             let name = kv.key.strip_prefix(crate::records::IMAGES).unwrap_or_default();
             if let Ok(record) = serde_json::from_value::<ImagesRecord>(kv.v) {
                 let images = self.images_of(&record.images);
-                if let Some(host) = self.hosts.get_mut(name) {
-                    host.images = images;
+                if let Some(machine) = self.machines.get_mut(name) {
+                    machine.images = images;
                 }
             }
             self.writer.trash(kv.key);
@@ -422,27 +422,27 @@
     }
 
     /// A machine of the roster, known since that time of day.
-    fn inherit_host(
+    fn inherit_machine(
         &mut self,
         name: &str,
         since: Option<u64>,
         images: Vec<(u32, f64)>,
         at: Moment,
     ) {
-        let mut host = Host::new(at.now);
-        host.rostered = true;
-        host.images = images;
-        host.written_images = host.image_set();
+        let mut machine = Machine::new(at.now);
+        machine.rostered = true;
+        machine.images = images;
+        machine.written_images = machine.image_set();
         // Old enough entries must be in any list from now on, or the machine is gone. Times of day
         // may be off on either side.
         if let Some(since) = since {
             let off = self.setup.params.clock_off_ms * 2.0 + 1000.0;
             let age = at.wall as f64 - since as f64 - off;
             if age > 0.0 {
-                host.first_listed = Some(at.now as i64 - age as i64);
+                machine.first_listed = Some(at.now as i64 - age as i64);
             }
         }
-        self.hosts.insert(name.to_owned(), host);
+        self.machines.insert(name.to_owned(), machine);
         self.unheard.insert(name.to_owned());
     }
 
@@ -452,8 +452,8 @@
     }
 
     /// Machines that this ledger knows of.
-    pub fn host_count(&self) -> usize {
-        self.hosts.len()
+    pub fn machine_count(&self) -> usize {
+        self.machines.len()
     }
 
     /// Takes in the machine types.
@@ -506,8 +506,8 @@
     /// This node answered a worker as a holder while its leadership was in doubt.
     pub fn kept_alive(&mut self, name: &str, now: u64) {
         self.unheard_since = self.unheard_since.max(now);
-        if let Some(host) = self.hosts.get_mut(name) {
-            host.last_answer = host.last_answer.max(now);
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.last_answer = machine.last_answer.max(now);
         }
     }
 
@@ -734,15 +734,15 @@
         let mut expected = 0u32;
         let since = self.won_at.max(self.resumed_at);
         let mut latest = since;
-        for (name, host) in &self.hosts {
+        for (name, machine) in &self.machines {
             // Machines that have reported here, and those of the roster that must be up by now.
-            let old = host
+            let old = machine
                 .first_listed
                 .is_some_and(|since| since + (constants::SURELY_UP_MS as i64) < self.won_at as i64);
-            if host.heard && host.dead_session < host.newest.0 {
+            if machine.heard && machine.dead_session < machine.newest.0 {
                 expected += 1;
-                latest = latest.max(host.last_answer);
-            } else if !host.heard && old && self.unheard.contains(name) {
+                latest = latest.max(machine.last_answer);
+            } else if !machine.heard && old && self.unheard.contains(name) {
                 expected += 1;
             }
         }
@@ -764,10 +764,10 @@
     pub fn some_silent(&self, now: u64) -> bool {
         let late = self.report_due_ms();
         let lease = lease_over_ms(&self.setup.params);
-        let silent = |h: &Host| {
+        let silent = |h: &Machine| {
             h.heard && !h.held.is_empty() && (late..lease).contains(&(now - h.last_answer.min(now)))
         };
-        self.hosts.values().any(silent)
+        self.machines.values().any(silent)
     }
 
     /// The node could not act as leader for a while (its lease was in doubt) and can again.
@@ -778,16 +778,16 @@
     /// How things stand, for the log.
     pub fn summary(&self, now: u64) -> Summary {
         let scene = self.scene(now);
-        let up = || scene.world.hosts.iter().filter(|h| !h.booting);
+        let up = || scene.world.machines.iter().filter(|h| !h.booting);
         let total: f64 = up().map(|h| h.total.cpus).sum();
         let free: f64 = up().map(|h| h.free.cpus).sum();
         let waiting: f64 =
             scene.world.jobs.iter().map(|j| f64::from(j.startable) * j.need.cpus).sum();
         Summary {
             jobs: self.jobs.len(),
-            hosts: self.hosts.len(),
+            machines: self.machines.len(),
             up: up().count(),
-            tasks: self.hosts.values().map(|h| h.held.len()).sum(),
+            tasks: self.machines.values().map(|h| h.held.len()).sum(),
             cpus: total.abs(),
             placed: (total - free).abs(),
             waiting: waiting.abs(),
--- a/crates/controller/src/ledger/model.rs
+++ b/crates/controller/src/ledger/model.rs
@@ -380,7 +380,7 @@
 
 /// A machine.
 #[derive(Debug)]
-pub struct Host {
+pub struct Machine {
     /// Machine type; empty until known.
     pub machine_type: String,
     /// Zone.
@@ -441,7 +441,7 @@
     pub kept: Option<(u64, u64)>,
 }
 
-impl Host {
+impl Machine {
     /// A machine that nothing is known of.
     pub fn new(now: u64) -> Self {
         Self {
--- a/crates/controller/src/ledger/roster.rs
+++ b/crates/controller/src/ledger/roster.rs
@@ -49,28 +49,28 @@
     }
 
     /// A record that an earlier leader wrote.
-    pub fn loaded(&mut self, number: u64, host: &str, at_ms: u64) {
+    pub fn loaded(&mut self, number: u64, machine: &str, at_ms: u64) {
         let members = self.records.entry(number).or_default();
-        if self.of.contains_key(host) {
+        if self.of.contains_key(machine) {
             // That leader was moving it between records when it ended. One of them is enough.
             self.stale.insert(number);
             return;
         }
-        members.insert(host.to_owned(), at_ms);
-        self.of.insert(host.to_owned(), number);
+        members.insert(machine.to_owned(), at_ms);
+        self.of.insert(machine.to_owned(), number);
     }
 
     /// A machine is to be in the roster, known since `at_ms` (time of day).
-    pub fn want(&mut self, host: &str, at_ms: u64) {
-        if self.of.contains_key(host) {
+    pub fn want(&mut self, machine: &str, at_ms: u64) {
+        if self.of.contains_key(machine) {
             return;
         }
-        let number = self.add_to_open_record(host, at_ms);
+        let number = self.add_to_open_record(machine, at_ms);
         self.urgent.insert(number);
     }
 
     /// Adds a machine to a record with room, or to a new one.
-    fn add_to_open_record(&mut self, host: &str, at_ms: u64) -> u64 {
+    fn add_to_open_record(&mut self, machine: &str, at_ms: u64) -> u64 {
         let open = self.records.iter().find(|(_, members)| members.len() < self.most);
         let number = open.map_or_else(
             || {
@@ -79,8 +79,8 @@
             },
             |(number, _)| *number,
         );
-        self.records.entry(number).or_default().insert(host.to_owned(), at_ms);
-        self.of.insert(host.to_owned(), number);
+        self.records.entry(number).or_default().insert(machine.to_owned(), at_ms);
+        self.of.insert(machine.to_owned(), number);
         number
     }
 
@@ -88,45 +88,45 @@
     /// moves to other records, and only once the store has those is it written again.
     pub fn divide(&mut self, number: u64) {
         let Some(members) = self.records.get(&number) else { return };
-        let staying = members.iter().filter(|(host, _)| !self.moving.contains_key(*host));
+        let staying = members.iter().filter(|(machine, _)| !self.moving.contains_key(*machine));
         let surplus: Vec<(String, u64)> =
-            staying.skip(self.most).map(|(host, at_ms)| (host.clone(), *at_ms)).collect();
-        for (host, at_ms) in surplus {
-            let target = self.add_to_open_record(&host, at_ms);
+            staying.skip(self.most).map(|(machine, at_ms)| (machine.clone(), *at_ms)).collect();
+        for (machine, at_ms) in surplus {
+            let target = self.add_to_open_record(&machine, at_ms);
             self.stale.insert(target);
-            self.moving.insert(host, number);
+            self.moving.insert(machine, number);
         }
     }
 
     /// A record with these machines is in the store.
-    pub fn stored<'a>(&mut self, number: u64, hosts: impl Iterator<Item = &'a str>) {
-        for host in hosts {
-            let here = self.of.get(host) == Some(&number);
-            if here && let Some(source) = self.moving.remove(host) {
-                self.remove_from(source, host);
+    pub fn stored<'a>(&mut self, number: u64, machines: impl Iterator<Item = &'a str>) {
+        for machine in machines {
+            let here = self.of.get(machine) == Some(&number);
+            if here && let Some(source) = self.moving.remove(machine) {
+                self.remove_from(source, machine);
             }
         }
     }
 
     /// A record no longer names a machine.
-    fn remove_from(&mut self, number: u64, host: &str) {
+    fn remove_from(&mut self, number: u64, machine: &str) {
         if let Some(members) = self.records.get_mut(&number) {
-            members.remove(host);
+            members.remove(machine);
         }
         self.stale.insert(number);
     }
 
     /// A machine is gone. That its entry stays a while longer costs the next leader a look only.
-    pub fn drop(&mut self, host: &str) {
-        let numbers = [self.of.remove(host), self.moving.remove(host)];
+    pub fn drop(&mut self, machine: &str) {
+        let numbers = [self.of.remove(machine), self.moving.remove(machine)];
         for number in numbers.into_iter().flatten() {
-            self.remove_from(number, host);
+            self.remove_from(number, machine);
         }
     }
 
     /// The hints about a machine have changed.
-    pub fn hint(&mut self, host: &str) {
-        if let Some(number) = self.of.get(host) {
+    pub fn hint(&mut self, machine: &str) {
+        if let Some(number) = self.of.get(machine) {
             self.stale.insert(*number);
         }
     }
@@ -150,7 +150,7 @@
 
     /// The machines of a record, with their times.
     pub fn members(&self, number: u64) -> impl Iterator<Item = (&String, u64)> {
-        self.records.get(&number).into_iter().flatten().map(|(host, at)| (host, *at))
+        self.records.get(&number).into_iter().flatten().map(|(machine, at)| (machine, *at))
     }
 
     /// A record's key.
@@ -174,8 +174,8 @@
     ) -> Option<serde_json::Value> {
         let mut record = RosterRecord::default();
         let mut numbers: HashMap<&str, usize> = HashMap::new();
-        for (host, at_ms) in self.members(number) {
-            let held = images(host);
+        for (machine, at_ms) in self.members(number) {
+            let held = images(machine);
             let newest = held.len().saturating_sub(constants::ROSTER_IMAGES);
             let mut entry = RosterEntry { at_ms, images: Vec::new() };
             for (name, gb) in &held[newest..] {
@@ -186,7 +186,7 @@
                 }
                 entry.images.push(n);
             }
-            record.hosts.insert(host.clone(), entry);
+            record.machines.insert(machine.clone(), entry);
         }
         let fits = |value: &serde_json::Value| value.to_string().len() as f64 <= value_kb * 1024.0;
         let value = serde_json::to_value(&record).ok()?;
@@ -194,7 +194,7 @@
             return Some(value);
         }
         record.images.clear();
-        for entry in record.hosts.values_mut() {
+        for entry in record.machines.values_mut() {
             entry.images.clear();
         }
         serde_json::to_value(&record).ok().filter(fits)
--- a/crates/controller/src/ledger/roster/tests.rs
+++ b/crates/controller/src/ledger/roster/tests.rs
@@ -8,26 +8,27 @@
         return false;
     };
     assert!(value.to_string().len() as f64 <= SMALL_VALUE_KB * 1024.0);
-    let hosts: Vec<String> = roster.members(number).map(|(host, _)| host.clone()).collect();
-    stored.insert(number, hosts.iter().cloned().collect());
-    roster.stored(number, hosts.iter().map(String::as_str));
+    let machines: Vec<String> =
+        roster.members(number).map(|(machine, _)| machine.clone()).collect();
+    stored.insert(number, machines.iter().cloned().collect());
+    roster.stored(number, machines.iter().map(String::as_str));
     true
 }
 
 #[test]
 fn a_record_too_large_for_the_new_limit_is_divided_and_no_machine_is_ever_missing() {
     let mut roster = Roster::new(SMALL_VALUE_KB);
-    let hosts: BTreeSet<String> = (0..64).map(|n| format!("m-{n:06}")).collect();
-    let mut stored = BTreeMap::from([(3, hosts.clone())]);
-    for host in &hosts {
-        roster.loaded(3, host, 1_764_654_219_000);
+    let machines: BTreeSet<String> = (0..64).map(|n| format!("m-{n:06}")).collect();
+    let mut stored = BTreeMap::from([(3, machines.clone())]);
+    for machine in &machines {
+        roster.loaded(3, machine, 1_764_654_219_000);
     }
     roster.hint("m-000001");
     for _ in 0..40 {
         let Some(number) = roster.next_stale() else { break };
         write(&mut roster, number, &mut stored);
         let named: BTreeSet<String> = stored.values().flatten().cloned().collect();
-        assert_eq!(named, hosts, "a crash now would hide a machine");
+        assert_eq!(named, machines, "a crash now would hide a machine");
     }
     assert_eq!(stored.values().map(BTreeSet::len).sum::<usize>(), 64, "each in one record");
     assert!(stored.len() >= 4);
@@ -45,7 +46,7 @@
     while let Some(number) = roster.next_stale() {
         write(&mut roster, number, &mut stored);
     }
-    assert!(!stored.values().any(|hosts: &BTreeSet<String>| hosts.contains("m-000063")));
+    assert!(!stored.values().any(|machines: &BTreeSet<String>| machines.contains("m-000063")));
     assert_eq!(stored.values().map(BTreeSet::len).sum::<usize>(), 63);
 }
 
--- a/crates/controller/src/ledger/schedule.rs
+++ b/crates/controller/src/ledger/schedule.rs
@@ -1,7 +1,9 @@
-use super::{Held, Host, Job, Kill, Ledger, Phase, Slot};
+use super::{Held, Job, Kill, Ledger, Machine, Phase, Slot};
 use crate::config::Team;
 use hookway_constants as constants;
-use hookway_policy::{HeldView, HostView, JobView, Room, TeamView, World, evict, minimum, place};
+use hookway_policy::{
+    HeldView, JobView, MachineView, Room, TeamView, World, evict, minimum, place,
+};
 use hookway_wire::TaskState;
 use std::collections::HashMap;
 
@@ -17,15 +19,15 @@
 pub(super) struct Scene {
     pub world: World,
     pub jobs: Vec<u64>,
-    pub hosts: Vec<String>,
+    pub machines: Vec<String>,
 }
 
 impl Ledger {
     /// What is free on a machine, and whether something unknown is on it.
-    pub(super) fn free_room(&self, host: &Host, total: Room) -> (Room, bool) {
+    pub(super) fn free_room(&self, machine: &Machine, total: Room) -> (Room, bool) {
         let mut free = total;
         let mut strangers = false;
-        for held in &host.held {
+        for held in &machine.held {
             match held.job.and_then(|k| self.jobs.get(&k)) {
                 Some(job) => free.take(&job.need),
                 None => strangers = true,
@@ -50,11 +52,11 @@
             jobs.push(self.view(job, startable));
         }
         let mut names = Vec::new();
-        let mut hosts = Vec::new();
-        for (name, host) in &self.hosts {
-            if let Some(view) = self.host_view(name, host, &index, now) {
+        let mut machines = Vec::new();
+        for (name, machine) in &self.machines {
+            if let Some(view) = self.machine_view(name, machine, &index, now) {
                 names.push(name.clone());
-                hosts.push(view);
+                machines.push(view);
             }
         }
         let cheapest_cpu = self
@@ -70,11 +72,11 @@
             cheapest_cpu: if cheapest_cpu.is_finite() { cheapest_cpu } else { 0.0 },
             gang_needs: self.classes.values().filter(|l| l.gangs).map(|l| l.need).collect(),
             jobs,
-            hosts,
+            machines,
             teams,
             machine_types: self.machine_types.clone(),
         };
-        Scene { world, jobs: keys, hosts: names }
+        Scene { world, jobs: keys, machines: names }
     }
 
     /// The teams with what their tasks hold.
@@ -176,26 +178,27 @@
         }
     }
 
-    fn host_view(
+    fn machine_view(
         &self,
         name: &str,
-        host: &Host,
+        machine: &Machine,
         index: &HashMap<u64, usize>,
         now: u64,
-    ) -> Option<HostView> {
-        let machine_type = self.machine_types.iter().position(|f| f.label == host.machine_type)?;
-        let zone = self.setup.params.zone(&host.zone)?;
+    ) -> Option<MachineView> {
+        let machine_type =
+            self.machine_types.iter().position(|f| f.label == machine.machine_type)?;
+        let zone = self.setup.params.zone(&machine.zone)?;
         let total = Room::of_machine_type(&self.machine_types[machine_type]);
-        let (free, strangers) = self.free_room(host, total);
+        let (free, strangers) = self.free_room(machine, total);
         let quiet = (self.setup.params.workers.report_s * 2000.0) as u64;
-        let taken = host.closing.is_some() || host.notice.is_some() || strangers;
-        let silent = now >= host.last_answer + quiet;
-        let open = host.heard
+        let taken = machine.closing.is_some() || machine.notice.is_some() || strangers;
+        let silent = now >= machine.last_answer + quiet;
+        let open = machine.heard
             && !taken
             && !silent
-            && now >= host.pause_until
+            && now >= machine.pause_until
             && self.blocks.holds(name, &self.setup.label, now);
-        let held = host
+        let held = machine
             .held
             .iter()
             .enumerate()
@@ -212,33 +215,33 @@
                 })
             })
             .collect();
-        Some(HostView {
+        Some(MachineView {
             machine_type,
             zone,
-            spot: host.spot,
+            spot: machine.spot,
             total,
             free,
-            price: self.machine_types[machine_type].price(host.spot),
-            images: host.images.iter().map(|(i, _)| *i).collect(),
+            price: self.machine_types[machine_type].price(machine.spot),
+            images: machine.images.iter().map(|(i, _)| *i).collect(),
             open,
-            booting: !host.heard && !taken,
-            shunned_by: host
+            booting: !machine.heard && !taken,
+            shunned_by: machine
                 .failed
                 .iter()
-                .filter(|k| self.jobs.get(k).is_some_and(|j| j.shuns(name, self.hosts.len())))
+                .filter(|k| self.jobs.get(k).is_some_and(|j| j.shuns(name, self.machines.len())))
                 .filter_map(|k| index.get(k).copied())
                 .collect(),
-            kept_for: host.kept.map(|(k, _)| index.get(&k).copied().unwrap_or(usize::MAX)),
+            kept_for: machine.kept.map(|(k, _)| index.get(&k).copied().unwrap_or(usize::MAX)),
             held,
         })
     }
 
     /// Least pause between two rounds, ms: what a round costs, as its share of the core allows it.
     pub fn round_pause(&self) -> u64 {
-        let hosts = self.hosts.len() as f64;
+        let machines = self.machines.len() as f64;
         let waiting = self.jobs.values().filter(|j| j.live() && !j.free.is_empty()).count() as f64;
         let cost_ms =
-            hosts * (constants::ROUND_HOST_US + waiting * constants::ROUND_PAIR_US) / 1000.0;
+            machines * (constants::ROUND_MACHINE_US + waiting * constants::ROUND_PAIR_US) / 1000.0;
         let share = self.setup.params.machine_limits.core_share * constants::ROUND_CORE_SHARE;
         ((cost_ms / share.max(0.001)) as u64)
             .clamp(constants::ROUND_AT_REPORT_MS, constants::ROUND_PAUSE_MAX_MS)
@@ -250,33 +253,33 @@
         if self.left.is_empty() || self.kept_back.contains(name) {
             return;
         }
-        let Some(host) = self.hosts.get(name) else { return };
-        let taken = host.closing.is_some() || host.notice.is_some() || host.kept.is_some();
+        let Some(machine) = self.machines.get(name) else { return };
+        let taken = machine.closing.is_some() || machine.notice.is_some() || machine.kept.is_some();
         if taken
-            || !host.rostered
-            || now < host.pause_until
+            || !machine.rostered
+            || now < machine.pause_until
             || !self.blocks.holds(name, &self.setup.label, now)
         {
             return;
         }
         let Some(machine_type) =
-            self.machine_types.iter().position(|f| f.label == host.machine_type)
+            self.machine_types.iter().position(|f| f.label == machine.machine_type)
         else {
             return;
         };
-        let Some(zone) = self.setup.params.zone(&host.zone) else { return };
-        let spot = host.spot;
+        let Some(zone) = self.setup.params.zone(&machine.zone) else { return };
+        let spot = machine.spot;
         let (mut free, strangers) =
-            self.free_room(host, Room::of_machine_type(&self.machine_types[machine_type]));
+            self.free_room(machine, Room::of_machine_type(&self.machine_types[machine_type]));
         if strangers {
             return;
         }
-        let images: Vec<u32> = host.images.iter().map(|(i, _)| *i).collect();
+        let images: Vec<u32> = machine.images.iter().map(|(i, _)| *i).collect();
         let mut left = std::mem::take(&mut self.left);
         for with_image in [true, false] {
             for turn in &mut left {
                 let Some(job) = self.jobs.get(&turn.key) else { continue };
-                if job.shuns(name, self.hosts.len()) {
+                if job.shuns(name, self.machines.len()) {
                     continue;
                 }
                 let skipped = with_image && turn.leftover && !images.contains(&job.image);
@@ -351,26 +354,26 @@
         };
         self.left = placed.left.iter().map(left).collect();
         self.reserved = placed.reserved;
-        for (name, view) in scene.hosts.iter().zip(&scene.world.hosts) {
+        for (name, view) in scene.machines.iter().zip(&scene.world.machines) {
             if view.kept_for.is_some() {
                 self.kept_back.insert(name.clone());
             }
         }
         for placement in placed.placements {
             let key = scene.jobs[placement.job];
-            let hosts: Vec<String> =
-                placement.hosts.iter().map(|h| scene.hosts[*h].clone()).collect();
-            self.plan(key, &hosts, now);
+            let machines: Vec<String> =
+                placement.machines.iter().map(|h| scene.machines[*h].clone()).collect();
+            self.plan(key, &machines, now);
         }
         for eviction in evict(&scene.world) {
             let key = scene.jobs[eviction.job];
-            for host in &eviction.hosts {
-                if let Some(host) = self.hosts.get_mut(&scene.hosts[*host]) {
-                    host.kept = Some((key, now + constants::STOP_PATIENCE_MS));
+            for machine in &eviction.machines {
+                if let Some(machine) = self.machines.get_mut(&scene.machines[*machine]) {
+                    machine.kept = Some((key, now + constants::STOP_PATIENCE_MS));
                 }
             }
-            for (host, tag) in eviction.victims {
-                self.stop_for(&scene.hosts[host], tag as usize, key, now);
+            for (machine, tag) in eviction.victims {
+                self.stop_for(&scene.machines[machine], tag as usize, key, now);
             }
         }
     }
@@ -378,7 +381,7 @@
     fn renew_blocks(&mut self, now: u64) {
         let until = now + self.setup.operator.block_lease_ms;
         let label = self.setup.label.clone();
-        for name in self.hosts.keys() {
+        for name in self.machines.keys() {
             self.blocks.lease(name, &label, now, until);
         }
     }
@@ -403,15 +406,15 @@
     /// made no progress yet goes elsewhere. The rest runs on, for it may finish first.
     fn clear_noticed(&mut self, now: u64) {
         let names: Vec<String> = self
-            .hosts
+            .machines
             .iter()
             .filter(|(_, h)| h.notice.is_some() || h.closing.is_some())
             .map(|(n, _)| n.clone())
             .collect();
         for name in names {
-            let Some(host) = self.hosts.get(&name) else { continue };
+            let Some(machine) = self.machines.get(&name) else { continue };
             let mut stops = Vec::new();
-            for (i, held) in host.held.iter().enumerate() {
+            for (i, held) in machine.held.iter().enumerate() {
                 let Some(job) = held.job.and_then(|k| self.jobs.get(&k)) else { continue };
                 let idle = matches!(
                     held.phase,
@@ -419,7 +422,7 @@
                 );
                 // What can't be done before the machine goes starts anew elsewhere the sooner.
                 let ran = held.running_since.map_or(0, |s| now.saturating_sub(s)) as f64;
-                let goes = host.notice.map(|at| at.saturating_sub(now) as f64);
+                let goes = machine.notice.map(|at| at.saturating_sub(now) as f64);
                 let hopeless = !job.spec.is_gang()
                     && job.solid_mean().zip(goes).is_some_and(|(mean, goes)| mean - ran > goes);
                 // A replica never finishes first.
@@ -438,8 +441,8 @@
     /// likely: it takes nothing new, and they run elsewhere.
     fn give_up_stuck(&mut self, now: u64) {
         let mut stuck = Vec::new();
-        for (name, host) in &self.hosts {
-            for (i, held) in host.held.iter().enumerate() {
+        for (name, machine) in &self.machines {
+            for (i, held) in machine.held.iter().enumerate() {
                 let (Some(since), None) = (held.running_since, held.kill) else { continue };
                 let job = held.job.and_then(|k| self.jobs.get(&k));
                 let one_by_one = |j: &&Job| !j.spec.is_gang() && !j.spec.is_daemon();
@@ -455,12 +458,12 @@
             }
         }
         for (name, i) in stuck {
-            let Some(host) = self.hosts.get_mut(&name) else { continue };
-            tracing::info!("machine {name}: {} is stuck there", host.held[i].task);
-            if host.closing.is_none() {
-                host.closing = Some("slow");
+            let Some(machine) = self.machines.get_mut(&name) else { continue };
+            tracing::info!("machine {name}: {} is stuck there", machine.held[i].task);
+            if machine.closing.is_none() {
+                machine.closing = Some("slow");
             }
-            let (key, index) = (host.held[i].job, host.held[i].index);
+            let (key, index) = (machine.held[i].job, machine.held[i].index);
             if let Some(job) = key.and_then(|k| self.jobs.get_mut(&k)) {
                 job.given_up.insert(index);
                 job.note(format!(
@@ -471,19 +474,19 @@
         }
     }
 
-    fn plan(&mut self, key: u64, hosts: &[String], now: u64) {
+    fn plan(&mut self, key: u64, machines: &[String], now: u64) {
         let unsettled = !self.settled(now);
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let gang = job.spec.is_gang();
         let from = if unsettled && job.inherited { job.sure_from } else { 0 };
-        for name in hosts {
+        for name in machines {
             let Some(index) = job.free.range(from..).next().copied() else { break };
             job.free.remove(&index);
             if index >= job.opened.max(job.opening) {
                 job.opening = job.open_to(index);
                 self.writer.opens.insert(key);
             }
-            let Some(host) = self.hosts.get_mut(name) else {
+            let Some(machine) = self.machines.get_mut(name) else {
                 job.free.insert(index);
                 continue;
             };
@@ -501,13 +504,13 @@
             }
             job.slots[index as usize] = Slot::Held;
             job.held += 1;
-            if let Some(zone) = self.setup.params.zone(&host.zone) {
+            if let Some(zone) = self.setup.params.zone(&machine.zone) {
                 job.per_zone[zone] += 1;
             }
             self.planned_on.insert(name.clone());
-            host.idle_since = None;
-            host.kept = host.kept.filter(|(k, _)| *k != key);
-            host.held.push(Held {
+            machine.idle_since = None;
+            machine.kept = machine.kept.filter(|(k, _)| *k != key);
+            machine.held.push(Held {
                 job: Some(key),
                 task: format!("{}/{index}", job.id),
                 index,
@@ -525,7 +528,7 @@
 
     /// Stops a task, and its whole gang with it, with time to save.
     fn stop(&mut self, name: &str, at: usize, now: u64) {
-        let Some(held) = self.hosts.get(name).and_then(|h| h.held.get(at)) else { return };
+        let Some(held) = self.machines.get(name).and_then(|h| h.held.get(at)) else { return };
         let Some(key) = held.job else { return };
         let (task, attempt) = (held.task.clone(), held.attempt);
         let Some(job) = self.jobs.get(&key) else { return };
@@ -533,8 +536,8 @@
         self.stops_due = true;
         let kill = Kill { grace_s, since: now };
         let gang = job.spec.is_gang();
-        for host in self.hosts.values_mut() {
-            for h in &mut host.held {
+        for machine in self.machines.values_mut() {
+            for h in &mut machine.held {
                 let same = h.job == Some(key) && h.attempt == attempt;
                 if same && (gang || h.task == task) && h.kill.is_none() {
                     h.kill = Some(kill);
@@ -544,12 +547,12 @@
     }
 
     fn stop_for(&mut self, name: &str, at: usize, winner: u64, now: u64) {
-        let text = match (self.jobs.get(&winner), self.hosts.get(name).and_then(|h| h.held.get(at)))
-        {
-            (Some(job), Some(held)) => format!("task {} makes room for {}", held.index, job.id),
-            _ => return,
-        };
-        let victim = self.hosts.get(name).and_then(|h| h.held.get(at)).and_then(|h| h.job);
+        let text =
+            match (self.jobs.get(&winner), self.machines.get(name).and_then(|h| h.held.get(at))) {
+                (Some(job), Some(held)) => format!("task {} makes room for {}", held.index, job.id),
+                _ => return,
+            };
+        let victim = self.machines.get(name).and_then(|h| h.held.get(at)).and_then(|h| h.job);
         if let Some(job) = victim.and_then(|k| self.jobs.get_mut(&k)) {
             tracing::info!("job {}: {text}", job.id);
             job.note(text);
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -13,7 +13,7 @@
     WorkerClient,
 };
 use hookway_constants as constants;
-use hookway_wire::{CheckIn, CheckInAnswer, Event, JobId, ListedHost, MachineType, RentRequest};
+use hookway_wire::{CheckIn, CheckInAnswer, Event, JobId, ListedMachine, MachineType, RentRequest};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -60,7 +60,7 @@
     Committed(Commit, CommitResult),
     Rented(RentRequest, Option<Vec<String>>),
     Deleted(Vec<String>, bool),
-    Listed(Vec<ListedHost>, u64),
+    Listed(Vec<ListedMachine>, u64),
     Delivered(String, u64, Delivery),
     Greeted(String, Option<CheckIn>),
     /// The state service does not answer, or refuses: what waits for a write waits for long.
@@ -287,7 +287,7 @@
                     if kept.is_some()
                         && let Some(ledger) = &mut term.ledger
                     {
-                        ledger.kept_alive(&report.host, now);
+                        ledger.kept_alive(&report.machine, now);
                     }
                     let _ = reply.send(kept.unwrap_or(CheckInReply::Unsure));
                 }
@@ -373,9 +373,9 @@
                 }
                 self.flush(term);
             }
-            Note::Rented(request, hosts) => {
+            Note::Rented(request, machines) => {
                 if let Some(ledger) = &mut term.ledger {
-                    ledger.rented(&request, hosts, at.now);
+                    ledger.rented(&request, machines, at.now);
                     // What was refused is looked for elsewhere at once.
                     term.last_fleet = 0;
                 }
@@ -388,38 +388,38 @@
                     ledger.delete_failed(&names);
                 }
             }
-            Note::Delivered(host, token, delivery) => {
+            Note::Delivered(machine, token, delivery) => {
                 if let Some(ledger) = &mut term.ledger {
-                    ledger.delivered(&host, token, delivery, at.now);
+                    ledger.delivered(&machine, token, delivery, at.now);
                 }
             }
             Note::Listed(list, asked) => {
                 if let Some(ledger) = &mut term.ledger {
                     ledger.listed(&list, asked, at.now);
-                    self.greet(term, at.now);
+                    self.ask_for_report(term, at.now);
                 }
             }
-            Note::Greeted(host, report) => {
+            Note::Greeted(machine, report) => {
                 if let Some(ledger) = &mut term.ledger {
-                    ledger.greeted(&host, report, at.now);
-                    self.greet(term, at.now);
+                    ledger.greeted(&machine, report, at.now);
+                    self.ask_for_report(term, at.now);
                 }
             }
         }
     }
 
     /// Asks workers that have not found this leader yet what is on their machines.
-    fn greet(&self, term: &mut Term, now: u64) {
+    fn ask_for_report(&self, term: &mut Term, now: u64) {
         if !self.validity.holds(term.mandate.term, now) {
             return;
         }
         let Some(ledger) = term.ledger.as_mut() else { return };
-        for (host, address) in ledger.take_greetings(now) {
+        for (machine, address) in ledger.take_greetings(now) {
             let (workers, notes) = (self.workers.clone(), term.notes.clone());
             let token = term.mandate.term;
             term.helpers.spawn(async move {
-                let report = workers.greet(&address, token).await;
-                let _ = notes.send(Note::Greeted(host, report)).await;
+                let report = workers.ask_for_report(&address, token).await;
+                let _ = notes.send(Note::Greeted(machine, report)).await;
             });
         }
     }
@@ -448,7 +448,7 @@
         if due {
             term.last_direct = now;
         }
-        for (host, address, commands) in sends {
+        for (machine, address, commands) in sends {
             let (workers, notes) = (self.workers.clone(), term.notes.clone());
             let entitled = self.entitlement(term.mandate.term);
             term.helpers.spawn(async move {
@@ -458,7 +458,7 @@
                 } else {
                     Delivery::NotSent
                 };
-                let _ = notes.send(Note::Delivered(host, commands.token, delivery)).await;
+                let _ = notes.send(Note::Delivered(machine, commands.token, delivery)).await;
             });
         }
         let Some(commit) = ledger.next_commit(now) else { return };
@@ -528,7 +528,7 @@
         }
         // A long list takes time to read.
         let list_every = constants::CLOUD_LIST_EVERY_MS
-            + constants::CLOUD_LIST_PER_HOST_MS * ledger.host_count() as u64;
+            + constants::CLOUD_LIST_PER_MACHINE_MS * ledger.machine_count() as u64;
         let due = |every: u64| term.last_list.is_none_or(|l| now >= l + every);
         // A machine that has missed its report may be gone, which the list proves.
         if due(list_every) || due(constants::CLOUD_LIST_EVERY_MS) && ledger.some_silent(now) {
@@ -543,7 +543,7 @@
                 }
             });
         }
-        self.greet(term, now);
+        self.ask_for_report(term, now);
         self.flush(term);
     }
 
@@ -567,8 +567,8 @@
                         continue;
                     }
                     match cloud.rent(&request).await {
-                        Ok(RentOutcome::Rented(hosts)) => {
-                            let _ = notes.send(Note::Rented(request, Some(hosts))).await;
+                        Ok(RentOutcome::Rented(machines)) => {
+                            let _ = notes.send(Note::Rented(request, Some(machines))).await;
                             return;
                         }
                         Ok(RentOutcome::NoCapacity) | Err(CloudError::Unexpected(..)) => {
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -118,7 +118,8 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RosterRecord {
     /// By machine.
-    pub hosts: BTreeMap<String, RosterEntry>,
+    #[serde(rename = "hosts")]
+    pub machines: BTreeMap<String, RosterEntry>,
     /// Name and size in GB of the images that entries name.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub images: Vec<(String, f64)>,
@@ -241,8 +242,8 @@
 }
 
 /// `r/<name>`.
-pub fn roster_key(host: &str) -> String {
-    format!("{ROSTER}{host}")
+pub fn roster_key(machine: &str) -> String {
+    format!("{ROSTER}{machine}")
 }
 
 #[cfg(test)]
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -14,9 +14,9 @@
 use hookway_policy::Room;
 use hookway_wire::{
     Cause, Change, CheckIn, CheckInAnswer, Command, CommitAnswer, DirectCommands, ErrorBody, Event,
-    Grant, GrantRequest, Guard, HostNames, HostState, JobId, JobSpec, JobState, JobStatus, KeyPage,
-    KeyValue, ListedHost, MachineType, MachineTypes, RentRequest, ReportElsewhere, TaskReport,
-    TaskState, Transaction, WatchAnswer,
+    Grant, GrantRequest, Guard, JobId, JobSpec, JobState, JobStatus, KeyPage, KeyValue,
+    ListedMachine, MachineList, MachineNames, MachineState, MachineType, MachineTypes, RentRequest,
+    ReportElsewhere, TaskReport, TaskState, Transaction, WatchAnswer,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -84,7 +84,7 @@
         saved,
     };
     CheckIn {
-        host: "m-000231".into(),
+        machine: "m-000231".into(),
         addr: "10.1.0.232:9000".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
@@ -131,8 +131,8 @@
     json("record-marks", &SharedMarksRecord { jobs: BTreeSet::from([id()]) });
     let entry = RosterEntry { at_ms: 1_764_654_219_000, images: vec![0] };
     let bare = RosterEntry { at_ms: 1_764_654_219_001, images: vec![] };
-    let hosts = BTreeMap::from([("m-000231".to_owned(), entry), ("m-000232".to_owned(), bare)]);
-    json("record-roster", &RosterRecord { hosts, images: vec![("img-07".into(), 6.2)] });
+    let machines = BTreeMap::from([("m-000231".to_owned(), entry), ("m-000232".to_owned(), bare)]);
+    json("record-roster", &RosterRecord { machines, images: vec![("img-07".into(), 6.2)] });
     json("record-images", &ImagesRecord { images: vec![("img-07".into(), 6.2)] });
     let need = Room { cpus: 8.0, gpus: 1.0, ram: 64.0 };
     json("record-lane", &ClassRecord { need, image_gb: 6.2, spot: true, gangs: false });
@@ -235,7 +235,7 @@
         count: 12,
     };
     json("cloud-rent", &rent);
-    json("cloud-hosts", &HostNames { hosts: vec!["m-000231".into()] });
+    json("cloud-hosts", &MachineNames { machines: vec!["m-000231".into()] });
     let machine_type = MachineType {
         label: "g8".into(),
         cpus: 96.0,
@@ -249,14 +249,15 @@
         zones: vec!["a".into(), "b".into()],
     };
     json("cloud-flavors", &MachineTypes { machine_types: vec![machine_type] });
-    let listed = ListedHost {
+    let listed = ListedMachine {
         id: "m-000231".into(),
         addr: Some("10.1.0.232:9000".into()),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
-        status: HostState::Running,
+        status: MachineState::Running,
         age_s: 61.5,
     };
     json("cloud-listed", &listed);
+    json("cloud-list", &MachineList { machines: vec![listed], has_next: true });
 }
--- a/crates/controller/tests/ledger.rs
+++ b/crates/controller/tests/ledger.rs
@@ -12,7 +12,7 @@
 use hookway_controller::records::{JobRecord, LEAD_NOW, final_key, job_key};
 use hookway_testkit::{MemoryStore, SETTINGS, ScriptedWorker, machine_types};
 use hookway_wire::{
-    Cause, Change, Command, DirectCommands, Guard, HostState, JobId, JobState, ListedHost,
+    Cause, Change, Command, DirectCommands, Guard, JobId, JobState, ListedMachine, MachineState,
     Transaction,
 };
 use play::{Play, job, listed, setup, small};
@@ -153,7 +153,7 @@
     near.end(&near.live()[0].clone(), Cause::Done);
     next.settle(&mut [&mut near]);
     assert!(!next.ledger.settled(next.now));
-    let entry = listed("m-1", HostState::Running, 100.0);
+    let entry = listed("m-1", MachineState::Running, 100.0);
     next.ledger.listed(&[entry], next.now, next.now);
     next.settle(&mut [&mut near]);
     assert_eq!(near.live(), [lost]);
@@ -488,7 +488,7 @@
     let (mut one, mut two) = (small("m-1", "a"), small("m-2", "a"));
     play.submit(job("req-000001", "array", 1));
     play.settle(&mut [&mut one]);
-    let entry = listed("m-1", HostState::Failed, 60.0);
+    let entry = listed("m-1", MachineState::Failed, 60.0);
     play.ledger.listed(&[entry], play.now, play.now);
     play.settle(&mut [&mut two]);
     assert_eq!(two.live(), ["req-000001/0"]);
@@ -538,8 +538,8 @@
     play.settle(&mut [w]);
     play.submit(job("req-000001", "array", 1));
     play.wait(1_000);
-    let (host, _, commands) = play.ledger.take_direct(play.now).pop().expect("a start");
-    assert_eq!(host, "m-1");
+    let (machine, _, commands) = play.ledger.take_direct(play.now).pop().expect("a start");
+    assert_eq!(machine, "m-1");
     commands
 }
 
@@ -663,7 +663,7 @@
     assert!(play.store.get("i/m-1").is_none() && play.store.get("r/m-1").is_none());
     // The next leader knows them all, and the image of the first.
     let next = Play::lead(play.store.clone(), 3, 50_000);
-    assert_eq!(next.ledger.host_count(), 60);
+    assert_eq!(next.ledger.machine_count(), 60);
     let record = next.store.list("r/").remove(0).v;
     assert_eq!(record["images"][0][0], "img");
 }
@@ -809,9 +809,9 @@
     let copy = w.report();
     play.ledger.check_in(&copy, play.now);
     play.ledger.deleted(&["m-1".into()], play.now);
-    let hosts = play.ledger.host_count();
+    let machines = play.ledger.machine_count();
     assert_eq!(play.ledger.check_in(&copy, play.now + 60_000), None, "it is gone");
-    assert_eq!(play.ledger.host_count(), hosts);
+    assert_eq!(play.ledger.machine_count(), machines);
     // After a change of leader: it carries the old token and settles nothing.
     let copy = other.report();
     play.ledger.check_in(&copy, play.now);
@@ -1075,11 +1075,11 @@
     play.submit(job("req-000001", "array", (near + cut + 1) as u32));
     play.settle(&mut a.iter_mut().chain(b.iter_mut()).collect::<Vec<_>>());
     let mut next = Play::lead(play.store.clone(), 2, 30_000);
-    let entries: Vec<ListedHost> = a
+    let entries: Vec<ListedMachine> = a
         .iter_mut()
         .chain(b.iter_mut())
         .map(|w| w.report())
-        .map(|r| ListedHost { zone: r.zone, ..listed(&r.host, HostState::Running, 60.0) })
+        .map(|r| ListedMachine { zone: r.zone, ..listed(&r.machine, MachineState::Running, 60.0) })
         .collect();
     next.ledger.listed(&entries, next.now, next.now);
     // One machine of the zone that is cut off reports, as some do from before a cut.
@@ -1220,14 +1220,15 @@
 #[test]
 fn jobs_with_a_mistake_condemn_no_machine_and_are_tried_one_task_at_a_time() {
     let mut play = Play::start();
-    let mut hosts: Vec<ScriptedWorker> = (1..=6).map(|n| small(&format!("m-{n}"), "a")).collect();
+    let mut machines: Vec<ScriptedWorker> =
+        (1..=6).map(|n| small(&format!("m-{n}"), "a")).collect();
     let mut ids = Vec::new();
     for n in 1..=4 {
         ids.push(play.submit(job(&format!("req-00000{n}"), "array", 3)));
     }
     let mut tries = Vec::new();
     for _ in 0..120 {
-        for w in &mut hosts {
+        for w in &mut machines {
             play.beat(w);
             let running = w.live();
             for task in &running {
@@ -1308,9 +1309,9 @@
     one.end(&one.live()[0].clone(), Cause::Done);
 
     let mut next = Play::lead(play.store.clone(), 5_000, 20_000);
-    let list = ["m-1", "m-2"].map(|m| ListedHost {
+    let list = ["m-1", "m-2"].map(|m| ListedMachine {
         addr: Some("127.0.0.1:9".into()),
-        ..listed(m, HostState::Running, 60.0)
+        ..listed(m, MachineState::Running, 60.0)
     });
     next.ledger.listed(&list, next.now, next.now);
     assert!(next.ledger.take_greetings(next.now).is_empty(), "most come by themselves");
--- a/crates/controller/tests/meetings.rs
+++ b/crates/controller/tests/meetings.rs
@@ -7,7 +7,7 @@
 use hookway_controller::ledger::{CommitResult, Lookup, Withdrawal, lease_over_ms};
 use hookway_controller::records::minimum_key;
 use hookway_testkit::{MemoryStore, ScriptedWorker};
-use hookway_wire::{Cause, Command, DirectCommands, HostState, JobId, JobState};
+use hookway_wire::{Cause, Command, DirectCommands, JobId, JobState, MachineState};
 use play::{Play, job, listed, setup, small};
 
 /// Machines of both zones with a task each, of a job that is bound to zones in some way.
@@ -220,7 +220,7 @@
     // It asks the worker, which tells it what it has under its token.
     let hello = DirectCommands { token: 2, session: worker.session(), commands: vec![] };
     let told = worker.commands(&hello).expect("a higher token");
-    next.ledger.listed(&[listed("m-1", HostState::Running, 60.0)], next.now, next.now);
+    next.ledger.listed(&[listed("m-1", MachineState::Running, 60.0)], next.now, next.now);
     next.ledger.greeted("m-1", Some(told), next.now);
     next.settle(&mut [&mut worker]);
     next.now += 60_000;
--- a/crates/controller/tests/play/mod.rs
+++ b/crates/controller/tests/play/mod.rs
@@ -7,7 +7,7 @@
 use hookway_controller::ledger::{CommitResult, Ledger, Loaded, Lookup, Moment, Setup};
 use hookway_controller::records::{JobRecord, LEAD_NOW, final_key, job_key};
 use hookway_testkit::{MemoryStore, SETTINGS, ScriptedWorker, machine_types};
-use hookway_wire::{Command, Guard, HostState, JobId, JobSpec, JobState, ListedHost};
+use hookway_wire::{Command, Guard, JobId, JobSpec, JobState, ListedMachine, MachineState};
 
 pub fn job(id: &str, kind: &str, tasks: u32) -> JobSpec {
     let text = format!(
@@ -122,8 +122,8 @@
     }
 
     /// Whether the roster in the store names the machine.
-    pub fn rostered(&self, host: &str) -> bool {
-        self.store.list("r/").iter().any(|kv| kv.v["hosts"].get(host).is_some())
+    pub fn rostered(&self, machine: &str) -> bool {
+        self.store.list("r/").iter().any(|kv| kv.v["hosts"].get(machine).is_some())
     }
 
     pub fn state(&self, id: &JobId) -> JobState {
@@ -144,8 +144,8 @@
 }
 
 /// An entry of the cloud's list.
-pub fn listed(name: &str, status: HostState, age_s: f64) -> ListedHost {
-    ListedHost {
+pub fn listed(name: &str, status: MachineState, age_s: f64) -> ListedMachine {
+    ListedMachine {
         id: name.into(),
         addr: None,
         machine_type: "small".into(),
--- a/crates/controller/tests/world/controllers.rs
+++ b/crates/controller/tests/world/controllers.rs
@@ -13,7 +13,7 @@
 use hookway_controller::records::LEAD_NOW;
 use hookway_testkit::{SETTINGS, machine_types};
 use hookway_wire::{
-    Change, CheckIn, Command, DirectCommands, Guard, HostState, JobId, JobState, ListedHost,
+    Change, CheckIn, Command, DirectCommands, Guard, JobId, JobState, ListedMachine, MachineState,
     Transaction,
 };
 use rand::RngExt;
@@ -256,15 +256,15 @@
         });
     }
 
-    fn list(&self) -> Vec<ListedHost> {
+    fn list(&self) -> Vec<ListedMachine> {
         let seen = |m: &&Machine| !m.dead && self.now >= m.born + LIST_LAG;
-        let listed = |m: &Machine| ListedHost {
+        let listed = |m: &Machine| ListedMachine {
             id: m.name.clone(),
             addr: Some("127.0.0.1:9".into()),
             machine_type: "small".into(),
             zone: m.worker.zone().into(),
             spot: false,
-            status: HostState::Running,
+            status: MachineState::Running,
             age_s: (self.now - m.born) as f64 / 1000.0,
         };
         self.machines.iter().filter(seen).map(listed).collect()
@@ -343,9 +343,9 @@
     fn send_orders(&mut self, n: usize, leader: &mut Leader) {
         let (now, term) = (self.now, leader.term);
         let mut messages: Vec<(usize, DirectCommands, bool)> = Vec::new();
-        let index = |host: &str| -> usize { host[2..].parse().expect("a number") };
-        for (host, _, commands) in leader.ledger.take_direct(now) {
-            messages.push((index(&host) - 1, commands, true));
+        let index = |machine: &str| -> usize { machine[2..].parse().expect("a number") };
+        for (machine, _, commands) in leader.ledger.take_direct(now) {
+            messages.push((index(&machine) - 1, commands, true));
         }
         let greetings = leader.ledger.take_greetings(now);
         let stops = leader.ledger.take_pushes(now);
@@ -380,8 +380,8 @@
                 self.at(now + 1_500, outcome);
             }
         }
-        for (host, _) in greetings {
-            self.send(|| Message::Greet(n, term, index(&host) - 1));
+        for (machine, _) in greetings {
+            self.send(|| Message::Greet(n, term, index(&machine) - 1));
         }
         if let Some(commit) = commit {
             self.check_limits(n, &commit.transaction);
@@ -493,7 +493,7 @@
                 match (kept, leader) {
                     (Some(kept), leader) => {
                         if let Some(leader) = leader {
-                            leader.ledger.kept_alive(&report.host, now);
+                            leader.ledger.kept_alive(&report.machine, now);
                         }
                         self.counts.kept += 1;
                         self.counts.stopped_by_holders += kept.answer.commands.len();
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -1,5 +1,5 @@
 use crate::place::{could_hold, least_need};
-use crate::{HostView, Room, World, wanted};
+use crate::{MachineView, Room, World, wanted};
 
 /// A type, zone and kind of machine that can be rented now.
 #[derive(Debug, Clone, PartialEq)]
@@ -35,20 +35,20 @@
 /// How many machines are wanted. Wanted work is laid out over the free room of the machines there
 /// are and those that are booting; what finds none is laid out over the cheapest offers.
 pub fn plan_fleet(world: &World, offers: &[Offer]) -> FleetPlan {
-    let mut free: Vec<Room> = world.hosts.iter().map(|h| h.free).collect();
-    let mut plan = FleetPlan { rent: vec![], needed: vec![false; world.hosts.len()] };
+    let mut free: Vec<Room> = world.machines.iter().map(|h| h.free).collect();
+    let mut plan = FleetPlan { rent: vec![], needed: vec![false; world.machines.len()] };
     // Machines that this plan rents, with the room that is left on them.
     let mut rented: Vec<(usize, Room)> = Vec::new();
     let mut used: Vec<Room> = world.teams.iter().map(|t| t.used).collect();
     // Work is laid out on cheap machines first, so that dear ones are the ones to return.
-    let zones = world.hosts.iter().map(|h| h.zone).chain(offers.iter().map(|o| o.zone));
+    let zones = world.machines.iter().map(|h| h.zone).chain(offers.iter().map(|o| o.zone));
     let zones = zones.max().map_or(0, |last| last + 1);
     let least = least_need(&world.jobs);
     let mut by_price: Vec<usize> =
-        (0..world.hosts.len()).filter(|i| free[*i].fits(&least)).collect();
+        (0..world.machines.len()).filter(|i| free[*i].fits(&least)).collect();
     by_price.sort_by(|a, b| {
-        let (a, b) = (&world.hosts[*a], &world.hosts[*b]);
-        let priority = |h: &HostView| (h.booting, h.held.is_empty());
+        let (a, b) = (&world.machines[*a], &world.machines[*b]);
+        let priority = |h: &MachineView| (h.booting, h.held.is_empty());
         priority(a).cmp(&priority(b)).then(a.cpu_price().total_cmp(&b.cpu_price()))
     });
     // Nothing is rented for a job that fails wherever it is tried, unless no machines are left that could try
@@ -79,21 +79,21 @@
         by_price.retain(|i| free[*i].fits(&least));
         let mut open = open_zones(world, job_ix, zones, short, &by_price, &free, offers);
         for &i in &by_price {
-            let host = &world.hosts[i];
+            let machine = &world.machines[i];
             if short == 0 {
                 break;
             }
-            if !takes(world, job_ix, host) {
+            if !takes(world, job_ix, machine) {
                 continue;
             }
-            let n = free[i].count(&job.need).min(short).min(open[host.zone]);
+            let n = free[i].count(&job.need).min(short).min(open[machine.zone]);
             if n > 0 {
                 plan.needed[i] = true;
                 for _ in 0..n {
                     free[i].take(&job.need);
                 }
                 short -= n;
-                open[host.zone] -= n;
+                open[machine.zone] -= n;
             }
         }
         for (offer, room) in &mut rented {
@@ -111,11 +111,11 @@
             }
         }
         while short > 0 {
-            let Some((offer, per_host)) = cheapest(world, job_ix, short, offers, &open) else {
+            let Some((offer, per_machine)) = cheapest(world, job_ix, short, offers, &open) else {
                 break;
             };
             let machine_type = &world.machine_types[offers[offer].machine_type];
-            let n = per_host.min(short).min(open[offers[offer].zone]);
+            let n = per_machine.min(short).min(open[offers[offer].zone]);
             open[offers[offer].zone] -= n;
             let mut room = Room::of_machine_type(machine_type);
             for _ in 0..n {
@@ -135,10 +135,10 @@
     for job_ix in (0..world.jobs.len()).filter(|j| world.jobs[*j].doubtful && !world.jobs[*j].gang)
     {
         let job = &world.jobs[job_ix];
-        let fits = |h: &HostView| takes(world, job_ix, h) && h.total.fits(&job.need);
+        let fits = |h: &MachineView| takes(world, job_ix, h) && h.total.fits(&job.need);
         let coming = plan.rent.iter().map(|r| &offers[r.offer]);
         let mut coming = coming.filter(|o| job.allows(o.machine_type, o.zone, o.spot));
-        if job.startable == 0 || coming.next().is_some() || world.hosts.iter().any(fits) {
+        if job.startable == 0 || coming.next().is_some() || world.machines.iter().any(fits) {
             continue;
         }
         let open = vec![1; zones];
@@ -149,11 +149,11 @@
     plan
 }
 
-fn takes(world: &World, job: usize, host: &HostView) -> bool {
-    (host.open || host.booting)
-        && host.kept_for.is_none_or(|k| k == job)
-        && !host.shunned_by.contains(&job)
-        && world.jobs[job].allows(host.machine_type, host.zone, host.spot)
+fn takes(world: &World, job: usize, machine: &MachineView) -> bool {
+    (machine.open || machine.booting)
+        && machine.kept_for.is_none_or(|k| k == job)
+        && !machine.shunned_by.contains(&job)
+        && world.jobs[job].allows(machine.machine_type, machine.zone, machine.spot)
 }
 
 /// How many more tasks of a job each zone may hold. Without this a gang that must spread, or be one_zone,
@@ -163,7 +163,7 @@
     job_ix: usize,
     zones: usize,
     short: u32,
-    hosts: &[usize],
+    machines: &[usize],
     free: &[Room],
     offers: &[Offer],
 ) -> Vec<u32> {
@@ -176,9 +176,9 @@
     // In one zone: where it is; else where there is room for all of a gang, or a good part of an array; else
     // where more can be rented.
     let room = |zone: usize| -> u32 {
-        let there = hosts.iter().filter(|i| world.hosts[**i].zone == zone);
+        let there = machines.iter().filter(|i| world.machines[**i].zone == zone);
         there
-            .filter(|i| takes(world, job_ix, &world.hosts[**i]))
+            .filter(|i| takes(world, job_ix, &world.machines[**i]))
             .fold(0, |n: u32, i| n.saturating_add(free[*i].count(&job.need)))
     };
     let rentable = |zone: usize| {
--- a/crates/policy/src/fleet/tests.rs
+++ b/crates/policy/src/fleet/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::place::tests::{host, job, world};
+use crate::place::tests::{job, machine, world};
 
 #[test]
 fn machines_are_rented_for_what_finds_no_room() {
-    let w = world(vec![job(1.0, 10)], vec![host(0)]);
+    let w = world(vec![job(1.0, 10)], vec![machine(0)]);
     let offers = [
         Offer { machine_type: 0, zone: 0, spot: false, price: 1.0 },
         Offer { machine_type: 0, zone: 1, spot: true, price: 0.3 },
@@ -22,7 +22,7 @@
 #[test]
 fn a_gang_that_must_spread_gets_machines_in_the_other_zone() {
     let spread = crate::JobView { zone_cap: 2, ..gang(3) };
-    let w = world(vec![spread], vec![host(0), host(0), host(0)]);
+    let w = world(vec![spread], vec![machine(0), machine(0), machine(0)]);
     let offers = [0, 1].map(|zone| Offer { machine_type: 0, zone, spot: false, price: 1.0 });
     assert_eq!(plan_fleet(&w, &offers).rent, [Rent { offer: 1, count: 1 }]);
 }
@@ -30,12 +30,12 @@
 #[test]
 fn a_gang_that_must_be_together_gets_what_one_zone_lacks() {
     let one_zone = crate::JobView { one_zone: true, ..gang(3) };
-    let w = world(vec![one_zone.clone()], vec![host(0), host(1), host(1)]);
+    let w = world(vec![one_zone.clone()], vec![machine(0), machine(1), machine(1)]);
     let offers = [0, 1].map(|zone| Offer { machine_type: 0, zone, spot: false, price: 1.0 });
     assert_eq!(plan_fleet(&w, &offers).rent, [Rent { offer: 1, count: 1 }]);
     // Where nothing can be rented it never fits; all of it goes where something can.
     assert_eq!(plan_fleet(&w, &offers[..1]).rent, [Rent { offer: 0, count: 2 }]);
-    let whole = world(vec![one_zone], vec![host(0), host(1), host(1), host(1)]);
+    let whole = world(vec![one_zone], vec![machine(0), machine(1), machine(1), machine(1)]);
     assert_eq!(plan_fleet(&whole, &offers).rent, []);
 }
 
@@ -45,7 +45,7 @@
     let offers = [1].map(|zone| Offer { machine_type: 0, zone, spot: false, price: 1.0 });
     let rented = |tasks: u32| {
         let one_zone = crate::JobView { one_zone: true, ..job(3.0, tasks) };
-        let w = world(vec![one_zone], vec![host(0), host(0)]);
+        let w = world(vec![one_zone], vec![machine(0), machine(0)]);
         plan_fleet(&w, &offers).rent.iter().map(|r| r.count).sum::<u32>()
     };
     assert_eq!(rented(8), 0, "zone 0 has room for a good part of it, and is sold out");
@@ -58,16 +58,17 @@
 fn a_job_that_failed_gets_a_machine_where_none_is_left() {
     let doubtful = crate::JobView { doubtful: true, startable: 1, ..job(3.0, 30) };
     let offers = [Offer { machine_type: 0, zone: 0, spot: false, price: 1.0 }];
-    let rented = |jobs: Vec<crate::JobView>, hosts| plan_fleet(&world(jobs, hosts), &offers).rent;
+    let rented =
+        |jobs: Vec<crate::JobView>, machines| plan_fleet(&world(jobs, machines), &offers).rent;
     let two = vec![doubtful.clone(), doubtful.clone()];
     assert_eq!(rented(two, vec![]), [Rent { offer: 0, count: 1 }], "one for all of them");
-    let mut busy = host(0);
+    let mut busy = machine(0);
     busy.free = Room::default();
     assert_eq!(rented(vec![doubtful.clone()], vec![busy]), [], "there is one that will be free");
     let gang = crate::JobView { gang: true, startable: 3, ..doubtful.clone() };
     let gang = crate::JobView { tasks: 3, unfinished: 3, zone_cap: 3, ..gang };
-    assert_eq!(rented(vec![gang.clone()], vec![host(0)]), [Rent { offer: 0, count: 2 }]);
-    assert_eq!(rented(vec![gang], vec![host(0), host(0), host(0)]), []);
+    assert_eq!(rented(vec![gang.clone()], vec![machine(0)]), [Rent { offer: 0, count: 2 }]);
+    assert_eq!(rented(vec![gang], vec![machine(0), machine(0), machine(0)]), []);
     let pausing = crate::JobView { startable: 0, ..doubtful };
     assert_eq!(rented(vec![pausing], vec![]), []);
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -2,7 +2,7 @@
 //! goes, who has to make room, and how many machines are wanted.
 //!
 //! Nothing here reads a clock or does I/O. Times are seconds on one scale that the caller chooses;
-//! hosts, jobs, zones and machine types are named by their index in the slices that the caller hands
+//! machines, jobs, zones and machine types are named by their index in the slices that the caller hands
 //! over.
 
 mod fleet;
@@ -19,4 +19,4 @@
 pub use place::{Placed, Placement, fits_somewhere, place};
 pub use preempt::{Eviction, evict};
 pub use room::Room;
-pub use view::{HeldView, HostView, JobView, TeamView, World};
+pub use view::{HeldView, JobView, MachineView, TeamView, World};
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -1,5 +1,5 @@
 use crate::preempt::worth_evicting;
-use crate::{HostView, JobView, Room, TeamView, Turn, World, turns};
+use crate::{JobView, MachineView, Room, TeamView, Turn, World, turns};
 use hookway_constants as constants;
 
 /// Tasks of a job that are to start, one entry a task.
@@ -8,7 +8,7 @@
     /// The job.
     pub job: usize,
     /// The machine of each task.
-    pub hosts: Vec<usize>,
+    pub machines: Vec<usize>,
 }
 
 /// What a round decided.
@@ -23,44 +23,44 @@
 }
 
 /// Time until a machine has a job's image, s; 0 if it is thought to hold it.
-pub(crate) fn fetch_time(world: &World, job: &JobView, host: &HostView) -> f64 {
-    if host.images.contains(&job.image) {
+pub(crate) fn fetch_time(world: &World, job: &JobView, machine: &MachineView) -> f64 {
+    if machine.images.contains(&job.image) {
         return 0.0;
     }
-    world.machine_types.get(host.machine_type).map_or(0.0, |f| f.fetch_s(job.image_gb))
+    world.machine_types.get(machine.machine_type).map_or(0.0, |f| f.fetch_s(job.image_gb))
 }
 
 /// How badly a machine suits a task; smaller is better. Seconds of image fetch (image locality, the
 /// paper's data locality) plus what keeps whole machines free for work that needs them.
-fn badness(world: &World, job: &JobView, host: &HostView) -> f64 {
-    let mut cost = constants::IMAGE_MISS_PENALTY * fetch_time(world, job, host);
+fn badness(world: &World, job: &JobView, machine: &MachineView) -> f64 {
+    let mut cost = constants::IMAGE_MISS_PENALTY * fetch_time(world, job, machine);
     // Fill machines that are in use before empty ones, small ones before large ones.
-    let after = 1.0 - job.need.share_of(&host.free).min(1.0);
+    let after = 1.0 - job.need.share_of(&machine.free).min(1.0);
     cost += constants::LOOSE_FIT_PENALTY_S * after;
-    if host.held.is_empty() {
+    if machine.held.is_empty() {
         cost += constants::EMPTY_MACHINE_PENALTY_S;
     }
     // Machines that a gang's task needs whole are left to gangs while others have room: what would
     // have to be stopped for them loses its work.
-    if !job.gang && world.gang_needs.iter().any(|need| host.total.fits(need)) {
-        cost += constants::GANG_HOST_PENALTY_S;
+    if !job.gang && world.gang_needs.iter().any(|need| machine.total.fits(need)) {
+        cost += constants::GANG_MACHINE_PENALTY_S;
     }
     // Dear machines last, so that they are the ones that fall idle and can be returned.
     let cheapest = world.cheapest_cpu;
     if cheapest > 0.0 {
-        cost += constants::PRICE_PENALTY_S * (host.cpu_price() / cheapest - 1.0).clamp(0.0, 4.0);
+        cost += constants::PRICE_PENALTY_S * (machine.cpu_price() / cheapest - 1.0).clamp(0.0, 4.0);
     }
     cost
 }
 
-fn usable(job_ix: usize, job: &JobView, host: &HostView) -> bool {
-    host.open
-        && !host.booting
-        && host.kept_for.is_none_or(|k| k == job_ix)
-        && !host.shunned_by.contains(&job_ix)
-        && job.allows(host.machine_type, host.zone, host.spot)
-        && host.free.fits(&job.need)
-        && job.zone_open(host.zone)
+fn usable(job_ix: usize, job: &JobView, machine: &MachineView) -> bool {
+    machine.open
+        && !machine.booting
+        && machine.kept_for.is_none_or(|k| k == job_ix)
+        && !machine.shunned_by.contains(&job_ix)
+        && job.allows(machine.machine_type, machine.zone, machine.spot)
+        && machine.free.fits(&job.need)
+        && job.zone_open(machine.zone)
 }
 
 /// The machines that the job could use, best first. What a task changes on its machine makes it a better
@@ -70,19 +70,21 @@
     let job = &world.jobs[job_ix];
     let mut fits: Vec<(f64, usize)> = roomy
         .iter()
-        .map(|i| (*i, &world.hosts[*i]))
-        .filter(|(_, host)| zone.is_none_or(|z| z == host.zone) && usable(job_ix, job, host))
-        .map(|(i, host)| (badness(world, job, host), i))
+        .map(|i| (*i, &world.machines[*i]))
+        .filter(|(_, machine)| {
+            zone.is_none_or(|z| z == machine.zone) && usable(job_ix, job, machine)
+        })
+        .map(|(i, machine)| (badness(world, job, machine), i))
         .collect();
     fits.sort_unstable_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
     fits.into_iter().map(|(_, i)| i).collect()
 }
 
 /// Puts a task of the job on a machine.
-fn put(world: &mut World, job_ix: usize, host: usize) {
+fn put(world: &mut World, job_ix: usize, machine: usize) {
     let need = world.jobs[job_ix].need;
-    let zone = world.hosts[host].zone;
-    world.hosts[host].free.take(&need);
+    let zone = world.machines[machine].zone;
+    world.machines[machine].free.take(&need);
     let job = &mut world.jobs[job_ix];
     if let Some(team) = world.teams.get_mut(job.team) {
         team.used.give(&need);
@@ -106,13 +108,13 @@
 }
 
 fn zones(world: &World) -> usize {
-    world.hosts.iter().map(|h| h.zone + 1).max().unwrap_or(0)
+    world.machines.iter().map(|h| h.zone + 1).max().unwrap_or(0)
 }
 
 fn room_in(world: &World, job_ix: usize, zone: usize) -> u32 {
     let job = &world.jobs[job_ix];
     world
-        .hosts
+        .machines
         .iter()
         .filter(|h| h.zone == zone && usable(job_ix, job, h))
         .fold(0u32, |n, h| n.saturating_add(h.free.count(&job.need)))
@@ -121,15 +123,16 @@
 /// Whether a gang that found room on these machines should rather wait a moment. It starts one_zone,
 /// so one missing image keeps all of it waiting: where machines that hold the image are being
 /// cleared for it, or can be cleared at less cost, that is the earlier start.
-fn better_cleared(world: &World, job_ix: usize, hosts: &[usize]) -> bool {
+fn better_cleared(world: &World, job_ix: usize, machines: &[usize]) -> bool {
     let job = &world.jobs[job_ix];
-    let fetch = hosts.iter().map(|h| fetch_time(world, job, &world.hosts[*h])).fold(0.0, f64::max);
+    let fetch =
+        machines.iter().map(|h| fetch_time(world, job, &world.machines[*h])).fold(0.0, f64::max);
     if fetch <= 0.0 || job.doubtful {
         return false;
     }
     // Machines are being cleared for it that all hold the image. Where some lack it, the gang waits for a
     // fetch in any case, and had better begin.
-    let mut kept = world.hosts.iter().filter(|h| h.kept_for == Some(job_ix)).peekable();
+    let mut kept = world.machines.iter().filter(|h| h.kept_for == Some(job_ix)).peekable();
     let clearing = kept.peek().is_some() && kept.all(|h| fetch_time(world, job, h) <= 0.0);
     let whole = job.need.cpus * f64::from(job.tasks);
     clearing || worth_evicting(world, job_ix, fetch * whole)
@@ -157,39 +160,39 @@
     };
     // What has to be put back if a gang finds room for part of it only.
     let before = gang.then(|| (world.jobs[job_ix].clone(), world.teams.clone()));
-    let mut hosts = Vec::new();
-    for host in by_fit(world, job_ix, zone, roomy) {
-        while (hosts.len() as u32) < allowed
-            && usable(job_ix, &world.jobs[job_ix], &world.hosts[host])
+    let mut machines = Vec::new();
+    for machine in by_fit(world, job_ix, zone, roomy) {
+        while (machines.len() as u32) < allowed
+            && usable(job_ix, &world.jobs[job_ix], &world.machines[machine])
         {
-            put(world, job_ix, host);
-            hosts.push(host);
+            put(world, job_ix, machine);
+            machines.push(machine);
         }
-        if hosts.len() as u32 == allowed {
+        if machines.len() as u32 == allowed {
             break;
         }
     }
     if let Some((job, teams)) = before {
         // What was free before the gang was laid out, for a second look at it.
         let undo = |world: &mut World| {
-            for host in &hosts {
-                world.hosts[*host].free.give(&job.need);
+            for machine in &machines {
+                world.machines[*machine].free.give(&job.need);
             }
         };
-        let whole = hosts.len() as u32 == tasks;
+        let whole = machines.len() as u32 == tasks;
         undo(world);
         let laid_out = std::mem::replace(&mut world.jobs[job_ix], job);
         let used = std::mem::replace(&mut world.teams, teams);
-        if !whole || better_cleared(world, job_ix, &hosts) {
+        if !whole || better_cleared(world, job_ix, &machines) {
             return Vec::new();
         }
-        for host in &hosts {
-            world.hosts[*host].free.take(&laid_out.need);
+        for machine in &machines {
+            world.machines[*machine].free.take(&laid_out.need);
         }
         world.jobs[job_ix] = laid_out;
         world.teams = used;
     }
-    hosts
+    machines
 }
 
 /// One scheduling round: fills the machines' free room in the design's order. Quotas, zones and
@@ -197,19 +200,21 @@
 pub fn place(world: &mut World) -> Placed {
     let mut placed = Placed::default();
     let mut room_kept = false;
-    let capacity = world.hosts.iter().filter(|h| h.open && !h.booting).map(|h| h.total.cpus).sum();
+    let capacity =
+        world.machines.iter().filter(|h| h.open && !h.booting).map(|h| h.total.cpus).sum();
     let least = least_need(&world.jobs);
-    let mut roomy: Vec<usize> = (0..world.hosts.len()).filter(|i| world.hosts[*i].open).collect();
+    let mut roomy: Vec<usize> =
+        (0..world.machines.len()).filter(|i| world.machines[*i].open).collect();
     for turn in turns(&world.jobs, world.now, capacity) {
-        roomy.retain(|i| world.hosts[*i].free.fits(&least));
-        let hosts = place_job(world, turn.job, turn.tasks, &roomy);
+        roomy.retain(|i| world.machines[*i].free.fits(&least));
+        let machines = place_job(world, turn.job, turn.tasks, &roomy);
         let job = &world.jobs[turn.job];
-        if !job.gang && (hosts.len() as u32) < turn.tasks.min(job.startable) {
-            let tasks = turn.tasks - hosts.len() as u32;
+        if !job.gang && (machines.len() as u32) < turn.tasks.min(job.startable) {
+            let tasks = turn.tasks - machines.len() as u32;
             placed.left.push(Turn { tasks, ..turn });
         }
-        if !hosts.is_empty() {
-            placed.placements.push(Placement { job: turn.job, hosts });
+        if !machines.is_empty() {
+            placed.placements.push(Placement { job: turn.job, machines });
             continue;
         }
         if !job.gang || turn.leftover || job.doubtful {
@@ -249,9 +254,9 @@
 
 /// What a machine has for a job once all that ends by itself, or gives way to it, is gone: replicas of daemons
 /// that are no lower in priority stay.
-fn room_in_the_end(world: &World, job: &JobView, host: &HostView) -> Room {
-    let mut room = host.total;
-    for held in &host.held {
+fn room_in_the_end(world: &World, job: &JobView, machine: &MachineView) -> Room {
+    let mut room = machine.total;
+    for held in &machine.held {
         let other = &world.jobs[held.job];
         if other.daemon && other.priority >= job.priority && !held.leaving {
             room.take(&held.need);
@@ -264,11 +269,11 @@
 pub(crate) fn could_hold(world: &World, job_ix: usize) -> bool {
     let job = &world.jobs[job_ix];
     let mut per_zone = vec![0u32; zones(world)];
-    for host in world.hosts.iter().filter(|h| h.open || h.booting) {
-        let able = job.allows(host.machine_type, host.zone, host.spot);
-        if able && !host.shunned_by.contains(&job_ix) {
-            let here = &mut per_zone[host.zone];
-            let room = room_in_the_end(world, job, host);
+    for machine in world.machines.iter().filter(|h| h.open || h.booting) {
+        let able = job.allows(machine.machine_type, machine.zone, machine.spot);
+        if able && !machine.shunned_by.contains(&job_ix) {
+            let here = &mut per_zone[machine.zone];
+            let room = room_in_the_end(world, job, machine);
             *here = here.saturating_add(room.count(&job.need)).min(job.zone_cap);
         }
     }
@@ -283,9 +288,9 @@
 /// Keeps machines for a waiting gang: those that would have room for it soonest.
 fn keep_room(world: &mut World, job_ix: usize) -> bool {
     let job = &world.jobs[job_ix];
-    let mut candidates: Vec<usize> = (0..world.hosts.len())
+    let mut candidates: Vec<usize> = (0..world.machines.len())
         .filter(|i| {
-            let h = &world.hosts[*i];
+            let h = &world.machines[*i];
             h.open
                 && !h.booting
                 && h.kept_for.is_none_or(|k| k == job_ix)
@@ -294,7 +299,7 @@
                 && room_in_the_end(world, job, h).fits(&job.need)
         })
         .collect();
-    let used = |i: &usize| 1.0 - world.hosts[*i].free.share_of(&world.hosts[*i].total);
+    let used = |i: &usize| 1.0 - world.machines[*i].free.share_of(&world.machines[*i].total);
     candidates.sort_by(|a, b| used(a).total_cmp(&used(b)));
     let options: Vec<Option<usize>> =
         if job.one_zone { (0..zones(world)).map(Some).collect() } else { vec![None] };
@@ -303,21 +308,21 @@
         let mut chosen = Vec::new();
         let mut left = job.startable;
         for i in &candidates {
-            let host = &world.hosts[*i];
-            if left == 0 || zone.is_some_and(|z| z != host.zone) {
+            let machine = &world.machines[*i];
+            if left == 0 || zone.is_some_and(|z| z != machine.zone) {
                 continue;
             }
-            let open = job.zone_cap.saturating_sub(per_zone[host.zone]);
-            let fits = room_in_the_end(world, job, host).count(&job.need).min(left).min(open);
+            let open = job.zone_cap.saturating_sub(per_zone[machine.zone]);
+            let fits = room_in_the_end(world, job, machine).count(&job.need).min(left).min(open);
             if fits > 0 {
-                per_zone[host.zone] += fits;
+                per_zone[machine.zone] += fits;
                 left -= fits;
                 chosen.push(*i);
             }
         }
         if left == 0 {
             for i in chosen {
-                world.hosts[i].kept_for = Some(job_ix);
+                world.machines[i].kept_for = Some(job_ix);
             }
             return true;
         }
--- a/crates/policy/src/place/tests.rs
+++ b/crates/policy/src/place/tests.rs
@@ -36,17 +36,18 @@
 /// What [`by_fit`] and filling machine after machine must come to: the best machine, looked for anew
 /// for each task.
 fn one_by_one(world: &mut World, job_ix: usize, tasks: u32) -> Vec<usize> {
-    let mut hosts = Vec::new();
+    let mut machines = Vec::new();
     for _ in 0..tasks {
         let job = &world.jobs[job_ix];
-        let open = |i: &usize| usable(job_ix, job, &world.hosts[*i]);
-        let cost = |i: &usize| badness(world, job, &world.hosts[*i]);
-        let best = (0..world.hosts.len()).filter(open).min_by(|a, b| cost(a).total_cmp(&cost(b)));
-        let Some(host) = best else { break };
-        put(world, job_ix, host);
-        hosts.push(host);
+        let open = |i: &usize| usable(job_ix, job, &world.machines[*i]);
+        let cost = |i: &usize| badness(world, job, &world.machines[*i]);
+        let best =
+            (0..world.machines.len()).filter(open).min_by(|a, b| cost(a).total_cmp(&cost(b)));
+        let Some(machine) = best else { break };
+        put(world, job_ix, machine);
+        machines.push(machine);
     }
-    hosts
+    machines
 }
 
 #[test]
@@ -54,8 +55,9 @@
     use rand::{RngExt, SeedableRng};
     let mut rng = rand::rngs::StdRng::seed_from_u64(7);
     for _ in 0..200 {
-        let mut hosts: Vec<HostView> = (0..40).map(|_| host(rng.random_range(0..3))).collect();
-        for h in &mut hosts {
+        let mut machines: Vec<MachineView> =
+            (0..40).map(|_| machine(rng.random_range(0..3))).collect();
+        for h in &mut machines {
             h.free.cpus = f64::from(rng.random_range(0..5u8));
             h.images = (0..rng.random_range(0..3u32)).collect();
             h.spot = rng.random_range(0..3) == 0;
@@ -70,7 +72,7 @@
             image: rng.random_range(0..3),
             ..job(f64::from(rng.random_range(1..3u8)), tasks)
         };
-        let mut w = world(vec![wanted], hosts);
+        let mut w = world(vec![wanted], machines);
         w.cheapest_cpu = 0.25;
         let mut same = w.clone();
         let all: Vec<usize> = (0..40).collect();
@@ -78,9 +80,9 @@
     }
 }
 
-pub(crate) fn host(zone: usize) -> HostView {
+pub(crate) fn machine(zone: usize) -> MachineView {
     let total = Room { cpus: 4.0, gpus: 0.0, ram: 16.0 };
-    HostView {
+    MachineView {
         machine_type: 0,
         zone,
         spot: false,
@@ -96,13 +98,13 @@
     }
 }
 
-pub(crate) fn world(jobs: Vec<JobView>, hosts: Vec<HostView>) -> World {
+pub(crate) fn world(jobs: Vec<JobView>, machines: Vec<MachineView>) -> World {
     World {
         now: 0.0,
         cheapest_cpu: 0.25,
         gang_needs: vec![],
         jobs,
-        hosts,
+        machines,
         teams: vec![TeamView::default()],
         machine_types: vec![MachineType {
             label: "small".into(),
@@ -122,23 +124,23 @@
 #[test]
 fn a_gang_starts_whole_or_not_at_all() {
     let gang = JobView { gang: true, ..job(3.0, 3) };
-    let mut w = world(vec![gang.clone()], vec![host(0), host(1)]);
+    let mut w = world(vec![gang.clone()], vec![machine(0), machine(1)]);
     assert_eq!(place(&mut w).placements, []);
-    assert_eq!(w.hosts[0].free.cpus, 4.0, "nothing stays reserved");
-    let mut w = world(vec![gang], vec![host(0), host(1), host(2)]);
-    assert_eq!(place(&mut w).placements[0].hosts.len(), 3);
+    assert_eq!(w.machines[0].free.cpus, 4.0, "nothing stays reserved");
+    let mut w = world(vec![gang], vec![machine(0), machine(1), machine(2)]);
+    assert_eq!(place(&mut w).placements[0].machines.len(), 3);
 }
 
 #[test]
 fn together_stays_in_one_zone_and_spread_does_not() {
     let one_zone = JobView { one_zone: true, gang: true, ..job(3.0, 2) };
-    let mut w = world(vec![one_zone], vec![host(0), host(1), host(1)]);
-    assert_eq!(place(&mut w).placements[0].hosts, [1, 2]);
+    let mut w = world(vec![one_zone], vec![machine(0), machine(1), machine(1)]);
+    assert_eq!(place(&mut w).placements[0].machines, [1, 2]);
     let spread = JobView { zone_cap: 3, gang: true, ..job(1.0, 5) };
-    let mut w = world(vec![spread.clone()], vec![host(0), host(0)]);
+    let mut w = world(vec![spread.clone()], vec![machine(0), machine(0)]);
     assert_eq!(place(&mut w).placements, []);
-    let mut w = world(vec![spread], vec![host(0), host(1)]);
-    let placed = place(&mut w).placements.remove(0).hosts;
+    let mut w = world(vec![spread], vec![machine(0), machine(1)]);
+    let placed = place(&mut w).placements.remove(0).machines;
     assert_eq!(placed.len(), 5);
     assert!(placed.iter().filter(|h| **h == 0).count() <= 3);
     assert!(placed.iter().filter(|h| **h == 1).count() <= 3);
@@ -146,15 +148,15 @@
 
 #[test]
 fn quotas_zones_and_kinds_are_kept() {
-    let mut w = world(vec![job(1.0, 10)], vec![host(0), host(1)]);
+    let mut w = world(vec![job(1.0, 10)], vec![machine(0), machine(1)]);
     w.teams[0].limit = (3.0, 0.0);
-    assert_eq!(place(&mut w).placements.iter().map(|p| p.hosts.len()).sum::<usize>(), 3);
+    assert_eq!(place(&mut w).placements.iter().map(|p| p.machines.len()).sum::<usize>(), 3);
     let picky = JobView { zone: Some(1), spot: false, ..job(1.0, 10) };
-    let spot = HostView { spot: true, ..host(1) };
-    let mut w = world(vec![picky], vec![host(0), spot, host(1)]);
+    let spot = MachineView { spot: true, ..machine(1) };
+    let mut w = world(vec![picky], vec![machine(0), spot, machine(1)]);
     let placed = place(&mut w).placements;
-    assert!(placed.iter().flat_map(|p| &p.hosts).all(|h| *h == 2));
-    assert_eq!(placed.iter().map(|p| p.hosts.len()).sum::<usize>(), 4);
+    assert!(placed.iter().flat_map(|p| &p.machines).all(|h| *h == 2));
+    assert_eq!(placed.iter().map(|p| p.machines.len()).sum::<usize>(), 4);
 }
 
 #[test]
@@ -162,13 +164,13 @@
     // The limit: 4 of 6 CPUs are in use, the gang needs 4; the array must not take the rest.
     let gang = JobView { gang: true, ..job(2.0, 2) };
     let array = JobView { running: 4, finished: 1, mean: Some(9.0), ..job(1.0, 50) };
-    let mut w = world(vec![gang.clone(), array.clone()], vec![host(0), host(1)]);
+    let mut w = world(vec![gang.clone(), array.clone()], vec![machine(0), machine(1)]);
     w.teams[0].limit = (6.0, 0.0);
     w.teams[0].used.cpus = 4.0;
     assert_eq!(place(&mut w).placements, []);
     // Room: the gang needs 4 CPUs on each of two machines that have 1 free each.
     let gang = JobView { gang: true, ..job(4.0, 2) };
-    let mut busy = [host(0), host(1)];
+    let mut busy = [machine(0), machine(1)];
     for h in &mut busy {
         h.free.cpus = 1.0;
     }
@@ -182,19 +184,20 @@
 
 #[test]
 fn machines_that_hold_the_image_are_preferred() {
-    let warm = HostView { images: vec![1], ..host(1) };
-    let mut w = world(vec![job(1.0, 1)], vec![host(0), warm]);
-    assert_eq!(place(&mut w).placements[0].hosts, [1]);
+    let warm = MachineView { images: vec![1], ..machine(1) };
+    let mut w = world(vec![job(1.0, 1)], vec![machine(0), warm]);
+    assert_eq!(place(&mut w).placements[0].machines, [1]);
 }
 
 #[test]
 fn arrays_leave_machines_that_gangs_need_to_them_while_others_have_room() {
-    let mut large = host(0);
+    let mut large = machine(0);
     large.total = Room { cpus: 32.0, gpus: 0.0, ram: 64.0 };
     large.free = large.total;
-    let mut w = world(vec![job(1.0, 6)], vec![large, host(1)]);
+    let mut w = world(vec![job(1.0, 6)], vec![large, machine(1)]);
     w.gang_needs = vec![Room { cpus: 30.0, gpus: 0.0, ram: 50.0 }];
-    let placed: Vec<usize> = place(&mut w).placements.into_iter().flat_map(|p| p.hosts).collect();
+    let placed: Vec<usize> =
+        place(&mut w).placements.into_iter().flat_map(|p| p.machines).collect();
     assert_eq!(placed, [1, 1, 1, 1, 0, 0], "the rest goes there all the same");
 }
 
@@ -202,17 +205,17 @@
 fn a_gang_waits_for_machines_being_cleared_only_if_all_of_them_hold_its_image() {
     let gang = JobView { gang: true, ..job(3.0, 2) };
     let kept = |images: Vec<u32>, free: f64| {
-        let mut h = HostView { images, kept_for: Some(0), ..host(0) };
+        let mut h = MachineView { images, kept_for: Some(0), ..machine(0) };
         h.free.cpus = free;
         h
     };
     // Two machines are free without the image, two that hold it are being cleared.
-    let hosts = vec![kept(vec![1], 0.0), kept(vec![1], 0.0), host(0), host(0)];
-    let mut w = world(vec![gang.clone()], hosts);
+    let machines = vec![kept(vec![1], 0.0), kept(vec![1], 0.0), machine(0), machine(0)];
+    let mut w = world(vec![gang.clone()], machines);
     assert_eq!(place(&mut w).placements, [], "they will be clear before a fetch is over");
     // One of the two that were cleared lacks it.
-    let hosts = vec![kept(vec![1], 4.0), kept(vec![], 4.0), host(0)];
-    let mut w = world(vec![gang], hosts);
+    let machines = vec![kept(vec![1], 4.0), kept(vec![], 4.0), machine(0)];
+    let mut w = world(vec![gang], machines);
     assert_eq!(place(&mut w).placements.len(), 1, "the fetch may begin");
 }
 
@@ -222,18 +225,18 @@
 fn a_gang_that_no_machines_could_hold_keeps_nothing_from_its_team_for_long() {
     let gang = JobView { gang: true, ..job(4.0, 3) };
     let array = JobView { running: 2, finished: 1, mean: Some(9.0), ..job(1.0, 50) };
-    let at = |now: f64, hosts: Vec<HostView>| {
-        let mut w = world(vec![gang.clone(), array.clone()], hosts);
+    let at = |now: f64, machines: Vec<MachineView>| {
+        let mut w = world(vec![gang.clone(), array.clone()], machines);
         w.teams[0].limit = (14.0, 0.0);
         w.teams[0].used.cpus = 2.0;
         w.now = now;
-        place(&mut w).placements.iter().map(|p| p.hosts.len()).sum::<usize>()
+        place(&mut w).placements.iter().map(|p| p.machines.len()).sum::<usize>()
     };
-    assert_eq!(at(30.0, vec![host(0), host(1)]), 0, "machines may be on their way");
-    assert_eq!(at(70.0, vec![host(0), host(1)]), 8, "two hold two of three");
-    let mut busy = host(1);
+    assert_eq!(at(30.0, vec![machine(0), machine(1)]), 0, "machines may be on their way");
+    assert_eq!(at(70.0, vec![machine(0), machine(1)]), 8, "two hold two of three");
+    let mut busy = machine(1);
     busy.free.cpus = 3.0;
-    assert_eq!(at(70.0, vec![host(0), host(1), busy]), 0, "three could hold it");
+    assert_eq!(at(70.0, vec![machine(0), machine(1), busy]), 0, "three could hold it");
 }
 
 #[test]
@@ -251,7 +254,7 @@
     let daemon =
         JobView { daemon: true, priority: Priority::Production, startable: 0, ..job(1.0, 4) };
     let gang = JobView { gang: true, zone_cap: 1, ..job(4.0, 2) };
-    let mut full = host(1);
+    let mut full = machine(1);
     full.free = Room::default();
     full.held = (0..4)
         .map(|tag| crate::HeldView {
@@ -263,14 +266,15 @@
         })
         .collect();
     let array = job(1.0, 4);
-    let mut w = world(vec![daemon, gang, array], vec![host(0), full]);
+    let mut w = world(vec![daemon, gang, array], vec![machine(0), full]);
     w.now = 30.0;
     let placed = place(&mut w);
-    let of_array = placed.placements.iter().filter(|p| p.job == 2).flat_map(|p| &p.hosts).count();
+    let of_array =
+        placed.placements.iter().filter(|p| p.job == 2).flat_map(|p| &p.machines).count();
     assert_eq!(of_array, 4, "the empty machine is not kept");
     // What is lower in priority gives way to the gang, so there is something to wait for.
     let low = JobView { daemon: true, priority: Priority::Low, startable: 0, ..job(1.0, 4) };
     w = World { jobs: vec![low, w.jobs[1].clone(), job(1.0, 4)], ..w };
-    w.hosts[0].free = w.hosts[0].total;
+    w.machines[0].free = w.machines[0].total;
     assert!(place(&mut w).placements.is_empty());
 }
--- a/crates/policy/src/preempt.rs
+++ b/crates/policy/src/preempt.rs
@@ -1,4 +1,4 @@
-use crate::{HeldView, HostView, Room, World};
+use crate::{HeldView, MachineView, Room, World};
 use hookway_constants as constants;
 
 /// Tasks to stop so that a job finds room.
@@ -7,7 +7,7 @@
     /// The job that the room is for.
     pub job: usize,
     /// Machines to keep for it until it starts.
-    pub hosts: Vec<usize>,
+    pub machines: Vec<usize>,
     /// Tasks to stop: machine and the caller's number.
     pub victims: Vec<(usize, u64)>,
 }
@@ -41,14 +41,19 @@
     covered && world.teams.get(other.team).is_some_and(|t| t.beyond_guarantee())
 }
 
-/// The cheapest set of tasks whose end makes room for so many tasks of `job` on `host`.
-fn on_host(world: &World, job: usize, host: &HostView, tasks: u32) -> Option<(f64, Vec<u64>)> {
+/// The cheapest set of tasks whose end makes room for so many tasks of `job` on `machine`.
+fn on_machine(
+    world: &World,
+    job: usize,
+    machine: &MachineView,
+    tasks: u32,
+) -> Option<(f64, Vec<u64>)> {
     let need = world.jobs[job].need.times(tasks);
-    let mut room = host.free;
-    for held in host.held.iter().filter(|h| h.leaving) {
+    let mut room = machine.free;
+    for held in machine.held.iter().filter(|h| h.leaving) {
         room.give(&held.need);
     }
-    let mut candidates: Vec<(f64, &HeldView)> = host
+    let mut candidates: Vec<(f64, &HeldView)> = machine
         .held
         .iter()
         .filter(|h| !h.leaving && may_evict(world, job, h))
@@ -56,7 +61,7 @@
         .collect();
     candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
     // A machine without the image keeps the job waiting for the fetch.
-    let mut cost = crate::place::fetch_time(world, &world.jobs[job], host) * need.cpus;
+    let mut cost = crate::place::fetch_time(world, &world.jobs[job], machine) * need.cpus;
     let mut victims = Vec::new();
     let mut saving: f64 = 0.0;
     for (price, held) in candidates {
@@ -76,7 +81,7 @@
 /// Whether a gang should rather push work aside on machines that hold its image than wait for a
 /// fetch that costs `cost` CPU seconds of waiting places.
 pub(crate) fn worth_evicting(world: &World, job_ix: usize, cost: f64) -> bool {
-    let taken = vec![false; world.hosts.len()];
+    let taken = vec![false; world.machines.len()];
     evict_for(world, job_ix, world.jobs[job_ix].startable, &taken, true)
         .is_some_and(|(price, found)| !found.victims.is_empty() && price < cost)
 }
@@ -91,8 +96,8 @@
     }
     let warm = evict_for(world, job_ix, tasks, taken, true);
     let fetch = |found: &Eviction| {
-        let longest = |h: &usize| crate::place::fetch_time(world, job, &world.hosts[*h]);
-        found.hosts.iter().map(longest).fold(0.0, f64::max)
+        let longest = |h: &usize| crate::place::fetch_time(world, job, &world.machines[*h]);
+        found.machines.iter().map(longest).fold(0.0, f64::max)
     };
     let whole = job.need.cpus * f64::from(tasks);
     match (warm, any) {
@@ -109,7 +114,7 @@
 /// daemon, an array one task a round.
 pub fn evict(world: &World) -> Vec<Eviction> {
     // A look at all that runs is worth it only where something may be pushed aside at all.
-    let held = world.hosts.iter().flat_map(|h| &h.held);
+    let held = world.machines.iter().flat_map(|h| &h.held);
     let lowest = held.map(|h| world.jobs[h.job].priority).min();
     let guaranteed = world.teams.iter().any(|t| t.guaranteed.0 > 0.0 || t.guaranteed.1 > 0.0);
     let mut waiting: Vec<usize> = (0..world.jobs.len())
@@ -118,7 +123,7 @@
             let short =
                 if job.gang { job.startable == job.tasks } else { job.unseen() || job.daemon };
             // One batch of stops at a time: machines that are being cleared for it stay kept.
-            let clearing = world.hosts.iter().any(|h| h.kept_for == Some(*i));
+            let clearing = world.machines.iter().any(|h| h.kept_for == Some(*i));
             job.startable > 0
                 && !job.doubtful
                 && (guaranteed || lowest.is_some_and(|priority| priority < job.priority))
@@ -131,7 +136,7 @@
         let (a, b) = (&world.jobs[*a], &world.jobs[*b]);
         crate::order::who_starts_first(a, b, world.now)
     });
-    let mut taken: Vec<bool> = vec![false; world.hosts.len()];
+    let mut taken: Vec<bool> = vec![false; world.machines.len()];
     let mut all = evict_for_deadlines(world);
     for job_ix in waiting {
         let job = &world.jobs[job_ix];
@@ -147,8 +152,8 @@
             found = cheapest_eviction(world, job_ix, 1, &taken);
         }
         if let Some(found) = found.filter(|f| !f.victims.is_empty()) {
-            for host in &found.hosts {
-                taken[*host] = true;
+            for machine in &found.machines {
+                taken[*machine] = true;
             }
             all.push(found);
         }
@@ -169,14 +174,14 @@
     // What each machine will have free, and what could be stopped there.
     let mut room: Vec<Room> = Vec::new();
     let mut stops: Vec<Vec<&HeldView>> = Vec::new();
-    for host in &world.hosts {
-        let mut free = host.free;
-        let usable = host.open && !host.booting && host.kept_for.is_none();
-        for held in host.held.iter().filter(|h| h.leaving) {
+    for machine in &world.machines {
+        let mut free = machine.free;
+        let usable = machine.open && !machine.booting && machine.kept_for.is_none();
+        for held in machine.held.iter().filter(|h| h.leaving) {
             free.give(&held.need);
         }
         room.push(free);
-        let held = host.held.iter().filter(|h| usable && !h.leaving && backfill(h).is_some());
+        let held = machine.held.iter().filter(|h| usable && !h.leaving && backfill(h).is_some());
         stops.push(held.collect());
     }
     if stops.iter().all(Vec::is_empty) {
@@ -195,17 +200,17 @@
         let job = &world.jobs[job_ix];
         let mut short =
             crate::order::least(job, now, due).saturating_sub(job.running).min(job.startable);
-        let mut found = Eviction { job: job_ix, hosts: vec![], victims: vec![] };
+        let mut found = Eviction { job: job_ix, machines: vec![], victims: vec![] };
         let team = world.teams.get(job.team);
         short = team.map_or(short, |t| short.min(t.allows(&job.need)));
         // Machines that hold the image first.
         for warm in [true, false] {
-            for (i, host) in world.hosts.iter().enumerate() {
-                let misses = !host.images.contains(&job.image);
+            for (i, machine) in world.machines.iter().enumerate() {
+                let misses = !machine.images.contains(&job.image);
                 let closed = misses == warm
-                    || !job.allows(host.machine_type, host.zone, host.spot)
-                    || !job.zone_open(host.zone)
-                    || host.shunned_by.contains(&job_ix);
+                    || !job.allows(machine.machine_type, machine.zone, machine.spot)
+                    || !job.zone_open(machine.zone)
+                    || machine.shunned_by.contains(&job_ix);
                 while short > 0 && !closed {
                     if room[i].fits(&job.need) {
                         room[i].take(&job.need);
@@ -232,8 +237,8 @@
     let job = &world.jobs[job_ix];
     let mut team = world.teams.get(job.team)?.clone();
     let mut candidates: Vec<(f64, usize, &HeldView)> = Vec::new();
-    for (i, host) in world.hosts.iter().enumerate() {
-        for held in &host.held {
+    for (i, machine) in world.machines.iter().enumerate() {
+        for held in &machine.held {
             let other = &world.jobs[held.job];
             if other.team != job.team {
                 continue;
@@ -246,13 +251,13 @@
         }
     }
     candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let mut found = Eviction { job: job_ix, hosts: vec![], victims: vec![] };
-    for (_, host, held) in candidates {
+    let mut found = Eviction { job: job_ix, machines: vec![], victims: vec![] };
+    for (_, machine, held) in candidates {
         if team.allows(&job.need) >= tasks {
             break;
         }
         team.used.take(&held.need);
-        found.victims.push((host, held.tag));
+        found.victims.push((machine, held.tag));
     }
     (team.allows(&job.need) >= tasks && !found.victims.is_empty()).then_some(found)
 }
@@ -268,18 +273,18 @@
 ) -> Vec<(f64, usize, Vec<u64>)> {
     let job = &world.jobs[job_ix];
     let mut picks: Vec<(f64, usize, Vec<u64>)> = Vec::new();
-    for (i, host) in world.hosts.iter().enumerate() {
+    for (i, machine) in world.machines.iter().enumerate() {
         let tasks = planned[i] + 1;
         let closed = taken[i]
-            || !host.open
-            || host.booting
-            || host.kept_for.is_some_and(|k| k != job_ix)
-            || host.shunned_by.contains(&job_ix)
-            || zone.is_some_and(|z| z != host.zone)
-            || !job.allows(host.machine_type, host.zone, host.spot)
-            || !host.total.fits(&job.need.times(tasks))
-            || (warm && crate::place::fetch_time(world, job, host) > 0.0);
-        if !closed && let Some((price, victims)) = on_host(world, job_ix, host, tasks) {
+            || !machine.open
+            || machine.booting
+            || machine.kept_for.is_some_and(|k| k != job_ix)
+            || machine.shunned_by.contains(&job_ix)
+            || zone.is_some_and(|z| z != machine.zone)
+            || !job.allows(machine.machine_type, machine.zone, machine.spot)
+            || !machine.total.fits(&job.need.times(tasks))
+            || (warm && crate::place::fetch_time(world, job, machine) > 0.0);
+        if !closed && let Some((price, victims)) = on_machine(world, job_ix, machine, tasks) {
             picks.push((price, i, victims));
         }
     }
@@ -302,8 +307,8 @@
     let mut best: Option<(f64, Eviction)> = None;
     for zone in zones {
         let mut cost = 0.0;
-        let mut found = Eviction { job: job_ix, hosts: vec![], victims: vec![] };
-        let mut planned = vec![0u32; world.hosts.len()];
+        let mut found = Eviction { job: job_ix, machines: vec![], victims: vec![] };
+        let mut planned = vec![0u32; world.machines.len()];
         let mut per_zone = job.per_zone.clone();
         let mut left = tasks;
         // One task's victims on each machine; further ones of a daemon there only if that is not enough.
@@ -311,29 +316,30 @@
         for _ in 0..passes {
             let picks = picks(world, job_ix, zone, taken, &planned, warm);
             let before = left;
-            for (price, host, victims) in picks {
+            for (price, machine, victims) in picks {
                 if left == 0 {
                     break;
                 }
-                let zone = world.hosts[host].zone;
+                let zone = world.machines[machine].zone;
                 if per_zone.get(zone).copied().unwrap_or(0) >= job.zone_cap {
                     continue;
                 }
                 cost += price;
                 // Whatever else fits on the machine once it is clear goes there too.
-                let free = world.hosts[host].free.count(&job.need).saturating_sub(planned[host]);
+                let free =
+                    world.machines[machine].free.count(&job.need).saturating_sub(planned[machine]);
                 let fits = free.max(1).min(left);
                 left -= fits;
-                planned[host] += fits;
+                planned[machine] += fits;
                 if let Some(n) = per_zone.get_mut(zone) {
                     *n += fits;
                 }
-                if !found.hosts.contains(&host) {
-                    found.hosts.push(host);
+                if !found.machines.contains(&machine) {
+                    found.machines.push(machine);
                 }
                 for victim in victims {
-                    if !found.victims.contains(&(host, victim)) {
-                        found.victims.push((host, victim));
+                    if !found.victims.contains(&(machine, victim)) {
+                        found.victims.push((machine, victim));
                     }
                 }
             }
--- a/crates/policy/src/preempt/tests.rs
+++ b/crates/policy/src/preempt/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use crate::JobView;
-use crate::place::tests::{host, job, world};
+use crate::place::tests::{job, machine, world};
 use hookway_wire::Priority;
 
-fn full(job: usize, elapsed: f64) -> HostView {
-    let mut h = host(0);
+fn full(job: usize, elapsed: f64) -> MachineView {
+    let mut h = machine(0);
     h.free = Room::default();
     h.held = (0..4)
         .map(|n| HeldView {
@@ -25,7 +25,7 @@
     w.now = 10.0;
     let found = evict(&w);
     assert_eq!(found.len(), 1);
-    assert_eq!(found[0].hosts, [1]);
+    assert_eq!(found[0].machines, [1]);
     assert_eq!(found[0].victims.len(), 3);
     w.jobs[0].priority = Priority::Normal;
     assert_eq!(evict(&w), [], "equal rank is left alone");
@@ -37,7 +37,7 @@
     let mut w = world(vec![gang, job(1.0, 8)], vec![full(1, 30.0), full(1, 3.0)]);
     w.now = 10.0;
     assert_eq!(evict(&w).len(), 1);
-    w.hosts[1].kept_for = Some(0);
+    w.machines[1].kept_for = Some(0);
     assert_eq!(evict(&w), []);
 }
 
@@ -60,14 +60,14 @@
     let victims = |w: &World| evict(w).iter().map(|e| e.victims.len()).sum::<usize>();
     let mut w = world(vec![urgent, backfill], vec![full(1, 30.0)]);
     assert_eq!(victims(&w), 2, "3 tasks of 10 s in 20 s: two at a time");
-    w.hosts[0].held[0].leaving = true;
+    w.machines[0].held[0].leaving = true;
     assert_eq!(victims(&w), 1, "what is being stopped already counts");
     w.jobs[0].running = 2;
     assert_eq!(victims(&w), 0, "it has what it needs");
     w.jobs[0].running = 0;
-    w.hosts = vec![full(1, 5.0)];
+    w.machines = vec![full(1, 5.0)];
     assert_eq!(victims(&w), 0, "stopped over and over it would get nowhere");
-    w.hosts = vec![full(1, 30.0)];
+    w.machines = vec![full(1, 30.0)];
     w.jobs[1].due = Some(500.0);
     assert_eq!(victims(&w), 0, "somebody waits for it");
     w.jobs[1].due = None;
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -106,7 +106,7 @@
 
 /// What the policy knows of a machine.
 #[derive(Debug, Clone)]
-pub struct HostView {
+pub struct MachineView {
     /// Machine type.
     pub machine_type: usize,
     /// Zone.
@@ -133,7 +133,7 @@
     pub held: Vec<HeldView>,
 }
 
-impl HostView {
+impl MachineView {
     /// Price per hour of one CPU.
     pub fn cpu_price(&self) -> f64 {
         self.price / self.total.cpus.max(0.1)
@@ -188,7 +188,7 @@
     /// Unfinished jobs.
     pub jobs: Vec<JobView>,
     /// Machines.
-    pub hosts: Vec<HostView>,
+    pub machines: Vec<MachineView>,
     /// Teams.
     pub teams: Vec<TeamView>,
     /// Machine types.
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -13,9 +13,9 @@
 
 impl ScriptedWorker {
     /// A new worker.
-    pub fn new(host: &str, machine_type: &str, zone: &str) -> Self {
+    pub fn new(machine: &str, machine_type: &str, zone: &str) -> Self {
         let report = CheckIn {
-            host: host.into(),
+            machine: machine.into(),
             addr: "127.0.0.1:9000".into(),
             machine_type: machine_type.into(),
             zone: zone.into(),
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -82,16 +82,16 @@
 /// Machines, by name: the answer to a rental, the body of a deletion.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct HostNames {
+pub struct MachineNames {
     /// The names.
     #[serde(rename = "Hosts")]
-    pub hosts: Vec<String>,
+    pub machines: Vec<String>,
 }
 
 /// The state of a machine in the cloud's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum HostState {
+pub enum MachineState {
     /// Not up yet, as far as the list knows.
     Booting,
     /// Up.
@@ -106,7 +106,7 @@
 /// A machine in the cloud's list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct ListedHost {
+pub struct ListedMachine {
     /// Its name.
     #[serde(rename = "NameId")]
     pub id: String,
@@ -123,7 +123,7 @@
     #[serde(rename = "Loaners")]
     pub spot: bool,
     /// State.
-    pub status: HostState,
+    pub status: MachineState,
     /// Age since the rental request, s.
     #[serde(default)]
     pub age_s: f64,
@@ -132,10 +132,10 @@
 /// A page of the machine list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct HostList {
+pub struct MachineList {
     /// The machines.
     #[serde(rename = "Hosts")]
-    pub hosts: Vec<ListedHost>,
+    pub machines: Vec<ListedMachine>,
     /// Whether more follow.
     #[serde(default)]
     pub has_next: bool,
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -84,7 +84,7 @@
 pub struct CheckIn {
     /// The machine.
     #[serde(rename = "Host")]
-    pub host: String,
+    pub machine: String,
     /// Where its worker listens.
     pub addr: String,
     /// Machine type.
