--- /dev/null
+++ b/crates/controller/src/answers.rs
@@ -0,0 +1,102 @@
+//! Answers about jobs, as controllers give them to users and to one another.
+
+use hookway_constants as constants;
+use hookway_wire::{JobId, JobState, JobStatus};
+use serde::{Deserialize, Serialize};
+use std::collections::{HashMap, VecDeque};
+use std::sync::Mutex;
+
+/// A job's state, as controllers tell it one another.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Told {
+    /// The job.
+    pub id: JobId,
+    /// Its state.
+    pub state: JobState,
+    /// Completed tasks.
+    pub done: u32,
+    /// Running tasks.
+    pub running: u32,
+    /// The team.
+    pub team: Option<String>,
+    /// The controller that commands it.
+    pub commander: Option<String>,
+    /// Why attempts ended.
+    pub notes: Vec<String>,
+}
+
+impl From<JobStatus> for Told {
+    fn from(s: JobStatus) -> Self {
+        Self {
+            id: s.id,
+            state: s.status,
+            done: s.done,
+            running: s.running,
+            team: s.team,
+            commander: s.commander,
+            notes: s.notes,
+        }
+    }
+}
+
+impl From<Told> for JobStatus {
+    fn from(t: Told) -> Self {
+        Self {
+            id: t.id,
+            status: t.state,
+            done: t.done,
+            running: t.running,
+            team: t.team,
+            commander: t.commander,
+            notes: t.notes,
+        }
+    }
+}
+
+/// The answer to a user's request, before it becomes HTTP.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub enum Verdict {
+    /// Accepted just now.
+    Accepted(Told),
+    /// The job's state.
+    Known(Told),
+    /// Never accepted.
+    Absent,
+    /// Refused with this status.
+    Refused(u16, String),
+    /// Can't be decided now.
+    Later(String),
+}
+
+/// Final states that this node has learnt, oldest first out. They can't change any more.
+#[derive(Debug, Default)]
+pub struct Finals(Mutex<(HashMap<JobId, Told>, VecDeque<JobId>)>);
+
+impl Finals {
+    /// A final state that is remembered.
+    pub fn get(&self, id: &JobId) -> Option<Told> {
+        self.0.lock().ok()?.0.get(id).cloned()
+    }
+
+    /// Whether a job is known to be over.
+    pub fn holds(&self, id: &JobId) -> bool {
+        self.0.lock().is_ok_and(|finals| finals.0.contains_key(id))
+    }
+
+    /// Remembers a state if it is final.
+    pub fn remember(&self, told: &Told) {
+        if !told.state.is_final() {
+            return;
+        }
+        let Ok(mut finals) = self.0.lock() else { return };
+        let (states, order) = &mut *finals;
+        if states.insert(told.id.clone(), told.clone()).is_none() {
+            order.push_back(told.id.clone());
+            if order.len() > constants::FINAL_CACHE
+                && let Some(old) = order.pop_front()
+            {
+                states.remove(&old);
+            }
+        }
+    }
+}
--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -1,5 +1,6 @@
-//! The interface for users, workers and health checks, and the desk that decides its answers.
+//! What controllers answer users: the decisions behind the HTTP interface.
 
+use crate::answers::{Finals, Told, Verdict};
 use crate::config::Params;
 use crate::lead::{View, wall_ms};
 use crate::ledger::{Lookup, Withdrawal, leases_end_in_time};
@@ -11,112 +12,10 @@
 use hookway_clients::{CommitOutcome, HttpError, StoreClient, StoreError};
 use hookway_constants as constants;
 use hookway_policy::{Room, TeamView, fits_somewhere};
-use hookway_wire::{
-    Change, CheckIn, ErrorBody, Guard, JobId, JobSpec, JobState, JobStatus, MachineType,
-    ReportElsewhere, Transaction,
-};
-use salvo::http::{HeaderValue, StatusCode};
-use salvo::prelude::*;
-use serde::{Deserialize, Serialize};
-use std::collections::{HashMap, VecDeque};
+use hookway_wire::{Change, CheckIn, Guard, JobId, JobSpec, JobState, MachineType, Transaction};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
-use tokio::time::Instant;
-
-/// A job's state, as controllers tell it one another.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
-    /// The job.
-    pub id: JobId,
-    /// Its state.
-    pub state: JobState,
-    /// Completed tasks.
-    pub done: u32,
-    /// Running tasks.
-    pub running: u32,
-    /// The team.
-    pub team: Option<String>,
-    /// The controller that commands it.
-    pub commander: Option<String>,
-    /// Why attempts ended.
-    pub notes: Vec<String>,
-}
-
-impl From<JobStatus> for Told {
-    fn from(s: JobStatus) -> Self {
-        Self {
-            id: s.id,
-            state: s.status,
-            done: s.done,
-            running: s.running,
-            team: s.team,
-            commander: s.commander,
-            notes: s.notes,
-        }
-    }
-}
-
-impl From<Told> for JobStatus {
-    fn from(t: Told) -> Self {
-        Self {
-            id: t.id,
-            status: t.state,
-            done: t.done,
-            running: t.running,
-            team: t.team,
-            commander: t.commander,
-            notes: t.notes,
-        }
-    }
-}
-
-/// The answer to a user's request, before it becomes HTTP.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
-    /// Accepted just now.
-    Accepted(Told),
-    /// The job's state.
-    Known(Told),
-    /// Never accepted.
-    Absent,
-    /// Refused with this status.
-    Refused(u16, String),
-    /// Can't be decided now.
-    Later(String),
-}
-
-/// Final states that this node has learnt, oldest first out. They can't change any more.
-#[derive(Debug, Default)]
-pub struct Finals(Mutex<(HashMap<JobId, Told>, VecDeque<JobId>)>);
-
-impl Finals {
-    fn get(&self, id: &JobId) -> Option<Told> {
-        self.0.lock().ok()?.0.get(id).cloned()
-    }
-
-    /// Whether a job is known to be over.
-    pub fn holds(&self, id: &JobId) -> bool {
-        self.0.lock().is_ok_and(|finals| finals.0.contains_key(id))
-    }
-
-    /// Remembers a state if it is final.
-    pub fn remember(&self, told: &Told) {
-        if !told.state.is_final() {
-            return;
-        }
-        let Ok(mut finals) = self.0.lock() else { return };
-        let (states, order) = &mut *finals;
-        if states.insert(told.id.clone(), told.clone()).is_none() {
-            order.push_back(told.id.clone());
-            if order.len() > constants::FINAL_CACHE
-                && let Some(old) = order.pop_front()
-            {
-                states.remove(&old);
-            }
-        }
-    }
-}
 
 /// How a desk asks the state service.
 #[derive(Debug, Clone)]
@@ -145,8 +44,8 @@
     pub machine_types: watch::Receiver<Option<Arc<Vec<MachineType>>>>,
     /// Shared with the node's actor, which tells what it decided as leader.
     pub finals: Arc<Finals>,
-    limiter: Limiter,
-    poll_limiter: Limiter,
+    pub(crate) limiter: Limiter,
+    pub(crate) poll_limiter: Limiter,
     store_silence: Mutex<Silence>,
 }
 
@@ -157,7 +56,7 @@
     Nothing,
 }
 
-fn later(why: &str) -> Verdict {
+pub(crate) fn later(why: &str) -> Verdict {
     Verdict::Later(why.to_owned())
 }
 
@@ -525,7 +424,7 @@
         }
     }
 
-    async fn check_in(&self, report: CheckIn) -> CheckInReply {
+    pub(crate) async fn check_in(&self, report: CheckIn) -> CheckInReply {
         let (reply, answer) = oneshot::channel();
         if self.node.send(Ask::CheckIn(report, reply)).await.is_err() {
             return CheckInReply::Unsure;
@@ -533,146 +432,3 @@
         answer.await.unwrap_or(CheckInReply::Unsure)
     }
 }
-
-fn refuse(res: &mut Response, status: StatusCode, why: &str) {
-    res.status_code(status);
-    res.render(Json(ErrorBody { error: why.to_owned() }));
-}
-
-fn unavailable(res: &mut Response, why: &str, back_s: u32) {
-    tracing::debug!("503: {why}");
-    refuse(res, StatusCode::SERVICE_UNAVAILABLE, why);
-    res.headers_mut().insert("retry-after", HeaderValue::from(back_s));
-}
-
-fn render(res: &mut Response, verdict: Verdict, back_s: u32) {
-    match verdict {
-        Verdict::Accepted(told) => {
-            res.status_code(StatusCode::CREATED);
-            res.render(Json(JobStatus::from(told)));
-        }
-        Verdict::Known(told) => {
-            res.status_code(StatusCode::OK);
-            res.render(Json(JobStatus::from(told)));
-        }
-        Verdict::Absent => refuse(res, StatusCode::NOT_FOUND, "no such job"),
-        Verdict::Refused(status, why) => {
-            refuse(res, StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_REQUEST), &why);
-        }
-        Verdict::Later(why) => unavailable(res, &why, back_s),
-    }
-}
-
-/// Which request of a user.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Kind {
-    Submit,
-    Status,
-    Withdraw,
-}
-
-struct UserHandler(Arc<Desk>, Kind);
-
-#[async_trait]
-impl Handler for UserHandler {
-    async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let Self(desk, kind) = self;
-        // Many questions must not shut out submissions, nor one kind's slow answers lower the other's limit.
-        let back_s = match kind {
-            Kind::Status => constants::POLL_AGAIN_S,
-            Kind::Submit | Kind::Withdraw => constants::RETRY_AFTER_S,
-        };
-        let limiter = if *kind == Kind::Status { &desk.poll_limiter } else { &desk.limiter };
-        let Some(pass) = limiter.enter() else {
-            return unavailable(res, "too many requests in progress", back_s);
-        };
-        let begun = Instant::now();
-        let limit = match kind {
-            Kind::Status => constants::STATUS_LIMIT_MS,
-            Kind::Submit | Kind::Withdraw => constants::SUBMIT_LIMIT_MS,
-        };
-        let work = async {
-            if *kind == Kind::Submit {
-                return match req.payload_with_max_size(constants::BODY_LIMIT).await {
-                    Ok(body) => desk.submit(body, false).await,
-                    Err(_) => Verdict::Refused(400, "the body is over 64 KiB or broken".into()),
-                };
-            }
-            let Some(id) = req.param::<String>("id").as_deref().and_then(JobId::parse) else {
-                return Verdict::Absent;
-            };
-            if *kind == Kind::Status {
-                desk.status(&id, false).await
-            } else {
-                desk.withdraw(&id, false).await
-            }
-        };
-        let verdict = tokio::time::timeout(Duration::from_millis(limit), work)
-            .await
-            .unwrap_or_else(|_| later("no decision in time"));
-        limiter.measured(begun.elapsed());
-        drop(pass);
-        render(res, verdict, back_s);
-    }
-}
-
-struct CheckInHandler(Arc<Desk>);
-
-#[async_trait]
-impl Handler for CheckInHandler {
-    async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let report = match req.payload_with_max_size(constants::BODY_LIMIT).await {
-            Ok(body) => serde_json::from_slice::<CheckIn>(body).map_err(|e| e.to_string()),
-            Err(e) => Err(e.to_string()),
-        };
-        let report = match report {
-            Ok(report) => report,
-            Err(why) => {
-                tracing::error!("a report can't be read: {why}");
-                return refuse(res, StatusCode::BAD_REQUEST, &why);
-            }
-        };
-        match self.0.check_in(report).await {
-            CheckInReply::Answer(answer, until) if Instant::now() < until => {
-                res.status_code(StatusCode::OK);
-                res.render(Json(answer));
-            }
-            CheckInReply::Elsewhere(report_to) => {
-                res.status_code(StatusCode::MISDIRECTED_REQUEST);
-                res.render(Json(ReportElsewhere { report_to }));
-            }
-            CheckInReply::Answer(..) | CheckInReply::Unsure => {
-                unavailable(res, "not entitled to answer", constants::RETRY_AFTER_S)
-            }
-        }
-    }
-}
-
-#[handler]
-async fn up(res: &mut Response) {
-    res.status_code(StatusCode::OK);
-    res.render(Json(serde_json::json!({ "up": true })));
-}
-
-#[handler]
-async fn plain_error(res: &mut Response, ctrl: &mut FlowCtrl) {
-    let status = res.status_code.unwrap_or(StatusCode::NOT_FOUND);
-    let why = status.canonical_reason().unwrap_or("error").to_lowercase();
-    refuse(res, status, &why);
-    ctrl.skip_rest();
-}
-
-/// All routes.
-pub fn service(desk: Arc<Desk>) -> Service {
-    let user = |kind| UserHandler(desk.clone(), kind);
-    let router = Router::new()
-        .push(Router::with_path("up").get(up))
-        .push(Router::with_path("checkin").post(CheckInHandler(desk.clone())))
-        .push(
-            Router::with_path("api/jobs")
-                .post(user(Kind::Submit))
-                .push(Router::with_path("{id}").get(user(Kind::Status)))
-                .push(Router::with_path("{id}/withdraw").post(user(Kind::Withdraw))),
-        );
-    Service::new(router).catcher(salvo::catcher::Catcher::default().hoop(plain_error))
-}
--- /dev/null
+++ b/crates/controller/src/http.rs
@@ -0,0 +1,155 @@
+//! The HTTP interface for users, workers and health checks.
+
+use crate::answers::Verdict;
+use crate::api::{Desk, later};
+use crate::node::CheckInReply;
+use hookway_constants as constants;
+use hookway_wire::{CheckIn, ErrorBody, JobId, JobStatus, ReportElsewhere};
+use salvo::http::{HeaderValue, StatusCode};
+use salvo::prelude::*;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+fn refuse(res: &mut Response, status: StatusCode, why: &str) {
+    res.status_code(status);
+    res.render(Json(ErrorBody { error: why.to_owned() }));
+}
+
+fn unavailable(res: &mut Response, why: &str, back_s: u32) {
+    tracing::debug!("503: {why}");
+    refuse(res, StatusCode::SERVICE_UNAVAILABLE, why);
+    res.headers_mut().insert("retry-after", HeaderValue::from(back_s));
+}
+
+fn render(res: &mut Response, verdict: Verdict, back_s: u32) {
+    match verdict {
+        Verdict::Accepted(told) => {
+            res.status_code(StatusCode::CREATED);
+            res.render(Json(JobStatus::from(told)));
+        }
+        Verdict::Known(told) => {
+            res.status_code(StatusCode::OK);
+            res.render(Json(JobStatus::from(told)));
+        }
+        Verdict::Absent => refuse(res, StatusCode::NOT_FOUND, "no such job"),
+        Verdict::Refused(status, why) => {
+            refuse(res, StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_REQUEST), &why);
+        }
+        Verdict::Later(why) => unavailable(res, &why, back_s),
+    }
+}
+
+/// Which request of a user.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Kind {
+    Submit,
+    Status,
+    Withdraw,
+}
+
+struct UserHandler(Arc<Desk>, Kind);
+
+#[async_trait]
+impl Handler for UserHandler {
+    async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
+        let Self(desk, kind) = self;
+        // Many questions must not shut out submissions, nor one kind's slow answers lower the other's limit.
+        let back_s = match kind {
+            Kind::Status => constants::POLL_AGAIN_S,
+            Kind::Submit | Kind::Withdraw => constants::RETRY_AFTER_S,
+        };
+        let limiter = if *kind == Kind::Status { &desk.poll_limiter } else { &desk.limiter };
+        let Some(pass) = limiter.enter() else {
+            return unavailable(res, "too many requests in progress", back_s);
+        };
+        let begun = Instant::now();
+        let limit = match kind {
+            Kind::Status => constants::STATUS_LIMIT_MS,
+            Kind::Submit | Kind::Withdraw => constants::SUBMIT_LIMIT_MS,
+        };
+        let work = async {
+            if *kind == Kind::Submit {
+                return match req.payload_with_max_size(constants::BODY_LIMIT).await {
+                    Ok(body) => desk.submit(body, false).await,
+                    Err(_) => Verdict::Refused(400, "the body is over 64 KiB or broken".into()),
+                };
+            }
+            let Some(id) = req.param::<String>("id").as_deref().and_then(JobId::parse) else {
+                return Verdict::Absent;
+            };
+            if *kind == Kind::Status {
+                desk.status(&id, false).await
+            } else {
+                desk.withdraw(&id, false).await
+            }
+        };
+        let verdict = tokio::time::timeout(Duration::from_millis(limit), work)
+            .await
+            .unwrap_or_else(|_| later("no decision in time"));
+        limiter.measured(begun.elapsed());
+        drop(pass);
+        render(res, verdict, back_s);
+    }
+}
+
+struct CheckInHandler(Arc<Desk>);
+
+#[async_trait]
+impl Handler for CheckInHandler {
+    async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
+        let report = match req.payload_with_max_size(constants::BODY_LIMIT).await {
+            Ok(body) => serde_json::from_slice::<CheckIn>(body).map_err(|e| e.to_string()),
+            Err(e) => Err(e.to_string()),
+        };
+        let report = match report {
+            Ok(report) => report,
+            Err(why) => {
+                tracing::error!("a report can't be read: {why}");
+                return refuse(res, StatusCode::BAD_REQUEST, &why);
+            }
+        };
+        match self.0.check_in(report).await {
+            CheckInReply::Answer(answer, until) if Instant::now() < until => {
+                res.status_code(StatusCode::OK);
+                res.render(Json(answer));
+            }
+            CheckInReply::Elsewhere(report_to) => {
+                res.status_code(StatusCode::MISDIRECTED_REQUEST);
+                res.render(Json(ReportElsewhere { report_to }));
+            }
+            CheckInReply::Answer(..) | CheckInReply::Unsure => {
+                unavailable(res, "not entitled to answer", constants::RETRY_AFTER_S)
+            }
+        }
+    }
+}
+
+#[handler]
+async fn up(res: &mut Response) {
+    res.status_code(StatusCode::OK);
+    res.render(Json(serde_json::json!({ "up": true })));
+}
+
+#[handler]
+async fn plain_error(res: &mut Response, ctrl: &mut FlowCtrl) {
+    let status = res.status_code.unwrap_or(StatusCode::NOT_FOUND);
+    let why = status.canonical_reason().unwrap_or("error").to_lowercase();
+    refuse(res, status, &why);
+    ctrl.skip_rest();
+}
+
+/// All routes.
+pub fn service(desk: Arc<Desk>) -> Service {
+    let user = |kind| UserHandler(desk.clone(), kind);
+    let router = Router::new()
+        .push(Router::with_path("up").get(up))
+        .push(Router::with_path("checkin").post(CheckInHandler(desk.clone())))
+        .push(
+            Router::with_path("api/jobs")
+                .post(user(Kind::Submit))
+                .push(Router::with_path("{id}").get(user(Kind::Status)))
+                .push(Router::with_path("{id}/withdraw").post(user(Kind::Withdraw))),
+        );
+    Service::new(router).catcher(salvo::catcher::Catcher::default().hoop(plain_error))
+}
--- /dev/null
+++ b/crates/controller/src/ledger/direct_starts.rs
@@ -0,0 +1,174 @@
+//! Messages that go straight to workers: starts that should not wait for a report, and a new leader's question
+//! what is on a machine.
+
+use super::{Ledger, Phase};
+use hookway_clients::Delivery;
+use hookway_constants as constants;
+use hookway_wire::{CheckIn, Command, DirectCommands};
+
+impl Ledger {
+    /// Starts that should not wait for their workers' next reports: machine, address and commands. The
+    /// outcome comes with [`Ledger::delivered`].
+    ///
+    /// Such a command may arrive late, or twice, and after `reap` a second arrival would start the
+    /// task again. So the machine's token rises with each: every later answer, and with it every
+    /// `reap`, carries a higher one, after which the worker refuses the command.
+    pub fn take_direct(&mut self, now: u64) -> Vec<(String, String, DirectCommands)> {
+        let mut sends = Vec::new();
+        if self.directs >= constants::DIRECT_AT_MOST {
+            return sends;
+        }
+        let names: Vec<String> = self.planned_on.iter().cloned().collect();
+        for name in names {
+            if self.directs + sends.len() >= constants::DIRECT_AT_MOST {
+                break;
+            }
+            let Some(machine) = self.machines.get(&name) else {
+                self.planned_on.remove(&name);
+                continue;
+            };
+            if machine.direct || !machine.rostered || now < machine.soon {
+                continue;
+            }
+            self.planned_on.remove(&name);
+            let able = machine.heard
+                && !machine.addr.is_empty()
+                && machine.closing.is_none()
+                && machine.notice.is_none()
+                && machine.bump + 1 < constants::TOKENS_PER_TERM;
+            if !able {
+                continue;
+            }
+            let mut unopened = false;
+            let chosen: Vec<usize> = (0..machine.held.len())
+                .filter(|i| {
+                    let h = &machine.held[*i];
+                    let job = h.job.and_then(|k| self.jobs.get(&k));
+                    h.phase == Phase::Planned
+                        && self.must_stop(h, now).is_none()
+                        && job.is_some_and(|j| {
+                            let opened = h.index < j.opened;
+                            unopened |= !opened;
+                            opened && !j.strays.contains(&h.index)
+                        })
+                })
+                .take(constants::DIRECT_TASKS)
+                .collect();
+            if unopened {
+                self.planned_on.insert(name.clone());
+            }
+            if chosen.is_empty() {
+                continue;
+            }
+            let Some(machine) = self.machines.get_mut(&name) else { continue };
+            let token = self.term + machine.bump;
+            machine.bump += 1;
+            machine.direct = true;
+            let mut commands = Vec::with_capacity(chosen.len());
+            for i in chosen {
+                let held = &mut machine.held[i];
+                held.phase = Phase::Pushed(token);
+                commands.push(Command::Run { task: held.task.clone(), attempt: held.attempt });
+            }
+            let commands = DirectCommands { token, session: machine.newest.0, commands };
+            sends.push((name, machine.addr.clone(), commands));
+        }
+        self.directs += sends.len();
+        sends
+    }
+
+    /// What became of starts that were sent straight to a worker under `token`.
+    pub fn delivered(&mut self, name: &str, token: u64, delivery: Delivery, now: u64) {
+        self.directs = self.directs.saturating_sub(1);
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        machine.direct = false;
+        match delivery {
+            Delivery::Done(report) => {
+                let stamp = (report.session, report.tick);
+                // Only of the session that was addressed; it renews no lease.
+                if report.machine == name
+                    && report.session == machine.newest.0
+                    && report.session > machine.dead_session
+                    && stamp > machine.newest
+                {
+                    machine.newest = stamp;
+                    self.take_report(name, &report, now, true);
+                }
+            }
+            // This copy was refused. Whether another one was carried out before shows in the next report
+            // with a higher token.
+            Delivery::Refused => {}
+            Delivery::NotSent => {
+                self.not_started(name, token);
+                if let Some(machine) = self.machines.get_mut(name) {
+                    machine.pause_until = now + constants::UNREACHED_PAUSE_MS;
+                }
+                tracing::debug!("machine {name}: can't be reached");
+                self.unplan_all(name, now);
+            }
+            Delivery::Unclear => {
+                machine.pause_until = now + constants::UNREACHED_PAUSE_MS;
+                self.unplan_all(name, now);
+            }
+        }
+    }
+
+    /// Workers that have not reported since the takeover and should be asked what is on their machines: name
+    /// and address. The outcome comes with [`Ledger::greeted`].
+    ///
+    /// A worker finds a new leader only after its report to the old one has failed, which takes it some
+    /// seconds for each controller that hangs; until all have reported, most work of earlier terms waits.
+    pub fn take_greetings(&mut self, now: u64) -> Vec<(String, String)> {
+        let room = constants::GREETINGS_AT_MOST.saturating_sub(self.greetings);
+        if room == 0 || self.unheard.is_empty() || now < self.won_at + constants::GREET_AFTER_MS {
+            return Vec::new();
+        }
+        let mut chosen = Vec::new();
+        for name in &self.unheard {
+            if chosen.len() >= room {
+                break;
+            }
+            let Some(machine) = self.machines.get_mut(name) else { continue };
+            if !machine.heard
+                && !machine.greeted
+                && !machine.addr.is_empty()
+                && machine.closing.is_none()
+            {
+                machine.greeted = true;
+                chosen.push((name.clone(), machine.addr.clone()));
+            }
+        }
+        self.greetings += chosen.len();
+        chosen
+    }
+
+    /// What a worker said that was asked what is on its machine. With the new term's token it names
+    /// everything: whatever an earlier leader sent, the worker refuses from then on. It renewed no lease; but
+    /// the worker may be in a session whose lease began just now.
+    pub fn greeted(&mut self, name: &str, report: Option<CheckIn>, now: u64) {
+        self.greetings = self.greetings.saturating_sub(1);
+        let Some(report) = report.filter(|r| r.machine == name && r.token >= self.term) else {
+            return;
+        };
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        let stamp = (report.session, report.tick);
+        let over = report.session <= machine.dead_session || machine.closing.is_some();
+        if over || machine.heard || stamp <= machine.newest {
+            return;
+        }
+        machine.heard = true;
+        machine.last_answer = now;
+        machine.described(&report, now);
+        self.unheard.remove(name);
+        self.take_report(name, &report, now, true);
+    }
+
+    /// Starts that were sent under `token` surely won't arrive any more.
+    pub(super) fn not_started(&mut self, name: &str, token: u64) {
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        for held in machine.held.iter_mut().filter(|h| h.phase == Phase::Pushed(token)) {
+            held.phase = Phase::Planned;
+        }
+        self.planned_on.insert(name.to_owned());
+    }
+}
--- a/crates/controller/src/ledger/fleet.rs
+++ b/crates/controller/src/ledger/fleet.rs
@@ -1,4 +1,4 @@
-use super::checkin::Leave;
+use super::departures::Leave;
 use super::{Ledger, Machine, lease_over_ms};
 use hookway_constants as constants;
 use hookway_policy::{MachineView, Offer, Room, plan_fleet};
--- /dev/null
+++ b/crates/controller/src/ledger/load.rs
@@ -0,0 +1,186 @@
+//! How a new leader takes in what earlier ones left in the state service.
+
+use super::{ClassHistory, Ledger, Loaded, Machine, Moment, roster};
+use crate::records::{
+    ClassRecord, ImagesRecord, MinimumRecord, ProgressRecord, RosterRecord, SharedMarksRecord,
+};
+use hookway_wire::JobId;
+use std::collections::{BTreeMap, BTreeSet, HashSet};
+
+/// The job that a record of the kind `<prefix>/<job>...` is about.
+fn job_of_key(key: &str) -> Option<JobId> {
+    key.split('/').nth(1).and_then(JobId::parse)
+}
+
+impl Ledger {
+    pub(super) fn load(&mut self, loaded: Loaded, at: Moment) {
+        let own = loaded.minimums.iter().chain(&loaded.roster).chain(&loaded.classes);
+        own.for_each(|kv| self.writer.stamp(&kv.key, kv.stamp));
+        // Without this a leader that finds no job of a class would return the machines that stand by
+        // for it.
+        let classes = loaded.classes.map(|kv| serde_json::from_value(kv.v));
+        match classes.transpose() {
+            Ok(classes) => {
+                let classes: BTreeMap<String, ClassRecord> = classes.unwrap_or_default();
+                self.classes
+                    .extend(classes.into_iter().map(|(name, r)| (name, ClassHistory::known(&r))));
+            }
+            Err(e) => tracing::error!("{}: can't be read: {e}", crate::records::CLASSES),
+        }
+        // Of a job whose record can't be read nothing is thrown away: a later version may read it.
+        let accepted: HashSet<JobId> =
+            loaded.jobs.iter().filter_map(|kv| job_of_key(&kv.key)).collect();
+        let orphan = |key: &str| job_of_key(key).is_none_or(|id| !accepted.contains(&id));
+        for kv in loaded.jobs {
+            self.job_seen(&kv.key, kv.v, at, true);
+        }
+        for kv in loaded.progress {
+            let place = crate::records::progress_place(&kv.key)
+                .and_then(|(id, from)| Some((*self.by_id.get(&id)?, from)));
+            match (place, serde_json::from_value::<ProgressRecord>(kv.v)) {
+                (Some((job, from)), Ok(record)) => {
+                    self.learn_progress(job, from, kv.stamp, Some(&record));
+                }
+                (Some((job, from)), Err(e)) => {
+                    // What it says is done runs once more, and the new record replaces just this version.
+                    tracing::error!("{}: the progress record can't be read: {e}", kv.key);
+                    self.learn_progress(job, from, kv.stamp, None);
+                }
+                (None, _) if orphan(&kv.key) => self.writer.trash(kv.key),
+                (None, _) => {}
+            }
+        }
+        let mut unread_marks = false;
+        for kv in loaded.minimums {
+            if let Some(number) = crate::records::shared_marks_number(&kv.key) {
+                match serde_json::from_value::<SharedMarksRecord>(kv.v) {
+                    Ok(record) => self.load_shared_marks(kv.key, number, record),
+                    Err(e) => {
+                        tracing::error!(
+                            "{}: can't be read, all jobs count as started: {e}",
+                            kv.key
+                        );
+                        unread_marks = true;
+                        self.writer.marks.loaded(number, BTreeSet::new());
+                    }
+                }
+                continue;
+            }
+            let known = job_of_key(&kv.key).and_then(|id| self.by_id.get(&id));
+            let Some(job) = known.and_then(|k| self.jobs.get_mut(k)) else {
+                if orphan(&kv.key) {
+                    self.writer.trash(kv.key);
+                }
+                continue;
+            };
+            match serde_json::from_value::<MinimumRecord>(kv.v) {
+                Ok(record) => {
+                    job.written_minimum = Some(record.least);
+                    job.timed = record.timed;
+                    job.sum_ms = record.sum_ms;
+                    job.opened = record.opened.max(job.opened);
+                }
+                Err(e) => {
+                    tracing::error!(
+                        "{}: can't be read, all of the job counts as started: {e}",
+                        kv.key
+                    );
+                    job.opened = job.spec.tasks;
+                }
+            }
+        }
+        for job in self.jobs.values_mut() {
+            // Without marks every task may have been started, and the next leader must know it too.
+            if !(job.marked && loaded.marked) || unread_marks && job.small() {
+                job.opened = job.spec.tasks;
+                job.written_opened = false;
+            }
+            job.sure_from = job.opened;
+        }
+        let unwritten = self.jobs.iter().filter(|(_, j)| !j.written_opened);
+        self.writer.opens.extend(unwritten.map(|(key, _)| *key));
+        for kv in loaded.roster {
+            let Some(name) = kv.key.strip_prefix(crate::records::ROSTER) else { continue };
+            let Some(number) = roster::Roster::number(name) else {
+                let since = kv.v.get("at_ms").and_then(serde_json::Value::as_u64);
+                self.inherit_machine(name, since, Vec::new(), at);
+                self.writer.old_entry(name, since.unwrap_or(at.wall));
+                continue;
+            };
+            let record: RosterRecord = match serde_json::from_value(kv.v) {
+                Ok(record) => record,
+                Err(e) => {
+                    // Nothing can be said of its machines: what they hold shows in their reports, and
+                    // until their leases are over nothing older is started.
+                    tracing::error!("{}: the roster record can't be read: {e}", kv.key);
+                    self.unheard.insert(kv.key);
+                    self.writer.roster.unreadable(number);
+                    continue;
+                }
+            };
+            let images = self.images_of(&record.images);
+            for (machine, entry) in record.machines {
+                let held = entry.images.iter().filter_map(|i| images.get(*i).copied()).collect();
+                self.inherit_machine(&machine, Some(entry.at_ms), held, at);
+                self.writer.roster.loaded(number, &machine, entry.at_ms);
+            }
+        }
+        for kv in loaded.images {
+            let name = kv.key.strip_prefix(crate::records::IMAGES).unwrap_or_default();
+            if let Ok(record) = serde_json::from_value::<ImagesRecord>(kv.v) {
+                let images = self.images_of(&record.images);
+                if let Some(machine) = self.machines.get_mut(name) {
+                    machine.images = images;
+                }
+            }
+            self.writer.trash(kv.key);
+        }
+    }
+
+    /// Small jobs that an earlier leader may have started.
+    pub(super) fn load_shared_marks(
+        &mut self,
+        key: String,
+        number: u64,
+        record: SharedMarksRecord,
+    ) {
+        let mut live = BTreeSet::new();
+        for id in record.jobs {
+            let job = self.by_id.get(&id).and_then(|key| self.jobs.get_mut(key));
+            if let Some(job) = job {
+                job.opened = job.spec.tasks;
+                job.shared_mark = Some(number);
+                live.insert(id);
+            }
+        }
+        if live.is_empty() {
+            self.writer.trash(key);
+        }
+        self.writer.marks.loaded(number, live);
+    }
+
+    /// A machine of the roster, known since that time of day.
+    pub(super) fn inherit_machine(
+        &mut self,
+        name: &str,
+        since: Option<u64>,
+        images: Vec<(u32, f64)>,
+        at: Moment,
+    ) {
+        let mut machine = Machine::new(at.now);
+        machine.rostered = true;
+        machine.images = images;
+        machine.written_images = machine.image_set();
+        // Old enough entries must be in any list from now on, or the machine is gone. Times of day
+        // may be off on either side.
+        if let Some(since) = since {
+            let off = self.setup.params.clock_off_ms * 2.0 + 1000.0;
+            let age = at.wall as f64 - since as f64 - off;
+            if age > 0.0 {
+                machine.first_listed = Some(at.now as i64 - age as i64);
+            }
+        }
+        self.machines.insert(name.to_owned(), machine);
+        self.unheard.insert(name.to_owned());
+    }
+}
--- a/crates/controller/src/ledger/mod.rs
+++ b/crates/controller/src/ledger/mod.rs
@@ -5,30 +5,34 @@
 
 mod blame;
 mod checkin;
+mod commands;
 mod commit;
+mod departures;
+mod direct_starts;
 mod fleet;
+mod load;
 mod marks;
 mod model;
+mod outcomes;
 mod progress;
 mod roster;
 mod schedule;
+mod writer;
 
-pub use commit::{Commit, CommitResult, Learned};
 pub use fleet::FleetAction;
 pub use model::{Aims, Ended, Expected, Held, Job, JobContext, Kill, Machine, Phase, Recent, Slot};
+pub use outcomes::{Lookup, Withdrawal};
 pub use progress::Progress;
+pub use writer::{Commit, CommitResult, Learned};
 
 use crate::blocks::Blocks;
 use crate::config::{OperatorSettings, Params};
 use crate::holders::{BlockLease, Holders, Renewal};
-use crate::records::{
-    ClassRecord, FinalRecord, ImagesRecord, JobRecord, MinimumRecord, ProgressRecord, RosterRecord,
-    SharedMarksRecord,
-};
-use commit::Writer;
+use crate::records::{ClassRecord, FinalRecord, JobRecord};
 use hookway_constants as constants;
-use hookway_wire::{Guard, JobId, JobSpec, JobState, JobStatus, KeyValue, MachineType};
+use hookway_wire::{Guard, JobId, JobSpec, JobState, KeyValue, MachineType};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
+use writer::Writer;
 
 /// What does not change while a node leads.
 #[derive(Debug, Clone)]
@@ -73,30 +77,6 @@
     pub wall: u64,
 }
 
-/// What the leader knows of a job that a user asks about.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Lookup {
-    /// Its state.
-    Known(JobStatus),
-    /// Its end is being written down: the state service must be asked.
-    Deciding,
-    /// Not in this picture: over, not yet seen, or never accepted.
-    NotHere,
-}
-
-/// What became of a request to withdraw.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Withdrawal {
-    /// It is over already.
-    Over(JobStatus),
-    /// The decision is being written down; it comes with [`Ledger::take_decided`].
-    Pending,
-    /// Its tasks may not be gone in time yet, so its user can't be told; nothing of it is started any more.
-    Unproven,
-    /// Not in this picture.
-    NotHere,
-}
-
 /// How things stand, in one line of the log.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Summary {
@@ -280,172 +260,6 @@
         ledger
     }
 
-    fn load(&mut self, loaded: Loaded, at: Moment) {
-        let own = loaded.minimums.iter().chain(&loaded.roster).chain(&loaded.classes);
-        own.for_each(|kv| self.writer.stamp(&kv.key, kv.stamp));
-        // Without this a leader that finds no job of a class would return the machines that stand by
-        // for it.
-        let classes = loaded.classes.map(|kv| serde_json::from_value(kv.v));
-        match classes.transpose() {
-            Ok(classes) => {
-                let classes: BTreeMap<String, ClassRecord> = classes.unwrap_or_default();
-                self.classes
-                    .extend(classes.into_iter().map(|(name, r)| (name, ClassHistory::known(&r))));
-            }
-            Err(e) => tracing::error!("{}: can't be read: {e}", crate::records::CLASSES),
-        }
-        // Of a job whose record can't be read nothing is thrown away: a later version may read it.
-        let accepted: HashSet<JobId> =
-            loaded.jobs.iter().filter_map(|kv| job_of_key(&kv.key)).collect();
-        let orphan = |key: &str| job_of_key(key).is_none_or(|id| !accepted.contains(&id));
-        for kv in loaded.jobs {
-            self.job_seen(&kv.key, kv.v, at, true);
-        }
-        for kv in loaded.progress {
-            let place = crate::records::progress_place(&kv.key)
-                .and_then(|(id, from)| Some((*self.by_id.get(&id)?, from)));
-            match (place, serde_json::from_value::<ProgressRecord>(kv.v)) {
-                (Some((job, from)), Ok(record)) => {
-                    self.learn_progress(job, from, kv.stamp, Some(&record));
-                }
-                (Some((job, from)), Err(e)) => {
-                    // What it says is done runs once more, and the new record replaces just this version.
-                    tracing::error!("{}: the progress record can't be read: {e}", kv.key);
-                    self.learn_progress(job, from, kv.stamp, None);
-                }
-                (None, _) if orphan(&kv.key) => self.writer.trash(kv.key),
-                (None, _) => {}
-            }
-        }
-        let mut unread_marks = false;
-        for kv in loaded.minimums {
-            if let Some(number) = crate::records::shared_marks_number(&kv.key) {
-                match serde_json::from_value::<SharedMarksRecord>(kv.v) {
-                    Ok(record) => self.load_shared_marks(kv.key, number, record),
-                    Err(e) => {
-                        tracing::error!(
-                            "{}: can't be read, all jobs count as started: {e}",
-                            kv.key
-                        );
-                        unread_marks = true;
-                        self.writer.marks.loaded(number, BTreeSet::new());
-                    }
-                }
-                continue;
-            }
-            let known = job_of_key(&kv.key).and_then(|id| self.by_id.get(&id));
-            let Some(job) = known.and_then(|k| self.jobs.get_mut(k)) else {
-                if orphan(&kv.key) {
-                    self.writer.trash(kv.key);
-                }
-                continue;
-            };
-            match serde_json::from_value::<MinimumRecord>(kv.v) {
-                Ok(record) => {
-                    job.written_minimum = Some(record.least);
-                    job.timed = record.timed;
-                    job.sum_ms = record.sum_ms;
-                    job.opened = record.opened.max(job.opened);
-                }
-                Err(e) => {
-                    tracing::error!(
-                        "{}: can't be read, all of the job counts as started: {e}",
-                        kv.key
-                    );
-                    job.opened = job.spec.tasks;
-                }
-            }
-        }
-        for job in self.jobs.values_mut() {
-            // Without marks every task may have been started, and the next leader must know it too.
-            if !(job.marked && loaded.marked) || unread_marks && job.small() {
-                job.opened = job.spec.tasks;
-                job.written_opened = false;
-            }
-            job.sure_from = job.opened;
-        }
-        let unwritten = self.jobs.iter().filter(|(_, j)| !j.written_opened);
-        self.writer.opens.extend(unwritten.map(|(key, _)| *key));
-        for kv in loaded.roster {
-            let Some(name) = kv.key.strip_prefix(crate::records::ROSTER) else { continue };
-            let Some(number) = roster::Roster::number(name) else {
-                let since = kv.v.get("at_ms").and_then(serde_json::Value::as_u64);
-                self.inherit_machine(name, since, Vec::new(), at);
-                self.writer.old_entry(name, since.unwrap_or(at.wall));
-                continue;
-            };
-            let record: RosterRecord = match serde_json::from_value(kv.v) {
-                Ok(record) => record,
-                Err(e) => {
-                    // Nothing can be said of its machines: what they hold shows in their reports, and
-                    // until their leases are over nothing older is started.
-                    tracing::error!("{}: the roster record can't be read: {e}", kv.key);
-                    self.unheard.insert(kv.key);
-                    self.writer.roster.unreadable(number);
-                    continue;
-                }
-            };
-            let images = self.images_of(&record.images);
-            for (machine, entry) in record.machines {
-                let held = entry.images.iter().filter_map(|i| images.get(*i).copied()).collect();
-                self.inherit_machine(&machine, Some(entry.at_ms), held, at);
-                self.writer.roster.loaded(number, &machine, entry.at_ms);
-            }
-        }
-        for kv in loaded.images {
-            let name = kv.key.strip_prefix(crate::records::IMAGES).unwrap_or_default();
-            if let Ok(record) = serde_json::from_value::<ImagesRecord>(kv.v) {
-                let images = self.images_of(&record.images);
-                if let Some(machine) = self.machines.get_mut(name) {
-                    machine.images = images;
-                }
-            }
-            self.writer.trash(kv.key);
-        }
-    }
-
-    /// Small jobs that an earlier leader may have started.
-    fn load_shared_marks(&mut self, key: String, number: u64, record: SharedMarksRecord) {
-        let mut live = BTreeSet::new();
-        for id in record.jobs {
-            let job = self.by_id.get(&id).and_then(|key| self.jobs.get_mut(key));
-            if let Some(job) = job {
-                job.opened = job.spec.tasks;
-                job.shared_mark = Some(number);
-                live.insert(id);
-            }
-        }
-        if live.is_empty() {
-            self.writer.trash(key);
-        }
-        self.writer.marks.loaded(number, live);
-    }
-
-    /// A machine of the roster, known since that time of day.
-    fn inherit_machine(
-        &mut self,
-        name: &str,
-        since: Option<u64>,
-        images: Vec<(u32, f64)>,
-        at: Moment,
-    ) {
-        let mut machine = Machine::new(at.now);
-        machine.rostered = true;
-        machine.images = images;
-        machine.written_images = machine.image_set();
-        // Old enough entries must be in any list from now on, or the machine is gone. Times of day
-        // may be off on either side.
-        if let Some(since) = since {
-            let off = self.setup.params.clock_off_ms * 2.0 + 1000.0;
-            let age = at.wall as f64 - since as f64 - off;
-            if age > 0.0 {
-                machine.first_listed = Some(at.now as i64 - age as i64);
-            }
-        }
-        self.machines.insert(name.to_owned(), machine);
-        self.unheard.insert(name.to_owned());
-    }
-
     /// The term, which is the token as well.
     pub fn term(&self) -> u64 {
         self.term
@@ -608,74 +422,6 @@
         found
     }
 
-    /// What the leader can say of a job.
-    pub fn status(&self, id: &JobId) -> Lookup {
-        let Some(job) = self.by_id.get(id).and_then(|k| self.jobs.get(k)) else {
-            return Lookup::NotHere;
-        };
-        match &job.over {
-            Some(record) => Lookup::Known(record.status(id)),
-            None if job.deciding => Lookup::Deciding,
-            None => Lookup::Known(self.describe(job)),
-        }
-    }
-
-    fn describe(&self, job: &Job) -> JobStatus {
-        JobStatus {
-            id: job.id.clone(),
-            status: if job.running > 0 { JobState::Running } else { JobState::Queued },
-            done: job.done,
-            running: job.running,
-            team: Some(job.spec.team.clone()),
-            commander: Some(self.setup.label.clone()),
-            notes: job.notes.iter().cloned().collect(),
-        }
-    }
-
-    /// A user withdraws a job. Nothing of it is started from here on, even before the decision is
-    /// durable.
-    pub fn withdraw(&mut self, id: &JobId) -> Withdrawal {
-        let now = self.told.now;
-        let Some(key) = self.by_id.get(id).copied() else { return Withdrawal::NotHere };
-        let Some(job) = self.jobs.get_mut(&key) else { return Withdrawal::NotHere };
-        if let Some(record) = &job.over {
-            return Withdrawal::Over(record.status(id));
-        }
-        if job.ending.is_none() {
-            tracing::info!("job {id}: its user withdraws it");
-            job.ending = Some(JobState::Withdrawn);
-            job.withdraw_asked_at = Some(now);
-            self.stops_due = true;
-            self.unproven.insert(key);
-            self.write_proven(self.told.now);
-        }
-        if self.unproven.contains(&key) { Withdrawal::Unproven } else { Withdrawal::Pending }
-    }
-
-    /// Cancellations of which it is sure that all rights which may keep tasks alive end in time are written
-    /// down. As a rule that is all of them at once: blocks are leased so that they end in time, and a
-    /// worker's lease is shorter than a cancellation may take. Where it is not, the tasks must be gone first.
-    fn write_proven(&mut self, now: u64) {
-        if self.unproven.is_empty() {
-            return;
-        }
-        let by_themselves = leases_end_in_time(&self.setup.params);
-        let settled = self.settled(now);
-        for key in std::mem::take(&mut self.unproven) {
-            let Some(job) = self.jobs.get(&key) else { continue };
-            if by_themselves || settled && job.held == 0 {
-                self.writer.finals.push_back(key);
-            } else {
-                self.unproven.insert(key);
-            }
-        }
-    }
-
-    /// Jobs whose end has become durable since the last call.
-    pub fn take_decided(&mut self) -> Vec<(JobId, FinalRecord)> {
-        std::mem::take(&mut self.decided)
-    }
-
     /// Tells both clocks anew. The steady one drifts from the time of day, so over a long term the
     /// first reading would not do for times that other nodes read.
     pub fn tell_time(&mut self, at: Moment) {
@@ -687,44 +433,6 @@
         self.told.wall + now.saturating_sub(self.told.now)
     }
 
-    /// The end of a job is durable.
-    fn decide(&mut self, key: u64, record: FinalRecord) {
-        let Some(job) = self.jobs.get_mut(&key) else { return };
-        if job.over.is_some() {
-            return;
-        }
-        tracing::info!("job {}: {:?}", job.id, record.state);
-        job.over = Some(record.clone());
-        job.ending = Some(record.state);
-        job.deciding = false;
-        job.free.clear();
-        for key in job.progress.stored_keys(&job.id) {
-            self.writer.trash(key);
-        }
-        match job.shared_mark {
-            Some(number) if self.writer.marks.remove(number, &job.id) => {
-                self.writer.trash(crate::records::shared_marks_key(number));
-            }
-            Some(_) => {}
-            None if job.written_minimum.is_some() || job.opened > 0 => {
-                self.writer.trash(crate::records::minimum_key(&job.id));
-            }
-            None => {}
-        }
-        self.stops_due = true;
-        self.ended.insert(job.id.clone());
-        self.decided.push((job.id.clone(), record));
-        self.drop_if_gone(key);
-    }
-
-    /// Forgets a job that is over and has nothing left on any machine.
-    fn drop_if_gone(&mut self, key: u64) {
-        let gone = self.jobs.get(&key).is_some_and(|j| j.over.is_some() && j.held == 0);
-        if gone && let Some(job) = self.jobs.remove(&key) {
-            self.by_id.remove(&job.id);
-        }
-    }
-
     /// Whether no worker has reported for several intervals although some should: this node may be
     /// cut off from the workers alone, while another one is not.
     pub fn deserted(&self, now: u64) -> bool {
@@ -795,11 +503,6 @@
     }
 }
 
-/// The job that a record of the kind `<prefix>/<job>...` is about.
-fn job_of_key(key: &str) -> Option<JobId> {
-    key.split('/').nth(1).and_then(JobId::parse)
-}
-
 /// Length of a block's lease, ms: what the operators say, and so short that it and a worker's lease end
 /// within the time for a cancellation.
 pub fn block_lease_ms(setup: &Setup) -> u64 {
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -4,12 +4,14 @@
 //! test can play any sequence of events to it. Around it stand the actors: leadership, the node that
 //! owns the ledger while it leads, the user and worker interface, and the link to the other nodes.
 
+pub mod answers;
 pub mod api;
 pub mod blocks;
 pub mod config;
 pub mod door;
 pub mod frame;
 pub mod holders;
+pub mod http;
 pub mod lead;
 pub mod ledger;
 pub mod limiter;
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -1,7 +1,7 @@
 //! The node's actor. It owns the ledger while the node leads, answers what is asked of it, and
 //! carries out what the ledger wants from the state service and the cloud.
 
-use crate::api::Finals;
+use crate::answers::Finals;
 use crate::holders::{BlockLease, Holding, Renewal};
 use crate::lead::{Clock, Mandate, Validity, View};
 use crate::ledger::{
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -1,7 +1,8 @@
 //! The link between controllers: length-prefixed frames over TCP. A node that is asked something
 //! by a user that only the leader knows, or that can't reach the state service itself, asks here.
 
-use crate::api::{Desk, Told, Verdict};
+use crate::answers::{Told, Verdict};
+use crate::api::Desk;
 use crate::frame::{self, FrameError, FrameVersion};
 use crate::holders::{BlockLease, Renewal};
 use crate::silence::Silence;
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -1,9 +1,10 @@
 //! Puts a node one_zone and runs it.
 
-use crate::api::{self, Desk, Stores};
+use crate::api::{Desk, Stores};
 use crate::config::{OperatorSettings, Settings};
 use crate::door::Door;
 use crate::holders::{Holding, patience_ms};
+use crate::http;
 use crate::lead::{Clock, Leadership, Validity, View};
 use crate::ledger::Setup;
 use crate::node::Node;
@@ -124,7 +125,7 @@
         tracing::debug!("aim: {} of {class} within {:?} s", o.kind, o.within_s);
     }
     tracing::info!("{label}: serving on {}", settings.api_addr);
-    Server::new(acceptor).fuse_policy(door).serve(api::service(desk)).await;
+    Server::new(acceptor).fuse_policy(door).serve(http::service(desk)).await;
     Ok(())
 }
 
--- a/crates/controller/tests/api.rs
+++ b/crates/controller/tests/api.rs
@@ -3,8 +3,10 @@
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_clients::StoreClient;
-use hookway_controller::api::{Desk, Stores, Verdict, service};
+use hookway_controller::answers::Verdict;
+use hookway_controller::api::{Desk, Stores};
 use hookway_controller::config::Settings;
+use hookway_controller::http::service;
 use hookway_controller::lead::View;
 use hookway_controller::ledger::{Lookup, Withdrawal};
 use hookway_controller::node::{Ask, CheckInReply};
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -3,7 +3,7 @@
 //! whatever is renamed in the code, it must be read as these values and written as these bytes.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
-use hookway_controller::api::{Told, Verdict};
+use hookway_controller::answers::{Told, Verdict};
 use hookway_controller::frame::{self, CURRENT, FrameVersion};
 use hookway_controller::holders::{BlockLease, Renewal};
 use hookway_controller::peers::{PeerAnswer, PeerAsk};
--- a/crates/controller/tests/node.rs
+++ b/crates/controller/tests/node.rs
@@ -3,7 +3,8 @@
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
-use hookway_controller::api::{Desk, Stores, Verdict};
+use hookway_controller::answers::Verdict;
+use hookway_controller::api::{Desk, Stores};
 use hookway_controller::config::{OperatorSettings, Settings};
 use hookway_controller::holders::Holding;
 use hookway_controller::lead::{Clock, Leadership, Validity, View};
