--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -49,6 +49,9 @@
     store_silence: Mutex<Silence>,
 }
 
+/// Why a job that no value of the state service can hold is refused.
+const TOO_LONG: &str = "the job's description is too long";
+
 /// What the state service says of a job.
 enum Stored {
     Open(String, serde_json::Value),
@@ -327,9 +330,8 @@
         let team = spec.team.clone();
         let record = JobRecord { spec, at_ms: wall_ms(), marked: true };
         let Ok(value) = serde_json::to_value(&record) else { return later("internal") };
-        if value.to_string().len() as f64 > self.params.state.value_kb * 1024.0 {
-            let why = "the job's description is too long".to_owned();
-            return self.refuse_unless_accepted(&id, 400, why, from_peer).await;
+        if value.to_string().len() as f64 > self.params.state.largest_value_kb * 1024.0 {
+            return self.refuse_unless_accepted(&id, 400, TOO_LONG.into(), from_peer).await;
         }
         let transaction = Transaction {
             guards: vec![
@@ -344,6 +346,10 @@
                 Verdict::Accepted(told)
             }
             Ok(CommitOutcome::Refused(_)) => self.status(&id, from_peer).await,
+            // Whether the state service takes it still, only the state service knows.
+            Err(StoreError::Rejected(_)) => {
+                self.refuse_unless_accepted(&id, 400, TOO_LONG.into(), from_peer).await
+            }
             // No answer: it may have been applied, or may be later. Read, never assume.
             Err(StoreError::Unknown(_)) => {
                 match self.stored(&self.stores.submissions, &id).await {
--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -103,6 +103,9 @@
     /// Limits that replace these at some moment that nobody announces.
     #[serde(default)]
     pub next: Option<NextStateLimits>,
+    /// Largest value that it may take at this moment, KiB: the larger of the present and the next limit.
+    #[serde(skip)]
+    pub largest_value_kb: f64,
 }
 
 /// The limits that the state service will have later. What is missing stays as it is.
@@ -126,9 +129,11 @@
     /// Lowers each limit to the smaller of the present and the next one. The change comes unannounced, so
     /// writes that keep to both need not notice it.
     fn keep_to_both(&mut self) {
+        self.largest_value_kb = self.value_kb;
         let Some(next) = &self.next else { return };
         self.rps = next.rps.map_or(self.rps, |rps| rps.min(self.rps));
         self.write_rps = next.write_rps.map_or(self.write_rps, |rps| rps.min(self.write_rps));
+        self.largest_value_kb = next.value_kb.map_or(self.value_kb, |kb| kb.max(self.value_kb));
         self.value_kb = next.value_kb.map_or(self.value_kb, |kb| kb.min(self.value_kb));
         self.txn_ops = next.txn_ops.map_or(self.txn_ops, |ops| ops.min(self.txn_ops));
     }
--- a/crates/controller/src/config/tests.rs
+++ b/crates/controller/src/config/tests.rs
@@ -36,6 +36,7 @@
     let both = Settings::parse(&format!("{SETTINGS}{next}")).unwrap().settings.state;
     assert_eq!((both.write_rps, both.value_kb, both.txn_ops), (18.0, 2.0, 8));
     assert_eq!(both.rps, now.rps, "what is missing stays as it is");
+    assert_eq!((now.largest_value_kb, both.largest_value_kb), (8.0, 8.0));
 }
 
 #[test]
--- a/crates/controller/tests/api.rs
+++ b/crates/controller/tests/api.rs
@@ -65,6 +65,18 @@
     seen: View,
     store: Option<&str>,
     polls_rate: f64,
+) -> Arc<Desk> {
+    desk_with(SETTINGS, node, machine_types_known, seen, store, polls_rate)
+}
+
+/// The same, with other settings.
+fn desk_with(
+    settings: &str,
+    node: Node,
+    machine_types_known: bool,
+    seen: View,
+    store: Option<&str>,
+    polls_rate: f64,
 ) -> Arc<Desk> {
     let (tx, mut asks) = mpsc::channel(16);
     tokio::spawn(async move {
@@ -100,7 +112,7 @@
             }
         }
     });
-    let settings = Settings::parse(SETTINGS).expect("sound settings");
+    let settings = Settings::parse(settings).expect("sound settings");
     let machine_type = MachineType {
         label: "g8".into(),
         cpus: 96.0,
@@ -423,3 +435,20 @@
     server.with(|store| store.put(&key, value));
     assert_eq!(post(&api, "/api/jobs", &long).await.0, StatusCode::OK);
 }
+
+#[tokio::test]
+async fn a_long_job_is_accepted_until_the_state_service_takes_no_such_value_any_more() {
+    let server = StoreServer::default();
+    let address = server.start().await.expect("a free port");
+    let next = format!("{SETTINGS}[settings.state.next]\nvalue_kb = 2.0\n");
+    let api =
+        service(desk_with(&next, Node::Follows, true, View::default(), Some(&address), 2000.0));
+    let long = |id: &str| JOB.replace("img-07", &"x".repeat(4_000)).replace("req-000412", id);
+    assert_eq!(post(&api, "/api/jobs", &long("req-000412")).await.0, StatusCode::CREATED);
+    server.limit_values(2_048);
+    let (status, text, _) = post(&api, "/api/jobs", &long("req-000413")).await;
+    assert_eq!(status, StatusCode::BAD_REQUEST, "{text}");
+    assert!(reason(&text).contains("too long"), "{text}");
+    assert_eq!(post(&api, "/api/jobs", &long("req-000412")).await.0, StatusCode::OK, "it is known");
+    assert_eq!(post(&api, "/api/jobs", JOB).await.0, StatusCode::OK);
+}
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -1,5 +1,5 @@
 use crate::MemoryStore;
-use hookway_wire::{CommitAnswer, Event, Grant, KeyPage, Transaction, WatchAnswer};
+use hookway_wire::{Change, CommitAnswer, Event, Grant, KeyPage, Transaction, WatchAnswer};
 use salvo::conn::TcpListener;
 use salvo::conn::tcp::TcpAcceptor;
 use salvo::http::StatusCode;
@@ -17,6 +17,19 @@
     next_lease: u64,
     refusing: bool,
     refused: usize,
+    /// Largest value that is taken, bytes; `None`: any.
+    largest_value: Option<usize>,
+}
+
+impl Inner {
+    /// Whether a transaction puts a larger value than is taken.
+    fn too_large(&self, transaction: &Transaction) -> bool {
+        let Some(largest) = self.largest_value else { return false };
+        transaction.apply.iter().any(|change| match change {
+            Change::Put { v, .. } => v.to_string().len() > largest,
+            Change::Delete { .. } => false,
+        })
+    }
 }
 
 /// A state service over HTTP on loopback. Leases last until the test ends them.
@@ -88,6 +101,11 @@
         }
     }
 
+    /// From now on values may be no larger than this, in bytes.
+    pub fn limit_values(&self, largest: usize) {
+        self.lock().largest_value = Some(largest);
+    }
+
     /// Begins or ends an outage.
     pub fn refuse(&self, refusing: bool) {
         self.lock().refusing = refusing;
@@ -142,6 +160,10 @@
                     res.status_code(StatusCode::BAD_REQUEST);
                     return;
                 };
+                if server.lock().too_large(&transaction) {
+                    res.status_code(StatusCode::BAD_REQUEST);
+                    return res.render(Json(json!({ "error": "the value is too large" })));
+                }
                 let outcome = server.with(|store| store.commit(&transaction));
                 let revision = server.lock().store.revision();
                 match outcome {
