--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -40,31 +40,11 @@
     // Machines that this plan rents, with the room that is left on them.
     let mut rented: Vec<(usize, Room)> = Vec::new();
     let mut used: Vec<Room> = world.teams.iter().map(|t| t.used).collect();
-    // Work is laid out on cheap machines first, so that dear ones are the ones to return.
     let zones = world.machines.iter().map(|h| h.zone).chain(offers.iter().map(|o| o.zone));
     let zones = zones.max().map_or(0, |last| last + 1);
     let least = least_need(&world.jobs);
-    let mut by_price: Vec<usize> =
-        (0..world.machines.len()).filter(|i| free[*i].fits(&least)).collect();
-    by_price.sort_by(|a, b| {
-        let (a, b) = (&world.machines[*a], &world.machines[*b]);
-        let priority = |h: &MachineView| (h.booting, h.held.is_empty());
-        priority(a).cmp(&priority(b)).then(a.cpu_price().total_cmp(&b.cpu_price()))
-    });
-    // Nothing is rented for a job that fails wherever it is tried, unless no machines are left that could try
-    // it: what failed by bad luck must not wait for ever. One gang at a time; one machine for all others (below).
-    let stranded = (0..world.jobs.len()).find(|j| {
-        let job = &world.jobs[*j];
-        job.doubtful && job.gang && job.startable > 0 && !could_hold(world, *j)
-    });
-    let mut order: Vec<usize> = (0..world.jobs.len())
-        .filter(|j| !world.jobs[*j].doubtful || Some(*j) == stranded)
-        .collect();
-    order.sort_by(|a, b| {
-        let (a, b) = (&world.jobs[*a], &world.jobs[*b]);
-        b.priority.cmp(&a.priority).then(a.submitted.total_cmp(&b.submitted))
-    });
-    for job_ix in order {
+    let mut by_price = roomy_machines_by_price(world, &least);
+    for job_ix in jobs_to_rent_for(world) {
         let job = &world.jobs[job_ix];
         let lead = lead_time(world, job_ix);
         let mut short = wanted(job, world.now, lead).saturating_sub(job.running).min(job.startable);
@@ -132,6 +112,42 @@
             }
         }
     }
+    rent_for_failing_arrays(world, offers, zones, &mut plan);
+    plan
+}
+
+/// Machines with room for some task. Work is laid out on cheap ones first, so that dear ones are those to return.
+fn roomy_machines_by_price(world: &World, least: &Room) -> Vec<usize> {
+    let mut by_price: Vec<usize> =
+        (0..world.machines.len()).filter(|i| world.machines[*i].free.fits(least)).collect();
+    by_price.sort_by(|a, b| {
+        let (a, b) = (&world.machines[*a], &world.machines[*b]);
+        let later = |machine: &MachineView| (machine.booting, machine.held.is_empty());
+        later(a).cmp(&later(b)).then(a.cpu_price().total_cmp(&b.cpu_price()))
+    });
+    by_price
+}
+
+/// The jobs that machines may be rented for, in their order. Nothing is rented for a job that fails wherever it is
+/// tried, unless no machines are left that could try it: what failed by bad luck must not wait for ever. One gang
+/// at a time; one machine for all others ([`rent_for_failing_arrays`]).
+fn jobs_to_rent_for(world: &World) -> Vec<usize> {
+    let stranded = (0..world.jobs.len()).find(|j| {
+        let job = &world.jobs[*j];
+        job.doubtful && job.gang && job.startable > 0 && !could_hold(world, *j)
+    });
+    let mut order: Vec<usize> = (0..world.jobs.len())
+        .filter(|j| !world.jobs[*j].doubtful || Some(*j) == stranded)
+        .collect();
+    order.sort_by(|a, b| {
+        let (a, b) = (&world.jobs[*a], &world.jobs[*b]);
+        b.priority.cmp(&a.priority).then(a.submitted.total_cmp(&b.submitted))
+    });
+    order
+}
+
+/// One machine for jobs that fail wherever they are tried, where none is left or coming that could try them.
+fn rent_for_failing_arrays(world: &World, offers: &[Offer], zones: usize, plan: &mut FleetPlan) {
     for job_ix in (0..world.jobs.len()).filter(|j| world.jobs[*j].doubtful && !world.jobs[*j].gang)
     {
         let job = &world.jobs[job_ix];
@@ -146,7 +162,6 @@
             plan.rent.push(Rent { offer, count: 1 });
         }
     }
-    plan
 }
 
 fn takes(world: &World, job: usize, machine: &MachineView) -> bool {
