--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -7,7 +7,7 @@
 use crate::limiter::Limiter;
 use crate::node::{Ask, CheckInReply};
 use crate::peers::{PeerAnswer, PeerAsk, Peers};
-use crate::records::{FinalRecord, JobRecord, LEAD_NOW, final_key, job_key};
+use crate::records::{FinalRecord, JobRecord, LEAD_NOW, final_key, fits, job_key};
 use crate::silence::Silence;
 use hookway_clients::{CommitOutcome, HttpError, StoreClient, StoreError};
 use hookway_constants as constants;
@@ -293,7 +293,7 @@
         };
         let types: Vec<bool> = machine_types.iter().map(allowed).collect();
         // All tasks of a gang or a daemon run at once, so the zones that it may be in must be enough for all.
-        let at_once = spec.is_gang() || spec.is_daemon();
+        let at_once = spec.wants_all_at_once();
         let zones = self.params.zones.iter().filter(|zone| {
             let there = |f: &MachineType| allowed(f) && f.zones.contains(zone);
             spec.zone.as_ref().is_none_or(|y| y == *zone) && machine_types.iter().any(there)
@@ -330,7 +330,7 @@
         let team = spec.team.clone();
         let record = JobRecord { spec, at_ms: wall_ms(), marked: true };
         let Ok(value) = serde_json::to_value(&record) else { return later("internal") };
-        if value.to_string().len() as f64 > self.params.state.largest_value_kb * 1024.0 {
+        if !fits(&value, self.params.state.largest_value_kb) {
             return self.refuse_unless_accepted(&id, 400, TOO_LONG.into(), from_peer).await;
         }
         let transaction = Transaction {
--- a/crates/controller/src/ledger/blame.rs
+++ b/crates/controller/src/ledger/blame.rs
@@ -12,8 +12,7 @@
     /// It failed, and nothing speaks for it: no task has completed, and not more of them run than there
     /// are machines that it failed on.
     pub fn doubtful(&self) -> bool {
-        let all_wanted = self.spec.is_gang() || self.spec.is_daemon();
-        let tries = if all_wanted { constants::GANG_TRIES } else { 1 };
+        let tries = if self.spec.wants_all_at_once() { constants::GANG_TRIES } else { 1 };
         self.errors >= tries && self.unproven()
     }
 
@@ -61,7 +60,7 @@
         }
         let pause = constants::ERROR_PAUSE_MS << (self.errors - 1).min(10);
         let pause = pause.min(constants::ERROR_PAUSE_MAX_MS);
-        // Jobs that were submitted one_zone with the same mistake shall not all come back one_zone.
+        // Jobs that were submitted together with the same mistake shall not all come back together.
         let spread = |sum: u64, byte: u8| sum.wrapping_mul(31).wrapping_add(u64::from(byte));
         let spread = self.id.as_str().bytes().fold(u64::from(self.errors), spread);
         let jitter = pause / 4 * (spread % 100) / 100;
@@ -74,9 +73,7 @@
             ));
         }
     }
-}
 
-impl Job {
     /// A replica of a daemon said that it is done. It runs again, and if it ended at once, after a pause.
     pub(super) fn replica_completed(
         &mut self,
--- a/crates/controller/src/ledger/commit.rs
+++ b/crates/controller/src/ledger/commit.rs
@@ -1,9 +1,9 @@
 use super::roster::Roster;
-use super::writer::{Commit, CommitResult, Item, fits, is_own};
+use super::writer::{Commit, CommitResult, Item, is_own};
 use super::{Ledger, Slot};
 use crate::records::{
     CLASSES, ClassRecord, FinalRecord, MinimumRecord, ProgressRecord, SharedMarksRecord, final_key,
-    job_key, minimum_key, progress_key, progress_place, shared_marks_key,
+    fits, job_key, minimum_key, progress_key, progress_place, shared_marks_key,
 };
 use hookway_constants as constants;
 use hookway_policy::needs_rewrite;
@@ -25,7 +25,7 @@
         let tokens = self.writer.bucket.fill(now).floor() as usize;
         self.retry_rejected(now);
         let most = self.writer.most_changes.min(tokens);
-        if most < 2 {
+        if most < constants::FINAL_OPS {
             return None;
         }
         let mut commit = Commit {
@@ -45,7 +45,7 @@
             commit.items.push(Item::Trash(key));
         }
         self.add_minimums(&mut commit, now);
-        self.add_lanes(&mut commit, now);
+        self.add_classes(&mut commit, now);
         self.add_hints(&mut commit, now);
         if commit.transaction.apply.is_empty() {
             return None;
@@ -56,7 +56,7 @@
     }
 
     fn add_finals(&mut self, commit: &mut Commit) {
-        while commit.open(2)
+        while commit.open(constants::FINAL_OPS)
             && let Some(key) = self.writer.finals.pop_front()
         {
             let Some(job) = self.jobs.get_mut(&key) else { continue };
@@ -187,7 +187,7 @@
     }
 
     /// What the next leader should know of the classes; one record for all, written when one changes.
-    fn add_lanes(&mut self, commit: &mut Commit, now: u64) {
+    fn add_classes(&mut self, commit: &mut Commit, now: u64) {
         if !self.writer.classes || !commit.open(1) || self.writer.minimum_bucket.fill(now) < 1.0 {
             return;
         }
@@ -202,7 +202,7 @@
         self.writer.minimum_bucket.units -= 1.0;
         commit.over(&self.writer.stamps, CLASSES);
         commit.put(CLASSES.to_owned(), value);
-        commit.items.push(Item::Lanes);
+        commit.items.push(Item::Classes);
     }
 
     fn add_minimum(&mut self, commit: &mut Commit, key: u64) {
@@ -362,7 +362,7 @@
                     self.writer.trash.push_back(shared_marks_key(number));
                 }
             }
-            Item::Trash(_) | Item::Lanes => {}
+            Item::Trash(_) | Item::Classes => {}
         }
     }
 
@@ -381,7 +381,7 @@
             }
             Item::Roster(number, _) => self.writer.roster.again(number),
             Item::Trash(key) => self.writer.trash.push_back(key),
-            Item::Lanes => self.writer.classes = true,
+            Item::Classes => self.writer.classes = true,
             Item::Marks(_, keys) => self.writer.opens.extend(keys),
             Item::Minimum(key, _) => {
                 let waits = |j: &super::Job| j.opening > j.opened || !j.written_opened;
@@ -450,16 +450,15 @@
         if job.spec.is_daemon() || from >= job.spec.tasks {
             return;
         }
-        let others = job.progress.learn(from, stamp, record);
-        for index in record.map(ProgressRecord::set).unwrap_or_default() {
-            let index = from.saturating_add(index);
-            if index < job.spec.tasks && job.slots[index as usize] != Slot::Done {
+        let learned = job.progress.learn(from, stamp, record);
+        for index in learned.done {
+            if job.slots[index as usize] != Slot::Done {
                 job.slots[index as usize] = Slot::Done;
                 job.free.remove(&index);
                 job.done += 1;
             }
         }
-        for chunk in others {
+        for chunk in learned.chunks_to_write {
             if job.progress.queue(chunk) {
                 self.writer.chunks.push_back((key, chunk));
             }
--- a/crates/controller/src/ledger/departures.rs
+++ b/crates/controller/src/ledger/departures.rs
@@ -107,7 +107,7 @@
         }
     }
 
-    /// A task has completed. A gang completes one_zone.
+    /// A task has completed. A gang completes together.
     pub(super) fn complete(&mut self, key: u64, index: u32, took_ms: Option<u64>) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         if job.over.is_some() || job.spec.is_daemon() {
--- a/crates/controller/src/ledger/fleet.rs
+++ b/crates/controller/src/ledger/fleet.rs
@@ -232,7 +232,7 @@
     }
 
     /// Zones of which only a few machines are `missing`: gone, most likely. When many of a zone are missing
-    /// one_zone a network is cut, and they may be back.
+    /// together a network is cut, and they may be back.
     fn few_missing(
         &self,
         counts: impl Fn(&Machine) -> bool,
--- a/crates/controller/src/ledger/load.rs
+++ b/crates/controller/src/ledger/load.rs
@@ -71,14 +71,18 @@
         }
     }
 
+    /// Removes a record of a job that is over, or never was.
+    fn remove_if_orphaned(&mut self, key: String, accepted: &Accepted) {
+        if accepted.lacks_job_of(&key) {
+            self.writer.trash(key);
+        }
+    }
+
     fn load_progress(&mut self, kv: KeyValue, accepted: &Accepted) {
         let place = crate::records::progress_place(&kv.key)
             .and_then(|(id, from)| Some((*self.by_id.get(&id)?, from)));
         let Some((job, from)) = place else {
-            if accepted.lacks_job_of(&kv.key) {
-                self.writer.trash(kv.key);
-            }
-            return;
+            return self.remove_if_orphaned(kv.key, accepted);
         };
         match serde_json::from_value::<ProgressRecord>(kv.v) {
             Ok(record) => self.learn_progress(job, from, kv.stamp, Some(&record)),
@@ -108,10 +112,7 @@
     fn load_minimum(&mut self, kv: KeyValue, accepted: &Accepted) {
         let known = job_of_key(&kv.key).and_then(|id| self.by_id.get(&id));
         let Some(job) = known.and_then(|k| self.jobs.get_mut(k)) else {
-            if accepted.lacks_job_of(&kv.key) {
-                self.writer.trash(kv.key);
-            }
-            return;
+            return self.remove_if_orphaned(kv.key, accepted);
         };
         match serde_json::from_value::<MinimumRecord>(kv.v) {
             Ok(record) => {
--- a/crates/controller/src/ledger/mod.rs
+++ b/crates/controller/src/ledger/mod.rs
@@ -454,7 +454,7 @@
                 expected += 1;
             }
         }
-        // Where hundreds report, all of them are silent one_zone within seconds only if this node can't hear
+        // Where hundreds report, all of them are silent together within seconds only if this node can't hear
         // them. But workers that look for a new leader come one by one.
         let part = (constants::DESERTED_MACHINES / f64::from(expected.max(1))).min(1.0);
         let soon = ((report_ms * constants::DESERTED_REPORTS * part) as u64)
--- a/crates/controller/src/ledger/progress.rs
+++ b/crates/controller/src/ledger/progress.rs
@@ -26,6 +26,15 @@
     wide: bool,
 }
 
+/// What a stored record says.
+#[derive(Debug, PartialEq, Eq)]
+pub struct Learned {
+    /// Tasks whose results it holds.
+    pub done: Vec<u32>,
+    /// Chunks whose results it holds although they have records of their own: those must be written.
+    pub chunks_to_write: Vec<usize>,
+}
+
 /// The stored results of one job.
 #[derive(Debug)]
 pub struct Progress {
@@ -110,29 +119,28 @@
     }
 
     /// The record whose results begin at task `from` has this version and these results, counted from there
-    /// (`None`: there is no such record). Gives the chunks whose results it holds although they have records
-    /// of their own: those must be written.
-    pub fn learn(&mut self, from: u32, stamp: u64, record: Option<&ProgressRecord>) -> Vec<usize> {
+    /// (`None`: there is no such record).
+    pub fn learn(&mut self, from: u32, stamp: u64, record: Option<&ProgressRecord>) -> Learned {
         let results = record.map(ProgressRecord::set).unwrap_or_default();
-        let indexes: Vec<u32> = results
+        let done: Vec<u32> = results
             .into_iter()
             .map(|i| from.saturating_add(i))
             .filter(|i| *i < self.tasks)
             .collect();
-        for index in &indexes {
+        for index in &done {
             self.durable[*index as usize] = true;
         }
         let own = self.chunk_of(from);
         let aligned = from.is_multiple_of(self.chunk_tasks) && own < self.chunks.len();
         if !aligned {
-            return Vec::new();
+            return Learned { done, chunks_to_write: Vec::new() };
         }
         let mut others: Vec<usize> =
-            indexes.iter().map(|i| self.chunk_of(*i)).filter(|chunk| *chunk != own).collect();
+            done.iter().map(|i| self.chunk_of(*i)).filter(|chunk| *chunk != own).collect();
         others.dedup();
         self.chunks[own].stamp = stamp;
         self.chunks[own].wide = !others.is_empty();
-        others
+        Learned { done, chunks_to_write: others }
     }
 
     /// The chunks that one record holds where values may be large, but for the first of them.
--- a/crates/controller/src/ledger/roster.rs
+++ b/crates/controller/src/ledger/roster.rs
@@ -1,4 +1,4 @@
-use crate::records::{RosterEntry, RosterRecord, roster_key};
+use crate::records::{RosterEntry, RosterRecord, fits, roster_key};
 use hookway_constants as constants;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -188,16 +188,15 @@
             }
             record.machines.insert(machine.clone(), entry);
         }
-        let fits = |value: &serde_json::Value| value.to_string().len() as f64 <= value_kb * 1024.0;
         let value = serde_json::to_value(&record).ok()?;
-        if fits(&value) {
+        if fits(&value, value_kb) {
             return Some(value);
         }
         record.images.clear();
         for entry in record.machines.values_mut() {
             entry.images.clear();
         }
-        serde_json::to_value(&record).ok().filter(fits)
+        serde_json::to_value(&record).ok().filter(|value| fits(value, value_kb))
     }
 }
 
--- a/crates/controller/src/ledger/schedule.rs
+++ b/crates/controller/src/ledger/schedule.rs
@@ -116,7 +116,7 @@
             return all;
         }
         // What the store says was never started can't be on any of them. But where a job's tasks must be
-        // one_zone, or may not all be, those that may be there decide where others may start.
+        // together, or may not all be, those that may be there decide where others may start.
         if job.spec.is_gang() || job.bound_to_zones() {
             return if job.sure_from == 0 { all } else { 0 };
         }
--- a/crates/controller/src/ledger/writer.rs
+++ b/crates/controller/src/ledger/writer.rs
@@ -19,9 +19,9 @@
 /// Units that come back at a rate and may be saved up for a second.
 #[derive(Debug)]
 pub(super) struct Bucket {
-    pub rate: f64,
+    rate: f64,
     pub units: f64,
-    pub at: u64,
+    at: u64,
 }
 
 impl Bucket {
@@ -116,12 +116,6 @@
     key == CLASSES || key.starts_with(MINIMUMS) || key.starts_with(ROSTER)
 }
 
-/// Whether a record is no larger than a value may be.
-pub(super) fn fits(record: &impl serde::Serialize, value_kb: f64) -> bool {
-    let length = serde_json::to_string(record).map_or(usize::MAX, |text| text.len());
-    length as f64 <= value_kb * 1024.0
-}
-
 #[derive(Debug, Clone)]
 pub(super) enum Item {
     Final(u64, FinalRecord),
@@ -131,7 +125,7 @@
     Minimum(u64, MinimumRecord),
     /// A record of small jobs that may be started, and those that wait for it.
     Marks(u64, Vec<u64>),
-    Lanes,
+    Classes,
 }
 
 /// A transaction with what it stands for.
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -193,6 +193,12 @@
     }
 }
 
+/// Whether a record is no larger than a value may be.
+pub fn fits(record: &impl Serialize, value_kb: f64) -> bool {
+    let length = serde_json::to_string(record).map_or(usize::MAX, |text| text.len());
+    length as f64 <= value_kb * 1024.0
+}
+
 /// `j/<job>`.
 pub fn job_key(id: &JobId) -> String {
     format!("{JOBS}{id}")
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -1,4 +1,4 @@
-//! Puts a node one_zone and runs it.
+//! Puts a node together and runs it.
 
 use crate::api::{Desk, Stores};
 use crate::config::{OperatorSettings, Settings};
--- a/crates/controller/tests/api.rs
+++ b/crates/controller/tests/api.rs
@@ -172,7 +172,7 @@
 #[tokio::test]
 async fn a_job_that_may_be_known_is_not_refused_for_good_while_the_store_is_away() {
     let api = api(Node::Leads, true);
-    // Whether this id was accepted once can't be read, so 422 would be a estimate.
+    // Whether this id was accepted once can't be read, so 422 would be a guess.
     let body = JOB.replace("\"vision\"", "\"nobody\"");
     let (status, text, retry) = post(&api, "/api/jobs", &body).await;
     assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true), "{text}");
--- a/crates/controller/tests/ledger.rs
+++ b/crates/controller/tests/ledger.rs
@@ -72,7 +72,7 @@
     play.settle(&mut [&mut near, &mut cut]);
     assert_eq!((near.live().len(), cut.live().len()), (1, 1));
     let lost = cut.live()[0].clone();
-    // The old leader is cut off one_zone with m-2. A new one takes over at 30 s.
+    // The old leader is cut off together with m-2. A new one takes over at 30 s.
     let mut next = Play::lead(play.store.clone(), 2, 30_000);
     let fresh = next.submit(job("req-000002", "array", 1));
     let mut spare = small("m-3", "a");
@@ -443,7 +443,7 @@
     play.submit(spec.clone());
     play.settle(&mut [&mut one]);
     assert_eq!(one.live().len(), 1);
-    // m-1 falls silent one_zone with the leader; 3 of the team's 4 CPUs may be in use there.
+    // m-1 falls silent together with the leader; 3 of the team's 4 CPUs may be in use there.
     let mut next = Play::lead(play.store.clone(), 2, 9_000);
     spec.id = JobId::parse("req-000002").expect("an id");
     next.submit(spec);
@@ -675,7 +675,7 @@
     play.submit(job("req-000001", "array", 300));
     play.settle(&mut [&mut near, &mut cut]);
     let queued = play.submit(job("req-000002", "group", 1));
-    // The leader is cut off one_zone with m-2; m-1 is emptied.
+    // The leader is cut off together with m-2; m-1 is emptied.
     let held: u32 = cut.live()[0].rsplit('/').next().expect("a number").parse().expect("a number");
     let mut next = Play::lead(play.store.clone(), 2, 30_000);
     near.end(&near.live()[0].clone(), Cause::Done);
--- a/crates/controller/tests/world/mod.rs
+++ b/crates/controller/tests/world/mod.rs
@@ -114,7 +114,7 @@
 }
 
 impl Counts {
-    /// Both one_zone.
+    /// Both together.
     pub fn and(self, other: &Self) -> Self {
         Self {
             starts: self.starts + other.starts,
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -171,7 +171,7 @@
         && world.jobs[job].allows(machine.machine_type, machine.zone, machine.spot)
 }
 
-/// How many more tasks of a job each zone may hold. Without this a gang that must spread, or be one_zone,
+/// How many more tasks of a job each zone may hold. Without this a gang that must spread, or be together,
 /// is thought to fit where it never will, and nothing is rented for it.
 fn open_zones(
     world: &World,
--- a/crates/policy/src/minimum.rs
+++ b/crates/policy/src/minimum.rs
@@ -26,7 +26,7 @@
 /// Tasks that the fleet should have room for: the minimum with the team's estimate as a prior, and
 /// with `lead` seconds taken off the time left (boot and image). A gang wants all its tasks.
 pub fn wanted(job: &JobView, now: f64, lead: f64) -> u32 {
-    if job.gang || job.daemon {
+    if job.wants_all_at_once() {
         return job.unfinished;
     }
     let mean = job.task_time();
--- a/crates/policy/src/order.rs
+++ b/crates/policy/src/order.rs
@@ -48,7 +48,7 @@
     job.mean.map_or_else(prior, |_| minimum(job, now))
 }
 
-/// Jobs that can't all be in time: when the minimums one_zone need more than `capacity` CPUs, those
+/// Jobs that can't all be in time: when the minimums together need more than `capacity` CPUs, those
 /// with the least work left are kept to, since most jobs are in time then, and the others yield like late
 /// ones. Earliest deadline first would make nearly all of them late one after the other.
 fn deferred(jobs: &[JobView], now: f64, capacity: f64) -> Vec<bool> {
@@ -56,7 +56,7 @@
     let mut room = capacity;
     let mut rates: Vec<(f64, f64, usize)> = Vec::new();
     for (i, job) in jobs.iter().enumerate() {
-        if job.gang || job.daemon {
+        if job.wants_all_at_once() {
             let tasks = if job.daemon { job.unfinished } else { job.running.max(job.startable) };
             room -= f64::from(tasks) * job.need.cpus;
             continue;
@@ -78,18 +78,18 @@
 
 /// Nobody said when it should start or be complete: it takes what is left.
 pub(crate) fn unhurried(job: &JobView) -> bool {
-    !job.gang && !job.daemon && job.due.is_none() && job.start_by.is_empty()
+    !job.wants_all_at_once() && job.due.is_none() && job.start_by.is_empty()
 }
 
 /// Whether tasks of the job wait of which nothing has run or runs. A replica of a daemon that is not running
 /// counts as such by itself: no other replica does its work.
-fn waits_unseen(job: &JobView) -> bool {
+pub(crate) fn waits_unseen(job: &JobView) -> bool {
     job.unseen() || job.daemon
 }
 
 /// The order of the design, within each priority: jobs with nothing finished or running first, oldest
 /// first; then earliest deadline, each up to its minimum. What is left goes to the job with the least
-/// work left. Jobs that are late, or can't be in time one_zone with the others on `capacity` CPUs, come
+/// work left. Jobs that are late, or can't be in time together with the others on `capacity` CPUs, come
 /// last, and after them those without a deadline; but a part of the CPUs goes to those of them that have
 /// waited longest.
 pub fn turns(jobs: &[JobView], now: f64, capacity: f64) -> Vec<Turn> {
@@ -114,7 +114,7 @@
     for job in &unseen {
         let view = &jobs[*job];
         // What a gang needs at least is all of it, and so is a daemon's minimum.
-        let tasks = if view.gang || view.daemon { view.startable } else { 1 };
+        let tasks = if view.wants_all_at_once() { view.startable } else { 1 };
         list.push(Turn { job: *job, tasks, leftover: false });
     }
     // However much comes in time, what has waited long gets on.
@@ -146,7 +146,7 @@
     }
     // Leftovers are spread to the job with the least work left first: of those that can be in time,
     // most are, when there is not enough for all. Ranks have had their say above.
-    let in_parts = |i: &usize| !jobs[*i].gang && !jobs[*i].daemon;
+    let in_parts = |i: &usize| !jobs[*i].wants_all_at_once();
     let mut rest: Vec<usize> = unseen.into_iter().chain(seen).filter(in_parts).collect();
     let work = |j: &JobView| f64::from(j.startable) * j.task_time() * j.need.cpus;
     rest.sort_by(|a, b| {
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -120,7 +120,7 @@
         .fold(0u32, |n, h| n.saturating_add(h.free.count(&job.need)))
 }
 
-/// Whether a gang that found room on these machines should rather wait a moment. It starts one_zone,
+/// Whether a gang that found room on these machines should rather wait a moment. It starts together,
 /// so one missing image keeps all of it waiting: where machines that hold the image are being
 /// cleared for it, or can be cleared at less cost, that is the earlier start.
 fn better_cleared(world: &World, job_ix: usize, machines: &[usize]) -> bool {
--- a/crates/policy/src/preempt.rs
+++ b/crates/policy/src/preempt.rs
@@ -1,3 +1,4 @@
+use crate::order::waits_unseen;
 use crate::{HeldView, MachineView, Room, World};
 use hookway_constants as constants;
 
@@ -87,7 +88,7 @@
 }
 
 /// The cheaper of two ways to make room: on machines that hold the image, or on any. A gang starts
-/// one_zone, so the longest fetch keeps all of its places waiting.
+/// together, so the longest fetch keeps all of its places waiting.
 fn cheapest_eviction(world: &World, job_ix: usize, tasks: u32, taken: &[bool]) -> Option<Eviction> {
     let job = &world.jobs[job_ix];
     let any = evict_for(world, job_ix, tasks, taken, false);
@@ -120,8 +121,7 @@
     let mut waiting: Vec<usize> = (0..world.jobs.len())
         .filter(|i| {
             let job = &world.jobs[*i];
-            let short =
-                if job.gang { job.startable == job.tasks } else { job.unseen() || job.daemon };
+            let short = if job.gang { job.startable == job.tasks } else { waits_unseen(job) };
             // One batch of stops at a time: machines that are being cleared for it stay kept.
             let clearing = world.machines.iter().any(|h| h.kept_for == Some(*i));
             job.startable > 0
@@ -140,7 +140,7 @@
     let mut all = evict_for_deadlines(world);
     for job_ix in waiting {
         let job = &world.jobs[job_ix];
-        let tasks = if job.gang || job.daemon { job.startable } else { 1 };
+        let tasks = if job.wants_all_at_once() { job.startable } else { 1 };
         let team_allows = world.teams.get(job.team).is_none_or(|t| t.allows(&job.need) >= tasks);
         if !team_allows {
             all.extend(evict_for_quota(world, job_ix, tasks));
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -62,6 +62,11 @@
 }
 
 impl JobView {
+    /// Whether all its tasks are wanted at the same time: of a gang, and of a daemon.
+    pub fn wants_all_at_once(&self) -> bool {
+        self.gang || self.daemon
+    }
+
     /// Whether nothing of it has run or runs.
     pub fn unseen(&self) -> bool {
         self.finished == 0 && self.running == 0
--- a/crates/wire/src/job.rs
+++ b/crates/wire/src/job.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// How a job's tasks belong one_zone.
+/// How a job's tasks belong together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobKind {
@@ -204,6 +204,11 @@
         self.kind == JobKind::Daemon
     }
 
+    /// Whether all tasks are wanted at the same time: of a gang, and of a daemon.
+    pub fn wants_all_at_once(&self) -> bool {
+        self.is_gang() || self.is_daemon()
+    }
+
     /// Most tasks that one zone may hold at a time.
     pub fn zone_cap(&self) -> u32 {
         if self.spread { self.tasks.div_ceil(2) } else { self.tasks }
