--- a/crates/clients/src/cloud.rs
+++ b/crates/clients/src/cloud.rs
@@ -1,6 +1,6 @@
 use crate::{Budget, HttpClient, HttpError};
 use hookway_constants as constants;
-use hookway_wire::{Flavor, Flavors, HostList, HostNames, ListedHost, RentRequest};
+use hookway_wire::{HostList, HostNames, ListedHost, MachineType, MachineTypes, RentRequest};
 use hyper::{Method, StatusCode};
 use std::sync::Arc;
 use std::time::Duration;
@@ -66,13 +66,13 @@
     }
 
     /// The machine types with their current prices.
-    pub async fn flavors(&self) -> Result<Vec<Flavor>, CloudError> {
+    pub async fn machine_types(&self) -> Result<Vec<MachineType>, CloudError> {
         let (status, body) = self.call(Method::GET, "/flavors", None).await?;
         if status != StatusCode::OK {
             return Err(Self::odd(status, &body));
         }
-        serde_json::from_slice::<Flavors>(&body)
-            .map(|f| f.flavors)
+        serde_json::from_slice::<MachineTypes>(&body)
+            .map(|f| f.machine_types)
             .map_err(|e| CloudError::Unexpected(200, e.to_string()))
     }
 
@@ -106,7 +106,7 @@
         loop {
             let mut path = format!("/rentals?Most={}", constants::LIST_PAGE);
             if let Some(last) = all.last() {
-                path.push_str(&format!("&After={}", last.name_id));
+                path.push_str(&format!("&After={}", last.id));
             }
             let (status, body) = self.call(Method::GET, &path, None).await?;
             if status != StatusCode::OK {
--- a/crates/constants/src/lib.rs
+++ b/crates/constants/src/lib.rs
@@ -129,9 +129,9 @@
 /// Added to that for each machine, ms: reading a thousand entries takes milliseconds of a whole core.
 pub const CLOUD_LIST_PER_HOST_MS: u64 = 4;
 /// Pause between two readings of the machine types (their prices move), ms.
-pub const FLAVORS_EVERY_MS: u64 = 60_000;
+pub const MACHINE_TYPES_EVERY_MS: u64 = 60_000;
 /// Pause before a failed reading of the machine types, ms.
-pub const FLAVORS_RETRY_MS: u64 = 700;
+pub const MACHINE_TYPES_RETRY_MS: u64 = 700;
 /// Machines that one rental request may ask for (protocol).
 pub const RENT_AT_MOST: u32 = 50;
 /// Names that one deletion may hold (protocol).
@@ -144,7 +144,7 @@
 pub const BOOT_GIVE_UP_FACTOR: f64 = 4.0;
 /// Added to that, ms.
 pub const BOOT_GIVE_UP_MS: u64 = 10_000;
-/// How long what a lane needed at a time is remembered when spare machines are kept for it, ms.
+/// How long what a class needed at a time is remembered when spare machines are kept for it, ms.
 pub const SPARE_WINDOW_MS: u64 = 120_000;
 /// A machine is returned once it has been idle for this many times what a new one takes to boot and
 /// to fetch an image. 1 is the break-even of the cost; above it, late work is spared.
@@ -262,7 +262,7 @@
 pub const BACKFILL_TURN_S: f64 = 20.0;
 /// And for at least this many times what it takes to save.
 pub const BACKFILL_SAVES: f64 = 5.0;
-/// Stops of one machine's work for a job of higher rank wait this long for machines to free up by
+/// Stops of one machine's work for a job of higher priority wait this long for machines to free up by
 /// themselves, ms.
 pub const PREEMPT_AFTER_MS: u64 = 200;
 /// A gang that has found no room for this long has machines kept for it, ms. Long enough for
--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -12,7 +12,7 @@
 use hookway_constants as constants;
 use hookway_policy::{Room, TeamView, fits_somewhere};
 use hookway_wire::{
-    Change, CheckIn, ErrorBody, Flavor, Guard, JobId, JobSpec, JobState, JobStatus,
+    Change, CheckIn, ErrorBody, Guard, JobId, JobSpec, JobState, JobStatus, MachineType,
     ReportElsewhere, Transaction,
 };
 use salvo::http::{HeaderValue, StatusCode};
@@ -36,7 +36,7 @@
     /// Running tasks.
     pub running: u32,
     /// The team.
-    pub owner: Option<String>,
+    pub team: Option<String>,
     /// The controller that commands it.
     pub commander: Option<String>,
     /// Why attempts ended.
@@ -46,11 +46,11 @@
 impl From<JobStatus> for Told {
     fn from(s: JobStatus) -> Self {
         Self {
-            id: s.name_id,
+            id: s.id,
             state: s.status,
             done: s.done,
             running: s.running,
-            owner: s.owner,
+            team: s.team,
             commander: s.commander,
             notes: s.notes,
         }
@@ -60,11 +60,11 @@
 impl From<Told> for JobStatus {
     fn from(t: Told) -> Self {
         Self {
-            name_id: t.id,
+            id: t.id,
             status: t.state,
             done: t.done,
             running: t.running,
-            owner: t.owner,
+            team: t.team,
             commander: t.commander,
             notes: t.notes,
         }
@@ -142,7 +142,7 @@
     /// Who leads.
     pub view: watch::Receiver<View>,
     /// Machine types, once known.
-    pub flavors: watch::Receiver<Option<Arc<Vec<Flavor>>>>,
+    pub machine_types: watch::Receiver<Option<Arc<Vec<MachineType>>>>,
     /// Shared with the node's actor, which tells what it decided as leader.
     pub finals: Arc<Finals>,
     limiter: Limiter,
@@ -170,7 +170,7 @@
         peers: Peers,
         node: mpsc::Sender<Ask>,
         view: watch::Receiver<View>,
-        flavors: watch::Receiver<Option<Arc<Vec<Flavor>>>>,
+        machine_types: watch::Receiver<Option<Arc<Vec<MachineType>>>>,
     ) -> Self {
         let most = params.machine_limits.max_sockets as f64 * constants::IN_PROGRESS_SOCKET_SHARE;
         let limiter = Limiter::new(most as usize);
@@ -184,7 +184,7 @@
             peers,
             node,
             view,
-            flavors,
+            machine_types,
             finals,
             limiter,
             poll_limiter,
@@ -268,13 +268,13 @@
     }
 
     fn queued(&self, id: &JobId, value: &serde_json::Value) -> Told {
-        let owner = value.pointer("/spec/Owner").and_then(|o| o.as_str()).map(str::to_owned);
+        let team = value.pointer("/spec/Owner").and_then(|o| o.as_str()).map(str::to_owned);
         Told {
             id: id.clone(),
             state: JobState::Queued,
             done: 0,
             running: 0,
-            owner,
+            team,
             commander: self.view.borrow().leader.clone(),
             notes: vec![],
         }
@@ -361,8 +361,8 @@
             Stored::Nothing => return Ok(Verdict::Absent),
             Stored::Open(_, value) => value,
         };
-        let owner = self.queued(id, &value).owner.unwrap_or_default();
-        let record = FinalRecord { state: JobState::Withdrawn, done: 0, owner, notes: vec![] };
+        let team = self.queued(id, &value).team.unwrap_or_default();
+        let record = FinalRecord { state: JobState::Withdrawn, done: 0, team, notes: vec![] };
         let Ok(v) = serde_json::to_value(&record) else { return Ok(later("internal")) };
         let transaction = Transaction {
             guards: vec![
@@ -379,29 +379,29 @@
 
     /// Whether a job can run at all; `None` if that can't be told yet.
     fn runnable(&self, spec: &JobSpec) -> Option<Result<(), String>> {
-        let flavors = self.flavors.borrow().clone()?;
-        let Some(team) = self.params.teams.iter().find(|t| t.name == spec.owner) else {
-            return Some(Err(format!("unknown team {}", spec.owner)));
+        let machine_types = self.machine_types.borrow().clone()?;
+        let Some(team) = self.params.teams.iter().find(|t| t.name == spec.team) else {
+            return Some(Err(format!("unknown team {}", spec.team)));
         };
         let need = Room::of_task(spec);
-        let allowed = |f: &Flavor| {
-            spec.flavors.as_ref().is_none_or(|list| list.contains(&f.label))
-                && spec.yard.as_ref().is_none_or(|y| f.yards.contains(y))
-                && Room::of_flavor(f).fits(&need)
+        let allowed = |f: &MachineType| {
+            spec.machine_types.as_ref().is_none_or(|list| list.contains(&f.label))
+                && spec.zone.as_ref().is_none_or(|y| f.zones.contains(y))
+                && Room::of_machine_type(f).fits(&need)
         };
-        let types: Vec<bool> = flavors.iter().map(allowed).collect();
+        let types: Vec<bool> = machine_types.iter().map(allowed).collect();
         // All tasks of a gang or a daemon run at once, so the zones that it may be in must be enough for all.
-        let at_once = spec.is_gang() || spec.is_endless();
+        let at_once = spec.is_gang() || spec.is_daemon();
         let zones = self.params.zones.iter().filter(|zone| {
-            let there = |f: &Flavor| allowed(f) && f.yards.contains(zone);
-            spec.yard.as_ref().is_none_or(|y| y == *zone) && flavors.iter().any(there)
+            let there = |f: &MachineType| allowed(f) && f.zones.contains(zone);
+            spec.zone.as_ref().is_none_or(|y| y == *zone) && machine_types.iter().any(there)
         });
-        let zones = if spec.together { zones.take(1).count() } else { zones.count() };
+        let zones = if spec.one_zone { zones.take(1).count() } else { zones.count() };
         let room = u64::from(spec.zone_cap()) * zones as u64;
-        if at_once && types.contains(&true) && room < u64::from(spec.pieces) {
+        if at_once && types.contains(&true) && room < u64::from(spec.tasks) {
             return Some(Err("tasks that must spread can't all be in one zone".into()));
         }
-        let least = if at_once { spec.pieces } else { 1 };
+        let least = if at_once { spec.tasks } else { 1 };
         let limit = (team.cpus_max, team.gpus_max);
         let team = TeamView { limit, ..TeamView::default() };
         Some(fits_somewhere(&types, &need, least, &team))
@@ -416,7 +416,7 @@
                 return Verdict::Refused(400, why);
             }
         };
-        let id = spec.name_id.clone();
+        let id = spec.id.clone();
         if let Some(told) = self.finals.get(&id) {
             return Verdict::Known(told);
         }
@@ -425,7 +425,7 @@
             Some(Ok(())) => {}
             Some(Err(why)) => return self.refuse_unless_accepted(&id, 422, why, from_peer).await,
         }
-        let owner = spec.owner.clone();
+        let team = spec.team.clone();
         let record = JobRecord { spec, at_ms: wall_ms(), marked: true };
         let Ok(value) = serde_json::to_value(&record) else { return later("internal") };
         if value.to_string().len() as f64 > self.params.state.value_kb * 1024.0 {
@@ -441,7 +441,7 @@
         };
         match self.stores.submissions.commit(&transaction).await {
             Ok(CommitOutcome::Applied(_)) => {
-                let told = Told { owner: Some(owner), ..self.queued(&id, &value) };
+                let told = Told { team: Some(team), ..self.queued(&id, &value) };
                 Verdict::Accepted(told)
             }
             Ok(CommitOutcome::Refused(_)) => self.status(&id, from_peer).await,
--- a/crates/controller/src/holders.rs
+++ b/crates/controller/src/holders.rs
@@ -11,7 +11,7 @@
 //! when its lease surely ends. docs/safety.md has the proof.
 
 use hookway_constants as constants;
-use hookway_wire::{CheckIn, CheckInAnswer, JobId, Order, PieceReport, PieceState, TaskId};
+use hookway_wire::{CheckIn, CheckInAnswer, JobId, Order, TaskId, TaskReport, TaskState};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -261,22 +261,19 @@
     ) -> Option<KeptAlive> {
         let grant = self.grant.as_ref().filter(|g| now < g.until)?;
         let late = !self.leader_in_touch(now);
-        let mine = grant.zones.contains(&report.yard);
+        let mine = grant.zones.contains(&report.zone);
         // A token above the term's range is a later leader's.
         let known = report.baton < grant.term + constants::TOKENS_PER_TERM;
-        let busy = report.pieces.iter().any(|p| p.status != PieceState::Ended);
+        let busy = report.tasks.iter().any(|p| p.status != TaskState::Ended);
         if !(late && mine && known && busy) {
             return None;
         }
         self.answered = Some(now);
-        let ended = |p: &&PieceReport| p.status == PieceState::Ended;
-        let useless = |p: &&PieceReport| TaskId::parse(&p.piece).is_some_and(|t| over(&t.job));
-        let stop = |p: &PieceReport| Order::Kill {
-            piece: p.piece.clone(),
-            r#try: p.r#try,
-            wind_down_s: 0.0,
-        };
-        let orders = report.pieces.iter().filter(|p| !ended(p) && useless(p)).map(stop).collect();
+        let ended = |p: &&TaskReport| p.status == TaskState::Ended;
+        let useless = |p: &&TaskReport| TaskId::parse(&p.task).is_some_and(|t| over(&t.job));
+        let stop =
+            |p: &TaskReport| Order::Kill { task: p.task.clone(), r#try: p.r#try, wind_down_s: 0.0 };
+        let orders = report.tasks.iter().filter(|p| !ended(p) && useless(p)).map(stop).collect();
         let answer = CheckInAnswer { baton: report.baton.max(grant.term), orders };
         Some(KeptAlive { answer, until: grant.until })
     }
--- a/crates/controller/src/holders/tests.rs
+++ b/crates/controller/src/holders/tests.rs
@@ -9,21 +9,21 @@
     Holders::new("a", &siblings, &zones, LEASE, won_at)
 }
 
-fn report(yard: &str, baton: u64) -> CheckIn {
+fn report(zone: &str, baton: u64) -> CheckIn {
     CheckIn {
         host: "m-1".into(),
         addr: "127.0.0.1:1".into(),
-        flavor: "small".into(),
-        yard: yard.into(),
-        loaners: false,
+        machine_type: "small".into(),
+        zone: zone.into(),
+        spot: false,
         tenure: 1,
         tick: 1,
         baton,
         eviction_s: None,
-        pieces: vec![hookway_wire::PieceReport {
-            piece: "req-000001/0".into(),
+        tasks: vec![hookway_wire::TaskReport {
+            task: "req-000001/0".into(),
             r#try: 1,
-            status: PieceState::Running,
+            status: TaskState::Running,
             cause: None,
             saved: None,
         }],
@@ -85,13 +85,13 @@
     exchange(&mut holders, &mut holding, 1_000);
     exchange(&mut holders, &mut holding, 2_000);
     let mut report = report("b", 7);
-    let mut other = report.pieces[0].clone();
-    other.piece = "req-000002/4".into();
-    let ended = PieceReport { status: PieceState::Ended, r#try: 9, ..report.pieces[0].clone() };
-    report.pieces.extend([other, ended]);
+    let mut other = report.tasks[0].clone();
+    other.task = "req-000002/4".into();
+    let ended = TaskReport { status: TaskState::Ended, r#try: 9, ..report.tasks[0].clone() };
+    report.tasks.extend([other, ended]);
     let over = |id: &JobId| id.as_str() == "req-000001";
     let kept = holding.keep(&report, 15_000, over).unwrap();
-    let stop = Order::Kill { piece: "req-000001/0".into(), r#try: 1, wind_down_s: 0.0 };
+    let stop = Order::Kill { task: "req-000001/0".into(), r#try: 1, wind_down_s: 0.0 };
     assert_eq!((kept.answer.baton, kept.answer.orders), (7, vec![stop]));
     assert_eq!(kept.until, 2_000 + LEASE - drift(LEASE));
 }
--- a/crates/controller/src/ledger/blame.rs
+++ b/crates/controller/src/ledger/blame.rs
@@ -12,7 +12,7 @@
     /// It failed, and nothing speaks for it: no task has completed, and not more of them run than there
     /// are machines that it failed on.
     pub fn doubtful(&self) -> bool {
-        let all_wanted = self.spec.is_gang() || self.spec.is_endless();
+        let all_wanted = self.spec.is_gang() || self.spec.is_daemon();
         let tries = if all_wanted { constants::GANG_TRIES } else { 1 };
         self.errors >= tries && self.unproven()
     }
@@ -50,18 +50,18 @@
         if self.errors > 0 && since <= self.failed_at {
             return;
         }
-        if self.spec.is_endless() && now >= self.failed_at + constants::REPLICA_FORGIVEN_MS {
+        if self.spec.is_daemon() && now >= self.failed_at + constants::REPLICA_FORGIVEN_MS {
             self.errors = 0;
         }
         self.failed_at = now;
         self.errors += 1;
-        let proven = self.done > 0 || self.spec.is_endless() && !self.unproven();
+        let proven = self.done > 0 || self.spec.is_daemon() && !self.unproven();
         if proven && self.errors < constants::PROVEN_ERRORS {
             return;
         }
         let pause = constants::ERROR_PAUSE_MS << (self.errors - 1).min(10);
         let pause = pause.min(constants::ERROR_PAUSE_MAX_MS);
-        // Jobs that were submitted together with the same mistake shall not all come back together.
+        // Jobs that were submitted one_zone with the same mistake shall not all come back one_zone.
         let spread = |sum: u64, byte: u8| sum.wrapping_mul(31).wrapping_add(u64::from(byte));
         let spread = self.id.as_str().bytes().fold(u64::from(self.errors), spread);
         let jitter = pause / 4 * (spread % 100) / 100;
@@ -96,7 +96,7 @@
     /// A daemon of which a replica has run for a while works, whatever failed before: it has no completed tasks
     /// that would show it.
     pub(super) fn forgive_steady_daemons(&mut self, now: u64) {
-        let failed = |job: &Job| job.spec.is_endless() && job.errors > 0;
+        let failed = |job: &Job| job.spec.is_daemon() && job.errors > 0;
         if !self.jobs.values().any(failed) {
             return;
         }
--- a/crates/controller/src/ledger/checkin.rs
+++ b/crates/controller/src/ledger/checkin.rs
@@ -2,7 +2,7 @@
 use hookway_clients::Delivery;
 use hookway_constants as constants;
 use hookway_wire::{
-    Cause, CheckIn, CheckInAnswer, DirectOrders, Order, PieceReport, PieceState, TaskId,
+    Cause, CheckIn, CheckInAnswer, DirectOrders, Order, TaskId, TaskReport, TaskState,
 };
 
 /// Most commands in one answer, so that its only line stays far below 64 KiB.
@@ -31,7 +31,11 @@
             return None;
         }
         if !self.hosts.contains_key(name) {
-            tracing::info!("machine {name}: first report ({}, {})", report.flavor, report.yard);
+            tracing::info!(
+                "machine {name}: first report ({}, {})",
+                report.machine_type,
+                report.zone
+            );
             self.hosts.insert(name.to_owned(), Host::new(now));
         }
         self.expire_if_silent(name, now);
@@ -113,8 +117,8 @@
         expected.token = (baton > report.baton).then_some(baton);
         for order in &orders {
             match order {
-                Order::Run { piece, r#try } => expected.runs.push((piece.clone(), *r#try)),
-                Order::Reap { piece, r#try } => expected.reaps.push((piece.clone(), *r#try)),
+                Order::Run { task, r#try } => expected.runs.push((task.clone(), *r#try)),
+                Order::Reap { task, r#try } => expected.reaps.push((task.clone(), *r#try)),
                 Order::Kill { .. } => {}
             }
         }
@@ -221,7 +225,7 @@
             for i in chosen {
                 let held = &mut host.held[i];
                 held.phase = Phase::Pushed(token);
-                orders.push(Order::Run { piece: held.piece.clone(), r#try: held.attempt });
+                orders.push(Order::Run { task: held.task.clone(), r#try: held.attempt });
             }
             let orders = DirectOrders { baton: token, tenure: host.newest.0, orders };
             sends.push((name, host.addr.clone(), orders));
@@ -333,38 +337,38 @@
         let mut seen = vec![false; before.len()];
         let mut keep: Vec<Held> = Vec::with_capacity(before.len());
         let mut left: Vec<(Held, Leave)> = Vec::new();
-        let mut fresh: Vec<(TaskId, &PieceReport)> = Vec::new();
-        for piece in &report.pieces {
-            let Some(task) = TaskId::parse(&piece.piece) else {
-                tracing::error!("machine {name}: odd task id {:?}", piece.piece);
+        let mut fresh: Vec<(TaskId, &TaskReport)> = Vec::new();
+        for reported in &report.tasks {
+            let Some(task) = TaskId::parse(&reported.task) else {
+                tracing::error!("machine {name}: odd task id {:?}", reported.task);
                 continue;
             };
             let found = before
                 .iter()
-                .position(|h| h.attempt == piece.r#try && h.piece == piece.piece)
+                .position(|h| h.attempt == reported.r#try && h.task == reported.task)
                 .filter(|i| !std::mem::replace(&mut seen[*i], true));
             let Some(found) = found else {
-                fresh.push((task, piece));
+                fresh.push((task, reported));
                 continue;
             };
             let mut held = before[found].clone();
-            if piece.status == PieceState::Ended {
-                let cause = piece.cause.unwrap_or(Cause::Other);
+            if reported.status == TaskState::Ended {
+                let cause = reported.cause.unwrap_or(Cause::Other);
                 host.ended.push(Ended {
                     job: held.job,
-                    piece: piece.piece.clone(),
+                    task: reported.task.clone(),
                     index: held.index,
                     attempt: held.attempt,
                     cause,
                 });
                 left.push((held, Leave::Ended(cause)));
             } else {
-                held.phase = Phase::On(piece.status);
-                if piece.status == PieceState::Running && held.running_since.is_none() {
+                held.phase = Phase::On(reported.status);
+                if reported.status == TaskState::Running && held.running_since.is_none() {
                     let took = now.saturating_sub(held.since) as f64 / 1000.0;
                     tracing::debug!(
                         "task {} on {name}: runs, {took:.1} s after placement",
-                        held.piece
+                        held.task
                     );
                     held.running_since = Some(now);
                 }
@@ -402,27 +406,27 @@
         for (held, leave) in left {
             self.leave(name, &held, leave, now);
         }
-        for (task, piece) in fresh {
-            self.found(name, &task, piece, now);
+        for (task, reported) in fresh {
+            self.found(name, &task, reported, now);
         }
         self.touch_images(name);
         self.count_running(name, true);
     }
 
     /// The worker reports a task that this leader did not place there.
-    fn found(&mut self, name: &str, task: &TaskId, piece: &PieceReport, now: u64) {
+    fn found(&mut self, name: &str, task: &TaskId, reported: &TaskReport, now: u64) {
         let key = self.by_id.get(&task.job).copied();
         let job = key.and_then(|k| self.jobs.get_mut(&k));
-        let job = job.filter(|j| task.index < j.spec.pieces);
+        let job = job.filter(|j| task.index < j.spec.tasks);
         let key = if job.is_some() { key } else { None };
         let Some(host) = self.hosts.get_mut(name) else { return };
-        if piece.status == PieceState::Ended {
-            let cause = piece.cause.unwrap_or(Cause::Other);
+        if reported.status == TaskState::Ended {
+            let cause = reported.cause.unwrap_or(Cause::Other);
             host.ended.push(Ended {
                 job: key,
-                piece: piece.piece.clone(),
+                task: reported.task.clone(),
                 index: task.index,
-                attempt: piece.r#try,
+                attempt: reported.r#try,
                 cause,
             });
             if let (Some(key), Cause::Done) = (key, cause) {
@@ -432,27 +436,27 @@
         }
         let mut held = Held {
             job: key,
-            piece: piece.piece.clone(),
+            task: reported.task.clone(),
             index: task.index,
-            attempt: piece.r#try,
-            phase: Phase::On(piece.status),
+            attempt: reported.r#try,
+            phase: Phase::On(reported.status),
             stray: true,
             kill: None,
             pushed: false,
-            running_since: (piece.status == PieceState::Running).then_some(now),
+            running_since: (reported.status == TaskState::Running).then_some(now),
             since: now,
             found: true,
         };
         if let Some(job) = job {
             let first = job.slots[task.index as usize] == Slot::Free && job.live();
             let same_gang =
-                !job.spec.is_gang() || job.attempt.is_none_or(|attempt| attempt == piece.r#try);
+                !job.spec.is_gang() || job.attempt.is_none_or(|attempt| attempt == reported.r#try);
             if first && same_gang {
                 held.stray = false;
                 job.slots[task.index as usize] = Slot::Held;
                 job.free.remove(&task.index);
                 if job.spec.is_gang() {
-                    job.attempt = Some(piece.r#try);
+                    job.attempt = Some(reported.r#try);
                 }
             }
             if held.stray {
@@ -461,7 +465,7 @@
                 job.free.remove(&task.index);
             }
             job.held += 1;
-            if let Some(zone) = self.setup.params.zone(&host.yard) {
+            if let Some(zone) = self.setup.params.zone(&host.zone) {
                 job.per_zone[zone] += 1;
             }
         }
@@ -470,7 +474,7 @@
         }
         tracing::debug!(
             "machine {name}: found {} attempt {}{}",
-            held.piece,
+            held.task,
             held.attempt,
             if held.stray { ", which should not run" } else { "" }
         );
@@ -479,14 +483,14 @@
 
     /// A task has left its place on a machine.
     pub(super) fn leave(&mut self, name: &str, held: &Held, leave: Leave, now: u64) {
-        let yard = self.hosts.get(name).map(|h| h.yard.clone()).unwrap_or_default();
+        let zone = self.hosts.get(name).map(|h| h.zone.clone()).unwrap_or_default();
         let Some(key) = held.job else {
             self.strangers = self.strangers.saturating_sub(1);
             return;
         };
         let Some(job) = self.jobs.get_mut(&key) else { return };
         job.held = job.held.saturating_sub(1);
-        if let Some(zone) = self.setup.params.zone(&yard) {
+        if let Some(zone) = self.setup.params.zone(&zone) {
             job.per_zone[zone] = job.per_zone[zone].saturating_sub(1);
         }
         let index = held.index;
@@ -509,15 +513,11 @@
         match leave {
             Leave::NotStarted => {}
             Leave::Ended(cause) => {
-                tracing::debug!(
-                    "task {} attempt {} on {name}: {cause:?}",
-                    held.piece,
-                    held.attempt
-                );
+                tracing::debug!("task {} attempt {} on {name}: {cause:?}", held.task, held.attempt);
                 self.ended_with(name, key, held, cause, now);
             }
             Leave::Lost => {
-                tracing::info!("task {} attempt {} on {name}: lost", held.piece, held.attempt);
+                tracing::info!("task {} attempt {} on {name}: lost", held.task, held.attempt);
                 job.note(format!("task {index} was lost with its machine {name}"));
             }
         }
@@ -532,8 +532,8 @@
     }
 
     fn ended_with(&mut self, name: &str, key: u64, held: &Held, cause: Cause, now: u64) {
-        let endless = self.jobs.get(&key).is_some_and(|j| j.spec.is_endless());
-        if cause == Cause::Done && !endless {
+        let daemon = self.jobs.get(&key).is_some_and(|j| j.spec.is_daemon());
+        if cause == Cause::Done && !daemon {
             // After a silence nobody knows when it ended, and of one that an earlier leader started,
             // when it began: such times would make the mean too short.
             let heard = self.hosts.get(name).map_or(0, |h| h.last_answer);
@@ -572,16 +572,16 @@
         }
     }
 
-    /// A task has completed. A gang completes together.
+    /// A task has completed. A gang completes one_zone.
     pub(super) fn complete(&mut self, key: u64, index: u32, took_ms: Option<u64>) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
-        if job.over.is_some() || job.spec.is_endless() {
+        if job.over.is_some() || job.spec.is_daemon() {
             return;
         }
         job.errors = 0;
         let all = job.spec.is_gang();
         self.stops_due |= all || !job.strays.is_empty();
-        let indexes = if all { 0..job.spec.pieces } else { index..index + 1 };
+        let indexes = if all { 0..job.spec.tasks } else { index..index + 1 };
         for i in indexes {
             if job.slots[i as usize] == Slot::Done {
                 continue;
@@ -635,7 +635,7 @@
             return Some(0.0);
         }
         if let Some(kill) = held.kill {
-            let patience = (job.spec.snapshot_s * 1000.0) as u64 + constants::STOP_PATIENCE_MS;
+            let patience = (job.spec.save_s * 1000.0) as u64 + constants::STOP_PATIENCE_MS;
             let late = now.saturating_sub(kill.since) > patience;
             return Some(if late { 0.0 } else { kill.wind_down_s });
         }
@@ -651,10 +651,10 @@
             let job = e.job.and_then(|k| self.jobs.get(&k));
             let needed = e.cause == Cause::Done
                 && job.is_some_and(|j| {
-                    j.over.is_none() && !j.spec.is_endless() && !j.progress.is_durable(e.index)
+                    j.over.is_none() && !j.spec.is_daemon() && !j.progress.is_durable(e.index)
                 });
             if !needed {
-                orders.push(Order::Reap { piece: e.piece.clone(), r#try: e.attempt });
+                orders.push(Order::Reap { task: e.task.clone(), r#try: e.attempt });
             }
         }
         let stays = host.closing.is_none() && host.notice.is_none();
@@ -667,17 +667,15 @@
             let opened = job.is_some_and(|j| h.index < j.opened);
             match (h.phase, self.must_stop(h, now)) {
                 (Phase::Planned, None) if stray_elsewhere || !stays => {
-                    dropped.push((h.piece.clone(), h.attempt));
+                    dropped.push((h.task.clone(), h.attempt));
+                }
+                (Phase::Planned, Some(_)) => dropped.push((h.task.clone(), h.attempt)),
+                (_, Some(wind_down_s)) => {
+                    orders.push(Order::Kill { task: h.task.clone(), r#try: h.attempt, wind_down_s })
                 }
-                (Phase::Planned, Some(_)) => dropped.push((h.piece.clone(), h.attempt)),
-                (_, Some(wind_down_s)) => orders.push(Order::Kill {
-                    piece: h.piece.clone(),
-                    r#try: h.attempt,
-                    wind_down_s,
-                }),
                 (Phase::Planned, None) if may_start && opened && orders.len() < ORDERS_AT_MOST => {
-                    tracing::debug!("task {} attempt {}: start on {name}", h.piece, h.attempt);
-                    orders.push(Order::Run { piece: h.piece.clone(), r#try: h.attempt });
+                    tracing::debug!("task {} attempt {}: start on {name}", h.task, h.attempt);
+                    orders.push(Order::Run { task: h.task.clone(), r#try: h.attempt });
                     h.phase = Phase::Sent;
                 }
                 _ => {}
@@ -686,8 +684,8 @@
         if let Some(host) = self.hosts.get_mut(name) {
             host.held = held;
         }
-        for (piece, attempt) in dropped {
-            self.unplan(name, &piece, attempt, now);
+        for (task, attempt) in dropped {
+            self.unplan(name, &task, attempt, now);
         }
         orders.truncate(ORDERS_AT_MOST * 2);
         orders
@@ -726,7 +724,7 @@
                 let held = &mut host.held[i];
                 held.pushed = true;
                 orders.push(Order::Kill {
-                    piece: held.piece.clone(),
+                    task: held.task.clone(),
                     r#try: held.attempt,
                     wind_down_s,
                 });
@@ -745,20 +743,20 @@
             .held
             .iter()
             .filter(|h| h.phase == Phase::Planned)
-            .map(|h| (h.piece.clone(), h.attempt))
+            .map(|h| (h.task.clone(), h.attempt))
             .collect();
-        for (piece, attempt) in planned {
-            self.unplan(name, &piece, attempt, now);
+        for (task, attempt) in planned {
+            self.unplan(name, &task, attempt, now);
         }
     }
 
     /// Drops a start that was never sent.
-    pub(super) fn unplan(&mut self, name: &str, piece: &str, attempt: u64, now: u64) {
+    pub(super) fn unplan(&mut self, name: &str, task: &str, attempt: u64, now: u64) {
         let Some(host) = self.hosts.get_mut(name) else { return };
         let found = host
             .held
             .iter()
-            .position(|h| h.phase == Phase::Planned && h.attempt == attempt && h.piece == piece);
+            .position(|h| h.phase == Phase::Planned && h.attempt == attempt && h.task == task);
         if let Some(i) = found {
             let held = host.held.remove(i);
             self.leave(name, &held, Leave::NotStarted, now);
@@ -767,8 +765,11 @@
 
     fn touch_images(&mut self, name: &str) {
         let Some(host) = self.hosts.get_mut(name) else { return };
-        let cache =
-            self.flavors.iter().find(|f| f.label == host.flavor).map_or(0.0, |f| f.local_gb);
+        let cache = self
+            .machine_types
+            .iter()
+            .find(|f| f.label == host.machine_type)
+            .map_or(0.0, |f| f.local_gb);
         let used: Vec<(u32, f64)> = host
             .held
             .iter()
@@ -790,7 +791,7 @@
     fn count_running(&mut self, name: &str, add: bool) {
         let Some(host) = self.hosts.get(name) else { return };
         for held in &host.held {
-            let runs = matches!(held.phase, Phase::On(PieceState::Running | PieceState::Saving));
+            let runs = matches!(held.phase, Phase::On(TaskState::Running | TaskState::Saving));
             if runs && let Some(job) = held.job.and_then(|k| self.jobs.get_mut(&k)) {
                 job.running = if add { job.running + 1 } else { job.running.saturating_sub(1) };
             }
@@ -825,7 +826,7 @@
     fn expire_if_silent(&mut self, name: &str, now: u64) -> bool {
         let lease = lease_over_ms(&self.setup.params);
         let Some(host) = self.hosts.get_mut(name) else { return false };
-        if !self.holders.lease_over(&host.yard, host.last_answer, lease, now) {
+        if !self.holders.lease_over(&host.zone, host.last_answer, lease, now) {
             return false;
         }
         if host.heard && host.dead_tenure < host.newest.0 {
--- a/crates/controller/src/ledger/commit.rs
+++ b/crates/controller/src/ledger/commit.rs
@@ -3,7 +3,7 @@
 use super::{Ledger, Slot};
 use crate::config::Params;
 use crate::records::{
-    FinalRecord, LANES, LaneRecord, MINIMUMS, MinimumRecord, ProgressRecord, ROSTER,
+    CLASSES, ClassRecord, FinalRecord, MINIMUMS, MinimumRecord, ProgressRecord, ROSTER,
     SharedMarksRecord, final_key, job_key, minimum_key, progress_key, progress_place, roster_key,
     shared_marks_key,
 };
@@ -53,8 +53,8 @@
     old_entries: HashMap<String, String>,
     trash: VecDeque<String>,
     minimums: BTreeSet<u64>,
-    /// What is known of the lanes has changed.
-    pub lanes: bool,
+    /// What is known of the classes has changed.
+    pub classes: bool,
     /// Jobs of which tasks wait for the store to let them be started.
     pub opens: BTreeSet<u64>,
     bucket: Bucket,
@@ -81,7 +81,7 @@
             old_entries: HashMap::new(),
             trash: VecDeque::new(),
             minimums: BTreeSet::new(),
-            lanes: false,
+            classes: false,
             opens: BTreeSet::new(),
             bucket: Bucket::new(rate * constants::LEADER_WRITE_SHARE, now),
             minimum_bucket: Bucket::new(rate * constants::MINIMUM_WRITE_SHARE, now),
@@ -115,7 +115,7 @@
 
 /// Whether a key is of a record that only leaders write and that they write again and again.
 fn is_own(key: &str) -> bool {
-    key == LANES || key.starts_with(MINIMUMS) || key.starts_with(ROSTER)
+    key == CLASSES || key.starts_with(MINIMUMS) || key.starts_with(ROSTER)
 }
 
 /// Whether a record is no larger than a value may be.
@@ -252,7 +252,7 @@
             let mut record = FinalRecord {
                 state,
                 done: job.done,
-                owner: job.spec.owner.clone(),
+                team: job.spec.team.clone(),
                 notes: job.notes.iter().cloned().collect(),
             };
             if !fits(&record, self.setup.params.state.value_kb) {
@@ -372,22 +372,22 @@
         }
     }
 
-    /// What the next leader should know of the lanes; one record for all, written when one changes.
+    /// What the next leader should know of the classes; one record for all, written when one changes.
     fn add_lanes(&mut self, commit: &mut Commit, now: u64) {
-        if !self.writer.lanes || !commit.open(1) || self.writer.minimum_bucket.fill(now) < 1.0 {
+        if !self.writer.classes || !commit.open(1) || self.writer.minimum_bucket.fill(now) < 1.0 {
             return;
         }
-        self.writer.lanes = false;
-        let lanes: BTreeMap<&String, LaneRecord> =
-            self.lanes.iter().map(|(name, lane)| (name, lane.record())).collect();
-        let Ok(value) = serde_json::to_value(&lanes) else { return };
-        // It is a hint: where there are too many lanes for one value, the next leader does without.
+        self.writer.classes = false;
+        let classes: BTreeMap<&String, ClassRecord> =
+            self.classes.iter().map(|(name, class)| (name, class.record())).collect();
+        let Ok(value) = serde_json::to_value(&classes) else { return };
+        // It is a hint: where there are too many classes for one value, the next leader does without.
         if !fits(&value, self.setup.params.state.value_kb) {
             return;
         }
         self.writer.minimum_bucket.units -= 1.0;
-        commit.over(&self.writer.stamps, LANES);
-        commit.put(LANES.to_owned(), value);
+        commit.over(&self.writer.stamps, CLASSES);
+        commit.put(CLASSES.to_owned(), value);
         commit.items.push(Item::Lanes);
     }
 
@@ -537,7 +537,7 @@
             Item::Marks(number, keys) => {
                 for key in keys {
                     if let Some(job) = self.jobs.get_mut(&key) {
-                        job.opened = job.spec.pieces;
+                        job.opened = job.spec.tasks;
                         job.written_opened = true;
                     }
                 }
@@ -565,7 +565,7 @@
             }
             Item::Roster(number, _) => self.writer.roster.again(number),
             Item::Trash(key) => self.writer.trash.push_back(key),
-            Item::Lanes => self.writer.lanes = true,
+            Item::Lanes => self.writer.classes = true,
             Item::Marks(_, keys) => self.writer.opens.extend(keys),
             Item::Minimum(key, _) => {
                 let waits = |j: &super::Job| j.opening > j.opened || !j.written_opened;
@@ -622,7 +622,7 @@
         self.durable(key, from, stamp, record);
         let Some(job) = self.jobs.get(&key) else { return };
         let chunk = job.progress.chunk_of(from);
-        if from < job.spec.pieces {
+        if from < job.spec.tasks {
             self.queue_if_needed(key, chunk);
         }
     }
@@ -631,13 +631,13 @@
     fn durable(&mut self, key: u64, from: u32, stamp: u64, record: Option<&ProgressRecord>) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         // A replica's end is no result, whatever a record says.
-        if job.spec.is_endless() || from >= job.spec.pieces {
+        if job.spec.is_daemon() || from >= job.spec.tasks {
             return;
         }
         let others = job.progress.learn(from, stamp, record);
         for index in record.map(ProgressRecord::set).unwrap_or_default() {
             let index = from.saturating_add(index);
-            if index < job.spec.pieces && job.slots[index as usize] != Slot::Done {
+            if index < job.spec.tasks && job.slots[index as usize] != Slot::Done {
                 job.slots[index as usize] = Slot::Done;
                 job.free.remove(&index);
                 job.done += 1;
@@ -658,7 +658,7 @@
     /// All tasks of a job are done: its end is to be written.
     pub(super) fn finish_if_done(&mut self, key: u64) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
-        if job.done == job.spec.pieces && job.ending.is_none() && !job.spec.is_endless() {
+        if job.done == job.spec.tasks && job.ending.is_none() && !job.spec.is_daemon() {
             job.ending = Some(JobState::Done);
             self.writer.finals.push_back(key);
         }
--- a/crates/controller/src/ledger/fleet.rs
+++ b/crates/controller/src/ledger/fleet.rs
@@ -2,7 +2,7 @@
 use super::{Host, Ledger, lease_over_ms};
 use hookway_constants as constants;
 use hookway_policy::{HostView, Offer, Room, plan_fleet};
-use hookway_wire::{Flavor, HostState, ListedHost, RentRequest};
+use hookway_wire::{HostState, ListedHost, MachineType, RentRequest};
 use std::collections::{HashMap, HashSet};
 
 /// Why a machine is given back that does not report any more.
@@ -21,32 +21,33 @@
 #[derive(Debug, Clone)]
 pub(super) struct Renting {
     hire: String,
-    flavor: usize,
-    yard: usize,
-    loaner: bool,
+    machine_type: usize,
+    zone: usize,
+    spot: bool,
     count: u32,
 }
 
 impl Ledger {
     fn offers(&self, now: u64) -> Vec<Offer> {
         let mut offers = Vec::new();
-        for (f, flavor) in self.flavors.iter().enumerate() {
-            for yard in &flavor.yards {
-                let Some(yard) = self.setup.params.zone(yard) else {
+        for (f, machine_type) in self.machine_types.iter().enumerate() {
+            for zone in &machine_type.zones {
+                let Some(zone) = self.setup.params.zone(zone) else {
                     continue;
                 };
-                for loaner in [false, true] {
-                    let price = if loaner { flavor.market_price } else { Some(flavor.hourly) };
+                for spot in [false, true] {
+                    let price =
+                        if spot { machine_type.market_price } else { Some(machine_type.hourly) };
                     let sold_out =
-                        self.sold_out.get(&(f, yard, loaner)).is_some_and(|until| now < *until);
+                        self.sold_out.get(&(f, zone, spot)).is_some_and(|until| now < *until);
                     // One request at a time for each: what it brings counts as coming, and asking for
                     // more before its answer only makes a queue.
                     let asked = self
                         .renting
                         .iter()
-                        .any(|r| (r.flavor, r.yard, r.loaner) == (f, yard, loaner));
+                        .any(|r| (r.machine_type, r.zone, r.spot) == (f, zone, spot));
                     if let Some(price) = price.filter(|_| !sold_out && !asked) {
-                        offers.push(Offer { flavor: f, yard, loaner, price });
+                        offers.push(Offer { machine_type: f, zone, spot, price });
                     }
                 }
             }
@@ -57,19 +58,19 @@
     /// One fleet round: rents what wanted work has no room on, returns what is idle, faulty, never
     /// came up or fell silent.
     pub fn fleet_round(&mut self, now: u64) -> Vec<FleetAction> {
-        if self.flavors.is_empty() {
+        if self.machine_types.is_empty() {
             return Vec::new();
         }
         let mut actions = Vec::new();
         let mut scene = self.scene(now);
         // Jobs whose whereabouts are not settled yet still want the room they had.
         for r in &self.renting {
-            let total = Room::of_flavor(&self.flavors[r.flavor]);
+            let total = Room::of_machine_type(&self.machine_types[r.machine_type]);
             for _ in 0..r.count {
                 scene.world.hosts.push(HostView {
-                    flavor: r.flavor,
-                    yard: r.yard,
-                    loaner: r.loaner,
+                    machine_type: r.machine_type,
+                    zone: r.zone,
+                    spot: r.spot,
                     total,
                     free: total,
                     price: 0.0,
@@ -84,7 +85,7 @@
         }
         let cut = self.cut_zones(now);
         let mut offers = self.offers(now);
-        offers.retain(|o| !cut.contains(&self.setup.params.zones[o.yard]));
+        offers.retain(|o| !cut.contains(&self.setup.params.zones[o.zone]));
         let plan = plan_fleet(&scene.world, &offers);
         let room = self
             .setup
@@ -106,22 +107,22 @@
             let hire = format!("h-{}-{}", self.term, self.next_hire);
             let request = RentRequest {
                 hire: hire.clone(),
-                flavor: self.flavors[offer.flavor].label.clone(),
-                yard: self.setup.params.zones[offer.yard].clone(),
-                loaners: offer.loaner,
+                machine_type: self.machine_types[offer.machine_type].label.clone(),
+                zone: self.setup.params.zones[offer.zone].clone(),
+                spot: offer.spot,
                 how_many: count,
             };
             tracing::info!(
                 "rental {hire}: {count} x {} in {}{}",
-                request.flavor,
-                request.yard,
-                if offer.loaner { ", spot" } else { "" }
+                request.machine_type,
+                request.zone,
+                if offer.spot { ", spot" } else { "" }
             );
             self.renting.push(Renting {
                 hire,
-                flavor: offer.flavor,
-                yard: offer.yard,
-                loaner: offer.loaner,
+                machine_type: offer.machine_type,
+                zone: offer.zone,
+                spot: offer.spot,
                 count,
             });
             actions.push(FleetAction::Rent(request));
@@ -147,59 +148,61 @@
     /// How long a machine of this type may be idle. As in ski rental, keeping it costs as much as
     /// returning it once it has been idle for as long as a new one takes to boot and to fetch an
     /// image, which is time paid for without work.
-    fn idle_return(&self, flavor: &Flavor) -> u64 {
+    fn idle_return(&self, machine_type: &MachineType) -> u64 {
         let sizes: Vec<f64> = self.jobs.values().map(|j| j.spec.image_gb).collect();
         let mean =
             if sizes.is_empty() { 0.0 } else { sizes.iter().sum::<f64>() / sizes.len() as f64 };
-        let fetch = flavor.fetch_s(mean);
+        let fetch = machine_type.fetch_s(mean);
         let factor = constants::IDLE_RETURN_FACTOR;
-        let again = ((flavor.ready_s + fetch) * factor * 1000.0) as u64;
+        let again = ((machine_type.ready_s + fetch) * factor * 1000.0) as u64;
         self.setup.operator.idle_return_ms.unwrap_or(again)
     }
 
-    /// Notes how many machines each lane needs at this moment.
+    /// Notes how many machines each class needs at this moment.
     fn note_needs(&mut self, now: u64) {
-        for (name, lane) in &mut self.lanes {
+        for (name, class) in &mut self.classes {
             let tasks: u32 = self
                 .jobs
                 .values()
-                .filter(|j| j.live() && !j.doubtful() && j.spec.lane == *name)
+                .filter(|j| j.live() && !j.doubtful() && j.spec.class == *name)
                 .map(super::Job::unfinished)
                 .sum();
             let per_host = self
-                .flavors
+                .machine_types
                 .iter()
-                .map(|f| Room::of_flavor(f).count(&lane.need))
+                .map(|f| Room::of_machine_type(f).count(&class.need))
                 .max()
                 .unwrap_or(0)
                 .max(1);
-            lane.needed.push_back((now, tasks.div_ceil(per_host) as usize));
+            class.needed.push_back((now, tasks.div_ceil(per_host) as usize));
             let window = constants::SPARE_WINDOW_MS;
-            while lane.needed.front().is_some_and(|(t, _)| now > t + window) {
-                lane.needed.pop_front();
+            while class.needed.front().is_some_and(|(t, _)| now > t + window) {
+                class.needed.pop_front();
             }
         }
     }
 
-    /// Machines that stay although idle: for each lane that must start sooner than a new machine
+    /// Machines that stay although idle: for each class that must start sooner than a new machine
     /// boots and fetches its image, as many as it needed at a time of late; those that hold most of
-    /// the lane's images, then the cheapest.
+    /// the class's images, then the cheapest.
     fn spares(&self, now: u64) -> HashSet<String> {
         let mut spares = HashSet::new();
         for objective in self.setup.params.objectives.iter().filter(|o| o.kind == "wait") {
-            let (Some(lane), Some(within)) = (&objective.class, objective.within_s) else {
+            let (Some(class), Some(within)) = (&objective.class, objective.within_s) else {
                 continue;
             };
-            let Some(seen) = self.lanes.get(lane) else { continue };
+            let Some(seen) = self.classes.get(class) else { continue };
             let mut free: Vec<(usize, f64, &String)> = Vec::new();
             let mut busy_hosts = 0;
             for (name, host) in &self.hosts {
-                let Some(flavor) = self.flavors.iter().find(|f| f.label == host.flavor) else {
+                let Some(machine_type) =
+                    self.machine_types.iter().find(|f| f.label == host.machine_type)
+                else {
                     continue;
                 };
-                let quick = flavor.ready_s + flavor.fetch_s(seen.image_gb) < within;
+                let quick = machine_type.ready_s + machine_type.fetch_s(seen.image_gb) < within;
                 let busy = host.held.iter().any(|h| {
-                    h.job.and_then(|k| self.jobs.get(&k)).is_some_and(|j| j.spec.lane == *lane)
+                    h.job.and_then(|k| self.jobs.get(&k)).is_some_and(|j| j.spec.class == *class)
                 });
                 busy_hosts += usize::from(busy);
                 if quick
@@ -207,16 +210,16 @@
                     || !host.heard
                     || host.closing.is_some()
                     || host.notice.is_some()
-                    || (host.loaner && !seen.loaners)
-                    || !Room::of_flavor(flavor).fits(&seen.need)
+                    || (host.spot && !seen.spot)
+                    || !Room::of_machine_type(machine_type).fits(&seen.need)
                     || now >= host.last_answer + lease_over_ms(&self.setup.params)
                 {
                     continue;
                 }
                 let images = host.images.iter().filter(|(i, _)| seen.images.contains(i)).count();
-                free.push((images, flavor.price(host.loaner), name));
+                free.push((images, machine_type.price(host.spot), name));
             }
-            // As many as the lane needed at a time of late, and one in any case.
+            // As many as the class needed at a time of late, and one in any case.
             let peak = seen.needed.iter().map(|(_, n)| *n).max().unwrap_or(0);
             let keep = peak.saturating_sub(busy_hosts).max(1);
             free.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.total_cmp(&b.1)));
@@ -226,7 +229,7 @@
     }
 
     /// Zones of which only a few machines are `missing`: gone, most likely. When many of a zone are missing
-    /// together a network is cut, and they may be back.
+    /// one_zone a network is cut, and they may be back.
     fn few_missing(
         &self,
         counts: impl Fn(&Host) -> bool,
@@ -234,7 +237,7 @@
     ) -> HashSet<&str> {
         let mut zones: HashMap<&str, (usize, usize)> = HashMap::new();
         for (name, host) in self.hosts.iter().filter(|(_, h)| counts(h)) {
-            let (all, gone) = zones.entry(&host.yard).or_default();
+            let (all, gone) = zones.entry(&host.zone).or_default();
             *all += 1;
             *gone += usize::from(missing(name, host));
         }
@@ -249,10 +252,10 @@
     fn cut_zones(&self, now: u64) -> HashSet<String> {
         let late = self.report_due_ms();
         let mut zones: HashMap<&str, (usize, usize)> = HashMap::new();
-        for host in self.hosts.values().filter(|h| h.rostered && !h.yard.is_empty()) {
+        for host in self.hosts.values().filter(|h| h.rostered && !h.zone.is_empty()) {
             let since = if host.heard { host.last_answer } else { self.won_at };
             let quiet = now >= since.max(self.resumed_at) + late;
-            let (all, gone) = zones.entry(&host.yard).or_default();
+            let (all, gone) = zones.entry(&host.zone).or_default();
             *all += 1;
             *gone += usize::from(quiet);
         }
@@ -272,7 +275,7 @@
         let late = self.report_due_ms();
         let few = self.few_missing(live, |_, h| quiet(h) >= late);
         let lost = |(_, h): &(&String, &Host)| {
-            live(h) && silent(h) && !h.held.is_empty() && few.contains(h.yard.as_str())
+            live(h) && silent(h) && !h.held.is_empty() && few.contains(h.zone.as_str())
         };
         self.hosts.iter().filter(lost).map(|(name, _)| name.clone()).collect()
     }
@@ -281,8 +284,8 @@
     /// have.
     fn unheard_lost(&self) -> HashSet<String> {
         let unheard = |name: &str| self.unheard.contains(name);
-        let few = self.few_missing(|h| h.heard || !h.yard.is_empty(), |name, _| unheard(name));
-        let lost = |(name, h): &(&String, &Host)| unheard(name) && few.contains(h.yard.as_str());
+        let few = self.few_missing(|h| h.heard || !h.zone.is_empty(), |name, _| unheard(name));
+        let lost = |(name, h): &(&String, &Host)| unheard(name) && few.contains(h.zone.as_str());
         self.hosts.iter().filter(lost).map(|(name, _)| name.clone()).collect()
     }
 
@@ -291,7 +294,7 @@
         let lease = lease_over_ms(&self.setup.params);
         let settled = self.settled(now);
         let idle_return: HashMap<String, u64> =
-            self.flavors.iter().map(|f| (f.label.clone(), self.idle_return(f))).collect();
+            self.machine_types.iter().map(|f| (f.label.clone(), self.idle_return(f))).collect();
         let mut doomed = Vec::new();
         let waiting = self.jobs.values().any(|j| j.inherited && j.live() && !j.free.is_empty());
         // Time for a worker to report once, to try each node with one that hangs among them, and to
@@ -308,7 +311,7 @@
         let lost = self.lost_hosts(now, unheard_patience);
         let unheard_lost = if unheard_go { self.unheard_lost() } else { HashSet::new() };
         for (name, host) in &mut self.hosts {
-            let cut = cut.contains(&host.yard);
+            let cut = cut.contains(&host.zone);
             let needed = cut || needed.contains(name.as_str());
             if !host.held.is_empty() || !host.ended.is_empty() {
                 host.idle_since = None;
@@ -319,7 +322,7 @@
                 continue;
             }
             let idle = host.idle_since.map_or(0, |s| now.saturating_sub(s));
-            let patience = idle_return.get(&host.flavor).copied().unwrap_or(u64::MAX);
+            let patience = idle_return.get(&host.machine_type).copied().unwrap_or(u64::MAX);
             if host.closing.is_none()
                 && host.heard
                 && settled
@@ -336,9 +339,9 @@
                 host.closing = Some(SILENT);
             }
             let ready_ms = self
-                .flavors
+                .machine_types
                 .iter()
-                .find(|f| f.label == host.flavor)
+                .find(|f| f.label == host.machine_type)
                 .map_or(60_000.0, |f| f.ready_s * 1000.0);
             let patience =
                 (ready_ms * constants::BOOT_GIVE_UP_FACTOR) as u64 + constants::BOOT_GIVE_UP_MS;
@@ -381,7 +384,7 @@
         let got = hosts.as_ref().map_or(0, Vec::len);
         tracing::info!("rental {}: {got} of {}", renting.hire, renting.count);
         if got < renting.count as usize {
-            let offer = (renting.flavor, renting.yard, renting.loaner);
+            let offer = (renting.machine_type, renting.zone, renting.spot);
             self.sold_out.insert(offer, now + constants::SOLD_OUT_MS);
         }
         for name in hosts.unwrap_or_default() {
@@ -390,9 +393,9 @@
             }
             let host = self.hosts.entry(name).or_insert_with(|| Host::new(now));
             if !host.heard {
-                host.flavor.clone_from(&request.flavor);
-                host.yard.clone_from(&request.yard);
-                host.loaner = request.loaners;
+                host.machine_type.clone_from(&request.machine_type);
+                host.zone.clone_from(&request.zone);
+                host.spot = request.spot;
             }
         }
     }
@@ -414,7 +417,7 @@
     /// The machine list, asked for at `asked`.
     pub fn listed(&mut self, list: &[ListedHost], asked: u64, now: u64) {
         for entry in list {
-            let name = &entry.name_id;
+            let name = &entry.id;
             if self.buried.contains(name) {
                 continue;
             }
@@ -434,9 +437,9 @@
             }
             let Some(host) = self.hosts.get_mut(name) else { continue };
             if !host.heard {
-                host.flavor.clone_from(&entry.flavor);
-                host.yard.clone_from(&entry.yard);
-                host.loaner = entry.loaners;
+                host.machine_type.clone_from(&entry.machine_type);
+                host.zone.clone_from(&entry.zone);
+                host.spot = entry.spot;
                 if let Some(addr) = &entry.addr {
                     host.addr.clone_from(addr);
                 }
@@ -454,7 +457,7 @@
         // Once listed, a machine stays listed until it is gone; but a list may be older than the
         // one before, by up to twice the lag.
         let lag = (self.setup.params.cloud.list_lag_s * 1000.0 * constants::UNLISTED_LAGS) as u64;
-        let listed: HashSet<&str> = list.iter().map(|e| e.name_id.as_str()).collect();
+        let listed: HashSet<&str> = list.iter().map(|e| e.id.as_str()).collect();
         let gone: Vec<String> = self
             .hosts
             .iter()
--- a/crates/controller/src/ledger/mod.rs
+++ b/crates/controller/src/ledger/mod.rs
@@ -22,12 +22,12 @@
 use crate::config::{OperatorSettings, Params};
 use crate::holders::{BlockLease, Holders, Renewal};
 use crate::records::{
-    FinalRecord, ImagesRecord, JobRecord, LaneRecord, MinimumRecord, ProgressRecord, RosterRecord,
+    ClassRecord, FinalRecord, ImagesRecord, JobRecord, MinimumRecord, ProgressRecord, RosterRecord,
     SharedMarksRecord,
 };
 use commit::Writer;
 use hookway_constants as constants;
-use hookway_wire::{Flavor, Guard, JobId, JobSpec, JobState, JobStatus, KeyValue};
+use hookway_wire::{Guard, JobId, JobSpec, JobState, JobStatus, KeyValue, MachineType};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 
 /// What does not change while a node leads.
@@ -58,8 +58,8 @@
     pub roster: Vec<KeyValue>,
     /// `i/`.
     pub images: Vec<KeyValue>,
-    /// `c/lanes`.
-    pub lanes: Option<KeyValue>,
+    /// `c/classes`.
+    pub classes: Option<KeyValue>,
     /// The leader before kept marks of how far tasks of jobs may have been started.
     pub marked: bool,
 }
@@ -132,7 +132,7 @@
     next_try: u64,
     next_hire: u64,
     next_job: u64,
-    flavors: Vec<Flavor>,
+    machine_types: Vec<MachineType>,
     images: HashMap<String, u32>,
     image_names: Vec<String>,
     jobs: BTreeMap<u64, Job>,
@@ -179,13 +179,13 @@
     won_at: u64,
     /// Both clocks, as last told.
     told: Moment,
-    /// What was seen of each lane.
-    lanes: HashMap<String, Lane>,
+    /// What was seen of each class.
+    classes: HashMap<String, ClassHistory>,
 }
 
-/// What was seen of a lane.
+/// What was seen of a class.
 #[derive(Debug, Clone)]
-struct Lane {
+struct ClassHistory {
     /// The largest task.
     need: hookway_policy::Room,
     /// The largest image, GB.
@@ -195,28 +195,28 @@
     /// Machines that it needed at a time, with the time.
     needed: VecDeque<(u64, usize)>,
     /// Whether its jobs may use spot machines.
-    loaners: bool,
+    spot: bool,
     /// Its jobs are gangs.
     gangs: bool,
 }
 
-impl Lane {
-    /// A lane as the store knows it.
-    fn known(record: &LaneRecord) -> Self {
+impl ClassHistory {
+    /// A class as the store knows it.
+    fn known(record: &ClassRecord) -> Self {
         Self {
             need: record.need,
             image_gb: record.image_gb,
             images: HashSet::new(),
             needed: VecDeque::new(),
-            loaners: record.loaners,
+            spot: record.spot,
             gangs: record.gangs,
         }
     }
 
     /// What the store should know of it.
-    fn record(&self) -> LaneRecord {
+    fn record(&self) -> ClassRecord {
         let (need, image_gb) = (self.need, self.image_gb);
-        LaneRecord { need, image_gb, loaners: self.loaners, gangs: self.gangs }
+        ClassRecord { need, image_gb, spot: self.spot, gangs: self.gangs }
     }
 }
 
@@ -226,7 +226,7 @@
         setup: Setup,
         term: u64,
         lead: Guard,
-        flavors: Vec<Flavor>,
+        machine_types: Vec<MachineType>,
         loaded: Loaded,
         at: Moment,
     ) -> Self {
@@ -244,7 +244,7 @@
             next_try: 0,
             next_hire: 0,
             next_job: 0,
-            flavors,
+            machine_types,
             images: HashMap::new(),
             image_names: Vec::new(),
             jobs: BTreeMap::new(),
@@ -274,24 +274,25 @@
             stops_due: false,
             won_at: at.now,
             told: at,
-            lanes: HashMap::new(),
+            classes: HashMap::new(),
         };
         ledger.load(loaded, at);
         ledger
     }
 
     fn load(&mut self, loaded: Loaded, at: Moment) {
-        let own = loaded.minimums.iter().chain(&loaded.roster).chain(&loaded.lanes);
+        let own = loaded.minimums.iter().chain(&loaded.roster).chain(&loaded.classes);
         own.for_each(|kv| self.writer.stamp(&kv.key, kv.stamp));
         // Without this a leader that finds no job of a class would return the machines that stand by
         // for it.
-        let lanes = loaded.lanes.map(|kv| serde_json::from_value(kv.v));
-        match lanes.transpose() {
-            Ok(lanes) => {
-                let lanes: BTreeMap<String, LaneRecord> = lanes.unwrap_or_default();
-                self.lanes.extend(lanes.into_iter().map(|(name, r)| (name, Lane::known(&r))));
+        let classes = loaded.classes.map(|kv| serde_json::from_value(kv.v));
+        match classes.transpose() {
+            Ok(classes) => {
+                let classes: BTreeMap<String, ClassRecord> = classes.unwrap_or_default();
+                self.classes
+                    .extend(classes.into_iter().map(|(name, r)| (name, ClassHistory::known(&r))));
             }
-            Err(e) => tracing::error!("{}: can't be read: {e}", crate::records::LANES),
+            Err(e) => tracing::error!("{}: can't be read: {e}", crate::records::CLASSES),
         }
         // Of a job whose record can't be read nothing is thrown away: a later version may read it.
         let accepted: HashSet<JobId> =
@@ -351,14 +352,14 @@
                         "{}: can't be read, all of the job counts as started: {e}",
                         kv.key
                     );
-                    job.opened = job.spec.pieces;
+                    job.opened = job.spec.tasks;
                 }
             }
         }
         for job in self.jobs.values_mut() {
             // Without marks every task may have been started, and the next leader must know it too.
             if !(job.marked && loaded.marked) || unread_marks && job.small() {
-                job.opened = job.spec.pieces;
+                job.opened = job.spec.tasks;
                 job.written_opened = false;
             }
             job.sure_from = job.opened;
@@ -409,7 +410,7 @@
         for id in record.jobs {
             let job = self.by_id.get(&id).and_then(|key| self.jobs.get_mut(key));
             if let Some(job) = job {
-                job.opened = job.spec.pieces;
+                job.opened = job.spec.tasks;
                 job.shared_mark = Some(number);
                 live.insert(id);
             }
@@ -456,8 +457,8 @@
     }
 
     /// Takes in the machine types.
-    pub fn set_flavors(&mut self, flavors: Vec<Flavor>) {
-        self.flavors = flavors;
+    pub fn set_machine_types(&mut self, machine_types: Vec<MachineType>) {
+        self.machine_types = machine_types;
     }
 
     /// Whether everything that an earlier leader may have started is accounted for: each machine of
@@ -526,34 +527,36 @@
                 return;
             }
         };
-        let image = self.image(&record.spec.bundle);
+        let image = self.image(&record.spec.image);
         let team =
-            self.setup.params.teams.iter().position(|t| t.name == record.spec.owner).unwrap_or(0);
+            self.setup.params.teams.iter().position(|t| t.name == record.spec.team).unwrap_or(0);
         self.next_job += 1;
         let key = self.next_job;
         let aims = self.aims_of(&record.spec);
         tracing::info!(
             "job {id}: seen ({:?}, {} tasks, lane {}, {}, {} GB, guess {:.0} s, due {:?})",
-            record.spec.shape,
-            record.spec.pieces,
-            record.spec.lane,
-            record.spec.bundle,
+            record.spec.kind,
+            record.spec.tasks,
+            record.spec.class,
+            record.spec.image,
             record.spec.image_gb,
-            record.spec.guess_s,
-            record.spec.due_s
+            record.spec.estimate_s,
+            record.spec.deadline_s
         );
         let need = hookway_policy::Room::of_task(&record.spec);
-        let fresh = LaneRecord { need, image_gb: 0.0, loaners: true, gangs: record.spec.is_gang() };
-        let before = self.lanes.get(&record.spec.lane).map(Lane::record);
-        let lane =
-            self.lanes.entry(record.spec.lane.clone()).or_insert_with(|| Lane::known(&fresh));
-        lane.need.cpus = lane.need.cpus.max(need.cpus);
-        lane.need.gpus = lane.need.gpus.max(need.gpus);
-        lane.need.ram = lane.need.ram.max(need.ram);
-        lane.image_gb = lane.image_gb.max(record.spec.image_gb);
-        lane.images.insert(image);
-        lane.loaners &= record.spec.loaners;
-        self.writer.lanes |= before != Some(lane.record());
+        let fresh = ClassRecord { need, image_gb: 0.0, spot: true, gangs: record.spec.is_gang() };
+        let before = self.classes.get(&record.spec.class).map(ClassHistory::record);
+        let class = self
+            .classes
+            .entry(record.spec.class.clone())
+            .or_insert_with(|| ClassHistory::known(&fresh));
+        class.need.cpus = class.need.cpus.max(need.cpus);
+        class.need.gpus = class.need.gpus.max(need.gpus);
+        class.need.ram = class.need.ram.max(need.ram);
+        class.image_gb = class.image_gb.max(record.spec.image_gb);
+        class.images.insert(image);
+        class.spot &= record.spec.spot;
+        self.writer.classes |= before != Some(class.record());
         let context = JobContext {
             team,
             image,
@@ -569,38 +572,38 @@
     /// A job's own deadline, or what the aims promise its class.
     /// A daemon has none: all of its replicas are wanted all the time, and a late one is wanted no less.
     fn aims_of(&self, spec: &JobSpec) -> Aims {
-        if spec.is_endless() {
+        if spec.is_daemon() {
             return Aims::default();
         }
         let mut start_s: Vec<f64> = self.aims(spec, "wait").collect();
         start_s.sort_by(f64::total_cmp);
         let finished = self.aims(spec, "finished").next();
         // All tasks of an array have started in time if the last ones end a task time later.
-        let started = start_s.first().filter(|_| !spec.is_gang()).map(|s| s + spec.guess_s);
+        let started = start_s.first().filter(|_| !spec.is_gang()).map(|s| s + spec.estimate_s);
         let implied = match (finished, started) {
             (Some(f), Some(s)) => Some(f.min(s)),
             (f, s) => f.or(s),
         };
-        Aims { due_s: spec.due_s.or(implied), start_s }
+        Aims { deadline_s: spec.deadline_s.or(implied), start_s }
     }
 
     fn aims<'a>(&'a self, spec: &'a JobSpec, kind: &'a str) -> impl Iterator<Item = f64> + 'a {
         let objectives = self.setup.params.objectives.iter();
         objectives
-            .filter(move |o| o.kind == kind && o.class.as_deref() == Some(&spec.lane))
+            .filter(move |o| o.kind == kind && o.class.as_deref() == Some(&spec.class))
             .filter_map(|o| o.within_s)
     }
 
     /// Images of a record, by their numbers.
     fn images_of(&mut self, named: &[(String, f64)]) -> Vec<(u32, f64)> {
-        named.iter().map(|(bundle, gb)| (self.image(bundle), *gb)).collect()
+        named.iter().map(|(image, gb)| (self.image(image), *gb)).collect()
     }
 
-    fn image(&mut self, bundle: &str) -> u32 {
+    fn image(&mut self, image: &str) -> u32 {
         let next = self.images.len() as u32;
-        let found = *self.images.entry(bundle.to_owned()).or_insert(next);
+        let found = *self.images.entry(image.to_owned()).or_insert(next);
         if found == next {
-            self.image_names.push(bundle.to_owned());
+            self.image_names.push(image.to_owned());
         }
         found
     }
@@ -619,11 +622,11 @@
 
     fn describe(&self, job: &Job) -> JobStatus {
         JobStatus {
-            name_id: job.id.clone(),
+            id: job.id.clone(),
             status: if job.running > 0 { JobState::Running } else { JobState::Queued },
             done: job.done,
             running: job.running,
-            owner: Some(job.spec.owner.clone()),
+            team: Some(job.spec.team.clone()),
             commander: Some(self.setup.label.clone()),
             notes: job.notes.iter().cloned().collect(),
         }
@@ -743,7 +746,7 @@
                 expected += 1;
             }
         }
-        // Where hundreds report, all of them are silent together within seconds only if this node can't hear
+        // Where hundreds report, all of them are silent one_zone within seconds only if this node can't hear
         // them. But workers that look for a new leader come one by one.
         let part = (constants::DESERTED_MACHINES / f64::from(expected.max(1))).min(1.0);
         let soon = ((report_ms * constants::DESERTED_REPORTS * part) as u64)
--- a/crates/controller/src/ledger/schedule.rs
+++ b/crates/controller/src/ledger/schedule.rs
@@ -2,7 +2,7 @@
 use crate::config::Team;
 use hookway_constants as constants;
 use hookway_policy::{HeldView, HostView, JobView, Room, TeamView, World, evict, minimum, place};
-use hookway_wire::PieceState;
+use hookway_wire::TaskState;
 use std::collections::HashMap;
 
 /// What is left of a job's turn after a round.
@@ -58,19 +58,19 @@
             }
         }
         let cheapest_cpu = self
-            .flavors
+            .machine_types
             .iter()
-            .flat_map(|f| [Some(f.hourly), f.market_price].map(|p| p.map(|p| p / f.vcpus.max(0.1))))
+            .flat_map(|f| [Some(f.hourly), f.market_price].map(|p| p.map(|p| p / f.cpus.max(0.1))))
             .flatten()
             .fold(f64::INFINITY, f64::min);
         let world = World {
             now: now as f64 / 1000.0,
             cheapest_cpu: if cheapest_cpu.is_finite() { cheapest_cpu } else { 0.0 },
-            gang_needs: self.lanes.values().filter(|l| l.gangs).map(|l| l.need).collect(),
+            gang_needs: self.classes.values().filter(|l| l.gangs).map(|l| l.need).collect(),
             jobs,
             hosts,
             teams,
-            flavors: self.flavors.clone(),
+            machine_types: self.machine_types.clone(),
         };
         Scene { world, jobs: keys, hosts: names }
     }
@@ -112,7 +112,7 @@
             return all;
         }
         // What the store says was never started can't be on any of them. But where a job's tasks must be
-        // together, or may not all be, those that may be there decide where others may start.
+        // one_zone, or may not all be, those that may be there decide where others may start.
         if job.spec.is_gang() || job.bound_to_zones() {
             return if job.sure_from == 0 { all } else { 0 };
         }
@@ -125,43 +125,44 @@
         }
         if job.spec.is_gang() {
             // Tasks of an earlier attempt stay where they are until they exit.
-            let whole = job.held == 0 && job.free.len() as u32 == job.spec.pieces;
-            return if whole { job.spec.pieces } else { 0 };
+            let whole = job.held == 0 && job.free.len() as u32 == job.spec.tasks;
+            return if whole { job.spec.tasks } else { 0 };
         }
         let free = job.free.len() as u32;
         if job.doubtful() { free.min(1).saturating_sub(job.held) } else { free }
     }
 
     fn view(&self, job: &Job, startable: u32) -> JobView {
-        let flavors = self
-            .flavors
+        let machine_types = self
+            .machine_types
             .iter()
             .map(|f| {
-                let named = job.spec.flavors.as_ref().is_none_or(|list| list.contains(&f.label));
-                named && Room::of_flavor(f).fits(&job.need)
+                let named =
+                    job.spec.machine_types.as_ref().is_none_or(|list| list.contains(&f.label));
+                named && Room::of_machine_type(f).fits(&job.need)
             })
             .collect();
-        let yard = job.spec.yard.as_ref().map(|y| self.setup.params.zone(y).unwrap_or(usize::MAX));
+        let zone = job.spec.zone.as_ref().map(|y| self.setup.params.zone(y).unwrap_or(usize::MAX));
         JobView {
             team: job.team,
-            rank: job.spec.rank,
+            priority: job.spec.priority,
             gang: job.spec.is_gang(),
-            endless: job.spec.is_endless(),
-            pieces: job.spec.pieces,
+            daemon: job.spec.is_daemon(),
+            tasks: job.spec.tasks,
             need: job.need,
-            flavors,
-            yard,
-            together: job.spec.together,
+            machine_types,
+            zone,
+            one_zone: job.spec.one_zone,
             zone_cap: job.spec.zone_cap(),
-            loaners: job.spec.loaners,
+            spot: job.spec.spot,
             image: job.image,
             image_gb: job.spec.image_gb,
             saves: job.spec.saves(),
-            save_time: if job.spec.saves() { job.spec.snapshot_s } else { 0.0 },
+            save_time: if job.spec.saves() { job.spec.save_s } else { 0.0 },
             submitted: job.submitted,
             due: job.due,
             start_by: job.start_by.clone(),
-            guess: job.spec.guess_s,
+            estimate: job.spec.estimate_s,
             finished: job.done,
             mean: job.mean_ms().map(|ms| ms / 1000.0),
             unfinished: job.unfinished(),
@@ -180,9 +181,9 @@
         index: &HashMap<u64, usize>,
         now: u64,
     ) -> Option<HostView> {
-        let flavor = self.flavors.iter().position(|f| f.label == host.flavor)?;
-        let yard = self.setup.params.zone(&host.yard)?;
-        let total = Room::of_flavor(&self.flavors[flavor]);
+        let machine_type = self.machine_types.iter().position(|f| f.label == host.machine_type)?;
+        let zone = self.setup.params.zone(&host.zone)?;
+        let total = Room::of_machine_type(&self.machine_types[machine_type]);
         let (free, strangers) = self.free_room(host, total);
         let quiet = (self.setup.params.workers.report_s * 2000.0) as u64;
         let taken = host.closing.is_some() || host.notice.is_some() || strangers;
@@ -210,12 +211,12 @@
             })
             .collect();
         Some(HostView {
-            flavor,
-            yard,
-            loaner: host.loaner,
+            machine_type,
+            zone,
+            spot: host.spot,
             total,
             free,
-            price: self.flavors[flavor].price(host.loaner),
+            price: self.machine_types[machine_type].price(host.spot),
             images: host.images.iter().map(|(i, _)| *i).collect(),
             open,
             booting: !host.heard && !taken,
@@ -256,10 +257,15 @@
         {
             return;
         }
-        let Some(flavor) = self.flavors.iter().position(|f| f.label == host.flavor) else { return };
-        let Some(yard) = self.setup.params.zone(&host.yard) else { return };
-        let loaner = host.loaner;
-        let (mut free, strangers) = self.free_room(host, Room::of_flavor(&self.flavors[flavor]));
+        let Some(machine_type) =
+            self.machine_types.iter().position(|f| f.label == host.machine_type)
+        else {
+            return;
+        };
+        let Some(zone) = self.setup.params.zone(&host.zone) else { return };
+        let spot = host.spot;
+        let (mut free, strangers) =
+            self.free_room(host, Room::of_machine_type(&self.machine_types[machine_type]));
         if strangers {
             return;
         }
@@ -280,10 +286,10 @@
                     continue;
                 }
                 let view = self.view(job, startable);
-                if !view.allows(flavor, yard, loaner) || !view.zone_open(yard) {
+                if !view.allows(machine_type, zone, spot) || !view.zone_open(zone) {
                     continue;
                 }
-                let here = view.per_zone.get(yard).copied().unwrap_or(0);
+                let here = view.per_zone.get(zone).copied().unwrap_or(0);
                 let mut tasks = turn.tasks.min(view.startable).min(free.count(&view.need));
                 tasks = tasks.min(view.zone_cap.saturating_sub(here));
                 let limit = self.setup.params.teams.get(view.team);
@@ -316,7 +322,7 @@
         self.clear_noticed(now);
         self.give_up_stuck(now);
         self.forgive_steady_daemons(now);
-        if self.jobs.is_empty() || self.flavors.is_empty() {
+        if self.jobs.is_empty() || self.machine_types.is_empty() {
             return;
         }
         let mut scene = self.scene(now);
@@ -407,7 +413,7 @@
                 let Some(job) = held.job.and_then(|k| self.jobs.get(&k)) else { continue };
                 let idle = matches!(
                     held.phase,
-                    Phase::Planned | Phase::On(PieceState::Pulling | PieceState::Waiting)
+                    Phase::Planned | Phase::On(TaskState::Pulling | TaskState::Waiting)
                 );
                 // What can't be done before the machine goes starts anew elsewhere the sooner.
                 let ran = held.running_since.map_or(0, |s| now.saturating_sub(s)) as f64;
@@ -415,7 +421,7 @@
                 let hopeless = !job.spec.is_gang()
                     && job.solid_mean().zip(goes).is_some_and(|(mean, goes)| mean - ran > goes);
                 // A replica never finishes first.
-                let moves = idle || job.spec.saves() || job.spec.is_endless() || hopeless;
+                let moves = idle || job.spec.saves() || job.spec.is_daemon() || hopeless;
                 if held.kill.is_none() && moves {
                     stops.push(i);
                 }
@@ -434,7 +440,7 @@
             for (i, held) in host.held.iter().enumerate() {
                 let (Some(since), None) = (held.running_since, held.kill) else { continue };
                 let job = held.job.and_then(|k| self.jobs.get(&k));
-                let one_by_one = |j: &&Job| !j.spec.is_gang() && !j.spec.is_endless();
+                let one_by_one = |j: &&Job| !j.spec.is_gang() && !j.spec.is_daemon();
                 let Some(job) = job.filter(one_by_one) else { continue };
                 // Once only: a task that is long wherever it runs must come to its end.
                 if job.given_up.contains(&held.index) {
@@ -448,7 +454,7 @@
         }
         for (name, i) in stuck {
             let Some(host) = self.hosts.get_mut(&name) else { continue };
-            tracing::info!("machine {name}: {} is stuck there", host.held[i].piece);
+            tracing::info!("machine {name}: {} is stuck there", host.held[i].task);
             if host.closing.is_none() {
                 host.closing = Some("slow");
             }
@@ -493,7 +499,7 @@
             }
             job.slots[index as usize] = Slot::Held;
             job.held += 1;
-            if let Some(zone) = self.setup.params.zone(&host.yard) {
+            if let Some(zone) = self.setup.params.zone(&host.zone) {
                 job.per_zone[zone] += 1;
             }
             self.planned_on.insert(name.clone());
@@ -501,7 +507,7 @@
             host.kept = host.kept.filter(|(k, _)| *k != key);
             host.held.push(Held {
                 job: Some(key),
-                piece: format!("{}/{index}", job.id),
+                task: format!("{}/{index}", job.id),
                 index,
                 attempt,
                 phase: Phase::Planned,
@@ -519,16 +525,16 @@
     fn stop(&mut self, name: &str, at: usize, now: u64) {
         let Some(held) = self.hosts.get(name).and_then(|h| h.held.get(at)) else { return };
         let Some(key) = held.job else { return };
-        let (piece, attempt) = (held.piece.clone(), held.attempt);
+        let (task, attempt) = (held.task.clone(), held.attempt);
         let Some(job) = self.jobs.get(&key) else { return };
-        let wind_down_s = if job.spec.saves() { job.spec.snapshot_s + 1.0 } else { 0.0 };
+        let wind_down_s = if job.spec.saves() { job.spec.save_s + 1.0 } else { 0.0 };
         self.stops_due = true;
         let kill = Kill { wind_down_s, since: now };
         let gang = job.spec.is_gang();
         for host in self.hosts.values_mut() {
             for h in &mut host.held {
                 let same = h.job == Some(key) && h.attempt == attempt;
-                if same && (gang || h.piece == piece) && h.kill.is_none() {
+                if same && (gang || h.task == task) && h.kill.is_none() {
                     h.kill = Some(kill);
                 }
             }
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -7,13 +7,13 @@
 use crate::ledger::{
     Commit, CommitResult, FleetAction, Ledger, Loaded, Lookup, Moment, Setup, Withdrawal,
 };
-use crate::records::{IMAGES, JOBS, LANES, MINIMUMS, PROGRESS, ROSTER};
+use crate::records::{CLASSES, IMAGES, JOBS, MINIMUMS, PROGRESS, ROSTER};
 use hookway_clients::{
     CloudClient, CloudError, CommitOutcome, Delivery, RentOutcome, StoreClient, StoreError,
     WorkerClient,
 };
 use hookway_constants as constants;
-use hookway_wire::{CheckIn, CheckInAnswer, Event, Flavor, JobId, ListedHost, RentRequest};
+use hookway_wire::{CheckIn, CheckInAnswer, Event, JobId, ListedHost, MachineType, RentRequest};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -87,7 +87,7 @@
     /// Rung when a write shows that another node leads.
     pub doubt: Arc<Notify>,
     /// Machine types.
-    pub flavors: watch::Receiver<Option<Arc<Vec<Flavor>>>>,
+    pub machine_types: watch::Receiver<Option<Arc<Vec<MachineType>>>>,
     /// Questions.
     pub asks: mpsc::Receiver<Ask>,
     /// When this node last stepped down for lack of reports, ms.
@@ -109,7 +109,7 @@
     last_round: u64,
     last_fleet: u64,
     last_list: Option<u64>,
-    flavors_seen: Option<Arc<Vec<Flavor>>>,
+    machine_types_seen: Option<Arc<Vec<MachineType>>>,
     last_log: u64,
     last_direct: u64,
     last_work: u64,
@@ -184,7 +184,7 @@
             last_round: 0,
             last_fleet: 0,
             last_list: None,
-            flavors_seen: None,
+            machine_types_seen: None,
             last_log: 0,
             last_direct: 0,
             last_work: self.clock.now(),
@@ -330,12 +330,12 @@
         let at = self.clock.moment();
         match note {
             Note::Loaded(loaded, epoch) => {
-                let flavors = self.flavors.borrow().as_ref().map(|f| f.to_vec());
+                let machine_types = self.machine_types.borrow().as_ref().map(|f| f.to_vec());
                 let ledger = Ledger::new(
                     self.setup.clone(),
                     term.mandate.term,
                     term.mandate.guard.clone(),
-                    flavors.unwrap_or_default(),
+                    machine_types.unwrap_or_default(),
                     loaded,
                     at,
                 );
@@ -506,10 +506,11 @@
             self.doubt.notify_one();
             return;
         }
-        let flavors = self.flavors.borrow().clone();
-        if flavors != term.flavors_seen {
-            ledger.set_flavors(flavors.as_ref().map(|f| f.to_vec()).unwrap_or_default());
-            term.flavors_seen = flavors;
+        let machine_types = self.machine_types.borrow().clone();
+        if machine_types != term.machine_types_seen {
+            ledger
+                .set_machine_types(machine_types.as_ref().map(|f| f.to_vec()).unwrap_or_default());
+            term.machine_types_seen = machine_types;
         }
         if now >= term.last_round + ledger.round_pause().max(constants::ROUND_EVERY_MS) {
             term.last_round = now;
@@ -609,8 +610,8 @@
     let (minimums, _) = store.list(MINIMUMS).await?;
     let (roster, _) = store.list(ROSTER).await?;
     let (images, _) = store.list(IMAGES).await?;
-    let lanes = store.get(LANES).await?;
-    Ok((Loaded { jobs, progress, minimums, roster, images, lanes, marked: false }, epoch))
+    let classes = store.get(CLASSES).await?;
+    Ok((Loaded { jobs, progress, minimums, roster, images, classes, marked: false }, epoch))
 }
 
 /// Commits; if the outcome is anything but plain, reads the keys again, since a lost answer says
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -12,7 +12,7 @@
 //! | `m/<job>` | the job's minimum and mean task time (hints for the next leader), and how far its tasks may have been started |
 //! | `m/shared-<n>` | small jobs (gangs, and arrays of a few tasks) that may have been started |
 //! | `r/record-<n>` | machines that may have tasks, and the images they hold (a hint) |
-//! | `c/lanes` | what classes of jobs need (a hint for the next leader) |
+//! | `c/classes` | what classes of jobs need (a hint for the next leader) |
 //!
 //! Version 0.1.0 had `r/<machine>` and `i/<machine>` instead; both are read, and replaced by records of
 //! many machines.
@@ -26,7 +26,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What classes of jobs need.
-pub const LANES: &str = "c/lanes";
+pub const CLASSES: &str = "c/lanes";
 /// Prefix of the image records of version 0.1.0.
 pub const IMAGES: &str = "i/";
 /// Who leads.
@@ -82,7 +82,8 @@
     /// Completed tasks.
     pub done: u32,
     /// The team.
-    pub owner: String,
+    #[serde(rename = "owner")]
+    pub team: String,
     /// Why attempts ended.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub notes: Vec<String>,
@@ -92,11 +93,11 @@
     /// The user's view.
     pub fn status(&self, id: &JobId) -> JobStatus {
         JobStatus {
-            name_id: id.clone(),
+            id: id.clone(),
             status: self.state,
             done: self.done,
             running: 0,
-            owner: Some(self.owner.clone()),
+            team: Some(self.team.clone()),
             commander: None,
             notes: self.notes.clone(),
         }
@@ -123,15 +124,16 @@
     pub images: Vec<(String, f64)>,
 }
 
-/// What `c/lanes` says of a class of jobs.
+/// What `c/classes` says of a class of jobs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct LaneRecord {
+pub struct ClassRecord {
     /// The largest task.
     pub need: Room,
     /// The largest image, GB.
     pub image_gb: f64,
     /// Whether its jobs may use spot machines.
-    pub loaners: bool,
+    #[serde(rename = "loaners")]
+    pub spot: bool,
     /// Its jobs are gangs.
     pub gangs: bool,
 }
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -1,4 +1,4 @@
-//! Puts a node together and runs it.
+//! Puts a node one_zone and runs it.
 
 use crate::api::{self, Desk, Stores};
 use crate::config::{OperatorSettings, Settings};
@@ -10,7 +10,7 @@
 use crate::peers::{self, Peers};
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
 use hookway_constants as constants;
-use hookway_wire::Flavor;
+use hookway_wire::MachineType;
 use salvo::conn::TcpListener;
 use salvo::prelude::*;
 use std::sync::Arc;
@@ -44,7 +44,7 @@
     let cloud =
         CloudClient::new(&settings.outside.cloud, params.cloud.rps * constants::CLOUD_RATE_SHARE);
     let (view_tx, view) = watch::channel(View::default());
-    let (flavors_tx, flavors) = watch::channel(None);
+    let (machine_types_tx, machine_types) = watch::channel(None);
     let (node_tx, asks) = mpsc::channel(constants::MAILBOX);
     let validity = Arc::new(Validity::default());
     let doubt = Arc::new(Notify::new());
@@ -58,7 +58,7 @@
         Peers::new(addresses),
         node_tx,
         view.clone(),
-        flavors.clone(),
+        machine_types.clone(),
     ));
     let peer_listener = tokio::net::TcpListener::bind(&settings.peer_bind)
         .await
@@ -95,7 +95,7 @@
         validity,
         view,
         doubt,
-        flavors,
+        machine_types,
         asks,
         finals: desk.finals.clone(),
         deserted_at: std::cell::Cell::new(None),
@@ -105,7 +105,7 @@
     // three has a thread of its own.
     on_a_thread("leadership", leadership.run()).map_err(StartError::Thread)?;
     on_a_thread("ledger", node.run()).map_err(StartError::Thread)?;
-    tokio::spawn(read_flavors(cloud, flavors_tx));
+    tokio::spawn(read_machine_types(cloud, machine_types_tx));
     tokio::spawn(peers::serve(peer_listener, desk.clone()));
     let holder = desk.clone();
     tokio::spawn(async move { holder.hold_block().await });
@@ -139,16 +139,16 @@
 }
 
 /// Keeps the machine types and their prices up to date.
-async fn read_flavors(cloud: CloudClient, out: watch::Sender<Option<Arc<Vec<Flavor>>>>) {
+async fn read_machine_types(cloud: CloudClient, out: watch::Sender<Option<Arc<Vec<MachineType>>>>) {
     loop {
-        let wait = match cloud.flavors().await {
-            Ok(flavors) => {
-                let _ = out.send(Some(Arc::new(flavors)));
-                constants::FLAVORS_EVERY_MS
+        let wait = match cloud.machine_types().await {
+            Ok(machine_types) => {
+                let _ = out.send(Some(Arc::new(machine_types)));
+                constants::MACHINE_TYPES_EVERY_MS
             }
             Err(e) => {
                 tracing::debug!("machine types: {e}");
-                constants::FLAVORS_RETRY_MS
+                constants::MACHINE_TYPES_RETRY_MS
             }
         };
         tokio::time::sleep(Duration::from_millis(wait)).await;
--- a/crates/hookway/src/main.rs
+++ b/crates/hookway/src/main.rs
@@ -160,9 +160,9 @@
 
 fn show(status: &JobStatus) {
     let state = format!("{:?}", status.status).to_lowercase();
-    println!("{}: {state}, {} done, {} running", status.name_id, status.done, status.running);
-    if let Some(owner) = &status.owner {
-        println!("  team: {owner}");
+    println!("{}: {state}, {} done, {} running", status.id, status.done, status.running);
+    if let Some(team) = &status.team {
+        println!("  team: {team}");
     }
     if let Some(commander) = &status.commander {
         println!("  commanded by: {commander}");
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -5,11 +5,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Offer {
     /// Machine type.
-    pub flavor: usize,
+    pub machine_type: usize,
     /// Zone.
-    pub yard: usize,
+    pub zone: usize,
     /// Spot or ordinary.
-    pub loaner: bool,
+    pub spot: bool,
     /// Price per hour.
     pub price: f64,
 }
@@ -41,15 +41,15 @@
     let mut rented: Vec<(usize, Room)> = Vec::new();
     let mut used: Vec<Room> = world.teams.iter().map(|t| t.used).collect();
     // Work is laid out on cheap machines first, so that dear ones are the ones to return.
-    let yards = world.hosts.iter().map(|h| h.yard).chain(offers.iter().map(|o| o.yard));
-    let zones = yards.max().map_or(0, |last| last + 1);
+    let zones = world.hosts.iter().map(|h| h.zone).chain(offers.iter().map(|o| o.zone));
+    let zones = zones.max().map_or(0, |last| last + 1);
     let least = least_need(&world.jobs);
     let mut by_price: Vec<usize> =
         (0..world.hosts.len()).filter(|i| free[*i].fits(&least)).collect();
     by_price.sort_by(|a, b| {
         let (a, b) = (&world.hosts[*a], &world.hosts[*b]);
-        let rank = |h: &HostView| (h.booting, h.held.is_empty());
-        rank(a).cmp(&rank(b)).then(a.cpu_price().total_cmp(&b.cpu_price()))
+        let priority = |h: &HostView| (h.booting, h.held.is_empty());
+        priority(a).cmp(&priority(b)).then(a.cpu_price().total_cmp(&b.cpu_price()))
     });
     // Nothing is rented for a job that fails wherever it is tried, unless no machines are left that could try
     // it: what failed by bad luck must not wait for ever. One gang at a time; one machine for all others (below).
@@ -62,7 +62,7 @@
         .collect();
     order.sort_by(|a, b| {
         let (a, b) = (&world.jobs[*a], &world.jobs[*b]);
-        b.rank.cmp(&a.rank).then(a.submitted.total_cmp(&b.submitted))
+        b.priority.cmp(&a.priority).then(a.submitted.total_cmp(&b.submitted))
     });
     for job_ix in order {
         let job = &world.jobs[job_ix];
@@ -86,14 +86,14 @@
             if !takes(world, job_ix, host) {
                 continue;
             }
-            let n = free[i].count(&job.need).min(short).min(open[host.yard]);
+            let n = free[i].count(&job.need).min(short).min(open[host.zone]);
             if n > 0 {
                 plan.needed[i] = true;
                 for _ in 0..n {
                     free[i].take(&job.need);
                 }
                 short -= n;
-                open[host.yard] -= n;
+                open[host.zone] -= n;
             }
         }
         for (offer, room) in &mut rented {
@@ -101,23 +101,23 @@
             if short == 0 {
                 break;
             }
-            if job.allows(o.flavor, o.yard, o.loaner) {
-                let n = room.count(&job.need).min(short).min(open[o.yard]);
+            if job.allows(o.machine_type, o.zone, o.spot) {
+                let n = room.count(&job.need).min(short).min(open[o.zone]);
                 for _ in 0..n {
                     room.take(&job.need);
                 }
                 short -= n;
-                open[o.yard] -= n;
+                open[o.zone] -= n;
             }
         }
         while short > 0 {
             let Some((offer, per_host)) = cheapest(world, job_ix, short, offers, &open) else {
                 break;
             };
-            let flavor = &world.flavors[offers[offer].flavor];
-            let n = per_host.min(short).min(open[offers[offer].yard]);
-            open[offers[offer].yard] -= n;
-            let mut room = Room::of_flavor(flavor);
+            let machine_type = &world.machine_types[offers[offer].machine_type];
+            let n = per_host.min(short).min(open[offers[offer].zone]);
+            open[offers[offer].zone] -= n;
+            let mut room = Room::of_machine_type(machine_type);
             for _ in 0..n {
                 room.take(&job.need);
             }
@@ -137,7 +137,7 @@
         let job = &world.jobs[job_ix];
         let fits = |h: &HostView| takes(world, job_ix, h) && h.total.fits(&job.need);
         let coming = plan.rent.iter().map(|r| &offers[r.offer]);
-        let mut coming = coming.filter(|o| job.allows(o.flavor, o.yard, o.loaner));
+        let mut coming = coming.filter(|o| job.allows(o.machine_type, o.zone, o.spot));
         if job.startable == 0 || coming.next().is_some() || world.hosts.iter().any(fits) {
             continue;
         }
@@ -153,10 +153,10 @@
     (host.open || host.booting)
         && host.kept_for.is_none_or(|k| k == job)
         && !host.shunned_by.contains(&job)
-        && world.jobs[job].allows(host.flavor, host.yard, host.loaner)
+        && world.jobs[job].allows(host.machine_type, host.zone, host.spot)
 }
 
-/// How many more tasks of a job each zone may hold. Without this a gang that must spread, or be together,
+/// How many more tasks of a job each zone may hold. Without this a gang that must spread, or be one_zone,
 /// is thought to fit where it never will, and nothing is rented for it.
 fn open_zones(
     world: &World,
@@ -170,19 +170,19 @@
     let job = &world.jobs[job_ix];
     let here = |zone: usize| job.per_zone.get(zone).copied().unwrap_or(0);
     let mut open: Vec<u32> = (0..zones).map(|z| job.zone_cap.saturating_sub(here(z))).collect();
-    if !job.together || job.pieces <= 1 {
+    if !job.one_zone || job.tasks <= 1 {
         return open;
     }
     // In one zone: where it is; else where there is room for all of a gang, or a good part of an array; else
     // where more can be rented.
     let room = |zone: usize| -> u32 {
-        let there = hosts.iter().filter(|i| world.hosts[**i].yard == zone);
+        let there = hosts.iter().filter(|i| world.hosts[**i].zone == zone);
         there
             .filter(|i| takes(world, job_ix, &world.hosts[**i]))
             .fold(0, |n: u32, i| n.saturating_add(free[*i].count(&job.need)))
     };
     let rentable = |zone: usize| {
-        offers.iter().any(|o| o.yard == zone && job.allows(o.flavor, o.yard, o.loaner))
+        offers.iter().any(|o| o.zone == zone && job.allows(o.machine_type, o.zone, o.spot))
     };
     let best = (0..zones).max_by_key(|zone| {
         let room = room(*zone).min(short);
@@ -201,10 +201,10 @@
 fn lead_time(world: &World, job_ix: usize) -> f64 {
     let job = &world.jobs[job_ix];
     let fastest = world
-        .flavors
+        .machine_types
         .iter()
         .enumerate()
-        .filter(|(i, _)| job.flavors.get(*i).copied().unwrap_or(false))
+        .filter(|(i, _)| job.machine_types.get(*i).copied().unwrap_or(false))
         .map(|(_, f)| f.ready_s + f.fetch_s(job.image_gb))
         .fold(f64::INFINITY, f64::min);
     if fastest.is_finite() { fastest } else { 0.0 }
@@ -221,18 +221,18 @@
     let job = &world.jobs[job_ix];
     let mut best: Option<(f64, usize, u32)> = None;
     for (i, offer) in offers.iter().enumerate() {
-        if !job.allows(offer.flavor, offer.yard, offer.loaner) || open[offer.yard] == 0 {
+        if !job.allows(offer.machine_type, offer.zone, offer.spot) || open[offer.zone] == 0 {
             continue;
         }
-        let flavor = world.flavors.get(offer.flavor)?;
-        let fits = Room::of_flavor(flavor).count(&job.need);
+        let machine_type = world.machine_types.get(offer.machine_type)?;
+        let fits = Room::of_machine_type(machine_type).count(&job.need);
         if fits == 0 {
             continue;
         }
-        let tasks = fits.min(short).min(open[offer.yard]);
+        let tasks = fits.min(short).min(open[offer.zone]);
         // Boot and image fetch are paid for too, spread over a nominal minute of work.
-        let fetch = flavor.fetch_s(job.image_gb);
-        let overhead = 1.0 + (flavor.ready_s + fetch) / 60.0;
+        let fetch = machine_type.fetch_s(job.image_gb);
+        let overhead = 1.0 + (machine_type.ready_s + fetch) / 60.0;
         let price = offer.price * overhead / f64::from(tasks);
         if best.is_none_or(|(b, _, _)| price < b) {
             best = Some((price, i, fits));
--- a/crates/policy/src/fleet/tests.rs
+++ b/crates/policy/src/fleet/tests.rs
@@ -5,16 +5,16 @@
 fn machines_are_rented_for_what_finds_no_room() {
     let w = world(vec![job(1.0, 10)], vec![host(0)]);
     let offers = [
-        Offer { flavor: 0, yard: 0, loaner: false, price: 1.0 },
-        Offer { flavor: 0, yard: 1, loaner: true, price: 0.3 },
+        Offer { machine_type: 0, zone: 0, spot: false, price: 1.0 },
+        Offer { machine_type: 0, zone: 1, spot: true, price: 0.3 },
     ];
     let plan = plan_fleet(&w, &offers);
     assert_eq!(plan.needed, [true]);
     assert_eq!(plan.rent, [Rent { offer: 1, count: 1 }], "half of 10 in each of two rounds");
 }
 
-fn gang(pieces: u32) -> crate::JobView {
-    crate::JobView { gang: true, ..job(3.0, pieces) }
+fn gang(tasks: u32) -> crate::JobView {
+    crate::JobView { gang: true, ..job(3.0, tasks) }
 }
 
 /// Found by the model, on 2026-12-02: a gang that must spread waited for ever on a site that had idle
@@ -23,29 +23,29 @@
 fn a_gang_that_must_spread_gets_machines_in_the_other_zone() {
     let spread = crate::JobView { zone_cap: 2, ..gang(3) };
     let w = world(vec![spread], vec![host(0), host(0), host(0)]);
-    let offers = [0, 1].map(|yard| Offer { flavor: 0, yard, loaner: false, price: 1.0 });
+    let offers = [0, 1].map(|zone| Offer { machine_type: 0, zone, spot: false, price: 1.0 });
     assert_eq!(plan_fleet(&w, &offers).rent, [Rent { offer: 1, count: 1 }]);
 }
 
 #[test]
 fn a_gang_that_must_be_together_gets_what_one_zone_lacks() {
-    let together = crate::JobView { together: true, ..gang(3) };
-    let w = world(vec![together.clone()], vec![host(0), host(1), host(1)]);
-    let offers = [0, 1].map(|yard| Offer { flavor: 0, yard, loaner: false, price: 1.0 });
+    let one_zone = crate::JobView { one_zone: true, ..gang(3) };
+    let w = world(vec![one_zone.clone()], vec![host(0), host(1), host(1)]);
+    let offers = [0, 1].map(|zone| Offer { machine_type: 0, zone, spot: false, price: 1.0 });
     assert_eq!(plan_fleet(&w, &offers).rent, [Rent { offer: 1, count: 1 }]);
     // Where nothing can be rented it never fits; all of it goes where something can.
     assert_eq!(plan_fleet(&w, &offers[..1]).rent, [Rent { offer: 0, count: 2 }]);
-    let whole = world(vec![together], vec![host(0), host(1), host(1), host(1)]);
+    let whole = world(vec![one_zone], vec![host(0), host(1), host(1), host(1)]);
     assert_eq!(plan_fleet(&whole, &offers).rent, []);
 }
 
 /// An array that is bound to one zone uses what it gets there; machines elsewhere would be rented in vain.
 #[test]
 fn an_array_that_must_be_together_gets_no_machines_in_a_second_zone() {
-    let offers = [1].map(|yard| Offer { flavor: 0, yard, loaner: false, price: 1.0 });
-    let rented = |pieces: u32| {
-        let together = crate::JobView { together: true, ..job(3.0, pieces) };
-        let w = world(vec![together], vec![host(0), host(0)]);
+    let offers = [1].map(|zone| Offer { machine_type: 0, zone, spot: false, price: 1.0 });
+    let rented = |tasks: u32| {
+        let one_zone = crate::JobView { one_zone: true, ..job(3.0, tasks) };
+        let w = world(vec![one_zone], vec![host(0), host(0)]);
         plan_fleet(&w, &offers).rent.iter().map(|r| r.count).sum::<u32>()
     };
     assert_eq!(rented(8), 0, "zone 0 has room for a good part of it, and is sold out");
@@ -57,7 +57,7 @@
 #[test]
 fn a_job_that_failed_gets_a_machine_where_none_is_left() {
     let doubtful = crate::JobView { doubtful: true, startable: 1, ..job(3.0, 30) };
-    let offers = [Offer { flavor: 0, yard: 0, loaner: false, price: 1.0 }];
+    let offers = [Offer { machine_type: 0, zone: 0, spot: false, price: 1.0 }];
     let rented = |jobs: Vec<crate::JobView>, hosts| plan_fleet(&world(jobs, hosts), &offers).rent;
     let two = vec![doubtful.clone(), doubtful.clone()];
     assert_eq!(rented(two, vec![]), [Rent { offer: 0, count: 1 }], "one for all of them");
@@ -65,7 +65,7 @@
     busy.free = Room::default();
     assert_eq!(rented(vec![doubtful.clone()], vec![busy]), [], "there is one that will be free");
     let gang = crate::JobView { gang: true, startable: 3, ..doubtful.clone() };
-    let gang = crate::JobView { pieces: 3, unfinished: 3, zone_cap: 3, ..gang };
+    let gang = crate::JobView { tasks: 3, unfinished: 3, zone_cap: 3, ..gang };
     assert_eq!(rented(vec![gang.clone()], vec![host(0)]), [Rent { offer: 0, count: 2 }]);
     assert_eq!(rented(vec![gang], vec![host(0), host(0), host(0)]), []);
     let pausing = crate::JobView { startable: 0, ..doubtful };
--- a/crates/policy/src/minimum.rs
+++ b/crates/policy/src/minimum.rs
@@ -7,7 +7,7 @@
 /// finished tasks times the unfinished tasks and C the time to the deadline. With less than one mean
 /// task time left, all unfinished tasks. Until a task has finished, the running count.
 pub fn minimum(job: &JobView, now: f64) -> u32 {
-    if job.endless {
+    if job.daemon {
         return job.unfinished;
     }
     let Some(mean) = job.mean else { return job.running };
@@ -23,10 +23,10 @@
     ((work / left).ceil() as u32).min(unfinished)
 }
 
-/// Tasks that the fleet should have room for: the minimum with the owner's estimate as a prior, and
+/// Tasks that the fleet should have room for: the minimum with the team's estimate as a prior, and
 /// with `lead` seconds taken off the time left (boot and image). A gang wants all its tasks.
 pub fn wanted(job: &JobView, now: f64, lead: f64) -> u32 {
-    if job.gang || job.endless {
+    if job.gang || job.daemon {
         return job.unfinished;
     }
     let mean = job.task_time();
--- a/crates/policy/src/minimum/tests.rs
+++ b/crates/policy/src/minimum/tests.rs
@@ -15,7 +15,7 @@
     assert_eq!(minimum(&j, 120.0), 39, "late");
     j.due = None;
     assert_eq!(minimum(&j, 0.0), 0);
-    j.endless = true;
+    j.daemon = true;
     assert_eq!(minimum(&j, 0.0), 39, "what runs until it is withdrawn is wanted whole");
 }
 
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -27,7 +27,7 @@
     if host.images.contains(&job.image) {
         return 0.0;
     }
-    world.flavors.get(host.flavor).map_or(0.0, |f| f.fetch_s(job.image_gb))
+    world.machine_types.get(host.machine_type).map_or(0.0, |f| f.fetch_s(job.image_gb))
 }
 
 /// How badly a machine suits a task; smaller is better. Seconds of image fetch (image locality, the
@@ -58,9 +58,9 @@
         && !host.booting
         && host.kept_for.is_none_or(|k| k == job_ix)
         && !host.shunned_by.contains(&job_ix)
-        && job.allows(host.flavor, host.yard, host.loaner)
+        && job.allows(host.machine_type, host.zone, host.spot)
         && host.free.fits(&job.need)
-        && job.zone_open(host.yard)
+        && job.zone_open(host.zone)
 }
 
 /// The machines that the job could use, best first. What a task changes on its machine makes it a better
@@ -71,7 +71,7 @@
     let mut fits: Vec<(f64, usize)> = roomy
         .iter()
         .map(|i| (*i, &world.hosts[*i]))
-        .filter(|(_, host)| zone.is_none_or(|z| z == host.yard) && usable(job_ix, job, host))
+        .filter(|(_, host)| zone.is_none_or(|z| z == host.zone) && usable(job_ix, job, host))
         .map(|(i, host)| (badness(world, job, host), i))
         .collect();
     fits.sort_unstable_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
@@ -81,7 +81,7 @@
 /// Puts a task of the job on a machine.
 fn put(world: &mut World, job_ix: usize, host: usize) {
     let need = world.jobs[job_ix].need;
-    let yard = world.hosts[host].yard;
+    let zone = world.hosts[host].zone;
     world.hosts[host].free.take(&need);
     let job = &mut world.jobs[job_ix];
     if let Some(team) = world.teams.get_mut(job.team) {
@@ -89,7 +89,7 @@
     }
     job.running += 1;
     job.startable -= 1;
-    if let Some(n) = job.per_zone.get_mut(yard) {
+    if let Some(n) = job.per_zone.get_mut(zone) {
         *n += 1;
     }
 }
@@ -106,7 +106,7 @@
 }
 
 fn zones(world: &World) -> usize {
-    world.hosts.iter().map(|h| h.yard + 1).max().unwrap_or(0)
+    world.hosts.iter().map(|h| h.zone + 1).max().unwrap_or(0)
 }
 
 fn room_in(world: &World, job_ix: usize, zone: usize) -> u32 {
@@ -114,11 +114,11 @@
     world
         .hosts
         .iter()
-        .filter(|h| h.yard == zone && usable(job_ix, job, h))
+        .filter(|h| h.zone == zone && usable(job_ix, job, h))
         .fold(0u32, |n, h| n.saturating_add(h.free.count(&job.need)))
 }
 
-/// Whether a gang that found room on these machines should rather wait a moment. It starts together,
+/// Whether a gang that found room on these machines should rather wait a moment. It starts one_zone,
 /// so one missing image keeps all of it waiting: where machines that hold the image are being
 /// cleared for it, or can be cleared at less cost, that is the earlier start.
 fn better_cleared(world: &World, job_ix: usize, hosts: &[usize]) -> bool {
@@ -131,7 +131,7 @@
     // fetch in any case, and had better begin.
     let mut kept = world.hosts.iter().filter(|h| h.kept_for == Some(job_ix)).peekable();
     let clearing = kept.peek().is_some() && kept.all(|h| fetch_time(world, job, h) <= 0.0);
-    let whole = job.need.cpus * f64::from(job.pieces);
+    let whole = job.need.cpus * f64::from(job.tasks);
     clearing || worth_evicting(world, job_ix, fetch * whole)
 }
 
@@ -146,7 +146,7 @@
     }
     let gang = job.gang;
     // A job that has to be in one zone: the one where most of it finds room, unless it is in one.
-    let zone = if job.together && job.per_zone.iter().all(|n| *n == 0) {
+    let zone = if job.one_zone && job.per_zone.iter().all(|n| *n == 0) {
         let best = (0..zones(world)).max_by_key(|z| room_in(world, job_ix, *z));
         if best.is_none() {
             return Vec::new();
@@ -252,18 +252,18 @@
     let job = &world.jobs[job_ix];
     let mut per_zone = vec![0u32; zones(world)];
     for host in world.hosts.iter().filter(|h| h.open || h.booting) {
-        let able = job.allows(host.flavor, host.yard, host.loaner);
+        let able = job.allows(host.machine_type, host.zone, host.spot);
         if able && !host.shunned_by.contains(&job_ix) {
-            let here = &mut per_zone[host.yard];
+            let here = &mut per_zone[host.zone];
             *here = here.saturating_add(host.total.count(&job.need)).min(job.zone_cap);
         }
     }
-    let most = if job.together {
+    let most = if job.one_zone {
         per_zone.into_iter().max().unwrap_or(0)
     } else {
         per_zone.into_iter().fold(0, u32::saturating_add)
     };
-    most >= job.pieces
+    most >= job.tasks
 }
 
 /// Keeps machines for a waiting gang: those that would have room for it soonest.
@@ -276,27 +276,27 @@
                 && !h.booting
                 && h.kept_for.is_none_or(|k| k == job_ix)
                 && !h.shunned_by.contains(&job_ix)
-                && job.allows(h.flavor, h.yard, h.loaner)
+                && job.allows(h.machine_type, h.zone, h.spot)
                 && h.total.fits(&job.need)
         })
         .collect();
     let used = |i: &usize| 1.0 - world.hosts[*i].free.share_of(&world.hosts[*i].total);
     candidates.sort_by(|a, b| used(a).total_cmp(&used(b)));
     let options: Vec<Option<usize>> =
-        if job.together { (0..zones(world)).map(Some).collect() } else { vec![None] };
+        if job.one_zone { (0..zones(world)).map(Some).collect() } else { vec![None] };
     for zone in options {
         let mut per_zone = vec![0u32; zones(world)];
         let mut chosen = Vec::new();
         let mut left = job.startable;
         for i in &candidates {
             let host = &world.hosts[*i];
-            if left == 0 || zone.is_some_and(|z| z != host.yard) {
+            if left == 0 || zone.is_some_and(|z| z != host.zone) {
                 continue;
             }
-            let open = job.zone_cap.saturating_sub(per_zone[host.yard]);
+            let open = job.zone_cap.saturating_sub(per_zone[host.zone]);
             let fits = host.total.count(&job.need).min(left).min(open);
             if fits > 0 {
-                per_zone[host.yard] += fits;
+                per_zone[host.zone] += fits;
                 left -= fits;
                 chosen.push(*i);
             }
--- a/crates/policy/src/preempt.rs
+++ b/crates/policy/src/preempt.rs
@@ -17,7 +17,7 @@
     let job = &world.jobs[held.job];
     let seconds = if job.saves { held.elapsed.min(5.0) } else { held.elapsed };
     // A gang loses all its tasks with one.
-    let tasks = if job.gang { f64::from(job.pieces) } else { 1.0 };
+    let tasks = if job.gang { f64::from(job.tasks) } else { 1.0 };
     // A job that would be late for it loses more than its work; one that is late anyway does not.
     let again = world.now + job.task_time();
     let weight = match job.due {
@@ -30,7 +30,7 @@
 
 fn may_evict(world: &World, job: usize, held: &HeldView) -> bool {
     let (mine, other) = (&world.jobs[job], &world.jobs[held.job]);
-    if other.rank < mine.rank {
+    if other.priority < mine.priority {
         return true;
     }
     // A team gets its guarantee from what others run beyond theirs.
@@ -82,7 +82,7 @@
 }
 
 /// The cheaper of two ways to make room: on machines that hold the image, or on any. A gang starts
-/// together, so the longest fetch keeps all of its places waiting.
+/// one_zone, so the longest fetch keeps all of its places waiting.
 fn cheapest_eviction(world: &World, job_ix: usize, tasks: u32, taken: &[bool]) -> Option<Eviction> {
     let job = &world.jobs[job_ix];
     let any = evict_for(world, job_ix, tasks, taken, false);
@@ -104,24 +104,24 @@
     }
 }
 
-/// Finds room for waiting work that may push other work aside: work of higher rank, and work within
+/// Finds room for waiting work that may push other work aside: work of higher priority, and work within
 /// its team's guarantee. Only what the job needs at least is made room for: a gang whole, all replicas of a
 /// daemon, an array one task a round.
 pub fn evict(world: &World) -> Vec<Eviction> {
     // A look at all that runs is worth it only where something may be pushed aside at all.
     let held = world.hosts.iter().flat_map(|h| &h.held);
-    let lowest = held.map(|h| world.jobs[h.job].rank).min();
+    let lowest = held.map(|h| world.jobs[h.job].priority).min();
     let guaranteed = world.teams.iter().any(|t| t.guaranteed.0 > 0.0 || t.guaranteed.1 > 0.0);
     let mut waiting: Vec<usize> = (0..world.jobs.len())
         .filter(|i| {
             let job = &world.jobs[*i];
             let short =
-                if job.gang { job.startable == job.pieces } else { job.unseen() || job.endless };
+                if job.gang { job.startable == job.tasks } else { job.unseen() || job.daemon };
             // One batch of stops at a time: machines that are being cleared for it stay kept.
             let clearing = world.hosts.iter().any(|h| h.kept_for == Some(*i));
             job.startable > 0
                 && !job.doubtful
-                && (guaranteed || lowest.is_some_and(|rank| rank < job.rank))
+                && (guaranteed || lowest.is_some_and(|priority| priority < job.priority))
                 && short
                 && !clearing
                 && world.now - job.waiting_since >= constants::PREEMPT_AFTER_MS as f64 / 1000.0
@@ -135,14 +135,14 @@
     let mut all = evict_for_deadlines(world);
     for job_ix in waiting {
         let job = &world.jobs[job_ix];
-        let tasks = if job.gang || job.endless { job.startable } else { 1 };
+        let tasks = if job.gang || job.daemon { job.startable } else { 1 };
         let team_allows = world.teams.get(job.team).is_none_or(|t| t.allows(&job.need) >= tasks);
         if !team_allows {
             all.extend(evict_for_quota(world, job_ix, tasks));
             continue;
         }
         let mut found = cheapest_eviction(world, job_ix, tasks, &taken);
-        if found.is_none() && job.endless {
+        if found.is_none() && job.daemon {
             // Some replicas are better than none.
             found = cheapest_eviction(world, job_ix, 1, &taken);
         }
@@ -156,7 +156,7 @@
     all
 }
 
-/// Room for arrays that fall short of what their deadlines need, taken from backfill: work of lower rank
+/// Room for arrays that fall short of what their deadlines need, taken from backfill: work of lower priority
 /// that nobody is in a hurry for and that can save. What runs for minutes would keep a burst of short tasks
 /// waiting past its deadlines.
 fn evict_for_deadlines(world: &World) -> Vec<Eviction> {
@@ -164,7 +164,7 @@
     let backfill = |held: &HeldView| {
         let job = &world.jobs[held.job];
         let ran = constants::BACKFILL_TURN_S.max(constants::BACKFILL_SAVES * job.save_time);
-        (crate::order::unhurried(job) && job.saves && held.elapsed >= ran).then_some(job.rank)
+        (crate::order::unhurried(job) && job.saves && held.elapsed >= ran).then_some(job.priority)
     };
     // What each machine will have free, and what could be stopped there.
     let mut room: Vec<Room> = Vec::new();
@@ -203,8 +203,8 @@
             for (i, host) in world.hosts.iter().enumerate() {
                 let misses = !host.images.contains(&job.image);
                 let closed = misses == warm
-                    || !job.allows(host.flavor, host.yard, host.loaner)
-                    || !job.zone_open(host.yard)
+                    || !job.allows(host.machine_type, host.zone, host.spot)
+                    || !job.zone_open(host.zone)
                     || host.shunned_by.contains(&job_ix);
                 while short > 0 && !closed {
                     if room[i].fits(&job.need) {
@@ -212,7 +212,7 @@
                         short -= 1;
                         continue;
                     }
-                    let lower = |h: &&HeldView| world.jobs[h.job].rank < job.rank;
+                    let lower = |h: &&HeldView| world.jobs[h.job].priority < job.priority;
                     let Some(at) = stops[i].iter().position(lower) else { break };
                     let held = stops[i].swap_remove(at);
                     room[i].give(&held.need);
@@ -227,7 +227,7 @@
     all
 }
 
-/// The team's own work of lower rank whose end brings its use far enough below its limit.
+/// The team's own work of lower priority whose end brings its use far enough below its limit.
 fn evict_for_quota(world: &World, job_ix: usize, tasks: u32) -> Option<Eviction> {
     let job = &world.jobs[job_ix];
     let mut team = world.teams.get(job.team)?.clone();
@@ -240,7 +240,7 @@
             }
             if held.leaving {
                 team.used.take(&held.need);
-            } else if other.rank < job.rank {
+            } else if other.priority < job.priority {
                 candidates.push((loss(world, held), i, held));
             }
         }
@@ -275,8 +275,8 @@
             || host.booting
             || host.kept_for.is_some_and(|k| k != job_ix)
             || host.shunned_by.contains(&job_ix)
-            || zone.is_some_and(|z| z != host.yard)
-            || !job.allows(host.flavor, host.yard, host.loaner)
+            || zone.is_some_and(|z| z != host.zone)
+            || !job.allows(host.machine_type, host.zone, host.spot)
             || !host.total.fits(&job.need.times(tasks))
             || (warm && crate::place::fetch_time(world, job, host) > 0.0);
         if !closed && let Some((price, victims)) = on_host(world, job_ix, host, tasks) {
@@ -296,7 +296,7 @@
 ) -> Option<(f64, Eviction)> {
     let job = &world.jobs[job_ix];
     let mut zones: Vec<Option<usize>> = vec![None];
-    if job.together {
+    if job.one_zone {
         zones = (0..job.per_zone.len()).map(Some).collect();
     }
     let mut best: Option<(f64, Eviction)> = None;
@@ -307,7 +307,7 @@
         let mut per_zone = job.per_zone.clone();
         let mut left = tasks;
         // One task's victims on each machine; further ones of a daemon there only if that is not enough.
-        let passes = if job.endless { tasks } else { 1 };
+        let passes = if job.daemon { tasks } else { 1 };
         for _ in 0..passes {
             let picks = picks(world, job_ix, zone, taken, &planned, warm);
             let before = left;
@@ -315,8 +315,8 @@
                 if left == 0 {
                     break;
                 }
-                let yard = world.hosts[host].yard;
-                if per_zone.get(yard).copied().unwrap_or(0) >= job.zone_cap {
+                let zone = world.hosts[host].zone;
+                if per_zone.get(zone).copied().unwrap_or(0) >= job.zone_cap {
                     continue;
                 }
                 cost += price;
@@ -325,7 +325,7 @@
                 let fits = free.max(1).min(left);
                 left -= fits;
                 planned[host] += fits;
-                if let Some(n) = per_zone.get_mut(yard) {
+                if let Some(n) = per_zone.get_mut(zone) {
                     *n += fits;
                 }
                 if !found.hosts.contains(&host) {
--- a/crates/policy/src/preempt/tests.rs
+++ b/crates/policy/src/preempt/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::JobView;
 use crate::place::tests::{host, job, world};
-use hookway_wire::Rank;
+use hookway_wire::Priority;
 
 fn full(job: usize, elapsed: f64) -> HostView {
     let mut h = host(0);
@@ -20,20 +20,20 @@
 
 #[test]
 fn higher_rank_pushes_aside_the_cheapest_lower_rank() {
-    let gang = JobView { gang: true, rank: Rank::High, ..job(3.0, 1) };
+    let gang = JobView { gang: true, priority: Priority::High, ..job(3.0, 1) };
     let mut w = world(vec![gang, job(1.0, 8)], vec![full(1, 30.0), full(1, 3.0)]);
     w.now = 10.0;
     let found = evict(&w);
     assert_eq!(found.len(), 1);
     assert_eq!(found[0].hosts, [1]);
     assert_eq!(found[0].victims.len(), 3);
-    w.jobs[0].rank = Rank::Normal;
+    w.jobs[0].priority = Priority::Normal;
     assert_eq!(evict(&w), [], "equal rank is left alone");
 }
 
 #[test]
 fn nothing_more_is_stopped_while_machines_are_being_cleared() {
-    let gang = JobView { gang: true, rank: Rank::High, ..job(3.0, 1) };
+    let gang = JobView { gang: true, priority: Priority::High, ..job(3.0, 1) };
     let mut w = world(vec![gang, job(1.0, 8)], vec![full(1, 30.0), full(1, 3.0)]);
     w.now = 10.0;
     assert_eq!(evict(&w).len(), 1);
@@ -55,8 +55,8 @@
 
 #[test]
 fn backfill_that_has_had_its_turn_makes_room_for_arrays_with_a_deadline() {
-    let backfill = JobView { saves: true, save_time: 3.0, rank: Rank::Low, ..job(1.0, 8) };
-    let urgent = JobView { due: Some(20.0), guess: 10.0, ..job(1.0, 3) };
+    let backfill = JobView { saves: true, save_time: 3.0, priority: Priority::Low, ..job(1.0, 8) };
+    let urgent = JobView { due: Some(20.0), estimate: 10.0, ..job(1.0, 3) };
     let victims = |w: &World| evict(w).iter().map(|e| e.victims.len()).sum::<usize>();
     let mut w = world(vec![urgent, backfill], vec![full(1, 30.0)]);
     assert_eq!(victims(&w), 2, "3 tasks of 10 s in 20 s: two at a time");
@@ -71,6 +71,6 @@
     w.jobs[1].due = Some(500.0);
     assert_eq!(victims(&w), 0, "somebody waits for it");
     w.jobs[1].due = None;
-    w.jobs[1].rank = Rank::Normal;
+    w.jobs[1].priority = Priority::Normal;
     assert_eq!(victims(&w), 0, "equal rank is left alone");
 }
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/room.rs
@@ -1,4 +1,4 @@
-use hookway_wire::{Flavor, JobSpec};
+use hookway_wire::{JobSpec, MachineType};
 use serde::{Deserialize, Serialize};
 
 /// Tolerance when amounts are compared, so that sums of decimals don't refuse an exact fit.
@@ -18,12 +18,12 @@
 impl Room {
     /// What one task of a job takes.
     pub fn of_task(spec: &JobSpec) -> Self {
-        Self { cpus: spec.vcpus, gpus: spec.gpus, ram: spec.ram_gb }
+        Self { cpus: spec.cpus, gpus: spec.gpus, ram: spec.memory_gb }
     }
 
     /// What a machine of a type offers.
-    pub fn of_flavor(flavor: &Flavor) -> Self {
-        Self { cpus: flavor.vcpus, gpus: flavor.gpus, ram: flavor.ram_gb }
+    pub fn of_machine_type(machine_type: &MachineType) -> Self {
+        Self { cpus: machine_type.cpus, gpus: machine_type.gpus, ram: machine_type.memory_gb }
     }
 
     /// Whether `need` fits in.
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -1,5 +1,5 @@
 use crate::Room;
-use hookway_wire::{Flavor, Rank};
+use hookway_wire::{MachineType, Priority};
 
 /// What the policy knows of a job.
 #[derive(Debug, Clone)]
@@ -7,25 +7,25 @@
     /// Index of its team.
     pub team: usize,
     /// Priority.
-    pub rank: Rank,
+    pub priority: Priority,
     /// A gang starts whole or not at all.
     pub gang: bool,
     /// Its tasks run until it is withdrawn: all of them are wanted all the time.
-    pub endless: bool,
+    pub daemon: bool,
     /// Number of tasks.
-    pub pieces: u32,
+    pub tasks: u32,
     /// What one task takes.
     pub need: Room,
     /// Per machine type: whether a task may run on it.
-    pub flavors: Vec<bool>,
+    pub machine_types: Vec<bool>,
     /// The only allowed zone.
-    pub yard: Option<usize>,
+    pub zone: Option<usize>,
     /// All tasks in one zone.
-    pub together: bool,
+    pub one_zone: bool,
     /// Most tasks in one zone.
     pub zone_cap: u32,
     /// Spot machines are allowed.
-    pub loaners: bool,
+    pub spot: bool,
     /// Number that stands for its image.
     pub image: u32,
     /// Size of the image, GB.
@@ -41,7 +41,7 @@
     /// When it should have started, s: what the aims say of its class, tightest first.
     pub start_by: Vec<f64>,
     /// Owner's estimate of a task's time, s.
-    pub guess: f64,
+    pub estimate: f64,
     /// Tasks that are finished.
     pub finished: u32,
     /// Mean time of those whose time is known, s; `None` until one has finished.
@@ -67,25 +67,25 @@
         self.finished == 0 && self.running == 0
     }
 
-    /// Mean task time, or the owner's estimate as a prior.
+    /// Mean task time, or the team's estimate as a prior.
     pub fn task_time(&self) -> f64 {
-        self.mean.unwrap_or(self.guess).max(0.1)
+        self.mean.unwrap_or(self.estimate).max(0.1)
     }
 
     /// Whether a machine of this type, zone and kind is allowed at all.
-    pub fn allows(&self, flavor: usize, yard: usize, loaner: bool) -> bool {
-        self.flavors.get(flavor).copied().unwrap_or(false)
-            && self.yard.is_none_or(|y| y == yard)
-            && (self.loaners || !loaner)
+    pub fn allows(&self, machine_type: usize, zone: usize, spot: bool) -> bool {
+        self.machine_types.get(machine_type).copied().unwrap_or(false)
+            && self.zone.is_none_or(|y| y == zone)
+            && (self.spot || !spot)
     }
 
     /// Whether one more task may be in this zone, given where the others are.
-    pub fn zone_open(&self, yard: usize) -> bool {
-        let here = self.per_zone.get(yard).copied().unwrap_or(0);
+    pub fn zone_open(&self, zone: usize) -> bool {
+        let here = self.per_zone.get(zone).copied().unwrap_or(0);
         if here >= self.zone_cap {
             return false;
         }
-        !self.together || self.per_zone.iter().enumerate().all(|(z, n)| z == yard || *n == 0)
+        !self.one_zone || self.per_zone.iter().enumerate().all(|(z, n)| z == zone || *n == 0)
     }
 }
 
@@ -108,11 +108,11 @@
 #[derive(Debug, Clone)]
 pub struct HostView {
     /// Machine type.
-    pub flavor: usize,
+    pub machine_type: usize,
     /// Zone.
-    pub yard: usize,
+    pub zone: usize,
     /// Spot machine.
-    pub loaner: bool,
+    pub spot: bool,
     /// All it has.
     pub total: Room,
     /// What is free.
@@ -192,5 +192,5 @@
     /// Teams.
     pub teams: Vec<TeamView>,
     /// Machine types.
-    pub flavors: Vec<Flavor>,
+    pub machine_types: Vec<MachineType>,
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -7,6 +7,6 @@
 mod worker;
 
 pub use server::StoreServer;
-pub use settings::{SETTINGS, flavors};
+pub use settings::{SETTINGS, machine_types};
 pub use store::MemoryStore;
 pub use worker::ScriptedWorker;
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -3,51 +3,59 @@
 /// A machine type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Flavor {
+pub struct MachineType {
     /// Its name.
     pub label: String,
     /// CPUs.
-    pub vcpus: f64,
+    #[serde(rename = "Vcpus")]
+    pub cpus: f64,
     /// GPUs.
     #[serde(default)]
     pub gpus: f64,
     /// Memory, GB.
-    pub ram_gb: f64,
+    #[serde(rename = "RamGb")]
+    pub memory_gb: f64,
     /// Space for images, GB.
     #[serde(default)]
+    #[serde(rename = "LocalGb")]
     pub local_gb: f64,
     /// Image fetch rate.
     #[serde(default)]
     pub fetch_gb_per_s: f64,
     /// Price of an ordinary machine per hour.
+    #[serde(rename = "Hourly")]
     pub hourly: f64,
     /// Current price of a spot machine per hour.
     #[serde(default)]
+    #[serde(rename = "MarketPrice")]
     pub market_price: Option<f64>,
     /// Nominal boot time, s.
+    #[serde(rename = "ReadyS")]
     pub ready_s: f64,
     /// Zones that offer it.
-    pub yards: Vec<String>,
+    #[serde(rename = "Yards")]
+    pub zones: Vec<String>,
 }
 
-impl Flavor {
+impl MachineType {
     /// Nominal time to fetch an image of this size, s.
     pub fn fetch_s(&self, image_gb: f64) -> f64 {
         if self.fetch_gb_per_s > 0.0 { image_gb / self.fetch_gb_per_s } else { 0.0 }
     }
 
     /// Current price per hour of a spot or ordinary machine.
-    pub fn price(&self, loaner: bool) -> f64 {
-        if loaner { self.market_price.unwrap_or(self.hourly) } else { self.hourly }
+    pub fn price(&self, spot: bool) -> f64 {
+        if spot { self.market_price.unwrap_or(self.hourly) } else { self.hourly }
     }
 }
 
 /// All machine types.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Flavors {
+pub struct MachineTypes {
     /// The types.
-    pub flavors: Vec<Flavor>,
+    #[serde(rename = "Flavors")]
+    pub machine_types: Vec<MachineType>,
 }
 
 /// A rental request.
@@ -55,14 +63,19 @@
 #[serde(rename_all = "PascalCase")]
 pub struct RentRequest {
     /// Its name, never used again.
+    #[serde(rename = "Hire")]
     pub hire: String,
     /// Machine type.
-    pub flavor: String,
+    #[serde(rename = "Flavor")]
+    pub machine_type: String,
     /// Zone.
-    pub yard: String,
+    #[serde(rename = "Yard")]
+    pub zone: String,
     /// Spot or ordinary.
-    pub loaners: bool,
+    #[serde(rename = "Loaners")]
+    pub spot: bool,
     /// Machines asked for.
+    #[serde(rename = "HowMany")]
     pub how_many: u32,
 }
 
@@ -71,6 +84,7 @@
 #[serde(rename_all = "PascalCase")]
 pub struct HostNames {
     /// The names.
+    #[serde(rename = "Hosts")]
     pub hosts: Vec<String>,
 }
 
@@ -94,16 +108,20 @@
 #[serde(rename_all = "PascalCase")]
 pub struct ListedHost {
     /// Its name.
-    pub name_id: String,
+    #[serde(rename = "NameId")]
+    pub id: String,
     /// Where its worker listens.
     #[serde(default)]
     pub addr: Option<String>,
     /// Machine type.
-    pub flavor: String,
+    #[serde(rename = "Flavor")]
+    pub machine_type: String,
     /// Zone.
-    pub yard: String,
+    #[serde(rename = "Yard")]
+    pub zone: String,
     /// Spot or ordinary.
-    pub loaners: bool,
+    #[serde(rename = "Loaners")]
+    pub spot: bool,
     /// State.
     pub status: HostState,
     /// Age since the rental request, s.
@@ -116,6 +134,7 @@
 #[serde(rename_all = "PascalCase")]
 pub struct HostList {
     /// The machines.
+    #[serde(rename = "Hosts")]
     pub hosts: Vec<ListedHost>,
     /// Whether more follow.
     #[serde(default)]
--- a/crates/wire/src/job.rs
+++ b/crates/wire/src/job.rs
@@ -2,7 +2,7 @@
 use std::fmt;
 
 /// Largest number of tasks in a job.
-pub const MAX_PIECES: u32 = 100_000;
+pub const MAX_TASKS: u32 = 100_000;
 
 /// A job's id in the form `req-000412`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -52,23 +52,24 @@
     }
 }
 
-/// How a job's tasks belong together.
+/// How a job's tasks belong one_zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Shape {
+pub enum JobKind {
     /// Independent tasks.
     Array,
     /// A gang: all tasks at the same time or none.
-    Group,
+    #[serde(rename = "group")]
+    Gang,
     /// Independent tasks that run until their user withdraws the job. The protocol page does not
-    /// describe this shape, but `fleetbench real` submits it (see docs/questions.md).
+    /// describe this kind, but `fleetbench real` submits it (see docs/questions.md).
     Daemon,
 }
 
 /// A job's priority, lowest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Rank {
+pub enum Priority {
     /// Gives way to everything.
     Low,
     /// The usual.
@@ -84,48 +85,65 @@
 #[serde(rename_all = "PascalCase")]
 pub struct JobSpec {
     /// Unique id, chosen by the user.
-    pub name_id: JobId,
+    #[serde(rename = "NameId")]
+    pub id: JobId,
     /// The class of jobs that it belongs to.
-    pub lane: String,
+    #[serde(rename = "Lane")]
+    pub class: String,
     /// The team.
-    pub owner: String,
+    #[serde(rename = "Owner")]
+    pub team: String,
     /// Array or gang.
-    pub shape: Shape,
+    #[serde(rename = "Shape")]
+    pub kind: JobKind,
     /// Priority.
-    pub rank: Rank,
+    #[serde(rename = "Rank")]
+    pub priority: Priority,
     /// Number of tasks.
-    pub pieces: u32,
+    #[serde(rename = "Pieces")]
+    pub tasks: u32,
     /// CPUs of one task.
-    pub vcpus: f64,
+    #[serde(rename = "Vcpus")]
+    pub cpus: f64,
     /// GPUs of one task.
     pub gpus: f64,
     /// Memory of one task, GB.
-    pub ram_gb: f64,
+    #[serde(rename = "RamGb")]
+    pub memory_gb: f64,
     /// The image that a machine needs.
-    pub bundle: String,
+    #[serde(rename = "Bundle")]
+    pub image: String,
     /// The image's size, GB.
     pub image_gb: f64,
     /// Allowed machine types; `None` for any.
     #[serde(default)]
-    pub flavors: Option<Vec<String>>,
+    #[serde(rename = "Flavors")]
+    pub machine_types: Option<Vec<String>>,
     /// The only allowed zone.
     #[serde(default)]
-    pub yard: Option<String>,
+    #[serde(rename = "Yard")]
+    pub zone: Option<String>,
     /// All tasks in the same zone.
-    pub together: bool,
+    #[serde(rename = "Together")]
+    pub one_zone: bool,
     /// At most half of the tasks in one zone.
     pub spread: bool,
     /// Whether spot machines are allowed.
-    pub loaners: bool,
-    /// The owner's estimate of a task's run time, s.
-    pub guess_s: f64,
+    #[serde(rename = "Loaners")]
+    pub spot: bool,
+    /// The team's estimate of a task's run time, s.
+    #[serde(rename = "GuessS")]
+    pub estimate_s: f64,
     /// Checkpoint interval, s; 0 if the task never saves.
-    pub snapshot_every_s: f64,
+    #[serde(rename = "SnapshotEveryS")]
+    pub checkpoint_every_s: f64,
     /// Time to save when stopped, s.
-    pub snapshot_s: f64,
+    #[serde(rename = "SnapshotS")]
+    pub save_s: f64,
     /// Deadline from submission, s.
     #[serde(default)]
-    pub due_s: Option<f64>,
+    #[serde(rename = "DueS")]
+    pub deadline_s: Option<f64>,
 }
 
 impl JobSpec {
@@ -144,30 +162,30 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        if JobId::parse(self.name_id.as_str()).is_none() {
+        if JobId::parse(self.id.as_str()).is_none() {
             return Err("NameId must have the form req-000412".into());
         }
-        if self.pieces == 0 || self.pieces > MAX_PIECES {
-            return Err(format!("Pieces must be from 1 to {MAX_PIECES}"));
+        if self.tasks == 0 || self.tasks > MAX_TASKS {
+            return Err(format!("Pieces must be from 1 to {MAX_TASKS}"));
         }
-        if !(self.vcpus.is_finite() && self.vcpus > 0.0) {
+        if !(self.cpus.is_finite() && self.cpus > 0.0) {
             return Err("Vcpus must be a number above 0".into());
         }
         let amounts = [
             ("Gpus", self.gpus),
-            ("RamGb", self.ram_gb),
+            ("RamGb", self.memory_gb),
             ("ImageGb", self.image_gb),
-            ("GuessS", self.guess_s),
-            ("SnapshotEveryS", self.snapshot_every_s),
-            ("SnapshotS", self.snapshot_s),
-            ("DueS", self.due_s.unwrap_or(0.0)),
+            ("GuessS", self.estimate_s),
+            ("SnapshotEveryS", self.checkpoint_every_s),
+            ("SnapshotS", self.save_s),
+            ("DueS", self.deadline_s.unwrap_or(0.0)),
         ];
         for (name, amount) in amounts {
             if !(amount.is_finite() && amount >= 0.0) {
                 return Err(format!("{name} must be a number and not negative"));
             }
         }
-        for (name, text) in [("Lane", &self.lane), ("Owner", &self.owner), ("Bundle", &self.bundle)]
+        for (name, text) in [("Lane", &self.class), ("Owner", &self.team), ("Bundle", &self.image)]
         {
             if text.is_empty() {
                 return Err(format!("{name} must not be empty"));
@@ -178,22 +196,22 @@
 
     /// Whether this is a gang.
     pub fn is_gang(&self) -> bool {
-        self.shape == Shape::Group
+        self.kind == JobKind::Gang
     }
 
     /// Whether the tasks are meant to run until the job is withdrawn.
-    pub fn is_endless(&self) -> bool {
-        self.shape == Shape::Daemon
+    pub fn is_daemon(&self) -> bool {
+        self.kind == JobKind::Daemon
     }
 
     /// Most tasks that one zone may hold at a time.
     pub fn zone_cap(&self) -> u32 {
-        if self.spread { self.pieces.div_ceil(2) } else { self.pieces }
+        if self.spread { self.tasks.div_ceil(2) } else { self.tasks }
     }
 
     /// Whether tasks keep progress when they are stopped.
     pub fn saves(&self) -> bool {
-        self.snapshot_every_s > 0.0
+        self.checkpoint_every_s > 0.0
     }
 }
 
@@ -223,7 +241,7 @@
 pub struct JobStatus {
     /// The job.
     #[serde(rename = "NameId")]
-    pub name_id: JobId,
+    pub id: JobId,
     /// Its state.
     #[serde(rename = "Status")]
     pub status: JobState,
@@ -235,7 +253,7 @@
     pub running: u32,
     /// The team (an addition of hookway).
     #[serde(rename = "Owner", default, skip_serializing_if = "Option::is_none")]
-    pub owner: Option<String>,
+    pub team: Option<String>,
     /// The controller that commands the job (an addition of hookway).
     #[serde(rename = "Commander", default, skip_serializing_if = "Option::is_none")]
     pub commander: Option<String>,
