--- a/crates/clients/src/api.rs
+++ b/crates/clients/src/api.rs
@@ -59,7 +59,7 @@
     }
 
     /// Cancels a job.
-    pub async fn withdraw(&self, job: &JobId) -> Result<JobStatus, ApiError> {
+    pub async fn cancel(&self, job: &JobId) -> Result<JobStatus, ApiError> {
         self.ask(Method::POST, &format!("/api/jobs/{job}/withdraw"), Some(b"{}".to_vec())).await
     }
 }
--- a/crates/constants/src/lib.rs
+++ b/crates/constants/src/lib.rs
@@ -63,7 +63,7 @@
 /// Share of the store's request rate that one node's ledger allows itself; only the leader's has any use
 /// for it.
 pub const NODE_REQUEST_SHARE: f64 = 0.3;
-/// The same for what users submit and withdraw at a node. All of it may come to one node while others are
+/// The same for what users submit and cancel at a node. All of it may come to one node while others are
 /// down.
 pub const DESK_REQUEST_SHARE: f64 = 0.25;
 /// How long a submission waits for its turn at the state service, ms: past that its user is told at once
--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -3,7 +3,7 @@
 use crate::answers::{Finals, Told, Verdict};
 use crate::config::Params;
 use crate::lead::{View, wall_ms};
-use crate::ledger::{Lookup, Withdrawal, leases_end_in_time};
+use crate::ledger::{Cancellation, Lookup, leases_end_in_time};
 use crate::limiter::Limiter;
 use crate::node::{Ask, CheckInReply};
 use crate::peers::{PeerAnswer, PeerAsk, Peers};
@@ -20,7 +20,7 @@
 /// How a desk asks the state service.
 #[derive(Debug, Clone)]
 pub struct Stores {
-    /// For submissions and withdrawals.
+    /// For submissions and cancellations.
     pub submissions: StoreClient,
     /// For questions, which must not keep submissions waiting.
     pub questions: StoreClient,
@@ -214,19 +214,19 @@
 
     /// Withdraws a job. The leader decides; without one, the state service does, on the condition
     /// that nobody leads.
-    pub async fn withdraw(&self, id: &JobId, from_peer: bool) -> Verdict {
+    pub async fn cancel(&self, id: &JobId, from_peer: bool) -> Verdict {
         if let Some(told) = self.finals.get(id) {
             return Verdict::Known(told);
         }
         for _ in 0..2 {
             let term = self.term();
-            match self.ask(|r| Ask::Withdraw(id.clone(), r)).await {
-                Some(Withdrawal::Over(status)) => return self.cancelled(status.into()),
-                Some(Withdrawal::Pending) => return later("the decision is not durable yet"),
-                Some(Withdrawal::Unproven) => {
+            match self.ask(|r| Ask::Cancel(id.clone(), r)).await {
+                Some(Cancellation::Over(status)) => return self.cancelled(status.into()),
+                Some(Cancellation::Pending) => return later("the decision is not durable yet"),
+                Some(Cancellation::Unproven) => {
                     return later("its tasks may not be gone in time yet");
                 }
-                Some(Withdrawal::NotHere) => {
+                Some(Cancellation::NotHere) => {
                     match self.stored(&self.stores.submissions, id).await {
                         Ok(Stored::Over(told)) => return self.known(told),
                         Ok(Stored::Nothing) => return Verdict::Absent,
@@ -239,18 +239,18 @@
                 None => break,
             }
         }
-        let ask = PeerAsk::Withdraw(id.to_string());
+        let ask = PeerAsk::Cancel(id.to_string());
         if !from_peer && let Some(verdict) = self.ask_leader(&ask, constants::STATUS_LIMIT_MS).await
         {
             return verdict;
         }
-        match self.withdraw_without_leader(id).await {
+        match self.cancel_without_leader(id).await {
             Ok(verdict) => verdict,
             Err(e) => self.elsewhere(ask, &e, from_peer).await,
         }
     }
 
-    async fn withdraw_without_leader(&self, id: &JobId) -> Result<Verdict, StoreError> {
+    async fn cancel_without_leader(&self, id: &JobId) -> Result<Verdict, StoreError> {
         // Whoever led may have answered workers a moment ago, and nobody can tell whether their tasks are gone.
         if !leases_end_in_time(&self.params) {
             return Ok(later("without a leader its tasks may not be gone in time"));
@@ -261,7 +261,7 @@
             Stored::Open(_, value) => value,
         };
         let team = self.queued(id, &value).team.unwrap_or_default();
-        let record = FinalRecord { state: JobState::Withdrawn, done: 0, team, notes: vec![] };
+        let record = FinalRecord { state: JobState::Cancelled, done: 0, team, notes: vec![] };
         let Ok(v) = serde_json::to_value(&record) else { return Ok(later("internal")) };
         let transaction = Transaction {
             guards: vec![
@@ -396,8 +396,8 @@
                 Some(id) => self.status(&id, true).await,
                 None => Verdict::Absent,
             },
-            PeerAsk::Withdraw(id) => match JobId::parse(&id) {
-                Some(id) => self.withdraw(&id, true).await,
+            PeerAsk::Cancel(id) => match JobId::parse(&id) {
+                Some(id) => self.cancel(&id, true).await,
                 None => Verdict::Absent,
             },
             PeerAsk::Submit(body) => self.submit(&body, true).await,
--- a/crates/controller/src/http.rs
+++ b/crates/controller/src/http.rs
@@ -45,7 +45,7 @@
 enum Kind {
     Submit,
     Status,
-    Withdraw,
+    Cancel,
 }
 
 struct UserHandler(Arc<Desk>, Kind);
@@ -57,7 +57,7 @@
         // Many questions must not shut out submissions, nor one kind's slow answers lower the other's limit.
         let back_s = match kind {
             Kind::Status => constants::POLL_AGAIN_S,
-            Kind::Submit | Kind::Withdraw => constants::RETRY_AFTER_S,
+            Kind::Submit | Kind::Cancel => constants::RETRY_AFTER_S,
         };
         let limiter = if *kind == Kind::Status { &desk.poll_limiter } else { &desk.limiter };
         let Some(pass) = limiter.enter() else {
@@ -66,7 +66,7 @@
         let begun = Instant::now();
         let limit = match kind {
             Kind::Status => constants::STATUS_LIMIT_MS,
-            Kind::Submit | Kind::Withdraw => constants::SUBMIT_LIMIT_MS,
+            Kind::Submit | Kind::Cancel => constants::SUBMIT_LIMIT_MS,
         };
         let work = async {
             if *kind == Kind::Submit {
@@ -81,7 +81,7 @@
             if *kind == Kind::Status {
                 desk.status(&id, false).await
             } else {
-                desk.withdraw(&id, false).await
+                desk.cancel(&id, false).await
             }
         };
         let verdict = tokio::time::timeout(Duration::from_millis(limit), work)
@@ -149,7 +149,7 @@
             Router::with_path("api/jobs")
                 .post(user(Kind::Submit))
                 .push(Router::with_path("{id}").get(user(Kind::Status)))
-                .push(Router::with_path("{id}/withdraw").post(user(Kind::Withdraw))),
+                .push(Router::with_path("{id}/withdraw").post(user(Kind::Cancel))),
         );
     Service::new(router).catcher(salvo::catcher::Catcher::default().hoop(plain_error))
 }
--- a/crates/controller/src/ledger/commands.rs
+++ b/crates/controller/src/ledger/commands.rs
@@ -11,7 +11,7 @@
     /// Whether a held task must be stopped, and with how much time to save.
     pub(super) fn must_stop(&self, held: &Held, now: u64) -> Option<f64> {
         let Some(job) = held.job.and_then(|k| self.jobs.get(&k)) else { return Some(0.0) };
-        // Nobody has any use for what a withdrawn job's tasks do.
+        // Nobody has any use for what a cancelled job's tasks do.
         if held.stray || !job.live() || job.slots[held.index as usize] == Slot::Done {
             return Some(0.0);
         }
--- a/crates/controller/src/ledger/mod.rs
+++ b/crates/controller/src/ledger/mod.rs
@@ -21,7 +21,7 @@
 
 pub use fleet::FleetAction;
 pub use model::{Aims, Ended, Expected, Held, Job, JobContext, Kill, Machine, Phase, Recent, Slot};
-pub use outcomes::{Lookup, Withdrawal};
+pub use outcomes::{Cancellation, Lookup};
 pub use progress::Progress;
 pub use writer::{Commit, CommitResult, Learned};
 
@@ -151,7 +151,7 @@
     directs: usize,
     /// Workers that are being asked what is on their machines.
     greetings: usize,
-    /// Withdrawn jobs whose tasks may not be gone in time yet.
+    /// Cancelled jobs whose tasks may not be gone in time yet.
     unproven: BTreeSet<u64>,
     /// Some task may have to be stopped that its worker was not told about.
     stops_due: bool,
@@ -293,22 +293,22 @@
         self.holders.renew(self.term, renewal, lease, now)
     }
 
-    /// How long blocks are leased at this moment, ms. Tasks of a withdrawn job must be gone within the
+    /// How long blocks are leased at this moment, ms. Tasks of a cancelled job must be gone within the
     /// time for a cancellation, also where nobody can stop them and a holder keeps their worker alive. So
     /// while such a task may be anywhere, a lease ends no later than one that was given when its user asked,
     /// before anybody was told: early enough for its worker's lease to follow. While a task of an unknown job
-    /// may be anywhere, or of one whose withdrawal another controller decided, no lease is given.
+    /// may be anywhere, or of one whose cancellation another controller decided, no lease is given.
     pub fn block_lease(&self, now: u64) -> u64 {
         if self.strangers > 0 || !self.settled(now) {
             return 0;
         }
-        let withdrawn = |j: &&Job| j.ending == Some(JobState::Withdrawn) && j.held > 0;
+        let cancelled = |j: &&Job| j.ending == Some(JobState::Cancelled) && j.held > 0;
         let longest = block_lease_ms(&self.setup);
         let left = |job: &Job| {
-            let since_asked = job.withdraw_asked_at.map(|at| now.saturating_sub(at));
+            let since_asked = job.cancel_asked_at.map(|at| now.saturating_sub(at));
             since_asked.map_or(0, |ms| longest.saturating_sub(ms))
         };
-        let shortest = self.jobs.values().filter(withdrawn).map(left).min();
+        let shortest = self.jobs.values().filter(cancelled).map(left).min();
         shortest.unwrap_or(longest)
     }
 
--- a/crates/controller/src/ledger/model.rs
+++ b/crates/controller/src/ledger/model.rs
@@ -125,8 +125,8 @@
     pub broken: bool,
     /// What it is to end as, once that is durable.
     pub ending: Option<JobState>,
-    /// When its user asked this leader to withdraw it, ms; `None` if another controller decided it.
-    pub withdraw_asked_at: Option<u64>,
+    /// When its user asked this leader to cancel it, ms; `None` if another controller decided it.
+    pub cancel_asked_at: Option<u64>,
     /// The end is being written, or whether it was written is not known.
     pub deciding: bool,
     /// Some transaction with its end had no answer: it may be carried out at any time.
@@ -194,7 +194,7 @@
             attempt: None,
             broken: false,
             ending: None,
-            withdraw_asked_at: None,
+            cancel_asked_at: None,
             deciding: false,
             in_doubt: false,
             over: None,
--- a/crates/controller/src/ledger/outcomes.rs
+++ b/crates/controller/src/ledger/outcomes.rs
@@ -15,9 +15,9 @@
     NotHere,
 }
 
-/// What became of a request to withdraw.
+/// What became of a request to cancel.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Withdrawal {
+pub enum Cancellation {
     /// It is over already.
     Over(JobStatus),
     /// The decision is being written down; it comes with [`Ledger::take_decided`].
@@ -53,24 +53,24 @@
         }
     }
 
-    /// A user withdraws a job. Nothing of it is started from here on, even before the decision is
+    /// A user cancels a job. Nothing of it is started from here on, even before the decision is
     /// durable.
-    pub fn withdraw(&mut self, id: &JobId) -> Withdrawal {
+    pub fn cancel(&mut self, id: &JobId) -> Cancellation {
         let now = self.told.now;
-        let Some(key) = self.by_id.get(id).copied() else { return Withdrawal::NotHere };
-        let Some(job) = self.jobs.get_mut(&key) else { return Withdrawal::NotHere };
+        let Some(key) = self.by_id.get(id).copied() else { return Cancellation::NotHere };
+        let Some(job) = self.jobs.get_mut(&key) else { return Cancellation::NotHere };
         if let Some(record) = &job.over {
-            return Withdrawal::Over(record.status(id));
+            return Cancellation::Over(record.status(id));
         }
         if job.ending.is_none() {
-            tracing::info!("job {id}: its user withdraws it");
-            job.ending = Some(JobState::Withdrawn);
-            job.withdraw_asked_at = Some(now);
+            tracing::info!("job {id}: its user cancels it");
+            job.ending = Some(JobState::Cancelled);
+            job.cancel_asked_at = Some(now);
             self.stops_due = true;
             self.unproven.insert(key);
             self.write_proven(self.told.now);
         }
-        if self.unproven.contains(&key) { Withdrawal::Unproven } else { Withdrawal::Pending }
+        if self.unproven.contains(&key) { Cancellation::Unproven } else { Cancellation::Pending }
     }
 
     /// Cancellations of which it is sure that all rights which may keep tasks alive end in time are written
@@ -103,7 +103,7 @@
         if job.over.is_some() {
             return;
         }
-        tracing::info!("job {}: {:?}", job.id, record.state);
+        tracing::info!("job {}: {}", job.id, record.state);
         job.over = Some(record.clone());
         job.ending = Some(record.state);
         job.deciding = false;
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -5,7 +5,7 @@
 use crate::holders::{BlockLease, Holding, Renewal};
 use crate::lead::{Clock, Mandate, Validity, View};
 use crate::ledger::{
-    Commit, CommitResult, FleetAction, Ledger, Loaded, Lookup, Moment, Setup, Withdrawal,
+    Cancellation, Commit, CommitResult, FleetAction, Ledger, Loaded, Lookup, Moment, Setup,
 };
 use crate::records::{CLASSES, IMAGES, JOBS, MINIMUMS, PROGRESS, ROSTER};
 use hookway_clients::{
@@ -28,8 +28,8 @@
     CheckIn(CheckIn, oneshot::Sender<CheckInReply>),
     /// A job's state.
     Status(JobId, oneshot::Sender<Option<Lookup>>),
-    /// Withdraw a job; answered once the decision is durable.
-    Withdraw(JobId, oneshot::Sender<Option<Withdrawal>>),
+    /// Cancel a job; answered once the decision is durable.
+    Cancel(JobId, oneshot::Sender<Option<Cancellation>>),
     /// A job's record was found in the state service, in this term. A record that was read in an
     /// earlier term may be of a job that ended since.
     Adopt(Option<u64>, String, serde_json::Value, oneshot::Sender<Option<()>>),
@@ -104,7 +104,7 @@
     ledger: Option<Ledger>,
     helpers: JoinSet<()>,
     notes: mpsc::Sender<Note>,
-    waiting: HashMap<JobId, Vec<oneshot::Sender<Option<Withdrawal>>>>,
+    waiting: HashMap<JobId, Vec<oneshot::Sender<Option<Cancellation>>>>,
     paused: bool,
     last_round: u64,
     last_fleet: u64,
@@ -146,7 +146,7 @@
                 let _ = reply.send(kept.unwrap_or(CheckInReply::Elsewhere(other)));
             }
             Ask::Status(_, reply) => drop(reply.send(None)),
-            Ask::Withdraw(_, reply) => drop(reply.send(None)),
+            Ask::Cancel(_, reply) => drop(reply.send(None)),
             Ask::Adopt(_, _, _, reply) => drop(reply.send(None)),
             Ask::Renew(_, reply) => drop(reply.send(None)),
             Ask::Renewal(reply) => {
@@ -306,8 +306,8 @@
                 self.flush(term);
             }
             Ask::Status(id, reply) => drop(reply.send(Some(ledger.status(&id)))),
-            Ask::Withdraw(id, reply) => match ledger.withdraw(&id) {
-                Withdrawal::Pending => {
+            Ask::Cancel(id, reply) => match ledger.cancel(&id) {
+                Cancellation::Pending => {
                     term.waiting.entry(id).or_default().push(reply);
                     self.flush(term);
                 }
@@ -352,7 +352,7 @@
                 // They are told at once when to come back; the decisions stay in the queue.
                 for (_, replies) in term.waiting.drain() {
                     for reply in replies {
-                        let _ = reply.send(Some(Withdrawal::Pending));
+                        let _ = reply.send(Some(Cancellation::Pending));
                     }
                 }
             }
@@ -365,7 +365,7 @@
                     // a swarm of small jobs: without this each would take two readings of the store.
                     self.finals.remember(&record.status(&id).into());
                     for reply in term.waiting.remove(&id).unwrap_or_default() {
-                        let _ = reply.send(Some(Withdrawal::Over(record.status(&id))));
+                        let _ = reply.send(Some(Cancellation::Over(record.status(&id))));
                     }
                 }
                 if ledger.deposed() {
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -19,8 +19,8 @@
 pub enum PeerAsk {
     /// A job's state.
     Status(String),
-    /// Withdraw a job.
-    Withdraw(String),
+    /// Cancel a job.
+    Cancel(String),
     /// Accept a job: the user's body.
     Submit(Vec<u8>),
     /// Lease the asker's block to it.
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -77,7 +77,7 @@
 /// Value of `f/<job>`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinalRecord {
-    /// `done` or `withdrawn`.
+    /// `done` or `cancelled`.
     pub state: JobState,
     /// Completed tasks.
     pub done: u32,
--- a/crates/hookway/src/main.rs
+++ b/crates/hookway/src/main.rs
@@ -48,8 +48,9 @@
         /// The job's id, such as req-000412.
         job: String,
     },
-    /// Withdraw a job.
-    Withdraw {
+    /// Cancel a job.
+    #[command(visible_alias = "withdraw")]
+    Cancel {
         /// Address of a controller or load balancer.
         #[arg(long, value_name = "HOST:PORT")]
         server: String,
@@ -142,8 +143,8 @@
             Ok(id) => Ok(ApiClient::new(&server).status(&id).await),
             Err(e) => Err(e.into()),
         },
-        Command::Withdraw { server, job } => match id(&job) {
-            Ok(id) => Ok(ApiClient::new(&server).withdraw(&id).await),
+        Command::Cancel { server, job } => match id(&job) {
+            Ok(id) => Ok(ApiClient::new(&server).cancel(&id).await),
             Err(e) => Err(e.into()),
         },
         Command::Check { .. } => Err("not a client command".into()),
@@ -159,8 +160,7 @@
 }
 
 fn show(status: &JobStatus) {
-    let state = format!("{:?}", status.status).to_lowercase();
-    println!("{}: {state}, {} done, {} running", status.id, status.done, status.running);
+    println!("{}: {}, {} done, {} running", status.id, status.status, status.done, status.running);
     if let Some(team) = &status.team {
         println!("  team: {team}");
     }
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -10,7 +10,7 @@
     pub priority: Priority,
     /// A gang starts whole or not at all.
     pub gang: bool,
-    /// Its tasks run until it is withdrawn: all of them are wanted all the time.
+    /// Its tasks run until it is cancelled: all of them are wanted all the time.
     pub daemon: bool,
     /// Number of tasks.
     pub tasks: u32,
--- a/crates/wire/src/job.rs
+++ b/crates/wire/src/job.rs
@@ -61,7 +61,7 @@
     /// A gang: all tasks at the same time or none.
     #[serde(rename = "group")]
     Gang,
-    /// Independent tasks that run until their user withdraws the job. The protocol page does not
+    /// Independent tasks that run until their user cancels the job. The protocol page does not
     /// describe this kind, but `fleetbench real` submits it (see docs/questions.md).
     Daemon,
 }
@@ -199,7 +199,7 @@
         self.kind == JobKind::Gang
     }
 
-    /// Whether the tasks are meant to run until the job is withdrawn.
+    /// Whether the tasks are meant to run until the job is cancelled.
     pub fn is_daemon(&self) -> bool {
         self.kind == JobKind::Daemon
     }
@@ -226,17 +226,30 @@
     /// All tasks are done.
     Done,
     /// Its user cancelled it.
-    Withdrawn,
+    #[serde(rename = "withdrawn")]
+    Cancelled,
+}
+
+impl fmt::Display for JobState {
+    /// As the protocol spells it.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Queued => "queued",
+            Self::Running => "running",
+            Self::Done => "done",
+            Self::Cancelled => "withdrawn",
+        })
+    }
 }
 
 impl JobState {
     /// Whether the state can't change any more.
     pub fn is_final(self) -> bool {
-        matches!(self, Self::Done | Self::Withdrawn)
+        matches!(self, Self::Done | Self::Cancelled)
     }
 }
 
-/// The answer to a submission, a status request and a withdrawal.
+/// The answer to a submission, a status request and a cancellation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobStatus {
     /// The job.
--- a/crates/wire/src/job/tests.rs
+++ b/crates/wire/src/job/tests.rs
@@ -39,3 +39,10 @@
     assert!(JobSpec::parse(b"[1]").is_err());
     assert!(JobSpec::parse(b"").is_err());
 }
+
+#[test]
+fn a_state_is_shown_as_the_protocol_spells_it() {
+    for state in [JobState::Queued, JobState::Running, JobState::Done, JobState::Cancelled] {
+        assert_eq!(serde_json::to_value(state).unwrap(), state.to_string());
+    }
+}
