--- a/crates/clients/src/cloud.rs
+++ b/crates/clients/src/cloud.rs
@@ -1,7 +1,7 @@
 use crate::{Budget, HttpClient, HttpError};
 use hookway_constants as constants;
 use hookway_wire::{
-    ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, RentRequest,
+    ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, ScaleOutRequest,
 };
 use hyper::{Method, StatusCode};
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 
 /// The answer to a rental.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum RentOutcome {
+pub enum ScaleOutOutcome {
     /// These machines were rented.
     Rented(Vec<String>),
     /// None is to be had.
@@ -79,16 +79,16 @@
     }
 
     /// Rents machines. The same request may be repeated after an unknown outcome.
-    pub async fn rent(&self, request: &RentRequest) -> Result<RentOutcome, CloudError> {
+    pub async fn rent(&self, request: &ScaleOutRequest) -> Result<ScaleOutOutcome, CloudError> {
         let body =
             serde_json::to_vec(request).map_err(|e| CloudError::Unexpected(0, e.to_string()))?;
         let (status, body) = self.call(Method::POST, "/rentals", Some(body)).await?;
         match status {
             StatusCode::OK => serde_json::from_slice::<MachineNames>(&body)
-                .map(|h| RentOutcome::Rented(h.machines))
+                .map(|h| ScaleOutOutcome::Rented(h.machines))
                 .map_err(|e| CloudError::Unexpected(200, e.to_string())),
             StatusCode::SERVICE_UNAVAILABLE if body.windows(11).any(|w| w == b"no capacity") => {
-                Ok(RentOutcome::NoCapacity)
+                Ok(ScaleOutOutcome::NoCapacity)
             }
             _ => Err(Self::odd(status, &body)),
         }
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -11,7 +11,7 @@
 
 pub use api::{ApiClient, ApiError};
 pub use budget::Budget;
-pub use cloud::{CloudClient, CloudError, RentOutcome};
+pub use cloud::{CloudClient, CloudError, ScaleOutOutcome};
 pub use http::{HttpClient, HttpError};
 pub use store::{CommitOutcome, StoreClient, StoreError};
 pub use worker::{Delivery, WorkerClient};
--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -1,7 +1,7 @@
 use crate::{Budget, HttpClient, HttpError};
 use hookway_constants as constants;
 use hookway_wire::{
-    CommitAnswer, Grant, GrantRequest, KeyPage, KeyValue, Transaction, WatchAnswer,
+    CommitResponse, KeyPage, KeyValue, LeaseGrant, LeaseGrantRequest, Transaction, WatchResponse,
 };
 use hyper::{Method, StatusCode};
 use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, utf8_percent_encode};
@@ -160,11 +160,11 @@
             self.call(Method::POST, "/commit", Some(body), constants::STORE_TIMEOUT_MS).await?;
         match status {
             StatusCode::OK => {
-                let answer: CommitAnswer = Self::read(status, &body)?;
+                let answer: CommitResponse = Self::read(status, &body)?;
                 Ok(CommitOutcome::Applied(answer.revision))
             }
             StatusCode::CONFLICT => {
-                let answer: CommitAnswer = Self::read(status, &body)?;
+                let answer: CommitResponse = Self::read(status, &body)?;
                 Ok(CommitOutcome::Refused(answer.failed))
             }
             StatusCode::BAD_REQUEST if body.windows(13).any(|w| w == b"no such lease") => {
@@ -181,13 +181,13 @@
     /// Asks for a lease.
     pub async fn grant(&self, ttl_ms: u64) -> Result<u64, StoreError> {
         self.turn().await?;
-        let body = serde_json::to_vec(&GrantRequest { ttl_ms })
+        let body = serde_json::to_vec(&LeaseGrantRequest { ttl_ms })
             .map_err(|e| StoreError::Unexpected(0, e.to_string()))?;
         let (status, body) =
             self.call(Method::POST, "/grants", Some(body), constants::STORE_TIMEOUT_MS).await?;
         match status {
             StatusCode::OK | StatusCode::CREATED => {
-                Self::read::<Grant>(status, &body).map(|g| g.lease_id)
+                Self::read::<LeaseGrant>(status, &body).map(|g| g.lease_id)
             }
             _ => Err(Self::odd(status, &body)),
         }
@@ -219,7 +219,7 @@
         prefix: &str,
         after: u64,
         wait_ms: u64,
-    ) -> Result<WatchAnswer, StoreError> {
+    ) -> Result<WatchResponse, StoreError> {
         self.turn().await?;
         let path = format!(
             "/watch?Prefix={}&After={after}&WaitMs={wait_ms}",
--- a/crates/clients/src/worker.rs
+++ b/crates/clients/src/worker.rs
@@ -1,6 +1,6 @@
 use crate::{HttpClient, HttpError};
 use hookway_constants as constants;
-use hookway_wire::{CheckIn, DirectCommands};
+use hookway_wire::{DirectCommands, Heartbeat};
 use hyper::{Method, StatusCode};
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Delivery {
     /// Carried out; the worker's report after them.
-    Done(CheckIn),
+    Done(Heartbeat),
     /// Not carried out: the worker has a higher token, or is in another session. A copy may have been,
     /// before.
     Refused,
@@ -48,18 +48,21 @@
 
     /// Tells a worker a new leader's token and asks what is on its machine. The session is not known yet: the
     /// first one, most likely; if not, the refusal names it.
-    pub async fn ask_for_report(&self, address: &str, token: u64) -> Option<CheckIn> {
+    pub async fn ask_for_report(&self, address: &str, token: u64) -> Option<Heartbeat> {
         let mut session = 1;
         for _ in 0..2 {
-            let hello = DirectCommands { token, session, commands: vec![] };
+            let hello =
+                DirectCommands { fencing_token: token, incarnation: session, commands: vec![] };
             let body = serde_json::to_vec(&hello).ok()?;
             let limit = Duration::from_millis(constants::WORKER_TIMEOUT_MS);
             let post = self.http.at(address);
             let answer = post.exchange(Method::POST, "/orders", Some(body), limit).await.ok()?;
-            let report: CheckIn = serde_json::from_slice(&answer.1).ok()?;
+            let report: Heartbeat = serde_json::from_slice(&answer.1).ok()?;
             match answer.0 {
                 StatusCode::OK => return Some(report),
-                StatusCode::CONFLICT if report.session != session => session = report.session,
+                StatusCode::CONFLICT if report.incarnation != session => {
+                    session = report.incarnation
+                }
                 _ => return None,
             }
         }
--- a/crates/controller/src/answers.rs
+++ b/crates/controller/src/answers.rs
@@ -29,11 +29,11 @@
     fn from(s: JobStatus) -> Self {
         Self {
             id: s.id,
-            state: s.status,
+            state: s.state,
             done: s.done,
             running: s.running,
             team: s.team,
-            commander: s.commander,
+            commander: s.leader,
             notes: s.notes,
         }
     }
@@ -43,11 +43,11 @@
     fn from(t: Told) -> Self {
         Self {
             id: t.id,
-            status: t.state,
+            state: t.state,
             done: t.done,
             running: t.running,
             team: t.team,
-            commander: t.commander,
+            leader: t.commander,
             notes: t.notes,
         }
     }
--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -6,7 +6,7 @@
 use crate::lead::{View, wall_ms};
 use crate::ledger::{Cancellation, Lookup, leases_end_in_time};
 use crate::limiter::Limiter;
-use crate::node::{Ask, CheckInReply};
+use crate::node::{Ask, HeartbeatReply};
 use crate::peers::{PeerAnswer, PeerAsk, Peers};
 use crate::records::{FinalRecord, JobRecord, LEAD_NOW, final_key, fits, job_key};
 use crate::silence::Silence;
@@ -15,7 +15,8 @@
 use hookway_policy::{Room, TeamView, fits_somewhere};
 use hookway_replication::{FollowAnswer, FollowRequest};
 use hookway_wire::{
-    Change, CheckIn, Guard, JobId, JobSpec, JobState, MachineType, ReplicationStatus, Transaction,
+    Heartbeat, JobId, JobSpec, JobState, MachineType, Operation, Precondition, ReplicationStatus,
+    Transaction,
 };
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -164,12 +165,12 @@
 
     async fn read(store: &StoreClient, id: &JobId) -> Result<Stored, StoreError> {
         if let Some(kv) = store.get(&job_key(id)).await? {
-            return Ok(Stored::Open(kv.key, kv.v));
+            return Ok(Stored::Open(kv.key, kv.value));
         }
         let store = store.clone().patient_for(constants::STATUS_LIMIT_MS);
         let Some(kv) = store.get(&final_key(id)).await? else { return Ok(Stored::Nothing) };
-        let record: FinalRecord =
-            serde_json::from_value(kv.v).map_err(|e| StoreError::Unexpected(200, e.to_string()))?;
+        let record: FinalRecord = serde_json::from_value(kv.value)
+            .map_err(|e| StoreError::Unexpected(200, e.to_string()))?;
         Ok(Stored::Over(record.status(id).into()))
     }
 
@@ -271,11 +272,11 @@
         let record = FinalRecord { state: JobState::Cancelled, done: 0, team, notes: vec![] };
         let Ok(v) = serde_json::to_value(&record) else { return Ok(later("internal")) };
         let transaction = Transaction {
-            guards: vec![
-                Guard { key: LEAD_NOW.into(), stamp: 0 },
-                Guard { key: final_key(id), stamp: 0 },
+            preconditions: vec![
+                Precondition { key: LEAD_NOW.into(), mod_revision: 0 },
+                Precondition { key: final_key(id), mod_revision: 0 },
             ],
-            apply: vec![Change::put(final_key(id), v), Change::delete(job_key(id))],
+            operations: vec![Operation::put(final_key(id), v), Operation::delete(job_key(id))],
         };
         Ok(match self.stores.submissions.commit(&transaction).await? {
             CommitOutcome::Applied(_) => self.cancelled(record.status(id).into()),
@@ -291,19 +292,19 @@
         };
         let need = Room::of_task(spec);
         let allowed = |f: &MachineType| {
-            spec.machine_types.as_ref().is_none_or(|list| list.contains(&f.label))
+            spec.machine_types.as_ref().is_none_or(|list| list.contains(&f.name))
                 && spec.zone.as_ref().is_none_or(|y| f.zones.contains(y))
                 && Room::of_machine_type(f).fits(&need)
         };
         let types: Vec<bool> = machine_types.iter().map(allowed).collect();
         // All tasks of a gang or a daemon run at once, so the zones that it may be in must be enough for all.
-        let at_once = spec.wants_all_at_once();
+        let at_once = spec.needs_all_tasks_at_once();
         let zones = self.params.zones.iter().filter(|zone| {
             let there = |f: &MachineType| allowed(f) && f.zones.contains(zone);
             spec.zone.as_ref().is_none_or(|y| y == *zone) && machine_types.iter().any(there)
         });
         let zones = if spec.one_zone { zones.take(1).count() } else { zones.count() };
-        let room = u64::from(spec.zone_cap()) * zones as u64;
+        let room = u64::from(spec.max_tasks_per_zone()) * zones as u64;
         if at_once && types.contains(&true) && room < u64::from(spec.tasks) {
             return Some(Err("tasks that must spread can't all be in one zone".into()));
         }
@@ -338,11 +339,11 @@
             return self.refuse_unless_accepted(&id, 400, TOO_LONG.into(), from_peer).await;
         }
         let transaction = Transaction {
-            guards: vec![
-                Guard { key: job_key(&id), stamp: 0 },
-                Guard { key: final_key(&id), stamp: 0 },
+            preconditions: vec![
+                Precondition { key: job_key(&id), mod_revision: 0 },
+                Precondition { key: final_key(&id), mod_revision: 0 },
             ],
-            apply: vec![Change::put(job_key(&id), value.clone())],
+            operations: vec![Operation::put(job_key(&id), value.clone())],
         };
         match self.stores.submissions.commit(&transaction).await {
             Ok(CommitOutcome::Applied(_)) => {
@@ -466,11 +467,11 @@
         self.ask(Ask::Replication).await
     }
 
-    pub(crate) async fn check_in(&self, report: CheckIn) -> CheckInReply {
+    pub(crate) async fn check_in(&self, report: Heartbeat) -> HeartbeatReply {
         let (reply, answer) = oneshot::channel();
-        if self.node.send(Ask::CheckIn(report, reply)).await.is_err() {
-            return CheckInReply::Unsure;
+        if self.node.send(Ask::Heartbeat(report, reply)).await.is_err() {
+            return HeartbeatReply::Unsure;
         }
-        answer.await.unwrap_or(CheckInReply::Unsure)
+        answer.await.unwrap_or(HeartbeatReply::Unsure)
     }
 }
--- a/crates/controller/src/holders.rs
+++ b/crates/controller/src/holders.rs
@@ -11,7 +11,7 @@
 //! when its lease surely ends. docs/safety.md has the proof.
 
 use hookway_constants as constants;
-use hookway_wire::{CheckIn, CheckInAnswer, Command, JobId, TaskId, TaskReport, TaskState};
+use hookway_wire::{Command, Heartbeat, HeartbeatResponse, JobId, TaskId, TaskState, TaskStatus};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -165,7 +165,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct KeptAlive {
     /// What the worker is told.
-    pub answer: CheckInAnswer,
+    pub answer: HeartbeatResponse,
     /// It may go out before this moment only, ms.
     pub until: u64,
 }
@@ -255,7 +255,7 @@
     /// its tasks again, so stopping them needs no right beyond the one to answer.
     pub fn keep(
         &mut self,
-        report: &CheckIn,
+        report: &Heartbeat,
         now: u64,
         over: impl Fn(&JobId) -> bool,
     ) -> Option<KeptAlive> {
@@ -263,21 +263,22 @@
         let late = !self.leader_in_touch(now);
         let mine = grant.zones.contains(&report.zone);
         // A token above the term's range is a later leader's.
-        let known = report.token < grant.term + constants::TOKENS_PER_TERM;
-        let busy = report.tasks.iter().any(|p| p.status != TaskState::Ended);
+        let known = report.fencing_token < grant.term + constants::TOKENS_PER_TERM;
+        let busy = report.tasks.iter().any(|p| p.state != TaskState::Ended);
         if !(late && mine && known && busy) {
             return None;
         }
         self.answered = Some(now);
-        let ended = |p: &&TaskReport| p.status == TaskState::Ended;
-        let useless = |p: &&TaskReport| TaskId::parse(&p.task).is_some_and(|t| over(&t.job));
-        let stop = |p: &TaskReport| Command::Kill {
+        let ended = |p: &&TaskStatus| p.state == TaskState::Ended;
+        let useless = |p: &&TaskStatus| TaskId::parse(&p.task).is_some_and(|t| over(&t.job));
+        let stop = |p: &TaskStatus| Command::Kill {
             task: p.task.clone(),
             attempt: p.attempt,
             grace_s: 0.0,
         };
         let commands = report.tasks.iter().filter(|p| !ended(p) && useless(p)).map(stop).collect();
-        let answer = CheckInAnswer { token: report.token.max(grant.term), commands };
+        let answer =
+            HeartbeatResponse { fencing_token: report.fencing_token.max(grant.term), commands };
         Some(KeptAlive { answer, until: grant.until })
     }
 }
--- a/crates/controller/src/holders/tests.rs
+++ b/crates/controller/src/holders/tests.rs
@@ -9,23 +9,23 @@
     Holders::new("a", &siblings, &zones, LEASE, won_at)
 }
 
-fn report(zone: &str, token: u64) -> CheckIn {
-    CheckIn {
+fn report(zone: &str, token: u64) -> Heartbeat {
+    Heartbeat {
         machine: "m-1".into(),
         addr: "127.0.0.1:1".into(),
         machine_type: "small".into(),
         zone: zone.into(),
         spot: false,
-        session: 1,
-        tick: 1,
-        token,
-        notice_s: None,
-        tasks: vec![hookway_wire::TaskReport {
+        incarnation: 1,
+        sequence: 1,
+        fencing_token: token,
+        interruption_notice_s: None,
+        tasks: vec![hookway_wire::TaskStatus {
             task: "req-000001/0".into(),
             attempt: 1,
-            status: TaskState::Running,
+            state: TaskState::Running,
             cause: None,
-            saved: None,
+            checkpointed: None,
         }],
     }
 }
@@ -58,7 +58,10 @@
         None,
         "a change of leader may be under way"
     );
-    assert_eq!(holding.keep(&report("b", 7), 11_000, |_| false).map(|k| k.answer.token), Some(7));
+    assert_eq!(
+        holding.keep(&report("b", 7), 11_000, |_| false).map(|k| k.answer.fencing_token),
+        Some(7)
+    );
     assert_eq!(holding.keep(&report("c", 7), 11_000, |_| false), None, "not of its block");
     let later = 5 + constants::TOKENS_PER_TERM;
     assert_eq!(
@@ -87,12 +90,12 @@
     let mut report = report("b", 7);
     let mut other = report.tasks[0].clone();
     other.task = "req-000002/4".into();
-    let ended = TaskReport { status: TaskState::Ended, attempt: 9, ..report.tasks[0].clone() };
+    let ended = TaskStatus { state: TaskState::Ended, attempt: 9, ..report.tasks[0].clone() };
     report.tasks.extend([other, ended]);
     let over = |id: &JobId| id.as_str() == "req-000001";
     let kept = holding.keep(&report, 15_000, over).unwrap();
     let stop = Command::Kill { task: "req-000001/0".into(), attempt: 1, grace_s: 0.0 };
-    assert_eq!((kept.answer.token, kept.answer.commands), (7, vec![stop]));
+    assert_eq!((kept.answer.fencing_token, kept.answer.commands), (7, vec![stop]));
     assert_eq!(kept.until, 2_000 + LEASE - drift(LEASE));
 }
 
--- a/crates/controller/src/http.rs
+++ b/crates/controller/src/http.rs
@@ -2,9 +2,9 @@
 
 use crate::answers::Verdict;
 use crate::api::{Desk, later};
-use crate::node::CheckInReply;
+use crate::node::HeartbeatReply;
 use hookway_constants as constants;
-use hookway_wire::{CheckIn, ErrorBody, JobId, JobStatus, ReportElsewhere};
+use hookway_wire::{ErrorBody, Heartbeat, HeartbeatRedirect, JobId, JobStatus};
 use salvo::http::{HeaderValue, StatusCode};
 use salvo::prelude::*;
 use std::sync::Arc;
@@ -93,13 +93,13 @@
     }
 }
 
-struct CheckInHandler(Arc<Desk>);
+struct HeartbeatHandler(Arc<Desk>);
 
 #[async_trait]
-impl Handler for CheckInHandler {
+impl Handler for HeartbeatHandler {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let report = match req.payload_with_max_size(constants::BODY_LIMIT).await {
-            Ok(body) => serde_json::from_slice::<CheckIn>(body).map_err(|e| e.to_string()),
+            Ok(body) => serde_json::from_slice::<Heartbeat>(body).map_err(|e| e.to_string()),
             Err(e) => Err(e.to_string()),
         };
         let report = match report {
@@ -110,15 +110,15 @@
             }
         };
         match self.0.check_in(report).await {
-            CheckInReply::Answer(answer, until) if Instant::now() < until => {
+            HeartbeatReply::Answer(answer, until) if Instant::now() < until => {
                 res.status_code(StatusCode::OK);
                 res.render(Json(answer));
             }
-            CheckInReply::Elsewhere(report_to) => {
+            HeartbeatReply::Elsewhere(report_to) => {
                 res.status_code(StatusCode::MISDIRECTED_REQUEST);
-                res.render(Json(ReportElsewhere { report_to }));
+                res.render(Json(HeartbeatRedirect { leader: report_to }));
             }
-            CheckInReply::Answer(..) | CheckInReply::Unsure => {
+            HeartbeatReply::Answer(..) | HeartbeatReply::Unsure => {
                 unavailable(res, "not entitled to answer", constants::RETRY_AFTER_S)
             }
         }
@@ -158,7 +158,7 @@
     let router = Router::new()
         .push(Router::with_path("up").get(up))
         .push(Router::with_path("replication").get(ReplicationHandler(desk.clone())))
-        .push(Router::with_path("checkin").post(CheckInHandler(desk.clone())))
+        .push(Router::with_path("checkin").post(HeartbeatHandler(desk.clone())))
         .push(
             Router::with_path("api/jobs")
                 .post(user(Kind::Submit))
--- a/crates/controller/src/lead.rs
+++ b/crates/controller/src/lead.rs
@@ -10,7 +10,7 @@
 use crate::records::{LEAD, LEAD_MARKS, LEAD_NOW, LEAD_TERM, LeadRecord};
 use hookway_clients::{CommitOutcome, StoreClient, StoreError};
 use hookway_constants as constants;
-use hookway_wire::{Change, Event, Guard, KeyValue, Transaction};
+use hookway_wire::{KeyValue, Operation, Precondition, Transaction, WatchEvent};
 use rand::RngExt;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -54,7 +54,7 @@
     /// The term.
     pub term: u64,
     /// The guard that every durable write carries.
-    pub guard: Guard,
+    pub guard: Precondition,
     /// The lease.
     pub lease_id: u64,
     /// The leader before kept marks of how far tasks of jobs may have been started.
@@ -139,7 +139,7 @@
                     if record.label == self.label && record.nonce == nonce {
                         // Our own transaction, whose answer was lost.
                         if let Some(lease_id) = kv.lease_id {
-                            self.lead(&record, kv.stamp, lease_id, 0, false).await;
+                            self.lead(&record, kv.mod_revision, lease_id, 0, false).await;
                             nonce = rand::rng().random();
                             continue;
                         }
@@ -211,7 +211,7 @@
         let (pairs, revision) = self.store.list(LEAD).await?;
         let now = pairs.iter().find(|p| p.key == LEAD_NOW);
         if let Some(kv) = now
-            && let Ok(record) = serde_json::from_value::<LeadRecord>(kv.v.clone())
+            && let Ok(record) = serde_json::from_value::<LeadRecord>(kv.value.clone())
         {
             let mut kv = kv.clone();
             if kv.lease_id.is_none()
@@ -225,9 +225,9 @@
         let term = pairs.iter().find(|p| p.key == LEAD_TERM);
         let marks = pairs.iter().find(|p| p.key == LEAD_MARKS);
         let found = Found::Nobody {
-            term: term.and_then(|t| t.v.as_u64()).unwrap_or(0),
-            term_stamp: term.map_or(0, |t| t.stamp),
-            marked: term.map(|t| &t.v) == marks.map(|m| &m.v),
+            term: term.and_then(|t| t.value.as_u64()).unwrap_or(0),
+            term_stamp: term.map_or(0, |t| t.mod_revision),
+            marked: term.map(|t| &t.value) == marks.map(|m| &m.value),
         };
         Ok((found, revision))
     }
@@ -242,8 +242,8 @@
             match watched {
                 Ok(answer) => {
                     if answer.events.iter().any(|e| match e {
-                        Event::Delete { delete, .. } => delete == LEAD_NOW,
-                        Event::Put { put, .. } => put == LEAD_NOW,
+                        WatchEvent::Delete { key: delete, .. } => delete == LEAD_NOW,
+                        WatchEvent::Put { key: put, .. } => put == LEAD_NOW,
                     }) {
                         return;
                     }
@@ -273,14 +273,14 @@
         let record = LeadRecord { label: self.label.clone(), term: first, nonce };
         let Ok(value) = serde_json::to_value(&record) else { return };
         let transaction = Transaction {
-            guards: vec![
-                Guard { key: LEAD_NOW.into(), stamp: 0 },
-                Guard { key: LEAD_TERM.into(), stamp: term_stamp },
+            preconditions: vec![
+                Precondition { key: LEAD_NOW.into(), mod_revision: 0 },
+                Precondition { key: LEAD_TERM.into(), mod_revision: term_stamp },
             ],
-            apply: vec![
-                Change::Put { put: LEAD_NOW.into(), v: value, lease_id: Some(lease_id) },
-                Change::put(LEAD_TERM, serde_json::json!(last)),
-                Change::put(LEAD_MARKS, serde_json::json!(last)),
+            operations: vec![
+                Operation::Put { key: LEAD_NOW.into(), value: value, lease_id: Some(lease_id) },
+                Operation::put(LEAD_TERM, serde_json::json!(last)),
+                Operation::put(LEAD_MARKS, serde_json::json!(last)),
             ],
         };
         match self.store.commit(&transaction).await {
@@ -303,7 +303,7 @@
     async fn lead(&self, record: &LeadRecord, stamp: u64, lease_id: u64, until: u64, marked: bool) {
         tracing::info!("leading, term {}", record.term);
         self.validity.set(record.term, until);
-        let guard = Guard { key: LEAD_NOW.into(), stamp };
+        let guard = Precondition { key: LEAD_NOW.into(), mod_revision: stamp };
         let mandate = Mandate { term: record.term, guard, lease_id, marked };
         self.publish(View {
             leader: Some(self.label.clone()),
--- a/crates/controller/src/ledger/blame.rs
+++ b/crates/controller/src/ledger/blame.rs
@@ -12,7 +12,7 @@
     /// It failed, and nothing speaks for it: no task has completed, and not more of them run than there
     /// are machines that it failed on.
     pub fn doubtful(&self) -> bool {
-        let tries = if self.spec.wants_all_at_once() { constants::GANG_TRIES } else { 1 };
+        let tries = if self.spec.needs_all_tasks_at_once() { constants::GANG_TRIES } else { 1 };
         self.errors >= tries && self.unproven()
     }
 
--- a/crates/controller/src/ledger/checkin.rs
+++ b/crates/controller/src/ledger/checkin.rs
@@ -1,7 +1,9 @@
 use super::departures::Leave;
 use super::{Ended, Expected, Held, Ledger, Machine, Phase, Slot};
 use hookway_constants as constants;
-use hookway_wire::{Cause, CheckIn, CheckInAnswer, Command, TaskId, TaskReport, TaskState};
+use hookway_wire::{
+    Command, ExitCause, Heartbeat, HeartbeatResponse, TaskId, TaskState, TaskStatus,
+};
 
 /// Why a machine is given back that reports, but takes no answer.
 const HEARS_NOTHING: &str = "it reports, but hears nothing";
@@ -9,7 +11,7 @@
 impl Ledger {
     /// A worker reports. `None`: not to be answered with a 200, because the report is old, or comes
     /// from a session or machine that is surely over.
-    pub fn check_in(&mut self, report: &CheckIn, now: u64) -> Option<CheckInAnswer> {
+    pub fn check_in(&mut self, report: &Heartbeat, now: u64) -> Option<HeartbeatResponse> {
         let name = report.machine.as_str();
         if self.gone_machines.contains(name) {
             return None;
@@ -24,13 +26,13 @@
         }
         self.expire_if_silent(name, now);
         let machine = self.machines.get_mut(name)?;
-        let stamp = (report.session, report.tick);
+        let stamp = (report.incarnation, report.sequence);
         // Reports can arrive minutes late; only a newer one may change the picture. A session whose
         // lease has surely run out can't be heard from again: such a report is late, whatever its
         // number.
         if stamp <= machine.reported
-            || report.session < machine.newest.0
-            || report.session <= machine.dead_session
+            || report.incarnation < machine.newest.0
+            || report.incarnation <= machine.dead_session
         {
             tracing::debug!("machine {name}: old report {stamp:?}, newest is {:?}", machine.newest);
             return None;
@@ -39,13 +41,13 @@
         self.judge_hearing(name, report, now);
         self.expire_if_silent(name, now);
         let machine = self.machines.get_mut(name)?;
-        if report.session <= machine.dead_session {
+        if report.incarnation <= machine.dead_session {
             return None;
         }
         // The worker sent this one before it answered commands that came straight to it: what it says
         // is out of date, but the worker waits for an answer.
         let overtaken = stamp < machine.newest;
-        let new_session = machine.heard && report.session > machine.newest.0;
+        let new_session = machine.heard && report.incarnation > machine.newest.0;
         if !machine.heard {
             tracing::info!(
                 "machine {name}: up, {:.1} s old",
@@ -73,11 +75,11 @@
         // A report can be older than this leader's term although it is the newest that it has seen,
         // and what the earlier leader started since is not in it. One that carries this term's token
         // was sent after the worker had seen it, so it names everything.
-        if report.token >= self.term {
+        if report.fencing_token >= self.term {
             self.unheard.remove(name);
         }
         if new_session {
-            tracing::info!("machine {name}: session {}, its tasks are gone", report.session);
+            tracing::info!("machine {name}: session {}, its tasks are gone", report.incarnation);
             self.clear_machine(name, now, Leave::Lost);
         }
         if !overtaken {
@@ -99,7 +101,7 @@
         machine.soon = if commands.is_empty() { 0 } else { now + constants::REPORT_SOON_MS };
         let token = self.term + machine.bump;
         let mut expected = Expected { answered_before, answered_at: now, ..Expected::default() };
-        expected.token = (token > report.token).then_some(token);
+        expected.token = (token > report.fencing_token).then_some(token);
         for order in &commands {
             match order {
                 Command::Run { task, attempt } => expected.runs.push((task.clone(), *attempt)),
@@ -108,14 +110,14 @@
             }
         }
         machine.expected = expected;
-        Some(CheckInAnswer { token, commands })
+        Some(HeartbeatResponse { fencing_token: token, commands })
     }
 
     /// Whether the worker took the last answer, as far as its next report shows it. A worker has one
     /// report under way and takes no answer to an earlier one, so an answer without effect was not
     /// heard and never will be: it renewed no lease. A machine that hears nothing for several answers
     /// gets no new work and is given back; what is on it counts until its lease is surely over.
-    fn judge_hearing(&mut self, name: &str, report: &CheckIn, now: u64) {
+    fn judge_hearing(&mut self, name: &str, report: &Heartbeat, now: u64) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let expected = std::mem::take(&mut machine.expected);
         let Some(taken) = expected.taken(report) else { return };
@@ -153,7 +155,7 @@
     ///
     /// A `direct` one answered commands that came straight to the worker: an answer to a report may
     /// have been on its way to it at that moment.
-    pub(super) fn take_report(&mut self, name: &str, report: &CheckIn, now: u64, direct: bool) {
+    pub(super) fn take_report(&mut self, name: &str, report: &Heartbeat, now: u64, direct: bool) {
         self.touch(name);
         self.count_running(name, false);
         let Some(machine) = self.machines.get_mut(name) else { return };
@@ -162,7 +164,7 @@
         let mut seen = vec![false; before.len()];
         let mut keep: Vec<Held> = Vec::with_capacity(before.len());
         let mut left: Vec<(Held, Leave)> = Vec::new();
-        let mut fresh: Vec<(TaskId, &TaskReport)> = Vec::new();
+        let mut fresh: Vec<(TaskId, &TaskStatus)> = Vec::new();
         for reported in &report.tasks {
             let Some(task) = TaskId::parse(&reported.task) else {
                 tracing::error!("machine {name}: odd task id {:?}", reported.task);
@@ -177,8 +179,8 @@
                 continue;
             };
             let mut held = before[found].clone();
-            if reported.status == TaskState::Ended {
-                let cause = reported.cause.unwrap_or(Cause::Other);
+            if reported.state == TaskState::Ended {
+                let cause = reported.cause.unwrap_or(ExitCause::Other);
                 machine.ended.push(Ended {
                     job: held.job,
                     task: reported.task.clone(),
@@ -188,8 +190,8 @@
                 });
                 left.push((held, Leave::Ended(cause)));
             } else {
-                held.phase = Phase::On(reported.status);
-                if reported.status == TaskState::Running && held.running_since.is_none() {
+                held.phase = Phase::On(reported.state);
+                if reported.state == TaskState::Running && held.running_since.is_none() {
                     let took = now.saturating_sub(held.since) as f64 / 1000.0;
                     tracing::debug!(
                         "task {} on {name}: runs, {took:.1} s after placement",
@@ -218,7 +220,7 @@
                 }
                 // Under a higher token the worker refuses the command, whenever it arrives.
                 Phase::Pushed(token) => {
-                    if report.token > token {
+                    if report.fencing_token > token {
                         held.phase = Phase::Planned;
                         self.planned_on.insert(name.to_owned());
                     }
@@ -239,14 +241,14 @@
     }
 
     /// The worker reports a task that this leader did not place there.
-    fn found(&mut self, name: &str, task: &TaskId, reported: &TaskReport, now: u64) {
+    fn found(&mut self, name: &str, task: &TaskId, reported: &TaskStatus, now: u64) {
         let key = self.by_id.get(&task.job).copied();
         let job = key.and_then(|k| self.jobs.get_mut(&k));
         let job = job.filter(|j| task.index < j.spec.tasks);
         let key = if job.is_some() { key } else { None };
         let Some(machine) = self.machines.get_mut(name) else { return };
-        if reported.status == TaskState::Ended {
-            let cause = reported.cause.unwrap_or(Cause::Other);
+        if reported.state == TaskState::Ended {
+            let cause = reported.cause.unwrap_or(ExitCause::Other);
             machine.ended.push(Ended {
                 job: key,
                 task: reported.task.clone(),
@@ -254,7 +256,7 @@
                 attempt: reported.attempt,
                 cause,
             });
-            if let (Some(key), Cause::Done) = (key, cause) {
+            if let (Some(key), ExitCause::Done) = (key, cause) {
                 self.complete(key, task.index, None);
             }
             return;
@@ -264,11 +266,11 @@
             task: reported.task.clone(),
             index: task.index,
             attempt: reported.attempt,
-            phase: Phase::On(reported.status),
+            phase: Phase::On(reported.state),
             stray: true,
             kill: None,
             pushed: false,
-            running_since: (reported.status == TaskState::Running).then_some(now),
+            running_since: (reported.state == TaskState::Running).then_some(now),
             since: now,
             found: true,
         };
@@ -311,7 +313,7 @@
         let cache = self
             .machine_types
             .iter()
-            .find(|f| f.label == machine.machine_type)
+            .find(|f| f.name == machine.machine_type)
             .map_or(0.0, |f| f.cache_gb);
         let used: Vec<(u32, f64)> = machine
             .held
@@ -334,7 +336,8 @@
     pub(super) fn count_running(&mut self, name: &str, add: bool) {
         let Some(machine) = self.machines.get(name) else { return };
         for held in &machine.held {
-            let runs = matches!(held.phase, Phase::On(TaskState::Running | TaskState::Saving));
+            let runs =
+                matches!(held.phase, Phase::On(TaskState::Running | TaskState::Checkpointing));
             if runs && let Some(job) = held.job.and_then(|k| self.jobs.get_mut(&k)) {
                 job.running = if add { job.running + 1 } else { job.running.saturating_sub(1) };
             }
--- a/crates/controller/src/ledger/commands.rs
+++ b/crates/controller/src/ledger/commands.rs
@@ -2,7 +2,7 @@
 
 use super::{Held, Ledger, Phase, Slot};
 use hookway_constants as constants;
-use hookway_wire::{Cause, Command, DirectCommands};
+use hookway_wire::{Command, DirectCommands, ExitCause};
 
 /// Most commands in one answer, so that its only line stays far below 64 KiB.
 const COMMANDS_AT_MOST: usize = 400;
@@ -16,7 +16,7 @@
             return Some(0.0);
         }
         if let Some(kill) = held.kill {
-            let patience = (job.spec.save_s * 1000.0) as u64 + constants::STOP_PATIENCE_MS;
+            let patience = (job.spec.checkpoint_s * 1000.0) as u64 + constants::STOP_PATIENCE_MS;
             let late = now.saturating_sub(kill.since) > patience;
             return Some(if late { 0.0 } else { kill.grace_s });
         }
@@ -30,7 +30,7 @@
         for e in &machine.ended {
             // The result must be durable before the worker may forget it.
             let job = e.job.and_then(|k| self.jobs.get(&k));
-            let needed = e.cause == Cause::Done
+            let needed = e.cause == ExitCause::Done
                 && job.is_some_and(|j| {
                     j.over.is_none() && !j.spec.is_daemon() && !j.progress.is_durable(e.index)
                 });
@@ -116,7 +116,10 @@
             }
             let session = machine.newest.0;
             let token = self.term + machine.bump;
-            pushes.push((machine.addr.clone(), DirectCommands { token, session, commands }));
+            pushes.push((
+                machine.addr.clone(),
+                DirectCommands { fencing_token: token, incarnation: session, commands },
+            ));
         }
         pushes
     }
--- a/crates/controller/src/ledger/commit.rs
+++ b/crates/controller/src/ledger/commit.rs
@@ -7,7 +7,7 @@
 };
 use hookway_constants as constants;
 use hookway_policy::needs_rewrite;
-use hookway_wire::{Change, JobId, JobState, KeyValue, Transaction};
+use hookway_wire::{JobId, JobState, KeyValue, Operation, Transaction};
 use std::collections::BTreeMap;
 
 impl Ledger {
@@ -29,7 +29,10 @@
             return None;
         }
         let mut commit = Commit {
-            transaction: Transaction { guards: vec![self.writer.lead.clone()], apply: vec![] },
+            transaction: Transaction {
+                preconditions: vec![self.writer.lead.clone()],
+                operations: vec![],
+            },
             items: vec![],
             most,
             bytes: 0,
@@ -47,10 +50,10 @@
         self.add_minimums(&mut commit, now);
         self.add_classes(&mut commit, now);
         self.add_hints(&mut commit, now);
-        if commit.transaction.apply.is_empty() {
+        if commit.transaction.operations.is_empty() {
             return None;
         }
-        self.writer.bucket.units -= commit.transaction.apply.len() as f64;
+        self.writer.bucket.units -= commit.transaction.operations.len() as f64;
         self.writer.busy = true;
         Some(commit)
     }
@@ -235,11 +238,13 @@
         self.writer.busy = false;
         match result {
             CommitResult::Applied(revision) => {
-                for change in &commit.transaction.apply {
+                for change in &commit.transaction.operations {
                     match change {
-                        Change::Put { put, .. } if is_own(put) => self.writer.stamp(put, revision),
-                        Change::Put { .. } => {}
-                        Change::Delete { delete } => self.writer.stamp(delete, 0),
+                        Operation::Put { key: put, .. } if is_own(put) => {
+                            self.writer.stamp(put, revision)
+                        }
+                        Operation::Put { .. } => {}
+                        Operation::Delete { key: delete } => self.writer.stamp(delete, 0),
                     }
                 }
                 for item in commit.items {
@@ -257,8 +262,8 @@
             CommitResult::Unsure(learned) => {
                 for (key, value) in learned {
                     if key == self.writer.lead.key {
-                        let stamp = value.as_ref().map_or(0, |v| v.stamp);
-                        if stamp != self.writer.lead.stamp {
+                        let stamp = value.as_ref().map_or(0, |v| v.mod_revision);
+                        if stamp != self.writer.lead.mod_revision {
                             tracing::info!("another node leads now, or none");
                             self.writer.deposed = true;
                         }
@@ -292,7 +297,7 @@
     /// rejected by itself waits and holds up nothing else.
     fn rejected(&mut self, commit: Commit, now: u64) {
         self.writer.pause_until = now + constants::LEADER_RETRY_MS;
-        let changes = commit.transaction.apply.len();
+        let changes = commit.transaction.operations.len();
         self.writer.most_changes = (changes / 2).max(constants::FINAL_OPS);
         let alone = commit.items.len() == 1;
         for item in commit.items {
@@ -402,7 +407,7 @@
     /// A key was read again after an unclear or failed transaction.
     fn learn(&mut self, key: &str, value: Option<KeyValue>) {
         if is_own(key) {
-            self.writer.stamp(key, value.map_or(0, |kv| kv.stamp));
+            self.writer.stamp(key, value.map_or(0, |kv| kv.mod_revision));
             return;
         }
         let mut parts = key.split('/');
@@ -411,16 +416,17 @@
         let Some(job) = job else { return };
         match kind {
             "f" => {
-                let record = value.and_then(|kv| serde_json::from_value::<FinalRecord>(kv.v).ok());
+                let record =
+                    value.and_then(|kv| serde_json::from_value::<FinalRecord>(kv.value).ok());
                 if let Some(record) = record {
                     self.decide(job, record);
                 }
             }
             "p" => {
                 let Some((_, from)) = progress_place(key) else { return };
-                let stamp = value.as_ref().map_or(0, |kv| kv.stamp);
+                let stamp = value.as_ref().map_or(0, |kv| kv.mod_revision);
                 let record =
-                    value.and_then(|kv| serde_json::from_value::<ProgressRecord>(kv.v).ok());
+                    value.and_then(|kv| serde_json::from_value::<ProgressRecord>(kv.value).ok());
                 self.learn_progress(job, from, stamp, record.as_ref());
             }
             _ => {}
--- a/crates/controller/src/ledger/departures.rs
+++ b/crates/controller/src/ledger/departures.rs
@@ -2,7 +2,7 @@
 
 use super::{Held, Job, Ledger, Phase, Slot, lease_over_ms};
 use hookway_constants as constants;
-use hookway_wire::Cause;
+use hookway_wire::ExitCause;
 
 /// How a task left its place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -10,7 +10,7 @@
     /// Its start was never sent, or surely did not arrive.
     NotStarted,
     /// It ended there.
-    Ended(Cause),
+    Ended(ExitCause),
     /// The machine, or the worker's session, is gone.
     Lost,
 }
@@ -35,7 +35,7 @@
             }
         } else if job.slots[index as usize] == Slot::Held {
             job.slots[index as usize] = Slot::Free;
-            if job.spec.is_gang() && leave != Leave::Ended(Cause::Done) {
+            if job.spec.is_gang() && leave != Leave::Ended(ExitCause::Done) {
                 job.broken = true;
                 self.stops_due = true;
             }
@@ -66,9 +66,16 @@
         self.drop_if_gone(key);
     }
 
-    pub(super) fn ended_with(&mut self, name: &str, key: u64, held: &Held, cause: Cause, now: u64) {
+    pub(super) fn ended_with(
+        &mut self,
+        name: &str,
+        key: u64,
+        held: &Held,
+        cause: ExitCause,
+        now: u64,
+    ) {
         let daemon = self.jobs.get(&key).is_some_and(|j| j.spec.is_daemon());
-        if cause == Cause::Done && !daemon {
+        if cause == ExitCause::Done && !daemon {
             // After a silence nobody knows when it ended, and of one that an earlier leader started,
             // when it began: such times would make the mean too short.
             let heard = self.machines.get(name).map_or(0, |h| h.last_answer);
@@ -93,16 +100,16 @@
         }
         let Some(job) = self.jobs.get_mut(&key) else { return };
         if !held.stray && job.over.is_none() {
-            job.note(format!("task {} {} (machine {name})", held.index, cause.plain()));
+            job.note(format!("task {} {} (machine {name})", held.index, cause.description()));
         }
         let Some(machine) = self.machines.get_mut(name) else { return };
         match cause {
-            Cause::Error => self.blame(name, key, held.since, now),
-            Cause::Done => job.replica_completed(name, held.running_since, held.since, now),
-            Cause::NoRoom | Cause::Busy => {
+            ExitCause::Error => self.blame(name, key, held.since, now),
+            ExitCause::Done => job.replica_completed(name, held.running_since, held.since, now),
+            ExitCause::InsufficientResources | ExitCause::AttemptConflict => {
                 machine.pause_until = now + constants::NO_ROOM_PAUSE_MS;
             }
-            Cause::Unknown => job.pause_until = now + constants::ERROR_PAUSE_MS,
+            ExitCause::UnknownJob => job.pause_until = now + constants::ERROR_PAUSE_MS,
             _ => {}
         }
     }
--- a/crates/controller/src/ledger/direct_starts.rs
+++ b/crates/controller/src/ledger/direct_starts.rs
@@ -4,7 +4,7 @@
 use super::{Ledger, Phase};
 use hookway_clients::Delivery;
 use hookway_constants as constants;
-use hookway_wire::{CheckIn, Command, DirectCommands};
+use hookway_wire::{Command, DirectCommands, Heartbeat};
 
 impl Ledger {
     /// Starts that should not wait for their workers' next reports: machine, address and commands. The
@@ -70,7 +70,8 @@
                 held.phase = Phase::Pushed(token);
                 commands.push(Command::Run { task: held.task.clone(), attempt: held.attempt });
             }
-            let commands = DirectCommands { token, session: machine.newest.0, commands };
+            let commands =
+                DirectCommands { fencing_token: token, incarnation: machine.newest.0, commands };
             let address = machine.addr.clone();
             self.touch(&name);
             sends.push((name, address, commands));
@@ -86,11 +87,11 @@
         machine.direct = false;
         match delivery {
             Delivery::Done(report) => {
-                let stamp = (report.session, report.tick);
+                let stamp = (report.incarnation, report.sequence);
                 // Only of the session that was addressed; it renews no lease.
                 if report.machine == name
-                    && report.session == machine.newest.0
-                    && report.session > machine.dead_session
+                    && report.incarnation == machine.newest.0
+                    && report.incarnation > machine.dead_session
                     && stamp > machine.newest
                 {
                     machine.newest = stamp;
@@ -144,18 +145,18 @@
     /// What a worker said that was asked what is on its machine. With the new term's token it names
     /// everything: whatever an earlier leader sent, the worker refuses from then on. It renewed no lease; but
     /// the worker may be in a session whose lease began just now.
-    pub fn greeted(&mut self, name: &str, report: Option<CheckIn>, now: u64) {
-        let report = report.filter(|r| r.machine == name && r.token >= self.term);
+    pub fn greeted(&mut self, name: &str, report: Option<Heartbeat>, now: u64) {
+        let report = report.filter(|r| r.machine == name && r.fencing_token >= self.term);
         let Some(machine) = self.machines.get_mut(name) else { return };
         if machine.asked.under_way {
             machine.asked.end(report.is_some());
             self.greetings = self.greetings.saturating_sub(1);
         }
         let Some(report) = report else { return };
-        let stamp = (report.session, report.tick);
-        let over = report.session <= machine.dead_session || machine.closing.is_some();
+        let stamp = (report.incarnation, report.sequence);
+        let over = report.incarnation <= machine.dead_session || machine.closing.is_some();
         // A session that began since its last report: its next report tells, and clears what the last one held.
-        let other_session = machine.heard && report.session != machine.newest.0;
+        let other_session = machine.heard && report.incarnation != machine.newest.0;
         if over || other_session || stamp <= machine.newest {
             return;
         }
--- a/crates/controller/src/ledger/fleet.rs
+++ b/crates/controller/src/ledger/fleet.rs
@@ -2,7 +2,7 @@
 use super::{Ledger, Machine, lease_over_ms};
 use hookway_constants as constants;
 use hookway_policy::{MachineView, Offer, Room, plan_fleet};
-use hookway_wire::{ListedMachine, MachineState, MachineType, RentRequest};
+use hookway_wire::{ListedMachine, MachineState, MachineType, ScaleOutRequest};
 use std::collections::{HashMap, HashSet};
 
 /// Why a machine is given back that does not report any more.
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum FleetAction {
     /// Rent; the answer goes to [`Ledger::rented`].
-    Rent(RentRequest),
+    Rent(ScaleOutRequest),
     /// Delete; once the cloud has confirmed, [`Ledger::deleted`].
     Delete(Vec<String>),
 }
@@ -108,9 +108,9 @@
             self.next_request += 1;
             // Never used again, by no node: the term leads the name.
             let request_id = format!("h-{}-{}", self.term, self.next_request);
-            let request = RentRequest {
+            let request = ScaleOutRequest {
                 request_id: request_id.clone(),
-                machine_type: self.machine_types[offer.machine_type].label.clone(),
+                machine_type: self.machine_types[offer.machine_type].name.clone(),
                 zone: self.setup.params.zones[offer.zone].clone(),
                 spot: offer.spot,
                 count,
@@ -199,7 +199,7 @@
             let mut busy_machines = 0;
             for (name, machine) in &self.machines {
                 let Some(machine_type) =
-                    self.machine_types.iter().find(|f| f.label == machine.machine_type)
+                    self.machine_types.iter().find(|f| f.name == machine.machine_type)
                 else {
                     continue;
                 };
@@ -305,7 +305,7 @@
         let lease = lease_over_ms(&self.setup.params);
         let settled = self.settled(now);
         let idle_return: HashMap<String, u64> =
-            self.machine_types.iter().map(|f| (f.label.clone(), self.idle_return(f))).collect();
+            self.machine_types.iter().map(|f| (f.name.clone(), self.idle_return(f))).collect();
         let mut machines_to_delete = Vec::new();
         let waiting = self.jobs.values().any(|j| j.inherited && j.live() && !j.free.is_empty());
         // Time for a worker to report once, to try each node with one that hangs among them, and to
@@ -352,7 +352,7 @@
             let ready_ms = self
                 .machine_types
                 .iter()
-                .find(|f| f.label == machine.machine_type)
+                .find(|f| f.name == machine.machine_type)
                 .map_or(60_000.0, |f| f.boot_s * 1000.0);
             let patience =
                 (ready_ms * constants::BOOT_GIVE_UP_FACTOR) as u64 + constants::BOOT_GIVE_UP_MS;
@@ -389,7 +389,7 @@
     }
 
     /// The cloud answered a rental. `None`: no capacity.
-    pub fn rented(&mut self, request: &RentRequest, machines: Option<Vec<String>>, now: u64) {
+    pub fn rented(&mut self, request: &ScaleOutRequest, machines: Option<Vec<String>>, now: u64) {
         let Some(i) = self.renting.iter().position(|r| r.request_id == request.request_id) else {
             return;
         };
--- a/crates/controller/src/ledger/load.rs
+++ b/crates/controller/src/ledger/load.rs
@@ -32,11 +32,11 @@
     /// Takes in everything that was read. Jobs come first, as what the other records say is about them.
     pub(super) fn load(&mut self, loaded: Loaded, at: Moment) {
         let own = loaded.minimums.iter().chain(&loaded.roster).chain(&loaded.classes);
-        own.for_each(|kv| self.writer.stamp(&kv.key, kv.stamp));
+        own.for_each(|kv| self.writer.stamp(&kv.key, kv.mod_revision));
         self.load_classes(loaded.classes);
         let accepted = Accepted::new(&loaded.jobs);
         for kv in loaded.jobs {
-            self.job_seen(&kv.key, kv.v, at, true);
+            self.job_seen(&kv.key, kv.value, at, true);
         }
         for kv in loaded.progress {
             self.load_progress(kv, &accepted);
@@ -60,7 +60,7 @@
     /// What classes need. Without it a leader that finds no job of a class would return the machines that stand
     /// by for it.
     fn load_classes(&mut self, classes: Option<KeyValue>) {
-        let classes = classes.map(|kv| serde_json::from_value(kv.v));
+        let classes = classes.map(|kv| serde_json::from_value(kv.value));
         match classes.transpose() {
             Ok(classes) => {
                 let classes: BTreeMap<String, ClassRecord> = classes.unwrap_or_default();
@@ -84,19 +84,19 @@
         let Some((job, from)) = place else {
             return self.remove_if_orphaned(kv.key, accepted);
         };
-        match serde_json::from_value::<ProgressRecord>(kv.v) {
-            Ok(record) => self.learn_progress(job, from, kv.stamp, Some(&record)),
+        match serde_json::from_value::<ProgressRecord>(kv.value) {
+            Ok(record) => self.learn_progress(job, from, kv.mod_revision, Some(&record)),
             Err(e) => {
                 // What it says is done runs once more, and the new record replaces just this version.
                 tracing::error!("{}: the progress record can't be read: {e}", kv.key);
-                self.learn_progress(job, from, kv.stamp, None);
+                self.learn_progress(job, from, kv.mod_revision, None);
             }
         }
     }
 
     /// A record of marks that small jobs share; `false` if it can't be read.
     fn load_shared_marks_record(&mut self, kv: KeyValue, number: u64) -> bool {
-        match serde_json::from_value::<SharedMarksRecord>(kv.v) {
+        match serde_json::from_value::<SharedMarksRecord>(kv.value) {
             Ok(record) => {
                 self.load_shared_marks(kv.key, number, record);
                 true
@@ -114,7 +114,7 @@
         let Some(job) = known.and_then(|k| self.jobs.get_mut(k)) else {
             return self.remove_if_orphaned(kv.key, accepted);
         };
-        match serde_json::from_value::<MinimumRecord>(kv.v) {
+        match serde_json::from_value::<MinimumRecord>(kv.value) {
             Ok(record) => {
                 job.written_minimum = Some(record.least);
                 job.timed = record.timed;
@@ -146,12 +146,12 @@
     fn load_roster_record(&mut self, kv: KeyValue, at: Moment) {
         let Some(name) = kv.key.strip_prefix(crate::records::ROSTER) else { return };
         let Some(number) = Roster::number(name) else {
-            let since = kv.v.get("at_ms").and_then(serde_json::Value::as_u64);
+            let since = kv.value.get("at_ms").and_then(serde_json::Value::as_u64);
             self.inherit_machine(name, since, Vec::new(), at);
             self.writer.old_entry(name, since.unwrap_or(at.wall));
             return;
         };
-        let record: RosterRecord = match serde_json::from_value(kv.v) {
+        let record: RosterRecord = match serde_json::from_value(kv.value) {
             Ok(record) => record,
             Err(e) => {
                 // Nothing can be said of its machines: what they hold shows in their reports, and
@@ -173,7 +173,7 @@
     /// A machine's images as version 0.1.0 wrote them; the roster has them from now on.
     fn load_images(&mut self, kv: KeyValue) {
         let name = kv.key.strip_prefix(crate::records::IMAGES).unwrap_or_default();
-        if let Ok(record) = serde_json::from_value::<ImagesRecord>(kv.v) {
+        if let Ok(record) = serde_json::from_value::<ImagesRecord>(kv.value) {
             let images = self.images_of(&record.images);
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.images = images;
--- a/crates/controller/src/ledger/mod.rs
+++ b/crates/controller/src/ledger/mod.rs
@@ -32,7 +32,7 @@
 use crate::holders::{BlockLease, Holders, Renewal};
 use crate::records::{ClassRecord, FinalRecord, JobRecord};
 use hookway_constants as constants;
-use hookway_wire::{Guard, JobId, JobSpec, JobState, KeyValue, MachineType};
+use hookway_wire::{JobId, JobSpec, JobState, KeyValue, MachineType, Precondition};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use writer::Writer;
 
@@ -227,7 +227,7 @@
     pub fn new(
         setup: Setup,
         term: u64,
-        lead: Guard,
+        lead: Precondition,
         machine_types: Vec<MachineType>,
         loaded: Loaded,
         at: Moment,
--- a/crates/controller/src/ledger/model.rs
+++ b/crates/controller/src/ledger/model.rs
@@ -3,7 +3,7 @@
 use crate::records::{FinalRecord, JobRecord};
 use hookway_constants as constants;
 use hookway_policy::Room;
-use hookway_wire::{Cause, CheckIn, JobId, JobSpec, JobState, TaskState};
+use hookway_wire::{ExitCause, Heartbeat, JobId, JobSpec, JobState, TaskState};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
 /// The newest so many members of a set; older ones are forgotten, so that memory stays bounded over
@@ -353,7 +353,7 @@
     /// The attempt.
     pub attempt: u64,
     /// Why it ended.
-    pub cause: Cause,
+    pub cause: ExitCause,
 }
 
 /// What the worker's next report shows if it has taken an answer.
@@ -373,14 +373,14 @@
 
 impl Expected {
     /// Whether the answer was taken; `None` if it had nothing that would show.
-    pub fn taken(&self, report: &CheckIn) -> Option<bool> {
+    pub fn taken(&self, report: &Heartbeat) -> Option<bool> {
         if self.token.is_none() && self.runs.is_empty() && self.reaps.is_empty() {
             return None;
         }
         let there = |(task, attempt): &(String, u64)| {
             report.tasks.iter().any(|p| p.attempt == *attempt && p.task == *task)
         };
-        let shown = self.token.is_none_or(|t| report.token >= t)
+        let shown = self.token.is_none_or(|t| report.fencing_token >= t)
             && self.runs.iter().all(there)
             && !self.reaps.iter().any(there);
         Some(shown)
@@ -530,9 +530,9 @@
     }
 
     /// What its newest message says of the machine itself.
-    pub fn described(&mut self, report: &CheckIn, now: u64) {
-        self.newest = (report.session, report.tick);
-        self.notice = report.notice_s.map(|s| now + (s.max(0.0) * 1000.0) as u64);
+    pub fn described(&mut self, report: &Heartbeat, now: u64) {
+        self.newest = (report.incarnation, report.sequence);
+        self.notice = report.interruption_notice_s.map(|s| now + (s.max(0.0) * 1000.0) as u64);
         self.addr.clone_from(&report.addr);
         self.machine_type.clone_from(&report.machine_type);
         self.zone.clone_from(&report.zone);
--- a/crates/controller/src/ledger/outcomes.rs
+++ b/crates/controller/src/ledger/outcomes.rs
@@ -44,11 +44,11 @@
     pub(super) fn describe(&self, job: &Job) -> JobStatus {
         JobStatus {
             id: job.id.clone(),
-            status: if job.running > 0 { JobState::Running } else { JobState::Queued },
+            state: if job.running > 0 { JobState::Running } else { JobState::Queued },
             done: job.done,
             running: job.running,
             team: Some(job.spec.team.clone()),
-            commander: Some(self.setup.label.clone()),
+            leader: Some(self.setup.label.clone()),
             notes: job.notes.iter().cloned().collect(),
         }
     }
--- a/crates/controller/src/ledger/replicate.rs
+++ b/crates/controller/src/ledger/replicate.rs
@@ -33,7 +33,7 @@
     match phase {
         Phase::Planned => Stage::Planned,
         Phase::Sent | Phase::Pushed(_) => Stage::Sent,
-        Phase::On(TaskState::Running | TaskState::Saving) => Stage::Running,
+        Phase::On(TaskState::Running | TaskState::Checkpointing) => Stage::Running,
         Phase::On(_) => Stage::Accepted,
     }
 }
@@ -169,7 +169,7 @@
         for held in self.machines.values().flat_map(|machine| &machine.held) {
             let waits = matches!(
                 held.phase,
-                Phase::Planned | Phase::On(TaskState::Pulling | TaskState::Waiting)
+                Phase::Planned | Phase::On(TaskState::FetchingImage | TaskState::WaitingForGang)
             );
             if let Some(key) = held.job
                 && (!waits || held.kill.is_some())
--- a/crates/controller/src/ledger/schedule.rs
+++ b/crates/controller/src/ledger/schedule.rs
@@ -143,7 +143,7 @@
             .iter()
             .map(|f| {
                 let named =
-                    job.spec.machine_types.as_ref().is_none_or(|list| list.contains(&f.label));
+                    job.spec.machine_types.as_ref().is_none_or(|list| list.contains(&f.name));
                 named && Room::of_machine_type(f).fits(&job.need)
             })
             .collect();
@@ -158,12 +158,12 @@
             machine_types,
             zone,
             one_zone: job.spec.one_zone,
-            zone_cap: job.spec.zone_cap(),
+            zone_cap: job.spec.max_tasks_per_zone(),
             spot: job.spec.spot,
             image: job.image,
             image_gb: job.spec.image_gb,
-            saves: job.spec.saves(),
-            save_time: if job.spec.saves() { job.spec.save_s } else { 0.0 },
+            saves: job.spec.checkpoints(),
+            save_time: if job.spec.checkpoints() { job.spec.checkpoint_s } else { 0.0 },
             submitted: job.submitted,
             due: job.due,
             start_by: job.start_by.clone(),
@@ -187,7 +187,7 @@
         now: u64,
     ) -> Option<MachineView> {
         let machine_type =
-            self.machine_types.iter().position(|f| f.label == machine.machine_type)?;
+            self.machine_types.iter().position(|f| f.name == machine.machine_type)?;
         let zone = self.setup.params.zone(&machine.zone)?;
         let total = Room::of_machine_type(&self.machine_types[machine_type]);
         let (free, strangers) = self.free_room(machine, total);
@@ -264,7 +264,7 @@
             return;
         }
         let Some(machine_type) =
-            self.machine_types.iter().position(|f| f.label == machine.machine_type)
+            self.machine_types.iter().position(|f| f.name == machine.machine_type)
         else {
             return;
         };
@@ -425,7 +425,8 @@
                 let Some(job) = held.job.and_then(|k| self.jobs.get(&k)) else { continue };
                 let idle = matches!(
                     held.phase,
-                    Phase::Planned | Phase::On(TaskState::Pulling | TaskState::Waiting)
+                    Phase::Planned
+                        | Phase::On(TaskState::FetchingImage | TaskState::WaitingForGang)
                 );
                 // What can't be done before the machine goes starts anew elsewhere the sooner.
                 let ran = held.running_since.map_or(0, |s| now.saturating_sub(s)) as f64;
@@ -433,7 +434,7 @@
                 let hopeless = !job.spec.is_gang()
                     && job.solid_mean().zip(goes).is_some_and(|(mean, goes)| mean - ran > goes);
                 // A replica never finishes first.
-                let moves = idle || job.spec.saves() || job.spec.is_daemon() || hopeless;
+                let moves = idle || job.spec.checkpoints() || job.spec.is_daemon() || hopeless;
                 if held.kill.is_none() && moves {
                     stops.push(i);
                 }
@@ -540,7 +541,7 @@
         let Some(key) = held.job else { return };
         let (task, attempt) = (held.task.clone(), held.attempt);
         let Some(job) = self.jobs.get(&key) else { return };
-        let grace_s = if job.spec.saves() { job.spec.save_s + 1.0 } else { 0.0 };
+        let grace_s = if job.spec.checkpoints() { job.spec.checkpoint_s + 1.0 } else { 0.0 };
         self.stops_due = true;
         let kill = Kill { grace_s, since: now };
         let gang = job.spec.is_gang();
--- a/crates/controller/src/ledger/writer.rs
+++ b/crates/controller/src/ledger/writer.rs
@@ -7,7 +7,7 @@
     CLASSES, FinalRecord, MINIMUMS, MinimumRecord, ProgressRecord, ROSTER, roster_key,
 };
 use hookway_constants as constants;
-use hookway_wire::{Change, Guard, KeyValue, Transaction};
+use hookway_wire::{KeyValue, Operation, Precondition, Transaction};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 /// Bytes of values that one transaction may hold; the limit is 64 KiB in all.
@@ -40,7 +40,7 @@
 /// What the leader has to write, and what it knows of its writes.
 #[derive(Debug)]
 pub(super) struct Writer {
-    pub lead: Guard,
+    pub lead: Precondition,
     pub finals: VecDeque<u64>,
     pub chunks: VecDeque<(u64, usize)>,
     pub roster: Roster,
@@ -67,7 +67,7 @@
 }
 
 impl Writer {
-    pub fn new(params: &Params, lead: Guard, now: u64) -> Self {
+    pub fn new(params: &Params, lead: Precondition, now: u64) -> Self {
         let rate = params.state.write_rps;
         Self {
             lead,
@@ -158,12 +158,12 @@
     /// Whether `changes` more may be added. Sizes count, not numbers alone: however many changes the
     /// store takes at a time, a transaction has a length that it may not exceed.
     pub(super) fn open(&self, changes: usize) -> bool {
-        self.transaction.apply.len() + changes <= self.most && self.bytes < TRANSACTION_BYTES
+        self.transaction.operations.len() + changes <= self.most && self.bytes < TRANSACTION_BYTES
     }
 
     pub(super) fn guard(&mut self, key: String, stamp: u64) {
         self.bytes += key.len() + CHANGE_BYTES;
-        self.transaction.guards.push(Guard { key, stamp });
+        self.transaction.preconditions.push(Precondition { key, mod_revision: stamp });
     }
 
     /// A transaction without an answer may be carried out late, after newer ones of this leader. So each
@@ -175,16 +175,16 @@
 
     pub(super) fn put(&mut self, key: String, value: serde_json::Value) {
         self.bytes += key.len() + CHANGE_BYTES + value.to_string().len();
-        self.transaction.apply.push(Change::put(key, value));
+        self.transaction.operations.push(Operation::put(key, value));
     }
 
     pub(super) fn delete(&mut self, key: String) {
         self.bytes += key.len() + CHANGE_BYTES;
-        self.transaction.apply.push(Change::delete(key));
+        self.transaction.operations.push(Operation::delete(key));
     }
 
     /// The keys that must be read again when the outcome is not plain success.
     pub fn keys(&self) -> Vec<String> {
-        self.transaction.guards.iter().map(|g| g.key.clone()).collect()
+        self.transaction.preconditions.iter().map(|g| g.key.clone()).collect()
     }
 }
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -4,7 +4,7 @@
 mod messages;
 mod records_io;
 
-pub use messages::{Ask, CheckInReply};
+pub use messages::{Ask, HeartbeatReply};
 
 use crate::answers::Finals;
 use crate::holders::Holding;
@@ -13,11 +13,13 @@
 use crate::records::JOBS;
 use crate::standby::Standby;
 use hookway_clients::{
-    CloudClient, CloudError, Delivery, RentOutcome, StoreClient, StoreError, WorkerClient,
+    CloudClient, CloudError, Delivery, ScaleOutOutcome, StoreClient, StoreError, WorkerClient,
 };
 use hookway_constants as constants;
 use hookway_replication::Publisher;
-use hookway_wire::{CheckIn, CheckInAnswer, Command, Event, JobId, MachineType, ReplicationStatus};
+use hookway_wire::{
+    Command, Heartbeat, HeartbeatResponse, JobId, MachineType, ReplicationStatus, WatchEvent,
+};
 use messages::Note;
 use records_io::{carry_out, load};
 use std::collections::HashMap;
@@ -102,13 +104,13 @@
 
     fn not_leading(&self, ask: Ask) {
         match ask {
-            Ask::CheckIn(report, reply) => {
+            Ask::Heartbeat(report, reply) => {
                 let now = self.clock.now();
                 let in_touch = self.holding.borrow().leader_in_touch(now);
                 let leader = self.view.borrow().leader.clone().filter(|_| in_touch);
                 let other = leader.filter(|l| *l != self.setup.label);
                 let kept = self.keep_alive(&report, now);
-                let _ = reply.send(kept.unwrap_or(CheckInReply::Elsewhere(other)));
+                let _ = reply.send(kept.unwrap_or(HeartbeatReply::Elsewhere(other)));
             }
             Ask::Status(_, reply) => drop(reply.send(None)),
             Ask::Cancel(_, reply) => drop(reply.send(None)),
@@ -144,9 +146,9 @@
     }
 
     /// The answer of this node as the holder of a block, if it may and should give one.
-    fn keep_alive(&self, report: &CheckIn, now: u64) -> Option<CheckInReply> {
+    fn keep_alive(&self, report: &Heartbeat, now: u64) -> Option<HeartbeatReply> {
         let kept = self.holding.borrow_mut().keep(report, now, |id| self.finals.holds(id))?;
-        Some(CheckInReply::Answer(kept.answer, self.moment(kept.until)))
+        Some(HeartbeatReply::Answer(kept.answer, self.moment(kept.until)))
     }
 
     async fn lead(&mut self, mandate: Mandate) {
@@ -236,7 +238,7 @@
                     Ok(answer) => {
                         revision = revision.max(answer.revision);
                         for event in answer.events {
-                            if let Event::Put { put, v, .. } = event
+                            if let WatchEvent::Put { key: put, value: v, .. } = event
                                 && notes.send(Note::JobPut(put, v)).await.is_err()
                             {
                                 return;
@@ -249,7 +251,7 @@
                             Ok((jobs, at)) => {
                                 revision = at;
                                 for kv in jobs {
-                                    if notes.send(Note::JobPut(kv.key, kv.v)).await.is_err() {
+                                    if notes.send(Note::JobPut(kv.key, kv.value)).await.is_err() {
                                         return;
                                     }
                                 }
@@ -274,14 +276,14 @@
         let entitled = self.validity.holds(term.mandate.term, now) && !term.paused;
         let Some(ledger) = term.ledger.as_mut().filter(|_| entitled) else {
             match ask {
-                Ask::CheckIn(report, reply) => {
+                Ask::Heartbeat(report, reply) => {
                     let kept = self.keep_alive(&report, now);
                     if kept.is_some()
                         && let Some(ledger) = &mut term.ledger
                     {
                         ledger.kept_alive(&report.machine, now);
                     }
-                    let _ = reply.send(kept.unwrap_or(CheckInReply::Unsure));
+                    let _ = reply.send(kept.unwrap_or(HeartbeatReply::Unsure));
                 }
                 Ask::Renewal(reply) => drop(reply.send(None)),
                 Ask::FollowRequest(reply) => drop(reply.send(None)),
@@ -291,17 +293,18 @@
             return;
         };
         match ask {
-            Ask::CheckIn(report, reply) => {
+            Ask::Heartbeat(report, reply) => {
                 let until = self.moment(self.validity.until(term.mandate.term));
                 let answer = ledger.check_in(&report, now);
-                let starts = |a: &CheckInAnswer| {
+                let starts = |a: &HeartbeatResponse| {
                     a.commands.iter().any(|command| matches!(command, Command::Run { .. }))
                 };
                 if answer.as_ref().is_some_and(starts) {
                     self.standby.borrow_mut().decided(now);
                 }
-                let _ = reply
-                    .send(answer.map_or(CheckInReply::Unsure, |a| CheckInReply::Answer(a, until)));
+                let _ = reply.send(
+                    answer.map_or(HeartbeatReply::Unsure, |a| HeartbeatReply::Answer(a, until)),
+                );
                 self.flush(term);
             }
             Ask::Status(id, reply) => drop(reply.send(Some(ledger.status(&id)))),
@@ -492,7 +495,8 @@
                 } else {
                     Delivery::NotSent
                 };
-                let _ = notes.send(Note::Delivered(machine, commands.token, delivery)).await;
+                let _ =
+                    notes.send(Note::Delivered(machine, commands.fencing_token, delivery)).await;
             });
         }
         let Some(commit) = ledger.next_commit(now) else { return };
@@ -602,11 +606,11 @@
                         continue;
                     }
                     match cloud.rent(&request).await {
-                        Ok(RentOutcome::Rented(machines)) => {
+                        Ok(ScaleOutOutcome::Rented(machines)) => {
                             let _ = notes.send(Note::Rented(request, Some(machines))).await;
                             return;
                         }
-                        Ok(RentOutcome::NoCapacity) | Err(CloudError::Unexpected(..)) => {
+                        Ok(ScaleOutOutcome::NoCapacity) | Err(CloudError::Unexpected(..)) => {
                             let _ = notes.send(Note::Rented(request, None)).await;
                             return;
                         }
--- a/crates/controller/src/node/messages.rs
+++ b/crates/controller/src/node/messages.rs
@@ -4,7 +4,9 @@
 use crate::ledger::{Cancellation, Commit, CommitResult, Loaded, Lookup};
 use hookway_clients::Delivery;
 use hookway_replication::{FollowAnswer, FollowRequest};
-use hookway_wire::{CheckIn, CheckInAnswer, JobId, ListedMachine, RentRequest, ReplicationStatus};
+use hookway_wire::{
+    Heartbeat, HeartbeatResponse, JobId, ListedMachine, ReplicationStatus, ScaleOutRequest,
+};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
@@ -12,7 +14,7 @@
 #[derive(Debug)]
 pub enum Ask {
     /// A worker reports.
-    CheckIn(CheckIn, oneshot::Sender<CheckInReply>),
+    Heartbeat(Heartbeat, oneshot::Sender<HeartbeatReply>),
     /// A job's state.
     Status(JobId, oneshot::Sender<Option<Lookup>>),
     /// Cancel a job; answered once the decision is durable.
@@ -38,10 +40,10 @@
 
 /// The answer to a report.
 #[derive(Debug, Clone, PartialEq)]
-pub enum CheckInReply {
+pub enum HeartbeatReply {
     /// Commands. They may go out before this moment only: a process can stand still between the decision
     /// and the answer, and another controller may be entitled by then.
-    Answer(CheckInAnswer, Instant),
+    Answer(HeartbeatResponse, Instant),
     /// This node does not lead; that one does, if known.
     Elsewhere(Option<String>),
     /// Not entitled, or the report is old.
@@ -53,11 +55,11 @@
     Loaded(Loaded, u64),
     JobPut(String, serde_json::Value),
     Committed(Commit, CommitResult),
-    Rented(RentRequest, Option<Vec<String>>),
+    Rented(ScaleOutRequest, Option<Vec<String>>),
     Deleted(Vec<String>, bool),
     Listed(Vec<ListedMachine>, u64),
     Delivered(String, u64, Delivery),
-    Greeted(String, Option<CheckIn>),
+    Greeted(String, Option<Heartbeat>),
     /// The state service does not answer, or refuses: what waits for a write waits for long.
     StoreAway,
     Reload,
--- a/crates/controller/src/node/records_io.rs
+++ b/crates/controller/src/node/records_io.rs
@@ -34,7 +34,10 @@
         }
         Err(StoreError::TooMany) => return CommitResult::NotDone,
         Err(StoreError::Rejected(why)) => {
-            tracing::error!("transaction of {} changes: {why}", commit.transaction.apply.len());
+            tracing::error!(
+                "transaction of {} changes: {why}",
+                commit.transaction.operations.len()
+            );
             return CommitResult::Rejected;
         }
         Ok(CommitOutcome::Refused(keys)) => tracing::info!("transaction refused: {keys:?}"),
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -94,11 +94,11 @@
     pub fn status(&self, id: &JobId) -> JobStatus {
         JobStatus {
             id: id.clone(),
-            status: self.state,
+            state: self.state,
             done: self.done,
             running: 0,
             team: Some(self.team.clone()),
-            commander: None,
+            leader: None,
             notes: self.notes.clone(),
         }
     }
--- a/crates/controller/tests/api.rs
+++ b/crates/controller/tests/api.rs
@@ -9,13 +9,14 @@
 use hookway_controller::http::service;
 use hookway_controller::lead::View;
 use hookway_controller::ledger::{Cancellation, Lookup};
-use hookway_controller::node::{Ask, CheckInReply};
+use hookway_controller::node::{Ask, HeartbeatReply};
 use hookway_controller::peers::{PeerAnswer, PeerAsk, PeerError, Peers};
 use hookway_controller::records::{JobRecord, job_key};
 use hookway_replication::{FollowAnswer, FollowBody, FollowRequest, Held, Position};
 use hookway_testkit::{SETTINGS, StoreServer};
 use hookway_wire::{
-    CheckInAnswer, ErrorBody, JobId, JobSpec, JobState, JobStatus, MachineType, ReplicationStatus,
+    ErrorBody, HeartbeatResponse, JobId, JobSpec, JobState, JobStatus, MachineType,
+    ReplicationStatus,
 };
 use salvo::Service;
 use salvo::http::StatusCode;
@@ -42,11 +43,11 @@
 fn known(id: &JobId, status: JobState) -> JobStatus {
     JobStatus {
         id: id.clone(),
-        status,
+        state: status,
         done: 1,
         running: 0,
         team: Some("vision".into()),
-        commander: None,
+        leader: None,
         notes: vec![],
     }
 }
@@ -86,14 +87,14 @@
         while let Some(ask) = asks.recv().await {
             let leads = node == Node::Leads;
             match ask {
-                Ask::CheckIn(_, reply) => {
-                    let answer = CheckInAnswer { token: 7, commands: vec![] };
+                Ask::Heartbeat(_, reply) => {
+                    let answer = HeartbeatResponse { fencing_token: 7, commands: vec![] };
                     let _ = reply.send(if leads {
-                        CheckInReply::Answer(answer, Instant::now() + Duration::from_secs(60))
+                        HeartbeatReply::Answer(answer, Instant::now() + Duration::from_secs(60))
                     } else if node == Node::LedOnce {
-                        CheckInReply::Answer(answer, Instant::now())
+                        HeartbeatReply::Answer(answer, Instant::now())
                     } else {
-                        CheckInReply::Elsewhere(Some("worker-2".into()))
+                        HeartbeatReply::Elsewhere(Some("worker-2".into()))
                     });
                 }
                 Ask::Status(id, reply) => {
@@ -127,7 +128,7 @@
     });
     let settings = Settings::parse(settings).expect("sound settings");
     let machine_type = MachineType {
-        label: "g8".into(),
+        name: "g8".into(),
         cpus: 96.0,
         gpus: 8.0,
         memory_gb: 768.0,
@@ -212,15 +213,15 @@
     let (status, text, _) = get(&api, "/api/jobs/req-000002").await;
     assert_eq!(status, StatusCode::OK);
     let told: JobStatus = serde_json::from_str(&text).expect("a status");
-    assert_eq!(told.status, JobState::Done);
+    assert_eq!(told.state, JobState::Done);
     // The same id submitted again: its state, from memory, with the store away.
     let (status, text, _) = post(&api, "/api/jobs", &JOB.replace("000412", "000002")).await;
     assert_eq!(status, StatusCode::OK);
     let told: JobStatus = serde_json::from_str(&text).expect("a status");
-    assert_eq!(told.status, JobState::Done);
+    assert_eq!(told.state, JobState::Done);
     let (status, text, _) = post(&api, "/api/jobs/req-000002/withdraw", "").await;
     let told: JobStatus = serde_json::from_str(&text).expect("a status");
-    assert_eq!((status, told.status), (StatusCode::OK, JobState::Done), "done stays done");
+    assert_eq!((status, told.state), (StatusCode::OK, JobState::Done), "done stays done");
 }
 
 #[tokio::test]
@@ -304,7 +305,7 @@
         let api = api_at(node, true, sees(leader), Some(&address));
         let (status, text, _) = get(&api, "/api/jobs/req-000007").await;
         let told: JobStatus = serde_json::from_str(&text).expect("a status");
-        assert_eq!((status, told.status), (StatusCode::OK, JobState::Queued), "{leader:?}");
+        assert_eq!((status, told.state), (StatusCode::OK, JobState::Queued), "{leader:?}");
         let (status, ..) = get(&api, "/api/jobs/req-000008").await;
         assert_eq!(
             status,
@@ -356,7 +357,7 @@
     let api = service(desk);
     let (status, text, _) = get(&api, "/api/jobs/req-000009").await;
     let told: JobStatus = serde_json::from_str(&text).expect("a status");
-    assert_eq!((status, told.status), (StatusCode::OK, JobState::Done));
+    assert_eq!((status, told.state), (StatusCode::OK, JobState::Done));
     let (status, ..) = get(&api, "/api/jobs/req-000010").await;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE, "what can change is not told from memory");
 }
--- a/crates/controller/tests/daemons.rs
+++ b/crates/controller/tests/daemons.rs
@@ -6,7 +6,7 @@
 use hookway_constants as constants;
 use hookway_controller::ledger::lease_over_ms;
 use hookway_testkit::ScriptedWorker;
-use hookway_wire::{Cause, Command, JobId, JobSpec, JobState, Priority};
+use hookway_wire::{Command, ExitCause, JobId, JobSpec, JobState, Priority};
 use play::{Play, job, setup, small};
 
 /// Replicas of one CPU, of the highest priority.
@@ -38,7 +38,13 @@
 
 #[test]
 fn a_replica_runs_again_whatever_ended_it_and_the_job_is_never_done() {
-    for cause in [Cause::Done, Cause::Error, Cause::Stopped, Cause::Unknown, Cause::Other] {
+    for cause in [
+        ExitCause::Done,
+        ExitCause::Error,
+        ExitCause::Stopped,
+        ExitCause::UnknownJob,
+        ExitCause::Other,
+    ] {
         let mut play = Play::start();
         let mut worker = small("m-1", "a");
         let id = running(&mut play, &mut worker);
@@ -62,7 +68,7 @@
     let before = play.store.revision();
     for _ in 0..50 {
         run_for(&mut play, &mut worker, constants::REPLICA_STEADY_MS);
-        worker.end("req-000001/0", Cause::Done);
+        worker.end("req-000001/0", ExitCause::Done);
         for _ in 0..2 {
             play.beat(&mut worker);
             play.wait(500);
@@ -81,7 +87,7 @@
 
 #[test]
 fn replicas_that_end_at_once_are_tried_with_growing_pauses() {
-    for cause in [Cause::Done, Cause::Error] {
+    for cause in [ExitCause::Done, ExitCause::Error] {
         let mut play = Play::start();
         let (mut one, mut two) = (small("m-1", "a"), small("m-2", "b"));
         play.submit(daemon("req-000001", 3));
@@ -114,7 +120,7 @@
     play.settle(&mut [&mut one, &mut two]);
     assert_eq!(one.live().len() + two.live().len(), 6);
     let failing = one.live()[0].clone();
-    one.end(&failing, Cause::Error);
+    one.end(&failing, ExitCause::Error);
     play.settle(&mut [&mut one, &mut two]);
     assert_eq!(one.live().len() + two.live().len(), 6, "it runs elsewhere at once");
 }
@@ -187,7 +193,7 @@
     let mut play = Play::start();
     let mut worker = small("m-1", "a");
     let id = running(&mut play, &mut worker);
-    worker.end("req-000001/0", Cause::Done);
+    worker.end("req-000001/0", ExitCause::Done);
     let mut next = Play::lead(play.store.clone(), 2, 60_000);
     let commands = next.beat(&mut worker);
     assert!(commands.iter().any(|o| matches!(o, Command::Reap { .. })), "{commands:?}");
--- a/crates/controller/tests/fleet_size.rs
+++ b/crates/controller/tests/fleet_size.rs
@@ -6,7 +6,7 @@
 
 use hookway_controller::ledger::Setup;
 use hookway_testkit::ScriptedWorker;
-use hookway_wire::{Cause, Change, Transaction};
+use hookway_wire::{ExitCause, Operation, Transaction};
 use play::{Play, job, setup};
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -46,9 +46,13 @@
     /// A transaction keeps to the limits of the state service.
     fn check_transaction(&mut self, transaction: &Transaction) {
         let (most_changes, value_kb) = limits(&setup());
-        assert!(transaction.apply.len() <= most_changes, "{} changes", transaction.apply.len());
-        for change in &transaction.apply {
-            if let Change::Put { put, v, .. } = change {
+        assert!(
+            transaction.operations.len() <= most_changes,
+            "{} changes",
+            transaction.operations.len()
+        );
+        for change in &transaction.operations {
+            if let Operation::Put { key: put, value: v, .. } = change {
                 let kb = v.to_string().len() as f64 / 1024.0;
                 assert!(kb <= value_kb, "{put}: {kb} KiB");
             }
@@ -121,7 +125,7 @@
     // Tasks end while a new leader takes over; it has all machines from the state service.
     for n in (0..MACHINES).step_by(10) {
         let task = fleet.workers[n].live().remove(0);
-        fleet.workers[n].end(&task, Cause::Done);
+        fleet.workers[n].end(&task, ExitCause::Done);
     }
     let now = fleet.play.now + 6_000;
     let store = std::mem::take(&mut fleet.play.store);
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -17,10 +17,11 @@
     Position, RangeDigest, Stage,
 };
 use hookway_wire::{
-    Cause, Change, CheckIn, CheckInAnswer, Command, CommitAnswer, DirectCommands, ErrorBody, Event,
-    Grant, GrantRequest, Guard, JobId, JobSpec, JobState, JobStatus, KeyPage, KeyValue,
-    ListedMachine, MachineList, MachineNames, MachineState, MachineType, MachineTypes, RentRequest,
-    ReportElsewhere, TaskReport, TaskState, Transaction, WatchAnswer,
+    Command, CommitResponse, DirectCommands, ErrorBody, ExitCause, Heartbeat, HeartbeatRedirect,
+    HeartbeatResponse, JobId, JobSpec, JobState, JobStatus, KeyPage, KeyValue, LeaseGrant,
+    LeaseGrantRequest, ListedMachine, MachineList, MachineNames, MachineState, MachineType,
+    MachineTypes, Operation, Precondition, ScaleOutRequest, TaskState, TaskStatus, Transaction,
+    WatchEvent, WatchResponse,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -73,41 +74,41 @@
 fn status(state: JobState) -> JobStatus {
     JobStatus {
         id: id(),
-        status: state,
+        state: state,
         done: 3,
         running: 13,
         team: Some("vision".into()),
-        commander: Some("worker-1".into()),
+        leader: Some("worker-1".into()),
         notes: vec!["task 3 failed".into()],
     }
 }
 
-fn report() -> CheckIn {
-    let task = |task: &str, status, cause, saved| TaskReport {
+fn report() -> Heartbeat {
+    let task = |task: &str, status, cause, saved| TaskStatus {
         task: task.into(),
         attempt: 2,
-        status,
+        state: status,
         cause,
-        saved,
+        checkpointed: saved,
     };
-    CheckIn {
+    Heartbeat {
         machine: "m-000231".into(),
         addr: "10.1.0.232:9000".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
-        session: 1,
-        tick: 88,
-        token: 41,
-        notice_s: Some(12.5),
+        incarnation: 1,
+        sequence: 88,
+        fencing_token: 41,
+        interruption_notice_s: Some(12.5),
         tasks: vec![
             task("req-000412/3", TaskState::Running, None, None),
-            task("req-000412/4", TaskState::Pulling, None, None),
-            task("req-000412/5", TaskState::Waiting, None, None),
-            task("req-000412/6", TaskState::Saving, None, None),
-            task("req-000398/0", TaskState::Ended, Some(Cause::Done), None),
-            task("req-000398/1", TaskState::Ended, Some(Cause::Stopped), Some(true)),
-            task("req-000398/2", TaskState::Ended, Some(Cause::NoRoom), None),
+            task("req-000412/4", TaskState::FetchingImage, None, None),
+            task("req-000412/5", TaskState::WaitingForGang, None, None),
+            task("req-000412/6", TaskState::Checkpointing, None, None),
+            task("req-000398/0", TaskState::Ended, Some(ExitCause::Done), None),
+            task("req-000398/1", TaskState::Ended, Some(ExitCause::Stopped), Some(true)),
+            task("req-000398/2", TaskState::Ended, Some(ExitCause::InsufficientResources), None),
         ],
     }
 }
@@ -242,35 +243,39 @@
 fn messages_of_users_and_workers_are_read_and_written_as_in_production() {
     json("http-job", &spec("group"));
     json("http-status", &status(JobState::Running));
-    let bare = JobStatus { team: None, commander: None, notes: vec![], ..status(JobState::Done) };
+    let bare = JobStatus { team: None, leader: None, notes: vec![], ..status(JobState::Done) };
     json("http-status-bare", &bare);
     json("http-error", &ErrorBody { error: "no such job".into() });
     json("http-report", &report());
-    json("http-report-answer", &CheckInAnswer { token: 41, commands: commands() });
-    json("http-orders", &DirectCommands { token: 41, session: 1, commands: commands() });
-    json("http-elsewhere", &ReportElsewhere { report_to: Some("worker-2".into()) });
-    json("http-nowhere", &ReportElsewhere { report_to: None });
+    json("http-report-answer", &HeartbeatResponse { fencing_token: 41, commands: commands() });
+    json(
+        "http-orders",
+        &DirectCommands { fencing_token: 41, incarnation: 1, commands: commands() },
+    );
+    json("http-elsewhere", &HeartbeatRedirect { leader: Some("worker-2".into()) });
+    json("http-nowhere", &HeartbeatRedirect { leader: None });
 }
 
 #[test]
 fn messages_of_the_state_service_and_the_cloud_are_read_and_written_as_in_production() {
     let v = serde_json::json!({ "a": 1 });
-    let put = Change::Put { put: "a/b".into(), v: v.clone(), lease_id: Some(7) };
-    let guards = vec![Guard { key: "a/b".into(), stamp: 0 }];
-    let apply = vec![put, Change::put("a/c", v.clone()), Change::delete("c/d")];
-    json("store-commit", &Transaction { guards, apply });
-    json("store-commit-answer", &CommitAnswer { failed: vec!["a/b".into()], revision: 431 });
-    let pair = KeyValue { key: "a/b".into(), v: v.clone(), stamp: 412, lease_id: Some(7) };
+    let put = Operation::Put { key: "a/b".into(), value: v.clone(), lease_id: Some(7) };
+    let guards = vec![Precondition { key: "a/b".into(), mod_revision: 0 }];
+    let apply = vec![put, Operation::put("a/c", v.clone()), Operation::delete("c/d")];
+    json("store-commit", &Transaction { preconditions: guards, operations: apply });
+    json("store-commit-answer", &CommitResponse { failed: vec!["a/b".into()], revision: 431 });
+    let pair =
+        KeyValue { key: "a/b".into(), value: v.clone(), mod_revision: 412, lease_id: Some(7) };
     json("store-pair", &pair);
     json("store-page", &KeyPage { pairs: vec![pair], has_next: true, revision: 431 });
-    json("store-grant-request", &GrantRequest { ttl_ms: 5_000 });
-    json("store-grant", &Grant { lease_id: 7 });
+    json("store-grant-request", &LeaseGrantRequest { ttl_ms: 5_000 });
+    json("store-grant", &LeaseGrant { lease_id: 7 });
     let events = vec![
-        Event::Put { put: "c/9".into(), v, stamp: 433 },
-        Event::Delete { delete: "c/d".into(), stamp: 432 },
+        WatchEvent::Put { key: "c/9".into(), value: v, mod_revision: 433 },
+        WatchEvent::Delete { key: "c/d".into(), mod_revision: 432 },
     ];
-    json("store-watch", &WatchAnswer { revision: 433, events });
-    let rent = RentRequest {
+    json("store-watch", &WatchResponse { revision: 433, events });
+    let rent = ScaleOutRequest {
         request_id: "h-4097-1".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
@@ -280,7 +285,7 @@
     json("cloud-rent", &rent);
     json("cloud-hosts", &MachineNames { machines: vec!["m-000231".into()] });
     let machine_type = MachineType {
-        label: "g8".into(),
+        name: "g8".into(),
         cpus: 96.0,
         gpus: 8.0,
         memory_gb: 768.0,
--- a/crates/controller/tests/leadership.rs
+++ b/crates/controller/tests/leadership.rs
@@ -6,7 +6,7 @@
 use hookway_controller::lead::{Clock, Leadership, Mandate, Validity, View};
 use hookway_controller::records::{LEAD_NOW, LEAD_TERM, LeadRecord};
 use hookway_testkit::StoreServer;
-use hookway_wire::{Change, Transaction};
+use hookway_wire::{Operation, Transaction};
 use std::sync::Arc;
 use tokio::sync::{Notify, watch};
 
@@ -65,8 +65,8 @@
     assert_eq!(second.term, 1 + hookway_constants::TOKENS_PER_TERM);
     // What the deposed leader still has under way is guarded by a version that is gone.
     let late = Transaction {
-        guards: vec![first.guard],
-        apply: vec![Change::put("f/req-000001", serde_json::json!("late"))],
+        preconditions: vec![first.guard],
+        operations: vec![Operation::put("f/req-000001", serde_json::json!("late"))],
     };
     assert!(server.with(|store| store.commit(&late)).is_err());
 }
@@ -78,14 +78,14 @@
     let lease_id = server.grant();
     let record = LeadRecord { label: "one".into(), term: 4, nonce: 1 };
     let before = Transaction {
-        guards: vec![],
-        apply: vec![
-            Change::Put {
-                put: LEAD_NOW.into(),
-                v: serde_json::to_value(record).expect("a record"),
+        preconditions: vec![],
+        operations: vec![
+            Operation::Put {
+                key: LEAD_NOW.into(),
+                value: serde_json::to_value(record).expect("a record"),
                 lease_id: Some(lease_id),
             },
-            Change::put(LEAD_TERM, serde_json::json!(4)),
+            Operation::put(LEAD_TERM, serde_json::json!(4)),
         ],
     };
     server.with(|store| store.commit(&before)).expect("applied");
--- a/crates/controller/tests/ledger.rs
+++ b/crates/controller/tests/ledger.rs
@@ -12,8 +12,8 @@
 use hookway_controller::records::{JobRecord, LEAD_NOW, final_key, job_key};
 use hookway_testkit::{MemoryStore, SETTINGS, ScriptedWorker, machine_types};
 use hookway_wire::{
-    Cause, Change, Command, DirectCommands, Guard, JobId, JobState, ListedMachine, MachineState,
-    Transaction,
+    Command, DirectCommands, ExitCause, JobId, JobState, ListedMachine, MachineState, Operation,
+    Precondition, Transaction,
 };
 use play::{Play, job, listed, setup, small};
 
@@ -25,10 +25,10 @@
     play.settle(&mut [&mut w]);
     assert_eq!(w.live(), ["req-000001/0"], "one task fits at a time");
     assert_eq!(play.state(&id), JobState::Running);
-    w.end("req-000001/0", Cause::Done);
+    w.end("req-000001/0", ExitCause::Done);
     play.settle(&mut [&mut w]);
     assert_eq!(w.live(), ["req-000001/1"]);
-    w.end("req-000001/1", Cause::Done);
+    w.end("req-000001/1", ExitCause::Done);
     let report = w.report();
     let answer = play.ledger.check_in(&report, play.now).expect("an answer");
     assert!(
@@ -88,7 +88,7 @@
         spare.started.iter().any(|(t, _)| t.starts_with(fresh.as_str())),
         "a job that nobody can have started does not wait"
     );
-    spare.end("req-000002/0", Cause::Done);
+    spare.end("req-000002/0", ExitCause::Done);
     for _ in 0..20 {
         next.beat(&mut near);
         next.beat(&mut spare);
@@ -150,7 +150,7 @@
     // The cloud takes m-2 at the time of a crash. It had been up for long, so the first list that
     // lacks it proves it gone.
     let mut next = Play::lead(play.store.clone(), 2, 100_000);
-    near.end(&near.live()[0].clone(), Cause::Done);
+    near.end(&near.live()[0].clone(), ExitCause::Done);
     next.settle(&mut [&mut near]);
     assert!(!next.ledger.settled(next.now));
     let entry = listed("m-1", MachineState::Running, 100.0);
@@ -200,7 +200,7 @@
     let (mut cold, mut warm) = (small("m-1", "a"), small("m-2", "a"));
     play.submit(job("req-000001", "array", 1));
     play.settle(&mut [&mut warm]);
-    warm.end("req-000001/0", Cause::Done);
+    warm.end("req-000001/0", ExitCause::Done);
     play.settle(&mut [&mut cold, &mut warm]);
     let mut next = Play::lead(play.store.clone(), 2, 9_000);
     next.settle(&mut [&mut cold, &mut warm]);
@@ -219,7 +219,7 @@
     for _ in 0..40 {
         play.settle(&mut [&mut good, &mut slow]);
         if let Some(task) = good.live().first().cloned() {
-            good.end(&task, Cause::Done);
+            good.end(&task, ExitCause::Done);
         }
     }
     assert!(good.started.iter().any(|(t, _)| *t == stuck), "after five times the mean");
@@ -233,7 +233,7 @@
         play.settle(&mut [&mut one, &mut two]);
         for worker in [&mut one, &mut two] {
             if let Some(task) = worker.live().first().filter(|t| !t.ends_with("/0")).cloned() {
-                worker.end(&task, Cause::Done);
+                worker.end(&task, ExitCause::Done);
             }
         }
     }
@@ -301,7 +301,7 @@
     let mut w = small("m-1", "a");
     let id = play.submit(job("req-000001", "array", 1));
     play.settle(&mut [&mut w]);
-    w.end("req-000001/0", Cause::Done);
+    w.end("req-000001/0", ExitCause::Done);
     let report = w.report();
     play.ledger.check_in(&report, play.now);
     let late = play.ledger.next_commit(play.now).expect("the end");
@@ -322,7 +322,7 @@
         let mut w = small("m-1", "a");
         let id = play.submit(job("req-000001", "array", 1));
         play.settle(&mut [&mut w]);
-        w.end("req-000001/0", Cause::Done);
+        w.end("req-000001/0", ExitCause::Done);
         let report = w.report();
         play.ledger.check_in(&report, play.now);
         let commit = play.ledger.next_commit(play.now).expect("the end");
@@ -347,7 +347,7 @@
         let mut w = small("m-1", "a");
         let id = play.submit(job("req-000001", "array", 1));
         play.settle(&mut [&mut w]);
-        w.end("req-000001/0", Cause::Done);
+        w.end("req-000001/0", ExitCause::Done);
         let report = w.report();
         if withdraw_first {
             play.ledger.cancel(&id);
@@ -407,7 +407,7 @@
     let first = one.started[0].1;
     assert_eq!(first, two.started[0].1, "they share the attempt");
     let refused = two.live()[0].clone();
-    two.end(&refused, Cause::NoRoom);
+    two.end(&refused, ExitCause::InsufficientResources);
     play.beat(&mut two);
     play.wait(500);
     assert_eq!(two.started.len(), 1, "not while the other task is still there");
@@ -501,7 +501,7 @@
     play.submit(job("req-000001", "array", 1));
     for _ in 0..6 {
         play.settle(&mut [&mut w]);
-        w.end("req-000001/0", Cause::Error);
+        w.end("req-000001/0", ExitCause::Error);
         play.now += 31_000 / 4;
         play.settle(&mut [&mut w]);
     }
@@ -521,14 +521,14 @@
     let mut w = small("m-1", "a");
     let id = play.submit(job("req-000001", "array", 1));
     play.settle(&mut [&mut w]);
-    w.end("req-000001/0", Cause::Done);
+    w.end("req-000001/0", ExitCause::Done);
     play.settle(&mut [&mut w]);
     let again = Transaction {
-        guards: vec![
-            Guard { key: job_key(&id), stamp: 0 },
-            Guard { key: final_key(&id), stamp: 0 },
+        preconditions: vec![
+            Precondition { key: job_key(&id), mod_revision: 0 },
+            Precondition { key: final_key(&id), mod_revision: 0 },
         ],
-        apply: vec![Change::put(job_key(&id), serde_json::json!({}))],
+        operations: vec![Operation::put(job_key(&id), serde_json::json!({}))],
     };
     assert_eq!(play.store.commit(&again), Err(vec![final_key(&id)]));
 }
@@ -549,7 +549,7 @@
     let mut w = small("m-1", "a");
     let commands = with_a_direct_start(&mut play, &mut w);
     let report = w.commands(&commands).expect("carried out");
-    play.ledger.delivered("m-1", commands.token, Delivery::Done(report), play.now);
+    play.ledger.delivered("m-1", commands.fencing_token, Delivery::Done(report), play.now);
     assert_eq!(w.live(), ["req-000001/0"]);
     play.settle(&mut [&mut w]);
     assert_eq!(w.started.len(), 1);
@@ -563,9 +563,9 @@
     let commands = with_a_direct_start(&mut play, &mut w);
     let report = w.commands(&commands).expect("carried out");
     // The task ends, and its report comes before the answer to the command is read.
-    w.end("req-000001/0", Cause::Done);
+    w.end("req-000001/0", ExitCause::Done);
     play.settle(&mut [&mut w]);
-    play.ledger.delivered("m-1", commands.token, Delivery::Done(report), play.now);
+    play.ledger.delivered("m-1", commands.fencing_token, Delivery::Done(report), play.now);
     play.settle(&mut [&mut w]);
     assert_eq!(w.live().len() + w.report().tasks.len(), 0, "done, and forgotten by the worker");
     // After `reap` the worker would start the attempt again: only its higher token keeps it off.
@@ -579,12 +579,12 @@
     let (mut w, mut other) = (small("m-1", "a"), small("m-2", "a"));
     let commands = with_a_direct_start(&mut play, &mut w);
     // No answer comes: the command may lie in the network for minutes.
-    play.ledger.delivered("m-1", commands.token, Delivery::Unclear, play.now);
+    play.ledger.delivered("m-1", commands.fencing_token, Delivery::Unclear, play.now);
     play.settle(&mut [&mut other]);
     assert_eq!(other.started, [], "it may still start on m-1");
     // The next answer raises the token of m-1, and the report after it proves that.
     play.beat(&mut w);
-    assert!(w.token > commands.token);
+    assert!(w.token > commands.fencing_token);
     play.settle(&mut [&mut other]);
     assert_eq!(other.started, [], "the worker had not seen the higher token when it reported");
     play.now += 5_000;
@@ -598,7 +598,7 @@
     let mut play = Play::start();
     let (mut w, mut other) = (small("m-1", "a"), small("m-2", "a"));
     let commands = with_a_direct_start(&mut play, &mut w);
-    play.ledger.delivered("m-1", commands.token, Delivery::NotSent, play.now);
+    play.ledger.delivered("m-1", commands.fencing_token, Delivery::NotSent, play.now);
     play.settle(&mut [&mut other]);
     assert_eq!(
         other.live(),
@@ -615,7 +615,7 @@
     // The worker reports just before the command arrives; the report comes after its answer.
     let late = w.report();
     let report = w.commands(&commands).expect("carried out");
-    play.ledger.delivered("m-1", commands.token, Delivery::Done(report), play.now);
+    play.ledger.delivered("m-1", commands.fencing_token, Delivery::Done(report), play.now);
     let answer = play.ledger.check_in(&late, play.now).expect("the worker waits for it");
     w.take(&answer);
     play.settle(&mut [&mut w]);
@@ -664,7 +664,7 @@
     // The next leader knows them all, and the image of the first.
     let next = Play::lead(play.store.clone(), 3, 50_000);
     assert_eq!(next.ledger.machine_count(), 60);
-    let record = next.store.list("r/").remove(0).v;
+    let record = next.store.list("r/").remove(0).value;
     assert_eq!(record["images"][0][0], "img");
 }
 
@@ -678,7 +678,7 @@
     // The leader is cut off together with m-2; m-1 is emptied.
     let held: u32 = cut.live()[0].rsplit('/').next().expect("a number").parse().expect("a number");
     let mut next = Play::lead(play.store.clone(), 2, 30_000);
-    near.end(&near.live()[0].clone(), Cause::Done);
+    near.end(&near.live()[0].clone(), ExitCause::Done);
     let mut spare = small("m-3", "a");
     next.settle(&mut [&mut near, &mut spare]);
     assert!(!next.ledger.settled(next.now), "m-2 may still run {held}");
@@ -707,7 +707,7 @@
     let mut store = play.store.clone();
     let lead = |store: &mut MemoryStore, term: u64, marked: bool, now: u64| {
         let stamp = store.put(LEAD_NOW, serde_json::json!({ "term": term }));
-        let guard = Guard { key: LEAD_NOW.into(), stamp };
+        let guard = Precondition { key: LEAD_NOW.into(), mod_revision: stamp };
         let at = Moment { now, wall: 1_000_000 + now };
         let loaded = loaded(store, marked);
         let ledger = Ledger::new(setup(), term, guard, machine_types(), loaded, at);
@@ -735,10 +735,10 @@
     assert_eq!((deaf.live().len(), near.live().len()), (1, 1), "the gang runs on both");
     // From here on no answer reaches m-1, although its reports arrive. Its part of the gang ends.
     let lost_at = play.now;
-    deaf.end("req-000001/0", Cause::Peers);
-    deaf.end("req-000001/1", Cause::Peers);
-    near.end("req-000001/0", Cause::Peers);
-    near.end("req-000001/1", Cause::Peers);
+    deaf.end("req-000001/0", ExitCause::GangMemberLost);
+    deaf.end("req-000001/1", ExitCause::GangMemberLost);
+    near.end("req-000001/0", ExitCause::GangMemberLost);
+    near.end("req-000001/1", ExitCause::GangMemberLost);
     let mut third = small("m-3", "a");
     for _ in 0..5 {
         play.now += 500;
@@ -828,7 +828,7 @@
     // Much work, a cloud that has only the dearest of many offers, and three answers a second.
     let mut play = Play::start();
     play.submit(job("req-000001", "array", 20_000));
-    let mut waiting: Vec<hookway_wire::RentRequest> = Vec::new();
+    let mut waiting: Vec<hookway_wire::ScaleOutRequest> = Vec::new();
     let mut asked = std::collections::BTreeSet::new();
     for _ in 0..40 {
         play.now += 1_000;
@@ -859,7 +859,7 @@
     let mut w = small("m-1", "a");
     play.submit(job("req-000001", "group", 1));
     play.settle(&mut [&mut w]);
-    w.end("req-000001/0", Cause::Done);
+    w.end("req-000001/0", ExitCause::Done);
     play.settle(&mut [&mut w]);
     assert!(play.store.list("j/").is_empty(), "no job of the class is left");
     // The next leader never saw one.
@@ -870,7 +870,7 @@
         marked: true,
         ..Loaded::default()
     };
-    let guard = Guard { key: LEAD_NOW.into(), stamp };
+    let guard = Precondition { key: LEAD_NOW.into(), mod_revision: stamp };
     let at = Moment { now: 20_000, wall: 1_020_000 };
     let ledger = Ledger::new(setup, 5_000, guard, machine_types(), loaded, at);
     let mut next = Play { ledger, store: play.store.clone(), now: 20_000 };
@@ -892,7 +892,7 @@
     w.commands(&commands).expect("carried out");
     w.token += 1;
     assert_eq!(w.commands(&commands), None);
-    play.ledger.delivered("m-1", commands.token, Delivery::Refused, play.now);
+    play.ledger.delivered("m-1", commands.fencing_token, Delivery::Refused, play.now);
     play.settle(&mut [&mut other]);
     assert_eq!(other.started, [], "it runs on m-1");
     play.settle(&mut [&mut w, &mut other]);
@@ -985,7 +985,7 @@
         for _ in 0..10 {
             play.settle(&mut [&mut w]);
         }
-        assert!(w.end(&format!("req-000001/{n}"), Cause::Done));
+        assert!(w.end(&format!("req-000001/{n}"), ExitCause::Done));
         play.beat(&mut w);
     }
     play.settle(&mut [&mut w]);
@@ -1011,7 +1011,7 @@
     play.beat(&mut w);
     assert!(play.rostered("m-1"));
     assert!(
-        play.store.get("r/record-0").is_some_and(|kv| kv.v["hosts"].is_string()),
+        play.store.get("r/record-0").is_some_and(|kv| kv.value["hosts"].is_string()),
         "a second leader within the lease must know that it does not know all machines"
     );
     // When the leases of its machines are surely over it goes.
@@ -1019,7 +1019,7 @@
     play.beat(&mut w);
     play.wait(1_000);
     play.wait(1_000);
-    assert!(play.store.get("r/record-0").is_none_or(|kv| kv.v["hosts"].is_object()));
+    assert!(play.store.get("r/record-0").is_none_or(|kv| kv.value["hosts"].is_object()));
     assert!(play.rostered("m-1"));
 }
 
@@ -1029,7 +1029,8 @@
     let mut big = setup();
     big.params.state.txn_ops = 10_000;
     big.params.state.write_rps = 100_000.0;
-    let guard = Guard { key: LEAD_NOW.into(), stamp: play.store.put(LEAD_NOW, 1.into()) };
+    let guard =
+        Precondition { key: LEAD_NOW.into(), mod_revision: play.store.put(LEAD_NOW, 1.into()) };
     let at = Moment { now: 0, wall: 1_000_000 };
     play.ledger = Ledger::new(big, 1, guard, machine_types(), Loaded::default(), at);
     // Several times what a wave brings: thousands of machines, jobs of which all end at once.
@@ -1046,8 +1047,8 @@
         let value_most = 8 * 1024;
         let body = serde_json::to_vec(&commit.transaction).expect("a transaction");
         assert!(body.len() <= 64 * 1024, "{} bytes", body.len());
-        for change in &commit.transaction.apply {
-            if let Change::Put { v, .. } = change {
+        for change in &commit.transaction.operations {
+            if let Operation::Put { value: v, .. } = change {
                 assert!(v.to_string().len() <= value_most);
             }
         }
@@ -1149,7 +1150,7 @@
                 // Each task takes a few seconds; what a killed leader never heard, the next one hears.
                 if play.now.is_multiple_of(2_000) {
                     for task in w.live() {
-                        assert!(w.end(&task, Cause::Done));
+                        assert!(w.end(&task, ExitCause::Done));
                     }
                 }
             }
@@ -1182,7 +1183,7 @@
     next.settle(&mut workers.iter_mut().collect::<Vec<_>>());
     for worker in &mut workers[..5] {
         let task = worker.live()[0].clone();
-        worker.end(&task, Cause::Done);
+        worker.end(&task, ExitCause::Done);
     }
     for _ in 0..10 {
         next.settle(&mut workers.iter_mut().collect::<Vec<_>>());
@@ -1232,7 +1233,7 @@
             play.beat(w);
             let running = w.live();
             for task in &running {
-                w.end(task, Cause::Error);
+                w.end(task, ExitCause::Error);
             }
             tries.extend(running.into_iter().map(|_| play.now));
         }
@@ -1268,13 +1269,13 @@
             let running = w.live();
             for task in &running {
                 done += 1;
-                w.end(task, Cause::Done);
+                w.end(task, ExitCause::Done);
             }
         }
         play.beat(&mut bad);
         let running = bad.live();
         for task in &running {
-            bad.end(task, Cause::Error);
+            bad.end(task, ExitCause::Error);
         }
         play.wait(500);
         if done == 6 {
@@ -1306,7 +1307,7 @@
     play.submit(job("req-000001", "array", 3));
     play.settle(&mut [&mut one, &mut two]);
     assert_eq!(one.live().len() + two.live().len(), 2);
-    one.end(&one.live()[0].clone(), Cause::Done);
+    one.end(&one.live()[0].clone(), ExitCause::Done);
 
     let mut next = Play::lead(play.store.clone(), 5_000, 20_000);
     let list = ["m-1", "m-2"].map(|m| ListedMachine {
@@ -1332,7 +1333,7 @@
     next.ledger.listed(&list, next.now, next.now);
     next.now += 1_500;
     assert_eq!(next.ledger.take_greetings(next.now).len(), 2);
-    let hello = DirectCommands { token: 9_000, session: 1, commands: vec![] };
+    let hello = DirectCommands { fencing_token: 9_000, incarnation: 1, commands: vec![] };
     for (name, w) in [("m-1", &mut one), ("m-2", &mut two)] {
         let report = w.commands(&hello);
         next.ledger.greeted(name, report, next.now);
@@ -1358,7 +1359,7 @@
     let mut next = Play::lead(play.store.clone(), 5_000, 20_000);
     w.expire();
     next.now = 30_000;
-    let hello = DirectCommands { token: 5_000, session: 2, commands: vec![] };
+    let hello = DirectCommands { fencing_token: 5_000, incarnation: 2, commands: vec![] };
     let report = w.commands(&hello);
     next.ledger.greeted("m-1", report, next.now);
     next.now += 500;
@@ -1389,7 +1390,7 @@
     let heard = play.now;
     // An answer with something to show for it, which is lost: the token of a direct start.
     play.submit(job("req-000003", "array", 1));
-    w.end(&task, Cause::Error);
+    w.end(&task, ExitCause::Error);
     play.now += 2_000;
     let report = w.report();
     let answer = play.ledger.check_in(&report, play.now).expect("an answer");
@@ -1403,7 +1404,7 @@
     let lease = lease_over_ms(&setup().params);
     assert!(heard + 2_000 + lease < kept + lease - 500);
     let mut late = w.report();
-    late.tick += 1;
+    late.sequence += 1;
     assert!(
         play.ledger.check_in(&late, kept + lease - 500).is_some(),
         "the session may be alive until then"
@@ -1470,7 +1471,7 @@
         play.submit(job(ids[1], "array", tasks));
         play.wait(500);
         let marks = |play: &Play| -> Vec<_> {
-            play.store.list("m/").into_iter().map(|kv| (kv.key, kv.v)).collect()
+            play.store.list("m/").into_iter().map(|kv| (kv.key, kv.value)).collect()
         };
         let before = marks(&play);
         assert!(!before.is_empty());
@@ -1480,7 +1481,7 @@
     // A transaction that met a newer version reads it and goes on.
     let done = one.live().first().cloned();
     if let Some(task) = done {
-        one.end(&task, Cause::Done);
+        one.end(&task, ExitCause::Done);
     }
     play.settle(&mut [&mut one, &mut two]);
     assert!(!play.ledger.deposed());
@@ -1501,7 +1502,7 @@
     assert_eq!(begun.len(), 1, "a task fills the machine");
     let marks = play.store.list("m/");
     assert_eq!(marks.len(), 1, "{marks:?}");
-    assert!(marks[0].v["jobs"].as_array().is_some_and(|jobs| jobs.len() < 100));
+    assert!(marks[0].value["jobs"].as_array().is_some_and(|jobs| jobs.len() < 100));
     // The next leader does not hear the machine: what ran on it waits, the rest need not.
     let mut next = Play::lead(play.store.clone(), 5_000, 20_000);
     let mut other = small("m-2", "a");
@@ -1516,7 +1517,7 @@
     for _ in 0..300 {
         play.beat(&mut w);
         for task in w.live() {
-            w.end(&task, Cause::Done);
+            w.end(&task, ExitCause::Done);
         }
         play.beat(&mut w);
         play.wait(300);
@@ -1551,7 +1552,7 @@
     for _ in 0..60 {
         play.now += 1_000;
         let Some(commit) = play.ledger.next_commit(play.now) else { continue };
-        let changes = commit.transaction.apply.len();
+        let changes = commit.transaction.operations.len();
         let result = if changes > most_changes {
             CommitResult::Rejected
         } else {
@@ -1590,7 +1591,7 @@
     for _ in 0..40 {
         play.now += 500;
         let Some(commit) = play.ledger.next_commit(play.now) else { continue };
-        let poisoned = commit.transaction.apply.iter().any(|c| c.key() == final_key(&ids[0]));
+        let poisoned = commit.transaction.operations.iter().any(|c| c.key() == final_key(&ids[0]));
         tries += usize::from(poisoned);
         // The state service comes round after some seconds.
         let result = if poisoned && play.now < 12_000 {
--- a/crates/controller/tests/meetings.rs
+++ b/crates/controller/tests/meetings.rs
@@ -7,7 +7,7 @@
 use hookway_controller::ledger::{Cancellation, CommitResult, Lookup, lease_over_ms};
 use hookway_controller::records::minimum_key;
 use hookway_testkit::{MemoryStore, ScriptedWorker};
-use hookway_wire::{Cause, Command, DirectCommands, JobId, JobState, MachineState};
+use hookway_wire::{Command, DirectCommands, ExitCause, JobId, JobState, MachineState};
 use play::{Play, job, listed, setup, small};
 
 /// Machines of both zones with a task each, of a job that is bound to zones in some way.
@@ -83,7 +83,7 @@
     let mut other = small("m-2", "b");
     next.settle(&mut [&mut other]);
     assert_eq!(other.started, [], "any of its tasks may be on m-1");
-    cut.end(&cut.live()[0].clone(), Cause::Done);
+    cut.end(&cut.live()[0].clone(), ExitCause::Done);
     next.settle(&mut [&mut other, &mut cut]);
     assert!(!other.started.is_empty(), "all machines have reported");
 }
@@ -160,7 +160,7 @@
     }
     let stops = play.ledger.check_in(&report, play.now).expect("the leader answers").commands;
     assert!(matches!(stops.as_slice(), [Command::Kill { .. }]), "{stops:?}");
-    worker.end(&worker.live()[0].clone(), Cause::Stopped);
+    worker.end(&worker.live()[0].clone(), ExitCause::Stopped);
     play.beat(&mut worker);
     play.wait(100);
     assert_eq!(play.stored_final(&id).as_deref(), Some("withdrawn"));
@@ -182,7 +182,7 @@
     assert_eq!(left.live().len(), 1);
     let (old, empty) = (left.report(), right.report());
     // The task fails there and goes on elsewhere.
-    left.end(&left.live()[0].clone(), Cause::NoRoom);
+    left.end(&left.live()[0].clone(), ExitCause::InsufficientResources);
     play.settle(&mut [&mut left, &mut right]);
     while right.live().is_empty() {
         play.settle(&mut [&mut left, &mut right]);
@@ -214,11 +214,12 @@
     let mut worker = small("m-1", "a");
     play.submit(job("req-000001", "array", 1));
     play.settle(&mut [&mut worker]);
-    worker.end(&worker.live()[0].clone(), Cause::Error);
+    worker.end(&worker.live()[0].clone(), ExitCause::Error);
     let held_back = worker.report();
     let mut next = Play::lead(play.store.clone(), 2, play.now + 6_000);
     // It asks the worker, which tells it what it has under its token.
-    let hello = DirectCommands { token: 2, session: worker.session(), commands: vec![] };
+    let hello =
+        DirectCommands { fencing_token: 2, incarnation: worker.session(), commands: vec![] };
     let told = worker.commands(&hello).expect("a higher token");
     next.ledger.listed(&[listed("m-1", MachineState::Running, 60.0)], next.now, next.now);
     next.ledger.greeted("m-1", Some(told), next.now);
@@ -326,7 +327,7 @@
     for term in 2..=4 {
         let n = term as usize - 2;
         let task = workers[n].live()[0].clone();
-        workers[n].end(&task, Cause::Done);
+        workers[n].end(&task, ExitCause::Done);
         play.settle(&mut workers.iter_mut().collect::<Vec<_>>());
         let over = play.stored_final(&id);
         assert_eq!(over.is_some(), term == 4, "done with the last one only");
@@ -358,7 +359,7 @@
     let attempts: std::collections::BTreeSet<_> = workers.iter().flat_map(|w| &w.started).collect();
     assert_eq!(attempts.len(), 6, "no attempt number was used twice");
     for w in &mut workers {
-        w.end(&w.live()[0].clone(), Cause::Done);
+        w.end(&w.live()[0].clone(), ExitCause::Done);
     }
     next.settle(&mut workers.iter_mut().collect::<Vec<_>>());
     assert_eq!(next.stored_final(&id).as_deref(), Some("done"));
--- a/crates/controller/tests/play/mod.rs
+++ b/crates/controller/tests/play/mod.rs
@@ -7,7 +7,7 @@
 use hookway_controller::ledger::{CommitResult, Ledger, Loaded, Lookup, Moment, Setup};
 use hookway_controller::records::{JobRecord, LEAD_NOW, final_key, job_key};
 use hookway_testkit::{MemoryStore, SETTINGS, ScriptedWorker, machine_types};
-use hookway_wire::{Command, Guard, JobId, JobSpec, JobState, ListedMachine, MachineState};
+use hookway_wire::{Command, JobId, JobSpec, JobState, ListedMachine, MachineState, Precondition};
 
 pub fn job(id: &str, kind: &str, tasks: u32) -> JobSpec {
     let text = format!(
@@ -60,7 +60,7 @@
             classes: store.get("c/lanes"),
             marked: true,
         };
-        let guard = Guard { key: LEAD_NOW.into(), stamp };
+        let guard = Precondition { key: LEAD_NOW.into(), mod_revision: stamp };
         let at = Moment { now, wall: 1_000_000 + now };
         let ledger = Ledger::new(setup, term, guard, machine_types(), loaded, at);
         Self { ledger, store, now }
@@ -123,19 +123,19 @@
 
     /// Whether the roster in the store names the machine.
     pub fn rostered(&self, machine: &str) -> bool {
-        self.store.list("r/").iter().any(|kv| kv.v["hosts"].get(machine).is_some())
+        self.store.list("r/").iter().any(|kv| kv.value["hosts"].get(machine).is_some())
     }
 
     pub fn state(&self, id: &JobId) -> JobState {
         match self.ledger.status(id) {
-            Lookup::Known(status) => status.status,
+            Lookup::Known(status) => status.state,
             other => panic!("{id}: {other:?}"),
         }
     }
 
     pub fn stored_final(&self, id: &JobId) -> Option<String> {
         let kv = self.store.get(&final_key(id))?;
-        kv.v.get("state").and_then(|s| s.as_str()).map(str::to_owned)
+        kv.value.get("state").and_then(|s| s.as_str()).map(str::to_owned)
     }
 }
 
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -9,7 +9,7 @@
 use hookway_controller::networks::Networks;
 use hookway_replication::{Entry, JobHints, PlacedTask, Publisher, ReplicatedState, Stage};
 use hookway_testkit::ScriptedWorker;
-use hookway_wire::{Cause, JobId, JobState, ListedMachine, MachineState, TaskState};
+use hookway_wire::{ExitCause, JobId, JobState, ListedMachine, MachineState, TaskState};
 use play::{Play, job, setup, small};
 
 const SECOND_TERM: u64 = 1 + constants::TOKENS_PER_TERM;
@@ -36,7 +36,11 @@
         let token = play.ledger.term();
         let report = worker.and_then(|w| {
             let session = w.session();
-            w.commands(&hookway_wire::DirectCommands { token, session, commands: vec![] })
+            w.commands(&hookway_wire::DirectCommands {
+                fencing_token: token,
+                incarnation: session,
+                commands: vec![],
+            })
         });
         play.ledger.greeted(name, report, play.now);
     }
@@ -52,7 +56,7 @@
     (1..=machines)
         .map(|n| {
             let mut worker = small(&format!("m-{n}"), "a");
-            worker.first_state = TaskState::Pulling;
+            worker.first_state = TaskState::FetchingImage;
             worker
         })
         .collect()
@@ -117,7 +121,7 @@
     settle(&mut play, &mut workers);
     let copy = copy_of(&mut play.ledger);
     let task = workers[3].live().remove(0);
-    workers[3].end(&task, Cause::Error);
+    workers[3].end(&task, ExitCause::Error);
     take_over(&mut play, &copy);
     settle(&mut play, &mut workers);
     settle(&mut play, &mut workers);
@@ -159,7 +163,7 @@
     settle(&mut play, &mut heard);
     assert!(!play.ledger.settled(play.now));
     let lost = heard[0].live().remove(0);
-    heard[0].end(&lost, Cause::Stopped);
+    heard[0].end(&lost, ExitCause::Stopped);
     settle(&mut play, &mut heard);
     assert_eq!(attempts(&heard).len(), 2, "what may be on the silent machine is not started");
     settle(&mut play, &mut workers);
@@ -247,7 +251,8 @@
     let term = play.ledger.term();
     let asked = play.ledger.take_greetings(play.now);
     assert_eq!(asked.len(), 2);
-    let hello = hookway_wire::DirectCommands { token: term, session: 1, commands: vec![] };
+    let hello =
+        hookway_wire::DirectCommands { fencing_token: term, incarnation: 1, commands: vec![] };
     let other = workers[1].commands(&hello);
     play.ledger.greeted("m-1", other, play.now);
     assert!(!play.ledger.settled(play.now));
@@ -262,7 +267,7 @@
     settle(&mut play, &mut workers);
     for worker in &mut workers {
         let task = worker.live().remove(0);
-        worker.end(&task, Cause::Error);
+        worker.end(&task, ExitCause::Error);
     }
     settle(&mut play, &mut workers);
     let copy = copy_of(&mut play.ledger);
@@ -322,7 +327,7 @@
     assert!(publisher.state().jobs.contains_key(id.as_str()));
     for worker in &mut workers {
         let task = worker.live().remove(0);
-        worker.end(&task, Cause::Done);
+        worker.end(&task, ExitCause::Done);
     }
     settle(&mut play, &mut workers);
     play.ledger.deleted(&["m-4".to_owned()], play.now);
--- a/crates/controller/tests/world/controllers.rs
+++ b/crates/controller/tests/world/controllers.rs
@@ -14,8 +14,8 @@
 use hookway_replication::{Follower, Publisher};
 use hookway_testkit::{SETTINGS, machine_types};
 use hookway_wire::{
-    Change, CheckIn, Command, DirectCommands, Guard, JobId, JobState, ListedMachine, MachineState,
-    Transaction,
+    Command, DirectCommands, Heartbeat, JobId, JobState, ListedMachine, MachineState, Operation,
+    Precondition, Transaction,
 };
 use rand::RngExt;
 use std::collections::BTreeSet;
@@ -254,7 +254,7 @@
             classes: self.store.get("c/lanes"),
             marked: true,
         };
-        let guard = Guard { key: LEAD_NOW.into(), stamp };
+        let guard = Precondition { key: LEAD_NOW.into(), mod_revision: stamp };
         let at = self.moment();
         let node = &mut self.controllers[n];
         node.holding.won(term);
@@ -318,7 +318,7 @@
         if self.store_answers(n) {
             let at = self.moment();
             for kv in self.store.list("j/") {
-                leader.ledger.job_seen(&kv.key, kv.v, at, false);
+                leader.ledger.job_seen(&kv.key, kv.value, at, false);
             }
         }
         if now.is_multiple_of(300) {
@@ -387,14 +387,16 @@
             if waits && self.chance(50) {
                 // No connection: surely not sent.
                 let at = now + self.span(5, 50);
-                let outcome = Message::Delivered(n, term, name, commands.token, Delivery::NotSent);
+                let outcome =
+                    Message::Delivered(n, term, name, commands.fencing_token, Delivery::NotSent);
                 self.at(at, outcome);
                 continue;
             }
             self.send(|| Message::Direct(n, term, m, commands.clone()));
             if waits {
                 // Whatever comes back, the sender gives up after a while.
-                let outcome = Message::Delivered(n, term, name, commands.token, Delivery::Unclear);
+                let outcome =
+                    Message::Delivered(n, term, name, commands.fencing_token, Delivery::Unclear);
                 self.at(now + 1_500, outcome);
             }
         }
@@ -414,10 +416,10 @@
     /// A controller keeps to the limits that it knows of.
     fn check_limits(&mut self, n: usize, transaction: &Transaction) {
         let limits = &self.controllers[n].setup.params.state;
-        let changes = transaction.apply.len();
+        let changes = transaction.operations.len();
         assert!(changes <= limits.txn_ops, "{changes} changes, and a limit of {}", limits.txn_ops);
-        for change in &transaction.apply {
-            let Change::Put { put, v, .. } = change else { continue };
+        for change in &transaction.operations {
+            let Operation::Put { key: put, value: v, .. } = change else { continue };
             let length = v.to_string().len() as f64;
             assert!(length <= limits.value_kb * 1024.0, "{put}: {length} bytes");
             let divided = self.controllers[n].version == Version::New && put.starts_with("r/");
@@ -496,7 +498,7 @@
         }
     }
 
-    pub(super) fn report_arrives(&mut self, m: usize, n: usize, report: &CheckIn) {
+    pub(super) fn report_arrives(&mut self, m: usize, n: usize, report: &Heartbeat) {
         let now = self.now;
         if !self.worker_linked(n, m) {
             return;
@@ -527,7 +529,7 @@
                 }
             }
         };
-        self.send(|| Message::Answer(m, n, report.tick, reply.clone()));
+        self.send(|| Message::Answer(m, n, report.sequence, reply.clone()));
     }
 
     pub(super) fn renewal_arrives(&mut self, from: usize, n: usize, renewal: &Renewal, at: u64) {
--- a/crates/controller/tests/world/gangs.rs
+++ b/crates/controller/tests/world/gangs.rs
@@ -3,7 +3,7 @@
 use super::controllers::Controller;
 use super::{Message, World};
 use hookway_testkit::ScriptedWorker;
-use hookway_wire::{Cause, JobSpec, TaskReport, TaskState};
+use hookway_wire::{ExitCause, JobSpec, TaskState, TaskStatus};
 use rand::RngExt;
 
 /// A gang's task has its image after this long, ms.
@@ -41,7 +41,7 @@
         let there = |index: &u32| {
             let task = format!("{}/{index}", spec.id);
             let live = |w: &ScriptedWorker| {
-                w.tasks().iter().any(|t| t.task == task && t.status != TaskState::Ended)
+                w.tasks().iter().any(|t| t.task == task && t.state != TaskState::Ended)
             };
             self.machines.iter().any(|m| !m.dead && live(&m.worker))
         };
@@ -58,7 +58,7 @@
         if !self.jobs.iter().any(gang) {
             return;
         }
-        self.machines[m].worker.set_task_state(task, TaskState::Pulling);
+        self.machines[m].worker.set_task_state(task, TaskState::FetchingImage);
         let earlier = self.lead.as_ref().is_some_and(|lead| attempt >> 28 < lead.term);
         let leads = |c: &Controller| c.leader.as_ref().is_some_and(|l| l.term > attempt >> 28);
         self.counts.completed_gangs += usize::from(earlier && self.controllers.iter().any(leads));
@@ -66,8 +66,8 @@
 
     /// The tasks of gangs on a machine go on.
     pub(super) fn run_gangs(&mut self, m: usize) {
-        let here: Vec<TaskReport> = self.machines[m].worker.tasks().to_vec();
-        for reported in here.iter().filter(|t| t.status != TaskState::Ended) {
+        let here: Vec<TaskStatus> = self.machines[m].worker.tasks().to_vec();
+        for reported in here.iter().filter(|t| t.state != TaskState::Ended) {
             let (id, _) = reported.task.split_once('/').expect("a task");
             let spec = self.jobs.iter().find(|j| j.is_gang() && j.id.as_str() == id).cloned();
             if let Some(spec) = spec {
@@ -76,7 +76,7 @@
         }
     }
 
-    fn run_gang_task(&mut self, m: usize, reported: &TaskReport, spec: &JobSpec) {
+    fn run_gang_task(&mut self, m: usize, reported: &TaskStatus, spec: &JobSpec) {
         let now = self.now;
         let (task, attempt) = (reported.task.as_str(), reported.attempt);
         let since = self.machines[m].since.get(task).copied().unwrap_or(now);
@@ -85,22 +85,22 @@
             let on = |w: &ScriptedWorker| w.state_of(&name(index), attempt);
             self.machines.iter().filter(|m| !m.dead).find_map(|m| on(&m.worker))
         };
-        match reported.status {
-            TaskState::Pulling if now >= since + FETCH => {
-                self.machines[m].worker.set_task_state(task, TaskState::Waiting);
+        match reported.state {
+            TaskState::FetchingImage if now >= since + FETCH => {
+                self.machines[m].worker.set_task_state(task, TaskState::WaitingForGang);
             }
-            TaskState::Waiting => {
-                let ready = |index| matches!(state(index), Some(TaskState::Waiting));
+            TaskState::WaitingForGang => {
+                let ready = |index| matches!(state(index), Some(TaskState::WaitingForGang));
                 if (0..spec.tasks).all(ready) {
                     self.start_gang(spec, attempt);
                 } else if now >= since + GANG_WAIT {
-                    self.machines[m].worker.end(task, Cause::Incomplete);
+                    self.machines[m].worker.end(task, ExitCause::GangIncomplete);
                 }
             }
             TaskState::Running => {
                 let gone = |index: u32| state(index).is_none() && !self.done.contains(&name(index));
                 if now >= since + GANG_PEER && (0..spec.tasks).any(gone) {
-                    self.machines[m].worker.end(task, Cause::Peers);
+                    self.machines[m].worker.end(task, ExitCause::GangMemberLost);
                 }
             }
             _ => {}
--- a/crates/controller/tests/world/machines.rs
+++ b/crates/controller/tests/world/machines.rs
@@ -3,7 +3,7 @@
 use super::{CALM_AT, Message, NODES, PATIENCE, REPLICAS_AT, REPORT_EVERY, Reply, World, mistaken};
 use hookway_clients::Delivery;
 use hookway_testkit::ScriptedWorker;
-use hookway_wire::{Cause, DirectCommands, JobSpec};
+use hookway_wire::{DirectCommands, ExitCause, JobSpec};
 use rand::RngExt;
 use std::collections::BTreeMap;
 
@@ -140,7 +140,7 @@
         if term > 0 {
             let delivery = report.map_or(Delivery::Refused, Delivery::Done);
             let delay = self.span(5, 50);
-            let reply = Message::Delivered(n, term, name, commands.token, delivery);
+            let reply = Message::Delivered(n, term, name, commands.fencing_token, delivery);
             self.at(now + delay, reply);
         }
     }
@@ -156,7 +156,7 @@
         let machine = &mut self.machines[m];
         // It is asked again under the session that its refusal names.
         let session = machine.worker.session();
-        let hello = DirectCommands { token: term, session, commands: vec![] };
+        let hello = DirectCommands { fencing_token: term, incarnation: session, commands: vec![] };
         let report = machine.worker.commands(&hello);
         let name = machine.name.clone();
         self.send(|| Message::Greeted(n, term, name.clone(), report.clone()));
@@ -202,7 +202,7 @@
             let apart = of_job.iter().any(|(_, z)| *z != here);
             assert!(!(spec.one_zone && apart), "{task} starts in {here}, others are elsewhere");
             let near = of_job.iter().filter(|(_, z)| *z == here).count();
-            let cap = spec.zone_cap() as usize;
+            let cap = spec.max_tasks_per_zone() as usize;
             assert!(!spec.spread || near <= cap, "{task}: {near} of {cap} in {here}");
         }
         if spec.team == "tight" {
@@ -262,7 +262,7 @@
         }
         if machine.in_flight.is_none() && now >= machine.next_report {
             let report = machine.worker.report();
-            machine.in_flight = Some((report.tick, now));
+            machine.in_flight = Some((report.sequence, now));
             machine.next_report = now + REPORT_EVERY;
             let (node, mute) = (machine.node, now < machine.mute_until);
             if mute || !self.worker_linked(node, m) {
@@ -305,7 +305,7 @@
             let unlucky = bad_luck && since + 2_000 == now;
             if fails || unlucky {
                 self.counts.errors += 1;
-                machine.worker.end(&task, Cause::Error);
+                machine.worker.end(&task, ExitCause::Error);
                 machine.next_report = machine.next_report.min(now + 100);
                 continue;
             }
@@ -322,7 +322,7 @@
             if !runs || now < since + takes || daemon && now >= CALM_AT {
                 continue;
             }
-            machine.worker.end(&task, Cause::Done);
+            machine.worker.end(&task, ExitCause::Done);
             machine.next_report = machine.next_report.min(now + 100);
             let (id, _) = task.split_once('/').expect("a task");
             let gang = self.jobs.iter().find(|j| j.id.as_str() == id && j.is_gang());
--- a/crates/controller/tests/world/mod.rs
+++ b/crates/controller/tests/world/mod.rs
@@ -19,7 +19,7 @@
 use hookway_controller::ledger::Commit;
 use hookway_replication::{FollowAnswer, FollowRequest};
 use hookway_testkit::MemoryStore;
-use hookway_wire::{CheckIn, CheckInAnswer, DirectCommands, JobId, JobSpec, Transaction};
+use hookway_wire::{DirectCommands, Heartbeat, HeartbeatResponse, JobId, JobSpec, Transaction};
 use machines::Machine;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 enum Message {
     /// Machine, controller.
-    Report(usize, usize, CheckIn),
+    Report(usize, usize, Heartbeat),
     /// A controller's answer: machine, controller, the report's number, and what it says.
     Answer(usize, usize, u64, Reply),
     /// Asker, asked, what, and when by the asker's own clock.
@@ -67,7 +67,7 @@
     /// To a controller in a term: machine, token, outcome.
     Delivered(usize, u64, String, u64, Delivery),
     Greet(usize, u64, usize),
-    Greeted(usize, u64, String, Option<CheckIn>),
+    Greeted(usize, u64, String, Option<Heartbeat>),
     /// A transaction arrives at the state service.
     Commit(usize, u64, Box<Commit>),
     /// Its sender reads its keys again, for an answer that it did not get.
@@ -80,7 +80,7 @@
 
 #[derive(Debug, Clone)]
 enum Reply {
-    Answer(CheckInAnswer),
+    Answer(HeartbeatResponse),
     Elsewhere(Option<usize>),
     Unsure,
 }
@@ -332,8 +332,8 @@
 
     fn end_lead(&mut self) {
         self.lead = None;
-        let gone = hookway_wire::Change::delete(hookway_controller::records::LEAD_NOW);
-        let _ = self.store.commit(&Transaction { guards: vec![], apply: vec![gone] });
+        let gone = hookway_wire::Operation::delete(hookway_controller::records::LEAD_NOW);
+        let _ = self.store.commit(&Transaction { preconditions: vec![], operations: vec![gone] });
     }
 
     /// The new version comes, a controller at a time.
--- a/crates/controller/tests/world/users.rs
+++ b/crates/controller/tests/world/users.rs
@@ -3,7 +3,7 @@
 use super::{Message, NODES, REPLICAS_AT, Version, World, mistaken};
 use hookway_controller::ledger::{Cancellation, Lookup};
 use hookway_controller::records::{JobRecord, LEAD_NOW, final_key, job_key};
-use hookway_wire::{Change, Guard, JobId, JobSpec, JobState, Transaction};
+use hookway_wire::{JobId, JobSpec, JobState, Operation, Precondition, Transaction};
 use rand::RngExt;
 
 /// Replicas of a daemon, at most, and daemons: together they find room in the smaller zone, however the others
@@ -136,7 +136,7 @@
         if let Some(l) = leader {
             let ledger = &self.controllers[l].leader.as_ref()?.ledger;
             match ledger.status(id) {
-                Lookup::Known(status) => return Some(Heard::State(status.status)),
+                Lookup::Known(status) => return Some(Heard::State(status.state)),
                 Lookup::Deciding | Lookup::NotHere if l != n && self.store_answers(l) => {
                     return self.stored(id);
                 }
@@ -163,7 +163,7 @@
             return Some(Heard::State(JobState::Queued));
         }
         let Some(kv) = self.store.get(&final_key(id)) else { return Some(Heard::Absent) };
-        serde_json::from_value(kv.v["state"].clone()).ok().map(Heard::State)
+        serde_json::from_value(kv.value["state"].clone()).ok().map(Heard::State)
     }
 
     /// A user cancels a job at a controller.
@@ -184,11 +184,11 @@
         }
         let record = serde_json::json!({ "state": "withdrawn", "done": 0, "owner": "team" });
         let transaction = Transaction {
-            guards: vec![
-                Guard { key: LEAD_NOW.into(), stamp: 0 },
-                Guard { key: final_key(id), stamp: 0 },
+            preconditions: vec![
+                Precondition { key: LEAD_NOW.into(), mod_revision: 0 },
+                Precondition { key: final_key(id), mod_revision: 0 },
             ],
-            apply: vec![Change::put(final_key(id), record), Change::delete(job_key(id))],
+            operations: vec![Operation::put(final_key(id), record), Operation::delete(job_key(id))],
         };
         if self.chance(100) {
             // Its answer is lost, and it may be carried out late.
@@ -217,7 +217,7 @@
         for spec in &self.jobs {
             let id = &spec.id;
             let Some(kv) = self.store.get(&final_key(id)) else { continue };
-            if kv.v["state"].as_str() == Some("done") {
+            if kv.value["state"].as_str() == Some("done") {
                 assert!(!spec.is_daemon(), "{id} is a daemon, and is called done");
                 let all = (0..spec.tasks).all(|i| self.done.contains(&format!("{id}/{i}")));
                 assert!(all, "{id} is called done before all of its tasks are");
--- a/crates/hookway/src/main.rs
+++ b/crates/hookway/src/main.rs
@@ -160,11 +160,11 @@
 }
 
 fn show(status: &JobStatus) {
-    println!("{}: {}, {} done, {} running", status.id, status.status, status.done, status.running);
+    println!("{}: {}, {} done, {} running", status.id, status.state, status.done, status.running);
     if let Some(team) = &status.team {
         println!("  team: {team}");
     }
-    if let Some(commander) = &status.commander {
+    if let Some(commander) = &status.leader {
         println!("  commanded by: {commander}");
     }
     for note in &status.notes {
--- a/crates/hookway/tests/standby.rs
+++ b/crates/hookway/tests/standby.rs
@@ -202,7 +202,7 @@
                 let api = ApiClient::new(&controller.api);
                 let asked = api.status(id);
                 if let Ok(Ok(told)) = tokio::time::timeout(limit, asked).await {
-                    return (told.status == JobState::Done).then_some(());
+                    return (told.state == JobState::Done).then_some(());
                 }
             }
             None
--- a/crates/policy/src/place/tests.rs
+++ b/crates/policy/src/place/tests.rs
@@ -107,7 +107,7 @@
         machines,
         teams: vec![TeamView::default()],
         machine_types: vec![MachineType {
-            label: "small".into(),
+            name: "small".into(),
             cpus: 4.0,
             gpus: 0.0,
             memory_gb: 16.0,
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -5,8 +5,8 @@
 use crate::{ScriptedWorker, machine_types};
 use hookway_clients::HttpClient;
 use hookway_wire::{
-    Cause, CheckInAnswer, DirectCommands, JobSpec, ListedMachine, MachineList, MachineNames,
-    MachineState, MachineTypes, ReportElsewhere, TaskReport, TaskState,
+    DirectCommands, ExitCause, HeartbeatRedirect, HeartbeatResponse, JobSpec, ListedMachine,
+    MachineList, MachineNames, MachineState, MachineTypes, TaskState, TaskStatus,
 };
 use hyper::{Method, StatusCode as Status};
 use salvo::http::StatusCode;
@@ -29,7 +29,7 @@
     /// A worker took it.
     Start,
     /// It ended, for this reason.
-    End(Cause),
+    End(ExitCause),
     /// Its worker's lease ran out, or its machine is gone.
     Lost,
 }
@@ -89,7 +89,7 @@
             let address = serve(router).await?;
             let zone = ["a", "b"][n % 2];
             let mut worker = ScriptedWorker::new(&format!("m-{n}"), "small", zone);
-            worker.first_state = TaskState::Pulling;
+            worker.first_state = TaskState::FetchingImage;
             worker.set_address(&address);
             fleet.lock().members.push(Member {
                 worker,
@@ -177,14 +177,14 @@
             next = Instant::now() + Duration::from_secs(1);
             match answer {
                 Ok((Status::OK, body)) if !self.lock().members[n].mute => {
-                    let changed = serde_json::from_slice::<CheckInAnswer>(&body)
+                    let changed = serde_json::from_slice::<HeartbeatResponse>(&body)
                         .is_ok_and(|answer| self.take_answer(n, &answer, sent));
                     next =
                         sent + if changed { every.min(Duration::from_millis(500)) } else { every };
                 }
                 Ok((Status::MISDIRECTED_REQUEST, body)) => {
-                    let named = serde_json::from_slice::<ReportElsewhere>(&body).ok();
-                    let named = named.and_then(|e| e.report_to);
+                    let named = serde_json::from_slice::<HeartbeatRedirect>(&body).ok();
+                    let named = named.and_then(|e| e.leader);
                     let named =
                         controllers.iter().position(|(name, _)| Some(name) == named.as_ref());
                     match named.filter(|other| *other != node) {
@@ -215,10 +215,10 @@
     }
 
     /// Takes an answer to a report that was sent at `sent`; whether anything changed.
-    fn take_answer(&self, n: usize, answer: &CheckInAnswer, sent: Instant) -> bool {
+    fn take_answer(&self, n: usize, answer: &HeartbeatResponse, sent: Instant) -> bool {
         let mut state = self.lock();
         let before = state.members[n].worker.started.len();
-        let higher = answer.token > state.members[n].worker.token;
+        let higher = answer.fencing_token > state.members[n].worker.token;
         if state.members[n].worker.take(answer) {
             state.members[n].lease_from = sent;
         }
@@ -252,9 +252,9 @@
         }
     }
 
-    fn live(&self, n: usize) -> Vec<TaskReport> {
+    fn live(&self, n: usize) -> Vec<TaskStatus> {
         let tasks = self.members[n].worker.tasks().iter();
-        tasks.filter(|t| t.status != TaskState::Ended).cloned().collect()
+        tasks.filter(|t| t.state != TaskState::Ended).cloned().collect()
     }
 
     /// No task starts while it is on another machine, and no attempt twice on one.
@@ -281,26 +281,26 @@
         let mut changed = false;
         for task in self.live(n) {
             let since = self.members[n].since.get(&task.task).copied().unwrap_or(now);
-            let next = match task.status {
-                TaskState::Pulling if now >= since + FETCH => Some(TaskState::Waiting),
-                TaskState::Waiting if self.gang_is_there(&task) => Some(TaskState::Running),
+            let next = match task.state {
+                TaskState::FetchingImage if now >= since + FETCH => Some(TaskState::WaitingForGang),
+                TaskState::WaitingForGang if self.gang_is_there(&task) => Some(TaskState::Running),
                 _ => None,
             };
             if let Some(next) = next {
                 changed = true;
                 self.members[n].worker.set_task_state(&task.task, next);
                 self.members[n].since.insert(task.task.clone(), now);
-            } else if task.status == TaskState::Running && now >= since + self.run_time {
+            } else if task.state == TaskState::Running && now >= since + self.run_time {
                 changed = true;
-                self.members[n].worker.end(&task.task, Cause::Done);
-                self.note(n, &task.task, task.attempt, TaskEvent::End(Cause::Done));
+                self.members[n].worker.end(&task.task, ExitCause::Done);
+                self.note(n, &task.task, task.attempt, TaskEvent::End(ExitCause::Done));
             }
         }
         changed
     }
 
     /// Whether all tasks of the attempt have their images, or it is no gang.
-    fn gang_is_there(&self, task: &TaskReport) -> bool {
+    fn gang_is_there(&self, task: &TaskStatus) -> bool {
         let id = task.task.split('/').next().unwrap_or_default();
         let Some(spec) = self.jobs.iter().find(|j| j.id.as_str() == id && j.is_gang()) else {
             return true;
@@ -308,8 +308,8 @@
         (0..spec.tasks).all(|index| {
             let name = format!("{id}/{index}");
             let there = |m: &Member| {
-                let of_attempt = |t: &&TaskReport| t.task == name && t.attempt == task.attempt;
-                let ready = |t: &TaskReport| t.status != TaskState::Pulling;
+                let of_attempt = |t: &&TaskStatus| t.task == name && t.attempt == task.attempt;
+                let ready = |t: &TaskStatus| t.state != TaskState::FetchingImage;
                 !m.gone && m.worker.tasks().iter().find(of_attempt).is_some_and(ready)
             };
             self.members.iter().any(there)
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -1,7 +1,8 @@
 use crate::MemoryStore;
 use crate::serve::serve;
 use hookway_wire::{
-    Change, CommitAnswer, Event, Grant, GrantRequest, KeyPage, Transaction, WatchAnswer,
+    CommitResponse, KeyPage, LeaseGrant, LeaseGrantRequest, Operation, Transaction, WatchEvent,
+    WatchResponse,
 };
 use salvo::http::StatusCode;
 use salvo::prelude::*;
@@ -30,9 +31,9 @@
     /// Whether a transaction puts a larger value than is taken.
     fn too_large(&self, transaction: &Transaction) -> bool {
         let Some(largest) = self.largest_value else { return false };
-        transaction.apply.iter().any(|change| match change {
-            Change::Put { v, .. } => v.to_string().len() > largest,
-            Change::Delete { .. } => false,
+        transaction.operations.iter().any(|change| match change {
+            Operation::Put { value: v, .. } => v.to_string().len() > largest,
+            Operation::Delete { .. } => false,
         })
     }
 }
@@ -202,17 +203,18 @@
                 let outcome = server.with(|store| store.commit(&transaction));
                 let revision = server.lock().store.revision();
                 match outcome {
-                    Ok(revision) => res.render(Json(CommitAnswer { failed: vec![], revision })),
+                    Ok(revision) => res.render(Json(CommitResponse { failed: vec![], revision })),
                     Err(failed) => {
                         res.status_code(StatusCode::CONFLICT);
-                        res.render(Json(CommitAnswer { failed, revision }));
+                        res.render(Json(CommitResponse { failed, revision }));
                     }
                 }
             }
             What::Grant => {
-                let length = req.parse_json::<GrantRequest>().await.map(|r| r.ttl_ms).unwrap_or(0);
+                let length =
+                    req.parse_json::<LeaseGrantRequest>().await.map(|r| r.ttl_ms).unwrap_or(0);
                 let lease_id = server.grant_for(Duration::from_millis(length));
-                res.render(Json(Grant { lease_id }));
+                res.render(Json(LeaseGrant { lease_id }));
             }
             What::Extend if server.extend(id) => res.render(Json(json!({}))),
             What::End if server.end(id) => res.render(Json(json!({}))),
@@ -225,7 +227,7 @@
                 let mut over = Box::pin(tokio::time::sleep(wait));
                 let events = loop {
                     let changed = server.changed.notified();
-                    let events: Vec<Event> = server.lock().store.events(&prefix, after);
+                    let events: Vec<WatchEvent> = server.lock().store.events(&prefix, after);
                     if !events.is_empty() && !server.lock().mute_watches {
                         break events;
                     }
@@ -235,7 +237,7 @@
                     }
                 };
                 let revision = server.lock().store.revision();
-                res.render(Json(WatchAnswer { revision, events }));
+                res.render(Json(WatchResponse { revision, events }));
             }
         }
     }
--- a/crates/testkit/src/settings.rs
+++ b/crates/testkit/src/settings.rs
@@ -49,7 +49,7 @@
 /// The machine types of that deployment: one, small.
 pub fn machine_types() -> Vec<MachineType> {
     vec![MachineType {
-        label: "small".into(),
+        name: "small".into(),
         cpus: 4.0,
         gpus: 0.0,
         memory_gb: 16.0,
--- a/crates/testkit/src/store.rs
+++ b/crates/testkit/src/store.rs
@@ -1,4 +1,4 @@
-use hookway_wire::{Change, Event, KeyValue, Transaction};
+use hookway_wire::{KeyValue, Operation, Transaction, WatchEvent};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
@@ -7,39 +7,43 @@
 pub struct MemoryStore {
     keys: BTreeMap<String, KeyValue>,
     revision: u64,
-    events: Vec<(u64, Event)>,
+    events: Vec<(u64, WatchEvent)>,
 }
 
 impl MemoryStore {
     /// Applies a transaction: the new revision, or the conditions that failed.
     pub fn commit(&mut self, transaction: &Transaction) -> Result<u64, Vec<String>> {
         let failed: Vec<String> = transaction
-            .guards
+            .preconditions
             .iter()
-            .filter(|g| self.keys.get(&g.key).map_or(0, |kv| kv.stamp) != g.stamp)
+            .filter(|g| self.keys.get(&g.key).map_or(0, |kv| kv.mod_revision) != g.mod_revision)
             .map(|g| g.key.clone())
             .collect();
         if !failed.is_empty() {
             return Err(failed);
         }
-        if transaction.apply.is_empty() {
+        if transaction.operations.is_empty() {
             return Ok(self.revision);
         }
         self.revision += 1;
-        for change in &transaction.apply {
+        for change in &transaction.operations {
             match change {
-                Change::Put { put, v, lease_id } => {
+                Operation::Put { key: put, value: v, lease_id } => {
                     let kv = KeyValue {
                         key: put.clone(),
-                        v: v.clone(),
-                        stamp: self.revision,
+                        value: v.clone(),
+                        mod_revision: self.revision,
                         lease_id: *lease_id,
                     };
                     self.keys.insert(put.clone(), kv);
-                    let event = Event::Put { put: put.clone(), v: v.clone(), stamp: self.revision };
+                    let event = WatchEvent::Put {
+                        key: put.clone(),
+                        value: v.clone(),
+                        mod_revision: self.revision,
+                    };
                     self.events.push((self.revision, event));
                 }
-                Change::Delete { delete } => self.remove(delete.clone()),
+                Operation::Delete { key: delete } => self.remove(delete.clone()),
             }
         }
         Ok(self.revision)
@@ -47,7 +51,8 @@
 
     /// Sets a key without conditions; its version.
     pub fn put(&mut self, key: &str, v: Value) -> u64 {
-        let transaction = Transaction { guards: vec![], apply: vec![Change::put(key, v)] };
+        let transaction =
+            Transaction { preconditions: vec![], operations: vec![Operation::put(key, v)] };
         self.commit(&transaction).unwrap_or_default()
     }
 
@@ -63,7 +68,7 @@
 
     fn remove(&mut self, key: String) {
         if self.keys.remove(&key).is_some() {
-            let event = Event::Delete { delete: key, stamp: self.revision };
+            let event = WatchEvent::Delete { key: key, mod_revision: self.revision };
             self.events.push((self.revision, event));
         }
     }
@@ -88,13 +93,13 @@
     }
 
     /// Changes of keys with a prefix after a revision.
-    pub fn events(&self, prefix: &str, after: u64) -> Vec<Event> {
-        let key = |e: &Event| match e {
-            Event::Put { put, .. } => put.clone(),
-            Event::Delete { delete, .. } => delete.clone(),
+    pub fn events(&self, prefix: &str, after: u64) -> Vec<WatchEvent> {
+        let key = |e: &WatchEvent| match e {
+            WatchEvent::Put { key: put, .. } => put.clone(),
+            WatchEvent::Delete { key: delete, .. } => delete.clone(),
         };
         let wanted =
-            |(revision, e): &&(u64, Event)| *revision > after && key(e).starts_with(prefix);
+            |(revision, e): &&(u64, WatchEvent)| *revision > after && key(e).starts_with(prefix);
         self.events.iter().filter(wanted).map(|(_, e)| e.clone()).collect()
     }
 }
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -1,10 +1,12 @@
-use hookway_wire::{Cause, CheckIn, CheckInAnswer, Command, DirectCommands, TaskReport, TaskState};
+use hookway_wire::{
+    Command, DirectCommands, ExitCause, Heartbeat, HeartbeatResponse, TaskState, TaskStatus,
+};
 
 /// A worker that carries out commands as the protocol says, and whose tasks change state when the
 /// test says so. It counts what must never happen.
 #[derive(Debug, Clone)]
 pub struct ScriptedWorker {
-    report: CheckIn,
+    report: Heartbeat,
     /// Highest token seen.
     pub token: u64,
     /// Starts that were carried out, as task and attempt.
@@ -16,16 +18,16 @@
 impl ScriptedWorker {
     /// A new worker.
     pub fn new(machine: &str, machine_type: &str, zone: &str) -> Self {
-        let report = CheckIn {
+        let report = Heartbeat {
             machine: machine.into(),
             addr: "127.0.0.1:9000".into(),
             machine_type: machine_type.into(),
             zone: zone.into(),
             spot: false,
-            session: 1,
-            tick: 0,
-            token: 0,
-            notice_s: None,
+            incarnation: 1,
+            sequence: 0,
+            fencing_token: 0,
+            interruption_notice_s: None,
             tasks: vec![],
         };
         Self { report, token: 0, started: vec![], first_state: TaskState::Running }
@@ -48,51 +50,51 @@
 
     /// Its session.
     pub fn session(&self) -> u64 {
-        self.report.session
+        self.report.incarnation
     }
 
     /// Its next report.
-    pub fn report(&mut self) -> CheckIn {
-        self.report.tick += 1;
-        self.report.token = self.token;
+    pub fn report(&mut self) -> Heartbeat {
+        self.report.sequence += 1;
+        self.report.fencing_token = self.token;
         self.report.clone()
     }
 
     /// The cloud announces that it takes the machine.
     pub fn notice(&mut self, seconds: f64) {
-        self.report.notice_s = Some(seconds);
+        self.report.interruption_notice_s = Some(seconds);
     }
 
     /// Takes an answer; `false` if it had to be dropped for its token.
-    pub fn take(&mut self, answer: &CheckInAnswer) -> bool {
-        if answer.token < self.token {
+    pub fn take(&mut self, answer: &HeartbeatResponse) -> bool {
+        if answer.fencing_token < self.token {
             return false;
         }
-        self.token = answer.token;
+        self.token = answer.fencing_token;
         for order in &answer.commands {
             match order {
                 Command::Run { task, attempt } => {
                     if self.find(task, *attempt).is_none() {
                         self.started.push((task.clone(), *attempt));
-                        self.report.tasks.push(TaskReport {
+                        self.report.tasks.push(TaskStatus {
                             task: task.clone(),
                             attempt: *attempt,
-                            status: self.first_state,
+                            state: self.first_state,
                             cause: None,
-                            saved: None,
+                            checkpointed: None,
                         });
                     }
                 }
                 Command::Kill { task, attempt, .. } => {
                     if let Some(i) = self.find(task, *attempt)
-                        && self.report.tasks[i].status != TaskState::Ended
+                        && self.report.tasks[i].state != TaskState::Ended
                     {
-                        self.end_at(i, Cause::Stopped);
+                        self.end_at(i, ExitCause::Stopped);
                     }
                 }
                 Command::Reap { task, attempt } => {
                     self.report.tasks.retain(|p| {
-                        !(p.task == *task && p.attempt == *attempt && p.status == TaskState::Ended)
+                        !(p.task == *task && p.attempt == *attempt && p.state == TaskState::Ended)
                     });
                 }
             }
@@ -101,11 +103,14 @@
     }
 
     /// Commands come straight to it. The report after them, or `None` if it refuses them.
-    pub fn commands(&mut self, commands: &DirectCommands) -> Option<CheckIn> {
-        if commands.session != self.report.session || commands.token < self.token {
+    pub fn commands(&mut self, commands: &DirectCommands) -> Option<Heartbeat> {
+        if commands.incarnation != self.report.incarnation || commands.fencing_token < self.token {
             return None;
         }
-        self.take(&CheckInAnswer { token: commands.token, commands: commands.commands.clone() });
+        self.take(&HeartbeatResponse {
+            fencing_token: commands.fencing_token,
+            commands: commands.commands.clone(),
+        });
         Some(self.report())
     }
 
@@ -113,46 +118,46 @@
         self.report.tasks.iter().position(|p| p.task == task && p.attempt == attempt)
     }
 
-    fn end_at(&mut self, i: usize, cause: Cause) {
-        self.report.tasks[i].status = TaskState::Ended;
+    fn end_at(&mut self, i: usize, cause: ExitCause) {
+        self.report.tasks[i].state = TaskState::Ended;
         self.report.tasks[i].cause = Some(cause);
     }
 
     /// What it would report of its tasks.
-    pub fn tasks(&self) -> &[TaskReport] {
+    pub fn tasks(&self) -> &[TaskStatus] {
         &self.report.tasks
     }
 
     /// The state of an attempt that is on the machine and has not ended.
     pub fn state_of(&self, task: &str, attempt: u64) -> Option<TaskState> {
         let found = &self.report.tasks[self.find(task, attempt)?];
-        (found.status != TaskState::Ended).then_some(found.status)
+        (found.state != TaskState::Ended).then_some(found.state)
     }
 
     /// Whether some attempt of a task runs.
     pub fn runs(&self, task: &str) -> bool {
-        self.report.tasks.iter().any(|t| t.task == task && t.status == TaskState::Running)
+        self.report.tasks.iter().any(|t| t.task == task && t.state == TaskState::Running)
     }
 
     /// A task that has not ended is in this state.
     pub fn set_task_state(&mut self, task: &str, state: TaskState) {
-        let live = |t: &&mut TaskReport| t.task == task && t.status != TaskState::Ended;
+        let live = |t: &&mut TaskStatus| t.task == task && t.state != TaskState::Ended;
         for task in self.report.tasks.iter_mut().filter(live) {
-            task.status = state;
+            task.state = state;
         }
     }
 
     /// All tasks that have not ended are in this state.
     pub fn set_state(&mut self, state: TaskState) {
-        for task in self.report.tasks.iter_mut().filter(|t| t.status != TaskState::Ended) {
-            task.status = state;
+        for task in self.report.tasks.iter_mut().filter(|t| t.state != TaskState::Ended) {
+            task.state = state;
         }
     }
 
     /// A task ends; `false` if it is not there.
-    pub fn end(&mut self, task: &str, cause: Cause) -> bool {
+    pub fn end(&mut self, task: &str, cause: ExitCause) -> bool {
         let found =
-            self.report.tasks.iter().position(|p| p.task == task && p.status != TaskState::Ended);
+            self.report.tasks.iter().position(|p| p.task == task && p.state != TaskState::Ended);
         if let Some(i) = found {
             self.end_at(i, cause);
         }
@@ -164,7 +169,7 @@
         self.report
             .tasks
             .iter()
-            .filter(|p| p.status != TaskState::Ended)
+            .filter(|p| p.state != TaskState::Ended)
             .map(|p| p.task.clone())
             .collect()
     }
@@ -172,6 +177,6 @@
     /// Its lease runs out: it kills and forgets everything.
     pub fn expire(&mut self) {
         self.report.tasks.clear();
-        self.report.session += 1;
+        self.report.incarnation += 1;
     }
 }
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -5,7 +5,8 @@
 #[serde(rename_all = "PascalCase")]
 pub struct MachineType {
     /// Its name.
-    pub label: String,
+    #[serde(rename = "Label")]
+    pub name: String,
     /// CPUs.
     #[serde(rename = "Vcpus")]
     pub cpus: f64,
@@ -58,11 +59,11 @@
     pub machine_types: Vec<MachineType>,
 }
 
-/// A rental request.
+/// A request for more machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct RentRequest {
-    /// Its name, never used again.
+pub struct ScaleOutRequest {
+    /// Its id, never reused: repeating a request is idempotent.
     #[serde(rename = "Hire")]
     pub request_id: String,
     /// Machine type.
@@ -79,7 +80,7 @@
     pub count: u32,
 }
 
-/// Machines, by name: the answer to a rental, the body of a deletion.
+/// Machines, by name: the response to a scale-out request, the body of a deletion.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct MachineNames {
@@ -124,7 +125,7 @@
     pub spot: bool,
     /// State.
     pub status: MachineState,
-    /// Age since the rental request, s.
+    /// Age since the scale-out request, s.
     #[serde(default)]
     pub age_s: f64,
 }
--- a/crates/wire/src/job.rs
+++ b/crates/wire/src/job.rs
@@ -134,12 +134,12 @@
     /// The team's estimate of a task's run time, s.
     #[serde(rename = "GuessS")]
     pub estimate_s: f64,
-    /// Checkpoint interval, s; 0 if the task never saves.
+    /// Checkpoint interval, s; 0 if the task never writes one.
     #[serde(rename = "SnapshotEveryS")]
     pub checkpoint_every_s: f64,
-    /// Time to save when stopped, s.
+    /// Time to write a checkpoint when stopped, s.
     #[serde(rename = "SnapshotS")]
-    pub save_s: f64,
+    pub checkpoint_s: f64,
     /// Deadline from submission, s.
     #[serde(default)]
     #[serde(rename = "DueS")]
@@ -177,7 +177,7 @@
             ("ImageGb", self.image_gb),
             ("GuessS", self.estimate_s),
             ("SnapshotEveryS", self.checkpoint_every_s),
-            ("SnapshotS", self.save_s),
+            ("SnapshotS", self.checkpoint_s),
             ("DueS", self.deadline_s.unwrap_or(0.0)),
         ];
         for (name, amount) in amounts {
@@ -205,17 +205,17 @@
     }
 
     /// Whether all tasks are wanted at the same time: of a gang, and of a daemon.
-    pub fn wants_all_at_once(&self) -> bool {
+    pub fn needs_all_tasks_at_once(&self) -> bool {
         self.is_gang() || self.is_daemon()
     }
 
     /// Most tasks that one zone may hold at a time.
-    pub fn zone_cap(&self) -> u32 {
+    pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread { self.tasks.div_ceil(2) } else { self.tasks }
     }
 
-    /// Whether tasks keep progress when they are stopped.
-    pub fn saves(&self) -> bool {
+    /// Whether tasks write checkpoints, and so keep progress when they are stopped.
+    pub fn checkpoints(&self) -> bool {
         self.checkpoint_every_s > 0.0
     }
 }
@@ -262,7 +262,7 @@
     pub id: JobId,
     /// Its state.
     #[serde(rename = "Status")]
-    pub status: JobState,
+    pub state: JobState,
     /// Completed tasks.
     #[serde(default)]
     pub done: u32,
@@ -272,9 +272,9 @@
     /// The team (an addition of hookway).
     #[serde(rename = "Owner", default, skip_serializing_if = "Option::is_none")]
     pub team: Option<String>,
-    /// The controller that commands the job (an addition of hookway).
+    /// The controller that leads (an addition of hookway).
     #[serde(rename = "Commander", default, skip_serializing_if = "Option::is_none")]
-    pub commander: Option<String>,
+    pub leader: Option<String>,
     /// Why attempts ended, in plain words, newest last (an addition of hookway).
     #[serde(rename = "Notes", default, skip_serializing_if = "Vec::is_empty")]
     pub notes: Vec<String>,
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -8,12 +8,13 @@
     /// The key.
     pub key: String,
     /// The value.
-    pub v: Value,
-    /// Revision of the last change.
-    pub stamp: u64,
-    /// The lease that the key hangs on.
-    #[serde(default)]
-    #[serde(rename = "Permit")]
+    #[serde(rename = "V")]
+    pub value: Value,
+    /// Revision at which the key was last modified.
+    #[serde(rename = "Stamp")]
+    pub mod_revision: u64,
+    /// The lease that the key is attached to; the key is deleted when it expires.
+    #[serde(rename = "Permit", default)]
     pub lease_id: Option<u64>,
 }
 
@@ -31,56 +32,58 @@
     pub revision: u64,
 }
 
-/// A condition of a transaction.
+/// A precondition of a transaction (compare-and-swap).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Guard {
+pub struct Precondition {
     /// The key.
     pub key: String,
-    /// Its version; 0 if it must not exist.
-    pub stamp: u64,
+    /// The revision at which it must have been last modified; 0 if it must not exist.
+    #[serde(rename = "Stamp")]
+    pub mod_revision: u64,
 }
 
-/// A change in a transaction.
+/// A write in a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Change {
+pub enum Operation {
     /// Sets a key.
     #[serde(rename_all = "PascalCase")]
     Put {
         /// The key.
-        put: String,
+        #[serde(rename = "Put")]
+        key: String,
         /// Its value.
-        v: Value,
-        /// The lease to hang it on.
-        #[serde(default, skip_serializing_if = "Option::is_none")]
-        #[serde(rename = "Permit")]
+        #[serde(rename = "V")]
+        value: Value,
+        /// The lease to attach it to.
+        #[serde(rename = "Permit", default, skip_serializing_if = "Option::is_none")]
         lease_id: Option<u64>,
     },
     /// Removes a key.
     #[serde(rename_all = "PascalCase")]
     Delete {
         /// The key.
-        delete: String,
+        #[serde(rename = "Delete")]
+        key: String,
     },
 }
 
-impl Change {
+impl Operation {
     /// A put without a lease.
-    pub fn put(key: impl Into<String>, v: Value) -> Self {
-        Self::Put { put: key.into(), v, lease_id: None }
+    pub fn put(key: impl Into<String>, value: Value) -> Self {
+        Self::Put { key: key.into(), value, lease_id: None }
     }
 
     /// A removal.
     pub fn delete(key: impl Into<String>) -> Self {
-        Self::Delete { delete: key.into() }
+        Self::Delete { key: key.into() }
     }
 
     /// The key that it changes.
     pub fn key(&self) -> &str {
         match self {
-            Self::Put { put, .. } => put,
-            Self::Delete { delete } => delete,
+            Self::Put { key, .. } | Self::Delete { key } => key,
         }
     }
 }
@@ -89,17 +92,18 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Transaction {
-    /// Conditions.
-    pub guards: Vec<Guard>,
-    /// Changes.
-    #[serde(default)]
-    pub apply: Vec<Change>,
+    /// All must hold, or nothing is written.
+    #[serde(rename = "Guards")]
+    pub preconditions: Vec<Precondition>,
+    /// The writes.
+    #[serde(rename = "Apply", default)]
+    pub operations: Vec<Operation>,
 }
 
-/// Revision of the store, as several answers carry it.
+/// The response to a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CommitAnswer {
-    /// Conditions that failed.
+pub struct CommitResponse {
+    /// Keys whose preconditions failed.
     #[serde(default)]
     pub failed: Vec<String>,
     /// Revision.
@@ -110,7 +114,7 @@
 /// A request for a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct GrantRequest {
+pub struct LeaseGrantRequest {
     /// Its length, ms.
     pub ttl_ms: u64,
 }
@@ -118,8 +122,8 @@
 /// A lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Grant {
-    /// Its number.
+pub struct LeaseGrant {
+    /// Its id.
     #[serde(rename = "Permit")]
     pub lease_id: u64,
 }
@@ -127,35 +131,40 @@
 /// A change that a watch reports.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Event {
+pub enum WatchEvent {
     /// A key was set.
     #[serde(rename_all = "PascalCase")]
     Put {
         /// The key.
-        put: String,
+        #[serde(rename = "Put")]
+        key: String,
         /// Its value.
-        v: Value,
-        /// Revision.
-        stamp: u64,
+        #[serde(rename = "V")]
+        value: Value,
+        /// Revision of the write.
+        #[serde(rename = "Stamp")]
+        mod_revision: u64,
     },
     /// A key was removed.
     #[serde(rename_all = "PascalCase")]
     Delete {
         /// The key.
-        delete: String,
-        /// Revision.
-        stamp: u64,
+        #[serde(rename = "Delete")]
+        key: String,
+        /// Revision of the removal.
+        #[serde(rename = "Stamp")]
+        mod_revision: u64,
     },
 }
 
-/// The answer of a watch.
+/// The response of a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct WatchAnswer {
+pub struct WatchResponse {
     /// Revision of the store.
     #[serde(rename = "Epoch")]
     pub revision: u64,
     /// What changed.
     #[serde(default)]
-    pub events: Vec<Event>,
+    pub events: Vec<WatchEvent>,
 }
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -4,64 +4,72 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
-    /// Waiting for its image.
-    Pulling,
-    /// Gang task, waits for the others.
-    Waiting,
+    /// Its image is being fetched.
+    #[serde(rename = "pulling")]
+    FetchingImage,
+    /// A task of a gang that waits for the others.
+    #[serde(rename = "waiting")]
+    WaitingForGang,
     /// Running.
     Running,
-    /// Saving before it stops.
-    Saving,
-    /// Over; see the cause.
+    /// Writing a checkpoint before it stops.
+    #[serde(rename = "saving")]
+    Checkpointing,
+    /// Ended; see the cause.
     Ended,
 }
 
 /// Why a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum ExitCause {
     /// Completed.
     Done,
     /// Stopped by command.
     Stopped,
-    /// Another task of the gang is gone.
-    Peers,
+    /// Another task of the gang was lost.
+    #[serde(rename = "peers")]
+    GangMemberLost,
     /// The gang was not complete in time.
-    Incomplete,
+    #[serde(rename = "incomplete")]
+    GangIncomplete,
     /// Failed.
     Error,
-    /// Start refused: no room.
-    NoRoom,
-    /// Start refused: the task is there with another attempt.
-    Busy,
+    /// Start refused: the machine lacks the resources.
+    #[serde(rename = "no_room")]
+    InsufficientResources,
+    /// Start refused: another attempt of the task is on the machine.
+    #[serde(rename = "busy")]
+    AttemptConflict,
     /// Start refused: no such job.
-    Unknown,
+    #[serde(rename = "unknown")]
+    UnknownJob,
     /// A cause that this version does not know.
     #[serde(other)]
     Other,
 }
 
-impl Cause {
+impl ExitCause {
     /// The cause in plain words, for users.
-    pub fn plain(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             Self::Done => "completed",
             Self::Stopped => "was stopped to make room or to clear the machine",
-            Self::Peers => "ended because another task of its gang was lost",
-            Self::Incomplete => "gave up because its gang did not come together in time",
+            Self::GangMemberLost => "ended because another task of its gang was lost",
+            Self::GangIncomplete => "gave up because its gang did not come together in time",
             Self::Error => "failed with an error of its own or of its machine",
-            Self::NoRoom => "was refused by its machine for lack of room",
-            Self::Busy => "was refused because an older attempt was still there",
-            Self::Unknown => "was refused because the machine did not find the job",
+            Self::InsufficientResources => "was refused by its machine for lack of room",
+            Self::AttemptConflict => "was refused because an older attempt was still there",
+            Self::UnknownJob => "was refused because the machine did not find the job",
             Self::Other => "ended for a reason that the machine did not explain",
         }
     }
 }
 
-/// One task in a worker's report.
+/// The status of one task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct TaskReport {
+pub struct TaskStatus {
     /// The task, as `req-000412/3`.
     #[serde(rename = "Piece")]
     pub task: String,
@@ -69,19 +77,20 @@
     #[serde(rename = "Try")]
     pub attempt: u64,
     /// Its state.
-    pub status: TaskState,
-    /// Why it ended.
+    #[serde(rename = "Status")]
+    pub state: TaskState,
+    /// Why it ended; set once the state is [`TaskState::Ended`].
     #[serde(default)]
-    pub cause: Option<Cause>,
-    /// Whether its progress was saved.
-    #[serde(default)]
-    pub saved: Option<bool>,
+    pub cause: Option<ExitCause>,
+    /// Whether a checkpoint of its progress was written.
+    #[serde(rename = "Saved", default)]
+    pub checkpointed: Option<bool>,
 }
 
-/// A worker's report.
+/// A worker's heartbeat, with the status of everything on its machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct CheckIn {
+pub struct Heartbeat {
     /// The machine.
     #[serde(rename = "Host")]
     pub machine: String,
@@ -96,23 +105,22 @@
     /// Spot machine.
     #[serde(rename = "Loaners")]
     pub spot: bool,
-    /// Session.
+    /// Incarnation of the worker: rises each time it starts with no tasks.
     #[serde(rename = "Tenure")]
-    pub session: u64,
-    /// Sequence number.
-    pub tick: u64,
-    /// Highest token seen.
-    #[serde(default)]
-    #[serde(rename = "Baton")]
-    pub token: u64,
-    /// Seconds until the cloud takes the machine.
-    #[serde(default)]
-    #[serde(rename = "EvictionS")]
-    pub notice_s: Option<f64>,
+    pub incarnation: u64,
+    /// Sequence number of the heartbeat within the incarnation.
+    #[serde(rename = "Tick")]
+    pub sequence: u64,
+    /// Highest fencing token that the worker has seen.
+    #[serde(rename = "Baton", default)]
+    pub fencing_token: u64,
+    /// Seconds until the cloud reclaims the machine, if it has given an interruption notice.
+    #[serde(rename = "EvictionS", default)]
+    pub interruption_notice_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(default)]
     #[serde(rename = "Pieces")]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// A command to a worker.
@@ -138,11 +146,11 @@
         /// The attempt.
         #[serde(rename = "Try")]
         attempt: u64,
-        /// Time it has to save, s.
+        /// Time it has to write a checkpoint, s.
         #[serde(rename = "WindDownS")]
         grace_s: f64,
     },
-    /// Remove an ended task from the reports.
+    /// Forget an ended task: it is left out of later heartbeats.
     #[serde(rename_all = "PascalCase")]
     Reap {
         /// The task.
@@ -154,41 +162,40 @@
     },
 }
 
-/// The answer to a report.
+/// The leader's response to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct CheckInAnswer {
-    /// The token.
+pub struct HeartbeatResponse {
+    /// The fencing token of the leader that answers.
     #[serde(rename = "Baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Commands, in order.
     #[serde(rename = "Orders")]
     pub commands: Vec<Command>,
 }
 
-/// Commands sent straight to a worker.
+/// Commands sent directly to a worker, without waiting for its heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct DirectCommands {
-    /// The token.
+    /// The fencing token of the leader that answers.
     #[serde(rename = "Baton")]
-    pub token: u64,
-    /// The session that they are for.
+    pub fencing_token: u64,
+    /// The incarnation of the worker that they are for; any other refuses them.
     #[serde(rename = "Tenure")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Commands, in order.
     #[serde(rename = "Orders")]
     pub commands: Vec<Command>,
 }
 
-/// The answer of a node that is not the one to report to.
+/// The response of a controller that does not lead.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct ReportElsewhere {
-    /// The node to report to, if it is known.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    #[serde(rename = "Foreman")]
-    pub report_to: Option<String>,
+pub struct HeartbeatRedirect {
+    /// The leader, if it is known.
+    #[serde(rename = "Foreman", skip_serializing_if = "Option::is_none")]
+    pub leader: Option<String>,
 }
 
 #[cfg(test)]
--- a/crates/wire/src/worker/tests.rs
+++ b/crates/wire/src/worker/tests.rs
@@ -8,13 +8,13 @@
     let kill = Command::Kill { task: "req-000377/1".into(), attempt: 1, grace_s: 10.0 };
     let text = serde_json::to_string(&kill).unwrap();
     assert_eq!(text, r#"{"Verb":"kill","Piece":"req-000377/1","Try":1,"WindDownS":10.0}"#);
-    let report: CheckIn = serde_json::from_str(
+    let report: Heartbeat = serde_json::from_str(
         r#"{"Host":"m-000231","Addr":"10.1.0.232:9000","Flavor":"g8","Yard":"a","Loaners":true,
      "Tenure":1,"Tick":88,"Baton":41,"EvictionS":null,
      "Pieces":[{"Piece":"req-000412/3","Try":2,"Status":"running"},
               {"Piece":"req-000398/0","Try":1,"Status":"ended","Cause":"no_room"}]}"#,
     )
     .unwrap();
-    assert_eq!(report.tasks[1].cause, Some(Cause::NoRoom));
-    assert_eq!(report.notice_s, None);
+    assert_eq!(report.tasks[1].cause, Some(ExitCause::InsufficientResources));
+    assert_eq!(report.interruption_notice_s, None);
 }
