--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -12,7 +12,7 @@
 use crate::silence::Silence;
 use hookway_clients::{CommitOutcome, HttpError, StoreClient, StoreError};
 use hookway_constants as constants;
-use hookway_policy::{Room, TeamView, fits_somewhere};
+use hookway_policy::{Resources, TeamView, check_feasible};
 use hookway_replication::{FollowAnswer, FollowRequest};
 use hookway_wire::{
     Heartbeat, JobId, JobSpec, JobState, MachineType, Operation, Precondition, ReplicationStatus,
@@ -290,11 +290,11 @@
         let Some(team) = self.params.teams.iter().find(|t| t.name == spec.team) else {
             return Some(Err(format!("unknown team {}", spec.team)));
         };
-        let need = Room::of_task(spec);
+        let need = Resources::of_task(spec);
         let allowed = |f: &MachineType| {
             spec.machine_types.as_ref().is_none_or(|list| list.contains(&f.name))
                 && spec.zone.as_ref().is_none_or(|y| f.zones.contains(y))
-                && Room::of_machine_type(f).fits(&need)
+                && Resources::of_machine_type(f).fits(&need)
         };
         let types: Vec<bool> = machine_types.iter().map(allowed).collect();
         // All tasks of a gang or a daemon run at once, so the zones that it may be in must be enough for all.
@@ -311,7 +311,7 @@
         let least = if at_once { spec.tasks } else { 1 };
         let limit = (team.cpus_max, team.gpus_max);
         let team = TeamView { limit, ..TeamView::default() };
-        Some(fits_somewhere(&types, &need, least, &team))
+        Some(check_feasible(&types, &need, least, &team))
     }
 
     /// Takes a submission. It is accepted once it is in the state service, at whichever node.
--- a/crates/controller/src/ledger/commit.rs
+++ b/crates/controller/src/ledger/commit.rs
@@ -6,7 +6,7 @@
     fits, job_key, minimum_key, progress_key, progress_place, shared_marks_key,
 };
 use hookway_constants as constants;
-use hookway_policy::needs_rewrite;
+use hookway_policy::min_tasks_need_rewrite;
 use hookway_wire::{JobId, JobState, KeyValue, Operation, Transaction};
 use std::collections::BTreeMap;
 
@@ -228,7 +228,7 @@
     pub(super) fn keep_minimum(&mut self, key: u64, least: u32) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         job.least = least;
-        if !job.small() && needs_rewrite(job.written_minimum, least) {
+        if !job.small() && min_tasks_need_rewrite(job.written_minimum, least) {
             self.writer.minimums.insert(key);
         }
     }
--- a/crates/controller/src/ledger/fleet.rs
+++ b/crates/controller/src/ledger/fleet.rs
@@ -1,7 +1,7 @@
 use super::departures::Leave;
 use super::{Ledger, Machine, lease_over_ms};
 use hookway_constants as constants;
-use hookway_policy::{MachineView, Offer, Room, plan_fleet};
+use hookway_policy::{MachineOffer, MachineView, Resources, plan_scaling};
 use hookway_wire::{ListedMachine, MachineState, MachineType, ScaleOutRequest};
 use std::collections::{HashMap, HashSet};
 
@@ -28,7 +28,7 @@
 }
 
 impl Ledger {
-    fn offers(&self, now: u64) -> Vec<Offer> {
+    fn offers(&self, now: u64) -> Vec<MachineOffer> {
         let mut offers = Vec::new();
         for (f, machine_type) in self.machine_types.iter().enumerate() {
             for zone in &machine_type.zones {
@@ -50,7 +50,7 @@
                         .iter()
                         .any(|r| (r.machine_type, r.zone, r.spot) == (f, zone, spot));
                     if let Some(price) = price.filter(|_| !sold_out && !asked) {
-                        offers.push(Offer { machine_type: f, zone, spot, price });
+                        offers.push(MachineOffer { machine_type: f, zone, spot, price });
                     }
                 }
             }
@@ -68,7 +68,7 @@
         let mut scene = self.scene(now);
         // Jobs whose whereabouts are not settled yet still want the room they had.
         for r in &self.renting {
-            let total = Room::of_machine_type(&self.machine_types[r.machine_type]);
+            let total = Resources::of_machine_type(&self.machine_types[r.machine_type]);
             for _ in 0..r.count {
                 scene.world.machines.push(MachineView {
                     machine_type: r.machine_type,
@@ -78,25 +78,25 @@
                     free: total,
                     price: 0.0,
                     images: vec![],
-                    open: false,
+                    schedulable: false,
                     booting: true,
-                    kept_for: None,
-                    shunned_by: vec![],
-                    held: vec![],
+                    reserved_for: None,
+                    excluded_by: vec![],
+                    placed_tasks: vec![],
                 });
             }
         }
         let cut = self.cut_zones(now);
         let mut offers = self.offers(now);
         offers.retain(|o| !cut.contains(&self.setup.params.zones[o.zone]));
-        let plan = plan_fleet(&scene.world, &offers);
+        let plan = plan_scaling(&scene.world, &offers);
         let room = self
             .setup
             .operator
             .most_machines
             .saturating_sub(scene.world.machines.len().max(self.machines.len()));
         let mut left = u32::try_from(room).unwrap_or(u32::MAX);
-        for rent in plan.rent {
+        for rent in plan.scale_out {
             let count = rent.count.min(constants::RENT_AT_MOST).min(left);
             // No more requests than the cloud takes within about a second: one that waits in a queue is
             // out of date when its turn comes.
@@ -173,7 +173,7 @@
             let per_machine = self
                 .machine_types
                 .iter()
-                .map(|f| Room::of_machine_type(f).count(&class.need))
+                .map(|f| Resources::of_machine_type(f).capacity_for(&class.need))
                 .max()
                 .unwrap_or(0)
                 .max(1);
@@ -214,7 +214,7 @@
                     || machine.closing.is_some()
                     || machine.notice.is_some()
                     || (machine.spot && !seen.spot)
-                    || !Room::of_machine_type(machine_type).fits(&seen.need)
+                    || !Resources::of_machine_type(machine_type).fits(&seen.need)
                     || now >= machine.last_answer + lease_over_ms(&self.setup.params)
                 {
                     continue;
--- a/crates/controller/src/ledger/mod.rs
+++ b/crates/controller/src/ledger/mod.rs
@@ -154,7 +154,7 @@
     /// Turns that found no room in the last round, in order: what reports fill free room with.
     left: Vec<schedule::Left>,
     /// What the last round set aside of teams' limits for gangs that wait.
-    reserved: Vec<(usize, hookway_policy::Room)>,
+    reserved: Vec<(usize, hookway_policy::Resources)>,
     /// Machines that the last round kept for gangs that wait.
     kept_back: HashSet<String>,
     /// Tasks on machines that belong to no job in this ledger.
@@ -189,7 +189,7 @@
 #[derive(Debug, Clone)]
 struct ClassHistory {
     /// The largest task.
-    need: hookway_policy::Room,
+    need: hookway_policy::Resources,
     /// The largest image, GB.
     image_gb: f64,
     /// Its images.
@@ -393,7 +393,7 @@
             record.spec.estimate_s,
             record.spec.deadline_s
         );
-        let need = hookway_policy::Room::of_task(&record.spec);
+        let need = hookway_policy::Resources::of_task(&record.spec);
         let fresh = ClassRecord { need, image_gb: 0.0, spot: true, gangs: record.spec.is_gang() };
         let before = self.classes.get(&record.spec.class).map(ClassHistory::record);
         let class = self
@@ -402,7 +402,7 @@
             .or_insert_with(|| ClassHistory::known(&fresh));
         class.need.cpus = class.need.cpus.max(need.cpus);
         class.need.gpus = class.need.gpus.max(need.gpus);
-        class.need.ram = class.need.ram.max(need.ram);
+        class.need.memory_gb = class.need.memory_gb.max(need.memory_gb);
         class.image_gb = class.image_gb.max(record.spec.image_gb);
         class.images.insert(image);
         class.spot &= record.spec.spot;
@@ -526,7 +526,7 @@
         let total: f64 = up().map(|h| h.total.cpus).sum();
         let free: f64 = up().map(|h| h.free.cpus).sum();
         let waiting: f64 =
-            scene.world.jobs.iter().map(|j| f64::from(j.startable) * j.need.cpus).sum();
+            scene.world.jobs.iter().map(|j| f64::from(j.startable) * j.request.cpus).sum();
         Summary {
             jobs: self.jobs.len(),
             machines: self.machines.len(),
--- a/crates/controller/src/ledger/model.rs
+++ b/crates/controller/src/ledger/model.rs
@@ -2,7 +2,7 @@
 use super::progress::Progress;
 use crate::records::{FinalRecord, JobRecord};
 use hookway_constants as constants;
-use hookway_policy::Room;
+use hookway_policy::Resources;
 use hookway_wire::{ExitCause, Heartbeat, JobId, JobSpec, JobState, TaskState};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
@@ -90,7 +90,7 @@
     /// Number that stands for its image.
     pub image: u32,
     /// What a task takes.
-    pub need: Room,
+    pub need: Resources,
     /// When it was submitted, s on the steady clock (may lie before the clock's start).
     pub submitted: f64,
     /// When it should be complete, likewise.
@@ -182,7 +182,7 @@
             id: spec.id.clone(),
             team: context.team,
             image: context.image,
-            need: Room::of_task(&spec),
+            need: Resources::of_task(&spec),
             submitted,
             due: aims.deadline_s.map(|d| submitted + d),
             start_by: aims.start_s.iter().map(|s| submitted + s).collect(),
--- a/crates/controller/src/ledger/schedule.rs
+++ b/crates/controller/src/ledger/schedule.rs
@@ -2,7 +2,8 @@
 use crate::config::Team;
 use hookway_constants as constants;
 use hookway_policy::{
-    HeldView, JobView, MachineView, Room, TeamView, World, evict, minimum, place,
+    ClusterSnapshot, JobView, MachineView, PlacedTaskView, Resources, TeamView, min_tasks, place,
+    preempt,
 };
 use hookway_wire::TaskState;
 use std::collections::{HashMap, HashSet};
@@ -17,19 +18,19 @@
 
 /// A world for the policy, with what its indexes stand for.
 pub(super) struct Scene {
-    pub world: World,
+    pub world: ClusterSnapshot,
     pub jobs: Vec<u64>,
     pub machines: Vec<String>,
 }
 
 impl Ledger {
     /// What is free on a machine, and whether something unknown is on it.
-    pub(super) fn free_room(&self, machine: &Machine, total: Room) -> (Room, bool) {
+    pub(super) fn free_room(&self, machine: &Machine, total: Resources) -> (Resources, bool) {
         let mut free = total;
         let mut strangers = false;
         for held in &machine.held {
             match held.job.and_then(|k| self.jobs.get(&k)) {
-                Some(job) => free.take(&job.need),
+                Some(job) => free.subtract(&job.need),
                 None => strangers = true,
             }
         }
@@ -67,10 +68,10 @@
             })
             .flatten()
             .fold(f64::INFINITY, f64::min);
-        let world = World {
+        let world = ClusterSnapshot {
             now: now as f64 / 1000.0,
-            cheapest_cpu: if cheapest_cpu.is_finite() { cheapest_cpu } else { 0.0 },
-            gang_needs: self.classes.values().filter(|l| l.gangs).map(|l| l.need).collect(),
+            cheapest_cpu_price: if cheapest_cpu.is_finite() { cheapest_cpu } else { 0.0 },
+            gang_requests: self.classes.values().filter(|l| l.gangs).map(|l| l.need).collect(),
             jobs,
             machines,
             teams,
@@ -87,14 +88,14 @@
             .teams
             .iter()
             .map(|t| TeamView {
-                used: Room::default(),
-                guaranteed: (t.cpus, t.gpus),
+                used: Resources::default(),
+                guarantee: (t.cpus, t.gpus),
                 limit: (t.cpus_max, t.gpus_max),
             })
             .collect();
         for job in self.jobs.values() {
             if let Some(team) = teams.get_mut(job.team) {
-                team.used.give(&job.need.times(job.held));
+                team.used.add(&job.need.times(job.held));
             }
         }
         teams
@@ -144,7 +145,7 @@
             .map(|f| {
                 let named =
                     job.spec.machine_types.as_ref().is_none_or(|list| list.contains(&f.name));
-                named && Room::of_machine_type(f).fits(&job.need)
+                named && Resources::of_machine_type(f).fits(&job.need)
             })
             .collect();
         let zone = job.spec.zone.as_ref().map(|y| self.setup.params.zone(y).unwrap_or(usize::MAX));
@@ -154,27 +155,27 @@
             gang: job.spec.is_gang(),
             daemon: job.spec.is_daemon(),
             tasks: job.spec.tasks,
-            need: job.need,
+            request: job.need,
             machine_types,
             zone,
             one_zone: job.spec.one_zone,
-            zone_cap: job.spec.max_tasks_per_zone(),
+            max_tasks_per_zone: job.spec.max_tasks_per_zone(),
             spot: job.spec.spot,
             image: job.image,
             image_gb: job.spec.image_gb,
-            saves: job.spec.checkpoints(),
-            save_time: if job.spec.checkpoints() { job.spec.checkpoint_s } else { 0.0 },
+            checkpoints: job.spec.checkpoints(),
+            checkpoint_time: if job.spec.checkpoints() { job.spec.checkpoint_s } else { 0.0 },
             submitted: job.submitted,
-            due: job.due,
+            deadline: job.due,
             start_by: job.start_by.clone(),
-            estimate: job.spec.estimate_s,
-            finished: job.done,
-            mean: job.mean_ms().map(|ms| ms / 1000.0),
+            estimated_task_time: job.spec.estimate_s,
+            completed: job.done,
+            mean_task_time: job.mean_ms().map(|ms| ms / 1000.0),
             unfinished: job.unfinished(),
-            running: job.held,
+            placed: job.held,
             startable,
-            doubtful: job.doubtful(),
-            per_zone: job.per_zone.clone(),
+            crash_looping: job.doubtful(),
+            placed_per_zone: job.per_zone.clone(),
             waiting_since: job.waiting_since as f64 / 1000.0,
         }
     }
@@ -189,7 +190,7 @@
         let machine_type =
             self.machine_types.iter().position(|f| f.name == machine.machine_type)?;
         let zone = self.setup.params.zone(&machine.zone)?;
-        let total = Room::of_machine_type(&self.machine_types[machine_type]);
+        let total = Resources::of_machine_type(&self.machine_types[machine_type]);
         let (free, strangers) = self.free_room(machine, total);
         let quiet = (self.setup.params.workers.report_s * 2000.0) as u64;
         let taken = machine.closing.is_some() || machine.notice.is_some() || strangers;
@@ -207,12 +208,12 @@
                 let key = h.job?;
                 let job = self.jobs.get(&key)?;
                 let elapsed = h.running_since.map_or(0.0, |s| now.saturating_sub(s) as f64 / 1e3);
-                Some(HeldView {
-                    tag: i as u64,
+                Some(PlacedTaskView {
+                    id: i as u64,
                     job: *index.get(&key)?,
-                    need: job.need,
+                    request: job.need,
                     elapsed,
-                    leaving: h.stray || h.kill.is_some() || !job.live(),
+                    terminating: h.stray || h.kill.is_some() || !job.live(),
                 })
             })
             .collect();
@@ -224,16 +225,16 @@
             free,
             price: self.machine_types[machine_type].price(machine.spot),
             images: machine.images.iter().map(|(i, _)| *i).collect(),
-            open,
+            schedulable: open,
             booting: !machine.heard && !taken,
-            shunned_by: machine
+            excluded_by: machine
                 .failed
                 .iter()
                 .filter(|k| self.jobs.get(k).is_some_and(|j| j.shuns(name, self.machines.len())))
                 .filter_map(|k| index.get(k).copied())
                 .collect(),
-            kept_for: machine.kept.map(|(k, _)| index.get(&k).copied().unwrap_or(usize::MAX)),
-            held,
+            reserved_for: machine.kept.map(|(k, _)| index.get(&k).copied().unwrap_or(usize::MAX)),
+            placed_tasks: held,
         })
     }
 
@@ -271,7 +272,7 @@
         let Some(zone) = self.setup.params.zone(&machine.zone) else { return };
         let spot = machine.spot;
         let (mut free, strangers) =
-            self.free_room(machine, Room::of_machine_type(&self.machine_types[machine_type]));
+            self.free_room(machine, Resources::of_machine_type(&self.machine_types[machine_type]));
         if strangers {
             return;
         }
@@ -292,26 +293,27 @@
                     continue;
                 }
                 let view = self.view(job, startable);
-                if !view.allows(machine_type, zone, spot) || !view.zone_open(zone) {
+                if !view.allows(machine_type, zone, spot) || !view.may_use_zone(zone) {
                     continue;
                 }
-                let here = view.per_zone.get(zone).copied().unwrap_or(0);
-                let mut tasks = turn.tasks.min(view.startable).min(free.count(&view.need));
-                tasks = tasks.min(view.zone_cap.saturating_sub(here));
+                let here = view.placed_per_zone.get(zone).copied().unwrap_or(0);
+                let mut tasks =
+                    turn.tasks.min(view.startable).min(free.capacity_for(&view.request));
+                tasks = tasks.min(view.max_tasks_per_zone.saturating_sub(here));
                 let limit = self.setup.params.teams.get(view.team);
                 if limit.is_some_and(Team::limited)
                     && let Some(mut team) = self.teams().into_iter().nth(view.team)
                 {
                     for (_, room) in self.reserved.iter().filter(|(t, _)| *t == view.team) {
-                        team.used.give(room);
+                        team.used.add(room);
                     }
-                    tasks = tasks.min(team.allows(&view.need));
+                    tasks = tasks.min(team.remaining_tasks(&view.request));
                 }
                 if tasks == 0 {
                     continue;
                 }
                 turn.tasks -= tasks;
-                free.take(&view.need.times(tasks));
+                free.subtract(&view.request.times(tasks));
                 self.plan(turn.key, &vec![name.to_owned(); tasks as usize], now);
             }
         }
@@ -337,8 +339,8 @@
             .jobs
             .iter()
             .zip(&scene.world.jobs)
-            .filter(|(_, v)| v.due.is_some() && v.mean.is_some())
-            .map(|(k, v)| (*k, minimum(v, scene.world.now)))
+            .filter(|(_, v)| v.deadline.is_some() && v.mean_task_time.is_some())
+            .map(|(k, v)| (*k, min_tasks(v, scene.world.now)))
             .collect();
         for (key, least) in minimums {
             self.keep_minimum(key, least);
@@ -349,15 +351,15 @@
             return;
         }
         let placed = place(&mut scene.world);
-        let left = |t: &hookway_policy::Turn| Left {
+        let left = |t: &hookway_policy::QueueEntry| Left {
             key: scene.jobs[t.job],
             tasks: t.tasks,
             leftover: t.leftover,
         };
-        self.left = placed.left.iter().map(left).collect();
-        self.reserved = placed.reserved;
+        self.left = placed.unplaced.iter().map(left).collect();
+        self.reserved = placed.quota_reservations;
         for (name, view) in scene.machines.iter().zip(&scene.world.machines) {
-            if view.kept_for.is_some() {
+            if view.reserved_for.is_some() {
                 self.kept_back.insert(name.clone());
             }
         }
@@ -367,7 +369,7 @@
                 placement.machines.iter().map(|h| scene.machines[*h].clone()).collect();
             self.plan(key, &machines, now);
         }
-        for eviction in evict(&scene.world) {
+        for eviction in preempt(&scene.world) {
             let key = scene.jobs[eviction.job];
             for machine in &eviction.machines {
                 if let Some(machine) = self.machines.get_mut(&scene.machines[*machine]) {
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -20,7 +20,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use hookway_constants as constants;
-use hookway_policy::Room;
+use hookway_policy::Resources;
 use hookway_wire::{JobId, JobSpec, JobState, JobStatus};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -129,7 +129,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassRecord {
     /// The largest task.
-    pub need: Room,
+    pub need: Resources,
     /// The largest image, GB.
     pub image_gb: f64,
     /// Whether its jobs may use spot machines.
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -11,7 +11,7 @@
     ClassRecord, FinalRecord, ImagesRecord, JobRecord, LeadRecord, MinimumRecord, ProgressRecord,
     RosterEntry, RosterRecord, SharedMarksRecord,
 };
-use hookway_policy::Room;
+use hookway_policy::Resources;
 use hookway_replication::{
     Entry, FollowAnswer, FollowBody, FollowRequest, Held, ImagePiece, JobHints, PlacedTask,
     Position, RangeDigest, Stage,
@@ -142,7 +142,7 @@
     let machines = BTreeMap::from([("m-000231".to_owned(), entry), ("m-000232".to_owned(), bare)]);
     json("record-roster", &RosterRecord { machines, images: vec![("img-07".into(), 6.2)] });
     json("record-images", &ImagesRecord { images: vec![("img-07".into(), 6.2)] });
-    let need = Room { cpus: 8.0, gpus: 1.0, ram: 64.0 };
+    let need = Resources { cpus: 8.0, gpus: 1.0, memory_gb: 64.0 };
     json("record-lane", &ClassRecord { need, image_gb: 6.2, spot: true, gangs: false });
 }
 
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/autoscaling.rs
@@ -1,9 +1,9 @@
-use crate::place::{could_hold, least_need};
-use crate::{MachineView, Room, World, wanted};
+use crate::placement::{could_ever_hold, smallest_request};
+use crate::{ClusterSnapshot, MachineView, Resources, desired_tasks};
 
 /// A type, zone and kind of machine that can be rented now.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Offer {
+pub struct MachineOffer {
     /// Machine type.
     pub machine_type: usize,
     /// Zone.
@@ -16,7 +16,7 @@
 
 /// Machines to rent.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Rent {
+pub struct ScaleOut {
     /// Index of the offer.
     pub offer: usize,
     /// Number of machines.
@@ -25,52 +25,54 @@
 
 /// What a fleet round found.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct FleetPlan {
+pub struct ScalingPlan {
     /// Machines to rent.
-    pub rent: Vec<Rent>,
+    pub scale_out: Vec<ScaleOut>,
     /// Machines that wanted work has a use for.
     pub needed: Vec<bool>,
 }
 
 /// How many machines are wanted. Wanted work is laid out over the free room of the machines there
 /// are and those that are booting; what finds none is laid out over the cheapest offers.
-pub fn plan_fleet(world: &World, offers: &[Offer]) -> FleetPlan {
-    let mut free: Vec<Room> = world.machines.iter().map(|h| h.free).collect();
-    let mut plan = FleetPlan { rent: vec![], needed: vec![false; world.machines.len()] };
+pub fn plan_scaling(cluster: &ClusterSnapshot, offers: &[MachineOffer]) -> ScalingPlan {
+    let mut free: Vec<Resources> = cluster.machines.iter().map(|h| h.free).collect();
+    let mut plan = ScalingPlan { scale_out: vec![], needed: vec![false; cluster.machines.len()] };
     // Machines that this plan rents, with the room that is left on them.
-    let mut rented: Vec<(usize, Room)> = Vec::new();
-    let mut used: Vec<Room> = world.teams.iter().map(|t| t.used).collect();
-    let zones = world.machines.iter().map(|h| h.zone).chain(offers.iter().map(|o| o.zone));
+    let mut rented: Vec<(usize, Resources)> = Vec::new();
+    let mut used: Vec<Resources> = cluster.teams.iter().map(|t| t.used).collect();
+    let zones = cluster.machines.iter().map(|h| h.zone).chain(offers.iter().map(|o| o.zone));
     let zones = zones.max().map_or(0, |last| last + 1);
-    let least = least_need(&world.jobs);
-    let mut by_price = roomy_machines_by_price(world, &least);
-    for job_ix in jobs_to_rent_for(world) {
-        let job = &world.jobs[job_ix];
-        let lead = lead_time(world, job_ix);
-        let mut short = wanted(job, world.now, lead).saturating_sub(job.running).min(job.startable);
-        if let Some(team) = world.teams.get(job.team) {
+    let least = smallest_request(&cluster.jobs);
+    let mut by_price = machines_with_capacity_by_price(cluster, &least);
+    for job_index in jobs_to_scale_for(cluster) {
+        let job = &cluster.jobs[job_index];
+        let lead = provisioning_time(cluster, job_index);
+        let mut short =
+            desired_tasks(job, cluster.now, lead).saturating_sub(job.placed).min(job.startable);
+        if let Some(team) = cluster.teams.get(job.team) {
             let mut then = team.clone();
             then.used = used[job.team];
-            short = short.min(then.allows(&job.need));
+            short = short.min(then.remaining_tasks(&job.request));
             for _ in 0..short {
-                used[job.team].give(&job.need);
+                used[job.team].add(&job.request);
             }
         }
         by_price.retain(|i| free[*i].fits(&least));
-        let mut open = open_zones(world, job_ix, zones, short, &by_price, &free, offers);
+        let mut open =
+            tasks_allowed_per_zone(cluster, job_index, zones, short, &by_price, &free, offers);
         for &i in &by_price {
-            let machine = &world.machines[i];
+            let machine = &cluster.machines[i];
             if short == 0 {
                 break;
             }
-            if !takes(world, job_ix, machine) {
+            if !may_use(cluster, job_index, machine) {
                 continue;
             }
-            let n = free[i].count(&job.need).min(short).min(open[machine.zone]);
+            let n = free[i].capacity_for(&job.request).min(short).min(open[machine.zone]);
             if n > 0 {
                 plan.needed[i] = true;
                 for _ in 0..n {
-                    free[i].take(&job.need);
+                    free[i].subtract(&job.request);
                 }
                 short -= n;
                 open[machine.zone] -= n;
@@ -82,47 +84,49 @@
                 break;
             }
             if job.allows(o.machine_type, o.zone, o.spot) {
-                let n = room.count(&job.need).min(short).min(open[o.zone]);
+                let n = room.capacity_for(&job.request).min(short).min(open[o.zone]);
                 for _ in 0..n {
-                    room.take(&job.need);
+                    room.subtract(&job.request);
                 }
                 short -= n;
                 open[o.zone] -= n;
             }
         }
         while short > 0 {
-            let Some((offer, per_machine)) = cheapest(world, job_ix, short, offers, &open) else {
+            let Some((offer, per_machine)) =
+                cheapest_offer(cluster, job_index, short, offers, &open)
+            else {
                 break;
             };
-            let machine_type = &world.machine_types[offers[offer].machine_type];
+            let machine_type = &cluster.machine_types[offers[offer].machine_type];
             let n = per_machine.min(short).min(open[offers[offer].zone]);
             open[offers[offer].zone] -= n;
-            let mut room = Room::of_machine_type(machine_type);
+            let mut room = Resources::of_machine_type(machine_type);
             for _ in 0..n {
-                room.take(&job.need);
+                room.subtract(&job.request);
             }
             short -= n;
             rented.push((offer, room));
-            match plan.rent.iter_mut().find(|r| r.offer == offer) {
+            match plan.scale_out.iter_mut().find(|r| r.offer == offer) {
                 Some(rent) => rent.count += 1,
-                None => plan.rent.push(Rent { offer, count: 1 }),
+                None => plan.scale_out.push(ScaleOut { offer, count: 1 }),
             }
             if rented.len() >= 64 {
                 return plan;
             }
         }
     }
-    rent_for_failing_arrays(world, offers, zones, &mut plan);
+    scale_out_for_crash_looping_arrays(cluster, offers, zones, &mut plan);
     plan
 }
 
 /// Machines with room for some task. Work is laid out on cheap ones first, so that dear ones are those to return.
-fn roomy_machines_by_price(world: &World, least: &Room) -> Vec<usize> {
+fn machines_with_capacity_by_price(cluster: &ClusterSnapshot, least: &Resources) -> Vec<usize> {
     let mut by_price: Vec<usize> =
-        (0..world.machines.len()).filter(|i| world.machines[*i].free.fits(least)).collect();
+        (0..cluster.machines.len()).filter(|i| cluster.machines[*i].free.fits(least)).collect();
     by_price.sort_by(|a, b| {
-        let (a, b) = (&world.machines[*a], &world.machines[*b]);
-        let later = |machine: &MachineView| (machine.booting, machine.held.is_empty());
+        let (a, b) = (&cluster.machines[*a], &cluster.machines[*b]);
+        let later = |machine: &MachineView| (machine.booting, machine.placed_tasks.is_empty());
         later(a).cmp(&later(b)).then(a.cpu_price().total_cmp(&b.cpu_price()))
     });
     by_price
@@ -130,71 +134,78 @@
 
 /// The jobs that machines may be rented for, in their order. Nothing is rented for a job that fails wherever it is
 /// tried, unless no machines are left that could try it: what failed by bad luck must not wait for ever. One gang
-/// at a time; one machine for all others ([`rent_for_failing_arrays`]).
-fn jobs_to_rent_for(world: &World) -> Vec<usize> {
-    let stranded = (0..world.jobs.len()).find(|j| {
-        let job = &world.jobs[*j];
-        job.doubtful && job.gang && job.startable > 0 && !could_hold(world, *j)
+/// at a time; one machine for all others ([`scale_out_for_crash_looping_arrays`]).
+fn jobs_to_scale_for(cluster: &ClusterSnapshot) -> Vec<usize> {
+    let stranded = (0..cluster.jobs.len()).find(|j| {
+        let job = &cluster.jobs[*j];
+        job.crash_looping && job.gang && job.startable > 0 && !could_ever_hold(cluster, *j)
     });
-    let mut order: Vec<usize> = (0..world.jobs.len())
-        .filter(|j| !world.jobs[*j].doubtful || Some(*j) == stranded)
+    let mut order: Vec<usize> = (0..cluster.jobs.len())
+        .filter(|j| !cluster.jobs[*j].crash_looping || Some(*j) == stranded)
         .collect();
     order.sort_by(|a, b| {
-        let (a, b) = (&world.jobs[*a], &world.jobs[*b]);
+        let (a, b) = (&cluster.jobs[*a], &cluster.jobs[*b]);
         b.priority.cmp(&a.priority).then(a.submitted.total_cmp(&b.submitted))
     });
     order
 }
 
 /// One machine for jobs that fail wherever they are tried, where none is left or coming that could try them.
-fn rent_for_failing_arrays(world: &World, offers: &[Offer], zones: usize, plan: &mut FleetPlan) {
-    for job_ix in (0..world.jobs.len()).filter(|j| world.jobs[*j].doubtful && !world.jobs[*j].gang)
+fn scale_out_for_crash_looping_arrays(
+    cluster: &ClusterSnapshot,
+    offers: &[MachineOffer],
+    zones: usize,
+    plan: &mut ScalingPlan,
+) {
+    for job_index in
+        (0..cluster.jobs.len()).filter(|j| cluster.jobs[*j].crash_looping && !cluster.jobs[*j].gang)
     {
-        let job = &world.jobs[job_ix];
-        let fits = |h: &MachineView| takes(world, job_ix, h) && h.total.fits(&job.need);
-        let coming = plan.rent.iter().map(|r| &offers[r.offer]);
+        let job = &cluster.jobs[job_index];
+        let fits = |h: &MachineView| may_use(cluster, job_index, h) && h.total.fits(&job.request);
+        let coming = plan.scale_out.iter().map(|r| &offers[r.offer]);
         let mut coming = coming.filter(|o| job.allows(o.machine_type, o.zone, o.spot));
-        if job.startable == 0 || coming.next().is_some() || world.machines.iter().any(fits) {
+        if job.startable == 0 || coming.next().is_some() || cluster.machines.iter().any(fits) {
             continue;
         }
         let open = vec![1; zones];
-        if let Some((offer, _)) = cheapest(world, job_ix, 1, offers, &open) {
-            plan.rent.push(Rent { offer, count: 1 });
+        if let Some((offer, _)) = cheapest_offer(cluster, job_index, 1, offers, &open) {
+            plan.scale_out.push(ScaleOut { offer, count: 1 });
         }
     }
 }
 
-fn takes(world: &World, job: usize, machine: &MachineView) -> bool {
-    (machine.open || machine.booting)
-        && machine.kept_for.is_none_or(|k| k == job)
-        && !machine.shunned_by.contains(&job)
-        && world.jobs[job].allows(machine.machine_type, machine.zone, machine.spot)
+fn may_use(cluster: &ClusterSnapshot, job: usize, machine: &MachineView) -> bool {
+    (machine.schedulable || machine.booting)
+        && machine.reserved_for.is_none_or(|k| k == job)
+        && !machine.excluded_by.contains(&job)
+        && cluster.jobs[job].allows(machine.machine_type, machine.zone, machine.spot)
 }
 
 /// How many more tasks of a job each zone may hold. Without this a gang that must spread, or be together,
 /// is thought to fit where it never will, and nothing is rented for it.
-fn open_zones(
-    world: &World,
-    job_ix: usize,
+fn tasks_allowed_per_zone(
+    cluster: &ClusterSnapshot,
+    job_index: usize,
     zones: usize,
     short: u32,
     machines: &[usize],
-    free: &[Room],
-    offers: &[Offer],
+    free: &[Resources],
+    offers: &[MachineOffer],
 ) -> Vec<u32> {
-    let job = &world.jobs[job_ix];
-    let here = |zone: usize| job.per_zone.get(zone).copied().unwrap_or(0);
-    let mut open: Vec<u32> = (0..zones).map(|z| job.zone_cap.saturating_sub(here(z))).collect();
+    let job = &cluster.jobs[job_index];
+    let here = |zone: usize| job.placed_per_zone.get(zone).copied().unwrap_or(0);
+    let mut open: Vec<u32> =
+        (0..zones).map(|z| job.max_tasks_per_zone.saturating_sub(here(z))).collect();
     if !job.one_zone || job.tasks <= 1 {
         return open;
     }
     // In one zone: where it is; else where there is room for all of a gang, or a good part of an array; else
     // where more can be rented.
     let room = |zone: usize| -> u32 {
-        let there = machines.iter().filter(|i| world.machines[**i].zone == zone);
+        let there = machines.iter().filter(|i| cluster.machines[**i].zone == zone);
         there
-            .filter(|i| takes(world, job_ix, &world.machines[**i]))
-            .fold(0, |n: u32, i| n.saturating_add(free[*i].count(&job.need)))
+            .filter(|i| may_use(cluster, job_index, &cluster.machines[**i]))
+            .fold(0, |n: u32, i| n.saturating_add(free[*i].capacity_for(&job.request)))
     };
     let rentable = |zone: usize| {
         offers.iter().any(|o| o.zone == zone && job.allows(o.machine_type, o.zone, o.spot))
@@ -213,9 +224,9 @@
 }
 
 /// Time until a machine rented now could run the job's first task, s.
-fn lead_time(world: &World, job_ix: usize) -> f64 {
-    let job = &world.jobs[job_ix];
-    let fastest = world
+fn provisioning_time(cluster: &ClusterSnapshot, job_index: usize) -> f64 {
+    let job = &cluster.jobs[job_index];
+    let fastest = cluster
         .machine_types
         .iter()
         .enumerate()
@@ -226,21 +237,21 @@
 }
 
 /// The offer with the lowest price for the tasks it would take; and how many a machine takes.
-fn cheapest(
-    world: &World,
-    job_ix: usize,
+fn cheapest_offer(
+    cluster: &ClusterSnapshot,
+    job_index: usize,
     short: u32,
-    offers: &[Offer],
+    offers: &[MachineOffer],
     open: &[u32],
 ) -> Option<(usize, u32)> {
-    let job = &world.jobs[job_ix];
+    let job = &cluster.jobs[job_index];
     let mut best: Option<(f64, usize, u32)> = None;
     for (i, offer) in offers.iter().enumerate() {
         if !job.allows(offer.machine_type, offer.zone, offer.spot) || open[offer.zone] == 0 {
             continue;
         }
-        let machine_type = world.machine_types.get(offer.machine_type)?;
-        let fits = Room::of_machine_type(machine_type).count(&job.need);
+        let machine_type = cluster.machine_types.get(offer.machine_type)?;
+        let fits = Resources::of_machine_type(machine_type).capacity_for(&job.request);
         if fits == 0 {
             continue;
         }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -5,18 +5,18 @@
 //! machines, jobs, zones and machine types are named by their index in the slices that the caller hands
 //! over.
 
-mod fleet;
-mod minimum;
-mod order;
-mod place;
-mod preempt;
-mod room;
-mod view;
+mod autoscaling;
+mod min_tasks;
+mod placement;
+mod preemption;
+mod resources;
+mod scheduling_queue;
+mod snapshot;
 
-pub use fleet::{FleetPlan, Offer, Rent, plan_fleet};
-pub use minimum::{minimum, needs_rewrite, wanted};
-pub use order::{Turn, turns};
-pub use place::{Placed, Placement, fits_somewhere, place};
-pub use preempt::{Eviction, evict};
-pub use room::Room;
-pub use view::{HeldView, JobView, MachineView, TeamView, World};
+pub use autoscaling::{MachineOffer, ScaleOut, ScalingPlan, plan_scaling};
+pub use min_tasks::{desired_tasks, min_tasks, min_tasks_need_rewrite};
+pub use placement::{Placement, RoundOutcome, check_feasible, place};
+pub use preemption::{Preemption, preempt};
+pub use resources::Resources;
+pub use scheduling_queue::{QueueEntry, scheduling_queue};
+pub use snapshot::{ClusterSnapshot, JobView, MachineView, PlacedTaskView, TeamView};
--- a/crates/policy/src/minimum.rs
+++ b/crates/policy/src/min_tasks.rs
@@ -6,16 +6,16 @@
 /// The paper's equation 10 with one phase (B = 0): n = A / C, where A is the mean time of the
 /// finished tasks times the unfinished tasks and C the time to the deadline. With less than one mean
 /// task time left, all unfinished tasks. Until a task has finished, the running count.
-pub fn minimum(job: &JobView, now: f64) -> u32 {
+pub fn min_tasks(job: &JobView, now: f64) -> u32 {
     if job.daemon {
         return job.unfinished;
     }
-    let Some(mean) = job.mean else { return job.running };
-    let Some(due) = job.due else { return 0 };
-    over(mean, job.unfinished, due - now)
+    let Some(mean) = job.mean_task_time else { return job.placed };
+    let Some(due) = job.deadline else { return 0 };
+    min_tasks_by_deadline(mean, job.unfinished, due - now)
 }
 
-pub(crate) fn over(mean: f64, unfinished: u32, left: f64) -> u32 {
+pub(crate) fn min_tasks_by_deadline(mean: f64, unfinished: u32, left: f64) -> u32 {
     if left < mean || left <= 0.0 {
         return unfinished;
     }
@@ -25,12 +25,12 @@
 
 /// Tasks that the fleet should have room for: the minimum with the team's estimate as a prior, and
 /// with `lead` seconds taken off the time left (boot and image). A gang wants all its tasks.
-pub fn wanted(job: &JobView, now: f64, lead: f64) -> u32 {
-    if job.wants_all_at_once() {
+pub fn desired_tasks(job: &JobView, now: f64, lead: f64) -> u32 {
+    if job.needs_all_tasks_at_once() {
         return job.unfinished;
     }
     let mean = job.task_time();
-    let due = job.due.unwrap_or(job.submitted + constants::FREE_JOB_STRETCH * mean + lead);
+    let due = job.deadline.unwrap_or(job.submitted + constants::FREE_JOB_STRETCH * mean + lead);
     // A task can't be split: what must be done in the time left goes in whole task times.
     let rounds = ((due - now - lead) / mean).floor();
     if rounds < 1.0 {
@@ -41,7 +41,7 @@
 }
 
 /// Whether a minimum has changed enough for its record to be written again.
-pub fn needs_rewrite(written: Option<u32>, current: u32) -> bool {
+pub fn min_tasks_need_rewrite(written: Option<u32>, current: u32) -> bool {
     match written {
         None => current > 0,
         Some(0) => current > 0,
--- a/crates/policy/src/place/tests.rs
+++ b/crates/policy/src/placement/tests.rs
@@ -8,43 +8,43 @@
         gang: false,
         daemon: false,
         tasks,
-        need: Room { cpus, gpus: 0.0, ram: 1.0 },
+        request: Resources { cpus, gpus: 0.0, memory_gb: 1.0 },
         machine_types: vec![true],
         zone: None,
         one_zone: false,
-        zone_cap: tasks,
+        max_tasks_per_zone: tasks,
         spot: true,
         image: 1,
         image_gb: 1.0,
-        saves: false,
-        save_time: 0.0,
+        checkpoints: false,
+        checkpoint_time: 0.0,
         submitted: 0.0,
-        due: None,
+        deadline: None,
         start_by: vec![],
-        estimate: 10.0,
-        finished: 0,
-        mean: None,
+        estimated_task_time: 10.0,
+        completed: 0,
+        mean_task_time: None,
         unfinished: tasks,
-        running: 0,
+        placed: 0,
         startable: tasks,
-        doubtful: false,
-        per_zone: vec![0; 3],
+        crash_looping: false,
+        placed_per_zone: vec![0; 3],
         waiting_since: 0.0,
     }
 }
 
-/// What [`by_fit`] and filling machine after machine must come to: the best machine, looked for anew
+/// What [`machines_by_cost`] and filling machine after machine must come to: the best machine, looked for anew
 /// for each task.
-fn one_by_one(world: &mut World, job_ix: usize, tasks: u32) -> Vec<usize> {
+fn one_by_one(cluster: &mut ClusterSnapshot, job_index: usize, tasks: u32) -> Vec<usize> {
     let mut machines = Vec::new();
     for _ in 0..tasks {
-        let job = &world.jobs[job_ix];
-        let open = |i: &usize| usable(job_ix, job, &world.machines[*i]);
-        let cost = |i: &usize| badness(world, job, &world.machines[*i]);
+        let job = &cluster.jobs[job_index];
+        let open = |i: &usize| usable(job_index, job, &cluster.machines[*i]);
+        let cost = |i: &usize| placement_cost(cluster, job, &cluster.machines[*i]);
         let best =
-            (0..world.machines.len()).filter(open).min_by(|a, b| cost(a).total_cmp(&cost(b)));
+            (0..cluster.machines.len()).filter(open).min_by(|a, b| cost(a).total_cmp(&cost(b)));
         let Some(machine) = best else { break };
-        put(world, job_ix, machine);
+        assign(cluster, job_index, machine);
         machines.push(machine);
     }
     machines
@@ -62,18 +62,18 @@
             h.images = (0..rng.random_range(0..3u32)).collect();
             h.spot = rng.random_range(0..3) == 0;
             h.price = f64::from(rng.random_range(1..4u8));
-            h.open = rng.random_range(0..5) > 0;
+            h.schedulable = rng.random_range(0..5) > 0;
         }
         let tasks: u32 = rng.random_range(1..60);
         let spread = rng.random_range(0..3) == 0;
         let wanted = JobView {
-            zone_cap: if spread { tasks.div_ceil(2) } else { tasks },
+            max_tasks_per_zone: if spread { tasks.div_ceil(2) } else { tasks },
             spot: rng.random_range(0..2) == 0,
             image: rng.random_range(0..3),
             ..job(f64::from(rng.random_range(1..3u8)), tasks)
         };
-        let mut w = world(vec![wanted], machines);
-        w.cheapest_cpu = 0.25;
+        let mut w = cluster(vec![wanted], machines);
+        w.cheapest_cpu_price = 0.25;
         let mut same = w.clone();
         let all: Vec<usize> = (0..40).collect();
         assert_eq!(place_job(&mut w, 0, tasks, &all), one_by_one(&mut same, 0, tasks));
@@ -81,7 +81,7 @@
 }
 
 pub(crate) fn machine(zone: usize) -> MachineView {
-    let total = Room { cpus: 4.0, gpus: 0.0, ram: 16.0 };
+    let total = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 16.0 };
     MachineView {
         machine_type: 0,
         zone,
@@ -90,19 +90,19 @@
         free: total,
         price: 1.0,
         images: vec![],
-        open: true,
+        schedulable: true,
         booting: false,
-        kept_for: None,
-        shunned_by: vec![],
-        held: vec![],
+        reserved_for: None,
+        excluded_by: vec![],
+        placed_tasks: vec![],
     }
 }
 
-pub(crate) fn world(jobs: Vec<JobView>, machines: Vec<MachineView>) -> World {
-    World {
+pub(crate) fn cluster(jobs: Vec<JobView>, machines: Vec<MachineView>) -> ClusterSnapshot {
+    ClusterSnapshot {
         now: 0.0,
-        cheapest_cpu: 0.25,
-        gang_needs: vec![],
+        cheapest_cpu_price: 0.25,
+        gang_requests: vec![],
         jobs,
         machines,
         teams: vec![TeamView::default()],
@@ -124,22 +124,22 @@
 #[test]
 fn a_gang_starts_whole_or_not_at_all() {
     let gang = JobView { gang: true, ..job(3.0, 3) };
-    let mut w = world(vec![gang.clone()], vec![machine(0), machine(1)]);
+    let mut w = cluster(vec![gang.clone()], vec![machine(0), machine(1)]);
     assert_eq!(place(&mut w).placements, []);
     assert_eq!(w.machines[0].free.cpus, 4.0, "nothing stays reserved");
-    let mut w = world(vec![gang], vec![machine(0), machine(1), machine(2)]);
+    let mut w = cluster(vec![gang], vec![machine(0), machine(1), machine(2)]);
     assert_eq!(place(&mut w).placements[0].machines.len(), 3);
 }
 
 #[test]
 fn together_stays_in_one_zone_and_spread_does_not() {
     let one_zone = JobView { one_zone: true, gang: true, ..job(3.0, 2) };
-    let mut w = world(vec![one_zone], vec![machine(0), machine(1), machine(1)]);
+    let mut w = cluster(vec![one_zone], vec![machine(0), machine(1), machine(1)]);
     assert_eq!(place(&mut w).placements[0].machines, [1, 2]);
-    let spread = JobView { zone_cap: 3, gang: true, ..job(1.0, 5) };
-    let mut w = world(vec![spread.clone()], vec![machine(0), machine(0)]);
+    let spread = JobView { max_tasks_per_zone: 3, gang: true, ..job(1.0, 5) };
+    let mut w = cluster(vec![spread.clone()], vec![machine(0), machine(0)]);
     assert_eq!(place(&mut w).placements, []);
-    let mut w = world(vec![spread], vec![machine(0), machine(1)]);
+    let mut w = cluster(vec![spread], vec![machine(0), machine(1)]);
     let placed = place(&mut w).placements.remove(0).machines;
     assert_eq!(placed.len(), 5);
     assert!(placed.iter().filter(|h| **h == 0).count() <= 3);
@@ -148,12 +148,12 @@
 
 #[test]
 fn quotas_zones_and_kinds_are_kept() {
-    let mut w = world(vec![job(1.0, 10)], vec![machine(0), machine(1)]);
+    let mut w = cluster(vec![job(1.0, 10)], vec![machine(0), machine(1)]);
     w.teams[0].limit = (3.0, 0.0);
     assert_eq!(place(&mut w).placements.iter().map(|p| p.machines.len()).sum::<usize>(), 3);
     let picky = JobView { zone: Some(1), spot: false, ..job(1.0, 10) };
     let spot = MachineView { spot: true, ..machine(1) };
-    let mut w = world(vec![picky], vec![machine(0), spot, machine(1)]);
+    let mut w = cluster(vec![picky], vec![machine(0), spot, machine(1)]);
     let placed = place(&mut w).placements;
     assert!(placed.iter().flat_map(|p| &p.machines).all(|h| *h == 2));
     assert_eq!(placed.iter().map(|p| p.machines.len()).sum::<usize>(), 4);
@@ -163,21 +163,21 @@
 fn arrays_do_not_starve_a_gang_of_its_teams_limit_or_of_room() {
     // The limit: 4 of 6 CPUs are in use, the gang needs 4; the array must not take the rest.
     let gang = JobView { gang: true, ..job(2.0, 2) };
-    let array = JobView { running: 4, finished: 1, mean: Some(9.0), ..job(1.0, 50) };
-    let mut w = world(vec![gang.clone(), array.clone()], vec![machine(0), machine(1)]);
+    let array = JobView { placed: 4, completed: 1, mean_task_time: Some(9.0), ..job(1.0, 50) };
+    let mut w = cluster(vec![gang.clone(), array.clone()], vec![machine(0), machine(1)]);
     w.teams[0].limit = (6.0, 0.0);
     w.teams[0].used.cpus = 4.0;
     assert_eq!(place(&mut w).placements, []);
-    // Room: the gang needs 4 CPUs on each of two machines that have 1 free each.
+    // Resources: the gang needs 4 CPUs on each of two machines that have 1 free each.
     let gang = JobView { gang: true, ..job(4.0, 2) };
     let mut busy = [machine(0), machine(1)];
     for h in &mut busy {
         h.free.cpus = 1.0;
     }
-    let mut w = world(vec![gang, array], busy.to_vec());
+    let mut w = cluster(vec![gang, array], busy.to_vec());
     w.now = 1.0;
     assert_eq!(place(&mut w).placements.len(), 1, "at first what is free is used");
-    let mut w = world(w.jobs.clone(), busy.to_vec());
+    let mut w = cluster(w.jobs.clone(), busy.to_vec());
     w.now = 20.0;
     assert_eq!(place(&mut w).placements, [], "later it is kept for the gang");
 }
@@ -185,17 +185,17 @@
 #[test]
 fn machines_that_hold_the_image_are_preferred() {
     let warm = MachineView { images: vec![1], ..machine(1) };
-    let mut w = world(vec![job(1.0, 1)], vec![machine(0), warm]);
+    let mut w = cluster(vec![job(1.0, 1)], vec![machine(0), warm]);
     assert_eq!(place(&mut w).placements[0].machines, [1]);
 }
 
 #[test]
 fn arrays_leave_machines_that_gangs_need_to_them_while_others_have_room() {
     let mut large = machine(0);
-    large.total = Room { cpus: 32.0, gpus: 0.0, ram: 64.0 };
+    large.total = Resources { cpus: 32.0, gpus: 0.0, memory_gb: 64.0 };
     large.free = large.total;
-    let mut w = world(vec![job(1.0, 6)], vec![large, machine(1)]);
-    w.gang_needs = vec![Room { cpus: 30.0, gpus: 0.0, ram: 50.0 }];
+    let mut w = cluster(vec![job(1.0, 6)], vec![large, machine(1)]);
+    w.gang_requests = vec![Resources { cpus: 30.0, gpus: 0.0, memory_gb: 50.0 }];
     let placed: Vec<usize> =
         place(&mut w).placements.into_iter().flat_map(|p| p.machines).collect();
     assert_eq!(placed, [1, 1, 1, 1, 0, 0], "the rest goes there all the same");
@@ -205,17 +205,17 @@
 fn a_gang_waits_for_machines_being_cleared_only_if_all_of_them_hold_its_image() {
     let gang = JobView { gang: true, ..job(3.0, 2) };
     let kept = |images: Vec<u32>, free: f64| {
-        let mut h = MachineView { images, kept_for: Some(0), ..machine(0) };
+        let mut h = MachineView { images, reserved_for: Some(0), ..machine(0) };
         h.free.cpus = free;
         h
     };
     // Two machines are free without the image, two that hold it are being cleared.
     let machines = vec![kept(vec![1], 0.0), kept(vec![1], 0.0), machine(0), machine(0)];
-    let mut w = world(vec![gang.clone()], machines);
+    let mut w = cluster(vec![gang.clone()], machines);
     assert_eq!(place(&mut w).placements, [], "they will be clear before a fetch is over");
     // One of the two that were cleared lacks it.
     let machines = vec![kept(vec![1], 4.0), kept(vec![], 4.0), machine(0)];
-    let mut w = world(vec![gang], machines);
+    let mut w = cluster(vec![gang], machines);
     assert_eq!(place(&mut w).placements.len(), 1, "the fetch may begin");
 }
 
@@ -224,9 +224,9 @@
 #[test]
 fn a_gang_that_no_machines_could_hold_keeps_nothing_from_its_team_for_long() {
     let gang = JobView { gang: true, ..job(4.0, 3) };
-    let array = JobView { running: 2, finished: 1, mean: Some(9.0), ..job(1.0, 50) };
+    let array = JobView { placed: 2, completed: 1, mean_task_time: Some(9.0), ..job(1.0, 50) };
     let at = |now: f64, machines: Vec<MachineView>| {
-        let mut w = world(vec![gang.clone(), array.clone()], machines);
+        let mut w = cluster(vec![gang.clone(), array.clone()], machines);
         w.teams[0].limit = (14.0, 0.0);
         w.teams[0].used.cpus = 2.0;
         w.now = now;
@@ -242,31 +242,31 @@
 #[test]
 fn what_can_never_run_is_told() {
     let team = TeamView { limit: (4.0, 0.0), ..TeamView::default() };
-    let room = |cpus| Room { cpus, gpus: 0.0, ram: 1.0 };
-    assert!(fits_somewhere(&[true], &room(3.0), 1, &team).is_ok());
-    assert!(fits_somewhere(&[true], &room(5.0), 1, &team).is_err());
-    assert!(fits_somewhere(&[true], &room(3.0), 2, &team).is_err(), "a gang of two");
-    assert!(fits_somewhere(&[false], &room(1.0), 1, &team).is_err());
+    let room = |cpus| Resources { cpus, gpus: 0.0, memory_gb: 1.0 };
+    assert!(check_feasible(&[true], &room(3.0), 1, &team).is_ok());
+    assert!(check_feasible(&[true], &room(5.0), 1, &team).is_err());
+    assert!(check_feasible(&[true], &room(3.0), 2, &team).is_err(), "a gang of two");
+    assert!(check_feasible(&[false], &room(1.0), 1, &team).is_err());
 }
 
 #[test]
 fn no_machine_is_kept_for_a_gang_whose_room_daemons_hold_for_good() {
     let daemon =
         JobView { daemon: true, priority: Priority::Production, startable: 0, ..job(1.0, 4) };
-    let gang = JobView { gang: true, zone_cap: 1, ..job(4.0, 2) };
+    let gang = JobView { gang: true, max_tasks_per_zone: 1, ..job(4.0, 2) };
     let mut full = machine(1);
-    full.free = Room::default();
-    full.held = (0..4)
-        .map(|tag| crate::HeldView {
-            tag,
+    full.free = Resources::default();
+    full.placed_tasks = (0..4)
+        .map(|tag| crate::PlacedTaskView {
+            id: tag,
             job: 0,
-            need: job(1.0, 1).need,
+            request: job(1.0, 1).request,
             elapsed: 9.0,
-            leaving: false,
+            terminating: false,
         })
         .collect();
     let array = job(1.0, 4);
-    let mut w = world(vec![daemon, gang, array], vec![machine(0), full]);
+    let mut w = cluster(vec![daemon, gang, array], vec![machine(0), full]);
     w.now = 30.0;
     let placed = place(&mut w);
     let of_array =
@@ -274,7 +274,7 @@
     assert_eq!(of_array, 4, "the empty machine is not kept");
     // What is lower in priority gives way to the gang, so there is something to wait for.
     let low = JobView { daemon: true, priority: Priority::Low, startable: 0, ..job(1.0, 4) };
-    w = World { jobs: vec![low, w.jobs[1].clone(), job(1.0, 4)], ..w };
+    w = ClusterSnapshot { jobs: vec![low, w.jobs[1].clone(), job(1.0, 4)], ..w };
     w.machines[0].free = w.machines[0].total;
     assert!(place(&mut w).placements.is_empty());
 }
--- a/crates/policy/src/order/tests.rs
+++ b/crates/policy/src/scheduling_queue/tests.rs
@@ -1,22 +1,22 @@
 use super::*;
-use crate::place::tests::job;
+use crate::placement::tests::job;
 
 #[test]
 fn unseen_first_then_deadlines_up_to_minimums_then_leftovers() {
     let due = Some(1000.0);
-    let old = JobView { submitted: 1.0, due, ..job(1.0, 10) };
-    let new = JobView { submitted: 2.0, due, ..job(1.0, 10) };
+    let old = JobView { submitted: 1.0, deadline: due, ..job(1.0, 10) };
+    let new = JobView { submitted: 2.0, deadline: due, ..job(1.0, 10) };
     let started = |due: f64| JobView {
-        finished: 2,
+        completed: 2,
         unfinished: 8,
         startable: 6,
-        running: 2,
-        mean: Some(10.0),
-        due: Some(due),
+        placed: 2,
+        mean_task_time: Some(10.0),
+        deadline: Some(due),
         ..job(1.0, 10)
     };
     let jobs = vec![new, started(40.0), old, started(20.0)];
-    let list = turns(&jobs, 0.0, 1000.0);
+    let list = scheduling_queue(&jobs, 0.0, 1000.0);
     let needed: Vec<(usize, u32)> =
         list.iter().filter(|t| !t.leftover).map(|t| (t.job, t.tasks)).collect();
     // 10 s x 8 / 20 s = 4, two run; 10 s x 8 / 40 s = 2, two run: nothing short.
@@ -25,20 +25,20 @@
     assert_eq!(left, [3, 1, 2, 0], "least work left first, equal work in the order above");
     let mut jobs = jobs;
     jobs[1].startable = 3;
-    jobs[3].due = Some(-1.0);
+    jobs[3].deadline = Some(-1.0);
     let left: Vec<usize> =
-        turns(&jobs, 0.0, 1000.0).iter().filter(|t| t.leftover).map(|t| t.job).collect();
+        scheduling_queue(&jobs, 0.0, 1000.0).iter().filter(|t| t.leftover).map(|t| t.job).collect();
     assert_eq!(left, [1, 2, 0, 3], "less work goes first, a late job last");
 }
 
 /// A job that has one task done and needs `unfinished` more by `due`.
 fn started(unfinished: u32, due: f64) -> JobView {
     JobView {
-        finished: 1,
+        completed: 1,
         unfinished,
         startable: unfinished,
-        mean: Some(10.0),
-        due: Some(due),
+        mean_task_time: Some(10.0),
+        deadline: Some(due),
         ..job(1.0, unfinished + 1)
     }
 }
@@ -47,7 +47,7 @@
 fn when_not_all_can_be_in_time_those_that_need_least_are() {
     // Minimums 10, 8 and 2 on 10 CPUs: the first, due earliest, would make the others late.
     let jobs = vec![started(10, 10.0), started(16, 20.0), started(4, 20.0)];
-    let first = |capacity| turns(&jobs, 0.0, capacity)[0].job;
+    let first = |capacity| scheduling_queue(&jobs, 0.0, capacity)[0].job;
     assert_eq!(first(20.0), 0, "room for all: earliest deadline first");
     assert_eq!(first(10.0), 1, "the two that fit go before the one that does not");
 }
@@ -56,8 +56,8 @@
 fn the_jump_to_all_unfinished_tasks_does_not_take_the_room_of_jobs_that_can_be_saved() {
     // The design's weak spot: under one mean task time left, the minimum is all 100 tasks.
     let jobs = vec![started(100, 9.0), started(4, 20.0)];
-    assert_eq!(minimum(&jobs[0], 0.0), 100);
-    assert_eq!(turns(&jobs, 0.0, 50.0)[0].job, 1);
+    assert_eq!(min_tasks(&jobs[0], 0.0), 100);
+    assert_eq!(scheduling_queue(&jobs, 0.0, 50.0)[0].job, 1);
 }
 
 #[test]
@@ -68,9 +68,9 @@
     let now = constants::AGED_S + 1.0;
     let mut jobs = vec![late];
     jobs.extend((0..50).map(|_| JobView { submitted: now - 1.0, ..started(10, now + 15.0) }));
-    let list = turns(&jobs, now, 100.0);
+    let list = scheduling_queue(&jobs, now, 100.0);
     assert_eq!((list[0].job, list[0].tasks), (0, 15), "a part of the room is its own");
-    assert_ne!(turns(&jobs, 20.0, 100.0)[0].job, 0, "before the bound it yields");
+    assert_ne!(scheduling_queue(&jobs, 20.0, 100.0)[0].job, 0, "before the bound it yields");
 }
 
 #[test]
@@ -82,7 +82,7 @@
         ..job(1.0, 4)
     };
     let jobs = vec![gang(0.0), gang(50.0), gang(20.0)];
-    let order = |now| turns(&jobs, now, 100.0).iter().map(|t| t.job).collect::<Vec<_>>();
+    let order = |now| scheduling_queue(&jobs, now, 100.0).iter().map(|t| t.job).collect::<Vec<_>>();
     assert_eq!(order(60.0), [1, 2, 0], "in time; in time for the looser aim only; for none");
     let late = 1.0 + constants::START_BOUND_S;
     assert_eq!(order(late)[0], 0, "beyond the bound the oldest goes first");
@@ -94,15 +94,15 @@
     let gang = |submitted: f64, running: u32| JobView {
         gang: true,
         submitted,
-        running,
+        placed: running,
         startable: 8 - running,
         ..job(1.0, 8)
     };
     let jobs = vec![gang(1.0, 0), gang(5.0, 3), gang(2.0, 0)];
-    let list = turns(&jobs, 10.0, 1000.0);
+    let list = scheduling_queue(&jobs, 10.0, 1000.0);
     let order: Vec<(usize, u32)> = list.iter().map(|t| (t.job, t.tasks)).collect();
     assert_eq!(order, [(1, 5), (0, 8), (2, 8)]);
     let higher = JobView { priority: hookway_wire::Priority::Production, ..gang(9.0, 0) };
-    let list = turns(&[jobs[1].clone(), higher], 10.0, 1000.0);
+    let list = scheduling_queue(&[jobs[1].clone(), higher], 10.0, 1000.0);
     assert_eq!(list[0].job, 1, "priority comes first");
 }
