--- a/crates/clients/src/worker.rs
+++ b/crates/clients/src/worker.rs
@@ -31,7 +31,7 @@
 impl Default for WorkerClient {
     fn default() -> Self {
         let idle = Duration::from_millis(constants::WORKER_IDLE_MS);
-        let stops = Arc::new(Semaphore::new(constants::PUSHES_AT_MOST));
+        let stops = Arc::new(Semaphore::new(constants::MAX_DIRECT_STOPS));
         Self { http: HttpClient::keeping("0.0.0.0:0", 1, idle), stops }
     }
 }
@@ -40,7 +40,7 @@
     /// Sends commands that only stop tasks, a bounded number at a time. What would wait for long is left
     /// to the answer to the worker's next report, which says the same.
     pub async fn stop(&self, address: &str, commands: &DirectCommands) {
-        let wait = Duration::from_millis(constants::PUSH_WAIT_MS);
+        let wait = Duration::from_millis(constants::DIRECT_STOP_QUEUE_LIMIT_MS);
         if let Ok(Ok(_permit)) = tokio::time::timeout(wait, self.stops.acquire()).await {
             self.send(address, commands).await;
         }
--- a/crates/controller/src/answers.rs
+++ b/crates/controller/src/answers.rs
@@ -92,7 +92,7 @@
         let (states, order) = &mut *finals;
         if states.insert(told.id.clone(), told.clone()).is_none() {
             order.push_back(told.id.clone());
-            if order.len() > constants::FINAL_CACHE
+            if order.len() > constants::FINAL_STATE_CACHE_SIZE
                 && let Some(old) = order.pop_front()
             {
                 states.remove(&old);
--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -79,7 +79,7 @@
         view: watch::Receiver<View>,
         machine_types: watch::Receiver<Option<Arc<Vec<MachineType>>>>,
     ) -> Self {
-        let most = params.machine_limits.max_sockets as f64 * constants::IN_PROGRESS_SOCKET_SHARE;
+        let most = params.machine_limits.max_sockets as f64 * constants::CONCURRENCY_SOCKET_SHARE;
         let limiter = Limiter::new(most as usize);
         let poll_limiter = Limiter::new(most as usize);
         let finals = Arc::default();
@@ -423,7 +423,8 @@
     /// Keeps this node's block leased for as long as another node leads and can be reached.
     pub async fn hold_block(&self) {
         loop {
-            tokio::time::sleep(Duration::from_millis(constants::RENEW_EVERY_MS)).await;
+            tokio::time::sleep(Duration::from_millis(constants::SHARD_LEASE_RENEWAL_INTERVAL_MS))
+                .await;
             let Some(leader) = self.view.borrow().leader.clone().filter(|l| *l != self.label)
             else {
                 continue;
@@ -449,7 +450,7 @@
     /// one.
     pub async fn follow_leader(&self) {
         loop {
-            tokio::time::sleep(Duration::from_millis(constants::FOLLOW_EVERY_MS)).await;
+            tokio::time::sleep(Duration::from_millis(constants::FOLLOW_INTERVAL_MS)).await;
             let Some(request) = self.ask(Ask::FollowRequest).await else { continue };
             let leader = self.view.borrow().leader.clone().filter(|l| *l != self.label);
             // The renewals of this node's block tell the leader's version.
--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -315,8 +315,8 @@
             ("settings.state.next.txn_ops", next.txn_ops),
         ];
         for (name, value) in operations {
-            if value.is_some_and(|ops| ops < hookway_constants::ELECTION_OPS) {
-                let least = hookway_constants::ELECTION_OPS;
+            if value.is_some_and(|ops| ops < hookway_constants::ELECTION_OPERATIONS) {
+                let least = hookway_constants::ELECTION_OPERATIONS;
                 return Err(format!("{name} must be at least {least}"));
             }
         }
@@ -362,7 +362,7 @@
 impl Default for ReplicationSettings {
     fn default() -> Self {
         Self {
-            standby: hookway_constants::STANDBY_AS_A_RULE,
+            standby: hookway_constants::STANDBY_DEFAULT,
             leader_lease_ms: hookway_constants::LEADER_TTL_MS,
             controller_networks: Networks::default(),
             worker_networks: Networks::default(),
@@ -404,7 +404,7 @@
         Self {
             idle_return_ms: None,
             most_machines: usize::MAX,
-            block_lease_ms: hookway_constants::BLOCK_LEASE_MS,
+            block_lease_ms: hookway_constants::SHARD_LEASE_MS,
             replication: ReplicationSettings::default(),
         }
     }
--- a/crates/controller/src/door.rs
+++ b/crates/controller/src/door.rs
@@ -41,10 +41,12 @@
         let mut quiet: Vec<(u64, u64)> = open
             .iter()
             .map(|(id, o)| (o.last_ms.load(Ordering::Relaxed), *id))
-            .filter(|(last, _)| last + constants::DOOR_BUSY_MS <= now_ms)
+            .filter(|(last, _)| last + constants::CONNECTION_BUSY_MS <= now_ms)
             .collect();
         quiet.sort_unstable();
-        for (_, id) in quiet.into_iter().take(self.most.div_ceil(constants::DOOR_CLOSE_PART)) {
+        for (_, id) in
+            quiet.into_iter().take(self.most.div_ceil(constants::CONNECTION_CLOSE_DIVISOR))
+        {
             if let Some(o) = open.remove(&id) {
                 o.ctrl.abort();
             }
@@ -104,8 +106,9 @@
     /// For a node with so many sockets, whose workers report every `report_s`: a part stays for what
     /// the node opens itself, and no connection is closed that a worker still reports over.
     pub fn for_machine(max_sockets: usize, report_s: f64) -> Self {
-        let most = (max_sockets as f64 * constants::DOOR_SOCKET_SHARE) as usize;
-        let idle = (report_s * constants::DOOR_IDLE_REPORTS).max(constants::DOOR_IDLE_LEAST_S);
+        let most = (max_sockets as f64 * constants::INBOUND_SOCKET_SHARE) as usize;
+        let idle = (report_s * constants::CONNECTION_IDLE_HEARTBEATS)
+            .max(constants::CONNECTION_IDLE_MIN_S);
         Self::new(most, Duration::from_secs_f64(idle))
     }
 
@@ -121,7 +124,7 @@
     async fn decide(&self, _: &FuseInfo) -> FuseAction {
         while self.held() >= self.table.most {
             self.table.close_quiet(self.table.now_ms());
-            tokio::time::sleep(Duration::from_millis(constants::DOOR_WAIT_MS)).await;
+            tokio::time::sleep(Duration::from_millis(constants::CONNECTION_TABLE_RETRY_MS)).await;
         }
         FuseAction::Accept(self.config)
     }
--- a/crates/controller/src/holders.rs
+++ b/crates/controller/src/holders.rs
@@ -287,7 +287,7 @@
 /// after a report must be answered within its lease, with as much time left for the tries in between;
 /// and a change of leader must be over by then, so that workers go straight to the new one.
 pub fn patience_ms(report_s: f64, lease_s: f64) -> u64 {
-    ((lease_s - report_s * constants::LONGEST_REPORT).max(0.0) * 500.0) as u64
+    ((lease_s - report_s * constants::MAX_HEARTBEAT_INTERVAL_FACTOR).max(0.0) * 500.0) as u64
 }
 
 #[cfg(test)]
--- a/crates/controller/src/http.rs
+++ b/crates/controller/src/http.rs
@@ -56,7 +56,7 @@
         let Self(desk, kind) = self;
         // Many questions must not shut out submissions, nor one kind's slow answers lower the other's limit.
         let back_s = match kind {
-            Kind::Status => constants::POLL_AGAIN_S,
+            Kind::Status => constants::STATUS_RETRY_AFTER_S,
             Kind::Submit | Kind::Cancel => constants::RETRY_AFTER_S,
         };
         let limiter = if *kind == Kind::Status { &desk.poll_limiter } else { &desk.limiter };
--- a/crates/controller/src/lead.rs
+++ b/crates/controller/src/lead.rs
@@ -184,7 +184,7 @@
     fn election_pause(&self) -> u64 {
         let jitter = rand::rng().random_range(0..=constants::ELECTION_JITTER_MS);
         if self.warm.load(Ordering::Relaxed) {
-            jitter / constants::WARM_JITTER_PART
+            jitter / constants::WARM_STANDBY_JITTER_DIVISOR
         } else {
             jitter
         }
@@ -310,7 +310,7 @@
             leader_term: Some(record.term),
             mandate: Some(mandate),
         });
-        let mut pause = if until == 0 { 0 } else { constants::LEADER_EXTEND_EVERY_MS };
+        let mut pause = if until == 0 { 0 } else { constants::LEADER_EXTEND_INTERVAL_MS };
         let gave_up = loop {
             tokio::select! {
                 () = self.pause(pause) => {}
@@ -320,7 +320,7 @@
             match self.store.extend(lease_id).await {
                 Ok(()) => {
                     self.validity.set(record.term, valid_until(sent, self.lease_ms));
-                    pause = constants::LEADER_EXTEND_EVERY_MS;
+                    pause = constants::LEADER_EXTEND_INTERVAL_MS;
                 }
                 Err(StoreError::NoLease) => break false,
                 Err(e) => {
@@ -335,7 +335,7 @@
         let _ = self.store.release(lease_id).await;
         if gave_up {
             // Another node shall have it.
-            self.pause(constants::ABSTAIN_MS).await;
+            self.pause(constants::STEP_DOWN_PAUSE_MS).await;
         }
     }
 }
--- a/crates/controller/src/ledger/blame.rs
+++ b/crates/controller/src/ledger/blame.rs
@@ -12,7 +12,8 @@
     /// It failed, and nothing speaks for it: no task has completed, and not more of them run than there
     /// are machines that it failed on.
     pub fn doubtful(&self) -> bool {
-        let tries = if self.spec.needs_all_tasks_at_once() { constants::GANG_TRIES } else { 1 };
+        let tries =
+            if self.spec.needs_all_tasks_at_once() { constants::GANG_MAX_FAILURES } else { 1 };
         self.errors >= tries && self.unproven()
     }
 
@@ -27,7 +28,7 @@
             return 1.0;
         }
         // On one machine only, so far: it may be either's fault.
-        if self.failed_on.len() == 1 { constants::UNPROVEN_BLAME } else { 0.0 }
+        if self.failed_on.len() == 1 { constants::UNPROVEN_JOB_WEIGHT } else { 0.0 }
     }
 
     /// Machines that it should not be tried on again, out of so many: the last ones that it failed on, and
@@ -41,7 +42,7 @@
     /// last error count with that one: they are one try.
     fn failed(&mut self, machine: &str, since: u64, now: u64) {
         if !self.failed_on.iter().any(|h| h == machine) {
-            if self.failed_on.len() >= constants::FAILED_ON_KEPT {
+            if self.failed_on.len() >= constants::MAX_FAILED_MACHINES {
                 self.failed_on.pop_front();
             }
             self.failed_on.push_back(machine.to_owned());
@@ -49,17 +50,17 @@
         if self.errors > 0 && since <= self.failed_at {
             return;
         }
-        if self.spec.is_daemon() && now >= self.failed_at + constants::REPLICA_FORGIVEN_MS {
+        if self.spec.is_daemon() && now >= self.failed_at + constants::REPLICA_FAILURE_MEMORY_MS {
             self.errors = 0;
         }
         self.failed_at = now;
         self.errors += 1;
         let proven = self.done > 0 || self.spec.is_daemon() && !self.unproven();
-        if proven && self.errors < constants::PROVEN_ERRORS {
+        if proven && self.errors < constants::PROVEN_JOB_MAX_FAILURES {
             return;
         }
-        let pause = constants::ERROR_PAUSE_MS << (self.errors - 1).min(10);
-        let pause = pause.min(constants::ERROR_PAUSE_MAX_MS);
+        let pause = constants::FAILURE_BACKOFF_MS << (self.errors - 1).min(10);
+        let pause = pause.min(constants::FAILURE_BACKOFF_MAX_MS);
         // Jobs that were submitted together with the same mistake shall not all come back together.
         let spread = |sum: u64, byte: u8| sum.wrapping_mul(31).wrapping_add(u64::from(byte));
         let spread = self.id.as_str().bytes().fold(u64::from(self.errors), spread);
@@ -117,12 +118,14 @@
             machine.failed.push(key);
         }
         if proven {
-            machine.pause_until = machine.pause_until.max(now + constants::NO_ROOM_PAUSE_MS);
+            machine.pause_until =
+                machine.pause_until.max(now + constants::REJECTED_START_BACKOFF_MS);
         }
         let blamed = |machine: &Machine| -> f64 {
             machine.failed.iter().filter_map(|k| self.jobs.get(k)).map(Job::weight).sum()
         };
-        let faulty = self.machines.get(name).is_some_and(|h| blamed(h) >= constants::FAULTY_BLAME);
+        let faulty =
+            self.machines.get(name).is_some_and(|h| blamed(h) >= constants::FAULTY_MACHINE_WEIGHT);
         let Some(machine) = self.machines.get_mut(name).filter(|h| faulty && h.closing.is_none())
         else {
             return;
--- a/crates/controller/src/ledger/checkin.rs
+++ b/crates/controller/src/ledger/checkin.rs
@@ -98,7 +98,7 @@
         let commands = self.commands_for(name, now);
         self.touch(name);
         let machine = self.machines.get_mut(name)?;
-        machine.soon = if commands.is_empty() { 0 } else { now + constants::REPORT_SOON_MS };
+        machine.soon = if commands.is_empty() { 0 } else { now + constants::PROMPT_HEARTBEAT_MS };
         let token = self.term + machine.bump;
         let mut expected = Expected { answered_before, answered_at: now, ..Expected::default() };
         expected.token = (token > report.fencing_token).then_some(token);
@@ -131,10 +131,15 @@
         }
         // All machines are looked at only when one was deaf to an answer. When many are, it is this
         // node's answers that are late.
-        let deaf_now = self.machines.values().filter(|h| h.deaf >= constants::DEAF_ANSWERS).count();
+        let deaf_now = self
+            .machines
+            .values()
+            .filter(|h| h.deaf >= constants::MAX_UNACKNOWLEDGED_RESPONSES)
+            .count();
         let few = deaf_now * 4 <= self.machines.len().max(4);
-        let pause =
-            (self.setup.params.workers.report_s * 1000.0 * constants::LONGEST_REPORT) as u64;
+        let pause = (self.setup.params.workers.report_s
+            * 1000.0
+            * constants::MAX_HEARTBEAT_INTERVAL_FACTOR) as u64;
         let Some(machine) = self.machines.get_mut(name) else { return };
         machine.deaf += 1;
         // Unless it was answered since: as a holder, while this leader's lease was in doubt.
@@ -145,7 +150,10 @@
         if machine.deaf > 1 {
             machine.pause_until = machine.pause_until.max(now + pause);
         }
-        if machine.deaf >= constants::DEAF_ANSWERS && machine.closing.is_none() && few {
+        if machine.deaf >= constants::MAX_UNACKNOWLEDGED_RESPONSES
+            && machine.closing.is_none()
+            && few
+        {
             tracing::info!("machine {name}: {HEARS_NOTHING}");
             machine.closing = Some(HEARS_NOTHING);
         }
--- a/crates/controller/src/ledger/commands.rs
+++ b/crates/controller/src/ledger/commands.rs
@@ -16,7 +16,7 @@
             return Some(0.0);
         }
         if let Some(kill) = held.kill {
-            let patience = (job.spec.checkpoint_s * 1000.0) as u64 + constants::STOP_PATIENCE_MS;
+            let patience = (job.spec.checkpoint_s * 1000.0) as u64 + constants::STOP_TIMEOUT_MS;
             let late = now.saturating_sub(kill.since) > patience;
             return Some(if late { 0.0 } else { kill.grace_s });
         }
--- a/crates/controller/src/ledger/commit.rs
+++ b/crates/controller/src/ledger/commit.rs
@@ -25,7 +25,7 @@
         let tokens = self.writer.bucket.fill(now).floor() as usize;
         self.retry_rejected(now);
         let most = self.writer.most_changes.min(tokens);
-        if most < constants::FINAL_OPS {
+        if most < constants::JOB_COMPLETION_OPERATIONS {
             return None;
         }
         let mut commit = Commit {
@@ -59,7 +59,7 @@
     }
 
     fn add_finals(&mut self, commit: &mut Commit) {
-        while commit.open(constants::FINAL_OPS)
+        while commit.open(constants::JOB_COMPLETION_OPERATIONS)
             && let Some(key) = self.writer.finals.pop_front()
         {
             let Some(job) = self.jobs.get_mut(&key) else { continue };
@@ -298,7 +298,7 @@
     fn rejected(&mut self, commit: Commit, now: u64) {
         self.writer.pause_until = now + constants::LEADER_RETRY_MS;
         let changes = commit.transaction.operations.len();
-        self.writer.most_changes = (changes / 2).max(constants::FINAL_OPS);
+        self.writer.most_changes = (changes / 2).max(constants::JOB_COMPLETION_OPERATIONS);
         let alone = commit.items.len() == 1;
         for item in commit.items {
             self.not_carried_out(&item);
--- a/crates/controller/src/ledger/departures.rs
+++ b/crates/controller/src/ledger/departures.rs
@@ -107,9 +107,9 @@
             ExitCause::Error => self.blame(name, key, held.since, now),
             ExitCause::Done => job.replica_completed(name, held.running_since, held.since, now),
             ExitCause::InsufficientResources | ExitCause::AttemptConflict => {
-                machine.pause_until = now + constants::NO_ROOM_PAUSE_MS;
+                machine.pause_until = now + constants::REJECTED_START_BACKOFF_MS;
             }
-            ExitCause::UnknownJob => job.pause_until = now + constants::ERROR_PAUSE_MS,
+            ExitCause::UnknownJob => job.pause_until = now + constants::FAILURE_BACKOFF_MS,
             _ => {}
         }
     }
--- a/crates/controller/src/ledger/direct_starts.rs
+++ b/crates/controller/src/ledger/direct_starts.rs
@@ -15,12 +15,12 @@
     /// `reap`, carries a higher one, after which the worker refuses the command.
     pub fn take_direct(&mut self, now: u64) -> Vec<(String, String, DirectCommands)> {
         let mut sends = Vec::new();
-        if self.directs >= constants::DIRECT_AT_MOST {
+        if self.directs >= constants::MAX_DIRECT_DISPATCHES {
             return sends;
         }
         let names: Vec<String> = self.planned_on.iter().cloned().collect();
         for name in names {
-            if self.directs + sends.len() >= constants::DIRECT_AT_MOST {
+            if self.directs + sends.len() >= constants::MAX_DIRECT_DISPATCHES {
                 break;
             }
             let Some(machine) = self.machines.get(&name) else {
@@ -52,7 +52,7 @@
                             opened && !j.strays.contains(&h.index)
                         })
                 })
-                .take(constants::DIRECT_TASKS)
+                .take(constants::DIRECT_DISPATCH_MAX_TASKS)
                 .collect();
             if unopened {
                 self.planned_on.insert(name.clone());
@@ -104,13 +104,13 @@
             Delivery::NotSent => {
                 self.not_started(name, token);
                 if let Some(machine) = self.machines.get_mut(name) {
-                    machine.pause_until = now + constants::UNREACHED_PAUSE_MS;
+                    machine.pause_until = now + constants::UNREACHABLE_BACKOFF_MS;
                 }
                 tracing::debug!("machine {name}: can't be reached");
                 self.unplan_all(name, now);
             }
             Delivery::Unclear => {
-                machine.pause_until = now + constants::UNREACHED_PAUSE_MS;
+                machine.pause_until = now + constants::UNREACHABLE_BACKOFF_MS;
                 self.unplan_all(name, now);
             }
         }
@@ -123,7 +123,7 @@
     /// seconds for each controller that hangs, and shows the new token with the report after that, which may be its
     /// next regular one; until all have, most work of earlier terms waits.
     pub fn take_greetings(&mut self, now: u64) -> Vec<(String, String)> {
-        let room = constants::GREETINGS_AT_MOST.saturating_sub(self.greetings);
+        let room = constants::MAX_STATE_PROBES.saturating_sub(self.greetings);
         if room == 0 || self.unheard.is_empty() || now < self.greet_from {
             return Vec::new();
         }
--- a/crates/controller/src/ledger/fleet.rs
+++ b/crates/controller/src/ledger/fleet.rs
@@ -97,7 +97,7 @@
             .saturating_sub(scene.world.machines.len().max(self.machines.len()));
         let mut left = u32::try_from(room).unwrap_or(u32::MAX);
         for rent in plan.scale_out {
-            let count = rent.count.min(constants::RENT_AT_MOST).min(left);
+            let count = rent.count.min(constants::MAX_SCALE_OUT_MACHINES).min(left);
             // No more requests than the cloud takes within about a second: one that waits in a queue is
             // out of date when its turn comes.
             if count == 0 || self.renting.len() >= self.setup.params.cloud.rps.max(2.0) as usize {
@@ -138,7 +138,7 @@
             .map(|(name, _)| name.as_str())
             .collect();
         let mut machines_to_delete = self.machines_to_delete(now, &needed, &cut);
-        machines_to_delete.truncate(constants::DELETE_AT_MOST);
+        machines_to_delete.truncate(constants::MAX_SCALE_IN_MACHINES);
         if !machines_to_delete.is_empty() {
             for name in &machines_to_delete {
                 self.deleting.insert(name.clone());
@@ -178,7 +178,7 @@
                 .unwrap_or(0)
                 .max(1);
             class.needed.push_back((now, tasks.div_ceil(per_machine) as usize));
-            let window = constants::SPARE_WINDOW_MS;
+            let window = constants::DEMAND_WINDOW_MS;
             while class.needed.front().is_some_and(|(t, _)| now > t + window) {
                 class.needed.pop_front();
             }
@@ -245,7 +245,8 @@
             *gone += usize::from(missing(name, machine));
         }
         let few = |(all, gone): &(usize, usize)| {
-            gone < all && (*gone == 1 || *gone as f64 <= *all as f64 * constants::LOST_SHARE)
+            gone < all
+                && (*gone == 1 || *gone as f64 <= *all as f64 * constants::LOST_MACHINES_MAX_SHARE)
         };
         zones.iter().filter(|(_, z)| few(z)).map(|(zone, _)| *zone).collect()
     }
@@ -263,7 +264,7 @@
             *gone += usize::from(quiet);
         }
         let cut = |(all, gone): &(usize, usize)| {
-            *gone > 1 && *gone as f64 > *all as f64 * constants::CUT_SHARE
+            *gone > 1 && *gone as f64 > *all as f64 * constants::PARTITION_SHARE
         };
         zones.iter().filter(|(_, z)| cut(z)).map(|(zone, _)| (*zone).to_owned()).collect()
     }
@@ -311,11 +312,12 @@
         // Time for a worker to report once, to try each node with one that hangs among them, and to
         // report again with the new token.
         let report_ms = self.setup.params.workers.report_s * 1000.0;
-        let unheard_patience =
-            (report_ms * constants::LONGEST_REPORT) as u64 + constants::UNHEARD_RETURN_MS;
+        let unheard_patience = (report_ms * constants::MAX_HEARTBEAT_INTERVAL_FACTOR) as u64
+            + constants::UNRECONCILED_SCALE_IN_MS;
         let patience_over = now >= self.won_at.max(self.resumed_at) + unheard_patience;
-        let unheard_go =
-            !settled && waiting && now + constants::UNHEARD_WORTH_MS < self.unheard_since + lease;
+        let unheard_go = !settled
+            && waiting
+            && now + constants::UNRECONCILED_SCALE_IN_MIN_GAIN_MS < self.unheard_since + lease;
         self.note_needs(now);
         let spares = self.spares(now);
         let lost = self.silent_machines(now, unheard_patience);
@@ -345,7 +347,11 @@
             }
             // Silence while this node could not answer is not the machine's.
             let quiet_since = machine.last_answer.max(self.resumed_at);
-            let wait = if cut { constants::CUT_PATIENCE_MS } else { constants::SILENT_RETURN_MS };
+            let wait = if cut {
+                constants::PARTITION_SCALE_IN_DELAY_MS
+            } else {
+                constants::SILENT_SCALE_IN_DELAY_MS
+            };
             if (machine.heard || machine.rostered) && now >= quiet_since + lease + wait {
                 machine.closing = Some(SILENT);
             }
@@ -354,8 +360,8 @@
                 .iter()
                 .find(|f| f.name == machine.machine_type)
                 .map_or(60_000.0, |f| f.boot_s * 1000.0);
-            let patience =
-                (ready_ms * constants::BOOT_GIVE_UP_FACTOR) as u64 + constants::BOOT_GIVE_UP_MS;
+            let patience = (ready_ms * constants::BOOT_TIMEOUT_FACTOR) as u64
+                + constants::BOOT_TIMEOUT_MARGIN_MS;
             // One of the roster has been up.
             let never_up = !machine.heard
                 && !machine.rostered
@@ -398,7 +404,7 @@
         tracing::info!("rental {}: {got} of {}", renting.request_id, renting.count);
         if got < renting.count as usize {
             let offer = (renting.machine_type, renting.zone, renting.spot);
-            self.sold_out.insert(offer, now + constants::SOLD_OUT_MS);
+            self.sold_out.insert(offer, now + constants::UNAVAILABLE_CAPACITY_MS);
         }
         for name in machines.unwrap_or_default() {
             if self.gone_machines.contains(&name) {
@@ -469,7 +475,8 @@
         }
         // Once listed, a machine stays listed until it is gone; but a list may be older than the
         // one before, by up to twice the lag.
-        let lag = (self.setup.params.cloud.list_lag_s * 1000.0 * constants::UNLISTED_LAGS) as u64;
+        let lag =
+            (self.setup.params.cloud.list_lag_s * 1000.0 * constants::UNLISTED_LAG_FACTOR) as u64;
         let listed: HashSet<&str> = list.iter().map(|e| e.id.as_str()).collect();
         let gone: Vec<String> = self
             .machines
--- a/crates/controller/src/ledger/marks.rs
+++ b/crates/controller/src/ledger/marks.rs
@@ -18,8 +18,8 @@
 impl SharedMarks {
     /// No marks yet, in values of at most `value_kb` KiB.
     pub fn new(value_kb: f64) -> Self {
-        let fit = value_kb * 1024.0 / constants::SHARED_MARK_BYTES as f64;
-        let most = (fit as usize).clamp(1, constants::SHARED_MARKS);
+        let fit = value_kb * 1024.0 / constants::SHARED_WATERMARK_ENTRY_BYTES as f64;
+        let most = (fit as usize).clamp(1, constants::SHARED_WATERMARK_MAX_JOBS);
         Self { most, records: BTreeMap::new(), current: 0 }
     }
 
--- a/crates/controller/src/ledger/marks/tests.rs
+++ b/crates/controller/src/ledger/marks/tests.rs
@@ -5,13 +5,14 @@
     let mut marks = SharedMarks::new(8.0);
     let id = |n: usize| JobId::parse(&format!("req-{n:06}")).unwrap();
     marks.loaded(3, BTreeSet::from([id(999)]));
-    let numbers: Vec<u64> = (0..=constants::SHARED_MARKS).map(|n| marks.add(&id(n))).collect();
-    assert_eq!((numbers[0], numbers[constants::SHARED_MARKS]), (4, 5));
-    for n in 1..constants::SHARED_MARKS {
+    let numbers: Vec<u64> =
+        (0..=constants::SHARED_WATERMARK_MAX_JOBS).map(|n| marks.add(&id(n))).collect();
+    assert_eq!((numbers[0], numbers[constants::SHARED_WATERMARK_MAX_JOBS]), (4, 5));
+    for n in 1..constants::SHARED_WATERMARK_MAX_JOBS {
         assert!(!marks.remove(4, &id(n)), "it names job 0");
     }
     assert!(marks.remove(4, &id(0)));
-    assert!(!marks.remove(5, &id(constants::SHARED_MARKS)), "it is being filled");
+    assert!(!marks.remove(5, &id(constants::SHARED_WATERMARK_MAX_JOBS)), "it is being filled");
     assert!(marks.remove(3, &id(999)));
     assert_eq!(marks.add(&id(1)), 5);
 }
@@ -21,7 +22,8 @@
     let mut marks = SharedMarks::new(1.0);
     let longest = |n: usize| JobId::parse(&format!("req-{n:018}")).unwrap();
     let number = marks.add(&longest(0));
-    let same = (1..constants::SHARED_MARKS).take_while(|n| marks.add(&longest(*n)) == number);
+    let same =
+        (1..constants::SHARED_WATERMARK_MAX_JOBS).take_while(|n| marks.add(&longest(*n)) == number);
     assert!(same.count() > 10);
     let jobs = marks.jobs(number).cloned().unwrap();
     let record = crate::records::SharedMarksRecord { jobs };
--- a/crates/controller/src/ledger/mod.rs
+++ b/crates/controller/src/ledger/mod.rs
@@ -251,9 +251,9 @@
             image_names: Vec::new(),
             jobs: BTreeMap::new(),
             by_id: HashMap::new(),
-            ended: Recent::new(constants::RECENT_KEPT),
+            ended: Recent::new(constants::BOUNDED_SET_SIZE),
             machines: BTreeMap::new(),
-            gone_machines: Recent::new(constants::RECENT_KEPT),
+            gone_machines: Recent::new(constants::BOUNDED_SET_SIZE),
             blocks: Blocks::default(),
             unheard: BTreeSet::new(),
             unheard_since: at.now,
@@ -275,7 +275,7 @@
             unproven: BTreeSet::new(),
             stops_due: false,
             won_at: at.now,
-            greet_from: at.now + constants::GREET_AFTER_MS,
+            greet_from: at.now + constants::STATE_PROBE_DELAY_MS,
             began: at,
             told_settled: false,
             unpublished: HashSet::new(),
@@ -473,16 +473,16 @@
     /// cut off from the workers alone, while another one is not.
     pub fn deserted(&self, now: u64) -> bool {
         let report_ms = self.setup.params.workers.report_s * 1000.0;
-        let limit =
-            ((report_ms * constants::DESERTED_REPORTS) as u64).max(constants::DESERTED_LEAST_MS);
+        let limit = ((report_ms * constants::WORKER_SILENCE_INTERVALS) as u64)
+            .max(constants::WORKER_SILENCE_MIN_MS);
         let mut expected = 0u32;
         let since = self.won_at.max(self.resumed_at);
         let mut latest = since;
         for (name, machine) in &self.machines {
             // Machines that have reported here, and those of the roster that must be up by now.
-            let old = machine
-                .first_listed
-                .is_some_and(|since| since + (constants::SURELY_UP_MS as i64) < self.won_at as i64);
+            let old = machine.first_listed.is_some_and(|since| {
+                since + (constants::BOOT_CERTAIN_MS as i64) < self.won_at as i64
+            });
             if machine.heard && machine.dead_session < machine.newest.0 {
                 expected += 1;
                 latest = latest.max(machine.last_answer);
@@ -492,16 +492,17 @@
         }
         // Where hundreds report, all of them are silent together within seconds only if this node can't hear
         // them. But workers that look for a new leader come one by one.
-        let part = (constants::DESERTED_MACHINES / f64::from(expected.max(1))).min(1.0);
-        let soon = ((report_ms * constants::DESERTED_REPORTS * part) as u64)
-            .clamp(constants::DESERTED_SOON_MS, limit);
+        let part = (constants::WORKER_SILENCE_FLEET_SIZE / f64::from(expected.max(1))).min(1.0);
+        let soon = ((report_ms * constants::WORKER_SILENCE_INTERVALS * part) as u64)
+            .clamp(constants::WORKER_SILENCE_LARGE_FLEET_MS, limit);
         expected >= 2 && now >= latest + if latest > since { soon } else { limit }
     }
 
     /// Time after an answer by which a worker surely reports again, ms.
     fn report_due_ms(&self) -> u64 {
         let report_ms = self.setup.params.workers.report_s * 1000.0;
-        (report_ms * constants::LONGEST_REPORT) as u64 + constants::REPORT_SOON_MS
+        (report_ms * constants::MAX_HEARTBEAT_INTERVAL_FACTOR) as u64
+            + constants::PROMPT_HEARTBEAT_MS
     }
 
     /// Whether some worker has missed its report.
--- a/crates/controller/src/ledger/model.rs
+++ b/crates/controller/src/ledger/model.rs
@@ -247,7 +247,8 @@
         if self.spec.is_gang() {
             return self.spec.tasks;
         }
-        let step = (self.spec.tasks / constants::OPEN_STEPS).max(constants::OPEN_LEAST);
+        let step = (self.spec.tasks / constants::START_WATERMARK_STEPS)
+            .max(constants::START_WATERMARK_MIN_STEP);
         (index / step + 1).saturating_mul(step).min(self.spec.tasks)
     }
 
@@ -268,7 +269,7 @@
         if self.notes.back() == Some(&text) {
             return;
         }
-        if self.notes.len() >= constants::NOTES_KEPT {
+        if self.notes.len() >= constants::MAX_JOB_NOTES {
             self.notes.pop_front();
         }
         self.notes.push_back(text);
@@ -281,7 +282,7 @@
 
     /// The same, once enough tasks have finished to judge a machine by it.
     pub fn solid_mean(&self) -> Option<f64> {
-        self.mean_ms().filter(|_| self.timed >= constants::SOLID_MEAN_TASKS)
+        self.mean_ms().filter(|_| self.timed >= constants::RELIABLE_MEAN_TASKS)
     }
 
     /// Whether tasks of it may be started at all.
@@ -401,7 +402,7 @@
 impl Asked {
     /// Whether it may be asked again.
     fn due(&self, now: u64) -> bool {
-        let waited = |at: u64| now >= at + constants::GREET_AGAIN_MS;
+        let waited = |at: u64| now >= at + constants::STATE_PROBE_RETRY_MS;
         !self.under_way && self.last_at.is_none_or(waited)
     }
 
@@ -419,7 +420,7 @@
 
     /// It does not answer: its worker, or the way to it, is gone.
     pub fn fruitless(&self) -> bool {
-        !self.under_way && self.in_vain >= constants::GREETINGS_IN_VAIN
+        !self.under_way && self.in_vain >= constants::MAX_UNANSWERED_STATE_PROBES
     }
 }
 
@@ -525,7 +526,7 @@
     /// Whether it should be asked what is on it: it has not reported, or its report came before this leader's token
     /// did and another one is not to be expected at once.
     pub fn to_be_asked(&self, now: u64) -> bool {
-        let reports_soon = self.heard && now < self.last_answer + constants::REPORT_SOON_MS;
+        let reports_soon = self.heard && now < self.last_answer + constants::PROMPT_HEARTBEAT_MS;
         self.asked.due(now) && !reports_soon && !self.addr.is_empty() && self.closing.is_none()
     }
 
--- a/crates/controller/src/ledger/progress.rs
+++ b/crates/controller/src/ledger/progress.rs
@@ -1,7 +1,7 @@
 //! Which results of a job are in the state service, and the records that hold them.
 //!
 //! A record holds the results of a chunk of tasks. Where values may be large, a chunk has
-//! [`constants::PROGRESS_CHUNK_TASKS`] tasks. Where they may not, it has a part of that many; the first part
+//! [`constants::PROGRESS_PAGE_TASKS`] tasks. Where they may not, it has a part of that many; the first part
 //! keeps the key of the whole, and the others have the number of their first task in theirs. A record that
 //! was written under a larger limit stays readable; it is overwritten once the other parts are stored.
 
@@ -47,8 +47,8 @@
 /// Tasks whose results fit into one value: a power of two, so that chunks divide those of larger values.
 fn tasks_per_chunk(value_kb: f64) -> u32 {
     let most = (value_kb * 1024.0 - ENVELOPE_BYTES) * TASKS_PER_CHARACTER;
-    let mut tasks = constants::PROGRESS_CHUNK_TASKS;
-    while tasks > constants::PROGRESS_CHUNK_LEAST && f64::from(tasks) > most {
+    let mut tasks = constants::PROGRESS_PAGE_TASKS;
+    while tasks > constants::PROGRESS_PAGE_MIN_TASKS && f64::from(tasks) > most {
         tasks /= 2;
     }
     tasks
@@ -145,7 +145,7 @@
 
     /// The chunks that one record holds where values may be large, but for the first of them.
     fn rest_of_block(&self, first: usize) -> Range<usize> {
-        let chunks = (constants::PROGRESS_CHUNK_TASKS / self.chunk_tasks) as usize;
+        let chunks = (constants::PROGRESS_PAGE_TASKS / self.chunk_tasks) as usize;
         first + 1..(first + chunks).min(self.chunks.len())
     }
 
--- a/crates/controller/src/ledger/replicate.rs
+++ b/crates/controller/src/ledger/replicate.rs
@@ -136,11 +136,11 @@
                 taken.gangs += 1;
             }
             if hints.errors > 0 && job.errors == 0 {
-                let latest = now + constants::ERROR_PAUSE_MAX_MS;
-                job.errors = hints.errors.min(constants::RESUMED_ERRORS_MOST);
+                let latest = now + constants::FAILURE_BACKOFF_MAX_MS;
+                job.errors = hints.errors.min(constants::MAX_RESUMED_FAILURES);
                 job.failed_at = self.began.steady_of(hints.failed_at).min(now);
                 job.pause_until = self.began.steady_of(hints.paused_until).min(latest);
-                let kept = hints.failed_on.iter().take(constants::FAILED_ON_KEPT);
+                let kept = hints.failed_on.iter().take(constants::MAX_FAILED_MACHINES);
                 job.failed_on = kept.cloned().collect();
                 taken.failing_jobs += 1;
             }
--- a/crates/controller/src/ledger/roster.rs
+++ b/crates/controller/src/ledger/roster.rs
@@ -23,7 +23,7 @@
 impl Roster {
     /// An empty roster for values of at most `value_kb` KiB.
     pub fn new(value_kb: f64) -> Self {
-        let most = value_kb.max(0.0) * 1024.0 / constants::ROSTER_ENTRY_BYTES as f64;
+        let most = value_kb.max(0.0) * 1024.0 / constants::REGISTRY_ENTRY_BYTES as f64;
         Self {
             most: (most as usize).max(1),
             records: BTreeMap::new(),
@@ -155,13 +155,13 @@
 
     /// A record's key.
     pub fn key(number: u64) -> String {
-        roster_key(&format!("{}{number}", constants::ROSTER_RECORD_PREFIX))
+        roster_key(&format!("{}{number}", constants::REGISTRY_RECORD_PREFIX))
     }
 
     /// The number of a record, from its key without the prefix `r/`; `None` for an entry of the
     /// format in which each machine had a key of its own.
     pub fn number(name: &str) -> Option<u64> {
-        name.strip_prefix(constants::ROSTER_RECORD_PREFIX)?.parse().ok()
+        name.strip_prefix(constants::REGISTRY_RECORD_PREFIX)?.parse().ok()
     }
 
     /// What is written of a record; `None` if its machines alone are too many for a value. `images` says what a
@@ -176,7 +176,7 @@
         let mut numbers: HashMap<&str, usize> = HashMap::new();
         for (machine, at_ms) in self.members(number) {
             let held = images(machine);
-            let newest = held.len().saturating_sub(constants::ROSTER_IMAGES);
+            let newest = held.len().saturating_sub(constants::REGISTRY_ENTRY_IMAGES);
             let mut entry = RosterEntry { at_ms, images: Vec::new() };
             for (name, gb) in &held[newest..] {
                 let next = numbers.len();
--- a/crates/controller/src/ledger/schedule.rs
+++ b/crates/controller/src/ledger/schedule.rs
@@ -242,11 +242,12 @@
     pub fn round_pause(&self) -> u64 {
         let machines = self.machines.len() as f64;
         let waiting = self.jobs.values().filter(|j| j.live() && !j.free.is_empty()).count() as f64;
-        let cost_ms =
-            machines * (constants::ROUND_MACHINE_US + waiting * constants::ROUND_PAIR_US) / 1000.0;
+        let cost_ms = machines
+            * (constants::ROUND_COST_PER_MACHINE_US + waiting * constants::ROUND_COST_PER_PAIR_US)
+            / 1000.0;
         let share = self.setup.params.machine_limits.core_share * constants::ROUND_CORE_SHARE;
         ((cost_ms / share.max(0.001)) as u64)
-            .clamp(constants::ROUND_AT_REPORT_MS, constants::ROUND_PAUSE_MAX_MS)
+            .clamp(constants::HEARTBEAT_ROUND_INTERVAL_MS, constants::MAX_ROUND_INTERVAL_MS)
     }
 
     /// Fills the free room of a machine that has just reported with what found none in the last
@@ -373,7 +374,7 @@
             let key = scene.jobs[eviction.job];
             for machine in &eviction.machines {
                 if let Some(machine) = self.machines.get_mut(&scene.machines[*machine]) {
-                    machine.kept = Some((key, now + constants::STOP_PATIENCE_MS));
+                    machine.kept = Some((key, now + constants::STOP_TIMEOUT_MS));
                 }
             }
             for (machine, tag) in eviction.victims {
@@ -403,7 +404,7 @@
                 && (settled || !job.inherited);
             job.completing = partial
                 && completable.contains(key)
-                && now < *job.resume_until.get_or_insert(now + constants::GANG_RESUME_MS);
+                && now < *job.resume_until.get_or_insert(now + constants::GANG_RESUME_LIMIT_MS);
             if partial && !job.completing {
                 self.stops_due |= !job.broken;
                 job.broken = true;
--- a/crates/controller/src/ledger/writer.rs
+++ b/crates/controller/src/ledger/writer.rs
@@ -82,7 +82,7 @@
             classes: false,
             opens: BTreeSet::new(),
             bucket: Bucket::new(rate * constants::LEADER_WRITE_SHARE, now),
-            minimum_bucket: Bucket::new(rate * constants::MINIMUM_WRITE_SHARE, now),
+            minimum_bucket: Bucket::new(rate * constants::MIN_TASKS_WRITE_SHARE, now),
             most_changes: params.state.txn_ops,
             rejected: VecDeque::new(),
             busy: false,
--- a/crates/controller/src/limiter.rs
+++ b/crates/controller/src/limiter.rs
@@ -18,7 +18,7 @@
 impl Limiter {
     /// A limit that never exceeds `most`.
     pub fn new(most: usize) -> Self {
-        let most = most.max(constants::IN_PROGRESS_LEAST) as f64;
+        let most = most.max(constants::MIN_CONCURRENCY) as f64;
         Self { most, state: Mutex::new((0, most)) }
     }
 
@@ -35,9 +35,9 @@
     /// A request took this long.
     pub fn measured(&self, took: Duration) {
         let Ok(mut state) = self.state.lock() else { return };
-        let slow = took > Duration::from_millis(constants::IN_PROGRESS_TARGET_MS);
+        let slow = took > Duration::from_millis(constants::CONCURRENCY_LATENCY_TARGET_MS);
         let next = if slow { state.1 * 0.95 } else { state.1 + 1.0 / state.1.max(1.0) };
-        state.1 = next.clamp(constants::IN_PROGRESS_LEAST as f64, self.most);
+        state.1 = next.clamp(constants::MIN_CONCURRENCY as f64, self.most);
     }
 }
 
--- a/crates/controller/src/limiter/tests.rs
+++ b/crates/controller/src/limiter/tests.rs
@@ -7,7 +7,7 @@
         limiter.measured(Duration::from_secs(2));
     }
     let held: Vec<_> = std::iter::from_fn(|| limiter.enter()).collect();
-    assert_eq!(held.len(), constants::IN_PROGRESS_LEAST);
+    assert_eq!(held.len(), constants::MIN_CONCURRENCY);
     drop(held);
     for _ in 0..1000 {
         limiter.measured(Duration::from_millis(5));
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -164,7 +164,7 @@
 
     async fn lead_term(&mut self, mandate: Mandate) {
         self.holding.borrow_mut().won(mandate.term);
-        let (notes, mut inbox) = mpsc::channel(constants::MAILBOX);
+        let (notes, mut inbox) = mpsc::channel(constants::CHANNEL_CAPACITY);
         let mut term = Term {
             publisher: Publisher::new(mandate.term),
             mandate,
@@ -326,9 +326,9 @@
             Ask::Renewal(reply) => drop(reply.send(None)),
             Ask::Follow(request, reply) => {
                 // Standbys ask one after the other: one comparison serves them all.
-                if now >= term.last_publish + constants::FOLLOW_EVERY_MS / 2 {
+                if now >= term.last_publish + constants::FOLLOW_INTERVAL_MS / 2 {
                     term.last_publish = now;
-                    if now >= term.published_all + constants::PUBLISH_ALL_EVERY_MS {
+                    if now >= term.published_all + constants::FULL_PUBLISH_INTERVAL_MS {
                         term.published_all = now;
                         ledger.publish_all(&mut term.publisher);
                     } else {
@@ -477,7 +477,7 @@
             term.helpers.spawn(async move { workers.stop(&address, &commands).await });
         }
         // Every report comes by here, and machines whose tasks wait for the store are looked at in vain.
-        let due = now >= term.last_direct + constants::DIRECT_EVERY_MS;
+        let due = now >= term.last_direct + constants::DIRECT_DISPATCH_INTERVAL_MS;
         let sends = if due { ledger.take_direct(now) } else { Vec::new() };
         if due {
             term.last_direct = now;
@@ -522,7 +522,7 @@
             return;
         }
         // It stood still, lease or not: what fell silent meanwhile may have been heard in vain.
-        let stood_still = now >= term.last_work + constants::STOOD_STILL_MS;
+        let stood_still = now >= term.last_work + constants::PROCESS_PAUSE_MS;
         term.last_work = now;
         if stood_still && !term.paused {
             ledger.resumed(now);
@@ -538,7 +538,7 @@
         }
         ledger.tell_time(self.clock.moment());
         if ledger.deserted(now)
-            && self.deserted_at.get().is_none_or(|at| now >= at + constants::DESERTED_AGAIN_MS)
+            && self.deserted_at.get().is_none_or(|at| now >= at + constants::STEP_DOWN_INTERVAL_MS)
         {
             tracing::info!("no worker reports any more: stepping down");
             self.deserted_at.set(Some(now));
@@ -551,11 +551,12 @@
                 .set_machine_types(machine_types.as_ref().map(|f| f.to_vec()).unwrap_or_default());
             term.machine_types_seen = machine_types;
         }
-        if now >= term.last_round + ledger.round_pause().max(constants::ROUND_EVERY_MS) {
+        if now >= term.last_round + ledger.round_pause().max(constants::SCHEDULING_INTERVAL_MS) {
             term.last_round = now;
             ledger.round(now);
         }
-        if now >= term.last_fleet + constants::FLEET_EVERY_MS.max(2 * ledger.round_pause()) {
+        if now >= term.last_fleet + constants::AUTOSCALING_INTERVAL_MS.max(2 * ledger.round_pause())
+        {
             term.last_fleet = now;
             for action in ledger.fleet_round(now) {
                 self.act(&mut term.helpers, &term.notes, action, &term.mandate);
@@ -566,11 +567,11 @@
             tracing::info!("{}", ledger.summary(now));
         }
         // A long list takes time to read.
-        let list_every = constants::CLOUD_LIST_EVERY_MS
+        let list_every = constants::CLOUD_LIST_INTERVAL_MS
             + constants::CLOUD_LIST_PER_MACHINE_MS * ledger.machine_count() as u64;
         let due = |every: u64| term.last_list.is_none_or(|l| now >= l + every);
         // A machine that has missed its report may be gone, which the list proves.
-        if due(list_every) || due(constants::CLOUD_LIST_EVERY_MS) && ledger.some_silent(now) {
+        if due(list_every) || due(constants::CLOUD_LIST_INTERVAL_MS) && ledger.some_silent(now) {
             term.last_list = Some(now);
             let (cloud, notes) = (self.cloud.clone(), term.notes.clone());
             let clock = self.clock;
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -211,8 +211,8 @@
 
 /// The key of the progress record whose first task is `from`.
 pub fn progress_key(id: &JobId, from: u32) -> String {
-    let chunk = from / constants::PROGRESS_CHUNK_TASKS;
-    if from.is_multiple_of(constants::PROGRESS_CHUNK_TASKS) {
+    let chunk = from / constants::PROGRESS_PAGE_TASKS;
+    if from.is_multiple_of(constants::PROGRESS_PAGE_TASKS) {
         format!("{PROGRESS}{id}/{chunk}")
     } else {
         format!("{PROGRESS}{id}/{chunk}/{from}")
@@ -224,7 +224,7 @@
     let parts: Vec<&str> = key.strip_prefix(PROGRESS)?.split('/').collect();
     let (id, from) = match parts.as_slice() {
         [id, chunk] => {
-            (id, chunk.parse::<u32>().ok()?.checked_mul(constants::PROGRESS_CHUNK_TASKS)?)
+            (id, chunk.parse::<u32>().ok()?.checked_mul(constants::PROGRESS_PAGE_TASKS)?)
         }
         [id, _, from] => (id, from.parse().ok()?),
         _ => return None,
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -40,14 +40,15 @@
     let rps = params.state.rps;
     let client = |share: f64| StoreClient::new(&settings.outside.state, rps * share);
     let stores = Stores {
-        submissions: client(constants::DESK_REQUEST_SHARE).patient_for(constants::DESK_PATIENCE_MS),
-        questions: client(constants::POLL_REQUEST_SHARE).patient_for(0),
+        submissions: client(constants::SUBMISSION_REQUEST_SHARE)
+            .patient_for(constants::SUBMISSION_QUEUE_LIMIT_MS),
+        questions: client(constants::STATUS_REQUEST_SHARE).patient_for(0),
     };
     let cloud =
         CloudClient::new(&settings.outside.cloud, params.cloud.rps * constants::CLOUD_RATE_SHARE);
     let (view_tx, view) = watch::channel(View::default());
     let (machine_types_tx, machine_types) = watch::channel(None);
-    let (node_tx, asks) = mpsc::channel(constants::MAILBOX);
+    let (node_tx, asks) = mpsc::channel(constants::CHANNEL_CAPACITY);
     let validity = Arc::new(Validity::default());
     let doubt = Arc::new(Notify::new());
     let signals = StandbySignals::default();
@@ -96,7 +97,7 @@
             params,
             operator,
         },
-        store: client(constants::NODE_REQUEST_SHARE),
+        store: client(constants::CONTROLLER_REQUEST_SHARE),
         cloud: cloud.clone(),
         workers: WorkerClient::default(),
         clock,
@@ -160,7 +161,7 @@
         let wait = match cloud.machine_types().await {
             Ok(machine_types) => {
                 let _ = out.send(Some(Arc::new(machine_types)));
-                constants::MACHINE_TYPES_EVERY_MS
+                constants::MACHINE_TYPES_INTERVAL_MS
             }
             Err(e) => {
                 tracing::debug!("machine types: {e}");
--- a/crates/controller/src/silence.rs
+++ b/crates/controller/src/silence.rs
@@ -18,7 +18,7 @@
     /// Whether a user should wait for its answer; `true` once in a while although it is silent.
     pub fn worth_asking(&mut self) -> bool {
         let Some(since) = self.0.as_mut() else { return true };
-        let again = since.elapsed() >= Duration::from_millis(constants::PEER_SILENT_MS);
+        let again = since.elapsed() >= Duration::from_millis(constants::CIRCUIT_BREAKER_OPEN_MS);
         if again {
             *since = Instant::now();
         }
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -140,7 +140,7 @@
     }
     settle(&mut play, &mut workers);
     assert_eq!(workers[0].live().len(), 1, "the rest may find room yet");
-    play.wait(constants::GANG_RESUME_MS);
+    play.wait(constants::GANG_RESUME_LIMIT_MS);
     settle(&mut play, &mut workers);
     assert!(workers.iter().all(|w| w.live().is_empty()), "stopped, so that it can begin anew");
 }
@@ -294,7 +294,7 @@
     take_over(&mut play, &copy);
     settle(&mut play, &mut workers);
     assert!(workers[0].live().is_empty(), "it pauses");
-    for _ in 0..constants::ERROR_PAUSE_MAX_MS / 2_000 + 5 {
+    for _ in 0..constants::FAILURE_BACKOFF_MAX_MS / 2_000 + 5 {
         play.now += 1_500;
         settle(&mut play, &mut workers);
     }
@@ -350,7 +350,7 @@
     }
     assert!(!play.ledger.settled(play.now), "their reports may be from before the takeover");
     assert!(play.ledger.take_greetings(play.now).is_empty(), "they report again at once");
-    play.now += constants::REPORT_SOON_MS;
+    play.now += constants::PROMPT_HEARTBEAT_MS;
     assert_eq!(answer_greetings(&mut play, &mut workers), 2);
     assert!(play.ledger.settled(play.now));
 }
@@ -389,7 +389,8 @@
     };
     assert_eq!(deleted, ["m-8"]);
     let after = play.now - begun;
-    let asked = u64::from(constants::GREETINGS_IN_VAIN - 1) * constants::GREET_AGAIN_MS;
+    let asked =
+        u64::from(constants::MAX_UNANSWERED_STATE_PROBES - 1) * constants::STATE_PROBE_RETRY_MS;
     assert!((asked..asked + 1_500).contains(&after), "{after} ms");
     assert!(!play.ledger.settled(play.now), "only the cloud's answer proves it");
     play.ledger.deleted(&deleted, play.now);
--- a/crates/controller/tests/world/controllers.rs
+++ b/crates/controller/tests/world/controllers.rs
@@ -180,7 +180,7 @@
         }
         let node = &self.controllers[n];
         if let Some(leader) = node.seen.filter(|l| *l != n)
-            && self.now.is_multiple_of(constants::RENEW_EVERY_MS)
+            && self.now.is_multiple_of(constants::SHARD_LEASE_RENEWAL_INTERVAL_MS)
         {
             let at = self.now - node.begun;
             let renewal = node.holding.renewal(at);
@@ -201,7 +201,7 @@
             leader.next_extend = now + constants::LEADER_RETRY_MS;
             return;
         }
-        leader.next_extend = now + constants::LEADER_EXTEND_EVERY_MS;
+        leader.next_extend = now + constants::LEADER_EXTEND_INTERVAL_MS;
         match self.lead.as_mut().filter(|l| l.term == leader.term) {
             Some(lead) => {
                 lead.until = now + constants::LEADER_TTL_MS;
@@ -265,7 +265,7 @@
             term,
             publisher: Publisher::new(term),
             valid_until: valid_until(now, constants::LEADER_TTL_MS),
-            next_extend: now + constants::LEADER_EXTEND_EVERY_MS,
+            next_extend: now + constants::LEADER_EXTEND_INTERVAL_MS,
             paused: false,
             asked: BTreeSet::new(),
         };
@@ -304,11 +304,11 @@
             let at = now - node.begun;
             node.holding.lead(leader.term, leader.ledger.own_block(), lease_ms, at);
         }
-        let again = node.deserted_at.is_none_or(|at| now >= at + constants::DESERTED_AGAIN_MS);
+        let again = node.deserted_at.is_none_or(|at| now >= at + constants::STEP_DOWN_INTERVAL_MS);
         let lost = leader.ledger.deserted(now) && again;
         if lost || leader.ledger.deposed() {
             node.deserted_at = if lost { Some(now) } else { node.deserted_at };
-            node.abstains_until = now + constants::ABSTAIN_MS;
+            node.abstains_until = now + constants::STEP_DOWN_PAUSE_MS;
             node.seen = None;
             if self.store_answers(n) && self.lead.as_ref().is_some_and(|l| l.term == leader.term) {
                 self.end_lead();
--- a/crates/controller/tests/world/standbys.rs
+++ b/crates/controller/tests/world/standbys.rs
@@ -17,7 +17,7 @@
         let node = &self.controllers[n];
         let Some(leader) = node.seen.filter(|l| *l != n) else { return };
         let both = [n, leader].iter().all(|c| self.controllers[*c].version == Version::New);
-        if !both || !self.now.is_multiple_of(constants::FOLLOW_EVERY_MS) {
+        if !both || !self.now.is_multiple_of(constants::FOLLOW_INTERVAL_MS) {
             return;
         }
         let (nonce, request) = (node.nonce, node.follower.request());
--- a/crates/policy/src/min_tasks.rs
+++ b/crates/policy/src/min_tasks.rs
@@ -30,7 +30,8 @@
         return job.unfinished;
     }
     let mean = job.task_time();
-    let due = job.deadline.unwrap_or(job.submitted + constants::FREE_JOB_STRETCH * mean + lead);
+    let due =
+        job.deadline.unwrap_or(job.submitted + constants::DEFAULT_DEADLINE_FACTOR * mean + lead);
     // A task can't be split: what must be done in the time left goes in whole task times.
     let rounds = ((due - now - lead) / mean).floor();
     if rounds < 1.0 {
@@ -47,7 +48,7 @@
         Some(0) => current > 0,
         Some(old) => {
             let change = (f64::from(current) - f64::from(old)).abs() / f64::from(old);
-            change >= constants::MINIMUM_REWRITE_CHANGE
+            change >= constants::MIN_TASKS_REWRITE_CHANGE
         }
     }
 }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -240,7 +240,8 @@
         // unless there are no machines that could hold all of it, however long it waits: it must not keep its
         // team's other work waiting for ever.
         let waited = cluster.now - job.waiting_since;
-        if waited * 1000.0 >= constants::GANG_HOPE_MS as f64 && !could_ever_hold(cluster, turn.job)
+        if waited * 1000.0 >= constants::GANG_RESERVATION_LIMIT_MS as f64
+            && !could_ever_hold(cluster, turn.job)
         {
             continue;
         }
@@ -257,7 +258,7 @@
             }
         }
         // and machines, one gang at a time, once it has waited a while.
-        if !room_kept && waited * 1000.0 >= constants::GANG_HOLD_AFTER_MS as f64 {
+        if !room_kept && waited * 1000.0 >= constants::GANG_RESERVATION_DELAY_MS as f64 {
             room_kept = reserve_machines(cluster, turn.job);
         }
     }
--- a/crates/policy/src/preemption.rs
+++ b/crates/policy/src/preemption.rs
@@ -71,7 +71,7 @@
         }
         room.add(&held.request);
         cost += price;
-        saving = saving.max(constants::EVICTION_DELAY_S + cluster.jobs[held.job].checkpoint_time);
+        saving = saving.max(constants::PREEMPTION_DELAY_S + cluster.jobs[held.job].checkpoint_time);
         victims.push(held.id);
     }
     // The job waits for the stop to arrive, and for what saves to have saved.
@@ -174,7 +174,8 @@
     let now = cluster.now;
     let backfill = |held: &PlacedTaskView| {
         let job = &cluster.jobs[held.job];
-        let ran = constants::BACKFILL_TURN_S.max(constants::BACKFILL_SAVES * job.checkpoint_time);
+        let ran = constants::BACKFILL_MIN_RUN_S
+            .max(constants::BACKFILL_MIN_CHECKPOINTS * job.checkpoint_time);
         (crate::scheduling_queue::has_no_objective(job) && job.checkpoints && held.elapsed >= ran)
             .then_some(job.priority)
     };
--- a/crates/policy/src/scheduling_queue.rs
+++ b/crates/policy/src/scheduling_queue.rs
@@ -20,13 +20,13 @@
 /// after a burst, a few of them would make every later job late as well (the design page's second
 /// weak spot). So late jobs come after those that can still be in time.
 pub(crate) fn is_late(job: &JobView, now: f64) -> bool {
-    job.deadline.is_some_and(|due| now + constants::LATE_TASK_TIMES * job.task_time() > due)
+    job.deadline.is_some_and(|due| now + constants::LATENESS_TASK_TIMES * job.task_time() > due)
 }
 
 /// How many of the aims for its start a job has missed; one that has waited beyond the bound goes
 /// before all others, so that no order starves it.
 fn missed_starts(job: &JobView, now: f64) -> usize {
-    if now > job.submitted + constants::START_BOUND_S {
+    if now > job.submitted + constants::START_DEADLINE_S {
         return 0;
     }
     job.start_by.iter().filter(|by| now > **by).count()
@@ -132,11 +132,11 @@
         .filter(|i| {
             let job = &jobs[*i];
             let waits = has_no_objective(job) || !job.gang && !job.has_never_run() && last(*i);
-            waits && !job.crash_looping && now > job.submitted + constants::AGED_S
+            waits && !job.crash_looping && now > job.submitted + constants::AGING_S
         })
         .collect();
     aged.sort_by(|a, b| jobs[*a].submitted.total_cmp(&jobs[*b].submitted));
-    let mut part = capacity * constants::AGED_SHARE;
+    let mut part = capacity * constants::AGING_CPU_SHARE;
     for job in aged {
         let view = &jobs[job];
         part -= f64::from(view.placed) * view.request.cpus;
--- a/crates/policy/src/scheduling_queue/tests.rs
+++ b/crates/policy/src/scheduling_queue/tests.rs
@@ -65,7 +65,7 @@
     // A late job, a fresh one each second that would take all there is.
     let mut late = started(500, 5.0);
     late.submitted = 0.0;
-    let now = constants::AGED_S + 1.0;
+    let now = constants::AGING_S + 1.0;
     let mut jobs = vec![late];
     jobs.extend((0..50).map(|_| JobView { submitted: now - 1.0, ..started(10, now + 15.0) }));
     let list = scheduling_queue(&jobs, now, 100.0);
@@ -84,7 +84,7 @@
     let jobs = vec![gang(0.0), gang(50.0), gang(20.0)];
     let order = |now| scheduling_queue(&jobs, now, 100.0).iter().map(|t| t.job).collect::<Vec<_>>();
     assert_eq!(order(60.0), [1, 2, 0], "in time; in time for the looser aim only; for none");
-    let late = 1.0 + constants::START_BOUND_S;
+    let late = 1.0 + constants::START_DEADLINE_S;
     assert_eq!(order(late)[0], 0, "beyond the bound the oldest goes first");
 }
 
--- a/crates/replication/src/detector.rs
+++ b/crates/replication/src/detector.rs
@@ -15,7 +15,7 @@
     /// A sign of life at `now`, ms.
     pub fn heard(&mut self, now: u64) {
         if let Some(last) = self.last {
-            if self.pauses.len() >= constants::DETECTOR_PAUSES {
+            if self.pauses.len() >= constants::DETECTOR_WINDOW {
                 self.pauses.pop_front();
             }
             self.pauses.push_back(now.saturating_sub(last));
@@ -36,7 +36,7 @@
     /// How long a silence may be before it is unusual, ms: the mean of the pauses and several deviations.
     /// `None` until enough were measured.
     pub fn patience(&self) -> Option<u64> {
-        if self.pauses.len() < constants::DETECTOR_PAUSES_LEAST {
+        if self.pauses.len() < constants::DETECTOR_MIN_SAMPLES {
             return None;
         }
         let count = self.pauses.len() as f64;
@@ -44,7 +44,7 @@
         let squares = self.pauses.iter().map(|p| (*p as f64 - mean).powi(2)).sum::<f64>();
         let deviation = (squares / count).sqrt();
         let usual = mean + constants::DETECTOR_DEVIATIONS * deviation;
-        Some((usual as u64).max(constants::DETECTOR_PATIENCE_LEAST_MS))
+        Some((usual as u64).max(constants::DETECTOR_MIN_SILENCE_MS))
     }
 
     /// Whether the silence at `now` is unusual.
--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -246,7 +246,7 @@
         };
         let same_term = self.position.is_some_and(|p| p.term == position.term);
         let differing = if self.diverged && same_term {
-            self.state.differing(&state, constants::REPLICATION_DIFFERENCES_NAMED)
+            self.state.differing(&state, constants::REPLICATION_MAX_NAMED_DIFFERENCES)
         } else {
             Vec::new()
         };
--- a/crates/replication/src/metrics.rs
+++ b/crates/replication/src/metrics.rs
@@ -13,7 +13,7 @@
         let Some(ms) = ms else { return };
         let histogram = match self.0.take() {
             Some(histogram) => Some(histogram),
-            None => Histogram::new_with_bounds(1, constants::DURATIONS_MOST_MS, 2).ok(),
+            None => Histogram::new_with_bounds(1, constants::MAX_RECORDED_DURATION_MS, 2).ok(),
         };
         self.0 = histogram.map(|mut h| {
             h.saturating_record(ms.max(1));
--- a/crates/replication/src/promotion.rs
+++ b/crates/replication/src/promotion.rs
@@ -174,7 +174,7 @@
 
     /// A look may have come a moment before the lease ended.
     fn looks_again(&self, now: u64) -> bool {
-        let again = |at: u64| now >= at + constants::SUSPICION_LOOK_EVERY_MS;
+        let again = |at: u64| now >= at + constants::LEADER_CHECK_INTERVAL_MS;
         self.suspected_at.is_none_or(again)
     }
 
--- a/crates/replication/src/publisher.rs
+++ b/crates/replication/src/publisher.rs
@@ -173,7 +173,7 @@
     /// The digest of the next range, if one is due for this follower.
     fn next_digest(&mut self, follower: &str, now: u64) -> Option<RangeDigest> {
         let (range, at) = self.digests.entry(follower.to_owned()).or_default();
-        if now < *at + constants::REPLICATION_DIGEST_EVERY_MS {
+        if now < *at + constants::REPLICATION_DIGEST_INTERVAL_MS {
             return None;
         }
         let digest = RangeDigest::of(&self.state, *range);
@@ -198,7 +198,7 @@
         }
         let log = &self.log;
         let young = |i: &Image| {
-            now < i.made_at + constants::REPLICATION_IMAGE_KEPT_MS && log.reaches(i.position)
+            now < i.made_at + constants::REPLICATION_IMAGE_LIFETIME_MS && log.reaches(i.position)
         };
         let image = match self.image.take().filter(young) {
             Some(image) => image,
--- a/crates/replication/tests/following.rs
+++ b/crates/replication/tests/following.rs
@@ -245,8 +245,8 @@
     publisher.show_machine(machine("m-0"), [].into_iter());
     let mut now = 0;
     let found = loop {
-        now += constants::REPLICATION_DIGEST_EVERY_MS;
-        assert!(now <= 17 * constants::REPLICATION_DIGEST_EVERY_MS, "all ranges were compared");
+        now += constants::REPLICATION_DIGEST_INTERVAL_MS;
+        assert!(now <= 17 * constants::REPLICATION_DIGEST_INTERVAL_MS, "all ranges were compared");
         match exchange(&mut follower, &mut publisher, now) {
             Ok(_) => {}
             Err(error) => break error,
