--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -45,7 +45,7 @@
     /// Applied, at this revision.
     Applied(u64),
     /// Not applied: these conditions failed.
-    Refused(Vec<String>),
+    PreconditionFailed(Vec<String>),
 }
 
 /// A client of the state service that stays within its share of the request rate.
@@ -65,12 +65,12 @@
 
     /// The same, but what would wait longer than this for its turn is not asked at all
     /// ([`StoreError::TooMany`]).
-    pub fn patient_for(self, patience_ms: u64) -> Self {
+    pub fn with_queue_limit(self, patience_ms: u64) -> Self {
         Self { patience: Some(Duration::from_millis(patience_ms)), ..self }
     }
 
     /// Waits for this request's turn.
-    async fn turn(&self) -> Result<(), StoreError> {
+    async fn acquire(&self) -> Result<(), StoreError> {
         match self.patience {
             None => self.budget.spend(1.0).await,
             Some(patience) if self.budget.spend_within(1.0, patience).await => {}
@@ -106,21 +106,21 @@
         })
     }
 
-    fn odd(status: StatusCode, body: &[u8]) -> StoreError {
+    fn unexpected(status: StatusCode, body: &[u8]) -> StoreError {
         let text = String::from_utf8_lossy(&body[..body.len().min(200)]).into_owned();
         StoreError::Unexpected(status.as_u16(), text)
     }
 
     /// Reads a key.
     pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, StoreError> {
-        self.turn().await?;
+        self.acquire().await?;
         let path = format!("/keys/{}", utf8_percent_encode(key, ESCAPED));
         let (status, body) =
             self.call(Method::GET, &path, None, constants::STORE_TIMEOUT_MS).await?;
         match status {
             StatusCode::OK => Self::read(status, &body).map(Some),
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Err(Self::odd(status, &body)),
+            _ => Err(Self::unexpected(status, &body)),
         }
     }
 
@@ -130,7 +130,7 @@
         let mut all: Vec<KeyValue> = Vec::new();
         let mut first_revision = None;
         loop {
-            self.turn().await?;
+            self.acquire().await?;
             let mut path = format!("/keys?Prefix={}", utf8_percent_encode(prefix, ESCAPED));
             if let Some(last) = all.last() {
                 path.push_str(&format!("&After={}", utf8_percent_encode(&last.key, ESCAPED)));
@@ -139,7 +139,7 @@
             let (status, body) =
                 self.call(Method::GET, &path, None, constants::STORE_TIMEOUT_MS * 2).await?;
             if status != StatusCode::OK {
-                return Err(Self::odd(status, &body));
+                return Err(Self::unexpected(status, &body));
             }
             let page: KeyPage = Self::read(status, &body)?;
             let revision = *first_revision.get_or_insert(page.revision);
@@ -153,7 +153,7 @@
 
     /// Commits a transaction.
     pub async fn commit(&self, transaction: &Transaction) -> Result<CommitOutcome, StoreError> {
-        self.turn().await?;
+        self.acquire().await?;
         let body = serde_json::to_vec(transaction)
             .map_err(|e| StoreError::Unexpected(0, e.to_string()))?;
         let (status, body) =
@@ -165,7 +165,7 @@
             }
             StatusCode::CONFLICT => {
                 let answer: CommitResponse = Self::read(status, &body)?;
-                Ok(CommitOutcome::Refused(answer.failed))
+                Ok(CommitOutcome::PreconditionFailed(answer.failed))
             }
             StatusCode::BAD_REQUEST if body.windows(13).any(|w| w == b"no such lease") => {
                 Err(StoreError::NoLease)
@@ -174,13 +174,13 @@
                 let why = String::from_utf8_lossy(&body[..body.len().min(200)]).into_owned();
                 Err(StoreError::Rejected(why))
             }
-            _ => Err(Self::odd(status, &body)),
+            _ => Err(Self::unexpected(status, &body)),
         }
     }
 
     /// Asks for a lease.
     pub async fn grant(&self, ttl_ms: u64) -> Result<u64, StoreError> {
-        self.turn().await?;
+        self.acquire().await?;
         let body = serde_json::to_vec(&LeaseGrantRequest { ttl_ms })
             .map_err(|e| StoreError::Unexpected(0, e.to_string()))?;
         let (status, body) =
@@ -189,7 +189,7 @@
             StatusCode::OK | StatusCode::CREATED => {
                 Self::read::<LeaseGrant>(status, &body).map(|g| g.lease_id)
             }
-            _ => Err(Self::odd(status, &body)),
+            _ => Err(Self::unexpected(status, &body)),
         }
     }
 
@@ -203,7 +203,7 @@
         match status {
             s if s.is_success() => Ok(()),
             StatusCode::NOT_FOUND => Err(StoreError::NoLease),
-            _ => Err(Self::odd(status, &body)),
+            _ => Err(Self::unexpected(status, &body)),
         }
     }
 
@@ -220,7 +220,7 @@
         after: u64,
         wait_ms: u64,
     ) -> Result<WatchResponse, StoreError> {
-        self.turn().await?;
+        self.acquire().await?;
         let path = format!(
             "/watch?Prefix={}&After={after}&WaitMs={wait_ms}",
             utf8_percent_encode(prefix, ESCAPED)
@@ -229,7 +229,7 @@
         let (status, body) = self.call(Method::GET, &path, None, limit).await?;
         match status {
             StatusCode::OK => Self::read(status, &body),
-            _ => Err(Self::odd(status, &body)),
+            _ => Err(Self::unexpected(status, &body)),
         }
     }
 }
--- a/crates/clients/src/worker.rs
+++ b/crates/clients/src/worker.rs
@@ -10,14 +10,14 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Delivery {
     /// Carried out; the worker's report after them.
-    Done(Heartbeat),
+    Executed(Heartbeat),
     /// Not carried out: the worker has a higher token, or is in another session. A copy may have been,
     /// before.
     Refused,
     /// Surely not sent.
     NotSent,
     /// They may have been carried out, or may be later.
-    Unclear,
+    Indeterminate,
 }
 
 /// A client of the workers, for commands that do not wait for a report. One that is under way may
@@ -48,7 +48,7 @@
 
     /// Tells a worker a new leader's token and asks what is on its machine. The session is not known yet: the
     /// first one, most likely; if not, the refusal names it.
-    pub async fn ask_for_report(&self, address: &str, token: u64) -> Option<Heartbeat> {
+    pub async fn probe_state(&self, address: &str, token: u64) -> Option<Heartbeat> {
         let mut session = 1;
         for _ in 0..2 {
             let hello =
@@ -75,23 +75,23 @@
         let limit = Duration::from_millis(constants::WORKER_TIMEOUT_MS);
         match self.http.at(address).exchange(Method::POST, "/orders", Some(body), limit).await {
             Ok((StatusCode::OK, body)) => match serde_json::from_slice(&body) {
-                Ok(report) => Delivery::Done(report),
+                Ok(report) => Delivery::Executed(report),
                 Err(e) => {
                     tracing::error!("worker at {address}: its report can't be read: {e}");
-                    Delivery::Unclear
+                    Delivery::Indeterminate
                 }
             },
             Ok((StatusCode::CONFLICT | StatusCode::BAD_REQUEST, _)) => Delivery::Refused,
             Ok((status, _)) => {
                 tracing::debug!("worker at {address}: {status}");
-                Delivery::Unclear
+                Delivery::Indeterminate
             }
             Err(e) => {
                 tracing::debug!("worker at {address}: {e}");
                 if matches!(e, HttpError::NotSent(_)) {
                     Delivery::NotSent
                 } else {
-                    Delivery::Unclear
+                    Delivery::Indeterminate
                 }
             }
         }
--- a/crates/controller/src/answers.rs
+++ b/crates/controller/src/answers.rs
@@ -8,7 +8,7 @@
 
 /// A job's state, as controllers tell it one another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct JobSnapshot {
     /// The job.
     pub id: JobId,
     /// Its state.
@@ -20,12 +20,12 @@
     /// The team.
     pub team: Option<String>,
     /// The controller that commands it.
-    pub commander: Option<String>,
+    pub leader: Option<String>,
     /// Why attempts ended.
     pub notes: Vec<String>,
 }
 
-impl From<JobStatus> for Told {
+impl From<JobStatus> for JobSnapshot {
     fn from(s: JobStatus) -> Self {
         Self {
             id: s.id,
@@ -33,21 +33,21 @@
             done: s.done,
             running: s.running,
             team: s.team,
-            commander: s.leader,
+            leader: s.leader,
             notes: s.notes,
         }
     }
 }
 
-impl From<Told> for JobStatus {
-    fn from(t: Told) -> Self {
+impl From<JobSnapshot> for JobStatus {
+    fn from(t: JobSnapshot) -> Self {
         Self {
             id: t.id,
             state: t.state,
             done: t.done,
             running: t.running,
             team: t.team,
-            leader: t.commander,
+            leader: t.leader,
             notes: t.notes,
         }
     }
@@ -55,36 +55,43 @@
 
 /// The answer to a user's request, before it becomes HTTP.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum RequestOutcome {
     /// Accepted just now.
-    Accepted(Told),
+    Accepted(JobSnapshot),
     /// The job's state.
-    Known(Told),
+    Known(JobSnapshot),
     /// Never accepted.
-    Absent,
+    NotFound,
     /// Refused with this status.
-    Refused(u16, String),
+    Rejected(u16, String),
     /// Can't be decided now.
-    Later(String),
+    Unavailable(String),
+}
+
+impl RequestOutcome {
+    /// Can't be decided now, for this reason.
+    pub(crate) fn unavailable(why: &str) -> Self {
+        Self::Unavailable(why.to_owned())
+    }
 }
 
 /// Final states that this node has learnt, oldest first out. They can't change any more.
 #[derive(Debug, Default)]
-pub struct Finals(Mutex<(HashMap<JobId, Told>, VecDeque<JobId>)>);
+pub struct FinalStateCache(Mutex<(HashMap<JobId, JobSnapshot>, VecDeque<JobId>)>);
 
-impl Finals {
+impl FinalStateCache {
     /// A final state that is remembered.
-    pub fn get(&self, id: &JobId) -> Option<Told> {
+    pub fn get(&self, id: &JobId) -> Option<JobSnapshot> {
         self.0.lock().ok()?.0.get(id).cloned()
     }
 
     /// Whether a job is known to be over.
-    pub fn holds(&self, id: &JobId) -> bool {
+    pub fn contains(&self, id: &JobId) -> bool {
         self.0.lock().is_ok_and(|finals| finals.0.contains_key(id))
     }
 
     /// Remembers a state if it is final.
-    pub fn remember(&self, told: &Told) {
+    pub fn remember(&self, told: &JobSnapshot) {
         if !told.state.is_final() {
             return;
         }
--- a/crates/controller/src/blocks.rs
+++ b/crates/controller/src/blocks.rs
@@ -8,7 +8,7 @@
 
 /// The lease of one machine's place in a block.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BlockLease {
+pub struct ShardLease {
     /// The controller.
     pub holder: String,
     /// When the lease ends, ms.
@@ -18,7 +18,7 @@
 /// Which controller holds which machine.
 #[derive(Debug, Default)]
 pub struct Blocks {
-    leases: HashMap<String, BlockLease>,
+    leases: HashMap<String, ShardLease>,
 }
 
 impl Blocks {
@@ -31,7 +31,7 @@
                 true
             }
             _ => {
-                let lease = BlockLease { holder: holder.to_owned(), until_ms };
+                let lease = ShardLease { holder: holder.to_owned(), until_ms };
                 self.leases.insert(machine.to_owned(), lease);
                 true
             }
--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -17,19 +17,20 @@
 
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Sibling {
+pub struct PeerController {
     /// Its name.
-    pub label: String,
+    #[serde(rename = "label")]
+    pub name: String,
     /// Its zone.
-    #[serde(default)]
-    pub domain: String,
+    #[serde(rename = "domain", default)]
+    pub zone: String,
     /// Where it listens for other controllers.
     pub address: String,
 }
 
 /// What lies outside the controllers.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Outside {
+pub struct Endpoints {
     /// The cloud.
     pub cloud: String,
     /// The state service.
@@ -79,7 +80,8 @@
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerSettings {
     /// Time between reports, s.
-    pub report_s: f64,
+    #[serde(rename = "report_s")]
+    pub heartbeat_interval_s: f64,
     /// Lease of a worker, s.
     pub lease_s: f64,
     /// Longest wait of a gang for its tasks, s.
@@ -129,7 +131,7 @@
 impl StateSettings {
     /// Lowers each limit to the smaller of the present and the next one. The change comes unannounced, so
     /// writes that keep to both need not notice it.
-    fn keep_to_both(&mut self) {
+    fn apply_stricter_limits(&mut self) {
         self.largest_value_kb = self.value_kb;
         let Some(next) = &self.next else { return };
         self.rps = next.rps.map_or(self.rps, |rps| rps.min(self.rps));
@@ -176,7 +178,7 @@
 
 /// The `settings` table.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Params {
+pub struct PlatformSettings {
     /// How far the time of day may be off, ms.
     #[serde(default)]
     pub clock_off_ms: f64,
@@ -199,7 +201,7 @@
     pub machine_limits: MachineLimits,
 }
 
-impl Params {
+impl PlatformSettings {
     /// The index of a zone.
     pub fn zone(&self, name: &str) -> Option<usize> {
         self.zones.iter().position(|z| z == name)
@@ -210,21 +212,24 @@
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
     /// This node's name.
-    pub label: String,
+    #[serde(rename = "label")]
+    pub controller_name: String,
     /// This node's zone.
-    #[serde(default)]
-    pub domain: String,
+    #[serde(rename = "domain", default)]
+    pub zone: String,
     /// Where users, workers and health checks come.
     pub api_addr: String,
     /// Where the other controllers come.
     pub peer_bind: String,
     /// The other controllers.
-    #[serde(default)]
-    pub siblings: Vec<Sibling>,
+    #[serde(rename = "siblings", default)]
+    pub peers: Vec<PeerController>,
     /// Services outside.
-    pub outside: Outside,
+    #[serde(rename = "outside")]
+    pub endpoints: Endpoints,
     /// Everything else.
-    pub settings: Params,
+    #[serde(rename = "settings")]
+    pub platform: PlatformSettings,
 }
 
 impl Settings {
@@ -250,32 +255,32 @@
             }
         })?;
         settings.check()?;
-        settings.settings.state.keep_to_both();
+        settings.platform.state.apply_stricter_limits();
         Ok(settings)
     }
 
     fn check(&self) -> Result<(), String> {
-        if self.label.is_empty() {
+        if self.controller_name.is_empty() {
             return Err("label must not be empty".into());
         }
         let addresses = [
             ("api_addr", &self.api_addr),
             ("peer_bind", &self.peer_bind),
-            ("outside.cloud", &self.outside.cloud),
-            ("outside.state", &self.outside.state),
+            ("outside.cloud", &self.endpoints.cloud),
+            ("outside.state", &self.endpoints.state),
         ];
-        let siblings = self.siblings.iter().map(|s| ("siblings.address", &s.address));
+        let siblings = self.peers.iter().map(|s| ("siblings.address", &s.address));
         for (name, address) in addresses.into_iter().chain(siblings) {
             if address.parse::<std::net::SocketAddr>().is_err() {
                 return Err(format!("{name} must be an address with a port, not {address:?}"));
             }
         }
-        let p = &self.settings;
+        let p = &self.platform;
         if p.zones.is_empty() {
             return Err("settings.zones must name a zone".into());
         }
         let positive = [
-            ("settings.workers.report_s", p.workers.report_s),
+            ("settings.workers.report_s", p.workers.heartbeat_interval_s),
             ("settings.workers.lease_s", p.workers.lease_s),
             ("settings.workers.gang_wait_s", p.workers.gang_wait_s),
             ("settings.workers.gang_peer_s", p.workers.gang_peer_s),
@@ -339,9 +344,9 @@
     /// from the machine type.
     pub idle_return_ms: Option<u64>,
     /// `[fleet] most_machines`: machines rented at a time, at most.
-    pub most_machines: usize,
+    pub max_machines: usize,
     /// `[scheduling] block_lease_s`: length of a block lease, ms.
-    pub block_lease_ms: u64,
+    pub shard_lease_ms: u64,
     /// `[replication]`.
     pub replication: ReplicationSettings,
 }
@@ -403,8 +408,8 @@
     fn default() -> Self {
         Self {
             idle_return_ms: None,
-            most_machines: usize::MAX,
-            block_lease_ms: hookway_constants::SHARD_LEASE_MS,
+            max_machines: usize::MAX,
+            shard_lease_ms: hookway_constants::SHARD_LEASE_MS,
             replication: ReplicationSettings::default(),
         }
     }
@@ -438,12 +443,12 @@
                 match (section, key) {
                     (Some("fleet"), "idle_return_s") => found.idle_return_ms = Some(seconds()?),
                     (Some("fleet"), "most_machines") => {
-                        found.most_machines = value
+                        found.max_machines = value
                             .trim()
                             .parse()
                             .map_err(|_| format!("{name} must be a whole number"))?;
                     }
-                    (Some("scheduling"), "block_lease_s") => found.block_lease_ms = seconds()?,
+                    (Some("scheduling"), "block_lease_s") => found.shard_lease_ms = seconds()?,
                     (Some("replication"), key) if found.replication.set(key, value, &name)? => {}
                     _ => return Err(format!("unknown setting {name}")),
                 }
--- a/crates/controller/src/config/tests.rs
+++ b/crates/controller/src/config/tests.rs
@@ -30,10 +30,10 @@
 
 #[test]
 fn writes_keep_to_the_smaller_of_the_present_and_the_next_limits() {
-    let now = Settings::parse(SETTINGS).unwrap().settings.state;
+    let now = Settings::parse(SETTINGS).unwrap().platform.state;
     assert_eq!((now.write_rps, now.value_kb, now.txn_ops), (25.0, 8.0, 8));
     let next = "[settings.state.next]\nwrite_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 16\nnew = 1\n";
-    let both = Settings::parse(&format!("{SETTINGS}{next}")).unwrap().settings.state;
+    let both = Settings::parse(&format!("{SETTINGS}{next}")).unwrap().platform.state;
     assert_eq!((both.write_rps, both.value_kb, both.txn_ops), (18.0, 2.0, 8));
     assert_eq!(both.rps, now.rps, "what is missing stays as it is");
     assert_eq!((now.largest_value_kb, both.largest_value_kb), (8.0, 8.0));
--- a/crates/controller/src/door.rs
+++ b/crates/controller/src/door.rs
@@ -16,21 +16,21 @@
 use std::time::{Duration, Instant};
 
 /// A connection that may be closed.
-struct Open {
+struct OpenConnection {
     last_ms: Arc<AtomicU64>,
     ctrl: ConnCtrl,
 }
 
-struct Table {
+struct Connections {
     start: Instant,
-    most: usize,
+    max_connections: usize,
     /// Connections that hold a socket, those included that are being closed.
-    held: AtomicUsize,
-    next: AtomicU64,
-    open: Mutex<HashMap<u64, Open>>,
+    held_sockets: AtomicUsize,
+    next_id: AtomicU64,
+    open: Mutex<HashMap<u64, OpenConnection>>,
 }
 
-impl Table {
+impl Connections {
     fn now_ms(&self) -> u64 {
         u64::try_from(self.start.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
@@ -44,8 +44,9 @@
             .filter(|(last, _)| last + constants::CONNECTION_BUSY_MS <= now_ms)
             .collect();
         quiet.sort_unstable();
-        for (_, id) in
-            quiet.into_iter().take(self.most.div_ceil(constants::CONNECTION_CLOSE_DIVISOR))
+        for (_, id) in quiet
+            .into_iter()
+            .take(self.max_connections.div_ceil(constants::CONNECTION_CLOSE_DIVISOR))
         {
             if let Some(o) = open.remove(&id) {
                 o.ctrl.abort();
@@ -55,13 +56,13 @@
 }
 
 /// One connection's traffic; it leaves the table when the connection's stream is dropped.
-struct Traffic {
+struct ConnectionActivity {
     id: u64,
-    table: Arc<Table>,
+    table: Arc<Connections>,
     last_ms: Arc<AtomicU64>,
 }
 
-impl ConnObserver for Traffic {
+impl ConnObserver for ConnectionActivity {
     fn on_read(&self, _: usize) {
         self.last_ms.store(self.table.now_ms(), Ordering::Relaxed);
     }
@@ -71,9 +72,9 @@
     }
 }
 
-impl Drop for Traffic {
+impl Drop for ConnectionActivity {
     fn drop(&mut self) {
-        self.table.held.fetch_sub(1, Ordering::Relaxed);
+        self.table.held_sockets.fetch_sub(1, Ordering::Relaxed);
         if let Ok(mut open) = self.table.open.lock() {
             open.remove(&self.id);
         }
@@ -82,19 +83,19 @@
 
 /// Lets connections in and closes quiet ones.
 #[derive(Clone)]
-pub struct Door {
-    table: Arc<Table>,
+pub struct ConnectionTable {
+    table: Arc<Connections>,
     config: FuseConfig,
 }
 
-impl Door {
+impl ConnectionTable {
     /// A door for `most` connections. One that is quiet for `idle` is closed in any case.
     pub fn new(most: usize, idle: Duration) -> Self {
-        let table = Table {
+        let table = Connections {
             start: Instant::now(),
-            most: most.max(1),
-            held: AtomicUsize::new(0),
-            next: AtomicU64::new(0),
+            max_connections: most.max(1),
+            held_sockets: AtomicUsize::new(0),
+            next_id: AtomicU64::new(0),
             open: Mutex::default(),
         };
         let config = FuseConfig::default()
@@ -113,16 +114,16 @@
     }
 
     /// Connections that hold a socket.
-    pub fn held(&self) -> usize {
-        self.table.held.load(Ordering::Relaxed)
+    pub fn open_connections(&self) -> usize {
+        self.table.held_sockets.load(Ordering::Relaxed)
     }
 }
 
 #[async_trait]
-impl FusePolicy for Door {
+impl FusePolicy for ConnectionTable {
     /// A full table delays a new connection and never refuses it.
     async fn decide(&self, _: &FuseInfo) -> FuseAction {
-        while self.held() >= self.table.most {
+        while self.open_connections() >= self.table.max_connections {
             self.table.close_quiet(self.table.now_ms());
             tokio::time::sleep(Duration::from_millis(constants::CONNECTION_TABLE_RETRY_MS)).await;
         }
@@ -130,13 +131,13 @@
     }
 
     fn observe(&self, _: &FuseInfo, ctrl: &ConnCtrl) -> Option<ArcConnObserver> {
-        let id = self.table.next.fetch_add(1, Ordering::Relaxed);
+        let id = self.table.next_id.fetch_add(1, Ordering::Relaxed);
         let last_ms = Arc::new(AtomicU64::new(self.table.now_ms()));
-        self.table.held.fetch_add(1, Ordering::Relaxed);
+        self.table.held_sockets.fetch_add(1, Ordering::Relaxed);
         if let Ok(mut open) = self.table.open.lock() {
-            open.insert(id, Open { last_ms: last_ms.clone(), ctrl: ctrl.clone() });
+            open.insert(id, OpenConnection { last_ms: last_ms.clone(), ctrl: ctrl.clone() });
         }
-        Some(Arc::new(Traffic { id, table: self.table.clone(), last_ms }))
+        Some(Arc::new(ConnectionActivity { id, table: self.table.clone(), last_ms }))
     }
 }
 
--- a/crates/controller/src/frame.rs
+++ b/crates/controller/src/frame.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct FrameVersion(pub u32);
 
-/// The first version whose controllers answer standbys (`PeerAsk::Follow`).
+/// The first version whose controllers answer standbys (`PeerRequest::Follow`).
 pub const REPLICATION: FrameVersion = FrameVersion(2);
 
 /// The version of this build.
--- a/crates/controller/src/http.rs
+++ b/crates/controller/src/http.rs
@@ -1,7 +1,7 @@
 //! The HTTP interface for users, workers and health checks.
 
-use crate::answers::Verdict;
-use crate::api::{Desk, later};
+use crate::answers::RequestOutcome;
+use crate::api::ApiService;
 use crate::node::HeartbeatReply;
 use hookway_constants as constants;
 use hookway_wire::{ErrorBody, Heartbeat, HeartbeatRedirect, JobId, JobStatus};
@@ -22,21 +22,21 @@
     res.headers_mut().insert("retry-after", HeaderValue::from(back_s));
 }
 
-fn render(res: &mut Response, verdict: Verdict, back_s: u32) {
+fn render(res: &mut Response, verdict: RequestOutcome, back_s: u32) {
     match verdict {
-        Verdict::Accepted(told) => {
+        RequestOutcome::Accepted(told) => {
             res.status_code(StatusCode::CREATED);
             res.render(Json(JobStatus::from(told)));
         }
-        Verdict::Known(told) => {
+        RequestOutcome::Known(told) => {
             res.status_code(StatusCode::OK);
             res.render(Json(JobStatus::from(told)));
         }
-        Verdict::Absent => refuse(res, StatusCode::NOT_FOUND, "no such job"),
-        Verdict::Refused(status, why) => {
+        RequestOutcome::NotFound => refuse(res, StatusCode::NOT_FOUND, "no such job"),
+        RequestOutcome::Rejected(status, why) => {
             refuse(res, StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_REQUEST), &why);
         }
-        Verdict::Later(why) => unavailable(res, &why, back_s),
+        RequestOutcome::Unavailable(why) => unavailable(res, &why, back_s),
     }
 }
 
@@ -48,7 +48,7 @@
     Cancel,
 }
 
-struct UserHandler(Arc<Desk>, Kind);
+struct UserHandler(Arc<ApiService>, Kind);
 
 #[async_trait]
 impl Handler for UserHandler {
@@ -59,8 +59,8 @@
             Kind::Status => constants::STATUS_RETRY_AFTER_S,
             Kind::Submit | Kind::Cancel => constants::RETRY_AFTER_S,
         };
-        let limiter = if *kind == Kind::Status { &desk.poll_limiter } else { &desk.limiter };
-        let Some(pass) = limiter.enter() else {
+        let limiter = if *kind == Kind::Status { &desk.status_limiter } else { &desk.limiter };
+        let Some(pass) = limiter.try_acquire() else {
             return unavailable(res, "too many requests in progress", back_s);
         };
         let begun = Instant::now();
@@ -72,11 +72,13 @@
             if *kind == Kind::Submit {
                 return match req.payload_with_max_size(constants::BODY_LIMIT).await {
                     Ok(body) => desk.submit(body, false).await,
-                    Err(_) => Verdict::Refused(400, "the body is over 64 KiB or broken".into()),
+                    Err(_) => {
+                        RequestOutcome::Rejected(400, "the body is over 64 KiB or broken".into())
+                    }
                 };
             }
             let Some(id) = req.param::<String>("id").as_deref().and_then(JobId::parse) else {
-                return Verdict::Absent;
+                return RequestOutcome::NotFound;
             };
             if *kind == Kind::Status {
                 desk.status(&id, false).await
@@ -86,14 +88,14 @@
         };
         let verdict = tokio::time::timeout(Duration::from_millis(limit), work)
             .await
-            .unwrap_or_else(|_| later("no decision in time"));
-        limiter.measured(begun.elapsed());
+            .unwrap_or_else(|_| RequestOutcome::unavailable("no decision in time"));
+        limiter.record_latency(begun.elapsed());
         drop(pass);
         render(res, verdict, back_s);
     }
 }
 
-struct HeartbeatHandler(Arc<Desk>);
+struct HeartbeatHandler(Arc<ApiService>);
 
 #[async_trait]
 impl Handler for HeartbeatHandler {
@@ -109,16 +111,16 @@
                 return refuse(res, StatusCode::BAD_REQUEST, &why);
             }
         };
-        match self.0.check_in(report).await {
-            HeartbeatReply::Answer(answer, until) if Instant::now() < until => {
+        match self.0.handle_heartbeat(report).await {
+            HeartbeatReply::Respond(answer, until) if Instant::now() < until => {
                 res.status_code(StatusCode::OK);
                 res.render(Json(answer));
             }
-            HeartbeatReply::Elsewhere(report_to) => {
+            HeartbeatReply::Redirect(report_to) => {
                 res.status_code(StatusCode::MISDIRECTED_REQUEST);
                 res.render(Json(HeartbeatRedirect { leader: report_to }));
             }
-            HeartbeatReply::Answer(..) | HeartbeatReply::Unsure => {
+            HeartbeatReply::Respond(..) | HeartbeatReply::Unavailable => {
                 unavailable(res, "not entitled to answer", constants::RETRY_AFTER_S)
             }
         }
@@ -131,13 +133,13 @@
     res.render(Json(serde_json::json!({ "up": true })));
 }
 
-struct ReplicationHandler(Arc<Desk>);
+struct ReplicationHandler(Arc<ApiService>);
 
 #[async_trait]
 impl Handler for ReplicationHandler {
     async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let limit = Duration::from_millis(constants::STATUS_LIMIT_MS);
-        match tokio::time::timeout(limit, self.0.replication()).await {
+        match tokio::time::timeout(limit, self.0.replication_status()).await {
             Ok(Some(status)) => res.render(Json(status)),
             _ => unavailable(res, "no answer in time", constants::RETRY_AFTER_S),
         }
@@ -153,7 +155,7 @@
 }
 
 /// All routes.
-pub fn service(desk: Arc<Desk>) -> Service {
+pub fn service(desk: Arc<ApiService>) -> Service {
     let user = |kind| UserHandler(desk.clone(), kind);
     let router = Router::new()
         .push(Router::with_path("up").get(up))
--- a/crates/controller/src/lead.rs
+++ b/crates/controller/src/lead.rs
@@ -6,8 +6,10 @@
 //! a margin; past that it answers no worker and decides nothing until an extension succeeds. After
 //! an outage leases have their full time again, so it often can go on.
 
-use crate::ledger::Moment;
-use crate::records::{LEAD, LEAD_MARKS, LEAD_NOW, LEAD_TERM, LeadRecord};
+use crate::ledger::Timestamp;
+use crate::records::{
+    LEADER_KEY, LEADER_PREFIX, LEADER_TERM_KEY, LEADER_WATERMARKS_KEY, LeaderRecord,
+};
 use hookway_clients::{CommitOutcome, StoreClient, StoreError};
 use hookway_constants as constants;
 use hookway_wire::{KeyValue, Operation, Precondition, Transaction, WatchEvent};
@@ -37,8 +39,8 @@
     }
 
     /// Both clocks.
-    pub fn moment(&self) -> Moment {
-        Moment { now: self.now(), wall: wall_ms() }
+    pub fn moment(&self) -> Timestamp {
+        Timestamp { monotonic: self.now(), wall: wall_ms() }
     }
 }
 
@@ -50,33 +52,33 @@
 
 /// A won leadership.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Mandate {
+pub struct LeaderTerm {
     /// The term.
     pub term: u64,
     /// The guard that every durable write carries.
-    pub guard: Precondition,
+    pub precondition: Precondition,
     /// The lease.
     pub lease_id: u64,
     /// The leader before kept marks of how far tasks of jobs may have been started.
-    pub marked: bool,
+    pub has_start_watermarks: bool,
 }
 
 /// What this node knows of the leadership.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct View {
+pub struct LeadershipView {
     /// The leader's name, as last seen.
     pub leader: Option<String>,
     /// Its term, while the state service says that it leads.
     pub leader_term: Option<u64>,
     /// Set while this node leads.
-    pub mandate: Option<Mandate>,
+    pub own_term: Option<LeaderTerm>,
 }
 
 /// For which term this node's lease is, and how long it surely lasts, ms.
 #[derive(Debug, Default)]
-pub struct Validity(Mutex<(u64, u64)>);
+pub struct LeadershipLease(Mutex<(u64, u64)>);
 
-impl Validity {
+impl LeadershipLease {
     /// Whether this node may act as the leader of `term` at `now`, ms. A lease of a later term entitles
     /// nobody to decide from what was known in an earlier one: another node may have led between them.
     pub fn holds(&self, term: u64, now: u64) -> bool {
@@ -96,7 +98,7 @@
 }
 
 /// Until when a lease surely lasts whose request was sent at `sent`, ms.
-pub fn valid_until(sent: u64, ttl_ms: u64) -> u64 {
+pub fn lease_expiry(sent: u64, ttl_ms: u64) -> u64 {
     let drift = (ttl_ms as f64 * constants::CLOCK_DRIFT).ceil() as u64;
     (sent + ttl_ms).saturating_sub(drift + constants::LEADER_MARGIN_MS)
 }
@@ -104,29 +106,29 @@
 /// The actor that seeks, keeps and loses leadership.
 pub struct Leadership {
     /// This node's name.
-    pub label: String,
+    pub controller_name: String,
     /// The state service.
     pub store: StoreClient,
     /// Clocks.
     pub clock: Clock,
     /// How long the lease surely lasts.
-    pub validity: Arc<Validity>,
+    pub lease: Arc<LeadershipLease>,
     /// Where the view is published.
-    pub view: watch::Sender<View>,
+    pub view: watch::Sender<LeadershipView>,
     /// Rung by the node when a write showed that it leads no more.
-    pub doubt: Arc<Notify>,
+    pub leadership_lost: Arc<Notify>,
     /// Rung when the leader's silence is unusual: the state service is asked at once whether it still leads, as a
     /// watch whose connection died unnoticed would not tell.
-    pub suspicion: Arc<Notify>,
+    pub leader_suspected: Arc<Notify>,
     /// Length of the lease, ms.
     pub lease_ms: u64,
     /// This node has a usable copy of the leader's picture: it stands before those that have none.
-    pub warm: Arc<AtomicBool>,
+    pub has_warm_copy: Arc<AtomicBool>,
 }
 
-enum Found {
-    Leader(KeyValue, LeadRecord),
-    Nobody { term: u64, term_stamp: u64, marked: bool },
+enum LeaderState {
+    Leader(KeyValue, LeaderRecord),
+    Vacant { term: u64, term_revision: u64, marked: bool },
 }
 
 impl Leadership {
@@ -134,9 +136,9 @@
     pub async fn run(self) {
         let mut nonce: u64 = rand::rng().random();
         loop {
-            match self.look().await {
-                Ok((Found::Leader(kv, record), revision)) => {
-                    if record.label == self.label && record.nonce == nonce {
+            match self.read_leader().await {
+                Ok((LeaderState::Leader(kv, record), revision)) => {
+                    if record.controller_name == self.controller_name && record.nonce == nonce {
                         // Our own transaction, whose answer was lost.
                         if let Some(lease_id) = kv.lease_id {
                             self.lead(&record, kv.mod_revision, lease_id, 0, false).await;
@@ -144,7 +146,7 @@
                             continue;
                         }
                     }
-                    if record.label == self.label
+                    if record.controller_name == self.controller_name
                         && let Some(lease_id) = kv.lease_id
                     {
                         // One process runs under this name at a time, so that leader is our own
@@ -156,17 +158,17 @@
                         }
                         continue;
                     }
-                    self.publish(View {
-                        leader: Some(record.label),
+                    self.publish(LeadershipView {
+                        leader: Some(record.controller_name),
                         leader_term: Some(record.term),
-                        mandate: None,
+                        own_term: None,
                     });
                     self.follow(revision).await;
                 }
-                Ok((Found::Nobody { term, term_stamp, marked }, _)) => {
+                Ok((LeaderState::Vacant { term, term_revision, marked }, _)) => {
                     self.publish_vacancy();
                     self.pause(self.election_pause()).await;
-                    self.stand(nonce, term, term_stamp, marked).await;
+                    self.campaign(nonce, term, term_revision, marked).await;
                 }
                 Err(e) => {
                     tracing::debug!("leadership: {e}");
@@ -183,14 +185,14 @@
     /// How long this node leaves others the first chance, ms.
     fn election_pause(&self) -> u64 {
         let jitter = rand::rng().random_range(0..=constants::ELECTION_JITTER_MS);
-        if self.warm.load(Ordering::Relaxed) {
+        if self.has_warm_copy.load(Ordering::Relaxed) {
             jitter / constants::WARM_STANDBY_JITTER_DIVISOR
         } else {
             jitter
         }
     }
 
-    /// Nobody leads. Who led last is still the best guess of who knows more.
+    /// Vacant leads. Who led last is still the best guess of who knows more.
     fn publish_vacancy(&self) {
         self.view.send_if_modified(|view| {
             let changed = view.leader_term.is_some();
@@ -199,7 +201,7 @@
         });
     }
 
-    fn publish(&self, view: View) {
+    fn publish(&self, view: LeadershipView) {
         self.view.send_if_modified(|v| {
             let changed = *v != view;
             *v = view.clone();
@@ -207,43 +209,43 @@
         });
     }
 
-    async fn look(&self) -> Result<(Found, u64), StoreError> {
-        let (pairs, revision) = self.store.list(LEAD).await?;
-        let now = pairs.iter().find(|p| p.key == LEAD_NOW);
+    async fn read_leader(&self) -> Result<(LeaderState, u64), StoreError> {
+        let (pairs, revision) = self.store.list(LEADER_PREFIX).await?;
+        let now = pairs.iter().find(|p| p.key == LEADER_KEY);
         if let Some(kv) = now
-            && let Ok(record) = serde_json::from_value::<LeadRecord>(kv.value.clone())
+            && let Ok(record) = serde_json::from_value::<LeaderRecord>(kv.value.clone())
         {
             let mut kv = kv.clone();
             if kv.lease_id.is_none()
-                && record.label == self.label
-                && let Some(full) = self.store.get(LEAD_NOW).await?
+                && record.controller_name == self.controller_name
+                && let Some(full) = self.store.get(LEADER_KEY).await?
             {
                 kv = full;
             }
-            return Ok((Found::Leader(kv, record), revision));
+            return Ok((LeaderState::Leader(kv, record), revision));
         }
-        let term = pairs.iter().find(|p| p.key == LEAD_TERM);
-        let marks = pairs.iter().find(|p| p.key == LEAD_MARKS);
-        let found = Found::Nobody {
+        let term = pairs.iter().find(|p| p.key == LEADER_TERM_KEY);
+        let marks = pairs.iter().find(|p| p.key == LEADER_WATERMARKS_KEY);
+        let state = LeaderState::Vacant {
             term: term.and_then(|t| t.value.as_u64()).unwrap_or(0),
-            term_stamp: term.map_or(0, |t| t.mod_revision),
+            term_revision: term.map_or(0, |t| t.mod_revision),
             marked: term.map(|t| &t.value) == marks.map(|m| &m.value),
         };
-        Ok((found, revision))
+        Ok((state, revision))
     }
 
     /// Waits until the leader's key goes.
     async fn follow(&self, mut revision: u64) {
         loop {
             let watched = tokio::select! {
-                watched = self.store.watch(LEAD, revision, constants::WATCH_WAIT_MS) => watched,
-                () = self.suspicion.notified() => return,
+                watched = self.store.watch(LEADER_PREFIX, revision, constants::WATCH_WAIT_MS) => watched,
+                () = self.leader_suspected.notified() => return,
             };
             match watched {
                 Ok(answer) => {
                     if answer.events.iter().any(|e| match e {
-                        WatchEvent::Delete { key: delete, .. } => delete == LEAD_NOW,
-                        WatchEvent::Put { key: put, .. } => put == LEAD_NOW,
+                        WatchEvent::Delete { key: delete, .. } => delete == LEADER_KEY,
+                        WatchEvent::Put { key: put, .. } => put == LEADER_KEY,
                     }) {
                         return;
                     }
@@ -258,7 +260,7 @@
         }
     }
 
-    async fn stand(&self, nonce: u64, term: u64, term_stamp: u64, marked: bool) {
+    async fn campaign(&self, nonce: u64, term: u64, term_revision: u64, marked: bool) {
         let sent = self.clock.now();
         let lease_id = match self.store.grant(self.lease_ms).await {
             Ok(lease_id) => lease_id,
@@ -270,25 +272,26 @@
         // Each term has a range of tokens of its own; the record holds the last one that may be in
         // use.
         let (first, last) = (term + 1, term + constants::TOKENS_PER_TERM);
-        let record = LeadRecord { label: self.label.clone(), term: first, nonce };
+        let record =
+            LeaderRecord { controller_name: self.controller_name.clone(), term: first, nonce };
         let Ok(value) = serde_json::to_value(&record) else { return };
         let transaction = Transaction {
             preconditions: vec![
-                Precondition { key: LEAD_NOW.into(), mod_revision: 0 },
-                Precondition { key: LEAD_TERM.into(), mod_revision: term_stamp },
+                Precondition { key: LEADER_KEY.into(), mod_revision: 0 },
+                Precondition { key: LEADER_TERM_KEY.into(), mod_revision: term_revision },
             ],
             operations: vec![
-                Operation::Put { key: LEAD_NOW.into(), value: value, lease_id: Some(lease_id) },
-                Operation::put(LEAD_TERM, serde_json::json!(last)),
-                Operation::put(LEAD_MARKS, serde_json::json!(last)),
+                Operation::Put { key: LEADER_KEY.into(), value: value, lease_id: Some(lease_id) },
+                Operation::put(LEADER_TERM_KEY, serde_json::json!(last)),
+                Operation::put(LEADER_WATERMARKS_KEY, serde_json::json!(last)),
             ],
         };
         match self.store.commit(&transaction).await {
             Ok(CommitOutcome::Applied(revision)) => {
-                let until = valid_until(sent, self.lease_ms);
+                let until = lease_expiry(sent, self.lease_ms);
                 self.lead(&record, revision, lease_id, until, marked).await;
             }
-            Ok(CommitOutcome::Refused(_)) => {
+            Ok(CommitOutcome::PreconditionFailed(_)) => {
                 let _ = self.store.release(lease_id).await;
             }
             // Unclear: the next look tells, by the nonce, whether it was applied.
@@ -300,26 +303,38 @@
     }
 
     /// Leads until the lease is lost.
-    async fn lead(&self, record: &LeadRecord, stamp: u64, lease_id: u64, until: u64, marked: bool) {
+    async fn lead(
+        &self,
+        record: &LeaderRecord,
+        stamp: u64,
+        lease_id: u64,
+        until: u64,
+        marked: bool,
+    ) {
         tracing::info!("leading, term {}", record.term);
-        self.validity.set(record.term, until);
-        let guard = Precondition { key: LEAD_NOW.into(), mod_revision: stamp };
-        let mandate = Mandate { term: record.term, guard, lease_id, marked };
-        self.publish(View {
-            leader: Some(self.label.clone()),
+        self.lease.set(record.term, until);
+        let guard = Precondition { key: LEADER_KEY.into(), mod_revision: stamp };
+        let mandate = LeaderTerm {
+            term: record.term,
+            precondition: guard,
+            lease_id,
+            has_start_watermarks: marked,
+        };
+        self.publish(LeadershipView {
+            leader: Some(self.controller_name.clone()),
             leader_term: Some(record.term),
-            mandate: Some(mandate),
+            own_term: Some(mandate),
         });
         let mut pause = if until == 0 { 0 } else { constants::LEADER_EXTEND_INTERVAL_MS };
         let gave_up = loop {
             tokio::select! {
                 () = self.pause(pause) => {}
-                () = self.doubt.notified() => break true,
+                () = self.leadership_lost.notified() => break true,
             }
             let sent = self.clock.now();
             match self.store.extend(lease_id).await {
                 Ok(()) => {
-                    self.validity.set(record.term, valid_until(sent, self.lease_ms));
+                    self.lease.set(record.term, lease_expiry(sent, self.lease_ms));
                     pause = constants::LEADER_EXTEND_INTERVAL_MS;
                 }
                 Err(StoreError::NoLease) => break false,
@@ -329,9 +344,9 @@
                 }
             }
         };
-        self.validity.set(record.term, 0);
+        self.lease.set(record.term, 0);
         tracing::info!("not leading any more");
-        self.publish(View::default());
+        self.publish(LeadershipView::default());
         let _ = self.store.release(lease_id).await;
         if gave_up {
             // Another node shall have it.
--- a/crates/controller/src/lead/tests.rs
+++ b/crates/controller/src/lead/tests.rs
@@ -2,9 +2,9 @@
 
 #[test]
 fn the_leader_counts_its_lease_from_before_the_request() {
-    let validity = Validity::default();
+    let validity = LeadershipLease::default();
     assert!(!validity.holds(1, 0));
-    validity.set(1, valid_until(1_000, 5_000));
+    validity.set(1, lease_expiry(1_000, 5_000));
     assert!(validity.holds(1, 5_600));
     assert!(!validity.holds(1, 5_700), "drift and margin are taken off");
 }
@@ -13,7 +13,7 @@
 /// runs, this node may have lost that term and won a later one.
 #[test]
 fn a_lease_of_a_later_term_does_not_entitle_an_earlier_one() {
-    let validity = Validity::default();
+    let validity = LeadershipLease::default();
     validity.set(1, 5_000);
     validity.set(1, 0);
     validity.set(9, 20_000);
--- a/crates/controller/src/ledger/checkin.rs
+++ b/crates/controller/src/ledger/checkin.rs
@@ -1,19 +1,21 @@
-use super::departures::Leave;
-use super::{Ended, Expected, Held, Ledger, Machine, Phase, Slot};
+use super::departures::TaskRemoval;
+use super::{
+    ClusterState, EndedTask, ExpectedHeartbeat, Machine, PlacedTask, TaskPhase, TaskPlacement,
+};
 use hookway_constants as constants;
 use hookway_wire::{
     Command, ExitCause, Heartbeat, HeartbeatResponse, TaskId, TaskState, TaskStatus,
 };
 
 /// Why a machine is given back that reports, but takes no answer.
-const HEARS_NOTHING: &str = "it reports, but hears nothing";
+const UNACKNOWLEDGED: &str = "it reports, but hears nothing";
 
-impl Ledger {
+impl ClusterState {
     /// A worker reports. `None`: not to be answered with a 200, because the report is old, or comes
     /// from a session or machine that is surely over.
-    pub fn check_in(&mut self, report: &Heartbeat, now: u64) -> Option<HeartbeatResponse> {
+    pub fn handle_heartbeat(&mut self, report: &Heartbeat, now: u64) -> Option<HeartbeatResponse> {
         let name = report.machine.as_str();
-        if self.gone_machines.contains(name) {
+        if self.removed_machines.contains(name) {
             return None;
         }
         if !self.machines.contains_key(name) {
@@ -24,92 +26,100 @@
             );
             self.machines.insert(name.to_owned(), Machine::new(now));
         }
-        self.expire_if_silent(name, now);
+        self.expire_lease_if_silent(name, now);
         let machine = self.machines.get_mut(name)?;
         let stamp = (report.incarnation, report.sequence);
         // Reports can arrive minutes late; only a newer one may change the picture. A session whose
         // lease has surely run out can't be heard from again: such a report is late, whatever its
         // number.
-        if stamp <= machine.reported
-            || report.incarnation < machine.newest.0
-            || report.incarnation <= machine.dead_session
+        if stamp <= machine.newest_heartbeat
+            || report.incarnation < machine.newest_message.0
+            || report.incarnation <= machine.expired_incarnation
         {
-            tracing::debug!("machine {name}: old report {stamp:?}, newest is {:?}", machine.newest);
+            tracing::debug!(
+                "machine {name}: old report {stamp:?}, newest is {:?}",
+                machine.newest_message
+            );
             return None;
         }
-        machine.reported = stamp;
-        self.judge_hearing(name, report, now);
-        self.expire_if_silent(name, now);
+        machine.newest_heartbeat = stamp;
+        self.check_acknowledgement(name, report, now);
+        self.expire_lease_if_silent(name, now);
         let machine = self.machines.get_mut(name)?;
-        if report.incarnation <= machine.dead_session {
+        if report.incarnation <= machine.expired_incarnation {
             return None;
         }
         // The worker sent this one before it answered commands that came straight to it: what it says
         // is out of date, but the worker waits for an answer.
-        let overtaken = stamp < machine.newest;
-        let new_session = machine.heard && report.incarnation > machine.newest.0;
-        if !machine.heard {
+        let overtaken = stamp < machine.newest_message;
+        let new_session = machine.has_reported && report.incarnation > machine.newest_message.0;
+        if !machine.has_reported {
             tracing::info!(
                 "machine {name}: up, {:.1} s old",
-                (now - machine.born.min(now)) as f64 / 1e3
+                (now - machine.created_at.min(now)) as f64 / 1e3
             );
         }
         // The lease of a session that was not known may have begun just now, whenever the machine was last
         // answered.
-        if new_session || !machine.heard {
-            machine.last_answer = now;
+        if new_session || !machine.has_reported {
+            machine.last_response_at = now;
         }
-        machine.heard = true;
-        if machine.closing == Some(super::fleet::SILENT) && !self.deleting.contains(name) {
-            machine.closing = None;
+        machine.has_reported = true;
+        if machine.cordon_reason == Some(super::fleet::SILENT) && !self.scaling_in.contains(name) {
+            machine.cordon_reason = None;
         }
         if !overtaken {
-            machine.described(report, now);
+            machine.update_from(report, now);
         }
         // Only now: a machine that never reported holds nothing, and the next leader need not wait for
         // it.
-        if !machine.rostered {
+        if !machine.registered {
             let at_ms = self.wall_at(now);
-            self.writer.roster.want(name, at_ms);
+            self.commit_queue.registry.register(name, at_ms);
         }
         // A report can be older than this leader's term although it is the newest that it has seen,
         // and what the earlier leader started since is not in it. One that carries this term's token
         // was sent after the worker had seen it, so it names everything.
         if report.fencing_token >= self.term {
-            self.unheard.remove(name);
+            self.unreconciled_machines.remove(name);
         }
         if new_session {
             tracing::info!("machine {name}: session {}, its tasks are gone", report.incarnation);
-            self.clear_machine(name, now, Leave::Lost);
+            self.remove_all_tasks(name, now, TaskRemoval::Lost);
         }
         if !overtaken {
-            self.take_report(name, report, now, false);
+            self.apply_heartbeat(name, report, now, false);
         }
-        let answered_before = self.machines.get(name)?.last_answer;
+        let answered_before = self.machines.get(name)?.last_response_at;
         if let Some(machine) = self.machines.get_mut(name) {
-            machine.last_answer = now;
+            machine.last_response_at = now;
         }
         // As with the paper's heartbeats, room that a report shows free is filled in its answer.
-        if now >= self.last_round + self.round_pause() {
-            self.round(now);
+        if now >= self.last_round + self.round_interval_ms() {
+            self.scheduling_round(now);
         } else {
-            self.fill(name, now);
+            self.fill_machine(name, now);
         }
         let commands = self.commands_for(name, now);
-        self.touch(name);
+        self.mark_unpublished(name);
         let machine = self.machines.get_mut(name)?;
-        machine.soon = if commands.is_empty() { 0 } else { now + constants::PROMPT_HEARTBEAT_MS };
-        let token = self.term + machine.bump;
-        let mut expected = Expected { answered_before, answered_at: now, ..Expected::default() };
-        expected.token = (token > report.fencing_token).then_some(token);
+        machine.heartbeat_expected_by =
+            if commands.is_empty() { 0 } else { now + constants::PROMPT_HEARTBEAT_MS };
+        let token = self.term + machine.token_offset;
+        let mut expected = ExpectedHeartbeat {
+            responded_before: answered_before,
+            responded_at: now,
+            ..ExpectedHeartbeat::default()
+        };
+        expected.fencing_token = (token > report.fencing_token).then_some(token);
         for order in &commands {
             match order {
-                Command::Run { task, attempt } => expected.runs.push((task.clone(), *attempt)),
+                Command::Run { task, attempt } => expected.starts.push((task.clone(), *attempt)),
                 Command::Reap { task, attempt } => expected.reaps.push((task.clone(), *attempt)),
                 Command::Kill { .. } => {}
             }
         }
-        machine.expected = expected;
+        machine.expected_heartbeat = expected;
         Some(HeartbeatResponse { fencing_token: token, commands })
     }
 
@@ -117,15 +127,15 @@
     /// report under way and takes no answer to an earlier one, so an answer without effect was not
     /// heard and never will be: it renewed no lease. A machine that hears nothing for several answers
     /// gets no new work and is given back; what is on it counts until its lease is surely over.
-    fn judge_hearing(&mut self, name: &str, report: &Heartbeat, now: u64) {
+    fn check_acknowledgement(&mut self, name: &str, report: &Heartbeat, now: u64) {
         let Some(machine) = self.machines.get_mut(name) else { return };
-        let expected = std::mem::take(&mut machine.expected);
-        let Some(taken) = expected.taken(report) else { return };
+        let expected = std::mem::take(&mut machine.expected_heartbeat);
+        let Some(taken) = expected.acknowledged(report) else { return };
         if taken {
-            machine.deaf = 0;
-            if machine.closing == Some(HEARS_NOTHING) {
+            machine.unacknowledged_responses = 0;
+            if machine.cordon_reason == Some(UNACKNOWLEDGED) {
                 tracing::info!("machine {name}: hears again");
-                machine.closing = None;
+                machine.cordon_reason = None;
             }
             return;
         }
@@ -134,28 +144,28 @@
         let deaf_now = self
             .machines
             .values()
-            .filter(|h| h.deaf >= constants::MAX_UNACKNOWLEDGED_RESPONSES)
+            .filter(|h| h.unacknowledged_responses >= constants::MAX_UNACKNOWLEDGED_RESPONSES)
             .count();
         let few = deaf_now * 4 <= self.machines.len().max(4);
-        let pause = (self.setup.params.workers.report_s
+        let pause = (self.config.platform.workers.heartbeat_interval_s
             * 1000.0
             * constants::MAX_HEARTBEAT_INTERVAL_FACTOR) as u64;
         let Some(machine) = self.machines.get_mut(name) else { return };
-        machine.deaf += 1;
+        machine.unacknowledged_responses += 1;
         // Unless it was answered since: as a holder, while this leader's lease was in doubt.
-        if machine.last_answer <= expected.answered_at {
-            machine.last_answer = expected.answered_before;
+        if machine.last_response_at <= expected.responded_at {
+            machine.last_response_at = expected.responded_before;
         }
         // One answer may get lost by itself.
-        if machine.deaf > 1 {
-            machine.pause_until = machine.pause_until.max(now + pause);
+        if machine.unacknowledged_responses > 1 {
+            machine.backoff_until = machine.backoff_until.max(now + pause);
         }
-        if machine.deaf >= constants::MAX_UNACKNOWLEDGED_RESPONSES
-            && machine.closing.is_none()
+        if machine.unacknowledged_responses >= constants::MAX_UNACKNOWLEDGED_RESPONSES
+            && machine.cordon_reason.is_none()
             && few
         {
-            tracing::info!("machine {name}: {HEARS_NOTHING}");
-            machine.closing = Some(HEARS_NOTHING);
+            tracing::info!("machine {name}: {UNACKNOWLEDGED}");
+            machine.cordon_reason = Some(UNACKNOWLEDGED);
         }
     }
 
@@ -163,15 +173,21 @@
     ///
     /// A `direct` one answered commands that came straight to the worker: an answer to a report may
     /// have been on its way to it at that moment.
-    pub(super) fn take_report(&mut self, name: &str, report: &Heartbeat, now: u64, direct: bool) {
-        self.touch(name);
+    pub(super) fn apply_heartbeat(
+        &mut self,
+        name: &str,
+        report: &Heartbeat,
+        now: u64,
+        direct: bool,
+    ) {
+        self.mark_unpublished(name);
         self.count_running(name, false);
         let Some(machine) = self.machines.get_mut(name) else { return };
-        let before = std::mem::take(&mut machine.held);
-        machine.ended.clear();
+        let before = std::mem::take(&mut machine.placed_tasks);
+        machine.ended_tasks.clear();
         let mut seen = vec![false; before.len()];
-        let mut keep: Vec<Held> = Vec::with_capacity(before.len());
-        let mut left: Vec<(Held, Leave)> = Vec::new();
+        let mut keep: Vec<PlacedTask> = Vec::with_capacity(before.len());
+        let mut left: Vec<(PlacedTask, TaskRemoval)> = Vec::new();
         let mut fresh: Vec<(TaskId, &TaskStatus)> = Vec::new();
         for reported in &report.tasks {
             let Some(task) = TaskId::parse(&reported.task) else {
@@ -189,18 +205,18 @@
             let mut held = before[found].clone();
             if reported.state == TaskState::Ended {
                 let cause = reported.cause.unwrap_or(ExitCause::Other);
-                machine.ended.push(Ended {
+                machine.ended_tasks.push(EndedTask {
                     job: held.job,
                     task: reported.task.clone(),
                     index: held.index,
                     attempt: held.attempt,
                     cause,
                 });
-                left.push((held, Leave::Ended(cause)));
+                left.push((held, TaskRemoval::Ended(cause)));
             } else {
-                held.phase = Phase::On(reported.state);
+                held.phase = TaskPhase::Reported(reported.state);
                 if reported.state == TaskState::Running && held.running_since.is_none() {
-                    let took = now.saturating_sub(held.since) as f64 / 1000.0;
+                    let took = now.saturating_sub(held.placed_at) as f64 / 1000.0;
                     tracing::debug!(
                         "task {} on {name}: runs, {took:.1} s after placement",
                         held.task
@@ -215,49 +231,49 @@
                 continue;
             }
             match held.phase {
-                Phase::Planned => keep.push(held),
+                TaskPhase::Planned => keep.push(held),
                 // Commands travel in answers only, a worker has one report under way at a time and
                 // takes no answer to an earlier one: a newer report without the task proves that
                 // the command did not arrive and never will.
-                Phase::Sent => {
+                TaskPhase::Sent => {
                     if !direct {
-                        held.phase = Phase::Planned;
-                        self.planned_on.insert(name.to_owned());
+                        held.phase = TaskPhase::Planned;
+                        self.machines_with_planned_starts.insert(name.to_owned());
                     }
                     keep.push(held);
                 }
                 // Under a higher token the worker refuses the command, whenever it arrives.
-                Phase::Pushed(token) => {
+                TaskPhase::SentDirectly(token) => {
                     if report.fencing_token > token {
-                        held.phase = Phase::Planned;
-                        self.planned_on.insert(name.to_owned());
+                        held.phase = TaskPhase::Planned;
+                        self.machines_with_planned_starts.insert(name.to_owned());
                     }
                     keep.push(held);
                 }
-                Phase::On(_) => left.push((held, Leave::Lost)),
+                TaskPhase::Reported(_) => left.push((held, TaskRemoval::Lost)),
             }
         }
-        machine.held = keep;
+        machine.placed_tasks = keep;
         for (held, leave) in left {
-            self.leave(name, &held, leave, now);
+            self.remove_task(name, &held, leave, now);
         }
         for (task, reported) in fresh {
-            self.found(name, &task, reported, now);
+            self.adopt_task(name, &task, reported, now);
         }
-        self.touch_images(name);
+        self.update_images(name);
         self.count_running(name, true);
     }
 
     /// The worker reports a task that this leader did not place there.
-    fn found(&mut self, name: &str, task: &TaskId, reported: &TaskStatus, now: u64) {
-        let key = self.by_id.get(&task.job).copied();
+    fn adopt_task(&mut self, name: &str, task: &TaskId, reported: &TaskStatus, now: u64) {
+        let key = self.job_keys.get(&task.job).copied();
         let job = key.and_then(|k| self.jobs.get_mut(&k));
         let job = job.filter(|j| task.index < j.spec.tasks);
         let key = if job.is_some() { key } else { None };
         let Some(machine) = self.machines.get_mut(name) else { return };
         if reported.state == TaskState::Ended {
             let cause = reported.cause.unwrap_or(ExitCause::Other);
-            machine.ended.push(Ended {
+            machine.ended_tasks.push(EndedTask {
                 job: key,
                 task: reported.task.clone(),
                 index: task.index,
@@ -265,58 +281,59 @@
                 cause,
             });
             if let (Some(key), ExitCause::Done) = (key, cause) {
-                self.complete(key, task.index, None);
+                self.complete_task(key, task.index, None);
             }
             return;
         }
-        let mut held = Held {
+        let mut held = PlacedTask {
             job: key,
             task: reported.task.clone(),
             index: task.index,
             attempt: reported.attempt,
-            phase: Phase::On(reported.state),
-            stray: true,
-            kill: None,
-            pushed: false,
+            phase: TaskPhase::Reported(reported.state),
+            orphaned: true,
+            stop: None,
+            stop_dispatched: false,
             running_since: (reported.state == TaskState::Running).then_some(now),
-            since: now,
-            found: true,
+            placed_at: now,
+            adopted: true,
         };
         if let Some(job) = job {
-            let first = job.slots[task.index as usize] == Slot::Free && job.live();
+            let first =
+                job.placements[task.index as usize] == TaskPlacement::Unplaced && job.is_active();
             let same_gang = !job.spec.is_gang()
-                || job.attempt.is_none_or(|attempt| attempt == reported.attempt);
+                || job.gang_attempt.is_none_or(|attempt| attempt == reported.attempt);
             if first && same_gang {
-                held.stray = false;
-                job.slots[task.index as usize] = Slot::Held;
-                job.free.remove(&task.index);
+                held.orphaned = false;
+                job.placements[task.index as usize] = TaskPlacement::Placed;
+                job.unplaced.remove(&task.index);
                 if job.spec.is_gang() {
-                    job.attempt = Some(reported.attempt);
+                    job.gang_attempt = Some(reported.attempt);
                 }
             }
-            if held.stray {
+            if held.orphaned {
                 self.stops_due = true;
-                job.strays.push(task.index);
-                job.free.remove(&task.index);
+                job.orphaned.push(task.index);
+                job.unplaced.remove(&task.index);
             }
-            job.held += 1;
-            if let Some(zone) = self.setup.params.zone(&machine.zone) {
-                job.per_zone[zone] += 1;
+            job.placed += 1;
+            if let Some(zone) = self.config.platform.zone(&machine.zone) {
+                job.placed_per_zone[zone] += 1;
             }
         }
         if held.job.is_none() {
-            self.strangers += 1;
+            self.unknown_tasks += 1;
         }
         tracing::debug!(
             "machine {name}: found {} attempt {}{}",
             held.task,
             held.attempt,
-            if held.stray { ", which should not run" } else { "" }
+            if held.orphaned { ", which should not run" } else { "" }
         );
-        machine.held.push(held);
+        machine.placed_tasks.push(held);
     }
 
-    fn touch_images(&mut self, name: &str) {
+    fn update_images(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let cache = self
             .machine_types
@@ -324,28 +341,30 @@
             .find(|f| f.name == machine.machine_type)
             .map_or(0.0, |f| f.cache_gb);
         let used: Vec<(u32, f64)> = machine
-            .held
+            .placed_tasks
             .iter()
-            .filter(|h| matches!(h.phase, Phase::On(_)))
+            .filter(|h| matches!(h.phase, TaskPhase::Reported(_)))
             .filter_map(|h| h.job.and_then(|k| self.jobs.get(&k)))
             .map(|j| (j.image, j.spec.image_gb))
             .collect();
         for (image, gb) in used {
             if machine.images.last().is_none_or(|(i, _)| *i != image) {
-                machine.touch_image(image, gb, cache);
+                machine.use_image(image, gb, cache);
             }
         }
-        if machine.image_set() != machine.written_images {
-            self.writer.roster.hint(name);
+        if machine.image_ids() != machine.stored_images {
+            self.commit_queue.registry.mark_stale(name);
         }
     }
 
     /// Adds the running tasks of a machine to their jobs' counts for display, or takes them off.
     pub(super) fn count_running(&mut self, name: &str, add: bool) {
         let Some(machine) = self.machines.get(name) else { return };
-        for held in &machine.held {
-            let runs =
-                matches!(held.phase, Phase::On(TaskState::Running | TaskState::Checkpointing));
+        for held in &machine.placed_tasks {
+            let runs = matches!(
+                held.phase,
+                TaskPhase::Reported(TaskState::Running | TaskState::Checkpointing)
+            );
             if runs && let Some(job) = held.job.and_then(|k| self.jobs.get_mut(&k)) {
                 job.running = if add { job.running + 1 } else { job.running.saturating_sub(1) };
             }
--- a/crates/controller/src/ledger/marks.rs
+++ b/crates/controller/src/ledger/marks.rs
@@ -7,25 +7,25 @@
 ///
 /// Being named in a record that the store may hold is what counts: a job stays in its record until it is over.
 #[derive(Debug)]
-pub(super) struct SharedMarks {
+pub(super) struct SharedStartWatermarks {
     /// Jobs that a record may name.
-    most: usize,
+    max_jobs: usize,
     records: BTreeMap<u64, BTreeSet<JobId>>,
     /// The record that is being filled.
     current: u64,
 }
 
-impl SharedMarks {
+impl SharedStartWatermarks {
     /// No marks yet, in values of at most `value_kb` KiB.
     pub fn new(value_kb: f64) -> Self {
         let fit = value_kb * 1024.0 / constants::SHARED_WATERMARK_ENTRY_BYTES as f64;
         let most = (fit as usize).clamp(1, constants::SHARED_WATERMARK_MAX_JOBS);
-        Self { most, records: BTreeMap::new(), current: 0 }
+        Self { max_jobs: most, records: BTreeMap::new(), current: 0 }
     }
 
     /// Whether a record names more jobs than one value may.
     pub fn too_large(&self, number: u64) -> bool {
-        self.records.get(&number).is_some_and(|jobs| jobs.len() > self.most)
+        self.records.get(&number).is_some_and(|jobs| jobs.len() > self.max_jobs)
     }
 
     /// A record that an earlier leader wrote, or one that can't be read: its number is taken.
@@ -36,7 +36,7 @@
 
     /// Puts a job into the record that is being filled; the record's number.
     pub fn add(&mut self, id: &JobId) -> u64 {
-        let full = |jobs: &BTreeSet<JobId>| jobs.len() >= self.most;
+        let full = |jobs: &BTreeSet<JobId>| jobs.len() >= self.max_jobs;
         if self.records.get(&self.current).is_some_and(full) {
             self.current += 1;
         }
--- a/crates/controller/src/ledger/marks/tests.rs
+++ b/crates/controller/src/ledger/marks/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_record_goes_when_all_of_its_jobs_are_over_and_its_number_is_not_used_again() {
-    let mut marks = SharedMarks::new(8.0);
+    let mut marks = SharedStartWatermarks::new(8.0);
     let id = |n: usize| JobId::parse(&format!("req-{n:06}")).unwrap();
     marks.loaded(3, BTreeSet::from([id(999)]));
     let numbers: Vec<u64> =
@@ -19,14 +19,14 @@
 
 #[test]
 fn a_record_of_marks_is_no_larger_than_a_value_may_be() {
-    let mut marks = SharedMarks::new(1.0);
+    let mut marks = SharedStartWatermarks::new(1.0);
     let longest = |n: usize| JobId::parse(&format!("req-{n:018}")).unwrap();
     let number = marks.add(&longest(0));
     let same =
         (1..constants::SHARED_WATERMARK_MAX_JOBS).take_while(|n| marks.add(&longest(*n)) == number);
     assert!(same.count() > 10);
     let jobs = marks.jobs(number).cloned().unwrap();
-    let record = crate::records::SharedMarksRecord { jobs };
+    let record = crate::records::SharedStartWatermarksRecord { jobs };
     assert!(serde_json::to_string(&record).unwrap().len() <= 1024);
     marks.loaded(7, (0..60).map(longest).collect());
     assert!(marks.too_large(7) && !marks.too_large(number));
--- a/crates/controller/src/ledger/model.rs
+++ b/crates/controller/src/ledger/model.rs
@@ -1,4 +1,4 @@
-use super::Moment;
+use super::Timestamp;
 use super::progress::Progress;
 use crate::records::{FinalRecord, JobRecord};
 use hookway_constants as constants;
@@ -9,13 +9,13 @@
 /// The newest so many members of a set; older ones are forgotten, so that memory stays bounded over
 /// a long term.
 #[derive(Debug)]
-pub struct Recent<T> {
+pub struct BoundedSet<T> {
     members: HashSet<T>,
     order: VecDeque<T>,
     most: usize,
 }
 
-impl<T: Clone + Eq + std::hash::Hash> Recent<T> {
+impl<T: Clone + Eq + std::hash::Hash> BoundedSet<T> {
     /// An empty set that keeps `most` members.
     pub fn new(most: usize) -> Self {
         Self { members: HashSet::new(), order: VecDeque::new(), most }
@@ -45,18 +45,18 @@
 
 /// Where a task stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Slot {
+pub enum TaskPlacement {
     /// On no machine.
-    Free,
+    Unplaced,
     /// On some machine, or on its way there, or possibly there.
-    Held,
+    Placed,
     /// Completed.
-    Done,
+    Completed,
 }
 
 /// What is expected of a job, in s after its submission.
 #[derive(Debug, Clone, Default)]
-pub struct Aims {
+pub struct ServiceLevelObjectives {
     /// When it should be complete.
     pub deadline_s: Option<f64>,
     /// When it should have started, tightest aim first.
@@ -90,144 +90,149 @@
     /// Number that stands for its image.
     pub image: u32,
     /// What a task takes.
-    pub need: Resources,
+    pub request: Resources,
     /// When it was submitted, s on the steady clock (may lie before the clock's start).
     pub submitted: f64,
     /// When it should be complete, likewise.
-    pub due: Option<f64>,
+    pub deadline: Option<f64>,
     /// When it should have started, likewise, tightest aim first.
     pub start_by: Vec<f64>,
     /// An earlier leader may have started some of it.
     pub inherited: bool,
     /// Per task.
-    pub slots: Vec<Slot>,
+    pub placements: Vec<TaskPlacement>,
     /// Tasks that are `Free`.
-    pub free: BTreeSet<u32>,
+    pub unplaced: BTreeSet<u32>,
     /// Tasks that a machine has although it should not, one entry each.
-    pub strays: Vec<u32>,
+    pub orphaned: Vec<u32>,
     /// Completed tasks.
-    pub done: u32,
+    pub completed: u32,
     /// Which results are in the store.
     pub progress: Progress,
     /// Tasks that hold a place.
-    pub held: u32,
+    pub placed: u32,
     /// Tasks that run, for display.
     pub running: u32,
     /// Tasks that hold a place, per zone.
-    pub per_zone: Vec<u32>,
+    pub placed_per_zone: Vec<u32>,
     /// Sum of known run times, ms.
-    pub sum_ms: u64,
+    pub run_time_sum_ms: u64,
     /// Number of known run times.
-    pub timed: u32,
+    pub run_time_count: u32,
     /// Attempt number that a gang's tasks share.
-    pub attempt: Option<u64>,
+    pub gang_attempt: Option<u64>,
     /// Attempt of a gang that an earlier leader was starting, as this leader's copy has it.
     pub resumed_attempt: Option<u64>,
     /// Until then that attempt may be completed, ms; set once nothing of it can be anywhere unknown.
-    pub resume_until: Option<u64>,
+    pub resume_deadline: Option<u64>,
     /// What was found of that attempt waits for the rest, which may be started.
     pub completing: bool,
     /// The gang's attempt has lost a task or is being stopped: all of it must go.
     pub broken: bool,
     /// What it is to end as, once that is durable.
-    pub ending: Option<JobState>,
+    pub intended_end: Option<JobState>,
     /// When its user asked this leader to cancel it, ms; `None` if another controller decided it.
     pub cancel_asked_at: Option<u64>,
     /// The end is being written, or whether it was written is not known.
-    pub deciding: bool,
+    pub end_in_flight: bool,
     /// Some transaction with its end had no answer: it may be carried out at any time.
-    pub in_doubt: bool,
+    pub end_indeterminate: bool,
     /// It is over, and that is durable.
-    pub over: Option<FinalRecord>,
+    pub final_record: Option<FinalRecord>,
     /// No start before this time, ms.
-    pub pause_until: u64,
+    pub backoff_until: u64,
     /// Tries in a row that ended with an error.
-    pub errors: u32,
+    pub consecutive_failures: u32,
     /// When the last of those did, ms.
-    pub failed_at: u64,
+    pub last_failure_at: u64,
     /// Machines that tasks of it failed on, the last ones.
-    pub failed_on: VecDeque<String>,
+    pub failed_machines: VecDeque<String>,
     /// Tasks that were given up once for running far longer than others.
-    pub given_up: BTreeSet<u32>,
+    pub restarted_tasks: BTreeSet<u32>,
     /// Why attempts ended.
     pub notes: VecDeque<String>,
     /// Since when it has been waiting for room, ms.
     pub waiting_since: u64,
     /// Minimum, as last computed.
-    pub least: u32,
+    pub min_tasks: u32,
     /// Minimum in the store.
-    pub written_minimum: Option<u32>,
+    pub stored_min_tasks: Option<u32>,
     /// Accepted by a version that marks how far its tasks may have been started.
-    pub marked: bool,
+    pub has_start_watermark: bool,
     /// Tasks below this may be started: the store says so.
-    pub opened: u32,
+    pub watermark_stored: u32,
     /// What the store is to say.
-    pub opening: u32,
+    pub watermark_target: u32,
     /// Whether the store says what `opened` does; `false` only for jobs of leaders without marks.
-    pub written_opened: bool,
+    pub watermark_recorded: bool,
     /// Tasks from this on were not started by any earlier leader.
-    pub sure_from: u32,
+    pub never_started_from: u32,
     /// The record that it shares with other small jobs, which says that it may have been started.
-    pub shared_mark: Option<u64>,
+    pub shared_watermark: Option<u64>,
 }
 
 impl Job {
     /// A job as it was accepted.
-    pub fn new(record: JobRecord, aims: &Aims, context: &JobContext, at: Moment) -> Self {
+    pub fn new(
+        record: JobRecord,
+        aims: &ServiceLevelObjectives,
+        context: &JobContext,
+        at: Timestamp,
+    ) -> Self {
         let spec = record.spec;
-        let age = (at.wall as f64 - record.at_ms as f64).max(0.0) / 1000.0;
-        let submitted = at.now as f64 / 1000.0 - age;
+        let age = (at.wall as f64 - record.accepted_at_ms as f64).max(0.0) / 1000.0;
+        let submitted = at.monotonic as f64 / 1000.0 - age;
         let tasks = spec.tasks as usize;
         Self {
             id: spec.id.clone(),
             team: context.team,
             image: context.image,
-            need: Resources::of_task(&spec),
+            request: Resources::of_task(&spec),
             submitted,
-            due: aims.deadline_s.map(|d| submitted + d),
+            deadline: aims.deadline_s.map(|d| submitted + d),
             start_by: aims.start_s.iter().map(|s| submitted + s).collect(),
             inherited: context.inherited,
-            slots: vec![Slot::Free; tasks],
-            free: (0..spec.tasks).collect(),
-            strays: Vec::new(),
-            done: 0,
+            placements: vec![TaskPlacement::Unplaced; tasks],
+            unplaced: (0..spec.tasks).collect(),
+            orphaned: Vec::new(),
+            completed: 0,
             progress: Progress::new(spec.tasks, context.value_kb),
-            held: 0,
+            placed: 0,
             running: 0,
-            per_zone: vec![0; context.zones],
-            sum_ms: 0,
-            timed: 0,
-            attempt: None,
+            placed_per_zone: vec![0; context.zones],
+            run_time_sum_ms: 0,
+            run_time_count: 0,
+            gang_attempt: None,
             resumed_attempt: None,
-            resume_until: None,
+            resume_deadline: None,
             completing: false,
             broken: false,
-            ending: None,
+            intended_end: None,
             cancel_asked_at: None,
-            deciding: false,
-            in_doubt: false,
-            over: None,
-            pause_until: 0,
-            errors: 0,
-            failed_at: 0,
-            failed_on: VecDeque::new(),
-            given_up: BTreeSet::new(),
+            end_in_flight: false,
+            end_indeterminate: false,
+            final_record: None,
+            backoff_until: 0,
+            consecutive_failures: 0,
+            last_failure_at: 0,
+            failed_machines: VecDeque::new(),
+            restarted_tasks: BTreeSet::new(),
             notes: VecDeque::new(),
-            waiting_since: at.now,
-            least: 0,
-            written_minimum: None,
-            marked: record.marked,
-            opened: 0,
-            opening: 0,
-            written_opened: true,
-            sure_from: 0,
-            shared_mark: None,
+            waiting_since: at.monotonic,
+            min_tasks: 0,
+            stored_min_tasks: None,
+            has_start_watermark: record.has_start_watermark,
+            watermark_stored: 0,
+            watermark_target: 0,
+            watermark_recorded: true,
+            never_started_from: 0,
+            shared_watermark: None,
             spec,
         }
     }
 
     /// All of it starts at once or nearly so: it has no minimum worth a record, and shares its mark.
-    pub fn small(&self) -> bool {
+    pub fn is_small(&self) -> bool {
         self.spec.is_gang() || self.spec.tasks <= constants::SMALL_JOB_TASKS
     }
 
@@ -238,12 +243,12 @@
 
     /// Tasks that are not completed.
     pub fn unfinished(&self) -> u32 {
-        self.spec.tasks - self.done
+        self.spec.tasks - self.completed
     }
 
     /// So far the store should let tasks be started so that `index` can be: some more than that, as
     /// each step costs a write.
-    pub fn open_to(&self, index: u32) -> u32 {
+    pub fn watermark_for(&self, index: u32) -> u32 {
         if self.spec.is_gang() {
             return self.spec.tasks;
         }
@@ -254,18 +259,22 @@
 
     /// The results of a chunk, as they are in memory.
     pub fn results(&self, chunk: usize) -> Vec<bool> {
-        self.progress.range(chunk).map(|i| self.slots[i as usize] == Slot::Done).collect()
+        self.progress
+            .range(chunk)
+            .map(|i| self.placements[i as usize] == TaskPlacement::Completed)
+            .collect()
     }
 
     /// Whether some result of a chunk is not in the store.
     pub fn has_unstored_results(&self, chunk: usize) -> bool {
-        let unstored =
-            |i: u32| self.slots[i as usize] == Slot::Done && !self.progress.is_durable(i);
+        let unstored = |i: u32| {
+            self.placements[i as usize] == TaskPlacement::Completed && !self.progress.is_durable(i)
+        };
         self.progress.range(chunk).any(unstored)
     }
 
     /// Keeps a reason for the user.
-    pub fn note(&mut self, text: String) {
+    pub fn add_note(&mut self, text: String) {
         if self.notes.back() == Some(&text) {
             return;
         }
@@ -276,24 +285,25 @@
     }
 
     /// Mean time of the tasks whose time is known, ms.
-    pub fn mean_ms(&self) -> Option<f64> {
-        (self.timed > 0).then(|| self.sum_ms as f64 / f64::from(self.timed))
+    pub fn mean_run_time_ms(&self) -> Option<f64> {
+        (self.run_time_count > 0)
+            .then(|| self.run_time_sum_ms as f64 / f64::from(self.run_time_count))
     }
 
     /// The same, once enough tasks have finished to judge a machine by it.
-    pub fn solid_mean(&self) -> Option<f64> {
-        self.mean_ms().filter(|_| self.timed >= constants::RELIABLE_MEAN_TASKS)
+    pub fn reliable_mean_run_time_ms(&self) -> Option<f64> {
+        self.mean_run_time_ms().filter(|_| self.run_time_count >= constants::RELIABLE_MEAN_TASKS)
     }
 
     /// Whether tasks of it may be started at all.
-    pub fn live(&self) -> bool {
-        self.ending.is_none() && self.over.is_none()
+    pub fn is_active(&self) -> bool {
+        self.intended_end.is_none() && self.final_record.is_none()
     }
 }
 
 /// How far a start has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub enum TaskPhase {
     /// Decided, but in no answer yet: it can be dropped freely.
     Planned,
     /// The command went out in the answer to the worker's last report. The next report tells whether
@@ -301,23 +311,23 @@
     Sent,
     /// The command was sent straight to the worker under this token, and its outcome is not known. It
     /// may arrive until the worker has seen a higher token.
-    Pushed(u64),
+    SentDirectly(u64),
     /// The worker has it.
-    On(TaskState),
+    Reported(TaskState),
 }
 
 /// A stop that was decided.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Kill {
+pub struct StopOrder {
     /// Time to save, s.
     pub grace_s: f64,
     /// When it was decided, ms.
-    pub since: u64,
+    pub decided_at: u64,
 }
 
 /// A task that holds a place on a machine.
 #[derive(Debug, Clone)]
-pub struct Held {
+pub struct PlacedTask {
     /// The job; `None` if it is not in the ledger (over, most likely).
     pub job: Option<u64>,
     /// The task, as the protocol writes it.
@@ -327,24 +337,24 @@
     /// The attempt.
     pub attempt: u64,
     /// How far it has come.
-    pub phase: Phase,
+    pub phase: TaskPhase,
     /// Should not be there: stopped on sight.
-    pub stray: bool,
+    pub orphaned: bool,
     /// A stop.
-    pub kill: Option<Kill>,
+    pub stop: Option<StopOrder>,
     /// The worker was told to stop it without waiting for its report.
-    pub pushed: bool,
+    pub stop_dispatched: bool,
     /// When it was first seen running, ms.
     pub running_since: Option<u64>,
     /// When its place was taken, ms.
-    pub since: u64,
+    pub placed_at: u64,
     /// Found in a report: nobody here knows when it began.
-    pub found: bool,
+    pub adopted: bool,
 }
 
 /// An ended task that the worker still reports.
 #[derive(Debug, Clone)]
-pub struct Ended {
+pub struct EndedTask {
     /// The job, if it is in the ledger.
     pub job: Option<u64>,
     /// The task.
@@ -359,30 +369,30 @@
 
 /// What the worker's next report shows if it has taken an answer.
 #[derive(Debug, Clone, Default)]
-pub struct Expected {
+pub struct ExpectedHeartbeat {
     /// The answer's token, if it was higher than the one that the report carried.
-    pub token: Option<u64>,
+    pub fencing_token: Option<u64>,
     /// Starts: the attempts are there, in whatever state.
-    pub runs: Vec<(String, u64)>,
+    pub starts: Vec<(String, u64)>,
     /// Attempts that are not there any more.
     pub reaps: Vec<(String, u64)>,
     /// When it was given, ms.
-    pub answered_at: u64,
+    pub responded_at: u64,
     /// The last answer before that one, ms.
-    pub answered_before: u64,
+    pub responded_before: u64,
 }
 
-impl Expected {
+impl ExpectedHeartbeat {
     /// Whether the answer was taken; `None` if it had nothing that would show.
-    pub fn taken(&self, report: &Heartbeat) -> Option<bool> {
-        if self.token.is_none() && self.runs.is_empty() && self.reaps.is_empty() {
+    pub fn acknowledged(&self, report: &Heartbeat) -> Option<bool> {
+        if self.fencing_token.is_none() && self.starts.is_empty() && self.reaps.is_empty() {
             return None;
         }
         let there = |(task, attempt): &(String, u64)| {
             report.tasks.iter().any(|p| p.attempt == *attempt && p.task == *task)
         };
-        let shown = self.token.is_none_or(|t| report.fencing_token >= t)
-            && self.runs.iter().all(there)
+        let shown = self.fencing_token.is_none_or(|t| report.fencing_token >= t)
+            && self.starts.iter().all(there)
             && !self.reaps.iter().any(there);
         Some(shown)
     }
@@ -390,37 +400,37 @@
 
 /// A new leader's questions to a worker that has not shown its token yet.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Asked {
+pub struct StateProbe {
     /// One is under way.
-    pub under_way: bool,
+    pub in_flight: bool,
     /// Those that were not answered, in a row.
-    pub in_vain: u32,
+    pub unanswered: u32,
     /// When the last one was sent, ms.
-    pub last_at: Option<u64>,
+    pub last_sent_at: Option<u64>,
 }
 
-impl Asked {
+impl StateProbe {
     /// Whether it may be asked again.
     fn due(&self, now: u64) -> bool {
         let waited = |at: u64| now >= at + constants::STATE_PROBE_RETRY_MS;
-        !self.under_way && self.last_at.is_none_or(waited)
+        !self.in_flight && self.last_sent_at.is_none_or(waited)
     }
 
     /// It is asked now.
     pub fn begin(&mut self, now: u64) {
-        self.under_way = true;
-        self.last_at = Some(now);
+        self.in_flight = true;
+        self.last_sent_at = Some(now);
     }
 
     /// It answered, or did not.
     pub fn end(&mut self, answered: bool) {
-        self.under_way = false;
-        self.in_vain = if answered { 0 } else { self.in_vain + 1 };
+        self.in_flight = false;
+        self.unanswered = if answered { 0 } else { self.unanswered + 1 };
     }
 
     /// It does not answer: its worker, or the way to it, is gone.
-    pub fn fruitless(&self) -> bool {
-        !self.under_way && self.in_vain >= constants::MAX_UNANSWERED_STATE_PROBES
+    pub fn is_unresponsive(&self) -> bool {
+        !self.in_flight && self.unanswered >= constants::MAX_UNANSWERED_STATE_PROBES
     }
 }
 
@@ -434,57 +444,57 @@
     /// Spot machine.
     pub spot: bool,
     /// Where its worker listens; empty until known.
-    pub addr: String,
+    pub address: String,
     /// Its worker has reported to this leader.
-    pub heard: bool,
+    pub has_reported: bool,
     /// How this leader's questions what is on it went.
-    pub asked: Asked,
+    pub state_probe: StateProbe,
     /// Newest message: session and sequence number.
-    pub newest: (u64, u64),
+    pub newest_message: (u64, u64),
     /// Newest report that it sent by itself: session and sequence number.
-    pub reported: (u64, u64),
+    pub newest_heartbeat: (u64, u64),
     /// Added to the term to make its token: raised with each start that is sent straight to it.
-    pub bump: u64,
+    pub token_offset: u64,
     /// A start is under way to it.
-    pub direct: bool,
+    pub direct_dispatch_in_flight: bool,
     /// Its next report is expected before this, ms.
-    pub soon: u64,
+    pub heartbeat_expected_by: u64,
     /// Sessions up to this one are surely over.
-    pub dead_session: u64,
+    pub expired_incarnation: u64,
     /// What its next report shows if it has taken the last answer.
-    pub expected: Expected,
+    pub expected_heartbeat: ExpectedHeartbeat,
     /// Answers in a row that it surely did not take.
-    pub deaf: u32,
+    pub unacknowledged_responses: u32,
     /// Last time when anyone entitled may have answered its worker, and it may have heard, ms.
-    pub last_answer: u64,
+    pub last_response_at: u64,
     /// Its entry in the roster is durable.
-    pub rostered: bool,
+    pub registered: bool,
     /// Rented or first seen, ms (may be reckoned back by its listed age).
-    pub born: u64,
+    pub created_at: u64,
     /// Surely in the cloud's list since then, ms (may lie before the clock's start).
-    pub first_listed: Option<i64>,
+    pub first_listed_at: Option<i64>,
     /// What is on it.
-    pub held: Vec<Held>,
+    pub placed_tasks: Vec<PlacedTask>,
     /// What has ended on it.
-    pub ended: Vec<Ended>,
+    pub ended_tasks: Vec<EndedTask>,
     /// The cloud takes it at this time, ms.
-    pub notice: Option<u64>,
+    pub interruption_at: Option<u64>,
     /// Takes nothing new until then, ms.
-    pub pause_until: u64,
+    pub backoff_until: u64,
     /// Jobs that failed here since a task completed here.
-    pub failed: Vec<u64>,
+    pub failed_jobs: Vec<u64>,
     /// Tasks in a row that took far longer here than others of their job.
-    pub slow: u32,
+    pub consecutive_slow_tasks: u32,
     /// To be emptied and returned, for this reason.
-    pub closing: Option<&'static str>,
+    pub cordon_reason: Option<&'static str>,
     /// Nothing on it since, ms.
     pub idle_since: Option<u64>,
     /// Images on it, least recently used first, with size.
     pub images: Vec<(u32, f64)>,
     /// Images that the store says it holds.
-    pub written_images: Vec<u32>,
+    pub stored_images: Vec<u32>,
     /// Kept for a job until, ms.
-    pub kept: Option<(u64, u64)>,
+    pub reserved_for_gang: Option<(u64, u64)>,
 }
 
 impl Machine {
@@ -494,61 +504,66 @@
             machine_type: String::new(),
             zone: String::new(),
             spot: false,
-            addr: String::new(),
-            heard: false,
-            asked: Asked::default(),
-            newest: (0, 0),
-            reported: (0, 0),
-            bump: 0,
-            direct: false,
-            soon: 0,
-            expected: Expected::default(),
-            deaf: 0,
-            dead_session: 0,
-            last_answer: now,
-            rostered: false,
-            born: now,
-            first_listed: None,
-            held: Vec::new(),
-            ended: Vec::new(),
-            notice: None,
-            pause_until: 0,
-            failed: Vec::new(),
-            slow: 0,
-            closing: None,
+            address: String::new(),
+            has_reported: false,
+            state_probe: StateProbe::default(),
+            newest_message: (0, 0),
+            newest_heartbeat: (0, 0),
+            token_offset: 0,
+            direct_dispatch_in_flight: false,
+            heartbeat_expected_by: 0,
+            expected_heartbeat: ExpectedHeartbeat::default(),
+            unacknowledged_responses: 0,
+            expired_incarnation: 0,
+            last_response_at: now,
+            registered: false,
+            created_at: now,
+            first_listed_at: None,
+            placed_tasks: Vec::new(),
+            ended_tasks: Vec::new(),
+            interruption_at: None,
+            backoff_until: 0,
+            failed_jobs: Vec::new(),
+            consecutive_slow_tasks: 0,
+            cordon_reason: None,
             idle_since: None,
             images: Vec::new(),
-            written_images: Vec::new(),
-            kept: None,
+            stored_images: Vec::new(),
+            reserved_for_gang: None,
         }
     }
 
     /// Whether it should be asked what is on it: it has not reported, or its report came before this leader's token
     /// did and another one is not to be expected at once.
-    pub fn to_be_asked(&self, now: u64) -> bool {
-        let reports_soon = self.heard && now < self.last_answer + constants::PROMPT_HEARTBEAT_MS;
-        self.asked.due(now) && !reports_soon && !self.addr.is_empty() && self.closing.is_none()
+    pub fn needs_state_probe(&self, now: u64) -> bool {
+        let reports_soon =
+            self.has_reported && now < self.last_response_at + constants::PROMPT_HEARTBEAT_MS;
+        self.state_probe.due(now)
+            && !reports_soon
+            && !self.address.is_empty()
+            && self.cordon_reason.is_none()
     }
 
     /// What its newest message says of the machine itself.
-    pub fn described(&mut self, report: &Heartbeat, now: u64) {
-        self.newest = (report.incarnation, report.sequence);
-        self.notice = report.interruption_notice_s.map(|s| now + (s.max(0.0) * 1000.0) as u64);
-        self.addr.clone_from(&report.addr);
+    pub fn update_from(&mut self, report: &Heartbeat, now: u64) {
+        self.newest_message = (report.incarnation, report.sequence);
+        self.interruption_at =
+            report.interruption_notice_s.map(|s| now + (s.max(0.0) * 1000.0) as u64);
+        self.address.clone_from(&report.addr);
         self.machine_type.clone_from(&report.machine_type);
         self.zone.clone_from(&report.zone);
         self.spot = report.spot;
     }
 
     /// The images on it, in no order of use.
-    pub fn image_set(&self) -> Vec<u32> {
+    pub fn image_ids(&self) -> Vec<u32> {
         let mut set: Vec<u32> = self.images.iter().map(|(i, _)| *i).collect();
         set.sort_unstable();
         set
     }
 
     /// An image was used on it; older ones give way beyond `cache_gb`.
-    pub fn touch_image(&mut self, image: u32, gb: f64, cache_gb: f64) {
+    pub fn use_image(&mut self, image: u32, gb: f64, cache_gb: f64) {
         self.images.retain(|(i, _)| *i != image);
         self.images.push((image, gb));
         let mut sum: f64 = self.images.iter().map(|(_, g)| g).sum();
--- a/crates/controller/src/ledger/model/tests.rs
+++ b/crates/controller/src/ledger/model/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_recent_set_forgets_its_oldest_members_only() {
-    let mut recent = Recent::new(2);
+    let mut recent = BoundedSet::new(2);
     for n in [1, 2, 2, 3] {
         recent.insert(n);
     }
--- a/crates/controller/src/ledger/progress.rs
+++ b/crates/controller/src/ledger/progress.rs
@@ -1,6 +1,6 @@
 //! Which results of a job are in the state service, and the records that hold them.
 //!
-//! A record holds the results of a chunk of tasks. Where values may be large, a chunk has
+//! A record holds the results of a page of tasks. Where values may be large, a page has
 //! [`constants::PROGRESS_PAGE_TASKS`] tasks. Where they may not, it has a part of that many; the first part
 //! keeps the key of the whole, and the others have the number of their first task in theirs. A record that
 //! was written under a larger limit stays readable; it is overwritten once the other parts are stored.
@@ -17,35 +17,35 @@
 
 /// A progress record.
 #[derive(Debug, Clone, Default)]
-struct Chunk {
+struct Page {
     /// Its version in the store; 0 if there is none.
-    stamp: u64,
+    mod_revision: u64,
     /// It waits to be written.
     queued: bool,
-    /// The stored record holds results of other chunks too, which must be stored by themselves first.
-    wide: bool,
+    /// The stored record holds results of other pages too, which must be stored by themselves first.
+    spans_other_pages: bool,
 }
 
 /// What a stored record says.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Learned {
+pub struct StoredResults {
     /// Tasks whose results it holds.
     pub done: Vec<u32>,
     /// Chunks whose results it holds although they have records of their own: those must be written.
-    pub chunks_to_write: Vec<usize>,
+    pub pages_to_write: Vec<usize>,
 }
 
 /// The stored results of one job.
 #[derive(Debug)]
 pub struct Progress {
     tasks: u32,
-    chunk_tasks: u32,
+    page_tasks: u32,
     durable: Vec<bool>,
-    chunks: Vec<Chunk>,
+    pages: Vec<Page>,
 }
 
-/// Tasks whose results fit into one value: a power of two, so that chunks divide those of larger values.
-fn tasks_per_chunk(value_kb: f64) -> u32 {
+/// Tasks whose results fit into one value: a power of two, so that pages divide those of larger values.
+fn tasks_per_page(value_kb: f64) -> u32 {
     let most = (value_kb * 1024.0 - ENVELOPE_BYTES) * TASKS_PER_CHARACTER;
     let mut tasks = constants::PROGRESS_PAGE_TASKS;
     while tasks > constants::PROGRESS_PAGE_MIN_TASKS && f64::from(tasks) > most {
@@ -57,9 +57,9 @@
 impl Progress {
     /// Nothing stored yet, of a job with so many tasks, in values of at most `value_kb` KiB.
     pub fn new(tasks: u32, value_kb: f64) -> Self {
-        let chunk_tasks = tasks_per_chunk(value_kb);
-        let chunks = vec![Chunk::default(); tasks.div_ceil(chunk_tasks) as usize];
-        Self { tasks, chunk_tasks, durable: vec![false; tasks as usize], chunks }
+        let page_tasks = tasks_per_page(value_kb);
+        let pages = vec![Page::default(); tasks.div_ceil(page_tasks) as usize];
+        Self { tasks, page_tasks, durable: vec![false; tasks as usize], pages }
     }
 
     /// Whether a task's result is stored.
@@ -67,61 +67,66 @@
         self.durable.get(index as usize).copied().unwrap_or(false)
     }
 
-    /// The chunk that a task's result goes to.
-    pub fn chunk_of(&self, index: u32) -> usize {
-        (index / self.chunk_tasks) as usize
+    /// The page that a task's result goes to.
+    pub fn page_of(&self, index: u32) -> usize {
+        (index / self.page_tasks) as usize
     }
 
-    /// The tasks of a chunk.
-    pub fn range(&self, chunk: usize) -> Range<u32> {
-        let from = chunk as u32 * self.chunk_tasks;
-        from..(from + self.chunk_tasks).min(self.tasks)
+    /// The tasks of a page.
+    pub fn range(&self, page: usize) -> Range<u32> {
+        let from = page as u32 * self.page_tasks;
+        from..(from + self.page_tasks).min(self.tasks)
     }
 
-    /// A chunk is to be written; `false` if it waits already.
-    pub fn queue(&mut self, chunk: usize) -> bool {
-        self.chunks.get_mut(chunk).is_some_and(|c| !std::mem::replace(&mut c.queued, true))
+    /// A page is to be written; `false` if it waits already.
+    pub fn queue(&mut self, page: usize) -> bool {
+        self.pages.get_mut(page).is_some_and(|c| !std::mem::replace(&mut c.queued, true))
     }
 
-    /// A chunk waits no more: it is being written, or needs no record.
-    pub fn unqueue(&mut self, chunk: usize) {
-        if let Some(chunk) = self.chunks.get_mut(chunk) {
-            chunk.queued = false;
+    /// A page waits no more: it is being written, or needs no record.
+    pub fn unqueue(&mut self, page: usize) {
+        if let Some(page) = self.pages.get_mut(page) {
+            page.queued = false;
         }
     }
 
-    /// The version of a chunk's record; 0 if there is none.
-    pub fn stamp(&self, chunk: usize) -> u64 {
-        self.chunks.get(chunk).map_or(0, |c| c.stamp)
+    /// The version of a page's record; 0 if there is none.
+    pub fn mod_revision(&self, page: usize) -> u64 {
+        self.pages.get(page).map_or(0, |c| c.mod_revision)
     }
 
-    /// The key of a chunk's record.
-    pub fn key(&self, id: &JobId, chunk: usize) -> String {
-        progress_key(id, chunk as u32 * self.chunk_tasks)
+    /// The key of a page's record.
+    pub fn key(&self, id: &JobId, page: usize) -> String {
+        progress_key(id, page as u32 * self.page_tasks)
     }
 
     /// The keys of all stored records.
     pub fn stored_keys(&self, id: &JobId) -> Vec<String> {
-        let stored = |chunk: &usize| self.chunks[*chunk].stamp != 0;
-        (0..self.chunks.len()).filter(stored).map(|chunk| self.key(id, chunk)).collect()
+        let stored = |page: &usize| self.pages[*page].mod_revision != 0;
+        (0..self.pages.len()).filter(stored).map(|page| self.key(id, page)).collect()
     }
 
-    /// Whether a chunk's record must not be overwritten yet: it holds results of other chunks that are not
+    /// Whether a page's record must not be overwritten yet: it holds results of other pages that are not
     /// stored by themselves.
-    pub fn must_wait(&self, chunk: usize) -> bool {
-        let wide = self.chunks.get(chunk).is_some_and(|c| c.wide);
-        wide && self.rest_of_block(chunk).any(|other| {
+    pub fn must_wait(&self, page: usize) -> bool {
+        let wide = self.pages.get(page).is_some_and(|c| c.spans_other_pages);
+        wide && self.rest_of_block(page).any(|other| {
             self.holds_results(other) && {
-                let other = &self.chunks[other];
-                other.queued || other.stamp == 0
+                let other = &self.pages[other];
+                other.queued || other.mod_revision == 0
             }
         })
     }
 
     /// The record whose results begin at task `from` has this version and these results, counted from there
     /// (`None`: there is no such record).
-    pub fn learn(&mut self, from: u32, stamp: u64, record: Option<&ProgressRecord>) -> Learned {
-        let results = record.map(ProgressRecord::set).unwrap_or_default();
+    pub fn learn(
+        &mut self,
+        from: u32,
+        stamp: u64,
+        record: Option<&ProgressRecord>,
+    ) -> StoredResults {
+        let results = record.map(ProgressRecord::completed).unwrap_or_default();
         let done: Vec<u32> = results
             .into_iter()
             .map(|i| from.saturating_add(i))
@@ -130,27 +135,27 @@
         for index in &done {
             self.durable[*index as usize] = true;
         }
-        let own = self.chunk_of(from);
-        let aligned = from.is_multiple_of(self.chunk_tasks) && own < self.chunks.len();
+        let own = self.page_of(from);
+        let aligned = from.is_multiple_of(self.page_tasks) && own < self.pages.len();
         if !aligned {
-            return Learned { done, chunks_to_write: Vec::new() };
+            return StoredResults { done, pages_to_write: Vec::new() };
         }
         let mut others: Vec<usize> =
-            done.iter().map(|i| self.chunk_of(*i)).filter(|chunk| *chunk != own).collect();
+            done.iter().map(|i| self.page_of(*i)).filter(|page| *page != own).collect();
         others.dedup();
-        self.chunks[own].stamp = stamp;
-        self.chunks[own].wide = !others.is_empty();
-        Learned { done, chunks_to_write: others }
+        self.pages[own].mod_revision = stamp;
+        self.pages[own].spans_other_pages = !others.is_empty();
+        StoredResults { done, pages_to_write: others }
     }
 
-    /// The chunks that one record holds where values may be large, but for the first of them.
+    /// The pages that one record holds where values may be large, but for the first of them.
     fn rest_of_block(&self, first: usize) -> Range<usize> {
-        let chunks = (constants::PROGRESS_PAGE_TASKS / self.chunk_tasks) as usize;
-        first + 1..(first + chunks).min(self.chunks.len())
+        let pages = (constants::PROGRESS_PAGE_TASKS / self.page_tasks) as usize;
+        first + 1..(first + pages).min(self.pages.len())
     }
 
-    fn holds_results(&self, chunk: usize) -> bool {
-        self.range(chunk).any(|index| self.is_durable(index))
+    fn holds_results(&self, page: usize) -> bool {
+        self.range(page).any(|index| self.is_durable(index))
     }
 }
 
--- a/crates/controller/src/ledger/progress/tests.rs
+++ b/crates/controller/src/ledger/progress/tests.rs
@@ -27,14 +27,14 @@
     results[9_000] = true;
     let learned = progress.learn(0, 7, Some(&ProgressRecord::new(&results)));
     assert_eq!(learned.done, [5, 9_000]);
-    assert_eq!(learned.chunks_to_write, [1], "the second part needs a record of its own");
+    assert_eq!(learned.pages_to_write, [1], "the second part needs a record of its own");
     assert!(progress.is_durable(5) && progress.is_durable(9_000));
     assert!(progress.queue(1));
     assert!(progress.must_wait(0), "what it holds of the second part is stored nowhere else");
     progress.unqueue(1);
     assert!(progress.must_wait(0), "the second part is under way, not stored");
     let part = ProgressRecord::new(&results[8_192..]);
-    assert_eq!(progress.learn(8_192, 8, Some(&part)).chunks_to_write, [0usize; 0]);
+    assert_eq!(progress.learn(8_192, 8, Some(&part)).pages_to_write, [0usize; 0]);
     assert!(!progress.must_wait(0));
 }
 
@@ -42,7 +42,7 @@
 fn a_part_of_a_size_that_is_not_in_use_counts_and_is_not_overwritten() {
     let mut progress = Progress::new(16_384, 8.0);
     let part = ProgressRecord::new(&[true]);
-    assert_eq!(progress.learn(8_192, 8, Some(&part)).chunks_to_write, [0usize; 0]);
+    assert_eq!(progress.learn(8_192, 8, Some(&part)).pages_to_write, [0usize; 0]);
     assert!(progress.is_durable(8_192));
-    assert_eq!(progress.stamp(0), 0);
+    assert_eq!(progress.mod_revision(0), 0);
 }
--- a/crates/controller/src/ledger/replicate.rs
+++ b/crates/controller/src/ledger/replicate.rs
@@ -4,7 +4,7 @@
 //! wherever they were tried, and which attempt of a gang was being started. What runs where is told by the
 //! workers alone, and what was never started by the state service alone.
 
-use super::{Job, Ledger, Machine, Phase};
+use super::{ClusterState, Job, Machine, TaskPhase};
 use crate::networks::Networks;
 use hookway_constants as constants;
 use hookway_replication::{JobHints, MachineView, Publisher, ReplicatedState, Stage, TaskView};
@@ -29,51 +29,52 @@
     }
 }
 
-fn stage(phase: Phase) -> Stage {
+fn stage(phase: TaskPhase) -> Stage {
     match phase {
-        Phase::Planned => Stage::Planned,
-        Phase::Sent | Phase::Pushed(_) => Stage::Sent,
-        Phase::On(TaskState::Running | TaskState::Checkpointing) => Stage::Running,
-        Phase::On(_) => Stage::Accepted,
+        TaskPhase::Planned => Stage::Planned,
+        TaskPhase::Sent | TaskPhase::SentDirectly(_) => Stage::Sent,
+        TaskPhase::Reported(TaskState::Running | TaskState::Checkpointing) => Stage::Running,
+        TaskPhase::Reported(_) => Stage::Accepted,
     }
 }
 
 fn is_published(machine: &Machine) -> bool {
-    machine.heard && !machine.addr.is_empty()
+    machine.has_reported && !machine.address.is_empty()
 }
 
-impl Ledger {
+impl ClusterState {
     /// A machine may have changed.
-    pub(super) fn touch(&mut self, name: &str) {
-        if !self.unpublished.contains(name) {
-            self.unpublished.insert(name.to_owned());
+    pub(super) fn mark_unpublished(&mut self, name: &str) {
+        if !self.unpublished_machines.contains(name) {
+            self.unpublished_machines.insert(name.to_owned());
         }
     }
 
     /// Publishes what has changed since the last time.
     pub fn publish(&mut self, publisher: &mut Publisher) {
-        for name in std::mem::take(&mut self.unpublished) {
-            self.show(&name, publisher);
+        for name in std::mem::take(&mut self.unpublished_machines) {
+            self.publish_machine(&name, publisher);
         }
         self.publish_jobs(publisher);
     }
 
     /// Publishes every difference between what was published and what there is.
     pub fn publish_all(&mut self, publisher: &mut Publisher) {
-        self.unpublished.clear();
+        self.unpublished_machines.clear();
         for name in self.machines.keys() {
-            self.show(name, publisher);
+            self.publish_machine(name, publisher);
         }
         publisher.retain_machines(|name| self.machines.get(name).is_some_and(is_published));
         self.publish_jobs(publisher);
     }
 
-    fn show(&self, name: &str, publisher: &mut Publisher) {
+    fn publish_machine(&self, name: &str, publisher: &mut Publisher) {
         let Some(machine) = self.machines.get(name).filter(|m| is_published(m)) else {
             return publisher.drop_machine(name);
         };
-        let view = MachineView { name, address: &machine.addr, session: machine.newest.0 };
-        let tasks = machine.held.iter().map(|held| TaskView {
+        let view =
+            MachineView { name, address: &machine.address, session: machine.newest_message.0 };
+        let tasks = machine.placed_tasks.iter().map(|held| TaskView {
             task: &held.task,
             attempt: held.attempt,
             stage: stage(held.phase),
@@ -84,29 +85,30 @@
     fn publish_jobs(&self, publisher: &mut Publisher) {
         let mut shown = 0;
         for job in self.jobs.values() {
-            if let Some(hints) = self.hints_of(job) {
+            if let Some(hints) = self.replicated_hints(job) {
                 shown += 1;
                 publisher.show_job(job.id.as_str(), hints);
             }
         }
         publisher.retain_jobs(shown, |id| {
-            let job = JobId::parse(id).and_then(|id| self.jobs.get(self.by_id.get(&id)?));
-            job.is_some_and(|job| self.hints_of(job).is_some())
+            let job = JobId::parse(id).and_then(|id| self.jobs.get(self.job_keys.get(&id)?));
+            job.is_some_and(|job| self.replicated_hints(job).is_some())
         });
     }
 
     /// What the next leader should know of a job beside its records; `None`: nothing.
-    fn hints_of(&self, job: &Job) -> Option<JobHints> {
-        let attempt = job.attempt.filter(|_| job.spec.is_gang() && job.live() && !job.broken);
-        if attempt.is_none() && job.errors == 0 {
+    fn replicated_hints(&self, job: &Job) -> Option<JobHints> {
+        let attempt =
+            job.gang_attempt.filter(|_| job.spec.is_gang() && job.is_active() && !job.broken);
+        if attempt.is_none() && job.consecutive_failures == 0 {
             return None;
         }
         let mut hints = JobHints { attempt, ..JobHints::default() };
-        if job.errors > 0 {
-            hints.errors = job.errors;
-            hints.failed_at = self.began.wall_of(job.failed_at);
-            hints.paused_until = self.began.wall_of(job.pause_until);
-            hints.failed_on = job.failed_on.iter().cloned().collect();
+        if job.consecutive_failures > 0 {
+            hints.errors = job.consecutive_failures;
+            hints.failed_at = self.elected_at_timestamp.wall_at_monotonic(job.last_failure_at);
+            hints.paused_until = self.elected_at_timestamp.wall_at_monotonic(job.backoff_until);
+            hints.failed_on = job.failed_machines.iter().cloned().collect();
         }
         Some(hints)
     }
@@ -122,31 +124,33 @@
         let mut taken = WarmStart::default();
         for (name, known) in &copy.machines {
             let Some(machine) = self.machines.get_mut(name) else { continue };
-            let asked = !machine.heard && machine.addr.is_empty();
+            let asked = !machine.has_reported && machine.address.is_empty();
             if asked && workers.allow_socket(&known.address) {
-                machine.addr.clone_from(&known.address);
+                machine.address.clone_from(&known.address);
                 taken.addresses += 1;
             }
         }
         for (id, hints) in &copy.jobs {
-            let key = JobId::parse(id).and_then(|id| self.by_id.get(&id));
+            let key = JobId::parse(id).and_then(|id| self.job_keys.get(&id));
             let Some(job) = key.and_then(|key| self.jobs.get_mut(key)) else { continue };
             if job.spec.is_gang() && hints.attempt.is_some() {
                 job.resumed_attempt = hints.attempt;
                 taken.gangs += 1;
             }
-            if hints.errors > 0 && job.errors == 0 {
+            if hints.errors > 0 && job.consecutive_failures == 0 {
                 let latest = now + constants::FAILURE_BACKOFF_MAX_MS;
-                job.errors = hints.errors.min(constants::MAX_RESUMED_FAILURES);
-                job.failed_at = self.began.steady_of(hints.failed_at).min(now);
-                job.pause_until = self.began.steady_of(hints.paused_until).min(latest);
+                job.consecutive_failures = hints.errors.min(constants::MAX_RESUMED_FAILURES);
+                job.last_failure_at =
+                    self.elected_at_timestamp.monotonic_at_wall(hints.failed_at).min(now);
+                job.backoff_until =
+                    self.elected_at_timestamp.monotonic_at_wall(hints.paused_until).min(latest);
                 let kept = hints.failed_on.iter().take(constants::MAX_FAILED_MACHINES);
-                job.failed_on = kept.cloned().collect();
+                job.failed_machines = kept.cloned().collect();
                 taken.failing_jobs += 1;
             }
         }
         if taken.addresses > 0 {
-            self.greet_from = now;
+            self.state_probes_from = now;
         }
         taken
     }
@@ -156,9 +160,9 @@
     pub(super) fn completable_gangs(&self) -> HashSet<u64> {
         let resumed = |job: &Job| {
             job.resumed_attempt.is_some()
-                && !job.free.is_empty()
-                && job.attempt == job.resumed_attempt
-                && job.strays.is_empty()
+                && !job.unplaced.is_empty()
+                && job.gang_attempt == job.resumed_attempt
+                && job.orphaned.is_empty()
                 && !job.broken
         };
         let mut gangs: HashSet<u64> =
@@ -166,13 +170,14 @@
         if gangs.is_empty() {
             return gangs;
         }
-        for held in self.machines.values().flat_map(|machine| &machine.held) {
+        for held in self.machines.values().flat_map(|machine| &machine.placed_tasks) {
             let waits = matches!(
                 held.phase,
-                Phase::Planned | Phase::On(TaskState::FetchingImage | TaskState::WaitingForGang)
+                TaskPhase::Planned
+                    | TaskPhase::Reported(TaskState::FetchingImage | TaskState::WaitingForGang)
             );
             if let Some(key) = held.job
-                && (!waits || held.kill.is_some())
+                && (!waits || held.stop.is_some())
             {
                 gangs.remove(&key);
             }
--- a/crates/controller/src/ledger/roster.rs
+++ b/crates/controller/src/ledger/roster.rs
@@ -1,14 +1,14 @@
-use crate::records::{RosterEntry, RosterRecord, fits, roster_key};
+use crate::records::{MachineRegistryEntry, MachineRegistryRecord, fits_value_limit, registry_key};
 use hookway_constants as constants;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Which machines stand in which record. Many machines share one, so that hundreds of them may take
 /// their first tasks within seconds at a few changes a second.
 #[derive(Debug)]
-pub(super) struct Roster {
-    most: usize,
+pub(super) struct MachineRegistry {
+    max_entries: usize,
     records: BTreeMap<u64, BTreeMap<String, u64>>,
-    of: HashMap<String, u64>,
+    record_of: HashMap<String, u64>,
     /// Records that lack a machine in the store: written before anything starts there.
     urgent: BTreeSet<u64>,
     /// Records whose hints, or machines that are gone, are out of date.
@@ -20,14 +20,14 @@
     moving: HashMap<String, u64>,
 }
 
-impl Roster {
+impl MachineRegistry {
     /// An empty roster for values of at most `value_kb` KiB.
     pub fn new(value_kb: f64) -> Self {
         let most = value_kb.max(0.0) * 1024.0 / constants::REGISTRY_ENTRY_BYTES as f64;
         Self {
-            most: (most as usize).max(1),
+            max_entries: (most as usize).max(1),
             records: BTreeMap::new(),
-            of: HashMap::new(),
+            record_of: HashMap::new(),
             urgent: BTreeSet::new(),
             stale: BTreeSet::new(),
             unreadable: BTreeSet::new(),
@@ -51,18 +51,18 @@
     /// A record that an earlier leader wrote.
     pub fn loaded(&mut self, number: u64, machine: &str, at_ms: u64) {
         let members = self.records.entry(number).or_default();
-        if self.of.contains_key(machine) {
+        if self.record_of.contains_key(machine) {
             // That leader was moving it between records when it ended. One of them is enough.
             self.stale.insert(number);
             return;
         }
         members.insert(machine.to_owned(), at_ms);
-        self.of.insert(machine.to_owned(), number);
+        self.record_of.insert(machine.to_owned(), number);
     }
 
     /// A machine is to be in the roster, known since `at_ms` (time of day).
-    pub fn want(&mut self, machine: &str, at_ms: u64) {
-        if self.of.contains_key(machine) {
+    pub fn register(&mut self, machine: &str, at_ms: u64) {
+        if self.record_of.contains_key(machine) {
             return;
         }
         let number = self.add_to_open_record(machine, at_ms);
@@ -71,7 +71,7 @@
 
     /// Adds a machine to a record with room, or to a new one.
     fn add_to_open_record(&mut self, machine: &str, at_ms: u64) -> u64 {
-        let open = self.records.iter().find(|(_, members)| members.len() < self.most);
+        let open = self.records.iter().find(|(_, members)| members.len() < self.max_entries);
         let number = open.map_or_else(
             || {
                 let last = self.records.last_key_value().map(|(last, _)| *last);
@@ -80,17 +80,19 @@
             |(number, _)| *number,
         );
         self.records.entry(number).or_default().insert(machine.to_owned(), at_ms);
-        self.of.insert(machine.to_owned(), number);
+        self.record_of.insert(machine.to_owned(), number);
         number
     }
 
     /// A record is larger than a value may be: it was written under a larger limit. What is too much of it
     /// moves to other records, and only once the store has those is it written again.
-    pub fn divide(&mut self, number: u64) {
+    pub fn split(&mut self, number: u64) {
         let Some(members) = self.records.get(&number) else { return };
         let staying = members.iter().filter(|(machine, _)| !self.moving.contains_key(*machine));
-        let surplus: Vec<(String, u64)> =
-            staying.skip(self.most).map(|(machine, at_ms)| (machine.clone(), *at_ms)).collect();
+        let surplus: Vec<(String, u64)> = staying
+            .skip(self.max_entries)
+            .map(|(machine, at_ms)| (machine.clone(), *at_ms))
+            .collect();
         for (machine, at_ms) in surplus {
             let target = self.add_to_open_record(&machine, at_ms);
             self.stale.insert(target);
@@ -101,7 +103,7 @@
     /// A record with these machines is in the store.
     pub fn stored<'a>(&mut self, number: u64, machines: impl Iterator<Item = &'a str>) {
         for machine in machines {
-            let here = self.of.get(machine) == Some(&number);
+            let here = self.record_of.get(machine) == Some(&number);
             if here && let Some(source) = self.moving.remove(machine) {
                 self.remove_from(source, machine);
             }
@@ -117,16 +119,16 @@
     }
 
     /// A machine is gone. That its entry stays a while longer costs the next leader a look only.
-    pub fn drop(&mut self, machine: &str) {
-        let numbers = [self.of.remove(machine), self.moving.remove(machine)];
+    pub fn remove(&mut self, machine: &str) {
+        let numbers = [self.record_of.remove(machine), self.moving.remove(machine)];
         for number in numbers.into_iter().flatten() {
             self.remove_from(number, machine);
         }
     }
 
     /// The hints about a machine have changed.
-    pub fn hint(&mut self, machine: &str) {
-        if let Some(number) = self.of.get(machine) {
+    pub fn mark_stale(&mut self, machine: &str) {
+        if let Some(number) = self.record_of.get(machine) {
             self.stale.insert(*number);
         }
     }
@@ -144,7 +146,7 @@
     }
 
     /// A record may not have been written.
-    pub fn again(&mut self, number: u64) {
+    pub fn requeue(&mut self, number: u64) {
         self.urgent.insert(number);
     }
 
@@ -155,12 +157,12 @@
 
     /// A record's key.
     pub fn key(number: u64) -> String {
-        roster_key(&format!("{}{number}", constants::REGISTRY_RECORD_PREFIX))
+        registry_key(&format!("{}{number}", constants::REGISTRY_RECORD_PREFIX))
     }
 
     /// The number of a record, from its key without the prefix `r/`; `None` for an entry of the
     /// format in which each machine had a key of its own.
-    pub fn number(name: &str) -> Option<u64> {
+    pub fn record_number(name: &str) -> Option<u64> {
         name.strip_prefix(constants::REGISTRY_RECORD_PREFIX)?.parse().ok()
     }
 
@@ -172,12 +174,12 @@
         value_kb: f64,
         images: impl Fn(&str) -> Vec<(&'a str, f64)>,
     ) -> Option<serde_json::Value> {
-        let mut record = RosterRecord::default();
+        let mut record = MachineRegistryRecord::default();
         let mut numbers: HashMap<&str, usize> = HashMap::new();
         for (machine, at_ms) in self.members(number) {
             let held = images(machine);
             let newest = held.len().saturating_sub(constants::REGISTRY_ENTRY_IMAGES);
-            let mut entry = RosterEntry { at_ms, images: Vec::new() };
+            let mut entry = MachineRegistryEntry { registered_at_ms: at_ms, images: Vec::new() };
             for (name, gb) in &held[newest..] {
                 let next = numbers.len();
                 let n = *numbers.entry(name).or_insert(next);
@@ -189,14 +191,14 @@
             record.machines.insert(machine.clone(), entry);
         }
         let value = serde_json::to_value(&record).ok()?;
-        if fits(&value, value_kb) {
+        if fits_value_limit(&value, value_kb) {
             return Some(value);
         }
         record.images.clear();
         for entry in record.machines.values_mut() {
             entry.images.clear();
         }
-        serde_json::to_value(&record).ok().filter(|value| fits(value, value_kb))
+        serde_json::to_value(&record).ok().filter(|value| fits_value_limit(value, value_kb))
     }
 }
 
--- a/crates/controller/src/ledger/roster/tests.rs
+++ b/crates/controller/src/ledger/roster/tests.rs
@@ -2,9 +2,13 @@
 
 const SMALL_VALUE_KB: f64 = 2.0;
 
-fn write(roster: &mut Roster, number: u64, stored: &mut BTreeMap<u64, BTreeSet<String>>) -> bool {
+fn write(
+    roster: &mut MachineRegistry,
+    number: u64,
+    stored: &mut BTreeMap<u64, BTreeSet<String>>,
+) -> bool {
     let Some(value) = roster.record(number, SMALL_VALUE_KB, |_| Vec::new()) else {
-        roster.divide(number);
+        roster.split(number);
         return false;
     };
     assert!(value.to_string().len() as f64 <= SMALL_VALUE_KB * 1024.0);
@@ -17,13 +21,13 @@
 
 #[test]
 fn a_record_too_large_for_the_new_limit_is_divided_and_no_machine_is_ever_missing() {
-    let mut roster = Roster::new(SMALL_VALUE_KB);
+    let mut roster = MachineRegistry::new(SMALL_VALUE_KB);
     let machines: BTreeSet<String> = (0..64).map(|n| format!("m-{n:06}")).collect();
     let mut stored = BTreeMap::from([(3, machines.clone())]);
     for machine in &machines {
         roster.loaded(3, machine, 1_764_654_219_000);
     }
-    roster.hint("m-000001");
+    roster.mark_stale("m-000001");
     for _ in 0..40 {
         let Some(number) = roster.next_stale() else { break };
         write(&mut roster, number, &mut stored);
@@ -36,12 +40,12 @@
 
 #[test]
 fn a_machine_that_goes_while_it_moves_leaves_both_records() {
-    let mut roster = Roster::new(SMALL_VALUE_KB);
+    let mut roster = MachineRegistry::new(SMALL_VALUE_KB);
     for n in 0..64 {
         roster.loaded(0, &format!("m-{n:06}"), 1);
     }
-    roster.divide(0);
-    roster.drop("m-000063");
+    roster.split(0);
+    roster.remove("m-000063");
     let mut stored = BTreeMap::new();
     while let Some(number) = roster.next_stale() {
         write(&mut roster, number, &mut stored);
@@ -52,11 +56,11 @@
 
 #[test]
 fn a_machine_that_two_records_name_after_a_crash_stays_in_one() {
-    let mut roster = Roster::new(SMALL_VALUE_KB);
+    let mut roster = MachineRegistry::new(SMALL_VALUE_KB);
     roster.loaded(0, "m-000001", 1);
     roster.loaded(1, "m-000001", 1);
     assert_eq!(roster.next_stale(), Some(1));
     assert_eq!(roster.members(1).count(), 0);
-    roster.drop("m-000001");
+    roster.remove("m-000001");
     assert_eq!(roster.members(0).count(), 0);
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,6 +1,6 @@
 //! The controller of hookway: the part that every node runs, as a library.
 //!
-//! [`Ledger`] is the leader's picture of jobs and machines. It does no I/O and reads no clock, so a
+//! [`ClusterState`] is the leader's picture of jobs and machines. It does no I/O and reads no clock, so a
 //! test can play any sequence of events to it. Around it stand the actors: leadership, the node that
 //! owns the ledger while it leads, the user and worker interface, and the link to the other nodes.
 
@@ -24,5 +24,5 @@
 pub mod standby;
 
 pub use config::{ConfigError, OperatorSettings, Settings};
-pub use ledger::Ledger;
+pub use ledger::ClusterState;
 pub use run::{StartError, run};
--- a/crates/controller/src/limiter/tests.rs
+++ b/crates/controller/src/limiter/tests.rs
@@ -2,16 +2,16 @@
 
 #[test]
 fn slow_answers_lower_the_limit_and_quick_ones_raise_it() {
-    let limiter = Limiter::new(20);
+    let limiter = ConcurrencyLimiter::new(20);
     for _ in 0..100 {
-        limiter.measured(Duration::from_secs(2));
+        limiter.record_latency(Duration::from_secs(2));
     }
-    let held: Vec<_> = std::iter::from_fn(|| limiter.enter()).collect();
+    let held: Vec<_> = std::iter::from_fn(|| limiter.try_acquire()).collect();
     assert_eq!(held.len(), constants::MIN_CONCURRENCY);
     drop(held);
     for _ in 0..1000 {
-        limiter.measured(Duration::from_millis(5));
+        limiter.record_latency(Duration::from_millis(5));
     }
-    let held: Vec<_> = std::iter::from_fn(|| limiter.enter()).collect();
+    let held: Vec<_> = std::iter::from_fn(|| limiter.try_acquire()).collect();
     assert_eq!(held.len(), 20);
 }
--- a/crates/controller/src/node/messages.rs
+++ b/crates/controller/src/node/messages.rs
@@ -1,7 +1,7 @@
 //! What the node's actor is asked, and what its helpers bring back.
 
-use crate::holders::{BlockLease, Renewal};
-use crate::ledger::{Cancellation, Commit, CommitResult, Loaded, Lookup};
+use crate::holders::{ShardLease, ShardLeaseRenewal};
+use crate::ledger::{CancelOutcome, CommitResult, JobLookup, LoadedState, PendingCommit};
 use hookway_clients::Delivery;
 use hookway_replication::{FollowAnswer, FollowRequest};
 use hookway_wire::{
@@ -12,30 +12,30 @@
 
 /// What is asked of the node. `None` in a reply: this node does not lead.
 #[derive(Debug)]
-pub enum Ask {
+pub enum ControllerRequest {
     /// A worker reports.
     Heartbeat(Heartbeat, oneshot::Sender<HeartbeatReply>),
     /// A job's state.
-    Status(JobId, oneshot::Sender<Option<Lookup>>),
+    Status(JobId, oneshot::Sender<Option<JobLookup>>),
     /// Cancel a job; answered once the decision is durable.
-    Cancel(JobId, oneshot::Sender<Option<Cancellation>>),
+    Cancel(JobId, oneshot::Sender<Option<CancelOutcome>>),
     /// A job's record was found in the state service, in this term. A record that was read in an
     /// earlier term may be of a job that ended since.
-    Adopt(Option<u64>, String, serde_json::Value, oneshot::Sender<Option<()>>),
+    AdoptJob(Option<u64>, String, serde_json::Value, oneshot::Sender<Option<()>>),
     /// Another controller asks for its block.
-    Renew(Renewal, oneshot::Sender<Option<BlockLease>>),
+    RenewShardLease(ShardLeaseRenewal, oneshot::Sender<Option<ShardLease>>),
     /// What this node has to say when it asks the leader for its block, and the time, ms. `None`: it leads.
-    Renewal(oneshot::Sender<Option<(Renewal, u64)>>),
+    ShardLeaseRenewal(oneshot::Sender<Option<(ShardLeaseRenewal, u64)>>),
     /// The leader's answer to what was sent at that time, ms.
-    Leased(BlockLease, u64),
+    ShardLeased(ShardLease, u64),
     /// A standby asks for what its copy lacks.
     Follow(FollowRequest, oneshot::Sender<Option<FollowAnswer>>),
     /// What this node asks the leader for its own copy. `None`: it leads, or keeps none.
-    FollowRequest(oneshot::Sender<Option<FollowRequest>>),
+    PrepareFollow(oneshot::Sender<Option<FollowRequest>>),
     /// The leader's answer to that.
     Followed(FollowAnswer),
     /// How replication stands, for operators.
-    Replication(oneshot::Sender<Option<ReplicationStatus>>),
+    ReplicationStatus(oneshot::Sender<Option<ReplicationStatus>>),
 }
 
 /// The answer to a report.
@@ -43,24 +43,24 @@
 pub enum HeartbeatReply {
     /// Commands. They may go out before this moment only: a process can stand still between the decision
     /// and the answer, and another controller may be entitled by then.
-    Answer(HeartbeatResponse, Instant),
+    Respond(HeartbeatResponse, Instant),
     /// This node does not lead; that one does, if known.
-    Elsewhere(Option<String>),
+    Redirect(Option<String>),
     /// Not entitled, or the report is old.
-    Unsure,
+    Unavailable,
 }
 
 /// What the node's helpers bring back.
-pub(super) enum Note {
-    Loaded(Loaded, u64),
-    JobPut(String, serde_json::Value),
-    Committed(Commit, CommitResult),
-    Rented(ScaleOutRequest, Option<Vec<String>>),
-    Deleted(Vec<String>, bool),
-    Listed(Vec<ListedMachine>, u64),
-    Delivered(String, u64, Delivery),
-    Greeted(String, Option<Heartbeat>),
+pub(super) enum ControllerEvent {
+    LoadedState(LoadedState, u64),
+    JobAdded(String, serde_json::Value),
+    Committed(PendingCommit, CommitResult),
+    ScaledOut(ScaleOutRequest, Option<Vec<String>>),
+    ScaledIn(Vec<String>, bool),
+    MachinesListed(Vec<ListedMachine>, u64),
+    DirectStartSent(String, u64, Delivery),
+    StateProbed(String, Option<Heartbeat>),
     /// The state service does not answer, or refuses: what waits for a write waits for long.
-    StoreAway,
-    Reload,
+    StoreUnavailable,
+    WatchTruncated,
 }
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -1,12 +1,12 @@
 //! The link between controllers: length-prefixed frames over TCP. A node that is asked something
 //! by a user that only the leader knows, or that can't reach the state service itself, asks here.
 
-use crate::answers::{Told, Verdict};
-use crate::api::Desk;
+use crate::answers::{JobSnapshot, RequestOutcome};
+use crate::api::ApiService;
 use crate::frame::{self, FrameError, FrameVersion};
-use crate::holders::{BlockLease, Renewal};
+use crate::holders::{ShardLease, ShardLeaseRenewal};
 use crate::networks::Networks;
-use crate::silence::Silence;
+use crate::silence::CircuitBreaker;
 use hookway_constants as constants;
 use hookway_replication::{FollowAnswer, FollowRequest};
 use serde::{Deserialize, Serialize};
@@ -18,7 +18,7 @@
 
 /// What one controller asks another. Answered from the other's own knowledge; never passed on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum PeerAsk {
+pub enum PeerRequest {
     /// A job's state.
     Status(String),
     /// Cancel a job.
@@ -26,20 +26,20 @@
     /// Accept a job: the user's body.
     Submit(Vec<u8>),
     /// Lease the asker's block to it.
-    Renew(Renewal),
+    RenewShardLease(ShardLeaseRenewal),
     /// A job is over, and that is durable.
-    Over(Told),
+    JobFinished(JobSnapshot),
     /// A standby asks for what its copy of the leader's picture lacks. From version 2 on.
     Follow(FollowRequest),
 }
 
 /// The answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum PeerAnswer {
+pub enum PeerResponse {
     /// To a user's request.
-    Verdict(Verdict),
+    Outcome(RequestOutcome),
     /// To a renewal; `None`: this node does not lead.
-    Block(Option<BlockLease>),
+    ShardLease(Option<ShardLease>),
     /// To a standby; `None`: this node does not lead, or publishes nothing.
     Followed(Option<FollowAnswer>),
 }
@@ -55,7 +55,7 @@
     Timeout,
     /// It did not answer a moment ago.
     #[error("it does not answer at the moment")]
-    Silent,
+    CircuitOpen,
     /// The connection failed.
     #[error("connection: {0}")]
     Io(#[from] std::io::Error),
@@ -96,8 +96,8 @@
 
 async fn request(
     stream: &mut TcpStream,
-    ask: &PeerAsk,
-) -> Result<(PeerAnswer, FrameVersion), PeerError> {
+    ask: &PeerRequest,
+) -> Result<(PeerResponse, FrameVersion), PeerError> {
     send(stream, ask).await?;
     receive(stream).await
 }
@@ -107,7 +107,7 @@
 pub struct Peers {
     addresses: HashMap<String, String>,
     idle: Mutex<HashMap<String, Vec<TcpStream>>>,
-    silent: Mutex<HashMap<String, Silence>>,
+    breakers: Mutex<HashMap<String, CircuitBreaker>>,
     /// The versions that the others' answers named last.
     versions: Mutex<HashMap<String, FrameVersion>>,
 }
@@ -132,32 +132,38 @@
     pub async fn ask(
         &self,
         name: &str,
-        ask: &PeerAsk,
+        ask: &PeerRequest,
         limit_ms: u64,
-    ) -> Result<Verdict, PeerError> {
-        if !self.worth_asking(name) {
-            return Err(PeerError::Silent);
+    ) -> Result<RequestOutcome, PeerError> {
+        if !self.allows_request(name) {
+            return Err(PeerError::CircuitOpen);
         }
         match self.exchange(name, ask, limit_ms).await? {
-            PeerAnswer::Verdict(verdict) => Ok(verdict),
-            PeerAnswer::Block(_) | PeerAnswer::Followed(_) => Err(PeerError::Mismatch),
+            PeerResponse::Outcome(verdict) => Ok(verdict),
+            PeerResponse::ShardLease(_) | PeerResponse::Followed(_) => Err(PeerError::Mismatch),
         }
     }
 
     /// Tells another controller that a job is over. Nothing depends on whether it hears it.
-    pub async fn tell(&self, name: &str, told: Told) {
-        if let Err(e) = self.ask(name, &PeerAsk::Over(told), constants::PEER_TIMEOUT_MS).await {
+    pub async fn announce_finished(&self, name: &str, told: JobSnapshot) {
+        if let Err(e) =
+            self.ask(name, &PeerRequest::JobFinished(told), constants::PEER_TIMEOUT_MS).await
+        {
             tracing::debug!("telling {name} of a job's end: {e}");
         }
     }
 
     /// Asks the leader for this node's block.
-    pub async fn renew(&self, name: &str, renewal: Renewal) -> Result<BlockLease, PeerError> {
-        let ask = PeerAsk::Renew(renewal);
+    pub async fn renew_shard_lease(
+        &self,
+        name: &str,
+        renewal: ShardLeaseRenewal,
+    ) -> Result<ShardLease, PeerError> {
+        let ask = PeerRequest::RenewShardLease(renewal);
         match self.exchange(name, &ask, constants::PEER_TIMEOUT_MS).await? {
-            PeerAnswer::Block(Some(lease)) => Ok(lease),
-            PeerAnswer::Block(None) => Err(PeerError::NotLeading),
-            PeerAnswer::Verdict(_) | PeerAnswer::Followed(_) => Err(PeerError::Mismatch),
+            PeerResponse::ShardLease(Some(lease)) => Ok(lease),
+            PeerResponse::ShardLease(None) => Err(PeerError::NotLeading),
+            PeerResponse::Outcome(_) | PeerResponse::Followed(_) => Err(PeerError::Mismatch),
         }
     }
 
@@ -167,11 +173,11 @@
         name: &str,
         request: FollowRequest,
     ) -> Result<FollowAnswer, PeerError> {
-        let ask = PeerAsk::Follow(request);
+        let ask = PeerRequest::Follow(request);
         match self.exchange(name, &ask, constants::PEER_TIMEOUT_MS).await? {
-            PeerAnswer::Followed(Some(answer)) => Ok(answer),
-            PeerAnswer::Followed(None) => Err(PeerError::NotLeading),
-            PeerAnswer::Verdict(_) | PeerAnswer::Block(_) => Err(PeerError::Mismatch),
+            PeerResponse::Followed(Some(answer)) => Ok(answer),
+            PeerResponse::Followed(None) => Err(PeerError::NotLeading),
+            PeerResponse::Outcome(_) | PeerResponse::ShardLease(_) => Err(PeerError::Mismatch),
         }
     }
 
@@ -181,7 +187,7 @@
         self.versions.lock().ok()?.get(name).copied()
     }
 
-    fn note_version(&self, name: &str, version: FrameVersion) {
+    fn record_version(&self, name: &str, version: FrameVersion) {
         let Ok(mut versions) = self.versions.lock() else { return };
         if versions.insert(name.to_owned(), version) != Some(version) {
             tracing::info!("controller {name}: formats of version {}", version.0);
@@ -190,21 +196,21 @@
 
     /// Whether a user should wait for this controller's answer: it may stand still or be cut off. The renewals of
     /// this node's block tell as well that it is back.
-    fn worth_asking(&self, name: &str) -> bool {
-        let Ok(mut silent) = self.silent.lock() else { return true };
-        silent.get_mut(name).is_none_or(Silence::worth_asking)
+    fn allows_request(&self, name: &str) -> bool {
+        let Ok(mut silent) = self.breakers.lock() else { return true };
+        silent.get_mut(name).is_none_or(CircuitBreaker::allows_request)
     }
 
     /// One exchange.
     async fn exchange(
         &self,
         name: &str,
-        ask: &PeerAsk,
+        ask: &PeerRequest,
         limit_ms: u64,
-    ) -> Result<PeerAnswer, PeerError> {
+    ) -> Result<PeerResponse, PeerError> {
         let answer = self.attempt(name, ask, limit_ms).await;
-        if let Ok(mut silent) = self.silent.lock() {
-            silent.entry(name.to_owned()).or_default().note(answer.is_err());
+        if let Ok(mut silent) = self.breakers.lock() {
+            silent.entry(name.to_owned()).or_default().record(answer.is_err());
         }
         answer
     }
@@ -212,9 +218,9 @@
     async fn attempt(
         &self,
         name: &str,
-        ask: &PeerAsk,
+        ask: &PeerRequest,
         limit_ms: u64,
-    ) -> Result<PeerAnswer, PeerError> {
+    ) -> Result<PeerResponse, PeerError> {
         let address = self.addresses.get(name).ok_or(PeerError::Unknown)?;
         let work = async {
             let kept = self.idle.lock().ok().and_then(|mut i| i.get_mut(name)?.pop());
@@ -232,7 +238,7 @@
                     (stream, answer)
                 }
             };
-            self.note_version(name, version);
+            self.record_version(name, version);
             if let Ok(mut idle) = self.idle.lock() {
                 let kept = idle.entry(name.to_owned()).or_default();
                 if kept.len() < constants::PEER_IDLE {
@@ -248,7 +254,7 @@
 }
 
 /// Serves the other controllers: whoever connects from these networks, or from anywhere if there are none.
-pub async fn serve(listener: TcpListener, desk: Arc<Desk>, networks: Networks) {
+pub async fn serve(listener: TcpListener, desk: Arc<ApiService>, networks: Networks) {
     loop {
         match listener.accept().await {
             Ok((_, from)) if !networks.allow(from.ip()) => {
@@ -260,7 +266,7 @@
                 let desk = desk.clone();
                 tokio::spawn(async move {
                     let _ = stream.set_nodelay(true);
-                    while let Ok((ask, _)) = receive::<PeerAsk>(&mut stream).await {
+                    while let Ok((ask, _)) = receive::<PeerRequest>(&mut stream).await {
                         let answer = desk.answer_peer(ask).await;
                         if send(&mut stream, &answer).await.is_err() {
                             break;
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -26,35 +26,36 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What classes of jobs need.
-pub const CLASSES: &str = "c/lanes";
+pub const CLASSES_KEY: &str = "c/lanes";
 /// Prefix of the image records of version 0.1.0.
-pub const IMAGES: &str = "i/";
+pub const LEGACY_IMAGES_PREFIX: &str = "i/";
 /// Who leads.
-pub const LEAD_NOW: &str = "lead/now";
+pub const LEADER_KEY: &str = "lead/now";
 /// The highest term.
-pub const LEAD_TERM: &str = "lead/term";
+pub const LEADER_TERM_KEY: &str = "lead/term";
 /// The term of the last leader that recorded how far tasks of jobs may have been started.
 /// Versions that did not share marks between small jobs have `lead/marks`: whichever kind of leader follows the
 /// other finds that the last term left no marks that it knows, and counts all jobs as started.
-pub const LEAD_MARKS: &str = "lead/marked";
+pub const LEADER_WATERMARKS_KEY: &str = "lead/marked";
 /// Prefix of these.
-pub const LEAD: &str = "lead/";
+pub const LEADER_PREFIX: &str = "lead/";
 /// Prefix of accepted jobs.
-pub const JOBS: &str = "j/";
+pub const JOBS_PREFIX: &str = "j/";
 /// Prefix of final states.
-pub const FINALS: &str = "f/";
+pub const FINAL_STATES_PREFIX: &str = "f/";
 /// Prefix of progress records.
-pub const PROGRESS: &str = "p/";
+pub const PROGRESS_PREFIX: &str = "p/";
 /// Prefix of minimums.
-pub const MINIMUMS: &str = "m/";
+pub const SCHEDULING_PREFIX: &str = "m/";
 /// Prefix of the roster.
-pub const ROSTER: &str = "r/";
+pub const REGISTRY_PREFIX: &str = "r/";
 
 /// Value of `lead/now`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeadRecord {
+pub struct LeaderRecord {
     /// The leader's name.
-    pub label: String,
+    #[serde(rename = "label")]
+    pub controller_name: String,
     /// Its term, which is the token too.
     pub term: u64,
     /// Tells this try for leadership from every other one.
@@ -67,11 +68,12 @@
     /// The job.
     pub spec: JobSpec,
     /// Time of day when it was accepted, ms.
-    pub at_ms: u64,
+    #[serde(rename = "at_ms")]
+    pub accepted_at_ms: u64,
     /// Its record of the minimum says how far its tasks may have been started. Missing in jobs that
     /// version 0.1.0 accepted.
-    #[serde(default)]
-    pub marked: bool,
+    #[serde(rename = "marked", default)]
+    pub has_start_watermark: bool,
 }
 
 /// Value of `f/<job>`.
@@ -106,9 +108,10 @@
 
 /// What `r/record-<n>` says of a machine.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct RosterEntry {
+pub struct MachineRegistryEntry {
     /// Time of day when it became known, ms.
-    pub at_ms: u64,
+    #[serde(rename = "at_ms")]
+    pub registered_at_ms: u64,
     /// Images that it holds, as places in the record's list; least recently used first.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub images: Vec<usize>,
@@ -116,10 +119,10 @@
 
 /// Value of `r/record-<n>`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct RosterRecord {
+pub struct MachineRegistryRecord {
     /// By machine.
     #[serde(rename = "hosts")]
-    pub machines: BTreeMap<String, RosterEntry>,
+    pub machines: BTreeMap<String, MachineRegistryEntry>,
     /// Name and size in GB of the images that entries name.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub images: Vec<(String, f64)>,
@@ -129,7 +132,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassRecord {
     /// The largest task.
-    pub need: Resources,
+    #[serde(rename = "need")]
+    pub request: Resources,
     /// The largest image, GB.
     pub image_gb: f64,
     /// Whether its jobs may use spot machines.
@@ -148,21 +152,24 @@
 
 /// Value of `m/<job>`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct MinimumRecord {
+pub struct JobSchedulingRecord {
     /// The minimum.
-    pub least: u32,
+    #[serde(rename = "least")]
+    pub min_tasks: u32,
     /// Tasks whose run time is known.
-    pub timed: u32,
+    #[serde(rename = "timed")]
+    pub run_time_count: u32,
     /// Sum of those, ms.
-    pub sum_ms: u64,
+    #[serde(rename = "sum_ms")]
+    pub run_time_sum_ms: u64,
     /// Tasks from this number on were never started, by any leader.
-    #[serde(default)]
-    pub opened: u32,
+    #[serde(rename = "opened", default)]
+    pub start_watermark: u32,
 }
 
 /// Value of `m/shared-<n>`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct SharedMarksRecord {
+pub struct SharedStartWatermarksRecord {
     /// Jobs that may have been started.
     pub jobs: BTreeSet<JobId>,
 }
@@ -185,7 +192,7 @@
     }
 
     /// The tasks, counted from the chunk's first, whose bit is set.
-    pub fn set(&self) -> Vec<u32> {
+    pub fn completed(&self) -> Vec<u32> {
         let bytes = STANDARD_NO_PAD.decode(&self.bits).unwrap_or_default();
         (0..bytes.len() as u32 * 8)
             .filter(|i| bytes[(i / 8) as usize] & (1 << (i % 8)) != 0)
@@ -194,34 +201,34 @@
 }
 
 /// Whether a record is no larger than a value may be.
-pub fn fits(record: &impl Serialize, value_kb: f64) -> bool {
+pub fn fits_value_limit(record: &impl Serialize, value_kb: f64) -> bool {
     let length = serde_json::to_string(record).map_or(usize::MAX, |text| text.len());
     length as f64 <= value_kb * 1024.0
 }
 
 /// `j/<job>`.
 pub fn job_key(id: &JobId) -> String {
-    format!("{JOBS}{id}")
+    format!("{JOBS_PREFIX}{id}")
 }
 
 /// `f/<job>`.
-pub fn final_key(id: &JobId) -> String {
-    format!("{FINALS}{id}")
+pub fn final_state_key(id: &JobId) -> String {
+    format!("{FINAL_STATES_PREFIX}{id}")
 }
 
 /// The key of the progress record whose first task is `from`.
 pub fn progress_key(id: &JobId, from: u32) -> String {
     let chunk = from / constants::PROGRESS_PAGE_TASKS;
     if from.is_multiple_of(constants::PROGRESS_PAGE_TASKS) {
-        format!("{PROGRESS}{id}/{chunk}")
+        format!("{PROGRESS_PREFIX}{id}/{chunk}")
     } else {
-        format!("{PROGRESS}{id}/{chunk}/{from}")
+        format!("{PROGRESS_PREFIX}{id}/{chunk}/{from}")
     }
 }
 
 /// The job and the first task of such a key.
-pub fn progress_place(key: &str) -> Option<(JobId, u32)> {
-    let parts: Vec<&str> = key.strip_prefix(PROGRESS)?.split('/').collect();
+pub fn parse_progress_key(key: &str) -> Option<(JobId, u32)> {
+    let parts: Vec<&str> = key.strip_prefix(PROGRESS_PREFIX)?.split('/').collect();
     let (id, from) = match parts.as_slice() {
         [id, chunk] => {
             (id, chunk.parse::<u32>().ok()?.checked_mul(constants::PROGRESS_PAGE_TASKS)?)
@@ -233,23 +240,23 @@
 }
 
 /// `m/<job>`.
-pub fn minimum_key(id: &JobId) -> String {
-    format!("{MINIMUMS}{id}")
+pub fn scheduling_key(id: &JobId) -> String {
+    format!("{SCHEDULING_PREFIX}{id}")
 }
 
 /// `m/shared-<n>`.
-pub fn shared_marks_key(number: u64) -> String {
-    format!("{MINIMUMS}shared-{number}")
+pub fn shared_watermarks_key(number: u64) -> String {
+    format!("{SCHEDULING_PREFIX}shared-{number}")
 }
 
 /// The number of such a key.
-pub fn shared_marks_number(key: &str) -> Option<u64> {
-    key.strip_prefix(MINIMUMS)?.strip_prefix("shared-")?.parse().ok()
+pub fn parse_shared_watermarks_key(key: &str) -> Option<u64> {
+    key.strip_prefix(SCHEDULING_PREFIX)?.strip_prefix("shared-")?.parse().ok()
 }
 
 /// `r/<name>`.
-pub fn roster_key(machine: &str) -> String {
-    format!("{ROSTER}{machine}")
+pub fn registry_key(machine: &str) -> String {
+    format!("{REGISTRY_PREFIX}{machine}")
 }
 
 #[cfg(test)]
--- a/crates/controller/src/records/tests.rs
+++ b/crates/controller/src/records/tests.rs
@@ -6,5 +6,5 @@
     bits[0] = true;
     bits[9] = true;
     bits[69] = true;
-    assert_eq!(ProgressRecord::new(&bits).set(), [0, 9, 69]);
+    assert_eq!(ProgressRecord::new(&bits).completed(), [0, 9, 69]);
 }
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -1,13 +1,13 @@
 //! Puts a node together and runs it.
 
-use crate::api::{Desk, Stores};
-use crate::config::{OperatorSettings, Params, Settings};
-use crate::door::Door;
-use crate::holders::{Holding, patience_ms};
+use crate::api::{ApiService, StoreClients};
+use crate::config::{OperatorSettings, PlatformSettings, Settings};
+use crate::door::ConnectionTable;
+use crate::holders::{ShardLessee, leader_timeout_ms};
 use crate::http;
-use crate::lead::{Clock, Leadership, Validity, View};
-use crate::ledger::Setup;
-use crate::node::Node;
+use crate::lead::{Clock, Leadership, LeadershipLease, LeadershipView};
+use crate::ledger::ControllerConfig;
+use crate::node::ControllerActor;
 use crate::peers::{self, Peers};
 use crate::standby::{Standby, StandbySignals};
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
@@ -32,30 +32,32 @@
 
 /// Runs a node until the process ends.
 pub async fn run(settings: Settings, operator: OperatorSettings) -> Result<(), StartError> {
-    let params = settings.settings.clone();
-    let label = settings.label.clone();
-    let patience = patience_ms(params.workers.report_s, params.workers.lease_s);
-    let door = Door::for_machine(params.machine_limits.max_sockets, params.workers.report_s);
+    let params = settings.platform.clone();
+    let label = settings.controller_name.clone();
+    let patience = leader_timeout_ms(params.workers.heartbeat_interval_s, params.workers.lease_s);
+    let door = ConnectionTable::for_machine(
+        params.machine_limits.max_sockets,
+        params.workers.heartbeat_interval_s,
+    );
     let clock = Clock::default();
     let rps = params.state.rps;
-    let client = |share: f64| StoreClient::new(&settings.outside.state, rps * share);
-    let stores = Stores {
+    let client = |share: f64| StoreClient::new(&settings.endpoints.state, rps * share);
+    let stores = StoreClients {
         submissions: client(constants::SUBMISSION_REQUEST_SHARE)
-            .patient_for(constants::SUBMISSION_QUEUE_LIMIT_MS),
-        questions: client(constants::STATUS_REQUEST_SHARE).patient_for(0),
+            .with_queue_limit(constants::SUBMISSION_QUEUE_LIMIT_MS),
+        queries: client(constants::STATUS_REQUEST_SHARE).with_queue_limit(0),
     };
     let cloud =
-        CloudClient::new(&settings.outside.cloud, params.cloud.rps * constants::CLOUD_RATE_SHARE);
-    let (view_tx, view) = watch::channel(View::default());
+        CloudClient::new(&settings.endpoints.cloud, params.cloud.rps * constants::CLOUD_RATE_SHARE);
+    let (view_tx, view) = watch::channel(LeadershipView::default());
     let (machine_types_tx, machine_types) = watch::channel(None);
     let (node_tx, asks) = mpsc::channel(constants::CHANNEL_CAPACITY);
-    let validity = Arc::new(Validity::default());
+    let validity = Arc::new(LeadershipLease::default());
     let doubt = Arc::new(Notify::new());
     let signals = StandbySignals::default();
 
-    let addresses =
-        settings.siblings.iter().map(|s| (s.label.clone(), s.address.clone())).collect();
-    let desk = Arc::new(Desk::new(
+    let addresses = settings.peers.iter().map(|s| (s.name.clone(), s.address.clone())).collect();
+    let desk = Arc::new(ApiService::new(
         params.clone(),
         label.clone(),
         stores,
@@ -73,42 +75,38 @@
         .map_err(|e| StartError::Listen(settings.api_addr.clone(), e.to_string()))?;
 
     let leadership = Leadership {
-        label: label.clone(),
+        controller_name: label.clone(),
         store: client(constants::LEADERSHIP_REQUEST_SHARE),
         clock,
-        validity: validity.clone(),
+        lease: validity.clone(),
         view: view_tx,
-        doubt: doubt.clone(),
-        suspicion: signals.suspicion.clone(),
+        leadership_lost: doubt.clone(),
+        leader_suspected: signals.leader_suspected.clone(),
         lease_ms: operator.replication.leader_lease_ms,
-        warm: signals.warm.clone(),
+        has_warm_copy: signals.has_warm_copy.clone(),
     };
     let standby = Standby::new(&label, operator.replication.standby, signals);
     let controller_networks = operator.replication.controller_networks.clone();
-    let node = Node {
-        setup: Setup {
-            label: label.clone(),
-            domain: settings.domain.clone(),
-            siblings: settings
-                .siblings
-                .iter()
-                .map(|s| (s.label.clone(), s.domain.clone()))
-                .collect(),
-            params,
+    let node = ControllerActor {
+        config: ControllerConfig {
+            controller_name: label.clone(),
+            zone: settings.zone.clone(),
+            peers: settings.peers.iter().map(|s| (s.name.clone(), s.zone.clone())).collect(),
+            platform: params,
             operator,
         },
         store: client(constants::CONTROLLER_REQUEST_SHARE),
         cloud: cloud.clone(),
         workers: WorkerClient::default(),
         clock,
-        validity,
+        lease: validity,
         view,
-        doubt,
+        leadership_lost: doubt,
         machine_types,
-        asks,
-        finals: desk.finals.clone(),
-        deserted_at: std::cell::Cell::new(None),
-        holding: std::cell::RefCell::new(Holding::new(&label, rand::random(), patience)),
+        requests: asks,
+        final_states: desk.final_states.clone(),
+        stepped_down_at: std::cell::Cell::new(None),
+        shard_lessee: std::cell::RefCell::new(ShardLessee::new(&label, rand::random(), patience)),
         standby: std::cell::RefCell::new(standby),
     };
     // The lease must be extended and users answered whatever a round of the ledger takes: each of the
@@ -118,17 +116,17 @@
     tokio::spawn(read_machine_types(cloud, machine_types_tx));
     tokio::spawn(peers::serve(peer_listener, desk.clone(), controller_networks));
     let holder = desk.clone();
-    tokio::spawn(async move { holder.hold_block().await });
+    tokio::spawn(async move { holder.renew_shard_lease_loop().await });
     let follower = desk.clone();
-    tokio::spawn(async move { follower.follow_leader().await });
-    log_settings(&settings.settings);
+    tokio::spawn(async move { follower.follow_leader_loop().await });
+    log_settings(&settings.platform);
     tracing::info!("{label}: serving on {}", settings.api_addr);
     Server::new(acceptor).fuse_policy(door).serve(http::service(desk)).await;
     Ok(())
 }
 
 /// Says what teams may use and what is expected of classes.
-fn log_settings(params: &Params) {
+fn log_settings(params: &PlatformSettings) {
     for t in &params.teams {
         tracing::info!(
             "team {}: {} CPUs and {} GPUs guaranteed, at most {} and {} (0: none)",
--- a/crates/controller/src/silence.rs
+++ b/crates/controller/src/silence.rs
@@ -7,16 +7,16 @@
 /// Whether somebody has been silent since it was asked last. Each question to it would take its whole time limit,
 /// so only one in a while is asked.
 #[derive(Debug, Default)]
-pub struct Silence(Option<Instant>);
+pub struct CircuitBreaker(Option<Instant>);
 
-impl Silence {
+impl CircuitBreaker {
     /// It did not answer, or it did.
-    pub fn note(&mut self, silent: bool) {
+    pub fn record(&mut self, silent: bool) {
         self.0 = silent.then(Instant::now);
     }
 
     /// Whether a user should wait for its answer; `true` once in a while although it is silent.
-    pub fn worth_asking(&mut self) -> bool {
+    pub fn allows_request(&mut self) -> bool {
         let Some(since) = self.0.as_mut() else { return true };
         let again = since.elapsed() >= Duration::from_millis(constants::CIRCUIT_BREAKER_OPEN_MS);
         if again {
--- a/crates/controller/src/standby.rs
+++ b/crates/controller/src/standby.rs
@@ -1,7 +1,7 @@
 //! A controller's side as a warm standby: the copy of the leader's picture, the judgement of its silence, and the
 //! steps by which this controller takes over. Owned by the node's actor.
 
-use crate::lead::View;
+use crate::lead::LeadershipView;
 use hookway_replication::{
     Durations, Event, FailureDetector, FollowAnswer, FollowRequest, Follower, Phase, Progress,
     Promotion, ReplicatedState, Step, Unusable,
@@ -15,15 +15,15 @@
 #[derive(Debug, Clone, Default)]
 pub struct StandbySignals {
     /// Rung when the leader's silence is unusual.
-    pub suspicion: Arc<Notify>,
+    pub leader_suspected: Arc<Notify>,
     /// Whether this node has a usable copy.
-    pub warm: Arc<AtomicBool>,
+    pub has_warm_copy: Arc<AtomicBool>,
 }
 
 /// A controller as a standby, and on its way to lead.
 #[derive(Debug)]
 pub struct Standby {
-    label: String,
+    controller_name: String,
     /// Whether it follows the leader; the steps of a takeover are kept in any case.
     follows: bool,
     follower: Follower,
@@ -38,7 +38,7 @@
     /// Of a process that has just begun.
     pub fn new(label: &str, follows: bool, signals: StandbySignals) -> Self {
         Self {
-            label: label.to_owned(),
+            controller_name: label.to_owned(),
             follows,
             follower: Follower::new(label),
             detector: FailureDetector::default(),
@@ -49,12 +49,12 @@
     }
 
     /// What the state service says of who leads has changed.
-    pub fn view_changed(&mut self, view: &View, now: u64) {
-        if view.mandate.is_some() {
+    pub fn view_changed(&mut self, view: &LeadershipView, now: u64) {
+        if view.own_term.is_some() {
             return;
         }
         let leader = view.leader.clone().zip(view.leader_term);
-        let other = leader.filter(|(label, _)| *label != self.label);
+        let other = leader.filter(|(label, _)| *label != self.controller_name);
         let Some((label, term)) = other else {
             return self.step(Event::LeaseEnded, now);
         };
@@ -75,7 +75,7 @@
         if self.detector.suspects(now) {
             self.step(Event::Silence, now);
         }
-        self.signals.warm.store(self.copy(u64::MAX, now).is_ok(), Ordering::Relaxed);
+        self.signals.has_warm_copy.store(self.copy(u64::MAX, now).is_ok(), Ordering::Relaxed);
         Some(self.follower.request())
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// The first start of the term went out, or a later one.
-    pub fn decided(&mut self, now: u64) {
+    pub fn start_dispatched(&mut self, now: u64) {
         let before = self.promotion.metrics().whole.count();
         self.step(Event::Decided, now);
         let times = self.promotion.metrics();
@@ -151,7 +151,7 @@
     fn step(&mut self, event: Event, now: u64) {
         if self.allowed(event, now) == Some(Step::Look) {
             tracing::info!("the leader is silent for unusually long: asking the state service");
-            self.signals.suspicion.notify_one();
+            self.signals.leader_suspected.notify_one();
         }
     }
 
--- a/crates/controller/tests/api.rs
+++ b/crates/controller/tests/api.rs
@@ -3,14 +3,14 @@
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_clients::StoreClient;
-use hookway_controller::answers::Verdict;
-use hookway_controller::api::{Desk, Stores};
+use hookway_controller::answers::RequestOutcome;
+use hookway_controller::api::{ApiService, StoreClients};
 use hookway_controller::config::Settings;
 use hookway_controller::http::service;
-use hookway_controller::lead::View;
-use hookway_controller::ledger::{Cancellation, Lookup};
-use hookway_controller::node::{Ask, HeartbeatReply};
-use hookway_controller::peers::{PeerAnswer, PeerAsk, PeerError, Peers};
+use hookway_controller::lead::LeadershipView;
+use hookway_controller::ledger::{CancelOutcome, JobLookup};
+use hookway_controller::node::{ControllerRequest, HeartbeatReply};
+use hookway_controller::peers::{PeerError, PeerRequest, PeerResponse, Peers};
 use hookway_controller::records::{JobRecord, job_key};
 use hookway_replication::{FollowAnswer, FollowBody, FollowRequest, Held, Position};
 use hookway_testkit::{SETTINGS, StoreServer};
@@ -33,7 +33,7 @@
 
 /// What the scripted node says of itself.
 #[derive(Clone, Copy, PartialEq)]
-enum Node {
+enum ControllerActor {
     Leads,
     /// The lease ran out after it decided.
     LedOnce,
@@ -53,76 +53,81 @@
 }
 
 /// A node's API with a scripted actor behind it and nothing where the state service should be.
-fn api(node: Node, machine_types_known: bool) -> Service {
-    api_at(node, machine_types_known, View::default(), None)
+fn api(node: ControllerActor, machine_types_known: bool) -> Service {
+    api_at(node, machine_types_known, LeadershipView::default(), None)
 }
 
 /// The same, with a view of who leads and a state service.
-fn api_at(node: Node, machine_types_known: bool, seen: View, store: Option<&str>) -> Service {
+fn api_at(
+    node: ControllerActor,
+    machine_types_known: bool,
+    seen: LeadershipView,
+    store: Option<&str>,
+) -> Service {
     service(desk(node, machine_types_known, seen, store, 2000.0))
 }
 
 /// The desk itself; it asks the state service about jobs so many times a second.
 fn desk(
-    node: Node,
+    node: ControllerActor,
     machine_types_known: bool,
-    seen: View,
+    seen: LeadershipView,
     store: Option<&str>,
     polls_rate: f64,
-) -> Arc<Desk> {
+) -> Arc<ApiService> {
     desk_with(SETTINGS, node, machine_types_known, seen, store, polls_rate)
 }
 
 /// The same, with other settings.
 fn desk_with(
     settings: &str,
-    node: Node,
+    node: ControllerActor,
     machine_types_known: bool,
-    seen: View,
+    seen: LeadershipView,
     store: Option<&str>,
     polls_rate: f64,
-) -> Arc<Desk> {
+) -> Arc<ApiService> {
     let (tx, mut asks) = mpsc::channel(16);
     tokio::spawn(async move {
         while let Some(ask) = asks.recv().await {
-            let leads = node == Node::Leads;
+            let leads = node == ControllerActor::Leads;
             match ask {
-                Ask::Heartbeat(_, reply) => {
+                ControllerRequest::Heartbeat(_, reply) => {
                     let answer = HeartbeatResponse { fencing_token: 7, commands: vec![] };
                     let _ = reply.send(if leads {
-                        HeartbeatReply::Answer(answer, Instant::now() + Duration::from_secs(60))
-                    } else if node == Node::LedOnce {
-                        HeartbeatReply::Answer(answer, Instant::now())
+                        HeartbeatReply::Respond(answer, Instant::now() + Duration::from_secs(60))
+                    } else if node == ControllerActor::LedOnce {
+                        HeartbeatReply::Respond(answer, Instant::now())
                     } else {
-                        HeartbeatReply::Elsewhere(Some("worker-2".into()))
+                        HeartbeatReply::Redirect(Some("worker-2".into()))
                     });
                 }
-                Ask::Status(id, reply) => {
+                ControllerRequest::Status(id, reply) => {
                     let answer = match id.as_str() {
-                        "req-000001" => Lookup::Known(known(&id, JobState::Running)),
-                        "req-000002" => Lookup::Known(known(&id, JobState::Done)),
-                        _ => Lookup::NotHere,
+                        "req-000001" => JobLookup::Known(known(&id, JobState::Running)),
+                        "req-000002" => JobLookup::Known(known(&id, JobState::Done)),
+                        _ => JobLookup::UnknownJob,
                     };
                     let _ = reply.send(leads.then_some(answer));
                 }
-                Ask::Cancel(id, reply) => {
-                    let answer = Cancellation::Over(known(&id, JobState::Cancelled));
+                ControllerRequest::Cancel(id, reply) => {
+                    let answer = CancelOutcome::AlreadyFinal(known(&id, JobState::Cancelled));
                     let _ = reply.send(leads.then_some(answer));
                 }
-                Ask::Adopt(_, _, _, reply) => drop(reply.send(Some(()))),
-                Ask::Renew(_, reply) => drop(reply.send(None)),
-                Ask::Renewal(reply) => drop(reply.send(None)),
-                Ask::Follow(_, reply) => {
+                ControllerRequest::AdoptJob(_, _, _, reply) => drop(reply.send(Some(()))),
+                ControllerRequest::RenewShardLease(_, reply) => drop(reply.send(None)),
+                ControllerRequest::ShardLeaseRenewal(reply) => drop(reply.send(None)),
+                ControllerRequest::Follow(_, reply) => {
                     let end = Position { term: 7, index: 0 };
                     let body = FollowBody::Entries { after: end, entries: vec![], digest: None };
                     let _ = reply.send(leads.then_some(FollowAnswer { end, body }));
                 }
-                Ask::FollowRequest(reply) => drop(reply.send(None)),
-                Ask::Replication(reply) => {
+                ControllerRequest::PrepareFollow(reply) => drop(reply.send(None)),
+                ControllerRequest::ReplicationStatus(reply) => {
                     let phase = if leads { "active" } else { "following" }.to_owned();
                     let _ = reply.send(Some(ReplicationStatus { phase, ..Default::default() }));
                 }
-                Ask::Leased(..) | Ask::Followed(_) => {}
+                ControllerRequest::ShardLeased(..) | ControllerRequest::Followed(_) => {}
             }
         }
     });
@@ -142,13 +147,21 @@
     let (_, view) = watch::channel(seen);
     let (_, machine_types) =
         watch::channel(machine_types_known.then(|| Arc::new(vec![machine_type])));
-    let store_at = store.unwrap_or(&settings.outside.state);
+    let store_at = store.unwrap_or(&settings.endpoints.state);
     let submissions = StoreClient::new(store_at, 2000.0);
     // Nobody listens there.
     let peers = Peers::new(HashMap::from([("worker-1".into(), "127.0.0.1:1".into())]));
-    let questions = StoreClient::new(store_at, polls_rate).patient_for(0);
-    let stores = Stores { submissions, questions };
-    let desk = Desk::new(settings.settings, settings.label, stores, peers, tx, view, machine_types);
+    let questions = StoreClient::new(store_at, polls_rate).with_queue_limit(0);
+    let stores = StoreClients { submissions, queries: questions };
+    let desk = ApiService::new(
+        settings.platform,
+        settings.controller_name,
+        stores,
+        peers,
+        tx,
+        view,
+        machine_types,
+    );
     Arc::new(desk)
 }
 
@@ -174,7 +187,7 @@
 
 #[tokio::test]
 async fn malformed_submissions_get_400_with_a_reason() {
-    let api = api(Node::Leads, true);
+    let api = api(ControllerActor::Leads, true);
     let long = format!("{{\"NameId\":\"{}\"}}", "x".repeat(70_000));
     for body in ["", "[]", "{}", "nonsense", &long, &JOB.replace("8.0", "-8.0")] {
         let (status, text, _) = post(&api, "/api/jobs", body).await;
@@ -185,7 +198,7 @@
 
 #[tokio::test]
 async fn a_job_that_may_be_known_is_not_refused_for_good_while_the_store_is_away() {
-    let api = api(Node::Leads, true);
+    let api = api(ControllerActor::Leads, true);
     // Whether this id was accepted once can't be read, so 422 would be a guess.
     let body = JOB.replace("\"vision\"", "\"nobody\"");
     let (status, text, retry) = post(&api, "/api/jobs", &body).await;
@@ -194,22 +207,25 @@
 
 #[tokio::test]
 async fn what_can_not_be_decided_gets_503_and_a_time_to_come_back() {
-    for (node, machine_types) in [(Node::Leads, false), (Node::Leads, true), (Node::Follows, true)]
-    {
+    for (node, machine_types) in [
+        (ControllerActor::Leads, false),
+        (ControllerActor::Leads, true),
+        (ControllerActor::Follows, true),
+    ] {
         let api = api(node, machine_types);
         let (status, text, retry) = post(&api, "/api/jobs", JOB).await;
         assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true), "{text}");
         let (status, _, retry) = get(&api, "/api/jobs/req-000404").await;
         assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true), "absence is unproven");
     }
-    let api = api(Node::Follows, true);
+    let api = api(ControllerActor::Follows, true);
     let (status, ..) = post(&api, "/api/jobs/req-000001/withdraw", "{}").await;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
 }
 
 #[tokio::test]
 async fn a_final_state_is_kept_and_told_even_without_the_leader() {
-    let api = api(Node::Leads, true);
+    let api = api(ControllerActor::Leads, true);
     let (status, text, _) = get(&api, "/api/jobs/req-000002").await;
     assert_eq!(status, StatusCode::OK);
     let told: JobStatus = serde_json::from_str(&text).expect("a status");
@@ -226,7 +242,7 @@
 
 #[tokio::test]
 async fn odd_paths_ids_and_methods_get_json_errors() {
-    let api = api(Node::Leads, true);
+    let api = api(ControllerActor::Leads, true);
     for path in ["/", "/api/jobs/job-1", "/api/jobs/req-1/x", "/api/jobs/%00", "/nowhere"] {
         let (status, text, _) = get(&api, path).await;
         assert_eq!(status, StatusCode::NOT_FOUND, "{path}");
@@ -241,7 +257,7 @@
 /// A gang runs all at once: where its zones can't hold that, it can never run, and must not be accepted.
 #[tokio::test]
 async fn a_gang_that_its_zones_can_never_hold_gets_422() {
-    let api = api(Node::Leads, true);
+    let api = api(ControllerActor::Leads, true);
     let spread = JOB.replace("\"Spread\":false", "\"Spread\":true");
     let apart = spread.replace("\"Together\":true", "\"Together\":false");
     // It fits zone a alone.
@@ -252,7 +268,7 @@
     }
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
-    let api = api_at(Node::Leads, true, View::default(), Some(&address));
+    let api = api_at(ControllerActor::Leads, true, LeadershipView::default(), Some(&address));
     for body in [&spread, &apart, &apart.replace("\"Yard\":null", "\"Yard\":\"a\"")] {
         let (status, text, _) = post(&api, "/api/jobs", body).await;
         assert_eq!(status, StatusCode::UNPROCESSABLE_ENTITY, "{text}");
@@ -267,19 +283,23 @@
 async fn an_answer_to_a_worker_is_not_sent_once_the_right_to_it_may_be_over() {
     let report = r#"{"Host":"m-1","Addr":"127.0.0.1:9","Flavor":"g8","Yard":"a","Loaners":false,
         "Tenure":1,"Tick":1,"Baton":1,"EvictionS":null,"Pieces":[]}"#;
-    let late = service(desk(Node::LedOnce, true, View::default(), None, 2000.0));
+    let late =
+        service(desk(ControllerActor::LedOnce, true, LeadershipView::default(), None, 2000.0));
     let (status, _, retry) = post(&late, "/checkin", report).await;
     assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true));
-    assert_eq!(post(&api(Node::Leads, true), "/checkin", report).await.0, StatusCode::OK);
+    assert_eq!(
+        post(&api(ControllerActor::Leads, true), "/checkin", report).await.0,
+        StatusCode::OK
+    );
 }
 
 #[tokio::test]
 async fn workers_are_answered_by_the_leader_and_sent_on_by_others() {
     let report = r#"{"Host":"m-1","Addr":"127.0.0.1:9000","Flavor":"g8","Yard":"a","Loaners":true,
         "Tenure":1,"Tick":88,"Baton":41,"EvictionS":null,"Pieces":[]}"#;
-    let (status, text, _) = post(&api(Node::Leads, true), "/checkin", report).await;
+    let (status, text, _) = post(&api(ControllerActor::Leads, true), "/checkin", report).await;
     assert_eq!((status, text.as_str()), (StatusCode::OK, r#"{"Baton":7,"Orders":[]}"#));
-    let (status, text, _) = post(&api(Node::Follows, true), "/checkin", report).await;
+    let (status, text, _) = post(&api(ControllerActor::Follows, true), "/checkin", report).await;
     assert_eq!(status, StatusCode::MISDIRECTED_REQUEST);
     assert_eq!(text, r#"{"Foreman":"worker-2"}"#);
 }
@@ -293,14 +313,17 @@
     let spec: serde_json::Value = serde_json::from_str(&spec).expect("JSON");
     let record = serde_json::json!({ "spec": spec, "at_ms": 0 });
     server.with(|store| store.put(&job_key(&id), record));
-    let sees = |leader: Option<&str>| View { leader: leader.map(str::to_owned), ..View::default() };
+    let sees = |leader: Option<&str>| LeadershipView {
+        leader: leader.map(str::to_owned),
+        ..LeadershipView::default()
+    };
     // The leader has not seen it yet; nobody leads; the leader can't be reached; it is this node, as
     // far as its view goes, while it is not entitled.
     for (node, leader) in [
-        (Node::Leads, None),
-        (Node::Follows, None),
-        (Node::Follows, Some("worker-1")),
-        (Node::Follows, Some("worker-0")),
+        (ControllerActor::Leads, None),
+        (ControllerActor::Follows, None),
+        (ControllerActor::Follows, Some("worker-1")),
+        (ControllerActor::Follows, Some("worker-0")),
     ] {
         let api = api_at(node, true, sees(leader), Some(&address));
         let (status, text, _) = get(&api, "/api/jobs/req-000007").await;
@@ -314,7 +337,7 @@
         );
     }
     // While the store is away as well, absence can't be told; as soon as it is back, the job can.
-    let api = api_at(Node::Follows, true, sees(Some("worker-1")), Some(&address));
+    let api = api_at(ControllerActor::Follows, true, sees(Some("worker-1")), Some(&address));
     server.refuse(true);
     let (status, _, retry) = get(&api, "/api/jobs/req-000007").await;
     assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true));
@@ -333,7 +356,13 @@
     let id = JobId::parse("req-000412").expect("an id");
     server.with(|store| store.put(&job_key(&id), record));
     // One reading, and then none for ten seconds.
-    let api = service(desk(Node::Follows, true, View::default(), Some(&address), 0.1));
+    let api = service(desk(
+        ControllerActor::Follows,
+        true,
+        LeadershipView::default(),
+        Some(&address),
+        0.1,
+    ));
     assert_eq!(get(&api, "/api/jobs/req-000412").await.0, StatusCode::OK);
     for _ in 0..50 {
         let (status, text, retry) = get(&api, "/api/jobs/req-000412").await;
@@ -349,10 +378,10 @@
 /// store, half of them in vain, and thousands of answers failed for minutes.
 #[tokio::test]
 async fn what_the_leader_decided_is_told_without_the_store() {
-    let desk = desk(Node::Leads, true, View::default(), None, 0.1);
+    let desk = desk(ControllerActor::Leads, true, LeadershipView::default(), None, 0.1);
     let id = JobId::parse("req-000009").expect("an id");
-    desk.finals.remember(&known(&id, JobState::Done).into());
-    desk.finals
+    desk.final_states.remember(&known(&id, JobState::Done).into());
+    desk.final_states
         .remember(&known(&JobId::parse("req-000010").expect("an id"), JobState::Running).into());
     let api = service(desk);
     let (status, text, _) = get(&api, "/api/jobs/req-000009").await;
@@ -369,14 +398,14 @@
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound").to_string();
     let peers = Peers::new(HashMap::from([("worker-1".into(), address)]));
-    let ask = PeerAsk::Status("req-000001".into());
+    let ask = PeerRequest::Status("req-000001".into());
     assert!(matches!(peers.ask("worker-1", &ask, 600).await, Err(PeerError::Timeout)));
     for _ in 0..20 {
-        assert!(matches!(peers.ask("worker-1", &ask, 600).await, Err(PeerError::Silent)));
+        assert!(matches!(peers.ask("worker-1", &ask, 600).await, Err(PeerError::CircuitOpen)));
     }
     tokio::time::advance(std::time::Duration::from_millis(1_100)).await;
     assert!(matches!(peers.ask("worker-1", &ask, 600).await, Err(PeerError::Timeout)), "one tries");
-    assert!(matches!(peers.ask("worker-1", &ask, 600).await, Err(PeerError::Silent)));
+    assert!(matches!(peers.ask("worker-1", &ask, 600).await, Err(PeerError::CircuitOpen)));
 }
 
 /// The same for a state service that says nothing to this controller: without this a question took its whole time
@@ -385,12 +414,13 @@
 async fn a_silent_state_service_is_waited_for_once_in_a_while_only() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound").to_string();
-    let desk = desk(Node::Follows, true, View::default(), Some(&address), 2000.0);
+    let desk =
+        desk(ControllerActor::Follows, true, LeadershipView::default(), Some(&address), 2000.0);
     let id = JobId::parse("req-000001").expect("an id");
     let took = async || {
         let begun = Instant::now();
         let verdict = desk.status(&id, false).await;
-        assert!(matches!(verdict, Verdict::Later(_)), "{verdict:?}");
+        assert!(matches!(verdict, RequestOutcome::Unavailable(_)), "{verdict:?}");
         begun.elapsed()
     };
     assert!(took().await >= Duration::from_secs(1));
@@ -412,7 +442,7 @@
 async fn a_daemon_that_needs_more_than_its_teams_limit_gets_422() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
-    let api = api_at(Node::Follows, true, View::default(), Some(&address));
+    let api = api_at(ControllerActor::Follows, true, LeadershipView::default(), Some(&address));
     let large = daemon().replace("\"Pieces\":4", "\"Pieces\":13");
     let (status, text, _) = post(&api, "/api/jobs", &large).await;
     assert_eq!(status, StatusCode::UNPROCESSABLE_ENTITY, "{text}");
@@ -438,12 +468,12 @@
 async fn a_job_accepted_under_larger_limits_is_never_refused_as_too_long() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
-    let api = api_at(Node::Follows, true, View::default(), Some(&address));
+    let api = api_at(ControllerActor::Follows, true, LeadershipView::default(), Some(&address));
     let long = JOB.replace("img-07", &"x".repeat(9_000));
     let (status, text, _) = post(&api, "/api/jobs", &long).await;
     assert_eq!(status, StatusCode::BAD_REQUEST, "{text}");
     let spec: JobSpec = serde_json::from_str(&long).expect("a job");
-    let record = JobRecord { spec, at_ms: 1, marked: true };
+    let record = JobRecord { spec, accepted_at_ms: 1, has_start_watermark: true };
     let value = serde_json::to_value(record).expect("a record");
     let key = job_key(&JobId::parse("req-000412").expect("an id"));
     server.with(|store| store.put(&key, value));
@@ -455,8 +485,14 @@
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let next = format!("{SETTINGS}[settings.state.next]\nvalue_kb = 2.0\n");
-    let api =
-        service(desk_with(&next, Node::Follows, true, View::default(), Some(&address), 2000.0));
+    let api = service(desk_with(
+        &next,
+        ControllerActor::Follows,
+        true,
+        LeadershipView::default(),
+        Some(&address),
+        2000.0,
+    ));
     let long = |id: &str| JOB.replace("img-07", &"x".repeat(4_000)).replace("req-000412", id);
     assert_eq!(post(&api, "/api/jobs", &long("req-000412")).await.0, StatusCode::CREATED);
     server.limit_values(2_048);
@@ -469,15 +505,17 @@
 
 #[tokio::test]
 async fn replication_is_told_to_whoever_asks_and_published_to_controllers_only() {
-    let api = api_at(Node::Leads, true, View::default(), None);
+    let api = api_at(ControllerActor::Leads, true, LeadershipView::default(), None);
     let (status, text, _) = get(&api, "/replication").await;
     let told: ReplicationStatus = serde_json::from_str(&text).expect("a status");
     assert_eq!((status, told.phase.as_str()), (StatusCode::OK, "active"));
-    let desk = desk_with(SETTINGS, Node::Leads, true, View::default(), None, 100.0);
-    let ask =
-        |name: &str| PeerAsk::Follow(FollowRequest { follower: name.into(), held: Held::Nothing });
+    let desk =
+        desk_with(SETTINGS, ControllerActor::Leads, true, LeadershipView::default(), None, 100.0);
+    let ask = |name: &str| {
+        PeerRequest::Follow(FollowRequest { follower: name.into(), held: Held::Nothing })
+    };
     let answered = desk.answer_peer(ask("worker-1")).await;
-    assert!(matches!(answered, PeerAnswer::Followed(Some(_))), "{answered:?}");
+    assert!(matches!(answered, PeerResponse::Followed(Some(_))), "{answered:?}");
     let refused = desk.answer_peer(ask("somebody")).await;
-    assert_eq!(refused, PeerAnswer::Followed(None));
+    assert_eq!(refused, PeerResponse::Followed(None));
 }
--- a/crates/controller/tests/daemons.rs
+++ b/crates/controller/tests/daemons.rs
@@ -4,7 +4,7 @@
 mod play;
 
 use hookway_constants as constants;
-use hookway_controller::ledger::lease_over_ms;
+use hookway_controller::ledger::worker_lease_expiry_ms;
 use hookway_testkit::ScriptedWorker;
 use hookway_wire::{Command, ExitCause, JobId, JobSpec, JobState, Priority};
 use play::{Play, job, setup, small};
@@ -131,7 +131,7 @@
     let (mut lost, mut other) = (small("m-1", "a"), small("m-2", "b"));
     running(&mut play, &mut lost);
     play.beat(&mut other);
-    let over = play.now + lease_over_ms(&setup().params);
+    let over = play.now + worker_lease_expiry_ms(&setup().platform);
     while play.now < over - 1_000 {
         play.beat(&mut other);
         play.wait(500);
--- a/crates/controller/tests/fleet_size.rs
+++ b/crates/controller/tests/fleet_size.rs
@@ -4,7 +4,7 @@
 
 mod play;
 
-use hookway_controller::ledger::Setup;
+use hookway_controller::ledger::ControllerConfig;
 use hookway_testkit::ScriptedWorker;
 use hookway_wire::{ExitCause, Operation, Transaction};
 use play::{Play, job, setup};
@@ -17,8 +17,8 @@
 /// Arrays: a tenth more tasks than there is room for.
 const ARRAYS: u32 = 10;
 
-fn limits(setup: &Setup) -> (usize, f64) {
-    (setup.params.state.txn_ops, setup.params.state.value_kb)
+fn limits(setup: &ControllerConfig) -> (usize, f64) {
+    (setup.platform.state.txn_ops, setup.platform.state.value_kb)
 }
 
 /// Resident memory of this process, KiB; 0 where the system does not tell.
@@ -75,7 +75,7 @@
     fn report_all(&mut self) {
         for n in 0..self.workers.len() {
             let report = self.workers[n].report();
-            let answer = self.play.ledger.check_in(&report, self.play.now);
+            let answer = self.play.ledger.handle_heartbeat(&report, self.play.now);
             if let Some(answer) = answer {
                 self.workers[n].take(&answer);
             }
@@ -86,7 +86,7 @@
         }
         self.flush();
         self.play.now += 500;
-        self.play.ledger.round(self.play.now);
+        self.play.ledger.scheduling_round(self.play.now);
         self.flush();
     }
 
@@ -133,16 +133,16 @@
     fleet.play = Play::lead(store, 1 + hookway_constants::TOKENS_PER_TERM, now);
     println!("loaded in {:?}", begun.elapsed());
     assert_eq!(fleet.play.ledger.machine_count(), MACHINES);
-    assert!(!fleet.play.ledger.settled(now), "no machine has reported yet");
+    assert!(!fleet.play.ledger.reconciled(now), "no machine has reported yet");
     let begun = Instant::now();
     fleet.report_all();
     assert!(
-        !fleet.play.ledger.settled(fleet.play.now),
+        !fleet.play.ledger.reconciled(fleet.play.now),
         "reports with the old token settle nothing"
     );
     fleet.report_all();
     println!("every machine settled in {:?}", begun.elapsed());
-    assert!(fleet.play.ledger.settled(fleet.play.now), "every machine has reported");
+    assert!(fleet.play.ledger.reconciled(fleet.play.now), "every machine has reported");
     for _ in 0..3 {
         fleet.report_all();
     }
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -3,13 +3,13 @@
 //! whatever is renamed in the code, it must be read as these values and written as these bytes.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
-use hookway_controller::answers::{Told, Verdict};
+use hookway_controller::answers::{JobSnapshot, RequestOutcome};
 use hookway_controller::frame::{self, CURRENT, FrameVersion};
-use hookway_controller::holders::{BlockLease, Renewal};
-use hookway_controller::peers::{PeerAnswer, PeerAsk};
+use hookway_controller::holders::{ShardLease, ShardLeaseRenewal};
+use hookway_controller::peers::{PeerRequest, PeerResponse};
 use hookway_controller::records::{
-    ClassRecord, FinalRecord, ImagesRecord, JobRecord, LeadRecord, MinimumRecord, ProgressRecord,
-    RosterEntry, RosterRecord, SharedMarksRecord,
+    ClassRecord, FinalRecord, ImagesRecord, JobRecord, JobSchedulingRecord, LeaderRecord,
+    MachineRegistryEntry, MachineRegistryRecord, ProgressRecord, SharedStartWatermarksRecord,
 };
 use hookway_policy::Resources;
 use hookway_replication::{
@@ -123,57 +123,76 @@
 
 #[test]
 fn records_in_the_state_service_are_read_and_written_as_in_production() {
-    let job = |kind: &str| JobRecord { spec: spec(kind), at_ms: 1_764_654_219_000, marked: true };
+    let job = |kind: &str| JobRecord {
+        spec: spec(kind),
+        accepted_at_ms: 1_764_654_219_000,
+        has_start_watermark: true,
+    };
     json("record-job-array", &job("array"));
     json("record-job-group", &job("group"));
     json("record-job-daemon", &job("daemon"));
-    json("record-lead", &LeadRecord { label: "worker-1".into(), term: 4_097, nonce: 77 });
+    json(
+        "record-lead",
+        &LeaderRecord { controller_name: "worker-1".into(), term: 4_097, nonce: 77 },
+    );
     let ended = |state, notes| FinalRecord { state, done: 3, team: "vision".into(), notes };
     json("record-final-done", &ended(JobState::Done, vec![]));
     json("record-final-withdrawn", &ended(JobState::Cancelled, vec!["a note".into()]));
     let mut results = vec![false; 20];
     (results[0], results[9], results[19]) = (true, true, true);
     json("record-progress", &ProgressRecord::new(&results));
-    let minimum = MinimumRecord { least: 7, timed: 4, sum_ms: 91_000, opened: 32 };
+    let minimum = JobSchedulingRecord {
+        min_tasks: 7,
+        run_time_count: 4,
+        run_time_sum_ms: 91_000,
+        start_watermark: 32,
+    };
     json("record-minimum", &minimum);
-    json("record-marks", &SharedMarksRecord { jobs: BTreeSet::from([id()]) });
-    let entry = RosterEntry { at_ms: 1_764_654_219_000, images: vec![0] };
-    let bare = RosterEntry { at_ms: 1_764_654_219_001, images: vec![] };
+    json("record-marks", &SharedStartWatermarksRecord { jobs: BTreeSet::from([id()]) });
+    let entry = MachineRegistryEntry { registered_at_ms: 1_764_654_219_000, images: vec![0] };
+    let bare = MachineRegistryEntry { registered_at_ms: 1_764_654_219_001, images: vec![] };
     let machines = BTreeMap::from([("m-000231".to_owned(), entry), ("m-000232".to_owned(), bare)]);
-    json("record-roster", &RosterRecord { machines, images: vec![("img-07".into(), 6.2)] });
+    json(
+        "record-roster",
+        &MachineRegistryRecord { machines, images: vec![("img-07".into(), 6.2)] },
+    );
     json("record-images", &ImagesRecord { images: vec![("img-07".into(), 6.2)] });
     let need = Resources { cpus: 8.0, gpus: 1.0, memory_gb: 64.0 };
-    json("record-lane", &ClassRecord { need, image_gb: 6.2, spot: true, gangs: false });
+    json("record-lane", &ClassRecord { request: need, image_gb: 6.2, spot: true, gangs: false });
 }
 
 #[test]
 fn frames_between_controllers_are_read_and_written_as_in_production() {
-    let told = |state| Told::from(status(state));
-    let bare = Told { team: None, commander: None, notes: vec![], ..told(JobState::Queued) };
-    frame("ask-status", &PeerAsk::Status("req-000412".into()));
-    frame("ask-withdraw", &PeerAsk::Cancel("req-000412".into()));
-    frame("ask-submit", &PeerAsk::Submit(b"{\"NameId\":1}".to_vec()));
-    let renewal = |echo, answered_ago_ms| Renewal {
-        label: "worker-1".into(),
-        nonce: u64::MAX,
+    let told = |state| JobSnapshot::from(status(state));
+    let bare = JobSnapshot { team: None, leader: None, notes: vec![], ..told(JobState::Queued) };
+    frame("ask-status", &PeerRequest::Status("req-000412".into()));
+    frame("ask-withdraw", &PeerRequest::Cancel("req-000412".into()));
+    frame("ask-submit", &PeerRequest::Submit(b"{\"NameId\":1}".to_vec()));
+    let renewal = |echo, answered_ago_ms| ShardLeaseRenewal {
+        controller: "worker-1".into(),
+        process_nonce: u64::MAX,
         uptime_ms: 70_000,
-        echo,
-        answered_ago_ms,
+        acknowledged: echo,
+        extended_ago_ms: answered_ago_ms,
+    };
+    frame("ask-renew", &PeerRequest::RenewShardLease(renewal(Some((4_097, 300)), Some(1_500))));
+    frame("ask-renew-first", &PeerRequest::RenewShardLease(renewal(None, None)));
+    frame("ask-over", &PeerRequest::JobFinished(told(JobState::Cancelled)));
+    let verdict = |verdict| PeerResponse::Outcome(verdict);
+    frame("answer-accepted", &verdict(RequestOutcome::Accepted(bare)));
+    frame("answer-known-running", &verdict(RequestOutcome::Known(told(JobState::Running))));
+    frame("answer-known-done", &verdict(RequestOutcome::Known(told(JobState::Done))));
+    frame("answer-absent", &verdict(RequestOutcome::NotFound));
+    frame("answer-refused", &verdict(RequestOutcome::Rejected(422, "no room".into())));
+    frame("answer-later", &verdict(RequestOutcome::Unavailable("not now".into())));
+    let lease = ShardLease {
+        term: 4_097,
+        granted_at_ms: 70_000,
+        zones: vec!["a".into()],
+        lease_ms: 30_000,
     };
-    frame("ask-renew", &PeerAsk::Renew(renewal(Some((4_097, 300)), Some(1_500))));
-    frame("ask-renew-first", &PeerAsk::Renew(renewal(None, None)));
-    frame("ask-over", &PeerAsk::Over(told(JobState::Cancelled)));
-    let verdict = |verdict| PeerAnswer::Verdict(verdict);
-    frame("answer-accepted", &verdict(Verdict::Accepted(bare)));
-    frame("answer-known-running", &verdict(Verdict::Known(told(JobState::Running))));
-    frame("answer-known-done", &verdict(Verdict::Known(told(JobState::Done))));
-    frame("answer-absent", &verdict(Verdict::Absent));
-    frame("answer-refused", &verdict(Verdict::Refused(422, "no room".into())));
-    frame("answer-later", &verdict(Verdict::Later("not now".into())));
-    let lease =
-        BlockLease { term: 4_097, stamp: 70_000, zones: vec!["a".into()], lease_ms: 30_000 };
-    frame("answer-block", &PeerAnswer::Block(Some(lease)));
-    frame("answer-no-block", &PeerAnswer::Block(None));
+    frame("answer-block", &PeerResponse::ShardLease(Some(lease)));
+    frame("answer-no-block", &PeerResponse::ShardLease(None));
 }
 
 /// Messages that came with version 2. Production and version 1 never see them: whoever asks looks at the version
@@ -181,7 +200,7 @@
 #[test]
 fn frames_of_replication_are_read_and_written_as_in_version_2() {
     let at = |index| Position { term: 4_097, index };
-    let ask = |held| PeerAsk::Follow(FollowRequest { follower: "worker-1".into(), held });
+    let ask = |held| PeerRequest::Follow(FollowRequest { follower: "worker-1".into(), held });
     frame("ask-follow-nothing", &ask(Held::Nothing));
     frame("ask-follow-through", &ask(Held::Through(at(300))));
     frame("ask-follow-pieces", &ask(Held::Pieces(at(300), 2)));
@@ -204,39 +223,39 @@
     ];
     let digest = Some(RangeDigest { range: 3, digest: 77 });
     let body = FollowBody::Entries { after: at(300), entries, digest };
-    frame("answer-entries", &PeerAnswer::Followed(Some(FollowAnswer { end: at(400), body })));
+    frame("answer-entries", &PeerResponse::Followed(Some(FollowAnswer { end: at(400), body })));
     let piece =
         ImagePiece { position: at(300), number: 1, length: 5, digest: 8, bytes: vec![1, 2] };
     let body = FollowBody::Piece(piece);
-    frame("answer-piece", &PeerAnswer::Followed(Some(FollowAnswer { end: at(400), body })));
-    frame("answer-follows-not", &PeerAnswer::Followed(None));
+    frame("answer-piece", &PeerResponse::Followed(Some(FollowAnswer { end: at(400), body })));
+    frame("answer-follows-not", &PeerResponse::Followed(None));
 }
 
 #[test]
 fn a_frame_names_its_version_where_production_ignores_it() {
-    let ask = PeerAsk::Status("req-000412".into());
+    let ask = PeerRequest::Status("req-000412".into());
     let bytes = frame::encode(&ask).expect("a frame");
     let written: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
     assert_eq!(written, format!("{}02", fixture("ask-status")));
     // As production reads it: what follows the message is not looked at.
     let config = bincode::config::standard();
-    let (read, _): (PeerAsk, usize) =
+    let (read, _): (PeerRequest, usize) =
         bincode::serde::decode_from_slice(&bytes, config).expect("a frame");
     assert_eq!(read, ask);
-    assert_eq!(frame::decode::<PeerAsk>(&bytes).expect("a frame"), (ask.clone(), CURRENT));
+    assert_eq!(frame::decode::<PeerRequest>(&bytes).expect("a frame"), (ask.clone(), CURRENT));
     // A frame of production, and one of a later version that says more.
     let old = &bytes[..bytes.len() - 1];
-    let (read, version) = frame::decode::<PeerAsk>(old).expect("a frame");
+    let (read, version) = frame::decode::<PeerRequest>(old).expect("a frame");
     assert_eq!((read, version), (ask.clone(), FrameVersion(0)));
     let later = [old, &[9, 1, 2, 3]].concat();
-    let (read, version) = frame::decode::<PeerAsk>(&later).expect("a frame");
+    let (read, version) = frame::decode::<PeerRequest>(&later).expect("a frame");
     assert_eq!((read, version), (ask, FrameVersion(9)));
 }
 
 #[test]
 fn a_message_that_only_later_versions_know_is_refused() {
-    assert!(frame::decode::<PeerAsk>(&[200, 1, 2]).is_err());
-    assert!(frame::decode::<PeerAsk>(&[]).is_err());
+    assert!(frame::decode::<PeerRequest>(&[200, 1, 2]).is_err());
+    assert!(frame::decode::<PeerRequest>(&[]).is_err());
 }
 
 #[test]
