--- a/crates/controller/tests/leadership.rs
+++ b/crates/controller/tests/leadership.rs
@@ -3,44 +3,44 @@
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_clients::StoreClient;
-use hookway_controller::lead::{Clock, Leadership, Mandate, Validity, View};
-use hookway_controller::records::{LEAD_NOW, LEAD_TERM, LeadRecord};
+use hookway_controller::lead::{Clock, LeaderTerm, Leadership, LeadershipLease, LeadershipView};
+use hookway_controller::records::{LEADER_KEY, LEADER_TERM_KEY, LeaderRecord};
 use hookway_testkit::StoreServer;
 use hookway_wire::{Operation, Transaction};
 use std::sync::Arc;
 use tokio::sync::{Notify, watch};
 
-struct Node {
-    view: watch::Receiver<View>,
-    validity: Arc<Validity>,
+struct ControllerActor {
+    view: watch::Receiver<LeadershipView>,
+    validity: Arc<LeadershipLease>,
     clock: Clock,
     suspicion: Arc<Notify>,
     leadership: tokio::task::JoinHandle<()>,
 }
 
-fn start(label: &str, address: &str) -> Node {
-    let (view_tx, view) = watch::channel(View::default());
-    let validity = Arc::new(Validity::default());
+fn start(label: &str, address: &str) -> ControllerActor {
+    let (view_tx, view) = watch::channel(LeadershipView::default());
+    let validity = Arc::new(LeadershipLease::default());
     let clock = Clock::default();
     let suspicion = Arc::new(Notify::new());
     let leadership = Leadership {
-        label: label.into(),
+        controller_name: label.into(),
         store: StoreClient::new(address, 1_000.0),
         clock,
-        validity: validity.clone(),
+        lease: validity.clone(),
         view: view_tx,
-        doubt: Arc::new(Notify::new()),
-        suspicion: suspicion.clone(),
+        leadership_lost: Arc::new(Notify::new()),
+        leader_suspected: suspicion.clone(),
         lease_ms: hookway_constants::LEADER_TTL_MS,
-        warm: Arc::default(),
+        has_warm_copy: Arc::default(),
     };
     let leadership = tokio::spawn(leadership.run());
-    Node { view, validity, clock, suspicion, leadership }
+    ControllerActor { view, validity, clock, suspicion, leadership }
 }
 
-async fn leads(node: &mut Node) -> Mandate {
-    let view = node.view.wait_for(|v| v.mandate.is_some()).await.expect("the actor lives");
-    view.mandate.clone().expect("just seen")
+async fn leads(node: &mut ControllerActor) -> LeaderTerm {
+    let view = node.view.wait_for(|v| v.own_term.is_some()).await.expect("the actor lives");
+    view.own_term.clone().expect("just seen")
 }
 
 #[tokio::test]
@@ -53,19 +53,19 @@
     assert!(one.validity.holds(first.term, one.clock.now()));
     let mut two = start("two", &address);
     two.view.wait_for(|v| v.leader.as_deref() == Some("one")).await.expect("the actor lives");
-    assert_eq!(two.view.borrow().mandate, None, "one leader at a time");
+    assert_eq!(two.view.borrow().own_term, None, "one leader at a time");
     // The lease ends, as it does when it is not extended in time.
     server.end(first.lease_id);
     let second = tokio::select! {
         m = leads(&mut two) => m,
-        m = async { one.view.wait_for(|v| v.mandate.as_ref().is_some_and(|m| m.term > 1)).await
-            .expect("the actor lives").mandate.clone().expect("just seen") } => m,
+        m = async { one.view.wait_for(|v| v.own_term.as_ref().is_some_and(|m| m.term > 1)).await
+            .expect("the actor lives").own_term.clone().expect("just seen") } => m,
     };
     // Above every token that the first one may have used, each machine's own ones included.
     assert_eq!(second.term, 1 + hookway_constants::TOKENS_PER_TERM);
     // What the deposed leader still has under way is guarded by a version that is gone.
     let late = Transaction {
-        preconditions: vec![first.guard],
+        preconditions: vec![first.precondition],
         operations: vec![Operation::put("f/req-000001", serde_json::json!("late"))],
     };
     assert!(server.with(|store| store.commit(&late)).is_err());
@@ -76,16 +76,16 @@
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let lease_id = server.grant();
-    let record = LeadRecord { label: "one".into(), term: 4, nonce: 1 };
+    let record = LeaderRecord { controller_name: "one".into(), term: 4, nonce: 1 };
     let before = Transaction {
         preconditions: vec![],
         operations: vec![
             Operation::Put {
-                key: LEAD_NOW.into(),
+                key: LEADER_KEY.into(),
                 value: serde_json::to_value(record).expect("a record"),
                 lease_id: Some(lease_id),
             },
-            Operation::put(LEAD_TERM, serde_json::json!(4)),
+            Operation::put(LEADER_TERM_KEY, serde_json::json!(4)),
         ],
     };
     server.with(|store| store.commit(&before)).expect("applied");
@@ -107,7 +107,7 @@
     let two = start("two", &address);
     let mut view = two.view.clone();
     view.wait_for(|v| v.leader.as_deref() == Some("one")).await.expect("the actor lives");
-    assert_eq!(one.view.borrow().mandate, Some(first));
+    assert_eq!(one.view.borrow().own_term, Some(first));
 }
 
 /// A watch whose connection died unnoticed hides the end of a lease for seconds; a suspicion asks at once. The
@@ -123,8 +123,8 @@
     server.mute_watches();
     two.suspicion.notify_one();
     tokio::time::sleep(std::time::Duration::from_millis(200)).await;
-    assert_eq!(two.view.borrow().mandate, None, "the lease runs, so it leads");
-    assert_eq!(one.view.borrow().mandate, Some(first.clone()));
+    assert_eq!(two.view.borrow().own_term, None, "the lease runs, so it leads");
+    assert_eq!(one.view.borrow().own_term, Some(first.clone()));
     // Its process is gone, and nobody extends the lease; the muted watch says nothing.
     one.leadership.abort();
     server.end(first.lease_id);
--- a/crates/controller/tests/node.rs
+++ b/crates/controller/tests/node.rs
@@ -3,16 +3,16 @@
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
-use hookway_controller::answers::Verdict;
-use hookway_controller::api::{Desk, Stores};
+use hookway_controller::answers::RequestOutcome;
+use hookway_controller::api::{ApiService, StoreClients};
 use hookway_controller::config::{OperatorSettings, Settings};
-use hookway_controller::holders::Holding;
-use hookway_controller::lead::{Clock, Leadership, Validity, View};
-use hookway_controller::ledger::Setup;
+use hookway_controller::holders::ShardLessee;
+use hookway_controller::lead::{Clock, Leadership, LeadershipLease, LeadershipView};
+use hookway_controller::ledger::ControllerConfig;
 use hookway_controller::networks::Networks;
-use hookway_controller::node::{Ask, Node};
+use hookway_controller::node::{ControllerActor, ControllerRequest};
 use hookway_controller::peers::{self, Peers};
-use hookway_controller::records::final_key;
+use hookway_controller::records::final_state_key;
 use hookway_controller::standby::{Standby, StandbySignals};
 use hookway_testkit::{SETTINGS, StoreServer, machine_types};
 use hookway_wire::{JobId, JobState};
@@ -32,25 +32,25 @@
 
 /// A running controller.
 struct Controller {
-    desk: Arc<Desk>,
-    view: watch::Receiver<View>,
+    desk: Arc<ApiService>,
+    view: watch::Receiver<LeadershipView>,
 }
 
 /// Starts a controller; `stands`: it seeks the leadership.
 async fn start(label: &str, store: &str, siblings: &[(&str, &str)], stands: bool) -> Controller {
     let settings = Settings::parse(SETTINGS).expect("sound settings");
     let client = || StoreClient::new(store, 1_000.0);
-    let (view_tx, view) = watch::channel(View::default());
+    let (view_tx, view) = watch::channel(LeadershipView::default());
     let (machine_types_tx, machine_types_rx) = watch::channel(Some(Arc::new(machine_types())));
     let (node_tx, asks) = mpsc::channel(64);
-    let (validity, doubt) = (Arc::new(Validity::default()), Arc::new(Notify::new()));
+    let (validity, doubt) = (Arc::new(LeadershipLease::default()), Arc::new(Notify::new()));
     let clock = Clock::default();
     let signals = StandbySignals::default();
     let addresses: HashMap<String, String> =
         siblings.iter().map(|(l, a)| ((*l).to_owned(), (*a).to_owned())).collect();
-    let stores = Stores { submissions: client(), questions: client() };
-    let desk = Arc::new(Desk::new(
-        settings.settings.clone(),
+    let stores = StoreClients { submissions: client(), queries: client() };
+    let desk = Arc::new(ApiService::new(
+        settings.platform.clone(),
         label.into(),
         stores,
         Peers::new(addresses),
@@ -58,26 +58,26 @@
         view.clone(),
         machine_types_rx.clone(),
     ));
-    let node = Node {
-        setup: Setup {
-            label: label.into(),
-            domain: "a".into(),
-            siblings: siblings.iter().map(|(l, _)| ((*l).to_owned(), "b".to_owned())).collect(),
-            params: settings.settings,
+    let node = ControllerActor {
+        config: ControllerConfig {
+            controller_name: label.into(),
+            zone: "a".into(),
+            peers: siblings.iter().map(|(l, _)| ((*l).to_owned(), "b".to_owned())).collect(),
+            platform: settings.platform,
             operator: OperatorSettings::default(),
         },
         store: client(),
         cloud: CloudClient::new(NOWHERE, 100.0),
         workers: WorkerClient::default(),
         clock,
-        validity: validity.clone(),
+        lease: validity.clone(),
         view: view.clone(),
-        doubt: doubt.clone(),
+        leadership_lost: doubt.clone(),
         machine_types: machine_types_rx,
-        asks,
-        finals: desk.finals.clone(),
-        deserted_at: std::cell::Cell::new(None),
-        holding: std::cell::RefCell::new(Holding::new(label, 1, 1_000)),
+        requests: asks,
+        final_states: desk.final_states.clone(),
+        stepped_down_at: std::cell::Cell::new(None),
+        shard_lessee: std::cell::RefCell::new(ShardLessee::new(label, 1, 1_000)),
         standby: std::cell::RefCell::new(Standby::new(label, true, signals.clone())),
     };
     tokio::task::spawn_local(async move {
@@ -86,15 +86,15 @@
     });
     if stands {
         let leadership = Leadership {
-            label: label.into(),
+            controller_name: label.into(),
             store: client(),
             clock,
-            validity,
+            lease: validity,
             view: view_tx,
-            doubt,
-            suspicion: signals.suspicion,
+            leadership_lost: doubt,
+            leader_suspected: signals.leader_suspected,
             lease_ms: hookway_constants::LEADER_TTL_MS,
-            warm: signals.warm,
+            has_warm_copy: signals.has_warm_copy,
         };
         tokio::spawn(leadership.run());
     } else {
@@ -109,14 +109,18 @@
 
 /// Accepts the job and waits until the leader knows it.
 async fn accepted(one: &mut Controller) -> JobId {
-    one.view.wait_for(|v| v.mandate.is_some()).await.expect("the actor lives");
+    one.view.wait_for(|v| v.own_term.is_some()).await.expect("the actor lives");
     let verdict = one.desk.submit(JOB.as_bytes(), false).await;
-    assert!(matches!(verdict, Verdict::Accepted(_)), "{verdict:?}");
+    assert!(matches!(verdict, RequestOutcome::Accepted(_)), "{verdict:?}");
     let id = JobId::parse("req-000412").expect("an id");
     // Its ledger has been loaded.
     let known = async || {
         let (reply, answer) = oneshot::channel();
-        one.desk.node.send(Ask::Status(id.clone(), reply)).await.expect("the actor lives");
+        one.desk
+            .controller
+            .send(ControllerRequest::Status(id.clone(), reply))
+            .await
+            .expect("the actor lives");
         answer.await.expect("an answer").is_some()
     };
     while !known().await {
@@ -136,13 +140,13 @@
         let id = accepted(&mut one).await;
         server.refuse(true);
         let verdict = within(one.desk.cancel(&id, false)).await;
-        assert!(matches!(verdict, Verdict::Later(_)), "{verdict:?}");
-        assert!(server.with(|store| store.get(&final_key(&id))).is_none());
+        assert!(matches!(verdict, RequestOutcome::Unavailable(_)), "{verdict:?}");
+        assert!(server.with(|store| store.get(&final_state_key(&id))).is_none());
         server.refuse(false);
         // The decision stayed in the queue; whoever asks again hears of it.
         let told = within(async {
             loop {
-                if let Verdict::Known(told) = one.desk.cancel(&id, false).await {
+                if let RequestOutcome::Known(told) = one.desk.cancel(&id, false).await {
                     break told;
                 }
             }
@@ -167,16 +171,16 @@
         tokio::spawn(peers::serve(listener, two.desk.clone(), Networks::default()));
         let mut one = start("one", &address, &[("two", &there)], true).await;
         let id = accepted(&mut one).await;
-        assert!(!two.desk.finals.holds(&id));
+        assert!(!two.desk.final_states.contains(&id));
         let verdict = within(one.desk.cancel(&id, false)).await;
-        assert!(matches!(verdict, Verdict::Known(_)), "{verdict:?}");
+        assert!(matches!(verdict, RequestOutcome::Known(_)), "{verdict:?}");
         within(async {
-            while !two.desk.finals.holds(&id) {
+            while !two.desk.final_states.contains(&id) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         })
         .await;
-        let Verdict::Known(told) = two.desk.status(&id, false).await else {
+        let RequestOutcome::Known(told) = two.desk.status(&id, false).await else {
             panic!("it knows the end without the state service")
         };
         assert_eq!(told.state, JobState::Cancelled);
@@ -199,17 +203,19 @@
         let one = start("one", NOWHERE, &[("two", &there)], false).await;
         let first = JobId::parse("req-000412").expect("an id");
         let verdict = within(one.desk.submit(JOB.as_bytes(), false)).await;
-        assert!(matches!(verdict, Verdict::Accepted(_)), "{verdict:?}");
+        assert!(matches!(verdict, RequestOutcome::Accepted(_)), "{verdict:?}");
         let verdict = within(one.desk.status(&first, false)).await;
-        assert!(matches!(verdict, Verdict::Known(told) if told.state == JobState::Queued));
+        assert!(matches!(verdict, RequestOutcome::Known(told) if told.state == JobState::Queued));
         let verdict = within(one.desk.cancel(&first, false)).await;
-        assert!(matches!(verdict, Verdict::Known(told) if told.state == JobState::Cancelled));
+        assert!(
+            matches!(verdict, RequestOutcome::Known(told) if told.state == JobState::Cancelled)
+        );
         let absent = JobId::parse("req-000999").expect("an id");
-        assert_eq!(within(one.desk.status(&absent, false)).await, Verdict::Absent);
+        assert_eq!(within(one.desk.status(&absent, false)).await, RequestOutcome::NotFound);
         // While the state service is away for all, nobody knows.
         server.refuse(true);
         let verdict = within(one.desk.status(&absent, false)).await;
-        assert!(matches!(verdict, Verdict::Later(_)), "{verdict:?}");
+        assert!(matches!(verdict, RequestOutcome::Unavailable(_)), "{verdict:?}");
     };
     LocalSet::new().run_until(work).await;
 }
--- a/crates/controller/tests/play/mod.rs
+++ b/crates/controller/tests/play/mod.rs
@@ -4,8 +4,10 @@
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_controller::config::{OperatorSettings, Settings};
-use hookway_controller::ledger::{CommitResult, Ledger, Loaded, Lookup, Moment, Setup};
-use hookway_controller::records::{JobRecord, LEAD_NOW, final_key, job_key};
+use hookway_controller::ledger::{
+    ClusterState, CommitResult, ControllerConfig, JobLookup, LoadedState, Timestamp,
+};
+use hookway_controller::records::{JobRecord, LEADER_KEY, final_state_key, job_key};
 use hookway_testkit::{MemoryStore, SETTINGS, ScriptedWorker, machine_types};
 use hookway_wire::{Command, JobId, JobSpec, JobState, ListedMachine, MachineState, Precondition};
 
@@ -21,19 +23,19 @@
 
 /// A controller that leads, its store, its clock.
 pub struct Play {
-    pub ledger: Ledger,
+    pub ledger: ClusterState,
     pub store: MemoryStore,
     pub now: u64,
 }
 
-pub fn setup() -> Setup {
+pub fn setup() -> ControllerConfig {
     // So many writes a second that the budget never holds a test up.
     let settings = SETTINGS.replace("write_rps = 25.0", "write_rps = 1000.0");
-    Setup {
-        label: "worker-0".into(),
-        domain: "a".into(),
-        siblings: vec![],
-        params: Settings::parse(&settings).expect("sound settings").settings,
+    ControllerConfig {
+        controller_name: "worker-0".into(),
+        zone: "a".into(),
+        peers: vec![],
+        platform: Settings::parse(&settings).expect("sound settings").platform,
         operator: OperatorSettings::default(),
     }
 }
@@ -49,30 +51,31 @@
     }
 
     /// The same, with other settings.
-    pub fn lead_with(setup: Setup, mut store: MemoryStore, term: u64, now: u64) -> Self {
-        let stamp = store.put(LEAD_NOW, serde_json::json!({ "term": term }));
-        let loaded = Loaded {
+    pub fn lead_with(setup: ControllerConfig, mut store: MemoryStore, term: u64, now: u64) -> Self {
+        let stamp = store.put(LEADER_KEY, serde_json::json!({ "term": term }));
+        let loaded = LoadedState {
             jobs: store.list("j/"),
             progress: store.list("p/"),
-            minimums: store.list("m/"),
-            roster: store.list("r/"),
+            scheduling: store.list("m/"),
+            registry: store.list("r/"),
             images: store.list("i/"),
             classes: store.get("c/lanes"),
-            marked: true,
+            has_start_watermarks: true,
         };
-        let guard = Precondition { key: LEAD_NOW.into(), mod_revision: stamp };
-        let at = Moment { now, wall: 1_000_000 + now };
-        let ledger = Ledger::new(setup, term, guard, machine_types(), loaded, at);
+        let guard = Precondition { key: LEADER_KEY.into(), mod_revision: stamp };
+        let at = Timestamp { monotonic: now, wall: 1_000_000 + now };
+        let ledger = ClusterState::new(setup, term, guard, machine_types(), loaded, at);
         Self { ledger, store, now }
     }
 
     pub fn submit(&mut self, spec: JobSpec) -> JobId {
         let id = spec.id.clone();
-        let record = JobRecord { spec, at_ms: 1_000_000 + self.now, marked: true };
+        let record =
+            JobRecord { spec, accepted_at_ms: 1_000_000 + self.now, has_start_watermark: true };
         let value = serde_json::to_value(record).expect("a record");
         self.store.put(&job_key(&id), value.clone());
-        let at = Moment { now: self.now, wall: 1_000_000 + self.now };
-        self.ledger.job_seen(&job_key(&id), value, at, false);
+        let at = Timestamp { monotonic: self.now, wall: 1_000_000 + self.now };
+        self.ledger.add_job(&job_key(&id), value, at, false);
         id
     }
 
@@ -83,7 +86,7 @@
                 Ok(revision) => CommitResult::Applied(revision),
                 Err(_) => {
                     let keys = commit.keys();
-                    CommitResult::Unsure(
+                    CommitResult::Indeterminate(
                         keys.into_iter().map(|k| (k.clone(), self.store.get(&k))).collect(),
                     )
                 }
@@ -95,7 +98,7 @@
     /// One report of a worker, answered; the commands.
     pub fn beat(&mut self, worker: &mut ScriptedWorker) -> Vec<Command> {
         let report = worker.report();
-        let answer = self.ledger.check_in(&report, self.now);
+        let answer = self.ledger.handle_heartbeat(&report, self.now);
         let commands = answer.as_ref().map(|a| a.commands.clone()).unwrap_or_default();
         if let Some(answer) = answer {
             worker.take(&answer);
@@ -107,7 +110,7 @@
     /// Time passes, with a scheduling round.
     pub fn wait(&mut self, ms: u64) {
         self.now += ms;
-        self.ledger.round(self.now);
+        self.ledger.scheduling_round(self.now);
         self.flush();
     }
 
@@ -128,13 +131,13 @@
 
     pub fn state(&self, id: &JobId) -> JobState {
         match self.ledger.status(id) {
-            Lookup::Known(status) => status.state,
+            JobLookup::Known(status) => status.state,
             other => panic!("{id}: {other:?}"),
         }
     }
 
     pub fn stored_final(&self, id: &JobId) -> Option<String> {
-        let kv = self.store.get(&final_key(id))?;
+        let kv = self.store.get(&final_state_key(id))?;
         kv.value.get("state").and_then(|s| s.as_str()).map(str::to_owned)
     }
 }
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -5,7 +5,7 @@
 mod play;
 
 use hookway_constants as constants;
-use hookway_controller::ledger::{Ledger, WarmStart, lease_over_ms};
+use hookway_controller::ledger::{ClusterState, WarmStart, worker_lease_expiry_ms};
 use hookway_controller::networks::Networks;
 use hookway_replication::{Entry, JobHints, PlacedTask, Publisher, ReplicatedState, Stage};
 use hookway_testkit::ScriptedWorker;
@@ -15,7 +15,7 @@
 const SECOND_TERM: u64 = 1 + constants::TOKENS_PER_TERM;
 
 /// The copy that a standby has which is up to date.
-fn copy_of(ledger: &mut Ledger) -> ReplicatedState {
+fn copy_of(ledger: &mut ClusterState) -> ReplicatedState {
     let mut publisher = Publisher::new(ledger.term());
     ledger.publish_all(&mut publisher);
     publisher.state().clone()
@@ -30,7 +30,7 @@
 
 /// The workers that the new leader asks answer, those that are there; how many it asked.
 fn answer_greetings(play: &mut Play, workers: &mut [ScriptedWorker]) -> usize {
-    let asked = play.ledger.take_greetings(play.now);
+    let asked = play.ledger.take_state_probes(play.now);
     for (name, _) in &asked {
         let worker = workers.iter_mut().find(|w| w.name() == name);
         let token = play.ledger.term();
@@ -42,7 +42,7 @@
                 commands: vec![],
             })
         });
-        play.ledger.greeted(name, report, play.now);
+        play.ledger.state_probed(name, report, play.now);
     }
     asked.len()
 }
@@ -87,7 +87,7 @@
     let taken = take_over(&mut play, &copy);
     assert_eq!((taken.addresses, taken.gangs), (4, 1), "{taken}");
     assert_eq!(answer_greetings(&mut play, &mut workers), 4, "asked at once");
-    assert!(play.ledger.settled(play.now));
+    assert!(play.ledger.reconciled(play.now));
     settle(&mut play, &mut workers);
     let attempts = attempts(&workers);
     assert_eq!(attempts.len(), 4, "the rest was started, and nothing twice: {attempts:?}");
@@ -136,7 +136,7 @@
     workers.truncate(2);
     take_over(&mut play, &copy);
     for gone in ["m-3", "m-4"] {
-        play.ledger.deleted(&[gone.to_owned()], play.now);
+        play.ledger.scale_in_finished(&[gone.to_owned()], play.now);
     }
     settle(&mut play, &mut workers);
     assert_eq!(workers[0].live().len(), 1, "the rest may find room yet");
@@ -161,7 +161,7 @@
     // Only two machines can be asked; the third may have anything.
     let mut heard: Vec<ScriptedWorker> = workers.drain(..2).collect();
     settle(&mut play, &mut heard);
-    assert!(!play.ledger.settled(play.now));
+    assert!(!play.ledger.reconciled(play.now));
     let lost = heard[0].live().remove(0);
     heard[0].end(&lost, ExitCause::Stopped);
     settle(&mut play, &mut heard);
@@ -193,7 +193,7 @@
     let mut spare = vec![small("m-2", "a")];
     settle(&mut play, &mut spare);
     assert!(spare[0].started.is_empty(), "m-1 may run it");
-    let lease_over_at = play.now + lease_over_ms(&setup().params);
+    let lease_over_at = play.now + worker_lease_expiry_ms(&setup().platform);
     while play.now < lease_over_at {
         settle(&mut play, &mut spare);
     }
@@ -224,7 +224,7 @@
     assert_eq!(taken, WarmStart { addresses: 1, failing_jobs: 0, gangs: 0 });
     assert_eq!(play.ledger.machine_count(), 1);
     let unknown = JobId::parse("req-000009").expect("an id");
-    assert_eq!(play.ledger.status(&unknown), hookway_controller::ledger::Lookup::NotHere);
+    assert_eq!(play.ledger.status(&unknown), hookway_controller::ledger::JobLookup::UnknownJob);
 }
 
 #[test]
@@ -237,7 +237,7 @@
     play = Play::lead(store, SECOND_TERM, play.now + 5_000);
     let elsewhere = Networks::parse("10.1.0.0/16").expect("a network");
     assert_eq!(play.ledger.warm_start(&copy, &elsewhere, play.now).addresses, 0);
-    assert!(play.ledger.take_greetings(play.now).is_empty());
+    assert!(play.ledger.take_state_probes(play.now).is_empty());
 }
 
 /// A worker that answers under another name than the copy gives to its address settles nothing.
@@ -249,13 +249,13 @@
     let copy = copy_of(&mut play.ledger);
     take_over(&mut play, &copy);
     let term = play.ledger.term();
-    let asked = play.ledger.take_greetings(play.now);
+    let asked = play.ledger.take_state_probes(play.now);
     assert_eq!(asked.len(), 2);
     let hello =
         hookway_wire::DirectCommands { fencing_token: term, incarnation: 1, commands: vec![] };
     let other = workers[1].commands(&hello);
-    play.ledger.greeted("m-1", other, play.now);
-    assert!(!play.ledger.settled(play.now));
+    play.ledger.state_probed("m-1", other, play.now);
+    assert!(!play.ledger.reconciled(play.now));
 }
 
 #[test]
@@ -330,7 +330,7 @@
         worker.end(&task, ExitCause::Done);
     }
     settle(&mut play, &mut workers);
-    play.ledger.deleted(&["m-4".to_owned()], play.now);
+    play.ledger.scale_in_finished(&["m-4".to_owned()], play.now);
     play.ledger.publish(&mut publisher);
     assert_eq!(publisher.state(), &copy_of(&mut play.ledger));
     assert_eq!((publisher.state().machines.len(), publisher.state().task_count()), (3, 0));
@@ -348,11 +348,11 @@
     for worker in &mut workers {
         play.beat(worker);
     }
-    assert!(!play.ledger.settled(play.now), "their reports may be from before the takeover");
-    assert!(play.ledger.take_greetings(play.now).is_empty(), "they report again at once");
+    assert!(!play.ledger.reconciled(play.now), "their reports may be from before the takeover");
+    assert!(play.ledger.take_state_probes(play.now).is_empty(), "they report again at once");
     play.now += constants::PROMPT_HEARTBEAT_MS;
     assert_eq!(answer_greetings(&mut play, &mut workers), 2);
-    assert!(play.ledger.settled(play.now));
+    assert!(play.ledger.reconciled(play.now));
 }
 
 /// A worker that does not answer is asked again; where the others of its zone answer it is given back, and the
@@ -370,7 +370,7 @@
     // The cloud still lists it, and says in which zone it is.
     let list: Vec<ListedMachine> =
         (1..=8).map(|n| play::listed(&format!("m-{n}"), MachineState::Running, 60.0)).collect();
-    play.ledger.listed(&list, play.now, play.now);
+    play.ledger.machines_listed(&list, play.now, play.now);
     let begun = play.now;
     let deleted = loop {
         answer_greetings(&mut play, &mut workers);
@@ -378,9 +378,9 @@
             play.beat(worker);
         }
         play.wait(500);
-        let deleted = play.ledger.fleet_round(play.now).into_iter().find_map(|a| match a {
-            hookway_controller::ledger::FleetAction::Delete(names) => Some(names),
-            hookway_controller::ledger::FleetAction::Rent(_) => None,
+        let deleted = play.ledger.autoscaling_round(play.now).into_iter().find_map(|a| match a {
+            hookway_controller::ledger::ScalingAction::ScaleIn(names) => Some(names),
+            hookway_controller::ledger::ScalingAction::ScaleOut(_) => None,
         });
         if let Some(names) = deleted {
             break names;
@@ -392,9 +392,9 @@
     let asked =
         u64::from(constants::MAX_UNANSWERED_STATE_PROBES - 1) * constants::STATE_PROBE_RETRY_MS;
     assert!((asked..asked + 1_500).contains(&after), "{after} ms");
-    assert!(!play.ledger.settled(play.now), "only the cloud's answer proves it");
-    play.ledger.deleted(&deleted, play.now);
-    assert!(play.ledger.settled(play.now));
+    assert!(!play.ledger.reconciled(play.now), "only the cloud's answer proves it");
+    play.ledger.scale_in_finished(&deleted, play.now);
+    assert!(play.ledger.reconciled(play.now));
 }
 
 /// The rest of a gang may be on a machine that has not answered: no task of it starts elsewhere before that is settled.
@@ -416,7 +416,7 @@
     settle(&mut play, &mut workers);
     let begun = attempts(&workers).len();
     assert_eq!(begun, 2, "one machine is idle, and must stay so");
-    assert!(!play.ledger.settled(play.now));
+    assert!(!play.ledger.reconciled(play.now));
     settle(&mut play, &mut workers);
     assert_eq!(attempts(&workers).len(), begun, "its third task runs on {}", silent.name());
 }
--- a/crates/controller/tests/world/controllers.rs
+++ b/crates/controller/tests/world/controllers.rs
@@ -5,12 +5,13 @@
 use hookway_clients::Delivery;
 use hookway_constants as constants;
 use hookway_controller::config::{OperatorSettings, Settings};
-use hookway_controller::holders::{BlockLease, Holding, Renewal};
-use hookway_controller::lead::valid_until;
+use hookway_controller::holders::{ShardLease, ShardLeaseRenewal, ShardLessee};
+use hookway_controller::lead::lease_expiry;
 use hookway_controller::ledger::{
-    Commit, CommitResult, FleetAction, Ledger, Loaded, Moment, Setup,
+    ClusterState, CommitResult, ControllerConfig, LoadedState, PendingCommit, ScalingAction,
+    Timestamp,
 };
-use hookway_controller::records::LEAD_NOW;
+use hookway_controller::records::LEADER_KEY;
 use hookway_replication::{Follower, Publisher};
 use hookway_testkit::{SETTINGS, machine_types};
 use hookway_wire::{
@@ -27,7 +28,7 @@
 
 /// One term, as the controller that leads it, or led it a moment ago, has it.
 pub(super) struct Leader {
-    pub ledger: Ledger,
+    pub ledger: ClusterState,
     pub term: u64,
     pub publisher: Publisher,
     valid_until: u64,
@@ -39,8 +40,8 @@
 
 /// A controller's process.
 pub(super) struct Controller {
-    pub setup: Setup,
-    pub holding: Holding,
+    pub setup: ControllerConfig,
+    pub holding: ShardLessee,
     pub version: Version,
     /// Its copy of the leader's picture.
     pub follower: Follower,
@@ -85,15 +86,15 @@
         let siblings = NODES.iter().enumerate().filter(|(other, _)| *other != n);
         let limits = if version == Version::New { NEXT_LIMITS } else { "" };
         let settings = format!("{SETTINGS}{limits}");
-        let setup = Setup {
-            label: NODES[n].0.into(),
-            domain: NODES[n].1.into(),
-            siblings: siblings.map(|(_, (l, z))| ((*l).to_owned(), (*z).to_owned())).collect(),
-            params: Settings::parse(&settings).expect("sound settings").settings,
+        let setup = ControllerConfig {
+            controller_name: NODES[n].0.into(),
+            zone: NODES[n].1.into(),
+            peers: siblings.map(|(_, (l, z))| ((*l).to_owned(), (*z).to_owned())).collect(),
+            platform: Settings::parse(&settings).expect("sound settings").platform,
             operator: OperatorSettings::default(),
         };
         Self {
-            holding: Holding::new(NODES[n].0, nonce, HOLDER_PATIENCE),
+            holding: ShardLessee::new(NODES[n].0, nonce, HOLDER_PATIENCE),
             setup,
             version,
             follower: Follower::new(NODES[n].0),
@@ -140,8 +141,8 @@
 }
 
 impl World {
-    fn moment(&self) -> Moment {
-        Moment { now: self.now, wall: 1_000_000 + self.now }
+    fn moment(&self) -> Timestamp {
+        Timestamp { monotonic: self.now, wall: 1_000_000 + self.now }
     }
 
     /// A process ends; another one of the same version runs under its name soon.
@@ -206,7 +207,7 @@
             Some(lead) => {
                 lead.until = now + constants::LEADER_TTL_MS;
                 self.counts.resumed_terms += usize::from(now >= leader.valid_until);
-                leader.valid_until = valid_until(now, constants::LEADER_TTL_MS);
+                leader.valid_until = lease_expiry(now, constants::LEADER_TTL_MS);
             }
             None => {
                 self.controllers[n].leader = None;
@@ -243,28 +244,29 @@
         let term = self.next_term;
         self.next_term += constants::TOKENS_PER_TERM;
         self.counts.terms += 1;
-        let stamp = self.store.put(LEAD_NOW, serde_json::json!({ "term": term }));
+        let stamp = self.store.put(LEADER_KEY, serde_json::json!({ "term": term }));
         self.lead = Some(StoredLead { node: n, term, until: now + constants::LEADER_TTL_MS });
-        let loaded = Loaded {
+        let loaded = LoadedState {
             jobs: self.store.list("j/"),
             progress: self.store.list("p/"),
-            minimums: self.store.list("m/"),
-            roster: self.store.list("r/"),
+            scheduling: self.store.list("m/"),
+            registry: self.store.list("r/"),
             images: vec![],
             classes: self.store.get("c/lanes"),
-            marked: true,
+            has_start_watermarks: true,
         };
-        let guard = Precondition { key: LEAD_NOW.into(), mod_revision: stamp };
+        let guard = Precondition { key: LEADER_KEY.into(), mod_revision: stamp };
         let at = self.moment();
         let node = &mut self.controllers[n];
-        node.holding.won(term);
+        node.holding.leadership_won(term);
         node.seen = Some(n);
-        let ledger = Ledger::new(node.setup.clone(), term, guard, machine_types(), loaded, at);
+        let ledger =
+            ClusterState::new(node.setup.clone(), term, guard, machine_types(), loaded, at);
         let mut leader = Leader {
             ledger,
             term,
             publisher: Publisher::new(term),
-            valid_until: valid_until(now, constants::LEADER_TTL_MS),
+            valid_until: lease_expiry(now, constants::LEADER_TTL_MS),
             next_extend: now + constants::LEADER_EXTEND_INTERVAL_MS,
             paused: false,
             asked: BTreeSet::new(),
@@ -297,16 +299,16 @@
         if std::mem::take(&mut leader.paused) {
             leader.ledger.resumed(now);
         }
-        leader.ledger.tell_time(self.moment());
+        leader.ledger.set_time(self.moment());
         let node = &mut self.controllers[n];
-        let lease_ms = leader.ledger.block_lease(now);
+        let lease_ms = leader.ledger.shard_lease_ms(now);
         if lease_ms > 0 {
             let at = now - node.begun;
-            node.holding.lead(leader.term, leader.ledger.own_block(), lease_ms, at);
+            node.holding.hold_as_leader(leader.term, leader.ledger.own_shard(), lease_ms, at);
         }
         let again = node.deserted_at.is_none_or(|at| now >= at + constants::STEP_DOWN_INTERVAL_MS);
-        let lost = leader.ledger.deserted(now) && again;
-        if lost || leader.ledger.deposed() {
+        let lost = leader.ledger.all_workers_silent(now) && again;
+        if lost || leader.ledger.leadership_lost() {
             node.deserted_at = if lost { Some(now) } else { node.deserted_at };
             node.abstains_until = now + constants::STEP_DOWN_PAUSE_MS;
             node.seen = None;
@@ -318,15 +320,15 @@
         if self.store_answers(n) {
             let at = self.moment();
             for kv in self.store.list("j/") {
-                leader.ledger.job_seen(&kv.key, kv.value, at, false);
+                leader.ledger.add_job(&kv.key, kv.value, at, false);
             }
         }
         if now.is_multiple_of(300) {
-            leader.ledger.round(now);
+            leader.ledger.scheduling_round(now);
         }
         let cloud = self.zone_open(NODES[n].1);
         if cloud && now.is_multiple_of(3_000) {
-            leader.ledger.listed(&self.list(), now, now);
+            leader.ledger.machines_listed(&self.list(), now, now);
         }
         if cloud && now.is_multiple_of(1_000) {
             self.ask_cloud(n, leader);
@@ -338,9 +340,9 @@
 
     fn ask_cloud(&mut self, n: usize, leader: &mut Leader) {
         let now = self.now;
-        for action in leader.ledger.fleet_round(now) {
+        for action in leader.ledger.autoscaling_round(now) {
             match action {
-                FleetAction::Rent(request) => {
+                ScalingAction::ScaleOut(request) => {
                     let mut names = Vec::new();
                     let up = self.machines.iter().filter(|m| !m.dead).count();
                     for _ in 0..(request.count as usize).min(8usize.saturating_sub(up)) {
@@ -348,9 +350,9 @@
                         names.push(format!("m-{}", self.machines.len()));
                     }
                     let got = (!names.is_empty()).then_some(names);
-                    leader.ledger.rented(&request, got, now);
+                    leader.ledger.scale_out_finished(&request, got, now);
                 }
-                FleetAction::Delete(names) => {
+                ScalingAction::ScaleIn(names) => {
                     let at = now + self.span(100, 3_000);
                     self.at(at, Message::Delete(n, leader.term, names));
                 }
@@ -362,11 +364,11 @@
         let (now, term) = (self.now, leader.term);
         let mut messages: Vec<(usize, DirectCommands, bool)> = Vec::new();
         let index = |machine: &str| -> usize { machine[2..].parse().expect("a number") };
-        for (machine, _, commands) in leader.ledger.take_direct(now) {
+        for (machine, _, commands) in leader.ledger.take_direct_starts(now) {
             messages.push((index(&machine) - 1, commands, true));
         }
-        let greetings = leader.ledger.take_greetings(now);
-        let stops = leader.ledger.take_pushes(now);
+        let greetings = leader.ledger.take_state_probes(now);
+        let stops = leader.ledger.take_direct_stops(now);
         let commit = leader.ledger.next_commit(now);
         // Stops carry no reply that the ledger waits for. Their address says nothing here, so they go
         // to the machine that has the task.
@@ -395,8 +397,13 @@
             self.send(|| Message::Direct(n, term, m, commands.clone()));
             if waits {
                 // Whatever comes back, the sender gives up after a while.
-                let outcome =
-                    Message::Delivered(n, term, name, commands.fencing_token, Delivery::Unclear);
+                let outcome = Message::Delivered(
+                    n,
+                    term,
+                    name,
+                    commands.fencing_token,
+                    Delivery::Indeterminate,
+                );
                 self.at(now + 1_500, outcome);
             }
         }
@@ -409,13 +416,13 @@
             self.check_limits(n, &commit.transaction);
             let slow = self.chance(200);
             let delay = if slow { self.span(500, 3_000) } else { 10 };
-            self.at(now + delay, Message::Commit(n, term, Box::new(commit)));
+            self.at(now + delay, Message::PendingCommit(n, term, Box::new(commit)));
         }
     }
 
     /// A controller keeps to the limits that it knows of.
     fn check_limits(&mut self, n: usize, transaction: &Transaction) {
-        let limits = &self.controllers[n].setup.params.state;
+        let limits = &self.controllers[n].setup.platform.state;
         let changes = transaction.operations.len();
         assert!(changes <= limits.txn_ops, "{changes} changes, and a limit of {}", limits.txn_ops);
         for change in &transaction.operations {
@@ -428,14 +435,14 @@
     }
 
     /// A transaction reaches the state service, or does not; its answer may get lost.
-    pub(super) fn carry_out(&mut self, n: usize, term: u64, commit: Box<Commit>) {
+    pub(super) fn carry_out(&mut self, n: usize, term: u64, commit: Box<PendingCommit>) {
         let now = self.now;
         if !self.store_answers(n) {
             let node = &mut self.controllers[n];
             let refused = now < self.outage_until || node.refused && now < node.no_store_until;
             match node.leading(term) {
                 Some(leader) if refused => {
-                    leader.ledger.committed(*commit, CommitResult::NotDone, now);
+                    leader.ledger.committed(*commit, CommitResult::NotApplied, now);
                 }
                 // Held back on its way: it may be carried out when the way is open again.
                 _ => {
@@ -470,7 +477,7 @@
         self.tell_decided(n, term);
     }
 
-    pub(super) fn reread(&mut self, n: usize, term: u64, commit: Box<Commit>) {
+    pub(super) fn reread(&mut self, n: usize, term: u64, commit: Box<PendingCommit>) {
         let now = self.now;
         if self.controllers[n].leading(term).is_none() {
             return;
@@ -480,7 +487,7 @@
         }
         let read = commit.keys().into_iter().map(|k| (k.clone(), self.store.get(&k))).collect();
         if let Some(leader) = self.controllers[n].leading(term) {
-            leader.ledger.committed(*commit, CommitResult::Unsure(read), now);
+            leader.ledger.committed(*commit, CommitResult::Indeterminate(read), now);
         }
         self.tell_decided(n, term);
     }
@@ -488,7 +495,7 @@
     /// Users that wait for a cancellation are told once it is durable.
     fn tell_decided(&mut self, n: usize, term: u64) {
         let Some(leader) = self.controllers[n].leading(term) else { return };
-        let decided = leader.ledger.take_decided();
+        let decided = leader.ledger.take_completed_jobs();
         let waited: Vec<bool> = decided.iter().map(|(id, _)| leader.asked.remove(id)).collect();
         for ((id, record), waited) in decided.into_iter().zip(waited) {
             self.controllers[n].over.insert(id.clone());
@@ -507,23 +514,25 @@
         let node = &mut self.controllers[n];
         let reply = match &mut node.leader {
             Some(leader) if entitled => {
-                leader.ledger.check_in(report, now).map_or(Reply::Unsure, Reply::Answer)
+                leader.ledger.handle_heartbeat(report, now).map_or(Reply::Unsure, Reply::Answer)
             }
             leader => {
                 let over = &node.over;
-                let kept = node.holding.keep(report, now - node.begun, |id| over.contains(id));
+                let kept = node
+                    .holding
+                    .extend_worker_lease(report, now - node.begun, |id| over.contains(id));
                 match (kept, leader) {
                     (Some(kept), leader) => {
                         if let Some(leader) = leader {
-                            leader.ledger.kept_alive(&report.machine, now);
+                            leader.ledger.worker_lease_extended(&report.machine, now);
                         }
                         self.counts.kept += 1;
-                        self.counts.stopped_by_holders += kept.answer.commands.len();
-                        Reply::Answer(kept.answer)
+                        self.counts.stopped_by_holders += kept.response.commands.len();
+                        Reply::Answer(kept.response)
                     }
                     (None, Some(_)) => Reply::Unsure,
                     (None, None) => {
-                        let in_touch = node.holding.leader_in_touch(now - node.begun);
+                        let in_touch = node.holding.leader_reachable(now - node.begun);
                         Reply::Elsewhere(node.seen.filter(|l| *l != n && in_touch))
                     }
                 }
@@ -532,14 +541,20 @@
         self.send(|| Message::Answer(m, n, report.sequence, reply.clone()));
     }
 
-    pub(super) fn renewal_arrives(&mut self, from: usize, n: usize, renewal: &Renewal, at: u64) {
+    pub(super) fn renewal_arrives(
+        &mut self,
+        from: usize,
+        n: usize,
+        renewal: &ShardLeaseRenewal,
+        at: u64,
+    ) {
         let now = self.now;
         if !self.peers_linked(from, n) || !self.controllers[n].entitled(now) {
             return;
         }
         let Some(leader) = &mut self.controllers[n].leader else { return };
-        if let Some(lease) = leader.ledger.renew_block(renewal, now) {
-            self.send(|| Message::Leased(from, n, renewal.nonce, lease.clone(), at));
+        if let Some(lease) = leader.ledger.renew_shard_lease(renewal, now) {
+            self.send(|| Message::Leased(from, n, renewal.process_nonce, lease.clone(), at));
         }
     }
 
@@ -548,7 +563,7 @@
         n: usize,
         from: usize,
         nonce: u64,
-        lease: BlockLease,
+        lease: ShardLease,
         sent: u64,
     ) {
         let linked = self.peers_linked(from, n);
@@ -558,7 +573,7 @@
         let in_time = here < sent + constants::PEER_TIMEOUT_MS;
         let heard = self.now >= node.no_answers_until;
         if linked && heard && node.nonce == nonce && in_time && node.leader.is_none() {
-            node.holding.leased(lease, sent, here);
+            node.holding.lease_granted(lease, sent, here);
         }
     }
 }
--- a/crates/controller/tests/world/mod.rs
+++ b/crates/controller/tests/world/mod.rs
@@ -15,8 +15,8 @@
 
 use controllers::{Controller, Version};
 use hookway_clients::Delivery;
-use hookway_controller::holders::{BlockLease, Renewal};
-use hookway_controller::ledger::Commit;
+use hookway_controller::holders::{ShardLease, ShardLeaseRenewal};
+use hookway_controller::ledger::PendingCommit;
 use hookway_replication::{FollowAnswer, FollowRequest};
 use hookway_testkit::MemoryStore;
 use hookway_wire::{DirectCommands, Heartbeat, HeartbeatResponse, JobId, JobSpec, Transaction};
@@ -53,9 +53,9 @@
     /// A controller's answer: machine, controller, the report's number, and what it says.
     Answer(usize, usize, u64, Reply),
     /// Asker, asked, what, and when by the asker's own clock.
-    Renew(usize, usize, Renewal, u64),
+    Renew(usize, usize, ShardLeaseRenewal, u64),
     /// To, from, the process that asked, the lease, and when it asked.
-    Leased(usize, usize, u64, BlockLease, u64),
+    Leased(usize, usize, u64, ShardLease, u64),
     /// Asker, asked, the asker's process, and what its copy has.
     Follow(usize, usize, u64, FollowRequest),
     /// To, from, the process that asked, and what its copy lacks.
@@ -69,9 +69,9 @@
     Greet(usize, u64, usize),
     Greeted(usize, u64, String, Option<Heartbeat>),
     /// A transaction arrives at the state service.
-    Commit(usize, u64, Box<Commit>),
+    PendingCommit(usize, u64, Box<PendingCommit>),
     /// Its sender reads its keys again, for an answer that it did not get.
-    Reread(usize, u64, Box<Commit>),
+    Reread(usize, u64, Box<PendingCommit>),
     /// It arrives when its sender has given it up.
     Late(Transaction),
     /// A deletion arrives at the cloud.
@@ -94,7 +94,7 @@
 
 /// What was told to users of a job.
 #[derive(Default)]
-struct Told {
+struct JobSnapshot {
     accepted: bool,
     done: bool,
     cancelled_at: Option<u64>,
@@ -173,7 +173,7 @@
     /// Links between controllers are cut one way now and then.
     one_way_cuts: bool,
     pub jobs: Vec<JobSpec>,
-    told: BTreeMap<JobId, Told>,
+    told: BTreeMap<JobId, JobSnapshot>,
     done: BTreeSet<String>,
     /// Replicas that were on a machine of late.
     replicas_seen: BTreeSet<String>,
@@ -332,7 +332,7 @@
 
     fn end_lead(&mut self) {
         self.lead = None;
-        let gone = hookway_wire::Operation::delete(hookway_controller::records::LEAD_NOW);
+        let gone = hookway_wire::Operation::delete(hookway_controller::records::LEADER_KEY);
         let _ = self.store.commit(&Transaction { preconditions: vec![], operations: vec![gone] });
     }
 
@@ -456,17 +456,17 @@
             Message::Direct(n, term, m, commands) => self.direct_arrives(n, term, m, commands),
             Message::Delivered(n, term, name, token, delivery) => {
                 if let Some(leader) = self.controllers[n].leading(term) {
-                    leader.ledger.delivered(&name, token, delivery, now);
+                    leader.ledger.direct_start_sent(&name, token, delivery, now);
                 }
             }
             Message::Greet(n, term, m) => self.greeting_arrives(n, term, m),
             Message::Greeted(n, term, name, report) => {
                 self.counts.greeted += usize::from(report.is_some());
                 if let Some(leader) = self.controllers[n].leading(term) {
-                    leader.ledger.greeted(&name, report, now);
+                    leader.ledger.state_probed(&name, report, now);
                 }
             }
-            Message::Commit(n, term, commit) => self.carry_out(n, term, commit),
+            Message::PendingCommit(n, term, commit) => self.carry_out(n, term, commit),
             Message::Reread(n, term, commit) => self.reread(n, term, commit),
             Message::Late(transaction) => {
                 if now < self.outage_until {
@@ -480,7 +480,7 @@
                     m.dead = true;
                 }
                 if let Some(leader) = self.controllers[n].leading(term) {
-                    leader.ledger.deleted(&names, now);
+                    leader.ledger.scale_in_finished(&names, now);
                 }
             }
         }
@@ -536,7 +536,7 @@
             let leader = node
                 .leader
                 .as_ref()
-                .map(|l| (l.ledger.summary(self.now).to_string(), l.ledger.settled(self.now)));
+                .map(|l| (l.ledger.summary(self.now).to_string(), l.ledger.reconciled(self.now)));
             let known = node.leader.as_ref().map(|l| l.ledger.status(id));
             text += &format!("\n{label} in {zone}: {leader:?} {known:?}");
         }
@@ -545,6 +545,6 @@
 
     /// Whether the state service knows the end of a job.
     pub fn over(&self, id: &JobId) -> bool {
-        self.store.get(&hookway_controller::records::final_key(id)).is_some()
+        self.store.get(&hookway_controller::records::final_state_key(id)).is_some()
     }
 }
--- a/crates/controller/tests/world/users.rs
+++ b/crates/controller/tests/world/users.rs
@@ -1,8 +1,8 @@
 //! Users: what they submit, ask and cancel at any controller, and what they are told.
 
 use super::{Message, NODES, REPLICAS_AT, Version, World, mistaken};
-use hookway_controller::ledger::{Cancellation, Lookup};
-use hookway_controller::records::{JobRecord, LEAD_NOW, final_key, job_key};
+use hookway_controller::ledger::{CancelOutcome, JobLookup};
+use hookway_controller::records::{JobRecord, LEADER_KEY, final_state_key, job_key};
 use hookway_wire::{JobId, JobSpec, JobState, Operation, Precondition, Transaction};
 use rand::RngExt;
 
@@ -64,7 +64,11 @@
         if at.is_none() {
             return;
         }
-        let record = JobRecord { spec: spec.clone(), at_ms: 1_000_000 + self.now, marked: true };
+        let record = JobRecord {
+            spec: spec.clone(),
+            accepted_at_ms: 1_000_000 + self.now,
+            has_start_watermark: true,
+        };
         let value = serde_json::to_value(record).expect("a record");
         let key = job_key(&spec.id);
         self.store.put(&key, value);
@@ -136,11 +140,13 @@
         if let Some(l) = leader {
             let ledger = &self.controllers[l].leader.as_ref()?.ledger;
             match ledger.status(id) {
-                Lookup::Known(status) => return Some(Heard::State(status.state)),
-                Lookup::Deciding | Lookup::NotHere if l != n && self.store_answers(l) => {
+                JobLookup::Known(status) => return Some(Heard::State(status.state)),
+                JobLookup::CommitInFlight | JobLookup::UnknownJob
+                    if l != n && self.store_answers(l) =>
+                {
                     return self.stored(id);
                 }
-                Lookup::Deciding | Lookup::NotHere => {}
+                JobLookup::CommitInFlight | JobLookup::UnknownJob => {}
             }
         }
         if self.store_answers(n) { self.stored(id) } else { None }
@@ -162,7 +168,7 @@
         if self.store.get(&job_key(id)).is_some() {
             return Some(Heard::State(JobState::Queued));
         }
-        let Some(kv) = self.store.get(&final_key(id)) else { return Some(Heard::Absent) };
+        let Some(kv) = self.store.get(&final_state_key(id)) else { return Some(Heard::Absent) };
         serde_json::from_value(kv.value["state"].clone()).ok().map(Heard::State)
     }
 
@@ -173,7 +179,7 @@
         }
         if let Some(l) = self.entitled_for(n) {
             let Some(leader) = &mut self.controllers[l].leader else { return };
-            if leader.ledger.cancel(id) == Cancellation::Pending {
+            if leader.ledger.cancel(id) == CancelOutcome::Pending {
                 leader.asked.insert(id.clone());
             }
             return;
@@ -185,10 +191,13 @@
         let record = serde_json::json!({ "state": "withdrawn", "done": 0, "owner": "team" });
         let transaction = Transaction {
             preconditions: vec![
-                Precondition { key: LEAD_NOW.into(), mod_revision: 0 },
-                Precondition { key: final_key(id), mod_revision: 0 },
+                Precondition { key: LEADER_KEY.into(), mod_revision: 0 },
+                Precondition { key: final_state_key(id), mod_revision: 0 },
+            ],
+            operations: vec![
+                Operation::put(final_state_key(id), record),
+                Operation::delete(job_key(id)),
             ],
-            operations: vec![Operation::put(final_key(id), record), Operation::delete(job_key(id))],
         };
         if self.chance(100) {
             // Its answer is lost, and it may be carried out late.
@@ -216,7 +225,7 @@
     pub(super) fn look_at_finals(&mut self) {
         for spec in &self.jobs {
             let id = &spec.id;
-            let Some(kv) = self.store.get(&final_key(id)) else { continue };
+            let Some(kv) = self.store.get(&final_state_key(id)) else { continue };
             if kv.value["state"].as_str() == Some("done") {
                 assert!(!spec.is_daemon(), "{id} is a daemon, and is called done");
                 let all = (0..spec.tasks).all(|i| self.done.contains(&format!("{id}/{i}")));
--- a/crates/hookway/src/main.rs
+++ b/crates/hookway/src/main.rs
@@ -86,7 +86,7 @@
         (_, Some(Command::Check { config, operator })) => {
             match load(&config, operator.as_deref()) {
                 Ok((settings, _)) => {
-                    println!("{}: the settings are sound", settings.label);
+                    println!("{}: the settings are sound", settings.controller_name);
                     ExitCode::SUCCESS
                 }
                 Err(why) => fail(why),
