--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api_service.rs
@@ -1,17 +1,17 @@
 //! What controllers answer users: the decisions behind the HTTP interface.
 
-use crate::answers::{FinalStateCache, JobSnapshot, RequestOutcome};
-use crate::config::PlatformSettings;
+use crate::circuit_breaker::CircuitBreaker;
+use crate::cluster_state::{CancelOutcome, JobLookup, leases_expire_within_cancellation};
+use crate::concurrency_limiter::ConcurrencyLimiter;
+use crate::controller_actor::{ControllerRequest, HeartbeatReply};
 use crate::frame;
-use crate::lead::{LeadershipView, wall_ms};
-use crate::ledger::{CancelOutcome, JobLookup, leases_expire_within_cancellation};
-use crate::limiter::ConcurrencyLimiter;
-use crate::node::{ControllerRequest, HeartbeatReply};
+use crate::leadership::{LeadershipView, wall_ms};
 use crate::peers::{PeerRequest, PeerResponse, Peers};
 use crate::records::{
     FinalRecord, JobRecord, LEADER_KEY, final_state_key, fits_value_limit, job_key,
 };
-use crate::silence::CircuitBreaker;
+use crate::request_outcome::{FinalStateCache, JobSnapshot, RequestOutcome};
+use crate::settings::PlatformSettings;
 use hookway_clients::{CommitOutcome, HttpError, StoreClient, StoreError};
 use hookway_constants as constants;
 use hookway_policy::{Resources, TeamView, check_feasible};
--- a/crates/controller/src/ledger/fleet.rs
+++ b/crates/controller/src/cluster_state/autoscaling.rs
@@ -1,4 +1,4 @@
-use super::departures::TaskRemoval;
+use super::task_removal::TaskRemoval;
 use super::{ClusterState, Machine, worker_lease_expiry_ms};
 use hookway_constants as constants;
 use hookway_policy::{MachineOffer, MachineView, Resources, plan_scaling};
--- a/crates/controller/src/ledger/writer.rs
+++ b/crates/controller/src/cluster_state/commit_queue.rs
@@ -1,12 +1,12 @@
 //! What the leader has to write, in the order in which it goes, and transactions with what they stand for.
 
-use super::marks::SharedStartWatermarks;
-use super::roster::MachineRegistry;
-use crate::config::PlatformSettings;
+use super::machine_registry::MachineRegistry;
+use super::shared_watermarks::SharedStartWatermarks;
 use crate::records::{
     CLASSES_KEY, FinalRecord, JobSchedulingRecord, ProgressRecord, REGISTRY_PREFIX,
     SCHEDULING_PREFIX, registry_key,
 };
+use crate::settings::PlatformSettings;
 use hookway_constants as constants;
 use hookway_wire::{KeyValue, Operation, Precondition, Transaction};
 use std::collections::{BTreeSet, HashMap, VecDeque};
--- a/crates/controller/src/ledger/commit.rs
+++ b/crates/controller/src/cluster_state/commits.rs
@@ -1,5 +1,5 @@
-use super::roster::MachineRegistry;
-use super::writer::{CommitItem, CommitResult, PendingCommit, is_leader_record};
+use super::commit_queue::{CommitItem, CommitResult, PendingCommit, is_leader_record};
+use super::machine_registry::MachineRegistry;
 use super::{ClusterState, TaskPlacement};
 use crate::records::{
     CLASSES_KEY, ClassRecord, FinalRecord, JobSchedulingRecord, ProgressRecord,
--- a/crates/controller/src/ledger/checkin.rs
+++ b/crates/controller/src/cluster_state/heartbeat.rs
@@ -1,4 +1,4 @@
-use super::departures::TaskRemoval;
+use super::task_removal::TaskRemoval;
 use super::{
     ClusterState, EndedTask, ExpectedHeartbeat, Machine, PlacedTask, TaskPhase, TaskPlacement,
 };
@@ -65,7 +65,9 @@
             machine.last_response_at = now;
         }
         machine.has_reported = true;
-        if machine.cordon_reason == Some(super::fleet::SILENT) && !self.scaling_in.contains(name) {
+        if machine.cordon_reason == Some(super::autoscaling::SILENT)
+            && !self.scaling_in.contains(name)
+        {
             machine.cordon_reason = None;
         }
         if !overtaken {
--- a/crates/controller/src/ledger/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -3,41 +3,41 @@
 //! No I/O and no clock: the caller says what happened and when (milliseconds on its steady clock),
 //! and carries out what comes back.
 
-mod blame;
-mod checkin;
-mod commands;
-mod commit;
-mod departures;
-mod direct_starts;
-mod fleet;
-mod load;
-mod marks;
+mod autoscaling;
+mod command_dispatch;
+mod commit_queue;
+mod commits;
+mod completion;
+mod direct_dispatch;
+mod failure_attribution;
+mod heartbeat;
+mod machine_registry;
 mod model;
-mod outcomes;
 mod progress;
-mod replicate;
-mod roster;
-mod schedule;
-mod writer;
-
-pub use fleet::ScalingAction;
+mod recovery;
+mod scheduling;
+mod shared_watermarks;
+mod standby_feed;
+mod task_removal;
+
+pub use autoscaling::ScalingAction;
+pub use commit_queue::{CommitResult, PendingCommit, RereadKey};
+pub use completion::{CancelOutcome, JobLookup};
 pub use model::{
     BoundedSet, EndedTask, ExpectedHeartbeat, Job, JobContext, Machine, PlacedTask,
     ServiceLevelObjectives, StopOrder, TaskPhase, TaskPlacement,
 };
-pub use outcomes::{CancelOutcome, JobLookup};
 pub use progress::Progress;
-pub use replicate::WarmStart;
-pub use writer::{CommitResult, PendingCommit, RereadKey};
+pub use standby_feed::WarmStart;
 
 use crate::blocks::Blocks;
-use crate::config::{OperatorSettings, PlatformSettings};
-use crate::holders::{ShardLease, ShardLeaseRenewal, ShardLessor};
 use crate::records::{ClassRecord, FinalRecord, JobRecord};
+use crate::settings::{OperatorSettings, PlatformSettings};
+use crate::shard_lease::{ShardLease, ShardLeaseRenewal, ShardLessor};
+use commit_queue::CommitQueue;
 use hookway_constants as constants;
 use hookway_wire::{JobId, JobSpec, JobState, KeyValue, MachineType, Precondition};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
-use writer::CommitQueue;
 
 /// What does not change while a node leads.
 #[derive(Debug, Clone)]
@@ -151,11 +151,11 @@
     commit_queue: CommitQueue,
     completed_jobs: Vec<(JobId, FinalRecord)>,
     unavailable_capacity: HashMap<(usize, usize, bool), u64>,
-    pending_scale_outs: Vec<fleet::PendingScaleOut>,
+    pending_scale_outs: Vec<autoscaling::PendingScaleOut>,
     scaling_in: HashSet<String>,
     last_round: u64,
     /// Turns that found no room in the last round, in order: what reports fill free room with.
-    unplaced_demand: Vec<schedule::UnplacedDemand>,
+    unplaced_demand: Vec<scheduling::UnplacedDemand>,
     /// What the last round set aside of teams' limits for gangs that wait.
     quota_reservations: Vec<(usize, hookway_policy::Resources)>,
     /// Machines that the last round kept for gangs that wait.
@@ -228,23 +228,23 @@
 impl ClusterState {
     /// The ledger of a new leader. `at` must be read after the leadership was won.
     pub fn new(
-        setup: ControllerConfig,
+        config: ControllerConfig,
         term: u64,
         lead: Precondition,
         machine_types: Vec<MachineType>,
         loaded: LoadedState,
         at: Timestamp,
     ) -> Self {
-        let writer = CommitQueue::new(&setup.platform, lead, at.monotonic);
+        let writer = CommitQueue::new(&config.platform, lead, at.monotonic);
         let holders = ShardLessor::new(
-            &setup.zone,
-            &setup.peers,
-            &setup.platform.zones,
-            max_shard_lease_ms(&setup),
+            &config.zone,
+            &config.peers,
+            &config.platform.zones,
+            max_shard_lease_ms(&config),
             at.monotonic,
         );
-        let mut ledger = Self {
-            config: setup,
+        let mut cluster = Self {
+            config: config,
             term,
             next_attempt: 0,
             next_request: 0,
@@ -285,8 +285,8 @@
             last_timestamp: at,
             classes: HashMap::new(),
         };
-        ledger.load(loaded, at);
-        ledger
+        cluster.load(loaded, at);
+        cluster
     }
 
     /// The term, which is the token as well.
@@ -556,10 +556,10 @@
 
 /// Length of a block's lease, ms: what the operators say, and so short that it and a worker's lease end
 /// within the time for a cancellation.
-pub fn max_shard_lease_ms(setup: &ControllerConfig) -> u64 {
-    let workers = &setup.platform.workers;
+pub fn max_shard_lease_ms(config: &ControllerConfig) -> u64 {
+    let workers = &config.platform.workers;
     let most = (workers.cancel_s - workers.lease_s) * 1000.0 - constants::CANCEL_MARGIN_MS;
-    setup.operator.shard_lease_ms.min(most.max(0.0) as u64)
+    config.operator.shard_lease_ms.min(most.max(0.0) as u64)
 }
 
 /// Whether the lease of a worker that nobody answers any more ends within the time for a cancellation.
--- a/crates/controller/src/ledger/load.rs
+++ b/crates/controller/src/cluster_state/recovery.rs
@@ -1,6 +1,6 @@
 //! How a new leader takes in what earlier ones left in the state service.
 
-use super::roster::MachineRegistry;
+use super::machine_registry::MachineRegistry;
 use super::{ClassHistory, ClusterState, LoadedState, Machine, Timestamp};
 use crate::records::{
     ClassRecord, ImagesRecord, JobSchedulingRecord, MachineRegistryRecord, ProgressRecord,
--- a/crates/controller/src/ledger/schedule.rs
+++ b/crates/controller/src/cluster_state/scheduling.rs
@@ -1,5 +1,5 @@
 use super::{ClusterState, Job, Machine, PlacedTask, StopOrder, TaskPhase, TaskPlacement};
-use crate::config::Team;
+use crate::settings::Team;
 use hookway_constants as constants;
 use hookway_policy::{
     ClusterSnapshot, JobView, MachineView, PlacedTaskView, Resources, TeamView, min_tasks, place,
--- a/crates/controller/src/door/tests.rs
+++ b/crates/controller/src/connection_table/tests.rs
@@ -14,31 +14,31 @@
 /// whose other side a cut took away hold it.
 #[tokio::test]
 async fn a_full_door_closes_what_has_been_quiet_longest_and_only_that() {
-    let door = ConnectionTable::new(4, Duration::from_secs(20));
+    let connections = ConnectionTable::new(4, Duration::from_secs(20));
     let mut held = Vec::new();
     for n in 0..4u64 {
         let ctrl = ConnCtrl::new();
-        let observer = door.observe(&info(), &ctrl);
+        let observer = connections.observe(&info(), &ctrl);
         held.push((ctrl, observer));
         // The first one has been quiet longest, the last one is busy.
-        let open = door.table.open.lock().unwrap();
+        let open = connections.table.open.lock().unwrap();
         open[&n].last_ms.store(n * 10_000, Ordering::Relaxed);
     }
-    door.table.close_quiet(30_000 + constants::CONNECTION_BUSY_MS - 1);
+    connections.table.close_quiet(30_000 + constants::CONNECTION_BUSY_MS - 1);
     let closed: Vec<bool> = held.iter().map(|(ctrl, _)| ctrl.is_aborted()).collect();
     assert_eq!(closed, [true, false, false, false]);
-    assert_eq!(door.open_connections(), 4, "its socket is held until its stream is dropped");
+    assert_eq!(connections.open_connections(), 4, "its socket is held until its stream is dropped");
     held.remove(0);
-    assert_eq!(door.open_connections(), 3);
-    assert!(matches!(door.decide(&info()).await, FuseAction::Accept(_)));
-    door.table.close_quiet(10_000 + constants::CONNECTION_BUSY_MS - 1);
+    assert_eq!(connections.open_connections(), 3);
+    assert!(matches!(connections.decide(&info()).await, FuseAction::Accept(_)));
+    connections.table.close_quiet(10_000 + constants::CONNECTION_BUSY_MS - 1);
     assert!(held.iter().all(|(ctrl, _)| !ctrl.is_aborted()), "busy ones stay");
 }
 
 #[test]
 fn a_connection_that_a_worker_reports_over_is_not_idle() {
-    let door = ConnectionTable::for_machine(1_000, 8.0);
-    let idle = door.config.connection_idle_timeout.unwrap();
+    let connections = ConnectionTable::for_machine(1_000, 8.0);
+    let idle = connections.config.connection_idle_timeout.unwrap();
     assert!(idle.as_secs_f64() > 8.0 * constants::MAX_HEARTBEAT_INTERVAL_FACTOR);
-    assert!(door.table.max_connections < 1_000);
+    assert!(connections.table.max_connections < 1_000);
 }
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/controller_actor.rs
@@ -6,11 +6,13 @@
 
 pub use messages::{ControllerRequest, HeartbeatReply};
 
-use crate::answers::FinalStateCache;
-use crate::holders::ShardLessee;
-use crate::lead::{Clock, LeaderTerm, LeadershipLease, LeadershipView};
-use crate::ledger::{CancelOutcome, ClusterState, ControllerConfig, ScalingAction, Timestamp};
+use crate::cluster_state::{
+    CancelOutcome, ClusterState, ControllerConfig, ScalingAction, Timestamp,
+};
+use crate::leadership::{Clock, LeaderTerm, LeadershipLease, LeadershipView};
 use crate::records::JOBS_PREFIX;
+use crate::request_outcome::FinalStateCache;
+use crate::shard_lease::ShardLessee;
 use crate::standby::Standby;
 use hookway_clients::{
     CloudClient, CloudError, Delivery, ScaleOutOutcome, StoreClient, StoreError, WorkerClient,
@@ -88,7 +90,7 @@
             let view = self.view.borrow_and_update().clone();
             self.standby.get_mut().view_changed(&view, self.clock.now());
             match view.own_term {
-                Some(mandate) => self.lead(mandate).await,
+                Some(leader_term) => self.lead(leader_term).await,
                 None => {
                     tokio::select! {
                         changed = self.view.changed() => if changed.is_err() { return },
@@ -154,23 +156,23 @@
         Some(HeartbeatReply::Respond(kept.response, self.instant_at(kept.valid_until)))
     }
 
-    async fn lead(&mut self, mandate: LeaderTerm) {
-        if !self.standby.get_mut().elected(mandate.term, self.clock.now()) {
+    async fn lead(&mut self, leader_term: LeaderTerm) {
+        if !self.standby.get_mut().elected(leader_term.term, self.clock.now()) {
             self.leadership_lost.notify_one();
             // Until the leadership has been given back.
             let _ = self.view.changed().await;
             return;
         }
-        self.lead_term(mandate).await;
+        self.lead_term(leader_term).await;
         self.standby.get_mut().deposed(self.clock.now());
     }
 
-    async fn lead_term(&mut self, mandate: LeaderTerm) {
-        self.shard_lessee.borrow_mut().leadership_won(mandate.term);
+    async fn lead_term(&mut self, leader_term: LeaderTerm) {
+        self.shard_lessee.borrow_mut().leadership_won(leader_term.term);
         let (notes, mut inbox) = mpsc::channel(constants::CHANNEL_CAPACITY);
         let mut term = ActiveTerm {
-            publisher: Publisher::new(mandate.term),
-            term: mandate,
+            publisher: Publisher::new(leader_term.term),
+            term: leader_term,
             cluster: None,
             tasks: JoinSet::new(),
             events: notes,
@@ -281,14 +283,14 @@
     fn handle_request(&self, term: &mut ActiveTerm, ask: ControllerRequest) {
         let now = self.clock.now();
         let entitled = self.lease.holds(term.term.term, now) && !term.paused;
-        let Some(ledger) = term.cluster.as_mut().filter(|_| entitled) else {
+        let Some(cluster) = term.cluster.as_mut().filter(|_| entitled) else {
             match ask {
                 ControllerRequest::Heartbeat(report, reply) => {
                     let kept = self.extend_worker_lease(&report, now);
                     if kept.is_some()
-                        && let Some(ledger) = &mut term.cluster
+                        && let Some(cluster) = &mut term.cluster
                     {
-                        ledger.worker_lease_extended(&report.machine, now);
+                        cluster.worker_lease_extended(&report.machine, now);
                     }
                     let _ = reply.send(kept.unwrap_or(HeartbeatReply::Unavailable));
                 }
@@ -302,7 +304,7 @@
         match ask {
             ControllerRequest::Heartbeat(report, reply) => {
                 let until = self.instant_at(self.lease.until(term.term.term));
-                let answer = ledger.handle_heartbeat(&report, now);
+                let answer = cluster.handle_heartbeat(&report, now);
                 let starts = |a: &HeartbeatResponse| {
                     a.commands.iter().any(|command| matches!(command, Command::Run { .. }))
                 };
@@ -315,8 +317,8 @@
                     }));
                 self.dispatch(term);
             }
-            ControllerRequest::Status(id, reply) => drop(reply.send(Some(ledger.status(&id)))),
-            ControllerRequest::Cancel(id, reply) => match ledger.cancel(&id) {
+            ControllerRequest::Status(id, reply) => drop(reply.send(Some(cluster.status(&id)))),
+            ControllerRequest::Cancel(id, reply) => match cluster.cancel(&id) {
                 CancelOutcome::Pending => {
                     term.pending_cancellations.entry(id).or_default().push(reply);
                     self.dispatch(term);
@@ -324,14 +326,14 @@
                 answer => drop(reply.send(Some(answer))),
             },
             ControllerRequest::AdoptJob(read_in, key, value, reply) => {
-                let at = Timestamp { monotonic: now, wall: crate::lead::wall_ms() };
+                let at = Timestamp { monotonic: now, wall: crate::leadership::wall_ms() };
                 if read_in == Some(term.term.term) {
-                    ledger.add_job(&key, value, at, false);
+                    cluster.add_job(&key, value, at, false);
                 }
                 let _ = reply.send(Some(()));
             }
             ControllerRequest::RenewShardLease(renewal, reply) => {
-                drop(reply.send(ledger.renew_shard_lease(&renewal, now)))
+                drop(reply.send(cluster.renew_shard_lease(&renewal, now)))
             }
             ControllerRequest::ShardLeaseRenewal(reply) => drop(reply.send(None)),
             ControllerRequest::Follow(request, reply) => {
@@ -340,9 +342,9 @@
                     term.last_publish = now;
                     if now >= term.last_full_publish + constants::FULL_PUBLISH_INTERVAL_MS {
                         term.last_full_publish = now;
-                        ledger.publish_all(&mut term.publisher);
+                        cluster.publish_all(&mut term.publisher);
                     } else {
-                        ledger.publish(&mut term.publisher);
+                        cluster.publish(&mut term.publisher);
                     }
                 }
                 let answer = term.publisher.answer(&request, now);
@@ -362,7 +364,7 @@
                     return;
                 }
                 let machine_types = self.machine_types.borrow().as_ref().map(|f| f.to_vec());
-                let mut ledger = ClusterState::new(
+                let mut cluster = ClusterState::new(
                     self.config.clone(),
                     term.term.term,
                     term.term.precondition.clone(),
@@ -370,14 +372,14 @@
                     loaded,
                     at,
                 );
-                self.warm_start(&mut ledger, at.monotonic);
-                tracing::info!("term {}: {}", term.term.term, ledger.summary(at.monotonic));
-                term.cluster = Some(ledger);
+                self.warm_start(&mut cluster, at.monotonic);
+                tracing::info!("term {}: {}", term.term.term, cluster.summary(at.monotonic));
+                term.cluster = Some(cluster);
                 self.spawn_job_watch(term, revision);
             }
             ControllerEvent::JobAdded(key, value) => {
-                if let Some(ledger) = &mut term.cluster {
-                    ledger.add_job(&key, value, at, false);
+                if let Some(cluster) = &mut term.cluster {
+                    cluster.add_job(&key, value, at, false);
                 }
             }
             ControllerEvent::StoreUnavailable => {
@@ -392,9 +394,9 @@
                 tracing::info!("the watch fell behind, reading the jobs again")
             }
             ControllerEvent::Committed(commit, result) => {
-                let Some(ledger) = &mut term.cluster else { return };
-                ledger.committed(commit, result, at.monotonic);
-                for (id, record) in ledger.take_completed_jobs() {
+                let Some(cluster) = &mut term.cluster else { return };
+                cluster.committed(commit, result, at.monotonic);
+                for (id, record) in cluster.take_completed_jobs() {
                     // The ledger forgets the job; its user asks a last time, and all of them at once after
                     // a swarm of small jobs: without this each would take two readings of the store.
                     self.final_states.remember(&record.status(&id).into());
@@ -402,40 +404,40 @@
                         let _ = reply.send(Some(CancelOutcome::AlreadyFinal(record.status(&id))));
                     }
                 }
-                if ledger.leadership_lost() {
+                if cluster.leadership_lost() {
                     self.leadership_lost.notify_one();
                 }
                 self.dispatch(term);
             }
             ControllerEvent::ScaledOut(request, machines) => {
-                if let Some(ledger) = &mut term.cluster {
-                    ledger.scale_out_finished(&request, machines, at.monotonic);
+                if let Some(cluster) = &mut term.cluster {
+                    cluster.scale_out_finished(&request, machines, at.monotonic);
                     // What was refused is looked for elsewhere at once.
                     term.last_autoscaling = 0;
                 }
             }
             ControllerEvent::ScaledIn(names, done) => {
-                let Some(ledger) = &mut term.cluster else { return };
+                let Some(cluster) = &mut term.cluster else { return };
                 if done {
-                    ledger.scale_in_finished(&names, at.monotonic);
+                    cluster.scale_in_finished(&names, at.monotonic);
                 } else {
-                    ledger.scale_in_failed(&names);
+                    cluster.scale_in_failed(&names);
                 }
             }
             ControllerEvent::DirectStartSent(machine, token, delivery) => {
-                if let Some(ledger) = &mut term.cluster {
-                    ledger.direct_start_sent(&machine, token, delivery, at.monotonic);
+                if let Some(cluster) = &mut term.cluster {
+                    cluster.direct_start_sent(&machine, token, delivery, at.monotonic);
                 }
             }
             ControllerEvent::MachinesListed(list, asked) => {
-                if let Some(ledger) = &mut term.cluster {
-                    ledger.machines_listed(&list, asked, at.monotonic);
+                if let Some(cluster) = &mut term.cluster {
+                    cluster.machines_listed(&list, asked, at.monotonic);
                     self.send_state_probes(term, at.monotonic);
                 }
             }
             ControllerEvent::StateProbed(machine, report) => {
-                if let Some(ledger) = &mut term.cluster {
-                    ledger.state_probed(&machine, report, at.monotonic);
+                if let Some(cluster) = &mut term.cluster {
+                    cluster.state_probed(&machine, report, at.monotonic);
                     self.send_state_probes(term, at.monotonic);
                 }
             }
@@ -443,12 +445,12 @@
     }
 
     /// Takes from this node's copy of the last leader's picture what helps.
-    fn warm_start(&self, ledger: &mut ClusterState, now: u64) {
+    fn warm_start(&self, cluster: &mut ClusterState, now: u64) {
         let standby = self.standby.borrow();
-        match standby.copy(ledger.term(), now) {
+        match standby.copy(cluster.term(), now) {
             Ok(copy) => {
                 let workers = &self.config.operator.replication.worker_networks;
-                tracing::info!("warm start: {}", ledger.warm_start(copy, workers, now));
+                tracing::info!("warm start: {}", cluster.warm_start(copy, workers, now));
             }
             Err(why) => tracing::info!("cold start: {why}"),
         }
@@ -459,8 +461,8 @@
         if !self.lease.holds(term.term.term, now) {
             return;
         }
-        let Some(ledger) = term.cluster.as_mut() else { return };
-        for (machine, address) in ledger.take_state_probes(now) {
+        let Some(cluster) = term.cluster.as_mut() else { return };
+        for (machine, address) in cluster.take_state_probes(now) {
             let (workers, notes) = (self.workers.clone(), term.events.clone());
             let token = term.term.term;
             term.tasks.spawn(async move {
@@ -483,14 +485,14 @@
         if !self.lease.holds(term.term.term, now) {
             return;
         }
-        let Some(ledger) = term.cluster.as_mut() else { return };
-        for (address, commands) in ledger.take_direct_stops(now) {
+        let Some(cluster) = term.cluster.as_mut() else { return };
+        for (address, commands) in cluster.take_direct_stops(now) {
             let workers = self.workers.clone();
             term.tasks.spawn(async move { workers.stop(&address, &commands).await });
         }
         // Every report comes by here, and machines whose tasks wait for the store are looked at in vain.
         let due = now >= term.last_direct_dispatch + constants::DIRECT_DISPATCH_INTERVAL_MS;
-        let sends = if due { ledger.take_direct_starts(now) } else { Vec::new() };
+        let sends = if due { cluster.take_direct_starts(now) } else { Vec::new() };
         if due {
             term.last_direct_dispatch = now;
         }
@@ -516,7 +518,7 @@
                     .await;
             });
         }
-        let Some(commit) = ledger.next_commit(now) else { return };
+        let Some(commit) = cluster.next_commit(now) else { return };
         let (store, notes) = (self.store.clone(), term.events.clone());
         term.tasks.spawn(async move {
             let away = || drop(notes.try_send(ControllerEvent::StoreUnavailable));
@@ -529,7 +531,7 @@
     fn tick(&self, term: &mut ActiveTerm) {
         let now = self.clock.now();
         let valid = self.lease.holds(term.term.term, now);
-        let Some(ledger) = &mut term.cluster else { return };
+        let Some(cluster) = &mut term.cluster else { return };
         debug_assert!(self.standby.borrow().may_decide(term.term.term));
         if !valid {
             if !term.paused {
@@ -542,24 +544,24 @@
         let stood_still = now >= term.last_tick + constants::PROCESS_PAUSE_MS;
         term.last_tick = now;
         if stood_still && !term.paused {
-            ledger.resumed(now);
+            cluster.resumed(now);
         }
         if term.paused {
             tracing::info!("the lease holds again");
             term.paused = false;
-            ledger.resumed(now);
+            cluster.resumed(now);
         }
-        let lease_ms = ledger.shard_lease_ms(now);
+        let lease_ms = cluster.shard_lease_ms(now);
         if lease_ms > 0 {
             self.shard_lessee.borrow_mut().hold_as_leader(
                 term.term.term,
-                ledger.own_shard(),
+                cluster.own_shard(),
                 lease_ms,
                 now,
             );
         }
-        ledger.set_time(self.clock.moment());
-        if ledger.all_workers_silent(now)
+        cluster.set_time(self.clock.moment());
+        if cluster.all_workers_silent(now)
             && self
                 .stepped_down_at
                 .get()
@@ -572,36 +574,36 @@
         }
         let machine_types = self.machine_types.borrow().clone();
         if machine_types != term.machine_types_seen {
-            ledger
+            cluster
                 .set_machine_types(machine_types.as_ref().map(|f| f.to_vec()).unwrap_or_default());
             term.machine_types_seen = machine_types;
         }
         if now
-            >= term.last_round + ledger.round_interval_ms().max(constants::SCHEDULING_INTERVAL_MS)
+            >= term.last_round + cluster.round_interval_ms().max(constants::SCHEDULING_INTERVAL_MS)
         {
             term.last_round = now;
-            ledger.scheduling_round(now);
+            cluster.scheduling_round(now);
         }
         if now
             >= term.last_autoscaling
-                + constants::AUTOSCALING_INTERVAL_MS.max(2 * ledger.round_interval_ms())
+                + constants::AUTOSCALING_INTERVAL_MS.max(2 * cluster.round_interval_ms())
         {
             term.last_autoscaling = now;
-            for action in ledger.autoscaling_round(now) {
+            for action in cluster.autoscaling_round(now) {
                 self.spawn_scaling_action(&mut term.tasks, &term.events, action, &term.term);
             }
         }
         if now >= term.last_log + 10_000 {
             term.last_log = now;
-            tracing::info!("{}", ledger.summary(now));
+            tracing::info!("{}", cluster.summary(now));
         }
         // A long list takes time to read.
         let list_every = constants::CLOUD_LIST_INTERVAL_MS
-            + constants::CLOUD_LIST_PER_MACHINE_MS * ledger.machine_count() as u64;
+            + constants::CLOUD_LIST_PER_MACHINE_MS * cluster.machine_count() as u64;
         let due = |every: u64| term.last_machine_list.is_none_or(|l| now >= l + every);
         // A machine that has missed its report may be gone, which the list proves.
         if due(list_every)
-            || due(constants::CLOUD_LIST_INTERVAL_MS) && ledger.any_heartbeat_overdue(now)
+            || due(constants::CLOUD_LIST_INTERVAL_MS) && cluster.any_heartbeat_overdue(now)
         {
             term.last_machine_list = Some(now);
             let (cloud, notes) = (self.cloud.clone(), term.events.clone());
@@ -625,10 +627,10 @@
         helpers: &mut JoinSet<()>,
         notes: &mpsc::Sender<ControllerEvent>,
         action: ScalingAction,
-        mandate: &LeaderTerm,
+        leader_term: &LeaderTerm,
     ) {
         let (cloud, notes) = (self.cloud.clone(), notes.clone());
-        let term = mandate.term;
+        let term = leader_term.term;
         let entitled = self.leadership_check(term);
         match action {
             ScalingAction::ScaleOut(request) => helpers.spawn(async move {
--- a/crates/controller/src/node/messages.rs
+++ b/crates/controller/src/controller_actor/messages.rs
@@ -1,7 +1,7 @@
 //! What the node's actor is asked, and what its helpers bring back.
 
-use crate::holders::{ShardLease, ShardLeaseRenewal};
-use crate::ledger::{CancelOutcome, CommitResult, JobLookup, LoadedState, PendingCommit};
+use crate::cluster_state::{CancelOutcome, CommitResult, JobLookup, LoadedState, PendingCommit};
+use crate::shard_lease::{ShardLease, ShardLeaseRenewal};
 use hookway_clients::Delivery;
 use hookway_replication::{FollowAnswer, FollowRequest};
 use hookway_wire::{
--- a/crates/controller/src/node/records_io.rs
+++ b/crates/controller/src/controller_actor/records_io.rs
@@ -1,7 +1,7 @@
 //! Reading and writing the records of the state service for the node's actor.
 
 use super::pause;
-use crate::ledger::{CommitResult, LoadedState, PendingCommit};
+use crate::cluster_state::{CommitResult, LoadedState, PendingCommit};
 use crate::records::{
     CLASSES_KEY, JOBS_PREFIX, LEGACY_IMAGES_PREFIX, PROGRESS_PREFIX, REGISTRY_PREFIX,
     SCHEDULING_PREFIX,
--- a/crates/controller/src/http.rs
+++ b/crates/controller/src/http.rs
@@ -1,8 +1,8 @@
 //! The HTTP interface for users, workers and health checks.
 
-use crate::answers::RequestOutcome;
-use crate::api::ApiService;
-use crate::node::HeartbeatReply;
+use crate::api_service::ApiService;
+use crate::controller_actor::HeartbeatReply;
+use crate::request_outcome::RequestOutcome;
 use hookway_constants as constants;
 use hookway_wire::{ErrorBody, Heartbeat, HeartbeatRedirect, JobId, JobStatus};
 use salvo::http::{HeaderValue, StatusCode};
@@ -53,13 +53,13 @@
 #[async_trait]
 impl Handler for UserHandler {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let Self(desk, kind) = self;
+        let Self(api, kind) = self;
         // Many questions must not shut out submissions, nor one kind's slow answers lower the other's limit.
         let back_s = match kind {
             Kind::Status => constants::STATUS_RETRY_AFTER_S,
             Kind::Submit | Kind::Cancel => constants::RETRY_AFTER_S,
         };
-        let limiter = if *kind == Kind::Status { &desk.status_limiter } else { &desk.limiter };
+        let limiter = if *kind == Kind::Status { &api.status_limiter } else { &api.limiter };
         let Some(pass) = limiter.try_acquire() else {
             return unavailable(res, "too many requests in progress", back_s);
         };
@@ -71,7 +71,7 @@
         let work = async {
             if *kind == Kind::Submit {
                 return match req.payload_with_max_size(constants::BODY_LIMIT).await {
-                    Ok(body) => desk.submit(body, false).await,
+                    Ok(body) => api.submit(body, false).await,
                     Err(_) => {
                         RequestOutcome::Rejected(400, "the body is over 64 KiB or broken".into())
                     }
@@ -81,9 +81,9 @@
                 return RequestOutcome::NotFound;
             };
             if *kind == Kind::Status {
-                desk.status(&id, false).await
+                api.status(&id, false).await
             } else {
-                desk.cancel(&id, false).await
+                api.cancel(&id, false).await
             }
         };
         let verdict = tokio::time::timeout(Duration::from_millis(limit), work)
@@ -155,12 +155,12 @@
 }
 
 /// All routes.
-pub fn service(desk: Arc<ApiService>) -> Service {
-    let user = |kind| UserHandler(desk.clone(), kind);
+pub fn service(api: Arc<ApiService>) -> Service {
+    let user = |kind| UserHandler(api.clone(), kind);
     let router = Router::new()
         .push(Router::with_path("up").get(up))
-        .push(Router::with_path("replication").get(ReplicationHandler(desk.clone())))
-        .push(Router::with_path("checkin").post(HeartbeatHandler(desk.clone())))
+        .push(Router::with_path("replication").get(ReplicationHandler(api.clone())))
+        .push(Router::with_path("checkin").post(HeartbeatHandler(api.clone())))
         .push(
             Router::with_path("api/jobs")
                 .post(user(Kind::Submit))
--- a/crates/controller/src/lead.rs
+++ b/crates/controller/src/leadership.rs
@@ -6,7 +6,7 @@
 //! a margin; past that it answers no worker and decides nothing until an extension succeeds. After
 //! an outage leases have their full time again, so it often can go on.
 
-use crate::ledger::Timestamp;
+use crate::cluster_state::Timestamp;
 use crate::records::{
     LEADER_KEY, LEADER_PREFIX, LEADER_TERM_KEY, LEADER_WATERMARKS_KEY, LeaderRecord,
 };
@@ -314,7 +314,7 @@
         tracing::info!("leading, term {}", record.term);
         self.lease.set(record.term, until);
         let guard = Precondition { key: LEADER_KEY.into(), mod_revision: stamp };
-        let mandate = LeaderTerm {
+        let leader_term = LeaderTerm {
             term: record.term,
             precondition: guard,
             lease_id,
@@ -323,7 +323,7 @@
         self.publish(LeadershipView {
             leader: Some(self.controller_name.clone()),
             leader_term: Some(record.term),
-            own_term: Some(mandate),
+            own_term: Some(leader_term),
         });
         let mut pause = if until == 0 { 0 } else { constants::LEADER_EXTEND_INTERVAL_MS };
         let gave_up = loop {
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -4,25 +4,25 @@
 //! test can play any sequence of events to it. Around it stand the actors: leadership, the node that
 //! owns the ledger while it leads, the user and worker interface, and the link to the other nodes.
 
-pub mod answers;
-pub mod api;
+pub mod api_service;
 pub mod blocks;
-pub mod config;
-pub mod door;
+mod circuit_breaker;
+pub mod cluster_state;
+pub mod concurrency_limiter;
+pub mod connection_table;
+pub mod controller_actor;
 pub mod frame;
-pub mod holders;
 pub mod http;
-pub mod lead;
-pub mod ledger;
-pub mod limiter;
+pub mod leadership;
 pub mod networks;
-pub mod node;
 pub mod peers;
 pub mod records;
+pub mod request_outcome;
 pub mod run;
-mod silence;
+pub mod settings;
+pub mod shard_lease;
 pub mod standby;
 
-pub use config::{ConfigError, OperatorSettings, Settings};
-pub use ledger::ClusterState;
+pub use cluster_state::ClusterState;
 pub use run::{StartError, run};
+pub use settings::{ConfigError, OperatorSettings, Settings};
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -1,12 +1,12 @@
 //! The link between controllers: length-prefixed frames over TCP. A node that is asked something
 //! by a user that only the leader knows, or that can't reach the state service itself, asks here.
 
-use crate::answers::{JobSnapshot, RequestOutcome};
-use crate::api::ApiService;
+use crate::api_service::ApiService;
+use crate::circuit_breaker::CircuitBreaker;
 use crate::frame::{self, FrameError, FrameVersion};
-use crate::holders::{ShardLease, ShardLeaseRenewal};
 use crate::networks::Networks;
-use crate::silence::CircuitBreaker;
+use crate::request_outcome::{JobSnapshot, RequestOutcome};
+use crate::shard_lease::{ShardLease, ShardLeaseRenewal};
 use hookway_constants as constants;
 use hookway_replication::{FollowAnswer, FollowRequest};
 use serde::{Deserialize, Serialize};
@@ -254,7 +254,7 @@
 }
 
 /// Serves the other controllers: whoever connects from these networks, or from anywhere if there are none.
-pub async fn serve(listener: TcpListener, desk: Arc<ApiService>, networks: Networks) {
+pub async fn serve(listener: TcpListener, api: Arc<ApiService>, networks: Networks) {
     loop {
         match listener.accept().await {
             Ok((_, from)) if !networks.allow(from.ip()) => {
@@ -263,11 +263,11 @@
                 );
             }
             Ok((mut stream, _)) => {
-                let desk = desk.clone();
+                let api = api.clone();
                 tokio::spawn(async move {
                     let _ = stream.set_nodelay(true);
                     while let Ok((ask, _)) = receive::<PeerRequest>(&mut stream).await {
-                        let answer = desk.answer_peer(ask).await;
+                        let answer = api.answer_peer(ask).await;
                         if send(&mut stream, &answer).await.is_err() {
                             break;
                         }
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -1,14 +1,14 @@
 //! Puts a node together and runs it.
 
-use crate::api::{ApiService, StoreClients};
-use crate::config::{OperatorSettings, PlatformSettings, Settings};
-use crate::door::ConnectionTable;
-use crate::holders::{ShardLessee, leader_timeout_ms};
+use crate::api_service::{ApiService, StoreClients};
+use crate::cluster_state::ControllerConfig;
+use crate::connection_table::ConnectionTable;
+use crate::controller_actor::ControllerActor;
 use crate::http;
-use crate::lead::{Clock, Leadership, LeadershipLease, LeadershipView};
-use crate::ledger::ControllerConfig;
-use crate::node::ControllerActor;
+use crate::leadership::{Clock, Leadership, LeadershipLease, LeadershipView};
 use crate::peers::{self, Peers};
+use crate::settings::{OperatorSettings, PlatformSettings, Settings};
+use crate::shard_lease::{ShardLessee, leader_timeout_ms};
 use crate::standby::{Standby, StandbySignals};
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
 use hookway_constants as constants;
@@ -35,7 +35,7 @@
     let params = settings.platform.clone();
     let label = settings.controller_name.clone();
     let patience = leader_timeout_ms(params.workers.heartbeat_interval_s, params.workers.lease_s);
-    let door = ConnectionTable::for_machine(
+    let connections = ConnectionTable::for_machine(
         params.machine_limits.max_sockets,
         params.workers.heartbeat_interval_s,
     );
@@ -57,7 +57,7 @@
     let signals = StandbySignals::default();
 
     let addresses = settings.peers.iter().map(|s| (s.name.clone(), s.address.clone())).collect();
-    let desk = Arc::new(ApiService::new(
+    let api = Arc::new(ApiService::new(
         params.clone(),
         label.clone(),
         stores,
@@ -104,7 +104,7 @@
         leadership_lost: doubt,
         machine_types,
         requests: asks,
-        final_states: desk.final_states.clone(),
+        final_states: api.final_states.clone(),
         stepped_down_at: std::cell::Cell::new(None),
         shard_lessee: std::cell::RefCell::new(ShardLessee::new(&label, rand::random(), patience)),
         standby: std::cell::RefCell::new(standby),
@@ -114,14 +114,14 @@
     on_a_thread("leadership", leadership.run()).map_err(StartError::Thread)?;
     on_a_thread("ledger", node.run()).map_err(StartError::Thread)?;
     tokio::spawn(read_machine_types(cloud, machine_types_tx));
-    tokio::spawn(peers::serve(peer_listener, desk.clone(), controller_networks));
-    let holder = desk.clone();
+    tokio::spawn(peers::serve(peer_listener, api.clone(), controller_networks));
+    let holder = api.clone();
     tokio::spawn(async move { holder.renew_shard_lease_loop().await });
-    let follower = desk.clone();
+    let follower = api.clone();
     tokio::spawn(async move { follower.follow_leader_loop().await });
     log_settings(&settings.platform);
     tracing::info!("{label}: serving on {}", settings.api_addr);
-    Server::new(acceptor).fuse_policy(door).serve(http::service(desk)).await;
+    Server::new(acceptor).fuse_policy(connections).serve(http::service(api)).await;
     Ok(())
 }
 
--- a/crates/controller/src/standby.rs
+++ b/crates/controller/src/standby.rs
@@ -1,7 +1,7 @@
 //! A controller's side as a warm standby: the copy of the leader's picture, the judgement of its silence, and the
 //! steps by which this controller takes over. Owned by the node's actor.
 
-use crate::lead::LeadershipView;
+use crate::leadership::LeadershipView;
 use hookway_replication::{
     Durations, Event, FailureDetector, FollowAnswer, FollowRequest, Follower, Phase, Progress,
     Promotion, ReplicatedState, Step, Unusable,
--- a/crates/controller/tests/api.rs
+++ b/crates/controller/tests/api.rs
@@ -3,15 +3,15 @@
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_clients::StoreClient;
-use hookway_controller::answers::RequestOutcome;
-use hookway_controller::api::{ApiService, StoreClients};
-use hookway_controller::config::Settings;
+use hookway_controller::api_service::{ApiService, StoreClients};
+use hookway_controller::cluster_state::{CancelOutcome, JobLookup};
+use hookway_controller::controller_actor::{ControllerRequest, HeartbeatReply};
 use hookway_controller::http::service;
-use hookway_controller::lead::LeadershipView;
-use hookway_controller::ledger::{CancelOutcome, JobLookup};
-use hookway_controller::node::{ControllerRequest, HeartbeatReply};
+use hookway_controller::leadership::LeadershipView;
 use hookway_controller::peers::{PeerError, PeerRequest, PeerResponse, Peers};
 use hookway_controller::records::{JobRecord, job_key};
+use hookway_controller::request_outcome::RequestOutcome;
+use hookway_controller::settings::Settings;
 use hookway_replication::{FollowAnswer, FollowBody, FollowRequest, Held, Position};
 use hookway_testkit::{SETTINGS, StoreServer};
 use hookway_wire::{
@@ -64,11 +64,11 @@
     seen: LeadershipView,
     store: Option<&str>,
 ) -> Service {
-    service(desk(node, machine_types_known, seen, store, 2000.0))
+    service(api(node, machine_types_known, seen, store, 2000.0))
 }
 
 /// The desk itself; it asks the state service about jobs so many times a second.
-fn desk(
+fn api(
     node: ControllerActor,
     machine_types_known: bool,
     seen: LeadershipView,
@@ -153,7 +153,7 @@
     let peers = Peers::new(HashMap::from([("worker-1".into(), "127.0.0.1:1".into())]));
     let questions = StoreClient::new(store_at, polls_rate).with_queue_limit(0);
     let stores = StoreClients { submissions, queries: questions };
-    let desk = ApiService::new(
+    let api = ApiService::new(
         settings.platform,
         settings.controller_name,
         stores,
@@ -162,7 +162,7 @@
         view,
         machine_types,
     );
-    Arc::new(desk)
+    Arc::new(api)
 }
 
 async fn post(service: &Service, path: &str, body: &str) -> (StatusCode, String, bool) {
@@ -284,7 +284,7 @@
     let report = r#"{"Host":"m-1","Addr":"127.0.0.1:9","Flavor":"g8","Yard":"a","Loaners":false,
         "Tenure":1,"Tick":1,"Baton":1,"EvictionS":null,"Pieces":[]}"#;
     let late =
-        service(desk(ControllerActor::LedOnce, true, LeadershipView::default(), None, 2000.0));
+        service(api(ControllerActor::LedOnce, true, LeadershipView::default(), None, 2000.0));
     let (status, _, retry) = post(&late, "/checkin", report).await;
     assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true));
     assert_eq!(
@@ -356,7 +356,7 @@
     let id = JobId::parse("req-000412").expect("an id");
     server.with(|store| store.put(&job_key(&id), record));
     // One reading, and then none for ten seconds.
-    let api = service(desk(
+    let api = service(api(
         ControllerActor::Follows,
         true,
         LeadershipView::default(),
@@ -378,12 +378,12 @@
 /// store, half of them in vain, and thousands of answers failed for minutes.
 #[tokio::test]
 async fn what_the_leader_decided_is_told_without_the_store() {
-    let desk = desk(ControllerActor::Leads, true, LeadershipView::default(), None, 0.1);
+    let api = api(ControllerActor::Leads, true, LeadershipView::default(), None, 0.1);
     let id = JobId::parse("req-000009").expect("an id");
-    desk.final_states.remember(&known(&id, JobState::Done).into());
-    desk.final_states
+    api.final_states.remember(&known(&id, JobState::Done).into());
+    api.final_states
         .remember(&known(&JobId::parse("req-000010").expect("an id"), JobState::Running).into());
-    let api = service(desk);
+    let api = service(api);
     let (status, text, _) = get(&api, "/api/jobs/req-000009").await;
     let told: JobStatus = serde_json::from_str(&text).expect("a status");
     assert_eq!((status, told.state), (StatusCode::OK, JobState::Done));
@@ -414,12 +414,12 @@
 async fn a_silent_state_service_is_waited_for_once_in_a_while_only() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound").to_string();
-    let desk =
-        desk(ControllerActor::Follows, true, LeadershipView::default(), Some(&address), 2000.0);
+    let api =
+        api(ControllerActor::Follows, true, LeadershipView::default(), Some(&address), 2000.0);
     let id = JobId::parse("req-000001").expect("an id");
     let took = async || {
         let begun = Instant::now();
-        let verdict = desk.status(&id, false).await;
+        let verdict = api.status(&id, false).await;
         assert!(matches!(verdict, RequestOutcome::Unavailable(_)), "{verdict:?}");
         begun.elapsed()
     };
@@ -509,13 +509,13 @@
     let (status, text, _) = get(&api, "/replication").await;
     let told: ReplicationStatus = serde_json::from_str(&text).expect("a status");
     assert_eq!((status, told.phase.as_str()), (StatusCode::OK, "active"));
-    let desk =
+    let api =
         desk_with(SETTINGS, ControllerActor::Leads, true, LeadershipView::default(), None, 100.0);
     let ask = |name: &str| {
         PeerRequest::Follow(FollowRequest { follower: name.into(), held: Held::Nothing })
     };
-    let answered = desk.answer_peer(ask("worker-1")).await;
+    let answered = api.answer_peer(ask("worker-1")).await;
     assert!(matches!(answered, PeerResponse::Followed(Some(_))), "{answered:?}");
-    let refused = desk.answer_peer(ask("somebody")).await;
+    let refused = api.answer_peer(ask("somebody")).await;
     assert_eq!(refused, PeerResponse::Followed(None));
 }
--- a/crates/controller/tests/daemons.rs
+++ b/crates/controller/tests/daemons.rs
@@ -4,10 +4,10 @@
 mod play;
 
 use hookway_constants as constants;
-use hookway_controller::ledger::worker_lease_expiry_ms;
+use hookway_controller::cluster_state::worker_lease_expiry_ms;
 use hookway_testkit::ScriptedWorker;
 use hookway_wire::{Command, ExitCause, JobId, JobSpec, JobState, Priority};
-use play::{Play, job, setup, small};
+use play::{Play, config, job, small};
 
 /// Replicas of one CPU, of the highest priority.
 fn daemon(id: &str, replicas: u32) -> JobSpec {
@@ -77,7 +77,7 @@
     play.settle(&mut [&mut worker]);
     assert!(worker.started.len() > 40);
     assert_eq!(play.store.revision(), before, "nothing is written for a replica that runs again");
-    play.ledger.cancel(&id);
+    play.cluster.cancel(&id);
     play.settle(&mut [&mut worker]);
     assert_eq!(play.stored_final(&id).as_deref(), Some("withdrawn"));
     assert_eq!(worker.live(), [""; 0]);
@@ -131,7 +131,7 @@
     let (mut lost, mut other) = (small("m-1", "a"), small("m-2", "b"));
     running(&mut play, &mut lost);
     play.beat(&mut other);
-    let over = play.now + worker_lease_expiry_ms(&setup().platform);
+    let over = play.now + worker_lease_expiry_ms(&config().platform);
     while play.now < over - 1_000 {
         play.beat(&mut other);
         play.wait(500);
--- a/crates/controller/tests/fleet_size.rs
+++ b/crates/controller/tests/fleet_size.rs
@@ -4,10 +4,10 @@
 
 mod play;
 
-use hookway_controller::ledger::ControllerConfig;
+use hookway_controller::cluster_state::ControllerConfig;
 use hookway_testkit::ScriptedWorker;
 use hookway_wire::{ExitCause, Operation, Transaction};
-use play::{Play, job, setup};
+use play::{Play, config, job};
 use std::collections::BTreeSet;
 use std::time::Instant;
 
@@ -17,8 +17,8 @@
 /// Arrays: a tenth more tasks than there is room for.
 const ARRAYS: u32 = 10;
 
-fn limits(setup: &ControllerConfig) -> (usize, f64) {
-    (setup.platform.state.txn_ops, setup.platform.state.value_kb)
+fn limits(config: &ControllerConfig) -> (usize, f64) {
+    (config.platform.state.txn_ops, config.platform.state.value_kb)
 }
 
 /// Resident memory of this process, KiB; 0 where the system does not tell.
@@ -45,7 +45,7 @@
 
     /// A transaction keeps to the limits of the state service.
     fn check_transaction(&mut self, transaction: &Transaction) {
-        let (most_changes, value_kb) = limits(&setup());
+        let (most_changes, value_kb) = limits(&config());
         assert!(
             transaction.operations.len() <= most_changes,
             "{} changes",
@@ -63,11 +63,11 @@
     }
 
     fn flush(&mut self) {
-        while let Some(commit) = self.play.ledger.next_commit(self.play.now) {
+        while let Some(commit) = self.play.cluster.next_commit(self.play.now) {
             self.check_transaction(&commit.transaction);
             let revision = self.play.store.commit(&commit.transaction).expect("one writer");
-            let result = hookway_controller::ledger::CommitResult::Applied(revision);
-            self.play.ledger.committed(commit, result, self.play.now);
+            let result = hookway_controller::cluster_state::CommitResult::Applied(revision);
+            self.play.cluster.committed(commit, result, self.play.now);
         }
     }
 
@@ -75,7 +75,7 @@
     fn report_all(&mut self) {
         for n in 0..self.workers.len() {
             let report = self.workers[n].report();
-            let answer = self.play.ledger.handle_heartbeat(&report, self.play.now);
+            let answer = self.play.cluster.handle_heartbeat(&report, self.play.now);
             if let Some(answer) = answer {
                 self.workers[n].take(&answer);
             }
@@ -86,7 +86,7 @@
         }
         self.flush();
         self.play.now += 500;
-        self.play.ledger.scheduling_round(self.play.now);
+        self.play.cluster.scheduling_round(self.play.now);
         self.flush();
     }
 
@@ -132,17 +132,17 @@
     let begun = Instant::now();
     fleet.play = Play::lead(store, 1 + hookway_constants::TOKENS_PER_TERM, now);
     println!("loaded in {:?}", begun.elapsed());
-    assert_eq!(fleet.play.ledger.machine_count(), MACHINES);
-    assert!(!fleet.play.ledger.reconciled(now), "no machine has reported yet");
+    assert_eq!(fleet.play.cluster.machine_count(), MACHINES);
+    assert!(!fleet.play.cluster.reconciled(now), "no machine has reported yet");
     let begun = Instant::now();
     fleet.report_all();
     assert!(
-        !fleet.play.ledger.reconciled(fleet.play.now),
+        !fleet.play.cluster.reconciled(fleet.play.now),
         "reports with the old token settle nothing"
     );
     fleet.report_all();
     println!("every machine settled in {:?}", begun.elapsed());
-    assert!(fleet.play.ledger.reconciled(fleet.play.now), "every machine has reported");
+    assert!(fleet.play.cluster.reconciled(fleet.play.now), "every machine has reported");
     for _ in 0..3 {
         fleet.report_all();
     }
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -3,14 +3,14 @@
 //! whatever is renamed in the code, it must be read as these values and written as these bytes.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
-use hookway_controller::answers::{JobSnapshot, RequestOutcome};
 use hookway_controller::frame::{self, CURRENT, FrameVersion};
-use hookway_controller::holders::{ShardLease, ShardLeaseRenewal};
 use hookway_controller::peers::{PeerRequest, PeerResponse};
 use hookway_controller::records::{
     ClassRecord, FinalRecord, ImagesRecord, JobRecord, JobSchedulingRecord, LeaderRecord,
     MachineRegistryEntry, MachineRegistryRecord, ProgressRecord, SharedStartWatermarksRecord,
 };
+use hookway_controller::request_outcome::{JobSnapshot, RequestOutcome};
+use hookway_controller::shard_lease::{ShardLease, ShardLeaseRenewal};
 use hookway_policy::Resources;
 use hookway_replication::{
     Entry, FollowAnswer, FollowBody, FollowRequest, Held, ImagePiece, JobHints, PlacedTask,
--- a/crates/controller/tests/leadership.rs
+++ b/crates/controller/tests/leadership.rs
@@ -3,7 +3,9 @@
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_clients::StoreClient;
-use hookway_controller::lead::{Clock, LeaderTerm, Leadership, LeadershipLease, LeadershipView};
+use hookway_controller::leadership::{
+    Clock, LeaderTerm, Leadership, LeadershipLease, LeadershipView,
+};
 use hookway_controller::records::{LEADER_KEY, LEADER_TERM_KEY, LeaderRecord};
 use hookway_testkit::StoreServer;
 use hookway_wire::{Operation, Transaction};
--- a/crates/controller/tests/ledger.rs
+++ b/crates/controller/tests/ledger.rs
@@ -5,18 +5,18 @@
 mod play;
 
 use hookway_clients::Delivery;
-use hookway_controller::config::Settings;
-use hookway_controller::ledger::{
+use hookway_controller::cluster_state::{
     CancelOutcome, ClusterState, CommitResult, ControllerConfig, JobLookup, LoadedState,
     ScalingAction, Timestamp, worker_lease_expiry_ms,
 };
 use hookway_controller::records::{JobRecord, LEADER_KEY, final_state_key, job_key};
+use hookway_controller::settings::Settings;
 use hookway_testkit::{MemoryStore, SETTINGS, ScriptedWorker, machine_types};
 use hookway_wire::{
     Command, DirectCommands, ExitCause, JobId, JobState, ListedMachine, MachineState, Operation,
     Precondition, Transaction,
 };
-use play::{Play, job, listed, setup, small};
+use play::{Play, config, job, listed, small};
 
 #[test]
 fn a_job_runs_to_its_end_and_is_told_done_only_once_that_is_durable() {
@@ -31,17 +31,17 @@
     assert_eq!(w.live(), ["req-000001/1"]);
     w.end("req-000001/1", ExitCause::Done);
     let report = w.report();
-    let answer = play.ledger.handle_heartbeat(&report, play.now).expect("an answer");
+    let answer = play.cluster.handle_heartbeat(&report, play.now).expect("an answer");
     assert!(
         !answer.commands.iter().any(|o| matches!(o, Command::Reap { .. })),
         "the result is not durable yet"
     );
     assert_eq!(play.state(&id), JobState::Queued);
-    let commit = play.ledger.next_commit(play.now).expect("the end is to be written");
-    assert_eq!(play.ledger.status(&id), JobLookup::CommitInFlight);
+    let commit = play.cluster.next_commit(play.now).expect("the end is to be written");
+    assert_eq!(play.cluster.status(&id), JobLookup::CommitInFlight);
     let revision = play.store.commit(&commit.transaction).expect("applied");
-    play.ledger.committed(commit, CommitResult::Applied(revision), play.now);
-    assert_eq!(play.ledger.take_completed_jobs()[0].1.state, JobState::Done);
+    play.cluster.committed(commit, CommitResult::Applied(revision), play.now);
+    assert_eq!(play.cluster.take_completed_jobs()[0].1.state, JobState::Done);
     w.take(&answer);
     play.now += 500;
     let commands = play.beat(&mut w);
@@ -54,7 +54,7 @@
     let mut w = small("m-1", "a");
     play.submit(job("req-000001", "array", 1));
     let report = w.report();
-    let answer = play.ledger.handle_heartbeat(&report, play.now).expect("an answer");
+    let answer = play.cluster.handle_heartbeat(&report, play.now).expect("an answer");
     assert_eq!(answer.commands, [], "a crash now must not hide a started task");
     w.take(&answer);
     play.flush();
@@ -82,7 +82,7 @@
         next.beat(&mut spare);
         next.wait(600);
         let twice = near.live().contains(&lost) || spare.live().contains(&lost);
-        let over = next.now >= 30_000 + worker_lease_expiry_ms(&setup().platform);
+        let over = next.now >= 30_000 + worker_lease_expiry_ms(&config().platform);
         assert!(!twice || over, "{lost} started at {} while m-2 may have it", next.now);
     }
     assert!(
@@ -105,17 +105,18 @@
     play.submit(job("req-000001", "array", 2));
     play.settle(&mut [&mut w]);
     let mut next = Play::lead(play.store.clone(), 2, 10_000);
-    assert!(!next.ledger.reconciled(next.now));
+    assert!(!next.cluster.reconciled(next.now));
     next.beat(&mut w);
     assert_eq!(w.token, 2, "the token rises with the term");
     next.beat(&mut w);
-    assert!(next.ledger.reconciled(next.now));
+    assert!(next.cluster.reconciled(next.now));
     next.settle(&mut [&mut w]);
     assert_eq!(w.live(), ["req-000001/0"], "what runs is left alone");
     assert_eq!(w.started.len(), 1);
     // The deposed leader's answer carries the lower token and is dropped.
     let report = w.report();
-    let answer = play.ledger.handle_heartbeat(&report, play.now + 1).expect("it does not know yet");
+    let answer =
+        play.cluster.handle_heartbeat(&report, play.now + 1).expect("it does not know yet");
     assert!(!w.take(&answer));
 }
 
@@ -132,8 +133,8 @@
     // A new leader hears the old report first. It names no task, but proves nothing: only a report
     // that carries the new token was surely sent after the takeover.
     let mut next = Play::lead(play.store.clone(), 2, 9_000);
-    next.ledger.handle_heartbeat(&held_back, next.now);
-    assert!(!next.ledger.reconciled(next.now));
+    next.cluster.handle_heartbeat(&held_back, next.now);
+    assert!(!next.cluster.reconciled(next.now));
     for _ in 0..8 {
         next.beat(&mut near);
         next.wait(1_000);
@@ -153,9 +154,9 @@
     let mut next = Play::lead(play.store.clone(), 2, 100_000);
     near.end(&near.live()[0].clone(), ExitCause::Done);
     next.settle(&mut [&mut near]);
-    assert!(!next.ledger.reconciled(next.now));
+    assert!(!next.cluster.reconciled(next.now));
     let entry = listed("m-1", MachineState::Running, 100.0);
-    next.ledger.machines_listed(&[entry], next.now, next.now);
+    next.cluster.machines_listed(&[entry], next.now, next.now);
     next.settle(&mut [&mut near]);
     assert_eq!(near.live(), [lost]);
 }
@@ -171,12 +172,12 @@
     assert_eq!(young.live().len(), 1);
     // The leader changes at once; the first list does not hold the machine yet.
     let mut next = Play::lead(play.store.clone(), 2, play.now + 2_000);
-    next.ledger.machines_listed(&[], next.now, next.now);
+    next.cluster.machines_listed(&[], next.now, next.now);
     for _ in 0..4 {
         next.beat(&mut small("m-2", "b"));
         next.wait(500);
     }
-    assert!(!next.ledger.reconciled(next.now), "its age counts from its own entry in the roster");
+    assert!(!next.cluster.reconciled(next.now), "its age counts from its own entry in the roster");
 }
 
 #[test]
@@ -184,15 +185,15 @@
     let mut play = Play::start();
     let (mut one, mut two) = (small("m-1", "a"), small("m-2", "a"));
     play.settle(&mut [&mut one, &mut two]);
-    assert!(!play.ledger.all_workers_silent(play.now));
+    assert!(!play.cluster.all_workers_silent(play.now));
     play.now += 3_000;
     play.beat(&mut two);
-    assert!(!play.ledger.all_workers_silent(play.now + 4_000), "one of them still reports");
-    assert!(play.ledger.all_workers_silent(play.now + 6_500));
+    assert!(!play.cluster.all_workers_silent(play.now + 4_000), "one of them still reports");
+    assert!(play.cluster.all_workers_silent(play.now + 6_500));
     // The next leader, cut off from the start.
     let next = Play::lead(play.store.clone(), 2, 200_000);
-    assert!(!next.ledger.all_workers_silent(203_000));
-    assert!(next.ledger.all_workers_silent(207_000));
+    assert!(!next.cluster.all_workers_silent(203_000));
+    assert!(next.cluster.all_workers_silent(207_000));
 }
 
 #[test]
@@ -251,7 +252,7 @@
     let early = w.report();
     play.settle(&mut [&mut w]);
     assert_eq!(w.live().len(), 1);
-    assert_eq!(play.ledger.handle_heartbeat(&early, play.now), None, "held back by the network");
+    assert_eq!(play.cluster.handle_heartbeat(&early, play.now), None, "held back by the network");
     play.settle(&mut [&mut w]);
     assert_eq!(w.started.len(), 1);
 }
@@ -270,7 +271,7 @@
     }
     assert_eq!(other.live(), ["req-000001/0"], "the silent machine's lease is over");
     // The report arrives minutes late and still names the task.
-    assert_eq!(play.ledger.handle_heartbeat(&held_back, play.now), None);
+    assert_eq!(play.cluster.handle_heartbeat(&held_back, play.now), None);
     play.settle(&mut [&mut other]);
     assert_eq!(other.live(), ["req-000001/0"]);
     w.expire();
@@ -286,7 +287,7 @@
     play.beat(&mut w);
     play.wait(500);
     let report = w.report();
-    let lost = play.ledger.handle_heartbeat(&report, play.now).expect("an answer");
+    let lost = play.cluster.handle_heartbeat(&report, play.now).expect("an answer");
     assert!(matches!(lost.commands[..], [Command::Run { .. }]));
     play.now += 4_000;
     play.beat(&mut w);
@@ -304,16 +305,16 @@
     play.settle(&mut [&mut w]);
     w.end("req-000001/0", ExitCause::Done);
     let report = w.report();
-    play.ledger.handle_heartbeat(&report, play.now);
-    let late = play.ledger.next_commit(play.now).expect("the end");
+    play.cluster.handle_heartbeat(&report, play.now);
+    let late = play.cluster.next_commit(play.now).expect("the end");
     let mut next = Play::lead(play.store.clone(), 2, 9_000);
-    assert_eq!(next.ledger.cancel(&id), CancelOutcome::Pending);
+    assert_eq!(next.cluster.cancel(&id), CancelOutcome::Pending);
     next.flush();
     assert!(next.store.commit(&late.transaction).is_err(), "the guard on the leader's key");
     assert_eq!(next.stored_final(&id).as_deref(), Some("withdrawn"));
     let keys = late.keys().into_iter().map(|k| (k.clone(), next.store.get(&k))).collect();
-    play.ledger.committed(late, CommitResult::Indeterminate(keys), play.now);
-    assert!(play.ledger.leadership_lost());
+    play.cluster.committed(late, CommitResult::Indeterminate(keys), play.now);
+    assert!(play.cluster.leadership_lost());
 }
 
 #[test]
@@ -325,18 +326,18 @@
         play.settle(&mut [&mut w]);
         w.end("req-000001/0", ExitCause::Done);
         let report = w.report();
-        play.ledger.handle_heartbeat(&report, play.now);
-        let commit = play.ledger.next_commit(play.now).expect("the end");
+        play.cluster.handle_heartbeat(&report, play.now);
+        let commit = play.cluster.next_commit(play.now).expect("the end");
         let late = commit.transaction.clone();
         if applied {
             play.store.commit(&late).expect("applied");
         }
-        assert_eq!(play.ledger.status(&id), JobLookup::CommitInFlight);
+        assert_eq!(play.cluster.status(&id), JobLookup::CommitInFlight);
         let keys = commit.keys().into_iter().map(|k| (k.clone(), play.store.get(&k))).collect();
-        play.ledger.committed(commit, CommitResult::Indeterminate(keys), play.now);
+        play.cluster.committed(commit, CommitResult::Indeterminate(keys), play.now);
         play.flush();
         assert_eq!(play.stored_final(&id).as_deref(), Some("done"));
-        assert_eq!(play.ledger.take_completed_jobs().len(), 1);
+        assert_eq!(play.cluster.take_completed_jobs().len(), 1);
         assert!(play.store.commit(&late).is_err(), "arriving late it changes nothing");
     }
 }
@@ -351,14 +352,14 @@
         w.end("req-000001/0", ExitCause::Done);
         let report = w.report();
         if withdraw_first {
-            play.ledger.cancel(&id);
-            play.ledger.handle_heartbeat(&report, play.now);
+            play.cluster.cancel(&id);
+            play.cluster.handle_heartbeat(&report, play.now);
         } else {
-            play.ledger.handle_heartbeat(&report, play.now);
-            play.ledger.cancel(&id);
+            play.cluster.handle_heartbeat(&report, play.now);
+            play.cluster.cancel(&id);
         }
         play.flush();
-        let decided = play.ledger.take_completed_jobs();
+        let decided = play.cluster.take_completed_jobs();
         assert_eq!(decided.len(), 1);
         let state = if withdraw_first { JobState::Cancelled } else { JobState::Done };
         assert_eq!(decided[0].1.state, state);
@@ -372,7 +373,7 @@
     let id = play.submit(job("req-000001", "array", 5));
     play.settle(&mut [&mut w]);
     assert_eq!(w.live().len(), 1);
-    play.ledger.cancel(&id);
+    play.cluster.cancel(&id);
     play.flush();
     play.settle(&mut [&mut w, &mut late]);
     assert_eq!((w.live().len(), w.started.len(), late.started.len()), (0, 1, 0));
@@ -384,7 +385,7 @@
     };
     let value = serde_json::to_value(record).expect("a record");
     let at = Timestamp { monotonic: play.now, wall: 0 };
-    play.ledger.add_job(&job_key(&id), value, at, false);
+    play.cluster.add_job(&job_key(&id), value, at, false);
     play.settle(&mut [&mut w, &mut late]);
     assert_eq!((w.started.len(), late.started.len()), (1, 0));
 }
@@ -395,7 +396,7 @@
     let mut w = small("m-1", "a");
     let id = play.submit(job("req-000001", "array", 1));
     play.settle(&mut [&mut w]);
-    play.ledger.cancel(&id);
+    play.cluster.cancel(&id);
     play.flush();
     let mut next = Play::lead(play.store.clone(), 2, 9_000);
     next.settle(&mut [&mut w]);
@@ -467,15 +468,15 @@
     let mut deleted = Vec::new();
     for _ in 0..200 {
         play.now += 1_000;
-        for action in play.ledger.autoscaling_round(play.now) {
+        for action in play.cluster.autoscaling_round(play.now) {
             match action {
                 ScalingAction::ScaleOut(request) => {
                     rented += 1;
                     let names = vec![format!("m-{rented}")];
-                    play.ledger.scale_out_finished(&request, Some(names), play.now);
+                    play.cluster.scale_out_finished(&request, Some(names), play.now);
                 }
                 ScalingAction::ScaleIn(names) => {
-                    play.ledger.scale_in_finished(&names, play.now);
+                    play.cluster.scale_in_finished(&names, play.now);
                     deleted.extend(names);
                 }
             }
@@ -494,7 +495,7 @@
     play.submit(job("req-000001", "array", 1));
     play.settle(&mut [&mut one]);
     let entry = listed("m-1", MachineState::Failed, 60.0);
-    play.ledger.machines_listed(&[entry], play.now, play.now);
+    play.cluster.machines_listed(&[entry], play.now, play.now);
     play.settle(&mut [&mut two]);
     assert_eq!(two.live(), ["req-000001/0"]);
 }
@@ -510,10 +511,10 @@
         play.now += 31_000 / 4;
         play.settle(&mut [&mut w]);
     }
-    let fleet = play.ledger.autoscaling_round(play.now);
+    let fleet = play.cluster.autoscaling_round(play.now);
     assert!(!fleet.iter().any(|a| matches!(a, ScalingAction::ScaleIn(_))));
     assert!(w.started.len() >= 2);
-    let status = match play.ledger.status(&JobId::parse("req-000001").expect("an id")) {
+    let status = match play.cluster.status(&JobId::parse("req-000001").expect("an id")) {
         JobLookup::Known(status) => status,
         other => panic!("{other:?}"),
     };
@@ -543,7 +544,7 @@
     play.settle(&mut [w]);
     play.submit(job("req-000001", "array", 1));
     play.wait(1_000);
-    let (machine, _, commands) = play.ledger.take_direct_starts(play.now).pop().expect("a start");
+    let (machine, _, commands) = play.cluster.take_direct_starts(play.now).pop().expect("a start");
     assert_eq!(machine, "m-1");
     commands
 }
@@ -554,7 +555,7 @@
     let mut w = small("m-1", "a");
     let commands = with_a_direct_start(&mut play, &mut w);
     let report = w.commands(&commands).expect("carried out");
-    play.ledger.direct_start_sent(
+    play.cluster.direct_start_sent(
         "m-1",
         commands.fencing_token,
         Delivery::Executed(report),
@@ -575,7 +576,7 @@
     // The task ends, and its report comes before the answer to the command is read.
     w.end("req-000001/0", ExitCause::Done);
     play.settle(&mut [&mut w]);
-    play.ledger.direct_start_sent(
+    play.cluster.direct_start_sent(
         "m-1",
         commands.fencing_token,
         Delivery::Executed(report),
@@ -594,7 +595,12 @@
     let (mut w, mut other) = (small("m-1", "a"), small("m-2", "a"));
     let commands = with_a_direct_start(&mut play, &mut w);
     // No answer comes: the command may lie in the network for minutes.
-    play.ledger.direct_start_sent("m-1", commands.fencing_token, Delivery::Indeterminate, play.now);
+    play.cluster.direct_start_sent(
+        "m-1",
+        commands.fencing_token,
+        Delivery::Indeterminate,
+        play.now,
+    );
     play.settle(&mut [&mut other]);
     assert_eq!(other.started, [], "it may still start on m-1");
     // The next answer raises the token of m-1, and the report after it proves that.
@@ -613,7 +619,7 @@
     let mut play = Play::start();
     let (mut w, mut other) = (small("m-1", "a"), small("m-2", "a"));
     let commands = with_a_direct_start(&mut play, &mut w);
-    play.ledger.direct_start_sent("m-1", commands.fencing_token, Delivery::NotSent, play.now);
+    play.cluster.direct_start_sent("m-1", commands.fencing_token, Delivery::NotSent, play.now);
     play.settle(&mut [&mut other]);
     assert_eq!(
         other.live(),
@@ -630,17 +636,21 @@
     // The worker reports just before the command arrives; the report comes after its answer.
     let late = w.report();
     let report = w.commands(&commands).expect("carried out");
-    play.ledger.direct_start_sent(
+    play.cluster.direct_start_sent(
         "m-1",
         commands.fencing_token,
         Delivery::Executed(report),
         play.now,
     );
-    let answer = play.ledger.handle_heartbeat(&late, play.now).expect("the worker waits for it");
+    let answer = play.cluster.handle_heartbeat(&late, play.now).expect("the worker waits for it");
     w.take(&answer);
     play.settle(&mut [&mut w]);
     assert_eq!(w.started.len(), 1, "the task that the report lacks is still there");
-    assert_eq!(play.ledger.handle_heartbeat(&late, play.now), None, "a copy of it is not answered");
+    assert_eq!(
+        play.cluster.handle_heartbeat(&late, play.now),
+        None,
+        "a copy of it is not answered"
+    );
 }
 
 #[test]
@@ -653,10 +663,10 @@
     // The start goes out in an answer that is slow on its way; meanwhile a command that came straight
     // to the worker is answered with a report that lacks it.
     let report = w.report();
-    let answer = play.ledger.handle_heartbeat(&report, play.now).expect("an answer");
+    let answer = play.cluster.handle_heartbeat(&report, play.now).expect("an answer");
     assert_eq!(answer.commands.len(), 1);
     let between = w.report();
-    play.ledger.direct_start_sent("m-1", 1, Delivery::Executed(between), play.now);
+    play.cluster.direct_start_sent("m-1", 1, Delivery::Executed(between), play.now);
     for _ in 0..6 {
         play.beat(&mut other);
         play.wait(800);
@@ -674,7 +684,7 @@
     store.put("r/m-1", serde_json::json!({ "term": 1, "at_ms": 999_000 }));
     store.put("i/m-1", serde_json::json!({ "images": [["img", 1.0]] }));
     let mut play = Play::lead(store, 2, 0);
-    assert!(!play.ledger.reconciled(0), "m-1 may have tasks");
+    assert!(!play.cluster.reconciled(0), "m-1 may have tasks");
     let mut many: Vec<ScriptedWorker> = (1..=60).map(|n| small(&format!("m-{n}"), "a")).collect();
     let mut refs: Vec<&mut ScriptedWorker> = many.iter_mut().collect();
     play.settle(&mut refs);
@@ -683,7 +693,7 @@
     assert!(play.store.get("i/m-1").is_none() && play.store.get("r/m-1").is_none());
     // The next leader knows them all, and the image of the first.
     let next = Play::lead(play.store.clone(), 3, 50_000);
-    assert_eq!(next.ledger.machine_count(), 60);
+    assert_eq!(next.cluster.machine_count(), 60);
     let record = next.store.list("r/").remove(0).value;
     assert_eq!(record["images"][0][0], "img");
 }
@@ -701,7 +711,7 @@
     near.end(&near.live()[0].clone(), ExitCause::Done);
     let mut spare = small("m-3", "a");
     next.settle(&mut [&mut near, &mut spare]);
-    assert!(!next.ledger.reconciled(next.now), "m-2 may still run {held}");
+    assert!(!next.cluster.reconciled(next.now), "m-2 may still run {held}");
     let fresh: Vec<String> = near.live().into_iter().chain(spare.live()).collect();
     assert_eq!(fresh.len(), 2, "both machines have work: {fresh:?}");
     assert!(fresh.contains(&format!("{queued}/0")), "a gang of which nothing was started");
@@ -730,8 +740,8 @@
         let guard = Precondition { key: LEADER_KEY.into(), mod_revision: stamp };
         let at = Timestamp { monotonic: now, wall: 1_000_000 + now };
         let loaded = loaded(store, marked);
-        let ledger = ClusterState::new(setup(), term, guard, machine_types(), loaded, at);
-        Play { ledger, store: store.clone(), now }
+        let cluster = ClusterState::new(config(), term, guard, machine_types(), loaded, at);
+        Play { cluster, store: store.clone(), now }
     };
     let mut next = lead(&mut store, 2, false, 30_000);
     let mut spare = small("m-3", "a");
@@ -763,20 +773,20 @@
     for _ in 0..5 {
         play.now += 500;
         let report = deaf.report();
-        play.ledger.handle_heartbeat(&report, play.now);
+        play.cluster.handle_heartbeat(&report, play.now);
         play.flush();
         play.settle(&mut [&mut near, &mut third]);
     }
     assert_eq!((near.live().len(), third.live().len()), (1, 1), "the gang runs elsewhere");
     // Its lease is reckoned from the last answer that it may have heard, not from its reports.
     let mut deleted = Vec::new();
-    while play.now < lost_at + worker_lease_expiry_ms(&setup().platform) + 6_000 {
+    while play.now < lost_at + worker_lease_expiry_ms(&config().platform) + 6_000 {
         play.now += 1_000;
         let report = deaf.report();
-        play.ledger.handle_heartbeat(&report, play.now);
+        play.cluster.handle_heartbeat(&report, play.now);
         play.flush();
         play.settle(&mut [&mut near, &mut third]);
-        for action in play.ledger.autoscaling_round(play.now) {
+        for action in play.cluster.autoscaling_round(play.now) {
             if let ScalingAction::ScaleIn(names) = action {
                 deleted.extend(names);
             }
@@ -796,11 +806,11 @@
     let heard_at = play.now;
     let id = JobId::parse("req-000001").expect("an id");
     // Its user cancels the job; neither this nor anything else reaches m-1.
-    assert_eq!(play.ledger.cancel(&id), CancelOutcome::Pending);
+    assert_eq!(play.cluster.cancel(&id), CancelOutcome::Pending);
     play.flush();
     while play.now < heard_at + 20_000 {
         let report = deaf.report();
-        play.ledger.handle_heartbeat(&report, play.now);
+        play.cluster.handle_heartbeat(&report, play.now);
         play.wait(1_000);
         play.settle(&mut [&mut near]);
     }
@@ -815,31 +825,31 @@
     play.submit(job("req-000001", "array", 1));
     play.settle(&mut [&mut w]);
     let copy = w.report();
-    play.ledger.handle_heartbeat(&copy, play.now);
+    play.cluster.handle_heartbeat(&copy, play.now);
     // After its next session.
     w.expire();
-    play.now += worker_lease_expiry_ms(&setup().platform) + 1_000;
+    play.now += worker_lease_expiry_ms(&config().platform) + 1_000;
     play.settle(&mut [&mut other]);
     play.beat(&mut w);
-    let before = play.ledger.status(&JobId::parse("req-000001").expect("an id"));
-    assert_eq!(play.ledger.handle_heartbeat(&copy, play.now), None, "an older session");
-    assert_eq!(play.ledger.status(&JobId::parse("req-000001").expect("an id")), before);
+    let before = play.cluster.status(&JobId::parse("req-000001").expect("an id"));
+    assert_eq!(play.cluster.handle_heartbeat(&copy, play.now), None, "an older session");
+    assert_eq!(play.cluster.status(&JobId::parse("req-000001").expect("an id")), before);
     assert_eq!(other.live(), ["req-000001/0"]);
     // After the machine was deleted.
     let copy = w.report();
-    play.ledger.handle_heartbeat(&copy, play.now);
-    play.ledger.scale_in_finished(&["m-1".into()], play.now);
-    let machines = play.ledger.machine_count();
-    assert_eq!(play.ledger.handle_heartbeat(&copy, play.now + 60_000), None, "it is gone");
-    assert_eq!(play.ledger.machine_count(), machines);
+    play.cluster.handle_heartbeat(&copy, play.now);
+    play.cluster.scale_in_finished(&["m-1".into()], play.now);
+    let machines = play.cluster.machine_count();
+    assert_eq!(play.cluster.handle_heartbeat(&copy, play.now + 60_000), None, "it is gone");
+    assert_eq!(play.cluster.machine_count(), machines);
     // After a change of leader: it carries the old token and settles nothing.
     let copy = other.report();
-    play.ledger.handle_heartbeat(&copy, play.now);
+    play.cluster.handle_heartbeat(&copy, play.now);
     let mut next = Play::lead(play.store.clone(), 2, play.now);
     let mut third = small("m-3", "a");
-    next.ledger.handle_heartbeat(&copy, next.now);
+    next.cluster.handle_heartbeat(&copy, next.now);
     next.settle(&mut [&mut third]);
-    assert!(!next.ledger.reconciled(next.now));
+    assert!(!next.cluster.reconciled(next.now));
     assert_eq!(third.started, [], "the task is still on m-2");
 }
 
@@ -852,7 +862,7 @@
     let mut asked = std::collections::BTreeSet::new();
     for _ in 0..40 {
         play.now += 1_000;
-        for action in play.ledger.autoscaling_round(play.now) {
+        for action in play.cluster.autoscaling_round(play.now) {
             if let ScalingAction::ScaleOut(request) = action {
                 let offer = (request.zone.clone(), request.spot);
                 let twice = waiting.iter().any(|w| (w.zone.clone(), w.spot) == offer);
@@ -863,7 +873,7 @@
         }
         assert!(waiting.len() <= 4, "no queue of requests that are out of date");
         for request in waiting.drain(..waiting.len().min(3)) {
-            play.ledger.scale_out_finished(&request, None, play.now);
+            play.cluster.scale_out_finished(&request, None, play.now);
         }
     }
     assert_eq!(asked.len(), 4, "each zone and kind had its turn: {asked:?}");
@@ -874,9 +884,9 @@
     // The aims want this class started within less than a machine takes to boot.
     let aim = "kind = \"wait\"\nclass = \"train\"\nwithin_s = 5.0\nshare = 0.8\n[[settings.objectives]]\n";
     let settings = SETTINGS.replace("kind = \"finished\"", &format!("{aim}kind = \"finished\""));
-    let setup = ControllerConfig {
+    let config = ControllerConfig {
         platform: Settings::parse(&settings).expect("sound").platform,
-        ..setup()
+        ..config()
     };
     let mut play = Play::start();
     let mut w = small("m-1", "a");
@@ -895,11 +905,11 @@
     };
     let guard = Precondition { key: LEADER_KEY.into(), mod_revision: stamp };
     let at = Timestamp { monotonic: 20_000, wall: 1_020_000 };
-    let ledger = ClusterState::new(setup, 5_000, guard, machine_types(), loaded, at);
-    let mut next = Play { ledger, store: play.store.clone(), now: 20_000 };
+    let cluster = ClusterState::new(config, 5_000, guard, machine_types(), loaded, at);
+    let mut next = Play { cluster, store: play.store.clone(), now: 20_000 };
     for _ in 0..60 {
         next.settle(&mut [&mut w]);
-        for action in next.ledger.autoscaling_round(next.now) {
+        for action in next.cluster.autoscaling_round(next.now) {
             assert!(!matches!(action, ScalingAction::ScaleIn(_)), "it was kept for the next gang");
         }
     }
@@ -915,7 +925,7 @@
     w.commands(&commands).expect("carried out");
     w.token += 1;
     assert_eq!(w.commands(&commands), None);
-    play.ledger.direct_start_sent("m-1", commands.fencing_token, Delivery::Refused, play.now);
+    play.cluster.direct_start_sent("m-1", commands.fencing_token, Delivery::Refused, play.now);
     play.settle(&mut [&mut other]);
     assert_eq!(other.started, [], "it runs on m-1");
     play.settle(&mut [&mut w, &mut other]);
@@ -942,7 +952,7 @@
             play.beat(worker);
         }
         play.wait(1_000);
-        for action in play.ledger.autoscaling_round(play.now) {
+        for action in play.cluster.autoscaling_round(play.now) {
             if let ScalingAction::ScaleIn(gone) = action {
                 names.extend(gone);
             }
@@ -962,7 +972,7 @@
     let mut spare = small("m-9", "a");
     play.settle(&mut [&mut spare]);
     assert_eq!(spare.live(), [] as [&str; 0], "not before the cloud has confirmed the deletion");
-    play.ledger.scale_in_finished(&names, play.now);
+    play.cluster.scale_in_finished(&names, play.now);
     play.settle(&mut [&mut spare]);
     assert_eq!(spare.live(), [lost]);
 }
@@ -992,7 +1002,7 @@
     let (mut play, mut workers) = busy_zone(5);
     let mut silent = workers.remove(0);
     let names = given_back(&mut play, &mut workers, 12_000);
-    play.ledger.scale_in_failed(&names);
+    play.cluster.scale_in_failed(&names);
     play.beat(&mut silent);
     workers.push(silent);
     assert_eq!(given_back(&mut play, &mut workers, 4_000), [] as [&str; 0]);
@@ -1038,7 +1048,7 @@
         "a second leader within the lease must know that it does not know all machines"
     );
     // When the leases of its machines are surely over it goes.
-    play.now = worker_lease_expiry_ms(&setup().platform) + 1;
+    play.now = worker_lease_expiry_ms(&config().platform) + 1;
     play.beat(&mut w);
     play.wait(1_000);
     play.wait(1_000);
@@ -1049,24 +1059,24 @@
 #[test]
 fn transactions_are_split_by_bytes_however_many_changes_the_store_takes() {
     let mut play = Play::start();
-    let mut big = setup();
+    let mut big = config();
     big.platform.state.txn_ops = 10_000;
     big.platform.state.write_rps = 100_000.0;
     let guard =
         Precondition { key: LEADER_KEY.into(), mod_revision: play.store.put(LEADER_KEY, 1.into()) };
     let at = Timestamp { monotonic: 0, wall: 1_000_000 };
-    play.ledger = ClusterState::new(big, 1, guard, machine_types(), LoadedState::default(), at);
+    play.cluster = ClusterState::new(big, 1, guard, machine_types(), LoadedState::default(), at);
     // Several times what a wave brings: thousands of machines, jobs of which all end at once.
     for n in 0..6_000 {
         let name = format!("m-{n:06}");
-        play.ledger.handle_heartbeat(&small(&name, "a").report(), 0);
+        play.cluster.handle_heartbeat(&small(&name, "a").report(), 0);
     }
     for n in 0..3_000 {
         let id = play.submit(job(&format!("req-{n:06}"), "array", 1));
-        assert_eq!(play.ledger.cancel(&id), CancelOutcome::Pending);
+        assert_eq!(play.cluster.cancel(&id), CancelOutcome::Pending);
     }
     let mut commits = 0;
-    while let Some(commit) = play.ledger.next_commit(play.now) {
+    while let Some(commit) = play.cluster.next_commit(play.now) {
         let value_most = 8 * 1024;
         let body = serde_json::to_vec(&commit.transaction).expect("a transaction");
         assert!(body.len() <= 64 * 1024, "{} bytes", body.len());
@@ -1076,7 +1086,7 @@
             }
         }
         let revision = play.store.commit(&commit.transaction).expect("applied");
-        play.ledger.committed(commit, CommitResult::Applied(revision), play.now);
+        play.cluster.committed(commit, CommitResult::Applied(revision), play.now);
         play.now += 1_000;
         commits += 1;
     }
@@ -1105,7 +1115,7 @@
         .map(|w| w.report())
         .map(|r| ListedMachine { zone: r.zone, ..listed(&r.machine, MachineState::Running, 60.0) })
         .collect();
-    next.ledger.machines_listed(&entries, next.now, next.now);
+    next.cluster.machines_listed(&entries, next.now, next.now);
     // One machine of the zone that is cut off reports, as some do from before a cut.
     if cut > 4 {
         next.beat(&mut b[0]);
@@ -1138,10 +1148,10 @@
             play.beat(worker);
         }
         play.wait(1_000);
-        for action in play.ledger.autoscaling_round(play.now) {
+        for action in play.cluster.autoscaling_round(play.now) {
             match action {
                 ScalingAction::ScaleOut(request) => {
-                    play.ledger.scale_out_finished(&request, None, play.now);
+                    play.cluster.scale_out_finished(&request, None, play.now);
                     if second > 4 {
                         rented.push(request.zone.clone());
                     }
@@ -1218,24 +1228,24 @@
 #[test]
 fn while_a_withdrawn_task_may_be_anywhere_block_leases_end_as_if_given_when_its_user_asked() {
     let (mut play, mut workers) = busy_zone(3);
-    let params = setup().platform.workers;
+    let params = config().platform.workers;
     let full = ((params.cancel_s - params.lease_s) * 1000.0) as u64;
-    let lease = play.ledger.shard_lease_ms(play.now);
+    let lease = play.cluster.shard_lease_ms(play.now);
     assert!(lease > 0 && lease < full, "a worker's lease after it must end in time as well");
     let asked = play.now;
-    play.ledger.set_time(Timestamp { monotonic: asked, wall: 1_000_000 + asked });
-    play.ledger.cancel(&JobId::parse("req-000001").expect("an id"));
-    assert_eq!(play.ledger.shard_lease_ms(asked), lease, "before its user is told");
+    play.cluster.set_time(Timestamp { monotonic: asked, wall: 1_000_000 + asked });
+    play.cluster.cancel(&JobId::parse("req-000001").expect("an id"));
+    assert_eq!(play.cluster.shard_lease_ms(asked), lease, "before its user is told");
     play.flush();
     for later in [0, 1, 5_000, lease - 1, lease, lease + 1, 10 * lease] {
-        let ends = asked + later + play.ledger.shard_lease_ms(asked + later);
+        let ends = asked + later + play.cluster.shard_lease_ms(asked + later);
         assert_eq!(ends, asked + lease.max(later), "{later} ms later");
     }
     play.settle(&mut workers.iter_mut().collect::<Vec<_>>());
-    assert_eq!(play.ledger.shard_lease_ms(play.now), lease, "the tasks are gone");
+    assert_eq!(play.cluster.shard_lease_ms(play.now), lease, "the tasks are gone");
     // The next leader does not know of cancelled jobs until it has heard all machines.
     let next = Play::lead(play.store.clone(), 2, play.now + 1_000);
-    assert_eq!(next.ledger.shard_lease_ms(next.now), 0);
+    assert_eq!(next.cluster.shard_lease_ms(next.now), 0);
 }
 
 /// Incident of 2026-12-02: half of the machines of a site were returned as faulty, since each had failed two
@@ -1262,12 +1272,12 @@
         }
         play.wait(500);
     }
-    let returned = play.ledger.autoscaling_round(play.now);
+    let returned = play.cluster.autoscaling_round(play.now);
     let deleted = returned.iter().any(|a| matches!(a, ScalingAction::ScaleIn(_)));
     assert!(!deleted, "many jobs failed on each machine, and each of them on many: {returned:?}");
     let late = tries.iter().filter(|at| **at > 30_000).count();
     assert!((1..=12).contains(&late), "{late} tries of four jobs in the second half minute");
-    let JobLookup::Known(status) = play.ledger.status(&ids[0]) else { panic!("it is known") };
+    let JobLookup::Known(status) = play.cluster.status(&ids[0]) else { panic!("it is known") };
     assert!(status.notes.iter().any(|n| n.contains("ran on none")), "{:?}", status.notes);
 }
 
@@ -1311,7 +1321,7 @@
     for _ in 0..20 {
         play.beat(&mut bad);
         play.wait(500);
-        for action in play.ledger.autoscaling_round(play.now) {
+        for action in play.cluster.autoscaling_round(play.now) {
             if let ScalingAction::ScaleIn(names) = action {
                 gone.extend(names);
             }
@@ -1337,35 +1347,35 @@
         addr: Some("127.0.0.1:9".into()),
         ..listed(m, MachineState::Running, 60.0)
     });
-    next.ledger.machines_listed(&list, next.now, next.now);
-    assert!(next.ledger.take_state_probes(next.now).is_empty(), "most come by themselves");
+    next.cluster.machines_listed(&list, next.now, next.now);
+    assert!(next.cluster.take_state_probes(next.now).is_empty(), "most come by themselves");
     next.now += 1_500;
-    let mut asked = next.ledger.take_state_probes(next.now);
+    let mut asked = next.cluster.take_state_probes(next.now);
     asked.sort();
     let names: Vec<&str> = asked.iter().map(|(name, _)| name.as_str()).collect();
     assert_eq!(names, ["m-1", "m-2"]);
-    assert!(next.ledger.take_state_probes(next.now).is_empty(), "once each");
+    assert!(next.cluster.take_state_probes(next.now).is_empty(), "once each");
 
     // A report without the new token may be older than the takeover.
-    next.ledger.state_probed("m-1", Some(one.report()), next.now);
-    next.ledger.state_probed("m-2", None, next.now);
-    assert!(!next.ledger.reconciled(next.now));
+    next.cluster.state_probed("m-1", Some(one.report()), next.now);
+    next.cluster.state_probed("m-2", None, next.now);
+    assert!(!next.cluster.reconciled(next.now));
 
-    let late = play.ledger.handle_heartbeat(&one.report(), play.now + 1_000).expect("an answer");
+    let late = play.cluster.handle_heartbeat(&one.report(), play.now + 1_000).expect("an answer");
     let mut next = Play::lead(next.store.clone(), 9_000, 30_000);
-    next.ledger.machines_listed(&list, next.now, next.now);
+    next.cluster.machines_listed(&list, next.now, next.now);
     next.now += 1_500;
-    assert_eq!(next.ledger.take_state_probes(next.now).len(), 2);
+    assert_eq!(next.cluster.take_state_probes(next.now).len(), 2);
     let hello = DirectCommands { fencing_token: 9_000, incarnation: 1, commands: vec![] };
     for (name, w) in [("m-1", &mut one), ("m-2", &mut two)] {
         let report = w.commands(&hello);
-        next.ledger.state_probed(name, report, next.now);
+        next.cluster.state_probed(name, report, next.now);
     }
-    assert!(next.ledger.reconciled(next.now), "both have named everything");
+    assert!(next.cluster.reconciled(next.now), "both have named everything");
     assert!(!one.take(&late), "what an earlier leader answered, the worker refuses from then on");
     // The free task starts at once, on the machine whose task is done.
     next.wait(500);
-    let starts = next.ledger.take_direct_starts(next.now);
+    let starts = next.cluster.take_direct_starts(next.now);
     assert_eq!(starts.len(), 1, "{starts:?}");
     assert_eq!(starts[0].0, "m-1");
 }
@@ -1384,17 +1394,17 @@
     next.now = 30_000;
     let hello = DirectCommands { fencing_token: 5_000, incarnation: 2, commands: vec![] };
     let report = w.commands(&hello);
-    next.ledger.state_probed("m-1", report, next.now);
+    next.cluster.state_probed("m-1", report, next.now);
     next.now += 500;
     next.wait(0);
-    assert_eq!(next.ledger.take_direct_starts(next.now).len(), 1);
+    assert_eq!(next.cluster.take_direct_starts(next.now).len(), 1);
     // By now the lease that an earlier leader may have renewed is over, and the session's own is not.
-    next.now = 30_000 + worker_lease_expiry_ms(&setup().platform) - 200;
+    next.now = 30_000 + worker_lease_expiry_ms(&config().platform) - 200;
     next.wait(0);
-    assert_eq!(next.ledger.summary(next.now).tasks, 1, "it may run until then");
+    assert_eq!(next.cluster.summary(next.now).tasks, 1, "it may run until then");
     next.now += 1_000;
     next.wait(0);
-    assert_eq!(next.ledger.summary(next.now).tasks, 0);
+    assert_eq!(next.cluster.summary(next.now).tasks, 0);
 }
 
 /// Found by the model, 2026-12-02: an answer got lost; then the leader's lease was in doubt, and it kept the worker
@@ -1416,20 +1426,20 @@
     w.end(&task, ExitCause::Error);
     play.now += 2_000;
     let report = w.report();
-    let answer = play.ledger.handle_heartbeat(&report, play.now).expect("an answer");
+    let answer = play.cluster.handle_heartbeat(&report, play.now).expect("an answer");
     assert!(!answer.commands.is_empty(), "it may forget the task that failed");
     play.now += 8_000;
     let kept = play.now;
-    play.ledger.worker_lease_extended("m-1", kept);
+    play.cluster.worker_lease_extended("m-1", kept);
     play.now += 4_000;
     let report = w.report();
-    play.ledger.handle_heartbeat(&report, play.now);
-    let lease = worker_lease_expiry_ms(&setup().platform);
+    play.cluster.handle_heartbeat(&report, play.now);
+    let lease = worker_lease_expiry_ms(&config().platform);
     assert!(heard + 2_000 + lease < kept + lease - 500);
     let mut late = w.report();
     late.sequence += 1;
     assert!(
-        play.ledger.handle_heartbeat(&late, kept + lease - 500).is_some(),
+        play.cluster.handle_heartbeat(&late, kept + lease - 500).is_some(),
         "the session may be alive until then"
     );
 }
@@ -1448,11 +1458,11 @@
     for w in &mut workers {
         play.beat(w);
     }
-    assert!(!play.ledger.all_workers_silent(play.now + 2_500));
-    assert!(play.ledger.all_workers_silent(play.now + 3_500));
+    assert!(!play.cluster.all_workers_silent(play.now + 2_500));
+    assert!(play.cluster.all_workers_silent(play.now + 3_500));
     // It stood still itself: what it did not hear meanwhile proves nothing.
-    play.ledger.resumed(play.now + 3_400);
-    assert!(!play.ledger.all_workers_silent(play.now + 7_000));
+    play.cluster.resumed(play.now + 3_400);
+    assert!(!play.cluster.all_workers_silent(play.now + 7_000));
 }
 
 /// Found by reading, 2026-12-02: a transaction without an answer was carried out 12 s later, after newer ones of
@@ -1463,14 +1473,14 @@
     let mut play = Play::start();
     let (mut one, mut two) = (small("m-1", "a"), small("m-2", "a"));
     let unanswered = |play: &mut Play| {
-        let commit = play.ledger.next_commit(play.now).expect("something to write");
+        let commit = play.cluster.next_commit(play.now).expect("something to write");
         let late = commit.transaction.clone();
         let keys = commit.keys();
         let read = keys.into_iter().map(|k| (k.clone(), play.store.get(&k))).collect();
-        play.ledger.committed(commit, CommitResult::Indeterminate(read), play.now);
+        play.cluster.committed(commit, CommitResult::Indeterminate(read), play.now);
         late
     };
-    play.ledger.handle_heartbeat(&one.report(), play.now);
+    play.cluster.handle_heartbeat(&one.report(), play.now);
     let old_roster = unanswered(&mut play);
     play.flush();
     play.beat(&mut two);
@@ -1488,7 +1498,7 @@
         play.beat(&mut more[n + 1]);
         play.submit(job(ids[0], "array", tasks));
         play.now += 500;
-        play.ledger.scheduling_round(play.now);
+        play.cluster.scheduling_round(play.now);
         let old_mark = unanswered(&mut play);
         play.flush();
         play.submit(job(ids[1], "array", tasks));
@@ -1507,7 +1517,7 @@
         one.end(&task, ExitCause::Done);
     }
     play.settle(&mut [&mut one, &mut two]);
-    assert!(!play.ledger.leadership_lost());
+    assert!(!play.cluster.leadership_lost());
 }
 
 /// Thousands of one-task jobs within a minute or two: a record for each took the writes that the ends of all
@@ -1574,7 +1584,7 @@
     let mut applied = Vec::new();
     for _ in 0..60 {
         play.now += 1_000;
-        let Some(commit) = play.ledger.next_commit(play.now) else { continue };
+        let Some(commit) = play.cluster.next_commit(play.now) else { continue };
         let changes = commit.transaction.operations.len();
         let result = if changes > most_changes {
             CommitResult::Rejected
@@ -1582,7 +1592,7 @@
             applied.push(changes);
             CommitResult::Applied(play.store.commit(&commit.transaction).expect("applied"))
         };
-        play.ledger.committed(commit, result, play.now);
+        play.cluster.committed(commit, result, play.now);
     }
     applied
 }
@@ -1593,7 +1603,7 @@
     let ids: Vec<JobId> =
         (0..12).map(|n| play.submit(job(&format!("req-{n:06}"), "array", 1))).collect();
     for id in &ids {
-        assert_eq!(play.ledger.cancel(id), CancelOutcome::Pending);
+        assert_eq!(play.cluster.cancel(id), CancelOutcome::Pending);
     }
     let applied = commit_within(&mut play, 3);
     assert!(applied.iter().all(|changes| *changes <= 3), "{applied:?}");
@@ -1608,12 +1618,12 @@
     let (poison, other) = (job("req-000001", "array", 1), job("req-000002", "array", 1));
     let ids = [play.submit(poison), play.submit(other)];
     for id in &ids {
-        play.ledger.cancel(id);
+        play.cluster.cancel(id);
     }
     let mut tries = 0;
     for _ in 0..40 {
         play.now += 500;
-        let Some(commit) = play.ledger.next_commit(play.now) else { continue };
+        let Some(commit) = play.cluster.next_commit(play.now) else { continue };
         let poisoned =
             commit.transaction.operations.iter().any(|c| c.key() == final_state_key(&ids[0]));
         tries += usize::from(poisoned);
@@ -1623,7 +1633,7 @@
         } else {
             CommitResult::Applied(play.store.commit(&commit.transaction).expect("applied"))
         };
-        play.ledger.committed(commit, result, play.now);
+        play.cluster.committed(commit, result, play.now);
         if play.now == 4_000 {
             assert_eq!(play.stored_final(&ids[1]).as_deref(), Some("withdrawn"));
             assert_eq!(play.stored_final(&ids[0]), None);
--- a/crates/controller/tests/meetings.rs
+++ b/crates/controller/tests/meetings.rs
@@ -4,11 +4,13 @@
 
 mod play;
 
-use hookway_controller::ledger::{CancelOutcome, CommitResult, JobLookup, worker_lease_expiry_ms};
+use hookway_controller::cluster_state::{
+    CancelOutcome, CommitResult, JobLookup, worker_lease_expiry_ms,
+};
 use hookway_controller::records::scheduling_key;
 use hookway_testkit::{MemoryStore, ScriptedWorker};
 use hookway_wire::{Command, DirectCommands, ExitCause, JobId, JobState, MachineState};
-use play::{Play, job, listed, setup, small};
+use play::{Play, config, job, listed, small};
 
 /// Machines of both zones with a task each, of a job that is bound to zones in some way.
 fn bound_job(play: &mut Play, one_zone: bool, spread: bool, tasks: u32) -> JobId {
@@ -31,7 +33,7 @@
     let mut other = small("m-2", "b");
     next.settle(&mut [&mut other]);
     assert_eq!(other.started, [], "the job may be in zone a");
-    let lease = worker_lease_expiry_ms(&setup().platform);
+    let lease = worker_lease_expiry_ms(&config().platform);
     while next.now < 30_000 + lease {
         next.settle(&mut [&mut other]);
     }
@@ -111,17 +113,17 @@
     let mut worker = small("m-1", "a");
     let id = play.submit(job("req-000001", "array", 1));
     play.settle(&mut [&mut worker]);
-    let cancelled = play.ledger.cancel(&id);
+    let cancelled = play.cluster.cancel(&id);
     assert_eq!(cancelled, CancelOutcome::Pending);
-    let first = play.ledger.next_commit(play.now).expect("the end");
+    let first = play.cluster.next_commit(play.now).expect("the end");
     let late = first.transaction.clone();
     let read = first.keys().into_iter().map(|k| (k.clone(), play.store.get(&k))).collect();
-    play.ledger.committed(first, CommitResult::Indeterminate(read), play.now);
-    assert_eq!(play.ledger.status(&id), JobLookup::CommitInFlight);
-    let second = play.ledger.next_commit(play.now).expect("once more");
-    play.ledger.committed(second, CommitResult::NotApplied, play.now);
+    play.cluster.committed(first, CommitResult::Indeterminate(read), play.now);
+    assert_eq!(play.cluster.status(&id), JobLookup::CommitInFlight);
+    let second = play.cluster.next_commit(play.now).expect("once more");
+    play.cluster.committed(second, CommitResult::NotApplied, play.now);
     play.store.commit(&late).expect("carried out late");
-    assert_eq!(play.ledger.status(&id), JobLookup::CommitInFlight, "the store must be asked");
+    assert_eq!(play.cluster.status(&id), JobLookup::CommitInFlight, "the store must be asked");
     play.now += 1_000;
     play.flush();
     assert_eq!(play.state(&id), JobState::Cancelled);
@@ -134,9 +136,9 @@
     let mut worker = small("m-1", "a");
     let id = play.submit(job("req-000001", "array", 1));
     play.settle(&mut [&mut worker]);
-    play.ledger.cancel(&id);
-    let commit = play.ledger.next_commit(play.now).expect("the end");
-    play.ledger.committed(commit, CommitResult::NotApplied, play.now);
+    play.cluster.cancel(&id);
+    let commit = play.cluster.next_commit(play.now).expect("the end");
+    play.cluster.committed(commit, CommitResult::NotApplied, play.now);
     assert_eq!(play.state(&id), JobState::Running);
 }
 
@@ -144,22 +146,22 @@
 /// gone: a machine that hears nothing would keep them beyond it.
 #[test]
 fn a_cancellation_waits_for_its_tasks_where_leases_outlast_it() {
-    let mut setup = setup();
-    setup.platform.workers.cancel_s = setup.platform.workers.lease_s - 4.0;
-    let mut play = Play::lead_with(setup, MemoryStore::default(), 1, 0);
+    let mut config = config();
+    config.platform.workers.cancel_s = config.platform.workers.lease_s - 4.0;
+    let mut play = Play::lead_with(config, MemoryStore::default(), 1, 0);
     let mut worker = small("m-1", "a");
     let id = play.submit(job("req-000001", "array", 1));
     play.settle(&mut [&mut worker]);
-    assert_eq!(play.ledger.cancel(&id), CancelOutcome::LeasesOutstanding);
+    assert_eq!(play.cluster.cancel(&id), CancelOutcome::LeasesOutstanding);
     // It is cut off; its user asks again and again.
     let report = worker.report();
     for _ in 0..5 {
         play.wait(1_000);
-        assert_eq!(play.ledger.cancel(&id), CancelOutcome::LeasesOutstanding);
+        assert_eq!(play.cluster.cancel(&id), CancelOutcome::LeasesOutstanding);
         assert_eq!(play.stored_final(&id), None);
     }
     let stops =
-        play.ledger.handle_heartbeat(&report, play.now).expect("the leader answers").commands;
+        play.cluster.handle_heartbeat(&report, play.now).expect("the leader answers").commands;
     assert!(matches!(stops.as_slice(), [Command::Kill { .. }]), "{stops:?}");
     worker.end(&worker.live()[0].clone(), ExitCause::Stopped);
     play.beat(&mut worker);
@@ -168,7 +170,7 @@
     // As a rule nothing waits.
     let mut play = Play::start();
     let id = play.submit(job("req-000002", "array", 1));
-    assert_eq!(play.ledger.cancel(&id), CancelOutcome::Pending);
+    assert_eq!(play.cluster.cancel(&id), CancelOutcome::Pending);
 }
 
 /// An old report reaches every controller just as a new leader begins: it is the first that the new one hears
@@ -191,13 +193,13 @@
     let mut next = Play::lead(play.store.clone(), 2, play.now + 6_000);
     // Copies come first; their answers reach nobody.
     let mut spare = small("m-3", "a");
-    next.ledger.handle_heartbeat(&older, next.now);
-    next.ledger.handle_heartbeat(&empty, next.now);
+    next.cluster.handle_heartbeat(&older, next.now);
+    next.cluster.handle_heartbeat(&empty, next.now);
     for _ in 0..4 {
         next.settle(&mut [&mut spare]);
         assert_eq!(spare.started, [], "it runs on m-2, which was not heard yet");
     }
-    next.ledger.handle_heartbeat(&old, next.now);
+    next.cluster.handle_heartbeat(&old, next.now);
     next.settle(&mut [&mut spare]);
     assert_eq!(spare.started, []);
     next.settle(&mut [&mut left, &mut right, &mut spare]);
@@ -205,7 +207,7 @@
     let live: usize = [&left, &right, &spare].iter().map(|w| w.live().len()).sum();
     assert_eq!(live, 1, "one machine has it");
     // The copy again, now that newer ones came: nothing changes.
-    assert_eq!(next.ledger.handle_heartbeat(&old, next.now), None);
+    assert_eq!(next.cluster.handle_heartbeat(&old, next.now), None);
 }
 
 /// A report is held back until a new leader has acted, and then arrives there.
@@ -222,8 +224,8 @@
     let hello =
         DirectCommands { fencing_token: 2, incarnation: worker.session(), commands: vec![] };
     let told = worker.commands(&hello).expect("a higher token");
-    next.ledger.machines_listed(&[listed("m-1", MachineState::Running, 60.0)], next.now, next.now);
-    next.ledger.state_probed("m-1", Some(told), next.now);
+    next.cluster.machines_listed(&[listed("m-1", MachineState::Running, 60.0)], next.now, next.now);
+    next.cluster.state_probed("m-1", Some(told), next.now);
     next.settle(&mut [&mut worker]);
     next.now += 60_000;
     while worker.live().is_empty() {
@@ -231,7 +233,7 @@
     }
     let before = worker.started.len();
     assert_eq!(
-        next.ledger.handle_heartbeat(&held_back, next.now),
+        next.cluster.handle_heartbeat(&held_back, next.now),
         None,
         "it is older than what was heard"
     );
@@ -254,15 +256,15 @@
     let mut lost = Vec::new();
     for _ in 0..6 {
         let report = quick.report();
-        let answer = play.ledger.handle_heartbeat(&report, play.now).expect("the leader answers");
+        let answer = play.cluster.handle_heartbeat(&report, play.now).expect("the leader answers");
         assert!(quick.take(&answer));
         play.now += 500;
-        play.ledger.scheduling_round(play.now);
-        assert_eq!(play.ledger.take_direct_starts(play.now), [], "nor straight");
-        if let Some(commit) = play.ledger.next_commit(play.now) {
+        play.cluster.scheduling_round(play.now);
+        assert_eq!(play.cluster.take_direct_starts(play.now), [], "nor straight");
+        if let Some(commit) = play.cluster.next_commit(play.now) {
             lost.push(commit.transaction.clone());
             let read = commit.keys().into_iter().map(|k| (k.clone(), play.store.get(&k))).collect();
-            play.ledger.committed(commit, CommitResult::Indeterminate(read), play.now);
+            play.cluster.committed(commit, CommitResult::Indeterminate(read), play.now);
         }
     }
     assert!(!lost.is_empty());
@@ -272,10 +274,10 @@
         assert!(next.store.commit(transaction).is_err(), "the old leader's writes fail by now");
     }
     // Not listed, not in the roster: it holds nothing, and nothing waits for it.
-    next.ledger.machines_listed(&[], next.now, next.now);
+    next.cluster.machines_listed(&[], next.now, next.now);
     let mut other = small("m-3", "b");
     next.settle(&mut [&mut first, &mut other]);
-    assert!(next.ledger.reconciled(next.now));
+    assert!(next.cluster.reconciled(next.now));
     assert_eq!(other.live().len(), 1);
 }
 
@@ -298,16 +300,16 @@
     for (case, at) in ["before", "after"].iter().zip([40_000, 80_000]) {
         let mut play = Play::lead(play.store.clone(), at, at);
         if *case == "before" {
-            play.ledger.cancel(&id);
+            play.cluster.cancel(&id);
             play.flush();
             play = Play::lead(play.store.clone(), at + 4_096, at + 1_000);
         } else {
             play.wait(1_000);
-            play.ledger.cancel(&id);
+            play.cluster.cancel(&id);
             play.flush();
         }
         assert_eq!(play.stored_final(&id).as_deref(), Some("withdrawn"));
-        let over = play.now + worker_lease_expiry_ms(&setup().platform) - 3_000;
+        let over = play.now + worker_lease_expiry_ms(&config().platform) - 3_000;
         let mut near = near.clone();
         while play.now < over {
             play.settle(&mut [&mut near]);
@@ -355,7 +357,7 @@
     let mut next = Play::lead(play.store.clone(), 2, play.now + 30_000);
     // Copies from before the silence come first.
     for report in &old {
-        next.ledger.handle_heartbeat(report, next.now);
+        next.cluster.handle_heartbeat(report, next.now);
     }
     for _ in 0..4 {
         next.settle(&mut workers.iter_mut().collect::<Vec<_>>());
--- a/crates/controller/tests/node.rs
+++ b/crates/controller/tests/node.rs
@@ -3,16 +3,16 @@
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
-use hookway_controller::answers::RequestOutcome;
-use hookway_controller::api::{ApiService, StoreClients};
-use hookway_controller::config::{OperatorSettings, Settings};
-use hookway_controller::holders::ShardLessee;
-use hookway_controller::lead::{Clock, Leadership, LeadershipLease, LeadershipView};
-use hookway_controller::ledger::ControllerConfig;
+use hookway_controller::api_service::{ApiService, StoreClients};
+use hookway_controller::cluster_state::ControllerConfig;
+use hookway_controller::controller_actor::{ControllerActor, ControllerRequest};
+use hookway_controller::leadership::{Clock, Leadership, LeadershipLease, LeadershipView};
 use hookway_controller::networks::Networks;
-use hookway_controller::node::{ControllerActor, ControllerRequest};
 use hookway_controller::peers::{self, Peers};
 use hookway_controller::records::final_state_key;
+use hookway_controller::request_outcome::RequestOutcome;
+use hookway_controller::settings::{OperatorSettings, Settings};
+use hookway_controller::shard_lease::ShardLessee;
 use hookway_controller::standby::{Standby, StandbySignals};
 use hookway_testkit::{SETTINGS, StoreServer, machine_types};
 use hookway_wire::{JobId, JobState};
@@ -32,7 +32,7 @@
 
 /// A running controller.
 struct Controller {
-    desk: Arc<ApiService>,
+    api: Arc<ApiService>,
     view: watch::Receiver<LeadershipView>,
 }
 
@@ -49,7 +49,7 @@
     let addresses: HashMap<String, String> =
         siblings.iter().map(|(l, a)| ((*l).to_owned(), (*a).to_owned())).collect();
     let stores = StoreClients { submissions: client(), queries: client() };
-    let desk = Arc::new(ApiService::new(
+    let api = Arc::new(ApiService::new(
         settings.platform.clone(),
         label.into(),
         stores,
@@ -75,7 +75,7 @@
         leadership_lost: doubt.clone(),
         machine_types: machine_types_rx,
         requests: asks,
-        final_states: desk.final_states.clone(),
+        final_states: api.final_states.clone(),
         stepped_down_at: std::cell::Cell::new(None),
         shard_lessee: std::cell::RefCell::new(ShardLessee::new(label, 1, 1_000)),
         standby: std::cell::RefCell::new(Standby::new(label, true, signals.clone())),
@@ -100,7 +100,7 @@
     } else {
         std::mem::forget(view_tx);
     }
-    Controller { desk, view }
+    Controller { api, view }
 }
 
 async fn within<T>(work: impl Future<Output = T>) -> T {
@@ -110,13 +110,13 @@
 /// Accepts the job and waits until the leader knows it.
 async fn accepted(one: &mut Controller) -> JobId {
     one.view.wait_for(|v| v.own_term.is_some()).await.expect("the actor lives");
-    let verdict = one.desk.submit(JOB.as_bytes(), false).await;
+    let verdict = one.api.submit(JOB.as_bytes(), false).await;
     assert!(matches!(verdict, RequestOutcome::Accepted(_)), "{verdict:?}");
     let id = JobId::parse("req-000412").expect("an id");
     // Its ledger has been loaded.
     let known = async || {
         let (reply, answer) = oneshot::channel();
-        one.desk
+        one.api
             .controller
             .send(ControllerRequest::Status(id.clone(), reply))
             .await
@@ -139,14 +139,14 @@
         let mut one = start("one", &address, &[], true).await;
         let id = accepted(&mut one).await;
         server.refuse(true);
-        let verdict = within(one.desk.cancel(&id, false)).await;
+        let verdict = within(one.api.cancel(&id, false)).await;
         assert!(matches!(verdict, RequestOutcome::Unavailable(_)), "{verdict:?}");
         assert!(server.with(|store| store.get(&final_state_key(&id))).is_none());
         server.refuse(false);
         // The decision stayed in the queue; whoever asks again hears of it.
         let told = within(async {
             loop {
-                if let RequestOutcome::Known(told) = one.desk.cancel(&id, false).await {
+                if let RequestOutcome::Known(told) = one.api.cancel(&id, false).await {
                     break told;
                 }
             }
@@ -168,19 +168,19 @@
         let there = listener.local_addr().expect("bound").to_string();
         // The other one is refused by the state service.
         let two = start("two", NOWHERE, &[], false).await;
-        tokio::spawn(peers::serve(listener, two.desk.clone(), Networks::default()));
+        tokio::spawn(peers::serve(listener, two.api.clone(), Networks::default()));
         let mut one = start("one", &address, &[("two", &there)], true).await;
         let id = accepted(&mut one).await;
-        assert!(!two.desk.final_states.contains(&id));
-        let verdict = within(one.desk.cancel(&id, false)).await;
+        assert!(!two.api.final_states.contains(&id));
+        let verdict = within(one.api.cancel(&id, false)).await;
         assert!(matches!(verdict, RequestOutcome::Known(_)), "{verdict:?}");
         within(async {
-            while !two.desk.final_states.contains(&id) {
+            while !two.api.final_states.contains(&id) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         })
         .await;
-        let RequestOutcome::Known(told) = two.desk.status(&id, false).await else {
+        let RequestOutcome::Known(told) = two.api.status(&id, false).await else {
             panic!("it knows the end without the state service")
         };
         assert_eq!(told.state, JobState::Cancelled);
@@ -199,22 +199,22 @@
         let there = listener.local_addr().expect("bound").to_string();
         // Nobody leads at first.
         let two = start("two", &address, &[], false).await;
-        tokio::spawn(peers::serve(listener, two.desk.clone(), Networks::default()));
+        tokio::spawn(peers::serve(listener, two.api.clone(), Networks::default()));
         let one = start("one", NOWHERE, &[("two", &there)], false).await;
         let first = JobId::parse("req-000412").expect("an id");
-        let verdict = within(one.desk.submit(JOB.as_bytes(), false)).await;
+        let verdict = within(one.api.submit(JOB.as_bytes(), false)).await;
         assert!(matches!(verdict, RequestOutcome::Accepted(_)), "{verdict:?}");
-        let verdict = within(one.desk.status(&first, false)).await;
+        let verdict = within(one.api.status(&first, false)).await;
         assert!(matches!(verdict, RequestOutcome::Known(told) if told.state == JobState::Queued));
-        let verdict = within(one.desk.cancel(&first, false)).await;
+        let verdict = within(one.api.cancel(&first, false)).await;
         assert!(
             matches!(verdict, RequestOutcome::Known(told) if told.state == JobState::Cancelled)
         );
         let absent = JobId::parse("req-000999").expect("an id");
-        assert_eq!(within(one.desk.status(&absent, false)).await, RequestOutcome::NotFound);
+        assert_eq!(within(one.api.status(&absent, false)).await, RequestOutcome::NotFound);
         // While the state service is away for all, nobody knows.
         server.refuse(true);
-        let verdict = within(one.desk.status(&absent, false)).await;
+        let verdict = within(one.api.status(&absent, false)).await;
         assert!(matches!(verdict, RequestOutcome::Unavailable(_)), "{verdict:?}");
     };
     LocalSet::new().run_until(work).await;
--- a/crates/controller/tests/play/mod.rs
+++ b/crates/controller/tests/play/mod.rs
@@ -3,11 +3,11 @@
 #![allow(dead_code, reason = "each test file uses a part of it")]
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
-use hookway_controller::config::{OperatorSettings, Settings};
-use hookway_controller::ledger::{
+use hookway_controller::cluster_state::{
     ClusterState, CommitResult, ControllerConfig, JobLookup, LoadedState, Timestamp,
 };
 use hookway_controller::records::{JobRecord, LEADER_KEY, final_state_key, job_key};
+use hookway_controller::settings::{OperatorSettings, Settings};
 use hookway_testkit::{MemoryStore, SETTINGS, ScriptedWorker, machine_types};
 use hookway_wire::{Command, JobId, JobSpec, JobState, ListedMachine, MachineState, Precondition};
 
@@ -23,12 +23,12 @@
 
 /// A controller that leads, its store, its clock.
 pub struct Play {
-    pub ledger: ClusterState,
+    pub cluster: ClusterState,
     pub store: MemoryStore,
     pub now: u64,
 }
 
-pub fn setup() -> ControllerConfig {
+pub fn config() -> ControllerConfig {
     // So many writes a second that the budget never holds a test up.
     let settings = SETTINGS.replace("write_rps = 25.0", "write_rps = 1000.0");
     ControllerConfig {
@@ -47,11 +47,16 @@
 
     /// A node wins the leadership for a term and reads everything.
     pub fn lead(store: MemoryStore, term: u64, now: u64) -> Self {
-        Self::lead_with(setup(), store, term, now)
+        Self::lead_with(config(), store, term, now)
     }
 
     /// The same, with other settings.
-    pub fn lead_with(setup: ControllerConfig, mut store: MemoryStore, term: u64, now: u64) -> Self {
+    pub fn lead_with(
+        config: ControllerConfig,
+        mut store: MemoryStore,
+        term: u64,
+        now: u64,
+    ) -> Self {
         let stamp = store.put(LEADER_KEY, serde_json::json!({ "term": term }));
         let loaded = LoadedState {
             jobs: store.list("j/"),
@@ -64,8 +69,8 @@
         };
         let guard = Precondition { key: LEADER_KEY.into(), mod_revision: stamp };
         let at = Timestamp { monotonic: now, wall: 1_000_000 + now };
-        let ledger = ClusterState::new(setup, term, guard, machine_types(), loaded, at);
-        Self { ledger, store, now }
+        let cluster = ClusterState::new(config, term, guard, machine_types(), loaded, at);
+        Self { cluster, store, now }
     }
 
     pub fn submit(&mut self, spec: JobSpec) -> JobId {
@@ -75,13 +80,13 @@
         let value = serde_json::to_value(record).expect("a record");
         self.store.put(&job_key(&id), value.clone());
         let at = Timestamp { monotonic: self.now, wall: 1_000_000 + self.now };
-        self.ledger.add_job(&job_key(&id), value, at, false);
+        self.cluster.add_job(&job_key(&id), value, at, false);
         id
     }
 
     /// Carries out everything that the ledger wants written.
     pub fn flush(&mut self) {
-        while let Some(commit) = self.ledger.next_commit(self.now) {
+        while let Some(commit) = self.cluster.next_commit(self.now) {
             let result = match self.store.commit(&commit.transaction) {
                 Ok(revision) => CommitResult::Applied(revision),
                 Err(_) => {
@@ -91,14 +96,14 @@
                     )
                 }
             };
-            self.ledger.committed(commit, result, self.now);
+            self.cluster.committed(commit, result, self.now);
         }
     }
 
     /// One report of a worker, answered; the commands.
     pub fn beat(&mut self, worker: &mut ScriptedWorker) -> Vec<Command> {
         let report = worker.report();
-        let answer = self.ledger.handle_heartbeat(&report, self.now);
+        let answer = self.cluster.handle_heartbeat(&report, self.now);
         let commands = answer.as_ref().map(|a| a.commands.clone()).unwrap_or_default();
         if let Some(answer) = answer {
             worker.take(&answer);
@@ -110,7 +115,7 @@
     /// Time passes, with a scheduling round.
     pub fn wait(&mut self, ms: u64) {
         self.now += ms;
-        self.ledger.scheduling_round(self.now);
+        self.cluster.scheduling_round(self.now);
         self.flush();
     }
 
@@ -130,7 +135,7 @@
     }
 
     pub fn state(&self, id: &JobId) -> JobState {
-        match self.ledger.status(id) {
+        match self.cluster.status(id) {
             JobLookup::Known(status) => status.state,
             other => panic!("{id}: {other:?}"),
         }
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -5,19 +5,19 @@
 mod play;
 
 use hookway_constants as constants;
-use hookway_controller::ledger::{ClusterState, WarmStart, worker_lease_expiry_ms};
+use hookway_controller::cluster_state::{ClusterState, WarmStart, worker_lease_expiry_ms};
 use hookway_controller::networks::Networks;
 use hookway_replication::{Entry, JobHints, PlacedTask, Publisher, ReplicatedState, Stage};
 use hookway_testkit::ScriptedWorker;
 use hookway_wire::{ExitCause, JobId, JobState, ListedMachine, MachineState, TaskState};
-use play::{Play, job, setup, small};
+use play::{Play, config, job, small};
 
 const SECOND_TERM: u64 = 1 + constants::TOKENS_PER_TERM;
 
 /// The copy that a standby has which is up to date.
-fn copy_of(ledger: &mut ClusterState) -> ReplicatedState {
-    let mut publisher = Publisher::new(ledger.term());
-    ledger.publish_all(&mut publisher);
+fn copy_of(cluster: &mut ClusterState) -> ReplicatedState {
+    let mut publisher = Publisher::new(cluster.term());
+    cluster.publish_all(&mut publisher);
     publisher.state().clone()
 }
 
@@ -25,15 +25,15 @@
 fn take_over(play: &mut Play, copy: &ReplicatedState) -> WarmStart {
     let store = std::mem::take(&mut play.store);
     *play = Play::lead(store, SECOND_TERM, play.now + 5_000);
-    play.ledger.warm_start(copy, &Networks::default(), play.now)
+    play.cluster.warm_start(copy, &Networks::default(), play.now)
 }
 
 /// The workers that the new leader asks answer, those that are there; how many it asked.
 fn answer_greetings(play: &mut Play, workers: &mut [ScriptedWorker]) -> usize {
-    let asked = play.ledger.take_state_probes(play.now);
+    let asked = play.cluster.take_state_probes(play.now);
     for (name, _) in &asked {
         let worker = workers.iter_mut().find(|w| w.name() == name);
-        let token = play.ledger.term();
+        let token = play.cluster.term();
         let report = worker.and_then(|w| {
             let session = w.session();
             w.commands(&hookway_wire::DirectCommands {
@@ -42,7 +42,7 @@
                 commands: vec![],
             })
         });
-        play.ledger.state_probed(name, report, play.now);
+        play.cluster.state_probed(name, report, play.now);
     }
     asked.len()
 }
@@ -73,7 +73,7 @@
         play.beat(worker);
     }
     assert_eq!(workers.iter().filter(|w| !w.live().is_empty()).count(), 2);
-    let copy = copy_of(&mut play.ledger);
+    let copy = copy_of(&mut play.cluster);
     (play, workers, copy, id)
 }
 
@@ -87,7 +87,7 @@
     let taken = take_over(&mut play, &copy);
     assert_eq!((taken.addresses, taken.gangs), (4, 1), "{taken}");
     assert_eq!(answer_greetings(&mut play, &mut workers), 4, "asked at once");
-    assert!(play.ledger.reconciled(play.now));
+    assert!(play.cluster.reconciled(play.now));
     settle(&mut play, &mut workers);
     let attempts = attempts(&workers);
     assert_eq!(attempts.len(), 4, "the rest was started, and nothing twice: {attempts:?}");
@@ -119,7 +119,7 @@
         worker.set_state(TaskState::Running);
     }
     settle(&mut play, &mut workers);
-    let copy = copy_of(&mut play.ledger);
+    let copy = copy_of(&mut play.cluster);
     let task = workers[3].live().remove(0);
     workers[3].end(&task, ExitCause::Error);
     take_over(&mut play, &copy);
@@ -136,7 +136,7 @@
     workers.truncate(2);
     take_over(&mut play, &copy);
     for gone in ["m-3", "m-4"] {
-        play.ledger.scale_in_finished(&[gone.to_owned()], play.now);
+        play.cluster.scale_in_finished(&[gone.to_owned()], play.now);
     }
     settle(&mut play, &mut workers);
     assert_eq!(workers[0].live().len(), 1, "the rest may find room yet");
@@ -152,7 +152,7 @@
     let mut workers = fleet(3);
     settle(&mut play, &mut workers);
     // The standby lags: its copy ends here.
-    let copy = copy_of(&mut play.ledger);
+    let copy = copy_of(&mut play.cluster);
     play.submit(job("req-000001", "array", 3));
     settle(&mut play, &mut workers);
     let before = attempts(&workers).len();
@@ -161,7 +161,7 @@
     // Only two machines can be asked; the third may have anything.
     let mut heard: Vec<ScriptedWorker> = workers.drain(..2).collect();
     settle(&mut play, &mut heard);
-    assert!(!play.ledger.reconciled(play.now));
+    assert!(!play.cluster.reconciled(play.now));
     let lost = heard[0].live().remove(0);
     heard[0].end(&lost, ExitCause::Stopped);
     settle(&mut play, &mut heard);
@@ -184,7 +184,7 @@
     settle(&mut play, &mut workers);
     play.submit(job("req-000001", "array", 1));
     settle(&mut play, &mut workers);
-    let mut copy = copy_of(&mut play.ledger);
+    let mut copy = copy_of(&mut play.cluster);
     let gone = copy.machines["m-1"].tasks()[0].clone();
     let machine = "m-1".to_owned();
     let entry = Entry::TaskGone { machine, task: gone.task, attempt: gone.attempt };
@@ -193,7 +193,7 @@
     let mut spare = vec![small("m-2", "a")];
     settle(&mut play, &mut spare);
     assert!(spare[0].started.is_empty(), "m-1 may run it");
-    let lease_over_at = play.now + worker_lease_expiry_ms(&setup().platform);
+    let lease_over_at = play.now + worker_lease_expiry_ms(&config().platform);
     while play.now < lease_over_at {
         settle(&mut play, &mut spare);
     }
@@ -206,7 +206,7 @@
     let mut play = Play::start();
     let mut workers = fleet(1);
     settle(&mut play, &mut workers);
-    let mut copy = copy_of(&mut play.ledger);
+    let mut copy = copy_of(&mut play.cluster);
     let ghost = || "m-99".to_owned();
     let task = PlacedTask { task: "req-000009/0".into(), attempt: 7, stage: Stage::Running };
     for entry in [
@@ -222,9 +222,12 @@
     }
     let taken = take_over(&mut play, &copy);
     assert_eq!(taken, WarmStart { addresses: 1, failing_jobs: 0, gangs: 0 });
-    assert_eq!(play.ledger.machine_count(), 1);
+    assert_eq!(play.cluster.machine_count(), 1);
     let unknown = JobId::parse("req-000009").expect("an id");
-    assert_eq!(play.ledger.status(&unknown), hookway_controller::ledger::JobLookup::UnknownJob);
+    assert_eq!(
+        play.cluster.status(&unknown),
+        hookway_controller::cluster_state::JobLookup::UnknownJob
+    );
 }
 
 #[test]
@@ -232,12 +235,12 @@
     let mut play = Play::start();
     let mut workers = fleet(1);
     settle(&mut play, &mut workers);
-    let copy = copy_of(&mut play.ledger);
+    let copy = copy_of(&mut play.cluster);
     let store = std::mem::take(&mut play.store);
     play = Play::lead(store, SECOND_TERM, play.now + 5_000);
     let elsewhere = Networks::parse("10.1.0.0/16").expect("a network");
-    assert_eq!(play.ledger.warm_start(&copy, &elsewhere, play.now).addresses, 0);
-    assert!(play.ledger.take_state_probes(play.now).is_empty());
+    assert_eq!(play.cluster.warm_start(&copy, &elsewhere, play.now).addresses, 0);
+    assert!(play.cluster.take_state_probes(play.now).is_empty());
 }
 
 /// A worker that answers under another name than the copy gives to its address settles nothing.
@@ -246,16 +249,16 @@
     let mut play = Play::start();
     let mut workers = fleet(2);
     settle(&mut play, &mut workers);
-    let copy = copy_of(&mut play.ledger);
+    let copy = copy_of(&mut play.cluster);
     take_over(&mut play, &copy);
-    let term = play.ledger.term();
-    let asked = play.ledger.take_state_probes(play.now);
+    let term = play.cluster.term();
+    let asked = play.cluster.take_state_probes(play.now);
     assert_eq!(asked.len(), 2);
     let hello =
         hookway_wire::DirectCommands { fencing_token: term, incarnation: 1, commands: vec![] };
     let other = workers[1].commands(&hello);
-    play.ledger.state_probed("m-1", other, play.now);
-    assert!(!play.ledger.reconciled(play.now));
+    play.cluster.state_probed("m-1", other, play.now);
+    assert!(!play.cluster.reconciled(play.now));
 }
 
 #[test]
@@ -270,7 +273,7 @@
         worker.end(&task, ExitCause::Error);
     }
     settle(&mut play, &mut workers);
-    let copy = copy_of(&mut play.ledger);
+    let copy = copy_of(&mut play.cluster);
     assert!(copy.jobs[id.as_str()].errors > 0);
     let before = attempts(&workers).len();
     let taken = take_over(&mut play, &copy);
@@ -304,8 +307,8 @@
 #[test]
 fn what_a_leader_publishes_follows_its_picture() {
     let (mut play, mut workers, _, id) = half_placed_gang();
-    let mut publisher = Publisher::new(play.ledger.term());
-    play.ledger.publish_all(&mut publisher);
+    let mut publisher = Publisher::new(play.cluster.term());
+    play.cluster.publish_all(&mut publisher);
     let stages: Vec<Stage> = publisher
         .state()
         .machines
@@ -318,10 +321,10 @@
         worker.set_state(TaskState::Running);
     }
     settle(&mut play, &mut workers);
-    play.ledger.publish(&mut publisher);
+    play.cluster.publish(&mut publisher);
     assert_eq!(
         publisher.state(),
-        &copy_of(&mut play.ledger),
+        &copy_of(&mut play.cluster),
         "differences lead to the same as a whole"
     );
     assert!(publisher.state().jobs.contains_key(id.as_str()));
@@ -330,9 +333,9 @@
         worker.end(&task, ExitCause::Done);
     }
     settle(&mut play, &mut workers);
-    play.ledger.scale_in_finished(&["m-4".to_owned()], play.now);
-    play.ledger.publish(&mut publisher);
-    assert_eq!(publisher.state(), &copy_of(&mut play.ledger));
+    play.cluster.scale_in_finished(&["m-4".to_owned()], play.now);
+    play.cluster.publish(&mut publisher);
+    assert_eq!(publisher.state(), &copy_of(&mut play.cluster));
     assert_eq!((publisher.state().machines.len(), publisher.state().task_count()), (3, 0));
     assert!(publisher.state().jobs.is_empty());
 }
@@ -343,16 +346,16 @@
     let mut play = Play::start();
     let mut workers = fleet(2);
     settle(&mut play, &mut workers);
-    let copy = copy_of(&mut play.ledger);
+    let copy = copy_of(&mut play.cluster);
     take_over(&mut play, &copy);
     for worker in &mut workers {
         play.beat(worker);
     }
-    assert!(!play.ledger.reconciled(play.now), "their reports may be from before the takeover");
-    assert!(play.ledger.take_state_probes(play.now).is_empty(), "they report again at once");
+    assert!(!play.cluster.reconciled(play.now), "their reports may be from before the takeover");
+    assert!(play.cluster.take_state_probes(play.now).is_empty(), "they report again at once");
     play.now += constants::PROMPT_HEARTBEAT_MS;
     assert_eq!(answer_greetings(&mut play, &mut workers), 2);
-    assert!(play.ledger.reconciled(play.now));
+    assert!(play.cluster.reconciled(play.now));
 }
 
 /// A worker that does not answer is asked again; where the others of its zone answer it is given back, and the
@@ -364,13 +367,13 @@
     settle(&mut play, &mut workers);
     play.submit(job("req-000001", "array", 9));
     settle(&mut play, &mut workers);
-    let copy = copy_of(&mut play.ledger);
+    let copy = copy_of(&mut play.cluster);
     workers.pop();
     take_over(&mut play, &copy);
     // The cloud still lists it, and says in which zone it is.
     let list: Vec<ListedMachine> =
         (1..=8).map(|n| play::listed(&format!("m-{n}"), MachineState::Running, 60.0)).collect();
-    play.ledger.machines_listed(&list, play.now, play.now);
+    play.cluster.machines_listed(&list, play.now, play.now);
     let begun = play.now;
     let deleted = loop {
         answer_greetings(&mut play, &mut workers);
@@ -378,9 +381,9 @@
             play.beat(worker);
         }
         play.wait(500);
-        let deleted = play.ledger.autoscaling_round(play.now).into_iter().find_map(|a| match a {
-            hookway_controller::ledger::ScalingAction::ScaleIn(names) => Some(names),
-            hookway_controller::ledger::ScalingAction::ScaleOut(_) => None,
+        let deleted = play.cluster.autoscaling_round(play.now).into_iter().find_map(|a| match a {
+            hookway_controller::cluster_state::ScalingAction::ScaleIn(names) => Some(names),
+            hookway_controller::cluster_state::ScalingAction::ScaleOut(_) => None,
         });
         if let Some(names) = deleted {
             break names;
@@ -392,9 +395,9 @@
     let asked =
         u64::from(constants::MAX_UNANSWERED_STATE_PROBES - 1) * constants::STATE_PROBE_RETRY_MS;
     assert!((asked..asked + 1_500).contains(&after), "{after} ms");
-    assert!(!play.ledger.reconciled(play.now), "only the cloud's answer proves it");
-    play.ledger.scale_in_finished(&deleted, play.now);
-    assert!(play.ledger.reconciled(play.now));
+    assert!(!play.cluster.reconciled(play.now), "only the cloud's answer proves it");
+    play.cluster.scale_in_finished(&deleted, play.now);
+    assert!(play.cluster.reconciled(play.now));
 }
 
 /// The rest of a gang may be on a machine that has not answered: no task of it starts elsewhere before that is settled.
@@ -408,7 +411,7 @@
     for worker in &mut workers {
         play.beat(worker);
     }
-    let copy = copy_of(&mut play.ledger);
+    let copy = copy_of(&mut play.cluster);
     let holds = |w: &ScriptedWorker| !w.live().is_empty();
     let silent = workers.iter().position(holds).expect("a task of the gang");
     let silent = workers.remove(silent);
@@ -416,7 +419,7 @@
     settle(&mut play, &mut workers);
     let begun = attempts(&workers).len();
     assert_eq!(begun, 2, "one machine is idle, and must stay so");
-    assert!(!play.ledger.reconciled(play.now));
+    assert!(!play.cluster.reconciled(play.now));
     settle(&mut play, &mut workers);
     assert_eq!(attempts(&workers).len(), begun, "its third task runs on {}", silent.name());
 }
--- a/crates/controller/tests/world/controllers.rs
+++ b/crates/controller/tests/world/controllers.rs
@@ -4,14 +4,14 @@
 use crate::world::machines::Machine;
 use hookway_clients::Delivery;
 use hookway_constants as constants;
-use hookway_controller::config::{OperatorSettings, Settings};
-use hookway_controller::holders::{ShardLease, ShardLeaseRenewal, ShardLessee};
-use hookway_controller::lead::lease_expiry;
-use hookway_controller::ledger::{
+use hookway_controller::cluster_state::{
     ClusterState, CommitResult, ControllerConfig, LoadedState, PendingCommit, ScalingAction,
     Timestamp,
 };
+use hookway_controller::leadership::lease_expiry;
 use hookway_controller::records::LEADER_KEY;
+use hookway_controller::settings::{OperatorSettings, Settings};
+use hookway_controller::shard_lease::{ShardLease, ShardLeaseRenewal, ShardLessee};
 use hookway_replication::{Follower, Publisher};
 use hookway_testkit::{SETTINGS, machine_types};
 use hookway_wire::{
@@ -28,7 +28,7 @@
 
 /// One term, as the controller that leads it, or led it a moment ago, has it.
 pub(super) struct Leader {
-    pub ledger: ClusterState,
+    pub cluster: ClusterState,
     pub term: u64,
     pub publisher: Publisher,
     valid_until: u64,
@@ -40,7 +40,7 @@
 
 /// A controller's process.
 pub(super) struct Controller {
-    pub setup: ControllerConfig,
+    pub config: ControllerConfig,
     pub holding: ShardLessee,
     pub version: Version,
     /// Its copy of the leader's picture.
@@ -86,7 +86,7 @@
         let siblings = NODES.iter().enumerate().filter(|(other, _)| *other != n);
         let limits = if version == Version::New { NEXT_LIMITS } else { "" };
         let settings = format!("{SETTINGS}{limits}");
-        let setup = ControllerConfig {
+        let config = ControllerConfig {
             controller_name: NODES[n].0.into(),
             zone: NODES[n].1.into(),
             peers: siblings.map(|(_, (l, z))| ((*l).to_owned(), (*z).to_owned())).collect(),
@@ -95,7 +95,7 @@
         };
         Self {
             holding: ShardLessee::new(NODES[n].0, nonce, HOLDER_PATIENCE),
-            setup,
+            config,
             version,
             follower: Follower::new(NODES[n].0),
             no_answers_until: 0,
@@ -260,10 +260,10 @@
         let node = &mut self.controllers[n];
         node.holding.leadership_won(term);
         node.seen = Some(n);
-        let ledger =
-            ClusterState::new(node.setup.clone(), term, guard, machine_types(), loaded, at);
+        let cluster =
+            ClusterState::new(node.config.clone(), term, guard, machine_types(), loaded, at);
         let mut leader = Leader {
-            ledger,
+            cluster,
             term,
             publisher: Publisher::new(term),
             valid_until: lease_expiry(now, constants::LEADER_TTL_MS),
@@ -297,18 +297,18 @@
             return true;
         }
         if std::mem::take(&mut leader.paused) {
-            leader.ledger.resumed(now);
+            leader.cluster.resumed(now);
         }
-        leader.ledger.set_time(self.moment());
+        leader.cluster.set_time(self.moment());
         let node = &mut self.controllers[n];
-        let lease_ms = leader.ledger.shard_lease_ms(now);
+        let lease_ms = leader.cluster.shard_lease_ms(now);
         if lease_ms > 0 {
             let at = now - node.begun;
-            node.holding.hold_as_leader(leader.term, leader.ledger.own_shard(), lease_ms, at);
+            node.holding.hold_as_leader(leader.term, leader.cluster.own_shard(), lease_ms, at);
         }
         let again = node.deserted_at.is_none_or(|at| now >= at + constants::STEP_DOWN_INTERVAL_MS);
-        let lost = leader.ledger.all_workers_silent(now) && again;
-        if lost || leader.ledger.leadership_lost() {
+        let lost = leader.cluster.all_workers_silent(now) && again;
+        if lost || leader.cluster.leadership_lost() {
             node.deserted_at = if lost { Some(now) } else { node.deserted_at };
             node.abstains_until = now + constants::STEP_DOWN_PAUSE_MS;
             node.seen = None;
@@ -320,15 +320,15 @@
         if self.store_answers(n) {
             let at = self.moment();
             for kv in self.store.list("j/") {
-                leader.ledger.add_job(&kv.key, kv.value, at, false);
+                leader.cluster.add_job(&kv.key, kv.value, at, false);
             }
         }
         if now.is_multiple_of(300) {
-            leader.ledger.scheduling_round(now);
+            leader.cluster.scheduling_round(now);
         }
         let cloud = self.zone_open(NODES[n].1);
         if cloud && now.is_multiple_of(3_000) {
-            leader.ledger.machines_listed(&self.list(), now, now);
+            leader.cluster.machines_listed(&self.list(), now, now);
         }
         if cloud && now.is_multiple_of(1_000) {
             self.ask_cloud(n, leader);
@@ -340,7 +340,7 @@
 
     fn ask_cloud(&mut self, n: usize, leader: &mut Leader) {
         let now = self.now;
-        for action in leader.ledger.autoscaling_round(now) {
+        for action in leader.cluster.autoscaling_round(now) {
             match action {
                 ScalingAction::ScaleOut(request) => {
                     let mut names = Vec::new();
@@ -350,7 +350,7 @@
                         names.push(format!("m-{}", self.machines.len()));
                     }
                     let got = (!names.is_empty()).then_some(names);
-                    leader.ledger.scale_out_finished(&request, got, now);
+                    leader.cluster.scale_out_finished(&request, got, now);
                 }
                 ScalingAction::ScaleIn(names) => {
                     let at = now + self.span(100, 3_000);
@@ -364,12 +364,12 @@
         let (now, term) = (self.now, leader.term);
         let mut messages: Vec<(usize, DirectCommands, bool)> = Vec::new();
         let index = |machine: &str| -> usize { machine[2..].parse().expect("a number") };
-        for (machine, _, commands) in leader.ledger.take_direct_starts(now) {
+        for (machine, _, commands) in leader.cluster.take_direct_starts(now) {
             messages.push((index(&machine) - 1, commands, true));
         }
-        let greetings = leader.ledger.take_state_probes(now);
-        let stops = leader.ledger.take_direct_stops(now);
-        let commit = leader.ledger.next_commit(now);
+        let greetings = leader.cluster.take_state_probes(now);
+        let stops = leader.cluster.take_direct_stops(now);
+        let commit = leader.cluster.next_commit(now);
         // Stops carry no reply that the ledger waits for. Their address says nothing here, so they go
         // to the machine that has the task.
         for (_, commands) in stops {
@@ -422,7 +422,7 @@
 
     /// A controller keeps to the limits that it knows of.
     fn check_limits(&mut self, n: usize, transaction: &Transaction) {
-        let limits = &self.controllers[n].setup.platform.state;
+        let limits = &self.controllers[n].config.platform.state;
         let changes = transaction.operations.len();
         assert!(changes <= limits.txn_ops, "{changes} changes, and a limit of {}", limits.txn_ops);
         for change in &transaction.operations {
@@ -442,7 +442,7 @@
             let refused = now < self.outage_until || node.refused && now < node.no_store_until;
             match node.leading(term) {
                 Some(leader) if refused => {
-                    leader.ledger.committed(*commit, CommitResult::NotApplied, now);
+                    leader.cluster.committed(*commit, CommitResult::NotApplied, now);
                 }
                 // Held back on its way: it may be carried out when the way is open again.
                 _ => {
@@ -465,7 +465,7 @@
         match applied {
             Some(Ok(revision)) if !lost && self.controllers[n].up(now) => {
                 if let Some(leader) = self.controllers[n].leading(term) {
-                    leader.ledger.committed(*commit, CommitResult::Applied(revision), now);
+                    leader.cluster.committed(*commit, CommitResult::Applied(revision), now);
                 }
             }
             _ => {
@@ -487,7 +487,7 @@
         }
         let read = commit.keys().into_iter().map(|k| (k.clone(), self.store.get(&k))).collect();
         if let Some(leader) = self.controllers[n].leading(term) {
-            leader.ledger.committed(*commit, CommitResult::Indeterminate(read), now);
+            leader.cluster.committed(*commit, CommitResult::Indeterminate(read), now);
         }
         self.tell_decided(n, term);
     }
@@ -495,7 +495,7 @@
     /// Users that wait for a cancellation are told once it is durable.
     fn tell_decided(&mut self, n: usize, term: u64) {
         let Some(leader) = self.controllers[n].leading(term) else { return };
-        let decided = leader.ledger.take_completed_jobs();
+        let decided = leader.cluster.take_completed_jobs();
         let waited: Vec<bool> = decided.iter().map(|(id, _)| leader.asked.remove(id)).collect();
         for ((id, record), waited) in decided.into_iter().zip(waited) {
             self.controllers[n].over.insert(id.clone());
@@ -514,7 +514,7 @@
         let node = &mut self.controllers[n];
         let reply = match &mut node.leader {
             Some(leader) if entitled => {
-                leader.ledger.handle_heartbeat(report, now).map_or(Reply::Unsure, Reply::Answer)
+                leader.cluster.handle_heartbeat(report, now).map_or(Reply::Unsure, Reply::Answer)
             }
             leader => {
                 let over = &node.over;
@@ -524,7 +524,7 @@
                 match (kept, leader) {
                     (Some(kept), leader) => {
                         if let Some(leader) = leader {
-                            leader.ledger.worker_lease_extended(&report.machine, now);
+                            leader.cluster.worker_lease_extended(&report.machine, now);
                         }
                         self.counts.kept += 1;
                         self.counts.stopped_by_holders += kept.response.commands.len();
@@ -553,7 +553,7 @@
             return;
         }
         let Some(leader) = &mut self.controllers[n].leader else { return };
-        if let Some(lease) = leader.ledger.renew_shard_lease(renewal, now) {
+        if let Some(lease) = leader.cluster.renew_shard_lease(renewal, now) {
             self.send(|| Message::Leased(from, n, renewal.process_nonce, lease.clone(), at));
         }
     }
--- a/crates/controller/tests/world/machines.rs
+++ b/crates/controller/tests/world/machines.rs
@@ -63,7 +63,7 @@
 
 impl World {
     fn lease_ms(&self) -> u64 {
-        (self.controllers[0].setup.platform.workers.lease_s * 1000.0) as u64
+        (self.controllers[0].config.platform.workers.lease_s * 1000.0) as u64
     }
 
     /// A worker whose lease ran out forgets everything before it does anything else.
@@ -360,7 +360,7 @@
 
     /// The tasks of a cancelled job are gone in time, whoever can be reached.
     pub(super) fn check_cancelled(&self) {
-        let cancel_ms = (self.controllers[0].setup.platform.workers.cancel_s * 1000.0) as u64;
+        let cancel_ms = (self.controllers[0].config.platform.workers.cancel_s * 1000.0) as u64;
         for (id, told) in &self.told {
             let Some(at) = told.cancelled_at.filter(|at| self.now > at + cancel_ms) else {
                 continue;
--- a/crates/controller/tests/world/mod.rs
+++ b/crates/controller/tests/world/mod.rs
@@ -15,8 +15,8 @@
 
 use controllers::{Controller, Version};
 use hookway_clients::Delivery;
-use hookway_controller::holders::{ShardLease, ShardLeaseRenewal};
-use hookway_controller::ledger::PendingCommit;
+use hookway_controller::cluster_state::PendingCommit;
+use hookway_controller::shard_lease::{ShardLease, ShardLeaseRenewal};
 use hookway_replication::{FollowAnswer, FollowRequest};
 use hookway_testkit::MemoryStore;
 use hookway_wire::{DirectCommands, Heartbeat, HeartbeatResponse, JobId, JobSpec, Transaction};
@@ -456,14 +456,14 @@
             Message::Direct(n, term, m, commands) => self.direct_arrives(n, term, m, commands),
             Message::Delivered(n, term, name, token, delivery) => {
                 if let Some(leader) = self.controllers[n].leading(term) {
-                    leader.ledger.direct_start_sent(&name, token, delivery, now);
+                    leader.cluster.direct_start_sent(&name, token, delivery, now);
                 }
             }
             Message::Greet(n, term, m) => self.greeting_arrives(n, term, m),
             Message::Greeted(n, term, name, report) => {
                 self.counts.greeted += usize::from(report.is_some());
                 if let Some(leader) = self.controllers[n].leading(term) {
-                    leader.ledger.state_probed(&name, report, now);
+                    leader.cluster.state_probed(&name, report, now);
                 }
             }
             Message::PendingCommit(n, term, commit) => self.carry_out(n, term, commit),
@@ -480,7 +480,7 @@
                     m.dead = true;
                 }
                 if let Some(leader) = self.controllers[n].leading(term) {
-                    leader.ledger.scale_in_finished(&names, now);
+                    leader.cluster.scale_in_finished(&names, now);
                 }
             }
         }
@@ -536,8 +536,8 @@
             let leader = node
                 .leader
                 .as_ref()
-                .map(|l| (l.ledger.summary(self.now).to_string(), l.ledger.reconciled(self.now)));
-            let known = node.leader.as_ref().map(|l| l.ledger.status(id));
+                .map(|l| (l.cluster.summary(self.now).to_string(), l.cluster.reconciled(self.now)));
+            let known = node.leader.as_ref().map(|l| l.cluster.status(id));
             text += &format!("\n{label} in {zone}: {leader:?} {known:?}");
         }
         text
--- a/crates/controller/tests/world/standbys.rs
+++ b/crates/controller/tests/world/standbys.rs
@@ -36,7 +36,7 @@
             return;
         }
         let Some(leader) = &mut self.controllers[n].leader else { return };
-        leader.ledger.publish(&mut leader.publisher);
+        leader.cluster.publish(&mut leader.publisher);
         let answer = leader.publisher.answer(ask, now).expect("a small state");
         self.send(|| Message::Followed(from, n, nonce, answer.clone()));
     }
@@ -81,7 +81,7 @@
         let node = &self.controllers[n];
         let Ok(copy) = node.follower.usable(leader.term, self.now) else { return };
         self.counts.warm_starts += 1;
-        leader.ledger.warm_start(copy, &Networks::default(), self.now);
+        leader.cluster.warm_start(copy, &Networks::default(), self.now);
     }
 
     /// What a leader published piece by piece is its whole picture: no change was forgotten.
@@ -89,9 +89,9 @@
         if !self.now.is_multiple_of(COMPARE_EVERY) {
             return;
         }
-        leader.ledger.publish(&mut leader.publisher);
+        leader.cluster.publish(&mut leader.publisher);
         let mut whole = Publisher::new(leader.term);
-        leader.ledger.publish_all(&mut whole);
+        leader.cluster.publish_all(&mut whole);
         let differing = leader.publisher.state().differing(whole.state(), 4);
         assert!(differing.is_empty(), "not published: {differing:?}");
     }
--- a/crates/controller/tests/world/users.rs
+++ b/crates/controller/tests/world/users.rs
@@ -1,7 +1,7 @@
 //! Users: what they submit, ask and cancel at any controller, and what they are told.
 
 use super::{Message, NODES, REPLICAS_AT, Version, World, mistaken};
-use hookway_controller::ledger::{CancelOutcome, JobLookup};
+use hookway_controller::cluster_state::{CancelOutcome, JobLookup};
 use hookway_controller::records::{JobRecord, LEADER_KEY, final_state_key, job_key};
 use hookway_wire::{JobId, JobSpec, JobState, Operation, Precondition, Transaction};
 use rand::RngExt;
@@ -138,8 +138,8 @@
         }
         let leader = self.entitled_for(n);
         if let Some(l) = leader {
-            let ledger = &self.controllers[l].leader.as_ref()?.ledger;
-            match ledger.status(id) {
+            let cluster = &self.controllers[l].leader.as_ref()?.cluster;
+            match cluster.status(id) {
                 JobLookup::Known(status) => return Some(Heard::State(status.state)),
                 JobLookup::CommitInFlight | JobLookup::UnknownJob
                     if l != n && self.store_answers(l) =>
@@ -179,7 +179,7 @@
         }
         if let Some(l) = self.entitled_for(n) {
             let Some(leader) = &mut self.controllers[l].leader else { return };
-            if leader.ledger.cancel(id) == CancelOutcome::Pending {
+            if leader.cluster.cancel(id) == CancelOutcome::Pending {
                 leader.asked.insert(id.clone());
             }
             return;
--- a/crates/hookway/tests/standby.rs
+++ b/crates/hookway/tests/standby.rs
@@ -153,18 +153,22 @@
 
     /// A standby whose copy has so many tasks, or more.
     async fn wait_for_copy(&self, leader: usize, tasks: usize) {
+        self.wait_for_copies(leader, tasks, 1).await;
+    }
+
+    /// Waits until so many controllers that don't lead have a usable copy with so many tasks.
+    async fn wait_for_copies(&self, leader: usize, tasks: usize, copies: usize) {
         if !standbys() {
             return;
         }
         wait_for("a copy", async || {
+            let mut usable = 0;
             for (n, controller) in self.controllers.iter().enumerate() {
-                let told = controller.replication().await.filter(|_| n != leader);
-                let usable = told.is_some_and(|t| t.copy == "usable" && t.tasks >= tasks);
-                if usable {
-                    return Some(());
-                }
+                let status = controller.replication().await.filter(|_| n != leader);
+                let has_copy = status.is_some_and(|s| s.copy == "usable" && s.tasks >= tasks);
+                usable += usize::from(has_copy);
             }
-            None
+            (usable >= copies).then_some(())
         })
         .await;
     }
@@ -292,7 +296,9 @@
         (started.len() == MACHINES / 2).then_some(started)
     })
     .await;
-    cluster.wait_for_copy(leader, MACHINES).await;
+    // Either of the others may be elected, so both must know the attempt.
+    let followers = cluster.controllers.len() - 1;
+    cluster.wait_for_copies(leader, MACHINES, followers).await;
     cluster.controllers[leader].end();
     cluster.fleet.mute(silent, false);
     let next = cluster.leader_other_than(Some(leader)).await;
