--- a/crates/controller/tests/api.rs
+++ b/crates/controller/tests/api.rs
@@ -64,11 +64,11 @@
     seen: LeadershipView,
     store: Option<&str>,
 ) -> Service {
-    service(api(node, machine_types_known, seen, store, 2000.0))
+    service(api_service(node, machine_types_known, seen, store, 2000.0))
 }
 
 /// The desk itself; it asks the state service about jobs so many times a second.
-fn api(
+fn api_service(
     node: ControllerActor,
     machine_types_known: bool,
     seen: LeadershipView,
@@ -283,8 +283,13 @@
 async fn an_answer_to_a_worker_is_not_sent_once_the_right_to_it_may_be_over() {
     let report = r#"{"Host":"m-1","Addr":"127.0.0.1:9","Flavor":"g8","Yard":"a","Loaners":false,
         "Tenure":1,"Tick":1,"Baton":1,"EvictionS":null,"Pieces":[]}"#;
-    let late =
-        service(api(ControllerActor::LedOnce, true, LeadershipView::default(), None, 2000.0));
+    let late = service(api_service(
+        ControllerActor::LedOnce,
+        true,
+        LeadershipView::default(),
+        None,
+        2000.0,
+    ));
     let (status, _, retry) = post(&late, "/checkin", report).await;
     assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true));
     assert_eq!(
@@ -356,7 +361,7 @@
     let id = JobId::parse("req-000412").expect("an id");
     server.with(|store| store.put(&job_key(&id), record));
     // One reading, and then none for ten seconds.
-    let api = service(api(
+    let api = service(api_service(
         ControllerActor::Follows,
         true,
         LeadershipView::default(),
@@ -378,7 +383,7 @@
 /// store, half of them in vain, and thousands of answers failed for minutes.
 #[tokio::test]
 async fn what_the_leader_decided_is_told_without_the_store() {
-    let api = api(ControllerActor::Leads, true, LeadershipView::default(), None, 0.1);
+    let api = api_service(ControllerActor::Leads, true, LeadershipView::default(), None, 0.1);
     let id = JobId::parse("req-000009").expect("an id");
     api.final_states.remember(&known(&id, JobState::Done).into());
     api.final_states
@@ -414,8 +419,13 @@
 async fn a_silent_state_service_is_waited_for_once_in_a_while_only() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound").to_string();
-    let api =
-        api(ControllerActor::Follows, true, LeadershipView::default(), Some(&address), 2000.0);
+    let api = api_service(
+        ControllerActor::Follows,
+        true,
+        LeadershipView::default(),
+        Some(&address),
+        2000.0,
+    );
     let id = JobId::parse("req-000001").expect("an id");
     let took = async || {
         let begun = Instant::now();
