--- /dev/null
+++ b/crates/constants/src/failures.rs
@@ -0,0 +1,42 @@
+//! Failure attribution: failing jobs, slow and faulty machines.
+
+/// Sum of failure weights from which a machine counts as faulty. Each job that failed there since
+/// a task last completed there weighs 1 if it runs elsewhere.
+pub const FAULTY_MACHINE_WEIGHT: f64 = 2.0;
+/// Failure weight of a job that has failed on this machine alone and run nowhere yet.
+pub const UNPROVEN_JOB_WEIGHT: f64 = 0.5;
+/// Machines that a job remembers to have failed on. Enough to tell that they are many.
+pub const MAX_FAILED_MACHINES: usize = 16;
+/// Consecutive failures from which a gang or a daemon counts as crash-looping: it needs many
+/// machines and so meets a faulty one sooner.
+pub const GANG_MAX_FAILURES: u32 = 3;
+/// Consecutive failures after which a job with completed tasks backs off.
+pub const PROVEN_JOB_MAX_FAILURES: u32 = 3;
+/// A daemon's replica that ran for this long, ms, worked: its end causes no backoff.
+pub const REPLICA_STEADY_MS: u64 = 30_000;
+/// Failures of a daemon's replicas are forgotten after this long without another, ms: it has no
+/// completed tasks that speak for it. Above the longest backoff with its jitter.
+pub const REPLICA_FAILURE_MEMORY_MS: u64 = 120_000;
+/// Finished tasks from which the mean run time of a job is reliable enough to judge a machine by
+/// it.
+pub const RELIABLE_MEAN_TASKS: u32 = 4;
+/// A task that took this many times the mean of its job was slow. Run times within a job differ by
+/// half.
+pub const SLOW_TASK_RATIO: f64 = 2.5;
+/// Consecutive slow tasks after which a machine is cordoned.
+pub const SLOW_TASKS: u32 = 2;
+/// A task that has run for this many times the mean of its job is restarted elsewhere: finishing
+/// it where it is would most likely take longer.
+pub const STUCK_TASK_RATIO: f64 = 5.0;
+/// First backoff after a failed task of a job, ms; doubled for each further failure.
+pub const FAILURE_BACKOFF_MS: u64 = 1_000;
+/// Longest backoff, ms.
+pub const FAILURE_BACKOFF_MAX_MS: u64 = 45_000;
+/// Maximum consecutive failures that a new leader takes over from its standby copy: backoff grows
+/// no further.
+pub const MAX_RESUMED_FAILURES: u32 = 16;
+/// Ended jobs and deleted machines that a leader remembers, so that late messages do not bring
+/// them back. Days of work, against messages that are minutes late.
+pub const BOUNDED_SET_SIZE: usize = 20_000;
+/// Notes for the user that a job keeps.
+pub const MAX_JOB_NOTES: usize = 6;
--- /dev/null
+++ b/crates/constants/src/preemption.rs
@@ -0,0 +1,27 @@
+//! Preemption and reservations for gangs.
+
+/// How long a job waits for resources to free up before it preempts others, ms.
+pub const PREEMPT_AFTER_MS: u64 = 200;
+/// Time until a stop has taken effect and the resources are free, s: one and a half heartbeat
+/// intervals.
+pub const PREEMPTION_DELAY_S: f64 = 3.0;
+/// Weight of the work lost by preempting a task whose job is already late.
+pub const LATE_VICTIM_WEIGHT: f64 = 0.5;
+/// Weight of the work lost by preempting a task whose job would become late.
+pub const TIGHT_VICTIM_WEIGHT: f64 = 3.0;
+/// Minimum run time of checkpointing backfill before it is preempted for a deadline, s: it must
+/// not be stopped and restarted over and over.
+pub const BACKFILL_MIN_RUN_S: f64 = 20.0;
+/// And at least this many times the time for a checkpoint.
+pub const BACKFILL_MIN_CHECKPOINTS: f64 = 5.0;
+/// Machines are reserved for a gang that has waited this long, ms: long enough for tasks to end by
+/// themselves, short against the patience of users.
+pub const GANG_RESERVATION_DELAY_MS: u64 = 5_000;
+/// Nothing is reserved any more for a gang that has waited this long and that no machines up or
+/// booting could hold, ms. Above most boot times; below the 90 s in which users expect other jobs
+/// of its team to start.
+pub const GANG_RESERVATION_LIMIT_MS: u64 = 60_000;
+/// How long a new leader tries to complete a gang that an earlier one had started in part, ms,
+/// from the end of reconciliation. Beyond it the gang is restarted: its waiting tasks would give
+/// up.
+pub const GANG_RESUME_LIMIT_MS: u64 = 5_000;
--- /dev/null
+++ b/crates/constants/src/scheduling.rs
@@ -0,0 +1,42 @@
+//! Scheduling rounds, the order of the queue, and where tasks are placed.
+
+/// Interval between scheduling rounds, ms.
+pub const SCHEDULING_INTERVAL_MS: u64 = 250;
+/// A heartbeat triggers a scheduling round unless one took place within this time, ms. Bounds
+/// processor time when many workers report at once.
+pub const HEARTBEAT_ROUND_INTERVAL_MS: u64 = 40;
+/// Maximum interval between rounds for lack of processor time, ms.
+pub const MAX_ROUND_INTERVAL_MS: u64 = 2_000;
+/// Cost of a scheduling round per machine, microseconds of a core (measured on this code, rounded
+/// up).
+pub const ROUND_COST_PER_MACHINE_US: f64 = 3.0;
+/// Cost of a scheduling round per pair of a machine and a waiting job, microseconds of a core.
+pub const ROUND_COST_PER_PAIR_US: f64 = 0.03;
+/// Share of the configured core that scheduling rounds may take. The rest serves heartbeats, whose
+/// responses fill the resources that they show free.
+pub const ROUND_CORE_SHARE: f64 = 0.25;
+/// A job counts as late once its deadline is less than this many task times away.
+pub const LATENESS_TASK_TIMES: f64 = 0.0;
+/// A job that has not started this long after its submission precedes those that could still meet
+/// their objectives, s. Half of the four minutes in which users expect the largest jobs to start.
+pub const START_DEADLINE_S: f64 = 120.0;
+/// Age from which a late job, or one that yields to jobs that can meet their deadlines, gets a
+/// share of the CPUs of its own, s. Half of the four minutes likewise.
+pub const AGING_S: f64 = 120.0;
+/// That share of the CPUs that are up.
+pub const AGING_CPU_SHARE: f64 = 0.15;
+/// Deadline assumed for jobs without one when the fleet is sized, as a multiple of the estimate.
+pub const DEFAULT_DEADLINE_FACTOR: f64 = 2.0;
+/// Placement cost of an empty machine against one in use, in seconds of image fetch. Keeps whole
+/// machines free for gangs and for scale-in.
+pub const EMPTY_MACHINE_PENALTY_S: f64 = 3.0;
+/// Placement cost of a machine that stays entirely free after the placement against a full one,
+/// likewise (bin packing).
+pub const LOOSE_FIT_PENALTY_S: f64 = 4.0;
+/// Placement cost, for other tasks, of a machine that could hold a task of a gang, likewise. Below
+/// the fetch time of most images, so that image locality still decides.
+pub const GANG_MACHINE_PENALTY_S: f64 = 8.0;
+/// Placement cost of a machine at twice the lowest price of a CPU, likewise.
+pub const PRICE_PENALTY_S: f64 = 2.0;
+/// Weight of the image fetch time in the placement cost.
+pub const IMAGE_MISS_PENALTY: f64 = 1.0;
