--- a/crates/policy/src/scheduling_queue.rs
+++ b/crates/policy/src/scheduling_queue.rs
@@ -1,30 +1,34 @@
+//! The order in which jobs get resources.
+
+use crate::min_tasks::min_tasks_by_deadline;
 use crate::{JobView, min_tasks};
 use hookway_constants as constants;
 
-/// One job's turn: up to `tasks` of its tasks are to be placed.
+/// An entry of the scheduling queue: up to `tasks` tasks of a job are to be placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueEntry {
     /// The job.
     pub job: usize,
-    /// Most tasks to place in this turn.
+    /// Maximum number of tasks to place for this entry.
     pub tasks: u32,
-    /// A leftover: beyond what the job needs at least.
+    /// Beyond the job's minimum: placed on leftover capacity.
     pub leftover: bool,
 }
 
-fn due(job: &JobView) -> f64 {
+fn deadline_or_infinity(job: &JobView) -> f64 {
     job.deadline.unwrap_or(f64::INFINITY)
 }
 
-/// Whether the job is late already. Such a job's minimum is all its tasks for the rest of its life;
-/// after a burst, a few of them would make every later job late as well (the design page's second
-/// weak spot). So late jobs come after those that can still be in time.
+/// Whether the job is late already. The minimum of a late job is all its tasks for the rest of its life; after a
+/// burst, a few of them would make every later job late as well (the second weak spot of the design). So late jobs
+/// come after those that can still meet their deadlines.
 pub(crate) fn is_late(job: &JobView, now: f64) -> bool {
-    job.deadline.is_some_and(|due| now + constants::LATENESS_TASK_TIMES * job.task_time() > due)
+    job.deadline
+        .is_some_and(|deadline| now + constants::LATENESS_TASK_TIMES * job.task_time() > deadline)
 }
 
-/// How many of the aims for its start a job has missed; one that has waited beyond the bound goes
-/// before all others, so that no order starves it.
+/// How many of its start objectives a job has missed; one that has waited beyond the bound counts as having missed
+/// none and so precedes all others, which prevents starvation.
 fn missed_starts(job: &JobView, now: f64) -> usize {
     if now > job.submitted + constants::START_DEADLINE_S {
         return 0;
@@ -32,13 +36,13 @@
     job.start_by.iter().filter(|by| now > **by).count()
 }
 
-/// Whether a part of a gang waits on machines for the rest: it holds places and does no work, and gives up soon.
+/// Whether a part of a gang waits on machines for the rest: it holds resources without working, and gives up soon.
 fn gang_awaits_rest(job: &JobView) -> bool {
     job.gang && job.startable > 0 && job.placed > 0
 }
 
-/// The order among jobs of which nothing has run: by priority, then gangs of which a part waits for the rest, then
-/// those that can still start in time, then the oldest.
+/// The order among jobs that have never run: by priority, then gangs of which a part waits for the rest, then by
+/// missed start objectives, then the oldest.
 pub(crate) fn first_start_order(a: &JobView, b: &JobView, now: f64) -> std::cmp::Ordering {
     b.priority
         .cmp(&a.priority)
@@ -47,141 +51,225 @@
         .then(a.submitted.total_cmp(&b.submitted))
 }
 
-/// Tasks that should run at a time: the minimum, or what the team's estimate says until a task has
-/// finished.
-pub(crate) fn min_tasks_or_estimate(job: &JobView, now: f64, due: f64) -> u32 {
-    let prior =
-        || crate::min_tasks::min_tasks_by_deadline(job.task_time(), job.unfinished, due - now);
-    job.mean_task_time.map_or_else(prior, |_| min_tasks(job, now))
+/// The minimum task count, with the team's estimate in place of the mean until a task has finished.
+pub(crate) fn min_tasks_or_estimate(job: &JobView, now: f64, deadline: f64) -> u32 {
+    if job.mean_task_time.is_some() {
+        return min_tasks(job, now);
+    }
+    min_tasks_by_deadline(job.task_time(), job.unfinished, deadline - now)
+}
+
+/// Work and CPUs that a job needs to meet its deadline.
+struct DeadlineDemand {
+    job: usize,
+    /// CPU seconds left.
+    work: f64,
+    /// CPUs of its minimum.
+    cpus: f64,
 }
 
-/// Jobs that can't all be in time: when the minimums together need more than `capacity` CPUs, those
-/// with the least work left are kept to, since most jobs are in time then, and the others yield like late
-/// ones. Earliest deadline first would make nearly all of them late one after the other.
+/// Marks jobs that can't all meet their deadlines: when the minimums together exceed `capacity` CPUs, those with
+/// the least work left are served, since most jobs are in time then, and the others yield like late ones. Earliest
+/// deadline first would make nearly all of them late one after the other.
 fn infeasible(jobs: &[JobView], now: f64, capacity: f64) -> Vec<bool> {
-    let mut yields = vec![false; jobs.len()];
-    let mut room = capacity;
-    let mut rates: Vec<(f64, f64, usize)> = Vec::new();
-    for (i, job) in jobs.iter().enumerate() {
+    let mut infeasible = vec![false; jobs.len()];
+    let mut free_cpus = capacity;
+    let mut demands: Vec<DeadlineDemand> = Vec::new();
+    for (index, job) in jobs.iter().enumerate() {
         if job.needs_all_tasks_at_once() {
             let tasks = if job.daemon { job.unfinished } else { job.placed.max(job.startable) };
-            room -= f64::from(tasks) * job.request.cpus;
+            free_cpus -= f64::from(tasks) * job.request.cpus;
             continue;
         }
-        let Some(due) = job.deadline.filter(|_| !is_late(job, now)) else { continue };
-        let least = min_tasks_or_estimate(job, now, due);
+        let Some(deadline) = job.deadline.filter(|_| !is_late(job, now)) else { continue };
+        let minimum = min_tasks_or_estimate(job, now, deadline);
         let work = f64::from(job.unfinished) * job.task_time() * job.request.cpus;
-        rates.push((work, f64::from(least) * job.request.cpus, i));
+        demands.push(DeadlineDemand {
+            job: index,
+            work,
+            cpus: f64::from(minimum) * job.request.cpus,
+        });
     }
-    rates.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.2.cmp(&b.2)));
-    for (_, rate, i) in rates {
-        yields[i] = rate > room;
-        if !yields[i] {
-            room -= rate;
+    demands.sort_by(|a, b| a.work.total_cmp(&b.work).then(a.job.cmp(&b.job)));
+    for demand in demands {
+        infeasible[demand.job] = demand.cpus > free_cpus;
+        if !infeasible[demand.job] {
+            free_cpus -= demand.cpus;
         }
     }
-    yields
+    infeasible
 }
 
-/// Nobody said when it should start or be complete: it takes what is left.
+/// Whether no objective says when the job should start or finish: it is backfill.
 pub(crate) fn has_no_objective(job: &JobView) -> bool {
     !job.needs_all_tasks_at_once() && job.deadline.is_none() && job.start_by.is_empty()
 }
 
-/// Whether tasks of the job wait of which nothing has run or runs. A replica of a daemon that is not running
-/// counts as such by itself: no other replica does its work. A gang that lacks tasks has not begun, whatever of it
-/// waits for them on machines.
+/// Whether the job waits for its first start. A replica of a daemon that is not running counts as such by itself,
+/// since no other replica does its work; a gang that lacks tasks has not started, whatever of it waits on machines.
 pub(crate) fn awaits_first_start(job: &JobView) -> bool {
     job.has_never_run() || job.needs_all_tasks_at_once()
 }
 
-/// The order of the design, within each priority: jobs with nothing finished or running first, oldest
-/// first; then earliest deadline, each up to its minimum. What is left goes to the job with the least
-/// work left. Jobs that are late, or can't be in time together with the others on `capacity` CPUs, come
-/// last, and after them those without a deadline; but a part of the CPUs goes to those of them that have
-/// waited longest.
-pub fn scheduling_queue(jobs: &[JobView], now: f64, capacity: f64) -> Vec<QueueEntry> {
-    let yields = infeasible(jobs, now, capacity);
-    let last = |i: usize| yields[i] || is_late(&jobs[i], now);
-    let (failing, open): (Vec<usize>, Vec<usize>) =
-        (0..jobs.len()).filter(|i| jobs[*i].startable > 0).partition(|i| jobs[*i].crash_looping);
-    let (mut free, open): (Vec<usize>, Vec<usize>) =
-        open.into_iter().partition(|i| has_no_objective(&jobs[*i]));
-    let mut unseen: Vec<usize> =
-        open.iter().copied().filter(|i| awaits_first_start(&jobs[*i])).collect();
-    unseen.sort_by(|a, b| first_start_order(&jobs[*a], &jobs[*b], now));
-    let mut seen: Vec<usize> =
-        open.iter().copied().filter(|i| !awaits_first_start(&jobs[*i])).collect();
-    seen.sort_by(|a, b| {
-        let order = last(*a).cmp(&last(*b));
-        let (a, b) = (&jobs[*a], &jobs[*b]);
-        order
+/// Unfinished jobs with tasks to start, by their part of the queue. Entries are indexes of jobs.
+struct QueueGroups {
+    /// Jobs that wait for their first start.
+    awaiting_first_start: Vec<usize>,
+    /// Jobs that have run, and have an objective.
+    started: Vec<usize>,
+    /// Jobs without any objective.
+    without_objective: Vec<usize>,
+    /// Jobs that have failed wherever they were tried.
+    crash_looping: Vec<usize>,
+}
+
+/// The scheduling queue under construction.
+struct QueueBuilder<'a> {
+    jobs: &'a [JobView],
+    now: f64,
+    /// CPUs of the machines that take tasks.
+    capacity: f64,
+    /// Per job: late, or not feasible together with the others. It comes after jobs that can meet their deadlines.
+    deferred: Vec<bool>,
+    queue: Vec<QueueEntry>,
+}
+
+impl<'a> QueueBuilder<'a> {
+    fn new(jobs: &'a [JobView], now: f64, capacity: f64) -> Self {
+        let mut deferred = infeasible(jobs, now, capacity);
+        for (deferred, job) in deferred.iter_mut().zip(jobs) {
+            *deferred |= is_late(job, now);
+        }
+        Self { jobs, now, capacity, deferred, queue: Vec::new() }
+    }
+
+    fn groups(&self) -> QueueGroups {
+        let startable = (0..self.jobs.len()).filter(|i| self.jobs[*i].startable > 0);
+        let (crash_looping, healthy): (Vec<usize>, Vec<usize>) =
+            startable.partition(|i| self.jobs[*i].crash_looping);
+        let (without_objective, with_objective): (Vec<usize>, Vec<usize>) =
+            healthy.into_iter().partition(|i| has_no_objective(&self.jobs[*i]));
+        let (mut awaiting_first_start, mut started): (Vec<usize>, Vec<usize>) =
+            with_objective.into_iter().partition(|i| awaits_first_start(&self.jobs[*i]));
+        awaiting_first_start
+            .sort_by(|a, b| first_start_order(&self.jobs[*a], &self.jobs[*b], self.now));
+        started.sort_by(|a, b| self.by_deadline(*a, *b));
+        QueueGroups { awaiting_first_start, started, without_objective, crash_looping }
+    }
+
+    /// Feasible jobs first, then by priority, deadline and age.
+    fn by_deadline(&self, a: usize, b: usize) -> std::cmp::Ordering {
+        let feasible_first = self.deferred[a].cmp(&self.deferred[b]);
+        let (a, b) = (&self.jobs[a], &self.jobs[b]);
+        feasible_first
             .then(b.priority.cmp(&a.priority))
-            .then(due(a).total_cmp(&due(b)))
+            .then(deadline_or_infinity(a).total_cmp(&deadline_or_infinity(b)))
             .then(a.submitted.total_cmp(&b.submitted))
-    });
-    let mut list = Vec::new();
-    for job in &unseen {
-        let view = &jobs[*job];
-        // What a gang needs at least is all of it, and so is a daemon's minimum.
-        let tasks = if view.needs_all_tasks_at_once() { view.startable } else { 1 };
-        list.push(QueueEntry { job: *job, tasks, leftover: false });
     }
-    // However much comes in time, what has waited long gets on.
-    let mut aged: Vec<usize> = (0..jobs.len())
-        .filter(|i| {
-            let job = &jobs[*i];
-            let waits = has_no_objective(job) || !job.gang && !job.has_never_run() && last(*i);
-            waits && !job.crash_looping && now > job.submitted + constants::AGING_S
-        })
-        .collect();
-    aged.sort_by(|a, b| jobs[*a].submitted.total_cmp(&jobs[*b].submitted));
-    let mut part = capacity * constants::AGING_CPU_SHARE;
-    for job in aged {
-        let view = &jobs[job];
-        part -= f64::from(view.placed) * view.request.cpus;
-        let tasks = (part / view.request.cpus.max(0.001)).max(0.0).min(f64::from(view.startable));
-        if tasks >= 1.0 {
-            part -= tasks.floor() * view.request.cpus;
-            list.push(QueueEntry { job, tasks: tasks as u32, leftover: false });
+
+    fn push(&mut self, job: usize, tasks: u32, leftover: bool) {
+        self.queue.push(QueueEntry { job, tasks, leftover });
+    }
+
+    /// One task of each array, and all of a gang or daemon, whose minimum that is.
+    fn push_first_starts(&mut self, jobs: &[usize]) {
+        for &index in jobs {
+            let job = &self.jobs[index];
+            let tasks = if job.needs_all_tasks_at_once() { job.startable } else { 1 };
+            self.push(index, tasks, false);
         }
     }
-    for job in &seen {
-        let view = &jobs[*job];
-        let least = if view.gang { view.unfinished } else { min_tasks(view, now) };
-        let short = least.saturating_sub(view.placed).min(view.startable);
-        if short > 0 {
-            list.push(QueueEntry { job: *job, tasks: short, leftover: false });
+
+    /// A share of the CPUs for jobs that have waited long, oldest first, so that no load of feasible jobs starves
+    /// them.
+    fn push_aged(&mut self) {
+        let mut aged: Vec<usize> = (0..self.jobs.len()).filter(|i| self.is_aged(*i)).collect();
+        aged.sort_by(|a, b| self.jobs[*a].submitted.total_cmp(&self.jobs[*b].submitted));
+        let mut cpus = self.capacity * constants::AGING_CPU_SHARE;
+        for index in aged {
+            let job = &self.jobs[index];
+            cpus -= f64::from(job.placed) * job.request.cpus;
+            let tasks = (cpus / job.request.cpus.max(0.001)).max(0.0).min(f64::from(job.startable));
+            if tasks >= 1.0 {
+                cpus -= tasks.floor() * job.request.cpus;
+                self.push(index, tasks as u32, false);
+            }
         }
     }
-    // Leftovers are spread to the job with the least work left first: of those that can be in time,
-    // most are, when there is not enough for all. Ranks have had their say above.
-    let in_parts = |i: &usize| !jobs[*i].needs_all_tasks_at_once();
-    let mut rest: Vec<usize> = unseen.into_iter().chain(seen).filter(in_parts).collect();
-    let work = |j: &JobView| f64::from(j.startable) * j.task_time() * j.request.cpus;
-    rest.sort_by(|a, b| {
-        let order = last(*a).cmp(&last(*b));
-        order.then(work(&jobs[*a]).total_cmp(&work(&jobs[*b])))
-    });
-    for job in rest {
-        list.push(QueueEntry { job, tasks: jobs[job].startable, leftover: true });
+
+    fn is_aged(&self, index: usize) -> bool {
+        let job = &self.jobs[index];
+        let yields =
+            has_no_objective(job) || !job.gang && !job.has_never_run() && self.deferred[index];
+        yields && !job.crash_looping && self.now > job.submitted + constants::AGING_S
+    }
+
+    /// What started jobs lack of their minimum.
+    fn push_min_tasks(&mut self, started: &[usize]) {
+        for &index in started {
+            let job = &self.jobs[index];
+            let minimum = if job.gang { job.unfinished } else { min_tasks(job, self.now) };
+            let missing = minimum.saturating_sub(job.placed).min(job.startable);
+            if missing > 0 {
+                self.push(index, missing, false);
+            }
+        }
     }
-    // Guests' backfill and the like: each begins in its turn, and then the oldest first.
-    free.sort_by(|a, b| {
-        let (a, b) = (&jobs[*a], &jobs[*b]);
-        b.priority.cmp(&a.priority).then(a.submitted.total_cmp(&b.submitted))
-    });
-    for job in free.iter().filter(|j| jobs[**j].has_never_run()) {
-        list.push(QueueEntry { job: *job, tasks: 1, leftover: true });
+
+    /// Leftover capacity goes to the job with the least work left first: most jobs meet their deadlines that way
+    /// when there is not enough for all. Priorities have decided above.
+    fn push_leftovers(&mut self, jobs: impl Iterator<Item = usize>) {
+        let work = |i: usize| {
+            let job = &self.jobs[i];
+            f64::from(job.startable) * job.task_time() * job.request.cpus
+        };
+        let mut arrays: Vec<usize> =
+            jobs.filter(|i| !self.jobs[*i].needs_all_tasks_at_once()).collect();
+        arrays.sort_by(|a, b| {
+            let feasible_first = self.deferred[*a].cmp(&self.deferred[*b]);
+            feasible_first.then(work(*a).total_cmp(&work(*b)))
+        });
+        for index in arrays {
+            self.push(index, self.jobs[index].startable, true);
+        }
     }
-    for job in free {
-        list.push(QueueEntry { job, tasks: jobs[job].startable, leftover: true });
+
+    /// Backfill: each job starts in its turn, and then the oldest goes first.
+    fn push_without_objective(&mut self, mut jobs: Vec<usize>) {
+        jobs.sort_by(|a, b| {
+            let (a, b) = (&self.jobs[*a], &self.jobs[*b]);
+            b.priority.cmp(&a.priority).then(a.submitted.total_cmp(&b.submitted))
+        });
+        for &index in jobs.iter().filter(|i| self.jobs[**i].has_never_run()) {
+            self.push(index, 1, true);
+        }
+        for index in jobs {
+            self.push(index, self.jobs[index].startable, true);
+        }
     }
-    // What failed wherever it was tried keeps nothing from jobs that work.
-    for job in failing {
-        list.push(QueueEntry { job, tasks: jobs[job].startable, leftover: false });
+
+    /// Last: a job that failed wherever it was tried takes nothing from jobs that work.
+    fn push_crash_looping(&mut self, jobs: Vec<usize>) {
+        for index in jobs {
+            self.push(index, self.jobs[index].startable, false);
+        }
     }
-    list
+}
+
+/// The scheduling queue of the design. Within each priority: jobs that have never run, oldest first; then earliest
+/// deadline first, each up to its minimum. Leftover capacity goes to the job with the least work left. Jobs that
+/// are late, or not feasible together with the others on `capacity` CPUs, follow, and after them those without a
+/// deadline; but a share of the CPUs goes to those of them that have waited longest.
+pub fn scheduling_queue(jobs: &[JobView], now: f64, capacity: f64) -> Vec<QueueEntry> {
+    let mut builder = QueueBuilder::new(jobs, now, capacity);
+    let groups = builder.groups();
+    builder.push_first_starts(&groups.awaiting_first_start);
+    builder.push_aged();
+    builder.push_min_tasks(&groups.started);
+    builder.push_leftovers(groups.awaiting_first_start.into_iter().chain(groups.started));
+    builder.push_without_objective(groups.without_objective);
+    builder.push_crash_looping(groups.crash_looping);
+    builder.queue
 }
 
 #[cfg(test)]
