--- a/crates/policy/src/autoscaling.rs
+++ b/crates/policy/src/autoscaling.rs
@@ -1,20 +1,29 @@
+//! How many machines of which kind the fleet should have: demand is laid out over the machines there are, and what
+//! does not fit is laid out over the cheapest offers of the cloud.
+
 use crate::placement::{could_ever_hold, smallest_request};
-use crate::{ClusterSnapshot, MachineView, Resources, desired_tasks};
+use crate::{ClusterSnapshot, JobView, MachineView, Resources, desired_tasks};
+
+/// Maximum number of machines in one plan; the next round plans further ones. Bounds the time of a round.
+const MAX_PLANNED_MACHINES: usize = 64;
+
+/// Seconds of work over which boot and image fetch are spread when offers are compared.
+const NOMINAL_WORK_S: f64 = 60.0;
 
-/// A type, zone and kind of machine that can be rented now.
+/// A kind of machine that can be had now.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineOffer {
-    /// Machine type.
+    /// Index of the machine type.
     pub machine_type: usize,
-    /// Zone.
+    /// Index of the zone.
     pub zone: usize,
-    /// Spot or ordinary.
+    /// Spot instance rather than an ordinary one.
     pub spot: bool,
     /// Price per hour.
     pub price: f64,
 }
 
-/// Machines to rent.
+/// Machines to add.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScaleOut {
     /// Index of the offer.
@@ -23,107 +32,274 @@
     pub count: u32,
 }
 
-/// What a fleet round found.
+/// The result of an autoscaling round.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ScalingPlan {
-    /// Machines to rent.
+    /// Machines to add.
     pub scale_out: Vec<ScaleOut>,
-    /// Machines that wanted work has a use for.
+    /// Per machine: whether the demand makes use of it.
     pub needed: Vec<bool>,
 }
 
-/// How many machines are wanted. Wanted work is laid out over the free room of the machines there
-/// are and those that are booting; what finds none is laid out over the cheapest offers.
+/// A machine that the plan adds.
+struct PlannedMachine {
+    offer: usize,
+    free: Resources,
+}
+
+/// What a job still lacks while it is laid out.
+struct Shortage {
+    /// Tasks without resources.
+    tasks: u32,
+    /// Further tasks that each zone may hold.
+    per_zone: Vec<u32>,
+}
+
+impl Shortage {
+    /// Takes up to `fitting` tasks into a zone; returns how many.
+    fn assign(&mut self, fitting: u32, zone: usize) -> u32 {
+        let tasks = fitting.min(self.tasks).min(self.per_zone[zone]);
+        self.tasks -= tasks;
+        self.per_zone[zone] -= tasks;
+        tasks
+    }
+}
+
+/// Lays out the demand of one job after the other.
+struct Planner<'a> {
+    cluster: &'a ClusterSnapshot,
+    offers: &'a [MachineOffer],
+    zone_count: usize,
+    /// Free resources per machine, less what has been laid out.
+    free: Vec<Resources>,
+    /// Resources used per team, with what has been laid out.
+    used: Vec<Resources>,
+    /// Machines with free resources for some task, in the order in which they are filled.
+    machines: Vec<usize>,
+    planned: Vec<PlannedMachine>,
+    plan: ScalingPlan,
+}
+
+/// Plans how many machines to add, and tells which of the present ones are needed. Demand is laid out over the free
+/// resources of machines that are up or booting first.
 pub fn plan_scaling(cluster: &ClusterSnapshot, offers: &[MachineOffer]) -> ScalingPlan {
-    let mut free: Vec<Resources> = cluster.machines.iter().map(|h| h.free).collect();
-    let mut plan = ScalingPlan { scale_out: vec![], needed: vec![false; cluster.machines.len()] };
-    // Machines that this plan rents, with the room that is left on them.
-    let mut rented: Vec<(usize, Resources)> = Vec::new();
-    let mut used: Vec<Resources> = cluster.teams.iter().map(|t| t.used).collect();
-    let zones = cluster.machines.iter().map(|h| h.zone).chain(offers.iter().map(|o| o.zone));
-    let zones = zones.max().map_or(0, |last| last + 1);
-    let least = smallest_request(&cluster.jobs);
-    let mut by_price = machines_with_capacity_by_price(cluster, &least);
+    let smallest = smallest_request(&cluster.jobs);
+    let mut planner = Planner::new(cluster, offers, &smallest);
     for job_index in jobs_to_scale_for(cluster) {
-        let job = &cluster.jobs[job_index];
-        let lead = provisioning_time(cluster, job_index);
-        let mut short =
-            desired_tasks(job, cluster.now, lead).saturating_sub(job.placed).min(job.startable);
-        if let Some(team) = cluster.teams.get(job.team) {
-            let mut then = team.clone();
-            then.used = used[job.team];
-            short = short.min(then.remaining_tasks(&job.request));
-            for _ in 0..short {
-                used[job.team].add(&job.request);
+        let mut shortage = planner.shortage(job_index, &smallest);
+        planner.use_machines(job_index, &mut shortage);
+        planner.use_planned_machines(job_index, &mut shortage);
+        planner.add_machines(job_index, &mut shortage);
+        if planner.planned.len() >= MAX_PLANNED_MACHINES {
+            return planner.plan;
+        }
+    }
+    planner.add_machines_for_crash_looping_arrays();
+    planner.plan
+}
+
+impl<'a> Planner<'a> {
+    fn new(cluster: &'a ClusterSnapshot, offers: &'a [MachineOffer], smallest: &Resources) -> Self {
+        let zones = cluster.machines.iter().map(|machine| machine.zone);
+        let zones = zones.chain(offers.iter().map(|offer| offer.zone));
+        Self {
+            cluster,
+            offers,
+            zone_count: zones.max().map_or(0, |last| last + 1),
+            free: cluster.machines.iter().map(|machine| machine.free).collect(),
+            used: cluster.teams.iter().map(|team| team.used).collect(),
+            machines: machines_with_capacity_by_price(cluster, smallest),
+            planned: Vec::new(),
+            plan: ScalingPlan { scale_out: vec![], needed: vec![false; cluster.machines.len()] },
+        }
+    }
+
+    /// What a job lacks, within its team's limit; the team is charged for it.
+    fn shortage(&mut self, job_index: usize, smallest: &Resources) -> Shortage {
+        let job = &self.cluster.jobs[job_index];
+        let provisioning_time = provisioning_time(self.cluster, job);
+        let desired = desired_tasks(job, self.cluster.now, provisioning_time);
+        let mut tasks = desired.saturating_sub(job.placed).min(job.startable);
+        if let Some(team) = self.cluster.teams.get(job.team) {
+            let mut team = team.clone();
+            team.used = self.used[job.team];
+            tasks = tasks.min(team.remaining_tasks(&job.request));
+            for _ in 0..tasks {
+                self.used[job.team].add(&job.request);
             }
         }
-        by_price.retain(|i| free[*i].fits(&least));
-        let mut open =
-            tasks_allowed_per_zone(cluster, job_index, zones, short, &by_price, &free, offers);
-        for &i in &by_price {
-            let machine = &cluster.machines[i];
-            if short == 0 {
+        self.machines.retain(|i| self.free[*i].fits(smallest));
+        Shortage { tasks, per_zone: self.tasks_allowed_per_zone(job_index, tasks) }
+    }
+
+    /// How many more tasks of a job each zone may hold. Without this a gang that must spread, or stay in one zone,
+    /// would seem to fit where it never will, and nothing would be added for it.
+    fn tasks_allowed_per_zone(&self, job_index: usize, tasks: u32) -> Vec<u32> {
+        let job = &self.cluster.jobs[job_index];
+        let placed = |zone: usize| job.placed_per_zone.get(zone).copied().unwrap_or(0);
+        let mut allowed: Vec<u32> = (0..self.zone_count)
+            .map(|zone| job.max_tasks_per_zone.saturating_sub(placed(zone)))
+            .collect();
+        if !job.one_zone || job.tasks <= 1 {
+            return allowed;
+        }
+        // The zone that it is in; else one with capacity for all of a gang, or a good part of an array; else one
+        // where machines can be added.
+        let enough = if job.gang { tasks } else { tasks.div_ceil(4) };
+        let best = (0..self.zone_count).max_by_key(|zone| {
+            let capacity = self.capacity_in_zone(job_index, *zone).min(tasks);
+            (placed(*zone), capacity >= enough, self.has_offer(job, *zone), capacity)
+        });
+        for (zone, allowed) in allowed.iter_mut().enumerate() {
+            if Some(zone) != best {
+                *allowed = 0;
+            }
+        }
+        allowed
+    }
+
+    fn capacity_in_zone(&self, job_index: usize, zone: usize) -> u32 {
+        let job = &self.cluster.jobs[job_index];
+        let in_zone = self.machines.iter().filter(|i| self.cluster.machines[**i].zone == zone);
+        in_zone
+            .filter(|i| may_use(self.cluster, job_index, &self.cluster.machines[**i]))
+            .fold(0, |sum: u32, i| sum.saturating_add(self.free[*i].capacity_for(&job.request)))
+    }
+
+    fn has_offer(&self, job: &JobView, zone: usize) -> bool {
+        let in_zone = self.offers.iter().filter(|offer| offer.zone == zone);
+        in_zone.into_iter().any(|offer| allows_offer(job, offer))
+    }
+
+    /// Lays out tasks over machines that are up or booting.
+    fn use_machines(&mut self, job_index: usize, shortage: &mut Shortage) {
+        let job = &self.cluster.jobs[job_index];
+        for &i in &self.machines {
+            let machine = &self.cluster.machines[i];
+            if shortage.tasks == 0 {
                 break;
             }
-            if !may_use(cluster, job_index, machine) {
+            if !may_use(self.cluster, job_index, machine) {
                 continue;
             }
-            let n = free[i].capacity_for(&job.request).min(short).min(open[machine.zone]);
-            if n > 0 {
-                plan.needed[i] = true;
-                for _ in 0..n {
-                    free[i].subtract(&job.request);
-                }
-                short -= n;
-                open[machine.zone] -= n;
+            let tasks = shortage.assign(self.free[i].capacity_for(&job.request), machine.zone);
+            if tasks > 0 {
+                self.plan.needed[i] = true;
+                subtract_tasks(&mut self.free[i], &job.request, tasks);
             }
         }
-        for (offer, room) in &mut rented {
-            let o = &offers[*offer];
-            if short == 0 {
+    }
+
+    /// Lays out tasks over machines that the plan adds for other jobs.
+    fn use_planned_machines(&mut self, job_index: usize, shortage: &mut Shortage) {
+        let job = &self.cluster.jobs[job_index];
+        for machine in &mut self.planned {
+            let offer = &self.offers[machine.offer];
+            if shortage.tasks == 0 {
                 break;
             }
-            if job.allows(o.machine_type, o.zone, o.spot) {
-                let n = room.capacity_for(&job.request).min(short).min(open[o.zone]);
-                for _ in 0..n {
-                    room.subtract(&job.request);
-                }
-                short -= n;
-                open[o.zone] -= n;
+            if allows_offer(job, offer) {
+                let fitting = machine.free.capacity_for(&job.request);
+                let tasks = shortage.assign(fitting, offer.zone);
+                subtract_tasks(&mut machine.free, &job.request, tasks);
             }
         }
-        while short > 0 {
-            let Some((offer, per_machine)) =
-                cheapest_offer(cluster, job_index, short, offers, &open)
-            else {
-                break;
+    }
+
+    /// Adds the cheapest machines for the rest.
+    fn add_machines(&mut self, job_index: usize, shortage: &mut Shortage) {
+        let job = &self.cluster.jobs[job_index];
+        while shortage.tasks > 0 && self.planned.len() < MAX_PLANNED_MACHINES {
+            let Some(cheapest) = self.cheapest_offer(job, shortage) else { break };
+            let offer = &self.offers[cheapest.offer];
+            let tasks = shortage.assign(cheapest.tasks_per_machine, offer.zone);
+            let machine_type = &self.cluster.machine_types[offer.machine_type];
+            let mut free = Resources::of_machine_type(machine_type);
+            subtract_tasks(&mut free, &job.request, tasks);
+            self.planned.push(PlannedMachine { offer: cheapest.offer, free });
+            self.add_to_plan(cheapest.offer);
+        }
+    }
+
+    fn add_to_plan(&mut self, offer: usize) {
+        match self.plan.scale_out.iter_mut().find(|scale_out| scale_out.offer == offer) {
+            Some(scale_out) => scale_out.count += 1,
+            None => self.plan.scale_out.push(ScaleOut { offer, count: 1 }),
+        }
+    }
+
+    /// One machine for arrays that fail wherever they are tried, if none is left or coming that could try them.
+    fn add_machines_for_crash_looping_arrays(&mut self) {
+        for (job_index, job) in self.cluster.jobs.iter().enumerate() {
+            if !job.crash_looping || job.gang || job.startable == 0 {
+                continue;
+            }
+            let mut coming = self.plan.scale_out.iter().map(|added| &self.offers[added.offer]);
+            let can_try = |machine: &MachineView| {
+                may_use(self.cluster, job_index, machine) && machine.total.fits(&job.request)
             };
-            let machine_type = &cluster.machine_types[offers[offer].machine_type];
-            let n = per_machine.min(short).min(open[offers[offer].zone]);
-            open[offers[offer].zone] -= n;
-            let mut room = Resources::of_machine_type(machine_type);
-            for _ in 0..n {
-                room.subtract(&job.request);
+            let has_machine = self.cluster.machines.iter().any(can_try);
+            if has_machine || coming.any(|offer| allows_offer(job, offer)) {
+                continue;
             }
-            short -= n;
-            rented.push((offer, room));
-            match plan.scale_out.iter_mut().find(|r| r.offer == offer) {
-                Some(rent) => rent.count += 1,
-                None => plan.scale_out.push(ScaleOut { offer, count: 1 }),
+            let one_task = Shortage { tasks: 1, per_zone: vec![1; self.zone_count] };
+            if let Some(cheapest) = self.cheapest_offer(job, &one_task) {
+                self.plan.scale_out.push(ScaleOut { offer: cheapest.offer, count: 1 });
             }
-            if rented.len() >= 64 {
-                return plan;
+        }
+    }
+
+    /// The offer with the lowest price for the tasks that it would take.
+    fn cheapest_offer(&self, job: &JobView, shortage: &Shortage) -> Option<CheapestOffer> {
+        let mut cheapest: Option<CheapestOffer> = None;
+        for (index, offer) in self.offers.iter().enumerate() {
+            if !allows_offer(job, offer) || shortage.per_zone[offer.zone] == 0 {
+                continue;
+            }
+            let machine_type = self.cluster.machine_types.get(offer.machine_type)?;
+            let fitting = Resources::of_machine_type(machine_type).capacity_for(&job.request);
+            if fitting == 0 {
+                continue;
+            }
+            let tasks = fitting.min(shortage.tasks).min(shortage.per_zone[offer.zone]);
+            // Boot and image fetch are paid for too.
+            let fetch = machine_type.fetch_s(job.image_gb);
+            let overhead = 1.0 + (machine_type.boot_s + fetch) / NOMINAL_WORK_S;
+            let price = offer.price * overhead / f64::from(tasks);
+            if cheapest.as_ref().is_none_or(|found| price < found.price_per_task) {
+                cheapest = Some(CheapestOffer {
+                    offer: index,
+                    tasks_per_machine: fitting,
+                    price_per_task: price,
+                });
             }
         }
+        cheapest
     }
-    scale_out_for_crash_looping_arrays(cluster, offers, zones, &mut plan);
-    plan
 }
 
-/// Machines with room for some task. Work is laid out on cheap ones first, so that dear ones are those to return.
-fn machines_with_capacity_by_price(cluster: &ClusterSnapshot, least: &Resources) -> Vec<usize> {
+/// The cheapest offer for a job.
+struct CheapestOffer {
+    offer: usize,
+    tasks_per_machine: u32,
+    price_per_task: f64,
+}
+
+fn subtract_tasks(free: &mut Resources, request: &Resources, tasks: u32) {
+    for _ in 0..tasks {
+        free.subtract(request);
+    }
+}
+
+fn allows_offer(job: &JobView, offer: &MachineOffer) -> bool {
+    job.allows(offer.machine_type, offer.zone, offer.spot)
+}
+
+/// Machines with resources for some task, those in use first. Demand is laid out on cheap ones first, so that
+/// expensive ones are those to scale in.
+fn machines_with_capacity_by_price(cluster: &ClusterSnapshot, smallest: &Resources) -> Vec<usize> {
     let mut by_price: Vec<usize> =
-        (0..cluster.machines.len()).filter(|i| cluster.machines[*i].free.fits(least)).collect();
+        (0..cluster.machines.len()).filter(|i| cluster.machines[*i].free.fits(smallest)).collect();
     by_price.sort_by(|a, b| {
         let (a, b) = (&cluster.machines[*a], &cluster.machines[*b]);
         let later = |machine: &MachineView| (machine.booting, machine.placed_tasks.is_empty());
@@ -132,16 +308,16 @@
     by_price
 }
 
-/// The jobs that machines may be rented for, in their order. Nothing is rented for a job that fails wherever it is
-/// tried, unless no machines are left that could try it: what failed by bad luck must not wait for ever. One gang
-/// at a time; one machine for all others ([`scale_out_for_crash_looping_arrays`]).
+/// The jobs that machines may be added for, in their order. Nothing is added for a job that fails wherever it is
+/// tried, unless no machines are left that could try it: bad luck must not make a job wait for ever. One gang at a
+/// time; one machine for all others ([`Planner::add_machines_for_crash_looping_arrays`]).
 fn jobs_to_scale_for(cluster: &ClusterSnapshot) -> Vec<usize> {
-    let stranded = (0..cluster.jobs.len()).find(|j| {
-        let job = &cluster.jobs[*j];
-        job.crash_looping && job.gang && job.startable > 0 && !could_ever_hold(cluster, *j)
+    let stranded_gang = (0..cluster.jobs.len()).find(|i| {
+        let job = &cluster.jobs[*i];
+        job.crash_looping && job.gang && job.startable > 0 && !could_ever_hold(cluster, *i)
     });
     let mut order: Vec<usize> = (0..cluster.jobs.len())
-        .filter(|j| !cluster.jobs[*j].crash_looping || Some(*j) == stranded)
+        .filter(|i| !cluster.jobs[*i].crash_looping || Some(*i) == stranded_gang)
         .collect();
     order.sort_by(|a, b| {
         let (a, b) = (&cluster.jobs[*a], &cluster.jobs[*b]);
@@ -150,122 +326,24 @@
     order
 }
 
-/// One machine for jobs that fail wherever they are tried, where none is left or coming that could try them.
-fn scale_out_for_crash_looping_arrays(
-    cluster: &ClusterSnapshot,
-    offers: &[MachineOffer],
-    zones: usize,
-    plan: &mut ScalingPlan,
-) {
-    for job_index in
-        (0..cluster.jobs.len()).filter(|j| cluster.jobs[*j].crash_looping && !cluster.jobs[*j].gang)
-    {
-        let job = &cluster.jobs[job_index];
-        let fits = |h: &MachineView| may_use(cluster, job_index, h) && h.total.fits(&job.request);
-        let coming = plan.scale_out.iter().map(|r| &offers[r.offer]);
-        let mut coming = coming.filter(|o| job.allows(o.machine_type, o.zone, o.spot));
-        if job.startable == 0 || coming.next().is_some() || cluster.machines.iter().any(fits) {
-            continue;
-        }
-        let open = vec![1; zones];
-        if let Some((offer, _)) = cheapest_offer(cluster, job_index, 1, offers, &open) {
-            plan.scale_out.push(ScaleOut { offer, count: 1 });
-        }
-    }
-}
-
-fn may_use(cluster: &ClusterSnapshot, job: usize, machine: &MachineView) -> bool {
+fn may_use(cluster: &ClusterSnapshot, job_index: usize, machine: &MachineView) -> bool {
     (machine.schedulable || machine.booting)
-        && machine.reserved_for.is_none_or(|k| k == job)
-        && !machine.excluded_by.contains(&job)
-        && cluster.jobs[job].allows(machine.machine_type, machine.zone, machine.spot)
-}
-
-/// How many more tasks of a job each zone may hold. Without this a gang that must spread, or be together,
-/// is thought to fit where it never will, and nothing is rented for it.
-fn tasks_allowed_per_zone(
-    cluster: &ClusterSnapshot,
-    job_index: usize,
-    zones: usize,
-    short: u32,
-    machines: &[usize],
-    free: &[Resources],
-    offers: &[MachineOffer],
-) -> Vec<u32> {
-    let job = &cluster.jobs[job_index];
-    let here = |zone: usize| job.placed_per_zone.get(zone).copied().unwrap_or(0);
-    let mut open: Vec<u32> =
-        (0..zones).map(|z| job.max_tasks_per_zone.saturating_sub(here(z))).collect();
-    if !job.one_zone || job.tasks <= 1 {
-        return open;
-    }
-    // In one zone: where it is; else where there is room for all of a gang, or a good part of an array; else
-    // where more can be rented.
-    let room = |zone: usize| -> u32 {
-        let there = machines.iter().filter(|i| cluster.machines[**i].zone == zone);
-        there
-            .filter(|i| may_use(cluster, job_index, &cluster.machines[**i]))
-            .fold(0, |n: u32, i| n.saturating_add(free[*i].capacity_for(&job.request)))
-    };
-    let rentable = |zone: usize| {
-        offers.iter().any(|o| o.zone == zone && job.allows(o.machine_type, o.zone, o.spot))
-    };
-    let best = (0..zones).max_by_key(|zone| {
-        let room = room(*zone).min(short);
-        let enough = if job.gang { short } else { short.div_ceil(4) };
-        (here(*zone), room >= enough, rentable(*zone), room)
-    });
-    for (zone, open) in open.iter_mut().enumerate() {
-        if Some(zone) != best {
-            *open = 0;
-        }
-    }
-    open
+        && machine.reserved_for.is_none_or(|reserved| reserved == job_index)
+        && !machine.excluded_by.contains(&job_index)
+        && cluster.jobs[job_index].allows(machine.machine_type, machine.zone, machine.spot)
 }
 
-/// Time until a machine rented now could run the job's first task, s.
-fn provisioning_time(cluster: &ClusterSnapshot, job_index: usize) -> f64 {
-    let job = &cluster.jobs[job_index];
+/// Time until a machine added now could run the job's first task, s.
+fn provisioning_time(cluster: &ClusterSnapshot, job: &JobView) -> f64 {
     let fastest = cluster
         .machine_types
         .iter()
         .enumerate()
         .filter(|(i, _)| job.machine_types.get(*i).copied().unwrap_or(false))
-        .map(|(_, f)| f.boot_s + f.fetch_s(job.image_gb))
+        .map(|(_, machine_type)| machine_type.boot_s + machine_type.fetch_s(job.image_gb))
         .fold(f64::INFINITY, f64::min);
     if fastest.is_finite() { fastest } else { 0.0 }
 }
 
-/// The offer with the lowest price for the tasks it would take; and how many a machine takes.
-fn cheapest_offer(
-    cluster: &ClusterSnapshot,
-    job_index: usize,
-    short: u32,
-    offers: &[MachineOffer],
-    open: &[u32],
-) -> Option<(usize, u32)> {
-    let job = &cluster.jobs[job_index];
-    let mut best: Option<(f64, usize, u32)> = None;
-    for (i, offer) in offers.iter().enumerate() {
-        if !job.allows(offer.machine_type, offer.zone, offer.spot) || open[offer.zone] == 0 {
-            continue;
-        }
-        let machine_type = cluster.machine_types.get(offer.machine_type)?;
-        let fits = Resources::of_machine_type(machine_type).capacity_for(&job.request);
-        if fits == 0 {
-            continue;
-        }
-        let tasks = fits.min(short).min(open[offer.zone]);
-        // Boot and image fetch are paid for too, spread over a nominal minute of work.
-        let fetch = machine_type.fetch_s(job.image_gb);
-        let overhead = 1.0 + (machine_type.boot_s + fetch) / 60.0;
-        let price = offer.price * overhead / f64::from(tasks);
-        if best.is_none_or(|(b, _, _)| price < b) {
-            best = Some((price, i, fits));
-        }
-    }
-    best.map(|(_, i, n)| (i, n))
-}
-
 #[cfg(test)]
 mod tests;
