--- a/crates/controller/tests/api.rs
+++ b/crates/controller/tests/api.rs
@@ -1,5 +1,5 @@
-//! The user interface without a state service: what must be refused is refused at once with a reason
-//! in JSON, and what can't be decided is answered 503 with `Retry-After`.
+//! The HTTP API without a state service: invalid requests are rejected at once with a reason in JSON, and requests
+//! that can't be decided get 503 with `Retry-After`.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_clients::StoreClient;
@@ -30,13 +30,13 @@
  "Pieces":4,"Vcpus":8.0,"Gpus":0,"RamGb":64.0,"Bundle":"img-07","ImageGb":6.2,"Flavors":["g8"],"Yard":null,
  "Together":true,"Spread":false,"Loaners":true,"GuessS":240.0,"SnapshotEveryS":30.0,"SnapshotS":4.0}"#;
 
-/// What the scripted node says of itself.
+/// The role of the scripted controller.
 #[derive(Clone, Copy, PartialEq)]
-enum Node {
-    Leads,
-    /// The lease ran out after it decided.
-    LedOnce,
-    Follows,
+enum Role {
+    Leader,
+    /// Its leadership lease expired after it decided.
+    FormerLeader,
+    Follower,
 }
 
 fn known(id: &JobId, status: JobState) -> JobStatus {
@@ -51,31 +51,31 @@
     }
 }
 
-/// A node's API with a scripted actor behind it and nothing where the state service should be.
-fn api(node: Node, machine_types_known: bool) -> Service {
-    api_at(node, machine_types_known, View::default(), None)
+/// A controller's API with a scripted actor behind it and no state service.
+fn api(role: Role, machine_types_known: bool) -> Service {
+    api_at(role, machine_types_known, View::default(), None)
 }
 
-/// The same, with a view of who leads and a state service.
-fn api_at(node: Node, machine_types_known: bool, seen: View, store: Option<&str>) -> Service {
-    service(desk(node, machine_types_known, seen, store, 2000.0))
+/// The same, with a view of the leader and a state service.
+fn api_at(role: Role, machine_types_known: bool, seen: View, store: Option<&str>) -> Service {
+    service(desk(role, machine_types_known, seen, store, 2000.0))
 }
 
-/// The desk itself; it asks the state service about jobs so many times a second.
+/// The API service itself, with this rate of status queries at the state service.
 fn desk(
-    node: Node,
+    role: Role,
     machine_types_known: bool,
     seen: View,
     store: Option<&str>,
     polls_rate: f64,
 ) -> Arc<Desk> {
-    desk_with(SETTINGS, node, machine_types_known, seen, store, polls_rate)
+    desk_with(SETTINGS, role, machine_types_known, seen, store, polls_rate)
 }
 
 /// The same, with other settings.
 fn desk_with(
     settings: &str,
-    node: Node,
+    role: Role,
     machine_types_known: bool,
     seen: View,
     store: Option<&str>,
@@ -84,13 +84,13 @@
     let (tx, mut asks) = mpsc::channel(16);
     tokio::spawn(async move {
         while let Some(ask) = asks.recv().await {
-            let leads = node == Node::Leads;
+            let leads = role == Role::Leader;
             match ask {
                 Ask::CheckIn(_, reply) => {
                     let answer = CheckInAnswer { token: 7, commands: vec![] };
                     let _ = reply.send(if leads {
                         CheckInReply::Answer(answer, Instant::now() + Duration::from_secs(60))
-                    } else if node == Node::LedOnce {
+                    } else if role == Role::FormerLeader {
                         CheckInReply::Answer(answer, Instant::now())
                     } else {
                         CheckInReply::Elsewhere(Some("worker-2".into()))
@@ -172,8 +172,8 @@
 }
 
 #[tokio::test]
-async fn malformed_submissions_get_400_with_a_reason() {
-    let api = api(Node::Leads, true);
+async fn malformed_submission_gets_400_with_reason() {
+    let api = api(Role::Leader, true);
     let long = format!("{{\"NameId\":\"{}\"}}", "x".repeat(70_000));
     for body in ["", "[]", "{}", "nonsense", &long, &JOB.replace("8.0", "-8.0")] {
         let (status, text, _) = post(&api, "/api/jobs", body).await;
@@ -183,8 +183,8 @@
 }
 
 #[tokio::test]
-async fn a_job_that_may_be_known_is_not_refused_for_good_while_the_store_is_away() {
-    let api = api(Node::Leads, true);
+async fn possibly_known_job_gets_no_permanent_error_without_state_service() {
+    let api = api(Role::Leader, true);
     // Whether this id was accepted once can't be read, so 422 would be a guess.
     let body = JOB.replace("\"vision\"", "\"nobody\"");
     let (status, text, retry) = post(&api, "/api/jobs", &body).await;
@@ -192,8 +192,9 @@
 }
 
 #[tokio::test]
-async fn what_can_not_be_decided_gets_503_and_a_time_to_come_back() {
-    for (node, machine_types) in [(Node::Leads, false), (Node::Leads, true), (Node::Follows, true)]
+async fn undecidable_request_gets_503_with_retry_after() {
+    for (node, machine_types) in
+        [(Role::Leader, false), (Role::Leader, true), (Role::Follower, true)]
     {
         let api = api(node, machine_types);
         let (status, text, retry) = post(&api, "/api/jobs", JOB).await;
@@ -201,14 +202,14 @@
         let (status, _, retry) = get(&api, "/api/jobs/req-000404").await;
         assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true), "absence is unproven");
     }
-    let api = api(Node::Follows, true);
+    let api = api(Role::Follower, true);
     let (status, ..) = post(&api, "/api/jobs/req-000001/withdraw", "{}").await;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
 }
 
 #[tokio::test]
-async fn a_final_state_is_kept_and_told_even_without_the_leader() {
-    let api = api(Node::Leads, true);
+async fn final_state_is_cached_and_answered_without_leader() {
+    let api = api(Role::Leader, true);
     let (status, text, _) = get(&api, "/api/jobs/req-000002").await;
     assert_eq!(status, StatusCode::OK);
     let told: JobStatus = serde_json::from_str(&text).expect("a status");
@@ -224,8 +225,8 @@
 }
 
 #[tokio::test]
-async fn odd_paths_ids_and_methods_get_json_errors() {
-    let api = api(Node::Leads, true);
+async fn invalid_paths_ids_and_methods_get_json_errors() {
+    let api = api(Role::Leader, true);
     for path in ["/", "/api/jobs/job-1", "/api/jobs/req-1/x", "/api/jobs/%00", "/nowhere"] {
         let (status, text, _) = get(&api, path).await;
         assert_eq!(status, StatusCode::NOT_FOUND, "{path}");
@@ -237,10 +238,11 @@
     assert_eq!(get(&api, "/up").await.0, StatusCode::OK);
 }
 
-/// A gang runs all at once: where its zones can't hold that, it can never run, and must not be accepted.
+/// All tasks of a gang run at the same time: a gang beyond the capacity of its zones can never run, and must not be
+/// accepted.
 #[tokio::test]
-async fn a_gang_that_its_zones_can_never_hold_gets_422() {
-    let api = api(Node::Leads, true);
+async fn gang_exceeding_capacity_of_its_zones_gets_422() {
+    let api = api(Role::Leader, true);
     let spread = JOB.replace("\"Spread\":false", "\"Spread\":true");
     let apart = spread.replace("\"Together\":true", "\"Together\":false");
     // It fits zone a alone.
@@ -251,7 +253,7 @@
     }
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
-    let api = api_at(Node::Leads, true, View::default(), Some(&address));
+    let api = api_at(Role::Leader, true, View::default(), Some(&address));
     for body in [&spread, &apart, &apart.replace("\"Yard\":null", "\"Yard\":\"a\"")] {
         let (status, text, _) = post(&api, "/api/jobs", body).await;
         assert_eq!(status, StatusCode::UNPROCESSABLE_ENTITY, "{text}");
@@ -261,30 +263,30 @@
     assert_eq!(post(&api, "/api/jobs", &one).await.0, StatusCode::CREATED);
 }
 
-/// A process stands still between the decision and the answer: the right may be another controller's by then.
+/// A process is frozen between the decision and the response: another controller may lead by then.
 #[tokio::test]
-async fn an_answer_to_a_worker_is_not_sent_once_the_right_to_it_may_be_over() {
+async fn heartbeat_response_is_withheld_after_lease_expiry() {
     let report = r#"{"Host":"m-1","Addr":"127.0.0.1:9","Flavor":"g8","Yard":"a","Loaners":false,
         "Tenure":1,"Tick":1,"Baton":1,"EvictionS":null,"Pieces":[]}"#;
-    let late = service(desk(Node::LedOnce, true, View::default(), None, 2000.0));
+    let late = service(desk(Role::FormerLeader, true, View::default(), None, 2000.0));
     let (status, _, retry) = post(&late, "/checkin", report).await;
     assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true));
-    assert_eq!(post(&api(Node::Leads, true), "/checkin", report).await.0, StatusCode::OK);
+    assert_eq!(post(&api(Role::Leader, true), "/checkin", report).await.0, StatusCode::OK);
 }
 
 #[tokio::test]
-async fn workers_are_answered_by_the_leader_and_sent_on_by_others() {
+async fn leader_answers_heartbeats_and_other_controllers_redirect() {
     let report = r#"{"Host":"m-1","Addr":"127.0.0.1:9000","Flavor":"g8","Yard":"a","Loaners":true,
         "Tenure":1,"Tick":88,"Baton":41,"EvictionS":null,"Pieces":[]}"#;
-    let (status, text, _) = post(&api(Node::Leads, true), "/checkin", report).await;
+    let (status, text, _) = post(&api(Role::Leader, true), "/checkin", report).await;
     assert_eq!((status, text.as_str()), (StatusCode::OK, r#"{"Baton":7,"Orders":[]}"#));
-    let (status, text, _) = post(&api(Node::Follows, true), "/checkin", report).await;
+    let (status, text, _) = post(&api(Role::Follower, true), "/checkin", report).await;
     assert_eq!(status, StatusCode::MISDIRECTED_REQUEST);
     assert_eq!(text, r#"{"Foreman":"worker-2"}"#);
 }
 
 #[tokio::test]
-async fn a_job_is_known_whoever_is_asked_as_long_as_the_state_service_answers() {
+async fn every_controller_answers_job_status_from_state_service() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let id = JobId::parse("req-000007").expect("an id");
@@ -293,15 +295,15 @@
     let record = serde_json::json!({ "spec": spec, "at_ms": 0 });
     server.with(|store| store.put(&job_key(&id), record));
     let sees = |leader: Option<&str>| View { leader: leader.map(str::to_owned), ..View::default() };
-    // The leader has not seen it yet; nobody leads; the leader can't be reached; it is this node, as
+    // The leader has not seen it yet; nobody leads; the leader can't be reached; it is this controller, as
     // far as its view goes, while it is not entitled.
-    for (node, leader) in [
-        (Node::Leads, None),
-        (Node::Follows, None),
-        (Node::Follows, Some("worker-1")),
-        (Node::Follows, Some("worker-0")),
+    for (role, leader) in [
+        (Role::Leader, None),
+        (Role::Follower, None),
+        (Role::Follower, Some("worker-1")),
+        (Role::Follower, Some("worker-0")),
     ] {
-        let api = api_at(node, true, sees(leader), Some(&address));
+        let api = api_at(role, true, sees(leader), Some(&address));
         let (status, text, _) = get(&api, "/api/jobs/req-000007").await;
         let told: JobStatus = serde_json::from_str(&text).expect("a status");
         assert_eq!((status, told.status), (StatusCode::OK, JobState::Queued), "{leader:?}");
@@ -313,7 +315,7 @@
         );
     }
     // While the store is away as well, absence can't be told; as soon as it is back, the job can.
-    let api = api_at(Node::Follows, true, sees(Some("worker-1")), Some(&address));
+    let api = api_at(Role::Follower, true, sees(Some("worker-1")), Some(&address));
     server.refuse(true);
     let (status, _, retry) = get(&api, "/api/jobs/req-000007").await;
     assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true));
@@ -321,10 +323,10 @@
     assert_eq!(get(&api, "/api/jobs/req-000007").await.0, StatusCode::OK);
 }
 
-/// A swarm's day of 2026-12-02: with a thousand jobs open and no leader for seconds, questions took all that a
-/// node may ask of the state service, submissions waited behind them for seconds and were turned away.
+/// A high-load day of 2026-12-02: with a thousand jobs open and no leader for seconds, status queries used up a
+/// controller's request budget at the state service, and submissions waited for seconds and were rejected.
 #[tokio::test]
-async fn questions_that_the_store_has_no_turn_for_are_answered_at_once_and_hold_up_no_submission() {
+async fn rate_limited_status_query_gets_503_at_once_and_delays_no_submission() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let spec: serde_json::Value = serde_json::from_str(JOB).expect("JSON");
@@ -332,7 +334,7 @@
     let id = JobId::parse("req-000412").expect("an id");
     server.with(|store| store.put(&job_key(&id), record));
     // One reading, and then none for ten seconds.
-    let api = service(desk(Node::Follows, true, View::default(), Some(&address), 0.1));
+    let api = service(desk(Role::Follower, true, View::default(), Some(&address), 0.1));
     assert_eq!(get(&api, "/api/jobs/req-000412").await.0, StatusCode::OK);
     for _ in 0..50 {
         let (status, text, retry) = get(&api, "/api/jobs/req-000412").await;
@@ -344,11 +346,11 @@
     assert_eq!(status, StatusCode::OK, "nor a withdrawal");
 }
 
-/// The same day: after all controllers crashed, each finished job's last question took two readings of the
-/// store, half of them in vain, and thousands of answers failed for minutes.
+/// The same day: after all controllers crashed, each finished job's last status query took two reads of the state
+/// service, half of them without effect, and thousands of responses failed for minutes.
 #[tokio::test]
-async fn what_the_leader_decided_is_told_without_the_store() {
-    let desk = desk(Node::Leads, true, View::default(), None, 0.1);
+async fn decided_final_state_is_answered_without_state_service() {
+    let desk = desk(Role::Leader, true, View::default(), None, 0.1);
     let id = JobId::parse("req-000009").expect("an id");
     desk.finals.remember(&known(&id, JobState::Done).into());
     desk.finals
@@ -361,10 +363,10 @@
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE, "what can change is not told from memory");
 }
 
-/// A controller that stands still or is cut off says nothing. A user's question to each of its siblings must not
-/// take the whole time limit again and again.
+/// A frozen or partitioned controller does not respond. A user's request to any of its peers must not wait for the
+/// full time limit each time.
 #[tokio::test(start_paused = true)]
-async fn a_silent_controller_is_waited_for_once_in_a_while_only() {
+async fn unresponsive_controller_trips_circuit_breaker() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound").to_string();
     let peers = Peers::new(HashMap::from([("worker-1".into(), address)]));
@@ -378,13 +380,13 @@
     assert!(matches!(peers.ask("worker-1", &ask, 600).await, Err(PeerError::Silent)));
 }
 
-/// The same for a state service that says nothing to this controller: without this a question took its whole time
-/// limit there, and none was left to ask another controller.
+/// The same for a state service that does not respond to this controller: without this a request spent its whole
+/// time limit there, with none left for another controller.
 #[tokio::test(start_paused = true)]
-async fn a_silent_state_service_is_waited_for_once_in_a_while_only() {
+async fn unresponsive_state_service_trips_circuit_breaker() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound").to_string();
-    let desk = desk(Node::Follows, true, View::default(), Some(&address), 2000.0);
+    let desk = desk(Role::Follower, true, View::default(), Some(&address), 2000.0);
     let id = JobId::parse("req-000001").expect("an id");
     let took = async || {
         let begun = Instant::now();
@@ -408,10 +410,10 @@
 }
 
 #[tokio::test]
-async fn a_daemon_that_needs_more_than_its_teams_limit_gets_422() {
+async fn daemon_exceeding_team_quota_gets_422() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
-    let api = api_at(Node::Follows, true, View::default(), Some(&address));
+    let api = api_at(Role::Follower, true, View::default(), Some(&address));
     let large = daemon().replace("\"Pieces\":4", "\"Pieces\":13");
     let (status, text, _) = post(&api, "/api/jobs", &large).await;
     assert_eq!(status, StatusCode::UNPROCESSABLE_ENTITY, "{text}");
@@ -434,10 +436,10 @@
 }
 
 #[tokio::test]
-async fn a_job_accepted_under_larger_limits_is_never_refused_as_too_long() {
+async fn job_accepted_under_larger_limit_is_not_rejected_as_too_long() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
-    let api = api_at(Node::Follows, true, View::default(), Some(&address));
+    let api = api_at(Role::Follower, true, View::default(), Some(&address));
     let long = JOB.replace("img-07", &"x".repeat(9_000));
     let (status, text, _) = post(&api, "/api/jobs", &long).await;
     assert_eq!(status, StatusCode::BAD_REQUEST, "{text}");
@@ -450,12 +452,12 @@
 }
 
 #[tokio::test]
-async fn a_long_job_is_accepted_until_the_state_service_takes_no_such_value_any_more() {
+async fn long_job_is_accepted_until_state_service_lowers_value_limit() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let next = format!("{SETTINGS}[settings.state.next]\nvalue_kb = 2.0\n");
     let api =
-        service(desk_with(&next, Node::Follows, true, View::default(), Some(&address), 2000.0));
+        service(desk_with(&next, Role::Follower, true, View::default(), Some(&address), 2000.0));
     let long = |id: &str| JOB.replace("img-07", &"x".repeat(4_000)).replace("req-000412", id);
     assert_eq!(post(&api, "/api/jobs", &long("req-000412")).await.0, StatusCode::CREATED);
     server.limit_values(2_048);
@@ -467,12 +469,12 @@
 }
 
 #[tokio::test]
-async fn replication_is_told_to_whoever_asks_and_published_to_controllers_only() {
-    let api = api_at(Node::Leads, true, View::default(), None);
+async fn replication_status_is_public_and_entries_only_for_controllers() {
+    let api = api_at(Role::Leader, true, View::default(), None);
     let (status, text, _) = get(&api, "/replication").await;
     let told: ReplicationStatus = serde_json::from_str(&text).expect("a status");
     assert_eq!((status, told.phase.as_str()), (StatusCode::OK, "active"));
-    let desk = desk_with(SETTINGS, Node::Leads, true, View::default(), None, 100.0);
+    let desk = desk_with(SETTINGS, Role::Leader, true, View::default(), None, 100.0);
     let ask =
         |name: &str| PeerAsk::Follow(FollowRequest { follower: name.into(), held: Held::Nothing });
     let answered = desk.answer_peer(ask("worker-1")).await;
--- a/crates/controller/tests/meetings.rs
+++ b/crates/controller/tests/concurrent_faults.rs
@@ -1,5 +1,5 @@
-//! Troubles that meet, brought about one by one: a leader or a holder, a state service in memory, scripted
-//! workers, and a clock that the test moves. docs/safety.md has the table of meetings.
+//! Concurrent faults, each brought about by itself: a leader or a shard lessee, a state service in memory, scripted
+//! workers, and a clock that the test moves. docs/safety.md has the table of concurrent faults.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 mod harness;
@@ -21,7 +21,7 @@
 /// unreconciled machines decide where others may start, also tasks that were certainly never started. Found
 /// by code review, on 2026-12-02: the watermark let them start in any zone.
 #[test]
-fn an_array_bound_to_one_zone_waits_for_silent_machines_of_that_zone() {
+fn one_zone_array_waits_for_unreachable_machines_of_its_zone() {
     let mut harness = LeaderHarness::start();
     let mut partitioned = small_worker("m-1", "a");
     bound_job(&mut harness, true, false, 300);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn an_array_that_must_spread_waits_for_silent_machines_too() {
+fn spread_array_waits_for_unreachable_machines() {
     let mut harness = LeaderHarness::start();
     let mut partitioned: Vec<ScriptedWorker> =
         (1..=20).map(|n| small_worker(&format!("m-{n}"), "a")).collect();
@@ -58,7 +58,7 @@
 
 /// The counterpart of the first test: without constraints, tasks above the watermark start at once.
 #[test]
-fn an_array_that_may_be_anywhere_does_not_wait_for_what_it_never_started() {
+fn unconstrained_array_does_not_wait_for_never_started_tasks() {
     let mut harness = LeaderHarness::start();
     let mut partitioned = small_worker("m-1", "a");
     bound_job(&mut harness, false, false, 300);
@@ -72,7 +72,7 @@
 /// An unreadable watermark record does not tell what was started; it was read as if nothing had been. Found
 /// by code review, on 2026-12-02.
 #[test]
-fn a_job_whose_mark_can_not_be_read_counts_as_started() {
+fn unreadable_watermark_counts_job_as_started() {
     let mut harness = LeaderHarness::start();
     let mut partitioned = small_worker("m-1", "a");
     let id = harness.submit(job("req-000001", "array", 300));
@@ -91,7 +91,7 @@
 
 /// No record is deleted of a job whose own record is unreadable.
 #[test]
-fn records_of_a_job_that_can_not_be_read_are_kept() {
+fn records_of_unreadable_job_are_kept() {
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
     let id = harness.submit(job("req-000001", "array", 300));
@@ -107,7 +107,7 @@
 /// service refused the next one, and the leader answered the job's state from memory again; then the first
 /// one was applied, and other controllers answered the final state that they read.
 #[test]
-fn an_end_that_may_still_be_carried_out_is_not_told_from_memory() {
+fn undetermined_final_state_is_not_answered_from_memory() {
     let (mut harness, _, id) = one_running_task();
     let cancelled = harness.ledger.cancel(&id);
     assert_eq!(cancelled, Cancellation::Pending);
@@ -127,7 +127,7 @@
 
 /// The counterpart: while a transaction was certainly not applied, the state is answered from memory.
 #[test]
-fn an_end_that_was_surely_not_written_leaves_the_state_in_memory() {
+fn unapplied_final_state_keeps_running_state_in_memory() {
     let (mut harness, _, id) = one_running_task();
     harness.ledger.cancel(&id);
     let commit = harness.ledger.next_commit(harness.now).expect("the end");
@@ -138,7 +138,7 @@
 /// Where a worker's lease is longer than the cancellation limit, no cancellation is confirmed before its
 /// tasks are gone: an unreachable machine would keep them beyond the limit.
 #[test]
-fn a_cancellation_waits_for_its_tasks_where_leases_outlast_it() {
+fn cancellation_waits_for_tasks_when_worker_lease_exceeds_its_limit() {
     let mut setup = test_config();
     setup.params.workers.cancel_s = setup.params.workers.lease_s - 4.0;
     let mut harness = LeaderHarness::lead_with(setup, MemoryStore::default(), 1, 0);
@@ -168,7 +168,7 @@
 /// A delayed heartbeat reaches every controller just as a new leader begins: it is the first that the new
 /// leader receives of the machine, and the task that it shows has moved since.
 #[test]
-fn an_old_report_that_a_new_leader_hears_first_starts_nothing_twice() {
+fn delayed_heartbeat_received_first_by_new_leader_starts_no_task_twice() {
     let mut harness = LeaderHarness::start();
     let (mut left, mut right) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     harness.submit(job("req-000001", "array", 1));
@@ -204,7 +204,7 @@
 
 /// A heartbeat is delayed until a new leader has acted, and then arrives there.
 #[test]
-fn a_report_that_was_held_back_until_a_new_leader_acted_undoes_nothing() {
+fn delayed_heartbeat_after_new_leader_acted_changes_no_state() {
     let (harness, mut worker, _) = one_running_task();
     worker.end(&worker.live()[0].clone(), Cause::Error);
     let held_back = worker.report();
@@ -230,7 +230,7 @@
 /// New machines boot within two seconds while commits lag, and the leader ends: no task starts on a machine
 /// before its registration is committed, and afterwards the next leader knows it, listed or not.
 #[test]
-fn a_machine_that_the_next_leader_may_not_know_of_has_no_task() {
+fn machine_without_committed_registration_gets_no_task() {
     let mut harness = LeaderHarness::start();
     let (mut first, mut quick) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.submit(job("req-000001", "array", 300));
@@ -269,7 +269,7 @@
 /// job there is cancelled: the task counts until it has certainly ended, also once the job's record is
 /// deleted.
 #[test]
-fn tasks_of_a_cancelled_job_count_against_the_limit_until_they_are_surely_gone() {
+fn cancelled_tasks_count_against_quota_until_lease_expiry() {
     let tight = |id: &str| {
         let mut spec = job(id, "array", 1);
         spec.team = "tight".into();
@@ -310,7 +310,7 @@
 
 /// Tasks of a small job complete far apart under different leaders: a completed task is not started again.
 #[test]
-fn the_tasks_of_a_small_job_end_under_different_leaders_and_each_runs_once() {
+fn small_job_completing_across_failovers_runs_each_task_once() {
     let mut harness = LeaderHarness::start();
     let mut workers: Vec<ScriptedWorker> =
         (1..=3).map(|n| small_worker(&format!("m-{n}"), "a")).collect();
@@ -332,7 +332,7 @@
 
 /// All controllers are down for longer than a worker's lease: every task restarts, once.
 #[test]
-fn after_all_controllers_were_away_for_longer_than_a_lease_everything_runs_again_once() {
+fn outage_of_all_controllers_beyond_lease_restarts_every_task_once() {
     let mut harness = LeaderHarness::start();
     let mut workers: Vec<ScriptedWorker> =
         (1..=3).map(|n| small_worker(&format!("m-{n}"), "a")).collect();
--- a/crates/controller/tests/node.rs
+++ b/crates/controller/tests/controller_actor.rs
@@ -1,4 +1,4 @@
-//! Whole nodes (leadership, ledger and desk) against a state service on loopback. The tests wait for events;
+//! Whole controllers (leadership, cluster state and API service) with a state service on loopback. The tests wait for events;
 //! a time limit only tells a test that would wait for ever.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
@@ -31,13 +31,18 @@
 const NOWHERE: &str = "127.0.0.1:1";
 
 /// A running controller.
-struct Controller {
+struct RunningController {
     desk: Arc<Desk>,
     view: watch::Receiver<View>,
 }
 
-/// Starts a controller; `stands`: it seeks the leadership.
-async fn start(label: &str, store: &str, siblings: &[(&str, &str)], stands: bool) -> Controller {
+/// Starts a controller; `campaigns`: it seeks the leadership.
+async fn start(
+    label: &str,
+    store: &str,
+    siblings: &[(&str, &str)],
+    campaigns: bool,
+) -> RunningController {
     let settings = Settings::parse(SETTINGS).expect("sound settings");
     let client = || StoreClient::new(store, 1_000.0);
     let (view_tx, view) = watch::channel(View::default());
@@ -84,7 +89,7 @@
         node.run().await;
         drop(machine_types_tx);
     });
-    if stands {
+    if campaigns {
         let leadership = Leadership {
             label: label.into(),
             store: client(),
@@ -100,7 +105,7 @@
     } else {
         std::mem::forget(view_tx);
     }
-    Controller { desk, view }
+    RunningController { desk, view }
 }
 
 async fn within<T>(work: impl Future<Output = T>) -> T {
@@ -108,12 +113,12 @@
 }
 
 /// Accepts the job and waits until the leader knows it.
-async fn accepted(one: &mut Controller) -> JobId {
+async fn accepted(one: &mut RunningController) -> JobId {
     one.view.wait_for(|v| v.mandate.is_some()).await.expect("the actor lives");
     let verdict = one.desk.submit(JOB.as_bytes(), false).await;
     assert!(matches!(verdict, Verdict::Accepted(_)), "{verdict:?}");
     let id = JobId::parse("req-000412").expect("an id");
-    // Its ledger has been loaded.
+    // Its cluster state has been loaded.
     let known = async || {
         let (reply, answer) = oneshot::channel();
         one.desk.node.send(Ask::Status(id.clone(), reply)).await.expect("the actor lives");
@@ -125,10 +130,10 @@
     id
 }
 
-/// What can't be decided now is answered at once, not held until the state service is back: the user's
-/// request waited for its time limit during each outage.
+/// A request that can't be decided now is answered at once, not held until the state service is back: users waited
+/// for the full time limit during each outage.
 #[tokio::test]
-async fn a_cancellation_that_can_not_become_durable_is_answered_at_once() {
+async fn cancellation_without_state_service_is_answered_at_once() {
     let work = async {
         let server = StoreServer::default();
         let address = server.start().await.expect("a free port");
@@ -139,7 +144,7 @@
         assert!(matches!(verdict, Verdict::Later(_)), "{verdict:?}");
         assert!(server.with(|store| store.get(&final_key(&id))).is_none());
         server.refuse(false);
-        // The decision stayed in the queue; whoever asks again hears of it.
+        // The decision stayed in the queue; whoever asks again learns the outcome.
         let told = within(async {
             loop {
                 if let Verdict::Known(told) = one.desk.cancel(&id, false).await {
@@ -153,16 +158,16 @@
     LocalSet::new().run_until(work).await;
 }
 
-/// Cancellations are facts: whoever makes one durable tells the others, so that a holder that can't reach the
-/// state service stops the job's tasks.
+/// A durable cancellation is final: the controller that committed it tells the others, so that a shard lessee that
+/// can't reach the state service stops the job's tasks.
 #[tokio::test]
-async fn a_durable_cancellation_is_told_to_the_other_controllers() {
+async fn durable_cancellation_is_sent_to_other_controllers() {
     let work = async {
         let server = StoreServer::default();
         let address = server.start().await.expect("a free port");
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let there = listener.local_addr().expect("bound").to_string();
-        // The other one is refused by the state service.
+        // The other controller is refused by the state service.
         let two = start("two", NOWHERE, &[], false).await;
         tokio::spawn(peers::serve(listener, two.desk.clone(), Networks::default()));
         let mut one = start("one", &address, &[("two", &there)], true).await;
@@ -185,9 +190,9 @@
 }
 
 /// A controller that the state service refuses alone serves its users through the others, whether one of them
-/// leads or nobody does: its users would be told nothing for as long as it lasts.
+/// leads or nobody does: otherwise its users would get no answer meanwhile.
 #[tokio::test]
-async fn users_of_a_controller_that_the_store_refuses_are_answered_through_the_others() {
+async fn controller_refused_by_state_service_answers_users_through_peers() {
     let work = async {
         let server = StoreServer::default();
         let address = server.start().await.expect("a free port");
--- a/crates/controller/tests/daemons.rs
+++ b/crates/controller/tests/daemons.rs
@@ -1,4 +1,4 @@
-//! Daemons: replicas run until their job is cancelled, each on one machine at a time, whatever ends them.
+//! Daemons: replicas run until their job is cancelled, each on one machine at a time, whatever ends an attempt.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 mod harness;
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_replica_runs_again_whatever_ended_it_and_the_job_is_never_done() {
+fn ended_replica_restarts_for_every_cause_and_job_is_never_done() {
     for cause in [Cause::Done, Cause::Error, Cause::Stopped, Cause::Unknown, Cause::Other] {
         let mut harness = LeaderHarness::start();
         let mut worker = small_worker("m-1", "a");
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn records_do_not_grow_however_often_a_replica_runs_again() {
+fn replica_restarts_write_no_records() {
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
     let id = running(&mut harness, &mut worker);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn replicas_that_end_at_once_are_tried_with_growing_pauses() {
+fn replicas_ending_at_once_restart_with_growing_backoff() {
     for cause in [Cause::Done, Cause::Error] {
         let mut harness = LeaderHarness::start();
         let (mut one, mut two) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn one_error_of_a_replica_does_not_hold_back_the_others() {
+fn single_replica_error_does_not_delay_other_replicas() {
     let mut harness = LeaderHarness::start();
     let (mut one, mut two) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     harness.submit(daemon("req-000001", 6));
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_replica_lost_with_its_machine_runs_elsewhere_and_not_before_that_is_sure() {
+fn replica_on_lost_machine_restarts_only_after_lease_expiry() {
     let mut harness = LeaderHarness::start();
     let (mut lost, mut other) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     running(&mut harness, &mut lost);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_replica_leaves_a_machine_that_the_cloud_will_take_and_is_never_on_two() {
+fn replica_with_interruption_notice_moves_without_running_twice() {
     let mut harness = LeaderHarness::start();
     let (mut leaving, mut other) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     running(&mut harness, &mut leaving);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_new_leader_finds_the_replicas_and_starts_none_twice() {
+fn new_leader_reconciles_replicas_and_starts_none_twice() {
     let mut harness = LeaderHarness::start();
     let (mut one, mut two) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     let id = harness.submit(daemon("req-000001", 6));
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn missing_replicas_have_lower_work_stopped_for_all_of_them() {
+fn missing_replicas_preempt_lower_priority_tasks() {
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
     let filling = JobSpec { cpus: 1.0, ..job("req-000002", "array", 4) };
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn the_result_of_an_earlier_attempt_found_after_a_takeover_ends_no_replica() {
+fn result_of_earlier_attempt_after_failover_ends_no_replica() {
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
     let id = running(&mut harness, &mut worker);
--- a/crates/controller/tests/fleet_size.rs
+++ b/crates/controller/tests/fleet_size.rs
@@ -1,4 +1,4 @@
-//! A fleet of 4,500 machines, each with tasks, under one leader and then another: nothing has a fixed limit below
+//! A fleet of 4,500 machines, each with tasks, before and after a failover: nothing has a fixed limit below
 //! it. The rules are asserted; time and memory are printed for whoever runs it by hand with `--release --nocapture`.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_fleet_of_4500_machines_is_loaded_filled_and_taken_over() {
+fn fleet_of_4500_machines_is_filled_and_failed_over() {
     let before_kb = resident_kb();
     let mut fleet = Fleet::new();
     for n in 0..ARRAYS {
--- a/crates/controller/tests/leadership.rs
+++ b/crates/controller/tests/leadership.rs
@@ -1,4 +1,4 @@
-//! Leadership against a state service on loopback whose leases end when the test says so. The tests
+//! Leadership with a state service on loopback whose leases expire when the test says so. The tests
 //! wait for events, not for time.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use tokio::sync::{Notify, watch};
 
-struct Node {
+struct RunningController {
     view: watch::Receiver<View>,
     validity: Arc<Validity>,
     clock: Clock,
@@ -18,7 +18,7 @@
     leadership: tokio::task::JoinHandle<()>,
 }
 
-fn start(label: &str, address: &str) -> Node {
+fn start(label: &str, address: &str) -> RunningController {
     let (view_tx, view) = watch::channel(View::default());
     let validity = Arc::new(Validity::default());
     let clock = Clock::default();
@@ -35,16 +35,16 @@
         warm: Arc::default(),
     };
     let leadership = tokio::spawn(leadership.run());
-    Node { view, validity, clock, suspicion, leadership }
+    RunningController { view, validity, clock, suspicion, leadership }
 }
 
-async fn leads(node: &mut Node) -> Mandate {
-    let view = node.view.wait_for(|v| v.mandate.is_some()).await.expect("the actor lives");
+async fn leads(controller: &mut RunningController) -> Mandate {
+    let view = controller.view.wait_for(|v| v.mandate.is_some()).await.expect("the actor lives");
     view.mandate.clone().expect("just seen")
 }
 
 #[tokio::test]
-async fn a_lost_lease_ends_the_term_and_the_next_one_is_higher() {
+async fn lost_leadership_lease_ends_term_and_next_term_is_higher() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let mut one = start("one", &address);
@@ -61,9 +61,9 @@
         m = async { one.view.wait_for(|v| v.mandate.as_ref().is_some_and(|m| m.term > 1)).await
             .expect("the actor lives").mandate.clone().expect("just seen") } => m,
     };
-    // Above every token that the first one may have used, each machine's own ones included.
+    // Above every fencing token that the first term may have used, those of each machine included.
     assert_eq!(second.term, 1 + hookway_constants::TOKENS_PER_TERM);
-    // What the deposed leader still has under way is guarded by a version that is gone.
+    // A transaction of the deposed leader that is still under way fails by its precondition.
     let late = Transaction {
         guards: vec![first.guard],
         apply: vec![Change::put("f/req-000001", serde_json::json!("late"))],
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test]
-async fn a_restarted_node_ends_the_lease_of_its_earlier_process() {
+async fn restarted_controller_revokes_lease_of_previous_process() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let lease_id = server.grant();
@@ -95,13 +95,13 @@
 }
 
 #[tokio::test]
-async fn after_an_outage_the_same_term_goes_on() {
+async fn term_continues_after_state_service_outage() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let mut one = start("one", &address);
     let first = leads(&mut one).await;
     server.refuse(true);
-    // Several extensions fail; the lease itself lasts, as all do over an outage.
+    // Several extensions fail; the lease itself lasts, as every lease does during an outage.
     server.refused(3).await;
     server.refuse(false);
     let two = start("two", &address);
@@ -110,10 +110,10 @@
     assert_eq!(one.view.borrow().mandate, Some(first));
 }
 
-/// A watch whose connection died unnoticed hides the end of a lease for seconds; a suspicion asks at once. The
-/// suspicion itself ends no lease.
+/// A watch whose connection broke unnoticed hides the expiry of a lease for seconds; a suspicion reads the leader at
+/// once. The suspicion itself ends no lease.
 #[tokio::test]
-async fn a_suspicion_asks_the_state_service_and_takes_nothing_from_a_leader_that_lives() {
+async fn leader_suspicion_reads_state_service_without_deposing_live_leader() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let mut one = start("one", &address);
@@ -125,7 +125,7 @@
     tokio::time::sleep(std::time::Duration::from_millis(200)).await;
     assert_eq!(two.view.borrow().mandate, None, "the lease runs, so it leads");
     assert_eq!(one.view.borrow().mandate, Some(first.clone()));
-    // Its process is gone, and nobody extends the lease; the muted watch says nothing.
+    // Its process has ended, and nobody extends the lease; the muted watch delivers no event.
     one.leadership.abort();
     server.end(first.lease_id);
     two.suspicion.notify_one();
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -1,5 +1,5 @@
-//! A new leader that has a copy of the last one's picture: what it does sooner, and what it never takes from the
-//! copy. The copy is a hint; the state service, workers' reports and ended leases are the proof.
+//! A new leader with a copy of the last leader's cluster state: what it does sooner, and what it never takes from
+//! the copy. The copy is a hint; the state service, heartbeats and expired leases are the proof.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 mod harness;
@@ -22,14 +22,14 @@
 }
 
 /// Another controller is elected and has this copy.
-fn take_over(harness: &mut LeaderHarness, copy: &ReplicatedState) -> WarmStart {
+fn fail_over(harness: &mut LeaderHarness, copy: &ReplicatedState) -> WarmStart {
     let store = std::mem::take(&mut harness.store);
     *harness = LeaderHarness::lead(store, SECOND_TERM, harness.now + 5_000);
     harness.ledger.warm_start(copy, &Networks::default(), harness.now)
 }
 
 /// Delivers the state probes of the new leader to these workers; the number of probes.
-fn answer_greetings(harness: &mut LeaderHarness, workers: &mut [ScriptedWorker]) -> usize {
+fn answer_probes(harness: &mut LeaderHarness, workers: &mut [ScriptedWorker]) -> usize {
     let asked = harness.ledger.take_greetings(harness.now);
     for (name, _) in &asked {
         let worker = workers.iter_mut().find(|w| w.name() == name);
@@ -59,7 +59,7 @@
 }
 
 /// Four machines and a gang of four: two of its tasks are on their machines when the leader crashes.
-fn half_placed_gang() -> (LeaderHarness, Vec<ScriptedWorker>, ReplicatedState, JobId) {
+fn partially_placed_gang() -> (LeaderHarness, Vec<ScriptedWorker>, ReplicatedState, JobId) {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(4);
     run_rounds(&mut harness, &mut workers);
@@ -78,11 +78,11 @@
 }
 
 #[test]
-fn a_half_placed_gang_is_completed_under_its_attempt() {
-    let (mut harness, mut workers, copy, id) = half_placed_gang();
-    let taken = take_over(&mut harness, &copy);
+fn partially_placed_gang_is_completed_under_same_attempt() {
+    let (mut harness, mut workers, copy, id) = partially_placed_gang();
+    let taken = fail_over(&mut harness, &copy);
     assert_eq!((taken.addresses, taken.gangs), (4, 1), "{taken}");
-    assert_eq!(answer_greetings(&mut harness, &mut workers), 4, "asked at once");
+    assert_eq!(answer_probes(&mut harness, &mut workers), 4, "asked at once");
     assert!(harness.ledger.settled(harness.now));
     run_rounds(&mut harness, &mut workers);
     let attempts = attempts(&workers);
@@ -97,9 +97,9 @@
 
 /// Without a copy the attempt may be one that lost tasks.
 #[test]
-fn without_a_copy_a_half_placed_gang_begins_anew() {
-    let (mut harness, mut workers, _, _) = half_placed_gang();
-    take_over(&mut harness, &ReplicatedState::default());
+fn partially_placed_gang_without_copy_restarts() {
+    let (mut harness, mut workers, _, _) = partially_placed_gang();
+    fail_over(&mut harness, &ReplicatedState::default());
     run_rounds(&mut harness, &mut workers);
     run_rounds(&mut harness, &mut workers);
     let attempts = attempts(&workers);
@@ -108,8 +108,8 @@
 }
 
 #[test]
-fn a_gang_that_ran_and_lost_a_task_is_not_completed() {
-    let (mut harness, mut workers, _, _) = half_placed_gang();
+fn gang_that_ran_and_lost_a_task_restarts_under_new_attempt() {
+    let (mut harness, mut workers, _, _) = partially_placed_gang();
     run_rounds(&mut harness, &mut workers);
     for worker in &mut workers {
         worker.set_state(TaskState::Running);
@@ -118,7 +118,7 @@
     let copy = copy_of(&mut harness.ledger);
     let task = workers[3].live().remove(0);
     workers[3].end(&task, Cause::Error);
-    take_over(&mut harness, &copy);
+    fail_over(&mut harness, &copy);
     run_rounds(&mut harness, &mut workers);
     run_rounds(&mut harness, &mut workers);
     let attempts = attempts(&workers);
@@ -126,11 +126,11 @@
 }
 
 #[test]
-fn a_gang_that_can_not_be_completed_in_time_begins_anew() {
-    let (mut harness, mut workers, copy, _) = half_placed_gang();
+fn gang_not_completable_in_time_is_stopped_for_restart() {
+    let (mut harness, mut workers, copy, _) = partially_placed_gang();
     // Two machines are deleted, so there are no resources for the rest.
     workers.truncate(2);
-    take_over(&mut harness, &copy);
+    fail_over(&mut harness, &copy);
     for gone in ["m-3", "m-4"] {
         harness.ledger.deleted(&[gone.to_owned()], harness.now);
     }
@@ -143,7 +143,7 @@
 
 /// The stream is a hint: a start that it lacks may have been sent nevertheless.
 #[test]
-fn a_start_that_the_copy_lacks_is_not_made_twice() {
+fn start_missing_from_copy_is_not_repeated() {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(3);
     run_rounds(&mut harness, &mut workers);
@@ -153,7 +153,7 @@
     run_rounds(&mut harness, &mut workers);
     let before = attempts(&workers).len();
     assert_eq!(before, 3);
-    take_over(&mut harness, &copy);
+    fail_over(&mut harness, &copy);
     // Only two machines are reachable; the third may have any task.
     let mut heard: Vec<ScriptedWorker> = workers.drain(..2).collect();
     run_rounds(&mut harness, &mut heard);
@@ -174,7 +174,7 @@
 
 /// A copy can't make an unreachable machine count as reconciled, or its lease as expired.
 #[test]
-fn a_copy_that_says_a_machine_is_empty_settles_nothing() {
+fn copy_without_tasks_does_not_reconcile_machine() {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(1);
     run_rounds(&mut harness, &mut workers);
@@ -185,7 +185,7 @@
     let machine = "m-1".to_owned();
     let entry = Entry::TaskGone { machine, task: gone.task, attempt: gone.attempt };
     copy.apply(entry).expect("it was there");
-    take_over(&mut harness, &copy);
+    fail_over(&mut harness, &copy);
     let mut idle = vec![small_worker("m-2", "a")];
     run_rounds(&mut harness, &mut idle);
     assert!(idle[0].started.is_empty(), "m-1 may run it");
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn the_records_win_over_a_copy_that_names_other_machines_and_jobs() {
+fn records_override_copy_with_unknown_machines_and_jobs() {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(1);
     run_rounds(&mut harness, &mut workers);
@@ -216,7 +216,7 @@
     ] {
         copy.apply(entry).expect("it fits");
     }
-    let taken = take_over(&mut harness, &copy);
+    let taken = fail_over(&mut harness, &copy);
     assert_eq!(taken, WarmStart { addresses: 1, failing_jobs: 0, gangs: 0 });
     assert_eq!(harness.ledger.machine_count(), 1);
     let unknown = JobId::parse("req-000009").expect("an id");
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn addresses_outside_the_workers_networks_are_not_asked() {
+fn address_outside_worker_networks_is_not_probed() {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(1);
     run_rounds(&mut harness, &mut workers);
@@ -238,12 +238,12 @@
 
 /// A worker that answers under another name than the copy gives to its address reconciles nothing.
 #[test]
-fn an_address_that_leads_to_another_machine_settles_nothing() {
+fn probe_answered_by_other_machine_reconciles_nothing() {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(2);
     run_rounds(&mut harness, &mut workers);
     let copy = copy_of(&mut harness.ledger);
-    take_over(&mut harness, &copy);
+    fail_over(&mut harness, &copy);
     let term = harness.ledger.term();
     let asked = harness.ledger.take_greetings(harness.now);
     assert_eq!(asked.len(), 2);
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn a_job_that_fails_everywhere_is_known_to_the_next_leader() {
+fn failing_job_is_known_to_next_leader_from_copy() {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(3);
     run_rounds(&mut harness, &mut workers);
@@ -268,7 +268,7 @@
     let copy = copy_of(&mut harness.ledger);
     assert!(copy.jobs[id.as_str()].errors > 0);
     let before = attempts(&workers).len();
-    let taken = take_over(&mut harness, &copy);
+    let taken = fail_over(&mut harness, &copy);
     assert_eq!(taken.failing_jobs, 1);
     run_rounds(&mut harness, &mut workers);
     let tried = attempts(&workers).len() - before;
@@ -277,7 +277,7 @@
 
 /// A copy can't delay the retry of a job for longer than its own errors could.
 #[test]
-fn a_pause_from_far_ahead_ends_like_any_other() {
+fn excessive_retry_pause_in_copy_is_bounded() {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(1);
     run_rounds(&mut harness, &mut workers);
@@ -286,7 +286,7 @@
     let hints = JobHints { errors: u32::MAX, paused_until: u64::MAX, ..JobHints::default() };
     let mut copy = ReplicatedState::default();
     copy.apply(Entry::Job { id: "req-000001".into(), hints }).expect("it fits");
-    take_over(&mut harness, &copy);
+    fail_over(&mut harness, &copy);
     run_rounds(&mut harness, &mut workers);
     assert!(workers[0].live().is_empty(), "it pauses");
     for _ in 0..constants::ERROR_PAUSE_MAX_MS / 2_000 + 5 {
@@ -297,8 +297,8 @@
 }
 
 #[test]
-fn what_a_leader_publishes_follows_its_picture() {
-    let (mut harness, mut workers, _, id) = half_placed_gang();
+fn published_entries_match_cluster_state() {
+    let (mut harness, mut workers, _, id) = partially_placed_gang();
     let mut publisher = Publisher::new(harness.ledger.term());
     harness.ledger.publish_all(&mut publisher);
     let stages: Vec<Stage> = publisher
@@ -334,26 +334,26 @@
 
 /// A worker whose report came with the old token would show the new one with its next regular report only.
 #[test]
-fn workers_that_reported_with_the_old_token_are_asked_as_well() {
+fn workers_with_old_fencing_token_are_probed() {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(2);
     run_rounds(&mut harness, &mut workers);
     let copy = copy_of(&mut harness.ledger);
-    take_over(&mut harness, &copy);
+    fail_over(&mut harness, &copy);
     for worker in &mut workers {
         harness.heartbeat(worker);
     }
     assert!(!harness.ledger.settled(harness.now), "their reports may be from before the failover");
     assert!(harness.ledger.take_greetings(harness.now).is_empty(), "they report again at once");
     harness.now += constants::REPORT_SOON_MS;
-    assert_eq!(answer_greetings(&mut harness, &mut workers), 2);
+    assert_eq!(answer_probes(&mut harness, &mut workers), 2);
     assert!(harness.ledger.settled(harness.now));
 }
 
 /// A worker that does not answer is probed again; where the others of its zone answer its machine is deleted,
 /// and the deletion proves that its tasks are gone.
 #[test]
-fn a_machine_that_answers_no_question_is_given_back_soon_after_a_takeover() {
+fn machine_not_answering_probes_is_deleted_soon_after_failover() {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(8);
     run_rounds(&mut harness, &mut workers);
@@ -361,7 +361,7 @@
     run_rounds(&mut harness, &mut workers);
     let copy = copy_of(&mut harness.ledger);
     workers.pop();
-    take_over(&mut harness, &copy);
+    fail_over(&mut harness, &copy);
     // The cloud still lists it, and says in which zone it is.
     let list: Vec<ListedMachine> = (1..=8)
         .map(|n| harness::listed_machine(&format!("m-{n}"), MachineState::Running, 60.0))
@@ -369,7 +369,7 @@
     harness.ledger.listed(&list, harness.now, harness.now);
     let begun = harness.now;
     let deleted = loop {
-        answer_greetings(&mut harness, &mut workers);
+        answer_probes(&mut harness, &mut workers);
         for worker in &mut workers {
             harness.heartbeat(worker);
         }
@@ -395,7 +395,7 @@
 /// The remaining tasks of a gang may be on a machine that has not answered: none starts elsewhere before it
 /// is reconciled.
 #[test]
-fn a_gang_is_not_completed_while_its_rest_may_be_on_a_silent_machine() {
+fn gang_is_not_completed_while_tasks_may_run_on_unreachable_machine() {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(4);
     run_rounds(&mut harness, &mut workers);
@@ -408,7 +408,7 @@
     let holds = |w: &ScriptedWorker| !w.live().is_empty();
     let unreachable = workers.iter().position(holds).expect("a task of the gang");
     let unreachable = workers.remove(unreachable);
-    take_over(&mut harness, &copy);
+    fail_over(&mut harness, &copy);
     run_rounds(&mut harness, &mut workers);
     let begun = attempts(&workers).len();
     assert_eq!(begun, 2, "one machine is idle, and must stay so");
