--- a/crates/controller/src/blocks/tests.rs
+++ b/crates/controller/src/blocks/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_block_is_held_until_its_lease_ends() {
+fn shard_is_held_until_its_lease_expires() {
     let mut blocks = Blocks::default();
     assert!(blocks.lease("m-1", "one", 0, 15_000));
     assert!(!blocks.lease("m-1", "two", 14_999, 30_000));
--- a/crates/controller/src/config/tests.rs
+++ b/crates/controller/src/config/tests.rs
@@ -2,7 +2,7 @@
 use hookway_testkit::SETTINGS;
 
 #[test]
-fn unknown_settings_are_ignored_and_wrong_ones_named() {
+fn unknown_settings_are_ignored_and_invalid_ones_are_named() {
     assert!(Settings::parse(SETTINGS).is_ok());
     let broken = SETTINGS.replace("lease_s = 14.0", "");
     assert!(Settings::parse(&broken).unwrap_err().contains("lease_s"));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn operator_settings_refuse_unknown_keys() {
+fn unknown_operator_setting_is_rejected() {
     let found = OperatorSettings::parse("[fleet]\nidle_return_s = 30\n").unwrap();
     assert_eq!(found.idle_return_ms, Some(30_000));
     assert!(OperatorSettings::parse("[fleet]\nidle = 30\n").unwrap_err().contains("idle"));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn writes_keep_to_the_smaller_of_the_present_and_the_next_limits() {
+fn write_limits_are_minimum_of_present_and_next_limits() {
     let now = Settings::parse(SETTINGS).unwrap().settings.state;
     assert_eq!((now.write_rps, now.value_kb, now.txn_ops), (25.0, 8.0, 8));
     let next = "[settings.state.next]\nwrite_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 16\nnew = 1\n";
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn next_limits_out_of_range_are_refused_by_name() {
+fn next_limit_out_of_range_is_rejected_by_name() {
     for wrong in [
         "write_rps = 0.0",
         "write_rps = 'few'",
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn replication_settings_are_read_and_wrong_ones_named() {
+fn replication_settings_are_parsed_and_invalid_ones_are_named() {
     let read = |text: &str| OperatorSettings::parse(&format!("[replication]\n{text}\n"));
     let rule = OperatorSettings::default().replication;
     let found = read("standby = off\nleader_lease_s = 4.4").unwrap().replication;
--- a/crates/controller/src/door/tests.rs
+++ b/crates/controller/src/door/tests.rs
@@ -13,7 +13,7 @@
 /// Guards against a full socket table that ends the process, or shuts users out while connections
 /// whose other side a cut took away hold it.
 #[tokio::test]
-async fn a_full_door_closes_what_has_been_quiet_longest_and_only_that() {
+async fn full_connection_table_closes_only_longest_idle_connection() {
     let door = Door::new(4, Duration::from_secs(20));
     let mut held = Vec::new();
     for n in 0..4u64 {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_connection_that_a_worker_reports_over_is_not_idle() {
+fn idle_timeout_exceeds_longest_heartbeat_interval() {
     let door = Door::for_machine(1_000, 8.0);
     let idle = door.config.connection_idle_timeout.unwrap();
     assert!(idle.as_secs_f64() > 8.0 * constants::LONGEST_REPORT);
--- a/crates/controller/src/holders/tests.rs
+++ b/crates/controller/src/holders/tests.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_holder_in_touch_delays_no_proof_by_more_than_a_renewal() {
+fn connected_shard_lessee_delays_lease_expiry_by_at_most_one_renewal() {
     let (mut holders, mut holding) = (holders(0), Holding::new("one", 1, 8_000));
     for now in (0..60_000).step_by(1_000) {
         exchange(&mut holders, &mut holding, now);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_cut_off_holder_keeps_workers_alive_and_the_leader_reckons_with_it() {
+fn partitioned_shard_lessee_extends_leases_and_leader_accounts_for_it() {
     let (mut holders, mut holding) = (holders(0), Holding::new("one", 1, 8_000));
     for now in [0, 1_000, 2_000] {
         exchange(&mut holders, &mut holding, now);
@@ -80,7 +80,7 @@
 /// A cancellation is a fact: a holder that has heard of it stops the tasks, whatever became of the leader;
 /// and the answer says until when it may go out.
 #[test]
-fn a_holder_stops_what_is_durably_over_and_starts_nothing() {
+fn shard_lessee_stops_tasks_of_finished_jobs_and_starts_none() {
     let (mut holders, mut holding) = (holders(0), Holding::new("one", 1, 8_000));
     exchange(&mut holders, &mut holding, 1_000);
     exchange(&mut holders, &mut holding, 2_000);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_new_leader_reckons_with_leases_of_earlier_ones_until_their_holders_have_dropped_them() {
+fn new_leader_counts_earlier_shard_leases_until_lessees_drop_them() {
     let mut holders = holders(100_000);
     assert!(!holders.lease_over("b", 100_000, WORKER, 100_000 + LEASE + WORKER));
     assert!(holders.lease_over("b", 100_000, WORKER, 100_100 + LEASE + WORKER));
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn late_renewals_and_those_of_dead_processes_prove_nothing() {
+fn delayed_renewals_and_those_of_dead_processes_prove_no_expiry() {
     let (mut holders, mut holding) = (holders(0), Holding::new("one", 1, 8_000));
     let first = holding.renewal(500);
     for now in [1_000, 2_000, 3_000] {
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_controller_that_lost_the_leader_sends_no_worker_back_to_it() {
+fn controller_without_leader_contact_redirects_no_worker_to_it() {
     let mut holders = holders(0);
     let mut other = Holding::new("three", 9, 4_000);
     assert!(other.leader_in_touch(3_999), "a process that has just begun knows no better");
--- a/crates/controller/src/lead/tests.rs
+++ b/crates/controller/src/lead/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_leader_counts_its_lease_from_before_the_request() {
+fn leadership_lease_counts_from_before_the_request() {
     let validity = Validity::default();
     assert!(!validity.holds(1, 0));
     validity.set(1, valid_until(1_000, 5_000));
@@ -12,7 +12,7 @@
 /// The lease is extended on another thread than the ledger is on: while a round of an old term still
 /// runs, this node may have lost that term and won a later one.
 #[test]
-fn a_lease_of_a_later_term_does_not_entitle_an_earlier_one() {
+fn lease_of_later_term_does_not_authorize_earlier_term() {
     let validity = Validity::default();
     validity.set(1, 5_000);
     validity.set(1, 0);
--- a/crates/controller/src/ledger/marks/tests.rs
+++ b/crates/controller/src/ledger/marks/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_record_goes_when_all_of_its_jobs_are_over_and_its_number_is_not_used_again() {
+fn watermark_record_is_deleted_after_its_last_job_and_number_not_reused() {
     let mut marks = SharedMarks::new(8.0);
     let id = |n: usize| JobId::parse(&format!("req-{n:06}")).unwrap();
     marks.loaded(3, BTreeSet::from([id(999)]));
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_record_of_marks_is_no_larger_than_a_value_may_be() {
+fn watermark_record_stays_within_value_limit() {
     let mut marks = SharedMarks::new(1.0);
     let longest = |n: usize| JobId::parse(&format!("req-{n:018}")).unwrap();
     let number = marks.add(&longest(0));
--- a/crates/controller/src/ledger/model/tests.rs
+++ b/crates/controller/src/ledger/model/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_recent_set_forgets_its_oldest_members_only() {
+fn recent_set_evicts_only_oldest_members() {
     let mut recent = Recent::new(2);
     for n in [1, 2, 2, 3] {
         recent.insert(n);
--- a/crates/controller/src/ledger/progress/tests.rs
+++ b/crates/controller/src/ledger/progress/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_large_value_holds_a_whole_chunk_and_a_small_one_a_part_of_it() {
+fn progress_page_is_divided_only_under_small_value_limit() {
     let large = Progress::new(40_000, 8.0);
     let keys: Vec<String> = (0..3).map(|chunk| large.key(&id(), chunk)).collect();
     assert_eq!(keys, ["p/req-000001/0", "p/req-000001/1", "p/req-000001/2"]);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_record_written_under_a_larger_limit_is_overwritten_only_once_its_parts_are_stored() {
+fn oversized_progress_record_is_overwritten_only_after_parts_are_stored() {
     let mut progress = Progress::new(16_384, SMALL_VALUE_KB);
     let mut results = vec![false; 16_384];
     results[5] = true;
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_part_of_a_size_that_is_not_in_use_counts_and_is_not_overwritten() {
+fn progress_part_of_unused_size_counts_and_is_not_overwritten() {
     let mut progress = Progress::new(16_384, 8.0);
     let part = ProgressRecord::new(&[true]);
     assert_eq!(progress.learn(8_192, 8, Some(&part)).chunks_to_write, [0usize; 0]);
--- a/crates/controller/src/ledger/roster/tests.rs
+++ b/crates/controller/src/ledger/roster/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_record_too_large_for_the_new_limit_is_divided_and_no_machine_is_ever_missing() {
+fn oversized_registry_record_is_divided_without_omitting_a_machine() {
     let mut roster = Roster::new(SMALL_VALUE_KB);
     let machines: BTreeSet<String> = (0..64).map(|n| format!("m-{n:06}")).collect();
     let mut stored = BTreeMap::from([(3, machines.clone())]);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_machine_that_goes_while_it_moves_leaves_both_records() {
+fn machine_removed_while_moving_leaves_both_records() {
     let mut roster = Roster::new(SMALL_VALUE_KB);
     for n in 0..64 {
         roster.loaded(0, &format!("m-{n:06}"), 1);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_machine_that_two_records_name_after_a_crash_stays_in_one() {
+fn machine_in_two_records_after_crash_stays_in_one() {
     let mut roster = Roster::new(SMALL_VALUE_KB);
     roster.loaded(0, "m-000001", 1);
     roster.loaded(1, "m-000001", 1);
--- a/crates/controller/src/limiter/tests.rs
+++ b/crates/controller/src/limiter/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn slow_answers_lower_the_limit_and_quick_ones_raise_it() {
+fn slow_responses_lower_concurrency_limit_and_fast_ones_raise_it() {
     let limiter = Limiter::new(20);
     for _ in 0..100 {
         limiter.measured(Duration::from_secs(2));
--- a/crates/controller/src/networks/tests.rs
+++ b/crates/controller/src/networks/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn addresses_are_allowed_by_network_and_all_of_them_without_one() {
+fn address_is_allowed_if_in_a_network_or_none_is_set() {
     let networks = Networks::parse("10.0.0.0/24, fd00::/8,10.0.1.0/24").unwrap();
     assert!(networks.allow_socket("10.0.0.255:9000") && networks.allow_socket("10.0.1.7:1"));
     assert!(networks.allow_socket("[fd00::5]:9000"));
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn what_is_no_network_is_named() {
+fn invalid_network_is_rejected_by_name() {
     for wrong in ["10.0.0.0/33", "10.0.0.0/24,", "nowhere", "10.0.0/24", "fd00::/129"] {
         let part = wrong.split(',').next_back().unwrap();
         assert!(Networks::parse(wrong).unwrap_err().contains(part), "{wrong}");
--- a/crates/controller/src/records/tests.rs
+++ b/crates/controller/src/records/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn progress_bits_come_back() {
+fn progress_bits_round_trip() {
     let mut bits = vec![false; 70];
     bits[0] = true;
     bits[9] = true;
--- a/crates/controller/tests/api.rs
+++ b/crates/controller/tests/api.rs
@@ -193,10 +193,10 @@
 
 #[tokio::test]
 async fn undecidable_request_gets_503_with_retry_after() {
-    for (node, machine_types) in
+    for (role, machine_types) in
         [(Role::Leader, false), (Role::Leader, true), (Role::Follower, true)]
     {
-        let api = api(node, machine_types);
+        let api = api(role, machine_types);
         let (status, text, retry) = post(&api, "/api/jobs", JOB).await;
         assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true), "{text}");
         let (status, _, retry) = get(&api, "/api/jobs/req-000404").await;
--- a/crates/controller/tests/controller_actor.rs
+++ b/crates/controller/tests/controller_actor.rs
@@ -1,5 +1,5 @@
-//! Whole controllers (leadership, cluster state and API service) with a state service on loopback. The tests wait for events;
-//! a time limit only tells a test that would wait for ever.
+//! Whole controllers (leadership, cluster state and API service) with a state service on loopback. The tests wait
+//! for events; a time limit only ends a test that would never finish.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
--- a/crates/hookway/tests/commands.rs
+++ b/crates/hookway/tests/commands.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_job_is_cancelled_by_the_new_word_and_the_old_one() {
+fn cancel_command_and_its_withdraw_alias_are_accepted() {
     for word in ["cancel", "withdraw"] {
         let output = hookway(&[word, "--server", "127.0.0.1:1", "not-an-id"]);
         let why = String::from_utf8_lossy(&output.stderr).into_owned();
--- a/crates/hookway/tests/standby.rs
+++ b/crates/hookway/tests/standby.rs
@@ -275,15 +275,15 @@
     }
 }
 
-/// The main job: a gang is half placed when the active controller is killed; a follower places the rest.
+/// A gang is partially placed when the leader is killed; a standby places the remaining tasks.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_follower_places_the_rest_of_a_gang_when_the_active_controller_is_killed() {
+async fn standby_completes_partially_placed_gang_after_leader_is_killed() {
     let mut cluster = Cluster::start("gang").await;
     let leader = cluster.leader().await;
     // Every machine has run something, so the leader and its followers know them all.
     let first = cluster.submit(1, "array", MACHINES as u32).await;
     cluster.wait_until_done(&first).await;
-    // Half of the machines hear nothing for a while.
+    // Half of the machines are partitioned from the controllers for a while.
     let silent = MACHINES / 2..MACHINES;
     cluster.fleet.mute(silent.clone(), true);
     let gang = cluster.submit(2, "group", MACHINES as u32).await;
@@ -305,9 +305,9 @@
     cluster.wait_for_copy(next, 0).await;
 }
 
-/// Controllers that are killed, or frozen until after the takeover, while jobs go on.
+/// Controllers that are killed, or frozen until after the failover, while jobs run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn no_task_runs_twice_however_often_the_active_controller_is_killed_or_frozen() {
+async fn repeated_leader_kills_and_freezes_run_no_task_twice() {
     let takeovers: usize =
         std::env::var("HOOKWAY_TAKEOVERS").ok().and_then(|n| n.parse().ok()).unwrap_or(4);
     let mut cluster = Cluster::start("takeovers").await;
--- a/crates/policy/src/fleet/tests.rs
+++ b/crates/policy/src/fleet/tests.rs
@@ -2,7 +2,7 @@
 use crate::place::tests::{job, machine, world};
 
 #[test]
-fn machines_are_rented_for_what_finds_no_room() {
+fn unplaced_demand_scales_out() {
     let w = world(vec![job(1.0, 10)], vec![machine(0)]);
     let offers = [
         Offer { machine_type: 0, zone: 0, spot: false, price: 1.0 },
@@ -20,7 +20,7 @@
 /// Found by the model, on 2026-12-02: a gang that must spread waited for ever on a site that had idle
 /// machines in one zone only.
 #[test]
-fn a_gang_that_must_spread_gets_machines_in_the_other_zone() {
+fn spread_gang_scales_out_in_other_zone() {
     let spread = crate::JobView { zone_cap: 2, ..gang(3) };
     let w = world(vec![spread], vec![machine(0), machine(0), machine(0)]);
     let offers = [0, 1].map(|zone| Offer { machine_type: 0, zone, spot: false, price: 1.0 });
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_gang_that_must_be_together_gets_what_one_zone_lacks() {
+fn one_zone_gang_scales_out_by_missing_capacity_of_one_zone() {
     let one_zone = crate::JobView { one_zone: true, ..gang(3) };
     let w = world(vec![one_zone.clone()], vec![machine(0), machine(1), machine(1)]);
     let offers = [0, 1].map(|zone| Offer { machine_type: 0, zone, spot: false, price: 1.0 });
@@ -41,7 +41,7 @@
 
 /// An array that is bound to one zone uses what it gets there; machines elsewhere would be rented in vain.
 #[test]
-fn an_array_that_must_be_together_gets_no_machines_in_a_second_zone() {
+fn one_zone_array_does_not_scale_out_in_second_zone() {
     let offers = [1].map(|zone| Offer { machine_type: 0, zone, spot: false, price: 1.0 });
     let rented = |tasks: u32| {
         let one_zone = crate::JobView { one_zone: true, ..job(3.0, tasks) };
@@ -55,7 +55,7 @@
 /// Found by the model, on 2026-12-02 (seed 3502 in a zone that is cut off): a job failed once by bad luck, all
 /// machines died, and none was ever rented for it.
 #[test]
-fn a_job_that_failed_gets_a_machine_where_none_is_left() {
+fn failed_job_scales_out_when_no_eligible_machine_remains() {
     let doubtful = crate::JobView { doubtful: true, startable: 1, ..job(3.0, 30) };
     let offers = [Offer { machine_type: 0, zone: 0, spot: false, price: 1.0 }];
     let rented =
--- a/crates/policy/src/minimum/tests.rs
+++ b/crates/policy/src/minimum/tests.rs
@@ -2,7 +2,7 @@
 use crate::place::tests::job;
 
 #[test]
-fn the_minimum_follows_the_closed_form() {
+fn min_tasks_matches_closed_form() {
     let mut j = job(1.0, 40);
     j.running = 7;
     assert_eq!(minimum(&j, 0.0), 7, "nothing finished: the running count");
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn records_are_rewritten_on_a_change_of_a_quarter() {
+fn min_tasks_record_is_rewritten_after_change_of_one_quarter() {
     assert!(needs_rewrite(None, 3));
     assert!(!needs_rewrite(Some(8), 9));
     assert!(needs_rewrite(Some(8), 10));
--- a/crates/policy/src/order/tests.rs
+++ b/crates/policy/src/order/tests.rs
@@ -2,7 +2,7 @@
 use crate::place::tests::job;
 
 #[test]
-fn unseen_first_then_deadlines_up_to_minimums_then_leftovers() {
+fn queue_orders_new_jobs_then_deadlines_up_to_min_tasks_then_rest() {
     let due = Some(1000.0);
     let old = JobView { submitted: 1.0, due, ..job(1.0, 10) };
     let new = JobView { submitted: 2.0, due, ..job(1.0, 10) };
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn when_not_all_can_be_in_time_those_that_need_least_are() {
+fn infeasible_deadlines_favor_jobs_with_smallest_demand() {
     // Minimums 10, 8 and 2 on 10 CPUs: the first, due earliest, would make the others late.
     let jobs = vec![started(10, 10.0), started(16, 20.0), started(4, 20.0)];
     let first = |capacity| turns(&jobs, 0.0, capacity)[0].job;
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn the_jump_to_all_unfinished_tasks_does_not_take_the_room_of_jobs_that_can_be_saved() {
+fn late_job_takes_no_resources_from_jobs_that_can_meet_their_deadline() {
     // The design's weak spot: under one mean task time left, the minimum is all 100 tasks.
     let jobs = vec![started(100, 9.0), started(4, 20.0)];
     assert_eq!(minimum(&jobs[0], 0.0), 100);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn no_order_starves_what_has_waited_long() {
+fn long_waiting_job_is_not_starved() {
     // A late job, a fresh one each second that would take all there is.
     let mut late = started(500, 5.0);
     late.submitted = 0.0;
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_gang_that_can_start_in_time_goes_before_one_that_can_not_up_to_a_bound() {
+fn gang_that_can_start_in_time_precedes_late_gang_until_start_bound() {
     let gang = |submitted: f64| JobView {
         gang: true,
         submitted,
@@ -90,7 +90,7 @@
 
 /// A part of a gang that waits on machines holds them for nothing, and gives up soon.
 #[test]
-fn a_gang_that_waits_for_its_rest_goes_before_older_ones() {
+fn partially_placed_gang_precedes_older_gangs() {
     let gang = |submitted: f64, running: u32| JobView {
         gang: true,
         submitted,
--- a/crates/policy/src/place/tests.rs
+++ b/crates/policy/src/place/tests.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn one_look_at_the_machines_places_like_a_look_for_each_task() {
+fn batch_placement_equals_task_by_task_placement() {
     use rand::{RngExt, SeedableRng};
     let mut rng = rand::rngs::StdRng::seed_from_u64(7);
     for _ in 0..200 {
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_gang_starts_whole_or_not_at_all() {
+fn gang_without_resources_for_all_tasks_places_none() {
     let gang = JobView { gang: true, ..job(3.0, 3) };
     let mut w = world(vec![gang.clone()], vec![machine(0), machine(1)]);
     assert_eq!(place(&mut w).placements, []);
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn together_stays_in_one_zone_and_spread_does_not() {
+fn one_zone_job_stays_in_one_zone_and_spread_job_within_zone_cap() {
     let one_zone = JobView { one_zone: true, gang: true, ..job(3.0, 2) };
     let mut w = world(vec![one_zone], vec![machine(0), machine(1), machine(1)]);
     assert_eq!(place(&mut w).placements[0].machines, [1, 2]);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn quotas_zones_and_kinds_are_kept() {
+fn placement_respects_quota_zone_and_spot_constraints() {
     let mut w = world(vec![job(1.0, 10)], vec![machine(0), machine(1)]);
     w.teams[0].limit = (3.0, 0.0);
     assert_eq!(place(&mut w).placements.iter().map(|p| p.machines.len()).sum::<usize>(), 3);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn arrays_do_not_starve_a_gang_of_its_teams_limit_or_of_room() {
+fn array_leaves_quota_and_resources_to_waiting_gang() {
     // The limit: 4 of 6 CPUs are in use, the gang needs 4; the array must not take the rest.
     let gang = JobView { gang: true, ..job(2.0, 2) };
     let array = JobView { running: 4, finished: 1, mean: Some(9.0), ..job(1.0, 50) };
@@ -183,14 +183,14 @@
 }
 
 #[test]
-fn machines_that_hold_the_image_are_preferred() {
+fn placement_prefers_machine_with_cached_image() {
     let warm = MachineView { images: vec![1], ..machine(1) };
     let mut w = world(vec![job(1.0, 1)], vec![machine(0), warm]);
     assert_eq!(place(&mut w).placements[0].machines, [1]);
 }
 
 #[test]
-fn arrays_leave_machines_that_gangs_need_to_them_while_others_have_room() {
+fn array_avoids_machines_that_gangs_need_while_others_have_resources() {
     let mut large = machine(0);
     large.total = Room { cpus: 32.0, gpus: 0.0, ram: 64.0 };
     large.free = large.total;
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_gang_waits_for_machines_being_cleared_only_if_all_of_them_hold_its_image() {
+fn gang_waits_for_draining_machines_only_if_all_have_its_image() {
     let gang = JobView { gang: true, ..job(3.0, 2) };
     let kept = |images: Vec<u32>, free: f64| {
         let mut h = MachineView { images, kept_for: Some(0), ..machine(0) };
@@ -222,7 +222,7 @@
 /// Capacity is not published: a gang can be accepted that no machines will ever hold. Its team's limit
 /// must not be set aside for it for ever.
 #[test]
-fn a_gang_that_no_machines_could_hold_keeps_nothing_from_its_team_for_long() {
+fn infeasible_gang_stops_reserving_team_quota_after_time_limit() {
     let gang = JobView { gang: true, ..job(4.0, 3) };
     let array = JobView { running: 2, finished: 1, mean: Some(9.0), ..job(1.0, 50) };
     let at = |now: f64, machines: Vec<MachineView>| {
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn what_can_never_run_is_told() {
+fn infeasible_request_is_rejected() {
     let team = TeamView { limit: (4.0, 0.0), ..TeamView::default() };
     let room = |cpus| Room { cpus, gpus: 0.0, ram: 1.0 };
     assert!(fits_somewhere(&[true], &room(3.0), 1, &team).is_ok());
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn no_machine_is_kept_for_a_gang_whose_room_daemons_hold_for_good() {
+fn no_machine_is_reserved_for_gang_blocked_by_daemons() {
     let daemon =
         JobView { daemon: true, priority: Priority::Production, startable: 0, ..job(1.0, 4) };
     let gang = JobView { gang: true, zone_cap: 1, ..job(4.0, 2) };
--- a/crates/policy/src/preempt/tests.rs
+++ b/crates/policy/src/preempt/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn higher_rank_pushes_aside_the_cheapest_lower_rank() {
+fn higher_priority_preempts_cheapest_lower_priority_tasks() {
     let gang = JobView { gang: true, priority: Priority::High, ..job(3.0, 1) };
     let mut w = world(vec![gang, job(1.0, 8)], vec![full(1, 30.0), full(1, 3.0)]);
     w.now = 10.0;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn nothing_more_is_stopped_while_machines_are_being_cleared() {
+fn no_further_preemption_while_machines_are_draining() {
     let gang = JobView { gang: true, priority: Priority::High, ..job(3.0, 1) };
     let mut w = world(vec![gang, job(1.0, 8)], vec![full(1, 30.0), full(1, 3.0)]);
     w.now = 10.0;
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_guarantee_takes_back_what_others_borrow() {
+fn guaranteed_quota_preempts_borrowing_tasks() {
     let mine = JobView { team: 1, ..job(1.0, 1) };
     let mut w = world(vec![mine, job(1.0, 8)], vec![full(1, 3.0)]);
     w.now = 10.0;
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn backfill_that_has_had_its_turn_makes_room_for_arrays_with_a_deadline() {
+fn deadline_array_preempts_backfill_after_its_minimum_runtime() {
     let backfill = JobView { saves: true, save_time: 3.0, priority: Priority::Low, ..job(1.0, 8) };
     let urgent = JobView { due: Some(20.0), estimate: 10.0, ..job(1.0, 3) };
     let victims = |w: &World| evict(w).iter().map(|e| e.victims.len()).sum::<usize>();
--- a/crates/replication/tests/following.rs
+++ b/crates/replication/tests/following.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_follower_has_every_change_in_the_leaders_order() {
+fn follower_applies_every_entry_in_leader_order() {
     let mut publisher = leader(3);
     let mut follower = follower();
     catch_up(&mut follower, &mut publisher, 0);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_follower_that_the_log_does_not_reach_gets_an_image_and_then_the_rest() {
+fn follower_behind_log_gets_image_then_remaining_entries() {
     let mut publisher = leader(1);
     let mut follower = follower();
     catch_up(&mut follower, &mut publisher, 0);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_transfer_that_the_log_has_left_behind_begins_anew() {
+fn image_transfer_behind_log_restarts() {
     let mut publisher = leader(2_000);
     let mut follower = follower();
     assert_eq!(exchange(&mut follower, &mut publisher, 0), Ok(Progress::Piece));
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn what_one_message_does_not_hold_comes_with_the_next() {
+fn entries_beyond_message_limit_follow_in_next_message() {
     let mut publisher = leader(1);
     let mut follower = follower();
     catch_up(&mut follower, &mut publisher, 0);
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn an_index_at_the_end_of_all_numbers_is_refused() {
+fn maximum_log_index_is_rejected() {
     let end = Position { term: TERM, index: u64::MAX };
     let mut follower = follower();
     // The image of an empty state, said to be made there.
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn late_doubled_and_lost_answers_change_nothing_and_cost_no_image() {
+fn delayed_duplicated_or_lost_responses_cause_no_image_transfer() {
     let mut publisher = leader(2);
     let mut follower = follower();
     catch_up(&mut follower, &mut publisher, 0);
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn pieces_that_come_twice_or_late_change_nothing() {
+fn duplicated_or_delayed_image_pieces_change_no_state() {
     let mut publisher = leader(3_000);
     let mut follower = follower();
     let first = publisher.answer(&follower.request(), 0).expect("an answer");
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn entries_of_a_deposed_leader_are_refused_and_change_nothing() {
+fn entries_of_deposed_leader_are_rejected_without_state_change() {
     let mut old = leader(2);
     let mut follower = follower();
     catch_up(&mut follower, &mut old, 0);
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn a_term_that_the_state_service_does_not_know_is_refused_and_forgotten() {
+fn term_unknown_to_state_service_is_rejected_and_discarded() {
     let mut publisher = leader(1);
     let mut follower = follower();
     catch_up(&mut follower, &mut publisher, 0);
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn a_copy_that_differs_is_found_named_and_replaced() {
+fn diverged_copy_is_detected_reported_and_replaced() {
     let mut publisher = leader(40);
     let mut follower = follower();
     catch_up(&mut follower, &mut publisher, 0);
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn entries_that_fit_no_copy_are_refused() {
+fn entries_that_do_not_apply_to_copy_are_rejected() {
     let mut publisher = leader(2);
     let gone = |name: &str| Entry::MachineGone { name: name.into() };
     let task = || Entry::TaskGone { machine: "m-0".into(), task: "req-9/9".into(), attempt: 3 };
@@ -314,7 +314,7 @@
 }
 
 #[test]
-fn pieces_that_give_no_image_are_refused_by_name() {
+fn invalid_image_pieces_are_rejected_with_named_error() {
     let mut publisher = leader(2);
     let answer = publisher.answer(&follower().request(), 0).expect("an answer");
     let FollowBody::Piece(sound) = answer.body else { panic!("an image") };
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn bytes_with_the_right_digest_that_are_no_state_are_refused() {
+fn undecodable_state_with_valid_digest_is_rejected() {
     // The digest is of the bytes; that they are a state is another matter.
     let bytes = vec![0xff; 64];
     let digest = xxhash_rust::xxh3::xxh3_64(&bytes);
@@ -341,7 +341,7 @@
 }
 
 #[test]
-fn a_copy_helps_only_a_later_term_and_only_while_it_is_fresh() {
+fn copy_is_usable_only_for_later_term_and_while_fresh() {
     let mut publisher = leader(2);
     let mut follower = follower();
     assert_eq!(follower.usable(TERM + 1, 0), Err(Unusable::Empty), "restarted a moment ago");
@@ -356,7 +356,7 @@
 }
 
 #[test]
-fn an_image_that_is_half_transferred_leaves_the_copy_before_it_whole() {
+fn partial_image_transfer_keeps_previous_copy() {
     let mut old = leader(3);
     let mut follower = follower();
     catch_up(&mut follower, &mut old, 0);
@@ -367,7 +367,7 @@
     }
     follower.learn_term(2 * TERM);
     assert_eq!(exchange(&mut follower, &mut new, 10), Ok(Progress::Piece));
-    // The new leader dies amid its image: the next one has the copy of the leader before.
+    // The new leader crashes during its image transfer: the next one has the copy of the leader before.
     let usable = follower.usable(3 * TERM, 20).expect("the older copy");
     assert_eq!(usable.machines.len(), 3);
     follower.learn_term(3 * TERM);
@@ -375,7 +375,7 @@
 }
 
 #[test]
-fn digests_tell_every_field_apart() {
+fn digest_differs_for_every_field() {
     let state = leader(1).state().clone();
     let digest = |state: &hookway_replication::ReplicatedState| {
         (0..constants::REPLICATION_DIGEST_RANGES)
--- a/crates/replication/tests/promotion.rs
+++ b/crates/replication/tests/promotion.rs
@@ -1,4 +1,4 @@
-//! The steps of a takeover: none without its proof.
+//! The phases of a failover: none without its proof.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_replication::{Event, FailureDetector, Phase, Promotion, Refused, Step};
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_takeover_goes_through_every_step_and_is_measured() {
+fn failover_passes_every_phase_and_records_durations() {
     let mut promotion = Promotion::default();
     promotion.on(Event::LeaderHeard, 1_000).expect("allowed");
     assert_eq!(promotion.on(Event::Silence, 2_500), Ok(Step::Look));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn suspicion_alone_leads_to_no_decision_and_ends_with_a_sign_of_life() {
+fn suspicion_permits_no_decision_and_ends_when_leader_is_heard() {
     let mut promotion = Promotion::default();
     promotion.on(Event::Silence, 100).expect("allowed");
     assert_eq!(promotion.on(Event::Silence, 200), Ok(Step::Stay), "it has just looked");
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn records_that_were_read_before_the_election_or_in_another_term_prove_nothing() {
+fn records_read_before_election_or_in_other_term_are_rejected() {
     let mut promotion = Promotion::default();
     promotion.on(Event::LeaseEnded, 50).expect("allowed");
     assert_eq!(promotion.on(Event::RecordsRead { term: 4 }, 60), Err(Refused::OldRecords(4)));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_election_for_a_term_that_is_not_later_is_refused() {
+fn election_for_non_increasing_term_is_rejected() {
     let mut promotion = elected(8);
     promotion.on(Event::Deposed, 7_000).expect("allowed");
     promotion.learn_term(20);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_leader_that_is_deposed_decides_nothing_more_and_follows() {
+fn deposed_leader_makes_no_decision_and_follows() {
     let mut promotion = elected(4);
     promotion.on(Event::RecordsRead { term: 4 }, 6_200).expect("allowed");
     assert!(promotion.may_decide(4));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_detector_judges_by_the_pauses_that_it_measured() {
+fn failure_detector_threshold_follows_measured_intervals() {
     let mut detector = FailureDetector::default();
     assert!(!detector.suspects(60_000), "nothing was measured");
     for n in 0..20 {
--- a/crates/wire/src/job/tests.rs
+++ b/crates/wire/src/job/tests.rs
@@ -6,7 +6,7 @@
      "GuessS":240.0,"SnapshotEveryS":30.0,"SnapshotS":4.0,"DueS":900.0}"#;
 
 #[test]
-fn a_good_job_is_read_and_null_may_be_missing() {
+fn valid_job_parses_and_nullable_fields_may_be_absent() {
     let job = JobSpec::parse(GOOD.as_bytes()).unwrap();
     assert_eq!((job.tasks, job.priority, job.kind), (16, Priority::High, JobKind::Gang));
     let daemon = GOOD.replace("\"group\"", "\"daemon\"");
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn bad_jobs_are_refused_with_a_reason() {
+fn invalid_job_is_rejected_with_reason() {
     for (from, to) in [
         ("req-000412", "job-1"),
         ("\"Pieces\":16", "\"Pieces\":0"),
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_state_is_shown_as_the_protocol_spells_it() {
+fn job_state_is_displayed_in_wire_spelling() {
     for state in [JobState::Queued, JobState::Running, JobState::Done, JobState::Cancelled] {
         assert_eq!(serde_json::to_value(state).unwrap(), state.to_string());
     }
--- a/crates/wire/src/worker/tests.rs
+++ b/crates/wire/src/worker/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn orders_and_reports_look_as_the_protocol_says() {
+fn commands_and_heartbeats_have_the_wire_format() {
     let run = Command::Run { task: "req-000412/4".into(), attempt: 2 };
     let text = serde_json::to_string(&run).unwrap();
     assert_eq!(text, r#"{"Verb":"run","Piece":"req-000412/4","Try":2}"#);
