--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -244,7 +244,7 @@
             at.monotonic,
         );
         let mut cluster = Self {
-            config: config,
+            config,
             term,
             next_attempt: 0,
             next_request: 0,
--- a/crates/controller/tests/node.rs
+++ b/crates/controller/tests/controller_actor.rs
@@ -1,5 +1,5 @@
-//! Whole nodes (leadership, ledger and desk) against a state service on loopback. The tests wait for events;
-//! a time limit only tells a test that would wait for ever.
+//! Whole controllers (leadership, cluster state and API service) with a state service on loopback. The tests wait
+//! for events; a time limit only ends a test that would never finish.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
@@ -31,13 +31,18 @@
 const NOWHERE: &str = "127.0.0.1:1";
 
 /// A running controller.
-struct Controller {
-    api: Arc<ApiService>,
+struct RunningController {
+    api_service: Arc<ApiService>,
     view: watch::Receiver<LeadershipView>,
 }
 
-/// Starts a controller; `stands`: it seeks the leadership.
-async fn start(label: &str, store: &str, siblings: &[(&str, &str)], stands: bool) -> Controller {
+/// Starts a controller; `campaigns`: it seeks the leadership.
+async fn start(
+    label: &str,
+    store: &str,
+    siblings: &[(&str, &str)],
+    campaigns: bool,
+) -> RunningController {
     let settings = Settings::parse(SETTINGS).expect("sound settings");
     let client = || StoreClient::new(store, 1_000.0);
     let (view_tx, view) = watch::channel(LeadershipView::default());
@@ -49,7 +54,7 @@
     let addresses: HashMap<String, String> =
         siblings.iter().map(|(l, a)| ((*l).to_owned(), (*a).to_owned())).collect();
     let stores = StoreClients { submissions: client(), queries: client() };
-    let api = Arc::new(ApiService::new(
+    let api_service = Arc::new(ApiService::new(
         settings.platform.clone(),
         label.into(),
         stores,
@@ -75,7 +80,7 @@
         leadership_lost: doubt.clone(),
         machine_types: machine_types_rx,
         requests: asks,
-        final_states: api.final_states.clone(),
+        final_states: api_service.final_states.clone(),
         stepped_down_at: std::cell::Cell::new(None),
         shard_lessee: std::cell::RefCell::new(ShardLessee::new(label, 1, 1_000)),
         standby: std::cell::RefCell::new(Standby::new(label, true, signals.clone())),
@@ -84,7 +89,7 @@
         node.run().await;
         drop(machine_types_tx);
     });
-    if stands {
+    if campaigns {
         let leadership = Leadership {
             controller_name: label.into(),
             store: client(),
@@ -100,7 +105,7 @@
     } else {
         std::mem::forget(view_tx);
     }
-    Controller { api, view }
+    RunningController { api_service, view }
 }
 
 async fn within<T>(work: impl Future<Output = T>) -> T {
@@ -108,15 +113,15 @@
 }
 
 /// Accepts the job and waits until the leader knows it.
-async fn accepted(one: &mut Controller) -> JobId {
+async fn accepted(one: &mut RunningController) -> JobId {
     one.view.wait_for(|v| v.own_term.is_some()).await.expect("the actor lives");
-    let verdict = one.api.submit(JOB.as_bytes(), false).await;
+    let verdict = one.api_service.submit(JOB.as_bytes(), false).await;
     assert!(matches!(verdict, RequestOutcome::Accepted(_)), "{verdict:?}");
     let id = JobId::parse("req-000412").expect("an id");
-    // Its ledger has been loaded.
+    // Its cluster state has been loaded.
     let known = async || {
         let (reply, answer) = oneshot::channel();
-        one.api
+        one.api_service
             .controller
             .send(ControllerRequest::Status(id.clone(), reply))
             .await
@@ -129,24 +134,24 @@
     id
 }
 
-/// What can't be decided now is answered at once, not held until the state service is back: the user's
-/// request waited for its time limit during each outage.
+/// A request that can't be decided now is answered at once, not held until the state service is back: users waited
+/// for the full time limit during each outage.
 #[tokio::test]
-async fn a_cancellation_that_can_not_become_durable_is_answered_at_once() {
+async fn cancellation_without_state_service_is_answered_at_once() {
     let work = async {
         let server = StoreServer::default();
         let address = server.start().await.expect("a free port");
         let mut one = start("one", &address, &[], true).await;
         let id = accepted(&mut one).await;
         server.refuse(true);
-        let verdict = within(one.api.cancel(&id, false)).await;
+        let verdict = within(one.api_service.cancel(&id, false)).await;
         assert!(matches!(verdict, RequestOutcome::Unavailable(_)), "{verdict:?}");
         assert!(server.with(|store| store.get(&final_state_key(&id))).is_none());
         server.refuse(false);
-        // The decision stayed in the queue; whoever asks again hears of it.
+        // The decision stayed in the queue; whoever asks again learns the outcome.
         let told = within(async {
             loop {
-                if let RequestOutcome::Known(told) = one.api.cancel(&id, false).await {
+                if let RequestOutcome::Known(told) = one.api_service.cancel(&id, false).await {
                     break told;
                 }
             }
@@ -157,30 +162,30 @@
     LocalSet::new().run_until(work).await;
 }
 
-/// Cancellations are facts: whoever makes one durable tells the others, so that a holder that can't reach the
-/// state service stops the job's tasks.
+/// A durable cancellation is final: the controller that committed it tells the others, so that a shard lessee that
+/// can't reach the state service stops the job's tasks.
 #[tokio::test]
-async fn a_durable_cancellation_is_told_to_the_other_controllers() {
+async fn durable_cancellation_is_sent_to_other_controllers() {
     let work = async {
         let server = StoreServer::default();
         let address = server.start().await.expect("a free port");
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let there = listener.local_addr().expect("bound").to_string();
-        // The other one is refused by the state service.
+        // The other controller is refused by the state service.
         let two = start("two", NOWHERE, &[], false).await;
-        tokio::spawn(peers::serve(listener, two.api.clone(), Networks::default()));
+        tokio::spawn(peers::serve(listener, two.api_service.clone(), Networks::default()));
         let mut one = start("one", &address, &[("two", &there)], true).await;
         let id = accepted(&mut one).await;
-        assert!(!two.api.final_states.contains(&id));
-        let verdict = within(one.api.cancel(&id, false)).await;
+        assert!(!two.api_service.final_states.contains(&id));
+        let verdict = within(one.api_service.cancel(&id, false)).await;
         assert!(matches!(verdict, RequestOutcome::Known(_)), "{verdict:?}");
         within(async {
-            while !two.api.final_states.contains(&id) {
+            while !two.api_service.final_states.contains(&id) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         })
         .await;
-        let RequestOutcome::Known(told) = two.api.status(&id, false).await else {
+        let RequestOutcome::Known(told) = two.api_service.status(&id, false).await else {
             panic!("it knows the end without the state service")
         };
         assert_eq!(told.state, JobState::Cancelled);
@@ -189,9 +194,9 @@
 }
 
 /// A controller that the state service refuses alone serves its users through the others, whether one of them
-/// leads or nobody does: its users would be told nothing for as long as it lasts.
+/// leads or nobody does: otherwise its users would get no answer meanwhile.
 #[tokio::test]
-async fn users_of_a_controller_that_the_store_refuses_are_answered_through_the_others() {
+async fn controller_refused_by_state_service_answers_users_through_peers() {
     let work = async {
         let server = StoreServer::default();
         let address = server.start().await.expect("a free port");
@@ -199,22 +204,22 @@
         let there = listener.local_addr().expect("bound").to_string();
         // Nobody leads at first.
         let two = start("two", &address, &[], false).await;
-        tokio::spawn(peers::serve(listener, two.api.clone(), Networks::default()));
+        tokio::spawn(peers::serve(listener, two.api_service.clone(), Networks::default()));
         let one = start("one", NOWHERE, &[("two", &there)], false).await;
         let first = JobId::parse("req-000412").expect("an id");
-        let verdict = within(one.api.submit(JOB.as_bytes(), false)).await;
+        let verdict = within(one.api_service.submit(JOB.as_bytes(), false)).await;
         assert!(matches!(verdict, RequestOutcome::Accepted(_)), "{verdict:?}");
-        let verdict = within(one.api.status(&first, false)).await;
+        let verdict = within(one.api_service.status(&first, false)).await;
         assert!(matches!(verdict, RequestOutcome::Known(told) if told.state == JobState::Queued));
-        let verdict = within(one.api.cancel(&first, false)).await;
+        let verdict = within(one.api_service.cancel(&first, false)).await;
         assert!(
             matches!(verdict, RequestOutcome::Known(told) if told.state == JobState::Cancelled)
         );
         let absent = JobId::parse("req-000999").expect("an id");
-        assert_eq!(within(one.api.status(&absent, false)).await, RequestOutcome::NotFound);
+        assert_eq!(within(one.api_service.status(&absent, false)).await, RequestOutcome::NotFound);
         // While the state service is away for all, nobody knows.
         server.refuse(true);
-        let verdict = within(one.api.status(&absent, false)).await;
+        let verdict = within(one.api_service.status(&absent, false)).await;
         assert!(matches!(verdict, RequestOutcome::Unavailable(_)), "{verdict:?}");
     };
     LocalSet::new().run_until(work).await;
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -74,7 +74,7 @@
 fn status(state: JobState) -> JobStatus {
     JobStatus {
         id: id(),
-        state: state,
+        state,
         done: 3,
         running: 13,
         team: Some("vision".into()),
--- /dev/null
+++ b/crates/controller/tests/simulation/mod.rs
@@ -0,0 +1,258 @@
+//! A simulated cluster: controllers, machines, users, a state service and the network between them.
+//!
+//! Messages are delayed, lost, duplicated and reordered. Controllers are killed, frozen, partitioned from the state
+//! service, from one another or from workers, or refused by the state service alone. The state service has outages
+//! and restores its leases. Zones and machines are partitioned, machines hang, lose one direction of their network,
+//! fail and return. Every start and every response to a user is checked against the invariants.
+#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+
+mod commits;
+mod controllers;
+mod counts;
+mod dispatch;
+mod faults;
+mod gangs;
+mod leases;
+mod machines;
+mod messages;
+mod network;
+mod scenarios;
+mod standbys;
+mod users;
+
+use controllers::{Controller, Version};
+pub use counts::EventCounts;
+use hookway_testkit::MemoryStore;
+use hookway_wire::{JobId, JobSpec, Transaction};
+use machines::Machine;
+use messages::{Message, Reply};
+use rand::rngs::StdRng;
+use rand::{RngExt, SeedableRng};
+pub use scenarios::FaultScenario;
+use scenarios::ScheduledScenario;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The end of all faults, ms.
+pub const FAULTS_END_AT: u64 = 200_000;
+/// Start of the rolling upgrade, ms: while faults are injected.
+const UPGRADE_AT: u64 = 40_000;
+/// Time between the upgrades of two controllers, ms.
+const UPGRADE_EVERY: u64 = 10_000;
+/// Every replica of every daemon runs by then, ms.
+pub const REPLICAS_AT: u64 = FAULTS_END_AT + 60_000;
+/// Every job must have finished by then, ms. A team at its quota of four tasks may have a dozen of 90 s
+/// queued.
+pub const END_AT: u64 = 1_200_000;
+const STEP: u64 = 100;
+/// Time limit of a heartbeat, ms (protocol).
+const HEARTBEAT_TIMEOUT: u64 = 4_000;
+const HEARTBEAT_EVERY: u64 = 2_000;
+/// The controllers with their zones. Two share one.
+const CONTROLLERS: [(&str, &str); 3] = [("one", "a"), ("two", "b"), ("three", "a")];
+const ZONES: [&str; 2] = ["a", "b"];
+
+/// The leader's record in the state service.
+struct StoredLead {
+    controller: usize,
+    term: u64,
+    until: u64,
+}
+
+/// The states of a job that users have been told.
+#[derive(Default)]
+struct ReportedState {
+    accepted: bool,
+    done: bool,
+    cancelled_at: Option<u64>,
+}
+
+/// A simulated cluster with its users, network, state service and cloud.
+pub struct Simulation {
+    rng: StdRng,
+    now: u64,
+    store: MemoryStore,
+    lead: Option<StoredLead>,
+    next_term: u64,
+    outage_until: u64,
+    zone_partitioned_until: [u64; ZONES.len()],
+    controllers: Vec<Controller>,
+    machines: Vec<Machine>,
+    queue: BTreeMap<(u64, u64), Message>,
+    sent: u64,
+    /// Rate of leader faults: low on some days, so that terms are long.
+    leader_fault_rate: u32,
+    scenario: Option<ScheduledScenario>,
+    /// Most jobs are gangs, and leaders fail while one is partially placed.
+    standby_scenario: bool,
+    /// One-way partitions between controllers are injected.
+    one_way_partitions: bool,
+    pub jobs: Vec<JobSpec>,
+    reported: BTreeMap<JobId, ReportedState>,
+    done: BTreeSet<String>,
+    /// Replicas that were recently on a machine.
+    replicas_seen: BTreeSet<String>,
+    pub counts: EventCounts,
+}
+
+/// Jobs that fail on every machine until their users cancel them.
+fn always_fails(id: &str) -> bool {
+    id.bytes().next_back().is_some_and(|b| b == b'5')
+}
+
+fn zone_number(zone: &str) -> usize {
+    ZONES.iter().position(|z| *z == zone).expect("a zone")
+}
+
+impl Simulation {
+    pub fn new(seed: u64) -> Self {
+        let controllers =
+            (0..CONTROLLERS.len()).map(|n| Controller::new(n, Version::Old, n as u64, 0)).collect();
+        Self {
+            rng: StdRng::seed_from_u64(seed),
+            now: 0,
+            store: MemoryStore::default(),
+            lead: None,
+            next_term: 1,
+            outage_until: 0,
+            zone_partitioned_until: [0; ZONES.len()],
+            controllers,
+            machines: (1..=6).map(|n| Machine::new(n, 0)).collect(),
+            queue: BTreeMap::new(),
+            sent: 0,
+            scenario: None,
+            standby_scenario: false,
+            one_way_partitions: false,
+            leader_fault_rate: if seed.is_multiple_of(2) { 20 } else { 4 },
+            jobs: Vec::new(),
+            reported: BTreeMap::new(),
+            done: BTreeSet::new(),
+            replicas_seen: BTreeSet::new(),
+            counts: EventCounts::default(),
+        }
+    }
+
+    /// A day on which all controllers follow the leader from the beginning, most jobs are gangs, and leaders
+    /// often fail while a gang is partially placed.
+    pub fn with_standbys(seed: u64) -> Self {
+        let mut simulation = Self::new(seed);
+        simulation.controllers =
+            (0..CONTROLLERS.len()).map(|n| Controller::new(n, Version::New, n as u64, 0)).collect();
+        simulation.standby_scenario = true;
+        simulation.leader_fault_rate = 4;
+        simulation
+    }
+
+    /// The same, with one-way partitions between controllers.
+    pub fn with_one_way_partitions(seed: u64) -> Self {
+        Self { one_way_partitions: true, ..Self::with_standbys(seed) }
+    }
+
+    /// A day with one scenario of concurrent faults and no other fault of controllers or zones.
+    pub fn with_scenario(kind: FaultScenario, seed: u64) -> Self {
+        let mut simulation = Self::new(seed);
+        let at = simulation.span(45_000, 60_000);
+        simulation.scenario = Some(ScheduledScenario { kind, at, leader: 0, away_at: 0 });
+        simulation
+    }
+
+    /// Whether the job's tasks run for longer than the cancellation limit.
+    fn long(&self, id: &str) -> bool {
+        self.scenario.is_some() || id.bytes().next_back().is_some_and(|b| b == b'3' || b == b'8')
+    }
+
+    fn chance(&mut self, per_mille: u32) -> bool {
+        self.now < FAULTS_END_AT && self.rng.random_range(0..1000) < per_mille
+    }
+
+    fn span(&mut self, from: u64, to: u64) -> u64 {
+        self.rng.random_range(from..to)
+    }
+
+    /// Expires the leases in the state service, except during its outages.
+    fn expire_store_leases(&mut self) {
+        let now = self.now;
+        if now < self.outage_until {
+            return;
+        }
+        if self.outage_until > 0 && now < self.outage_until + STEP {
+            // After an outage every lease gets its full duration again.
+            if let Some(lead) = &mut self.lead {
+                lead.until = now + hookway_constants::LEADER_TTL_MS;
+            }
+        }
+        if self.lead.as_ref().is_some_and(|l| now >= l.until) {
+            self.end_lead();
+        }
+        if self.chance(1) && self.rng.random_range(0..2) == 0 {
+            self.outage_until = now + self.span(1_000, 64_000);
+        }
+    }
+
+    fn end_lead(&mut self) {
+        self.lead = None;
+        let gone = hookway_wire::Operation::delete(hookway_controller::records::LEADER_KEY);
+        let _ = self.store.commit(&Transaction { preconditions: vec![], operations: vec![gone] });
+    }
+
+    pub fn run(&mut self) {
+        while self.now < END_AT && !self.finished() {
+            self.now += STEP;
+            self.inject_faults();
+            self.expire_store_leases();
+            self.submit();
+            while let Some(entry) = self.queue.first_entry()
+                && entry.key().0 <= self.now
+            {
+                let message = entry.remove();
+                self.deliver(message);
+            }
+            for m in 0..self.machines.len() {
+                self.run_machine(m);
+            }
+            if self.chance(2) {
+                // A machine fails with all of its tasks.
+                let m = self.rng.random_range(0..self.machines.len());
+                self.machines[m].dead = true;
+            }
+            for n in 0..CONTROLLERS.len() {
+                self.run_controller(n);
+            }
+            self.check_replicas();
+            self.query_and_cancel();
+            self.check_cancelled();
+        }
+    }
+
+    /// The faults have ended, every job has finished, and no machine has a task.
+    fn finished(&self) -> bool {
+        self.now > FAULTS_END_AT
+            && self.now.is_multiple_of(5_000)
+            && self.jobs.iter().all(|j| self.has_final_state(&j.id))
+            && self.machines.iter().all(|m| m.dead || m.worker.live().is_empty())
+    }
+
+    /// The final state, to investigate a failure.
+    pub fn describe(&self, id: &JobId) -> String {
+        let spec = self.jobs.iter().find(|j| j.id == *id);
+        let of_job = |t: &&String| t.starts_with(id.as_str());
+        let mut text = format!("{spec:?}\ndone: {}", self.done.iter().filter(of_job).count());
+        for machine in self.machines.iter().filter(|m| !m.dead) {
+            let zone = machine.worker.zone();
+            text += &format!("\n{} in {zone}: {:?}", machine.name, machine.worker.live());
+        }
+        for (controller, (label, zone)) in self.controllers.iter().zip(CONTROLLERS) {
+            let leader = controller
+                .leader
+                .as_ref()
+                .map(|l| (l.cluster.summary(self.now).to_string(), l.cluster.reconciled(self.now)));
+            let known = controller.leader.as_ref().map(|l| l.cluster.status(id));
+            text += &format!("\n{label} in {zone}: {leader:?} {known:?}");
+        }
+        text
+    }
+
+    /// Whether the state service has the final state of a job.
+    pub fn has_final_state(&self, id: &JobId) -> bool {
+        self.store.get(&hookway_controller::records::final_state_key(id)).is_some()
+    }
+}
