--- /dev/null
+++ b/crates/hookway/tests/docs.rs
@@ -0,0 +1,73 @@
+//! Pages that name tests name tests that exist.
+//!
+//! In docs/safety.md a word in backquotes that is written in lower case with at least three underscores counts as the
+//! name of a test: tests are named by a condition and what is expected, functions and settings by two or three words
+//! (`take_pushes`, `leader_lease_s`). Paths (`Ledger::kept_alive`) and constants (`TOKENS_PER_TERM`) don't count.
+#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+
+use std::collections::BTreeSet;
+use std::path::{Path, PathBuf};
+
+const LEAST_UNDERSCORES: usize = 3;
+
+fn root() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
+}
+
+/// Whether a word in backquotes is meant as the name of a test.
+fn names_a_test(word: &str) -> bool {
+    let lower = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '_';
+    word.chars().all(lower) && word.matches('_').count() >= LEAST_UNDERSCORES
+}
+
+/// The tests that a page names. Backquotes come in pairs, so every second part is between two.
+fn tests_named_in(page: &str) -> BTreeSet<&str> {
+    page.split('`').skip(1).step_by(2).filter(|word| names_a_test(word)).collect()
+}
+
+/// Adds the names of the functions that carry a test attribute, in all Rust files below a folder.
+fn collect_tests(folder: &Path, found: &mut BTreeSet<String>) {
+    for entry in std::fs::read_dir(folder).expect("a folder") {
+        let path = entry.expect("an entry").path();
+        if path.is_dir() {
+            collect_tests(&path, found);
+        } else if path.extension().is_some_and(|extension| extension == "rs") {
+            found.extend(tests_in(&std::fs::read_to_string(&path).expect("a source file")));
+        }
+    }
+}
+
+/// The names of the functions with `#[test]` or `#[tokio::test]` before them, other attributes between.
+fn tests_in(source: &str) -> Vec<String> {
+    let mut found = Vec::new();
+    let mut is_test = false;
+    for line in source.lines().map(str::trim) {
+        if line.starts_with("#[test]") || line.starts_with("#[tokio::test") {
+            is_test = true;
+        } else if let Some((_, rest)) = line.split_once("fn ") {
+            let name = rest.split(['(', '<']).next().unwrap_or_default();
+            found.extend(is_test.then(|| name.to_owned()));
+            is_test = false;
+        }
+    }
+    found
+}
+
+#[test]
+fn every_test_that_the_safety_page_names_exists() {
+    let page = std::fs::read_to_string(root().join("docs/safety.md")).expect("the page");
+    let named = tests_named_in(&page);
+    assert!(!named.is_empty(), "the page names no test that this finds");
+    let mut tests = BTreeSet::new();
+    collect_tests(&root().join("crates"), &mut tests);
+    let missing: Vec<&str> = named.into_iter().filter(|name| !tests.contains(*name)).collect();
+    assert!(missing.is_empty(), "docs/safety.md names tests that don't exist: {missing:#?}");
+}
+
+#[test]
+fn only_long_snake_case_words_in_backquotes_count_as_tests() {
+    let page = "(`a_lost_answer_is_read_again`, `take_pushes`; `Ledger::a_b_c_d`)\n`A_B_C_D` e_f_g_h `leader_lease_s`";
+    assert_eq!(tests_named_in(page), BTreeSet::from(["a_lost_answer_is_read_again"]));
+    let source = "#[test]\nfn one() {}\nfn helper() {}\n#[tokio::test(start_paused = true)]\nasync fn two() {}\n";
+    assert_eq!(tests_in(source), ["one", "two"]);
+}
