--- a/crates/hookway/tests/command_line.rs
+++ b/crates/hookway/tests/command_line.rs
@@ -3,7 +3,7 @@
 
 use hookway_testkit::SETTINGS;
 use std::io::{Read, Write};
-use std::net::TcpListener;
+use std::net::{Shutdown, TcpListener};
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
@@ -57,6 +57,9 @@
             "HTTP/1.1 {status} -\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n{body}"
         )
         .expect("it listens");
+        // A socket that is closed with bytes unread may take its answer along.
+        stream.shutdown(Shutdown::Write).expect("it listens");
+        std::io::copy(&mut stream, &mut std::io::sink()).expect("the other side closes");
         let text = String::from_utf8_lossy(&bytes[..read]).into_owned();
         text.lines().next().unwrap_or_default().to_owned()
     });
