--- a/crates/controller/src/cluster_state/autoscaling.rs
+++ b/crates/controller/src/cluster_state/autoscaling.rs
@@ -11,9 +11,9 @@
 /// Something to ask of the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ScalingAction {
-    /// Rent; the answer goes to [`ClusterState::rented`].
+    /// Rent; the answer goes to [`ClusterState::scale_out_finished`].
     ScaleOut(ScaleOutRequest),
-    /// Delete; once the cloud has confirmed, [`ClusterState::deleted`].
+    /// Delete; once the cloud has confirmed, [`ClusterState::scale_in_finished`].
     ScaleIn(Vec<String>),
 }
 
--- a/crates/controller/src/cluster_state/completion.rs
+++ b/crates/controller/src/cluster_state/completion.rs
@@ -20,7 +20,7 @@
 pub enum CancelOutcome {
     /// It is over already.
     AlreadyFinal(JobStatus),
-    /// The decision is being written down; it comes with [`ClusterState::take_decided`].
+    /// The decision is being written down; it comes with [`ClusterState::take_completed_jobs`].
     Pending,
     /// Its tasks may not be gone in time yet, so its user can't be told; nothing of it is started any more.
     LeasesOutstanding,
--- a/crates/controller/src/cluster_state/direct_dispatch.rs
+++ b/crates/controller/src/cluster_state/direct_dispatch.rs
@@ -8,7 +8,7 @@
 
 impl ClusterState {
     /// Starts that should not wait for their workers' next reports: machine, address and commands. The
-    /// outcome comes with [`ClusterState::delivered`].
+    /// outcome comes with [`ClusterState::direct_start_sent`].
     ///
     /// Such a command may arrive late, or twice, and after `reap` a second arrival would start the
     /// task again. So the machine's token rises with each: every later answer, and with it every
@@ -123,7 +123,7 @@
     }
 
     /// Workers that have not shown this leader's token and should be asked what is on their machines: name
-    /// and address. The outcome comes with [`ClusterState::greeted`].
+    /// and address. The outcome comes with [`ClusterState::state_probed`].
     ///
     /// A worker finds a new leader only after its report to the old one has failed, which takes it some
     /// seconds for each controller that hangs, and shows the new token with the report after that, which may be its
