--- a/crates/controller/src/api_service.rs
+++ b/crates/controller/src/api_service.rs
@@ -14,7 +14,7 @@
 use crate::settings::PlatformSettings;
 use hookway_clients::{CommitOutcome, HttpError, StoreClient, StoreError};
 use hookway_constants as constants;
-use hookway_policy::{Resources, TeamView, check_feasible};
+use hookway_policy::{Quota, Resources, TeamView, check_feasible};
 use hookway_replication::{FollowAnswer, FollowRequest};
 use hookway_wire::{
     Heartbeat, JobId, JobSpec, JobState, MachineType, Operation, Precondition, ReplicationStatus,
@@ -326,9 +326,9 @@
             return Some(Err("tasks that must spread can't all be in one zone".into()));
         }
         let least = if at_once { spec.tasks } else { 1 };
-        let limit = (team.cpus_max, team.gpus_max);
+        let limit = Quota { cpus: team.cpus_max, gpus: team.gpus_max };
         let team = TeamView { limit, ..TeamView::default() };
-        Some(check_feasible(&types, &need, least, &team))
+        Some(check_feasible(&types, &need, least, &team).map_err(|e| e.to_string()))
     }
 
     /// Takes a submission. It is accepted once it is in the state service, at whichever node.
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -157,7 +157,7 @@
     /// Turns that found no room in the last round, in order: what reports fill free room with.
     unplaced_demand: Vec<scheduling::UnplacedDemand>,
     /// What the last round set aside of teams' limits for gangs that wait.
-    quota_reservations: Vec<(usize, hookway_policy::Resources)>,
+    quota_reservations: Vec<hookway_policy::QuotaReservation>,
     /// Machines that the last round kept for gangs that wait.
     reserved_machines: HashSet<String>,
     /// Tasks on machines that belong to no job in this ledger.
--- a/crates/controller/src/cluster_state/scheduling.rs
+++ b/crates/controller/src/cluster_state/scheduling.rs
@@ -2,8 +2,8 @@
 use crate::settings::Team;
 use hookway_constants as constants;
 use hookway_policy::{
-    ClusterSnapshot, JobView, MachineView, PlacedTaskView, Resources, TeamView, min_tasks, place,
-    preempt,
+    ClusterSnapshot, JobView, MachineView, PlacedTaskView, Quota, Resources, TeamView, Victim,
+    min_tasks, place, preempt,
 };
 use hookway_wire::TaskState;
 use std::collections::{HashMap, HashSet};
@@ -89,8 +89,8 @@
             .iter()
             .map(|t| TeamView {
                 used: Resources::default(),
-                guarantee: (t.cpus, t.gpus),
-                limit: (t.cpus_max, t.gpus_max),
+                guarantee: Quota { cpus: t.cpus, gpus: t.gpus },
+                limit: Quota { cpus: t.cpus_max, gpus: t.gpus_max },
             })
             .collect();
         for job in self.jobs.values() {
@@ -314,9 +314,8 @@
                 if limit.is_some_and(Team::limited)
                     && let Some(mut team) = self.team_views().into_iter().nth(view.team)
                 {
-                    for (_, room) in self.quota_reservations.iter().filter(|(t, _)| *t == view.team)
-                    {
-                        team.used.add(room);
+                    for reserved in self.quota_reservations.iter().filter(|r| r.team == view.team) {
+                        team.used.add(&reserved.resources);
                     }
                     tasks = tasks.min(team.remaining_tasks(&view.request));
                 }
@@ -387,8 +386,8 @@
                     machine.reserved_for_gang = Some((key, now + constants::STOP_TIMEOUT_MS));
                 }
             }
-            for (machine, tag) in eviction.victims {
-                self.preempt_for(&scene.machine_names[machine], tag as usize, key, now);
+            for Victim { machine, task } in eviction.victims {
+                self.preempt_for(&scene.machine_names[machine], task as usize, key, now);
             }
         }
     }
--- a/crates/policy/src/autoscaling/tests.rs
+++ b/crates/policy/src/autoscaling/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::placement::tests::{cluster, job, machine};
+use crate::test_support::{cluster, job, machine};
 
 #[test]
 fn unplaced_demand_scales_out() {
--- /dev/null
+++ b/crates/policy/src/feasibility.rs
@@ -0,0 +1,32 @@
+//! Whether a job can run at all, however long it waits.
+
+use crate::{Resources, TeamView};
+
+/// Why a job can never run.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum Infeasible {
+    /// No machine type that the job allows is large enough for a task.
+    #[error("a task fits no allowed machine type")]
+    NoMachineType,
+    /// The tasks that must run at a time exceed the limit of the team.
+    #[error("the job needs more than its team's limit")]
+    ExceedsTeamLimit,
+}
+
+/// Checks that a task fits some allowed machine type (`machine_types`, one entry each), and that the team's limit
+/// allows the `tasks` that must run at a time: one of an array, all of a gang.
+pub fn check_feasible(
+    machine_types: &[bool],
+    request: &Resources,
+    tasks: u32,
+    team: &TeamView,
+) -> Result<(), Infeasible> {
+    if !machine_types.contains(&true) {
+        return Err(Infeasible::NoMachineType);
+    }
+    let unused = TeamView { used: Resources::default(), ..team.clone() };
+    if unused.remaining_tasks(request) < tasks {
+        return Err(Infeasible::ExceedsTeamLimit);
+    }
+    Ok(())
+}
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,22 +1,26 @@
-//! The pure scheduling policy of hookway: what a job needs at least, whose turn it is, where a task
-//! goes, who has to make room, and how many machines are wanted.
+//! The scheduling policy of hookway, as pure functions: the minimum task count of a job, the scheduling queue,
+//! placement (bin packing), preemption, and how many machines the fleet should have.
 //!
-//! Nothing here reads a clock or does I/O. Times are seconds on one scale that the caller chooses;
-//! machines, jobs, zones and machine types are named by their index in the slices that the caller hands
-//! over.
+//! Nothing here reads a clock or does I/O. Times are seconds on one scale that the caller chooses; machines, jobs,
+//! zones, teams and machine types are named by their index in the [`ClusterSnapshot`] that the caller hands over.
+//! Begin with [`place`], which runs a scheduling round, [`preempt`] and [`plan_scaling`].
 
 mod autoscaling;
+mod feasibility;
 mod min_tasks;
 mod placement;
 mod preemption;
 mod resources;
 mod scheduling_queue;
 mod snapshot;
+#[cfg(test)]
+mod test_support;
 
 pub use autoscaling::{MachineOffer, ScaleOut, ScalingPlan, plan_scaling};
+pub use feasibility::{Infeasible, check_feasible};
 pub use min_tasks::{desired_tasks, min_tasks, min_tasks_need_rewrite};
-pub use placement::{Placement, RoundOutcome, check_feasible, place};
-pub use preemption::{Preemption, preempt};
+pub use placement::{Placement, QuotaReservation, RoundOutcome, place};
+pub use preemption::{Preemption, Victim, preempt};
 pub use resources::Resources;
 pub use scheduling_queue::{QueueEntry, scheduling_queue};
-pub use snapshot::{ClusterSnapshot, JobView, MachineView, PlacedTaskView, TeamView};
+pub use snapshot::{ClusterSnapshot, JobView, MachineView, PlacedTaskView, Quota, TeamView};
--- a/crates/policy/src/min_tasks/tests.rs
+++ b/crates/policy/src/min_tasks/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::placement::tests::job;
+use crate::test_support::job;
 
 #[test]
 fn min_tasks_matches_closed_form() {
--- /dev/null
+++ b/crates/policy/src/placement/cost.rs
@@ -0,0 +1,56 @@
+//! Which machine suits a task best (bin packing).
+
+use super::is_usable;
+use crate::{ClusterSnapshot, JobView, MachineView};
+use hookway_constants as constants;
+
+/// Highest price penalty, in multiples of the cheapest price: an expensive machine is still better than none.
+const MAX_PRICE_EXCESS: f64 = 4.0;
+
+/// How badly a machine suits a task; lower is better. Seconds of image fetch (image locality, the paper's data
+/// locality) plus penalties that keep whole machines free for work that needs them.
+pub(super) fn placement_cost(
+    cluster: &ClusterSnapshot,
+    job: &JobView,
+    machine: &MachineView,
+) -> f64 {
+    let mut cost = constants::IMAGE_MISS_PENALTY * cluster.fetch_time(job, machine);
+    // Fill machines that are in use before empty ones, small ones before large ones.
+    let share_left_free = 1.0 - job.request.dominant_share_of(&machine.free).min(1.0);
+    cost += constants::LOOSE_FIT_PENALTY_S * share_left_free;
+    if machine.placed_tasks.is_empty() {
+        cost += constants::EMPTY_MACHINE_PENALTY_S;
+    }
+    // Leave machines that a gang's task needs whole to gangs: preempting tasks there would lose their work.
+    let suits_gangs = || cluster.gang_requests.iter().any(|request| machine.total.fits(request));
+    if !job.gang && suits_gangs() {
+        cost += constants::GANG_MACHINE_PENALTY_S;
+    }
+    // Expensive machines last, so that they are the ones that become idle and are scaled in.
+    let cheapest = cluster.cheapest_cpu_price;
+    if cheapest > 0.0 {
+        let excess = machine.cpu_price() / cheapest - 1.0;
+        cost += constants::PRICE_PENALTY_S * excess.clamp(0.0, MAX_PRICE_EXCESS);
+    }
+    cost
+}
+
+/// The candidates that the job could use, best first. A task makes its machine a better fit for the next one and
+/// leaves the others as they were, so one ranking is enough to place any number of tasks.
+pub(super) fn machines_by_cost(
+    cluster: &ClusterSnapshot,
+    job_index: usize,
+    zone: Option<usize>,
+    candidates: &[usize],
+) -> Vec<usize> {
+    let job = &cluster.jobs[job_index];
+    let mut ranking: Vec<(f64, usize)> = candidates
+        .iter()
+        .map(|index| (*index, &cluster.machines[*index]))
+        .filter(|(_, machine)| zone.is_none_or(|zone| zone == machine.zone))
+        .filter(|(_, machine)| is_usable(job_index, job, machine))
+        .map(|(index, machine)| (placement_cost(cluster, job, machine), index))
+        .collect();
+    ranking.sort_unstable_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+    ranking.into_iter().map(|(_, index)| index).collect()
+}
--- /dev/null
+++ b/crates/policy/src/placement/reservation.rs
@@ -0,0 +1,103 @@
+//! Reservations of machines for waiting gangs.
+
+use crate::{ClusterSnapshot, JobView, MachineView, Resources};
+
+/// What a machine will have for a job once everything that ends by itself, or yields to the job, is gone: replicas
+/// of daemons that are no lower in priority stay.
+fn eventual_capacity(cluster: &ClusterSnapshot, job: &JobView, machine: &MachineView) -> Resources {
+    let mut capacity = machine.total;
+    for task in &machine.placed_tasks {
+        let other = &cluster.jobs[task.job];
+        if other.daemon && other.priority >= job.priority && !task.terminating {
+            capacity.subtract(&task.request);
+        }
+    }
+    capacity
+}
+
+/// Whether the machines that are up or booting could hold all of a gang if nothing but daemons were on them.
+pub(crate) fn could_ever_hold(cluster: &ClusterSnapshot, job_index: usize) -> bool {
+    let job = &cluster.jobs[job_index];
+    let mut capacity_per_zone = vec![0u32; cluster.zone_count()];
+    for machine in cluster.machines.iter().filter(|machine| machine.schedulable || machine.booting)
+    {
+        let allowed = job.allows(machine.machine_type, machine.zone, machine.spot);
+        if allowed && !machine.excluded_by.contains(&job_index) {
+            let tasks = eventual_capacity(cluster, job, machine).capacity_for(&job.request);
+            let in_zone = &mut capacity_per_zone[machine.zone];
+            *in_zone = in_zone.saturating_add(tasks).min(job.max_tasks_per_zone);
+        }
+    }
+    let capacity = if job.one_zone {
+        capacity_per_zone.into_iter().max().unwrap_or(0)
+    } else {
+        capacity_per_zone.into_iter().fold(0, u32::saturating_add)
+    };
+    capacity >= job.tasks
+}
+
+/// Reserves the machines that would have resources for a waiting gang soonest; `false` if there are not enough.
+pub(super) fn reserve_machines(cluster: &mut ClusterSnapshot, job_index: usize) -> bool {
+    let candidates = reservation_candidates(cluster, job_index);
+    let zones: Vec<Option<usize>> = if cluster.jobs[job_index].one_zone {
+        (0..cluster.zone_count()).map(Some).collect()
+    } else {
+        vec![None]
+    };
+    for zone in zones {
+        if let Some(chosen) = choose_machines(cluster, job_index, zone, &candidates) {
+            for index in chosen {
+                cluster.machines[index].reserved_for = Some(job_index);
+            }
+            return true;
+        }
+    }
+    false
+}
+
+/// Machines that could be reserved for a job, least used first.
+fn reservation_candidates(cluster: &ClusterSnapshot, job_index: usize) -> Vec<usize> {
+    let job = &cluster.jobs[job_index];
+    let is_candidate = |machine: &MachineView| {
+        machine.schedulable
+            && !machine.booting
+            && machine.eligible_for(job_index, job)
+            && eventual_capacity(cluster, job, machine).fits(&job.request)
+    };
+    let mut candidates: Vec<usize> =
+        (0..cluster.machines.len()).filter(|i| is_candidate(&cluster.machines[*i])).collect();
+    let used_share = |index: &usize| {
+        let machine = &cluster.machines[*index];
+        1.0 - machine.free.dominant_share_of(&machine.total)
+    };
+    candidates.sort_by(|a, b| used_share(a).total_cmp(&used_share(b)));
+    candidates
+}
+
+/// Machines that together hold all startable tasks of a job, in one zone if one is given.
+fn choose_machines(
+    cluster: &ClusterSnapshot,
+    job_index: usize,
+    zone: Option<usize>,
+    candidates: &[usize],
+) -> Option<Vec<usize>> {
+    let job = &cluster.jobs[job_index];
+    let mut tasks_per_zone = vec![0u32; cluster.zone_count()];
+    let mut chosen = Vec::new();
+    let mut tasks_left = job.startable;
+    for &index in candidates {
+        let machine = &cluster.machines[index];
+        if tasks_left == 0 || zone.is_some_and(|zone| zone != machine.zone) {
+            continue;
+        }
+        let allowed = job.max_tasks_per_zone.saturating_sub(tasks_per_zone[machine.zone]);
+        let fitting = eventual_capacity(cluster, job, machine).capacity_for(&job.request);
+        let tasks = fitting.min(tasks_left).min(allowed);
+        if tasks > 0 {
+            tasks_per_zone[machine.zone] += tasks;
+            tasks_left -= tasks;
+            chosen.push(index);
+        }
+    }
+    (tasks_left == 0).then_some(chosen)
+}
--- a/crates/policy/src/placement/tests.rs
+++ b/crates/policy/src/placement/tests.rs
@@ -1,37 +1,8 @@
+use super::cost::placement_cost;
 use super::*;
-use hookway_wire::{MachineType, Priority};
-
-pub(crate) fn job(cpus: f64, tasks: u32) -> JobView {
-    JobView {
-        team: 0,
-        priority: Priority::Normal,
-        gang: false,
-        daemon: false,
-        tasks,
-        request: Resources { cpus, gpus: 0.0, memory_gb: 1.0 },
-        machine_types: vec![true],
-        zone: None,
-        one_zone: false,
-        max_tasks_per_zone: tasks,
-        spot: true,
-        image: 1,
-        image_gb: 1.0,
-        checkpoints: false,
-        checkpoint_time: 0.0,
-        submitted: 0.0,
-        deadline: None,
-        start_by: vec![],
-        estimated_task_time: 10.0,
-        completed: 0,
-        mean_task_time: None,
-        unfinished: tasks,
-        placed: 0,
-        startable: tasks,
-        crash_looping: false,
-        placed_per_zone: vec![0; 3],
-        waiting_since: 0.0,
-    }
-}
+use crate::test_support::{cluster, job, machine};
+use crate::{Quota, TeamView, check_feasible};
+use hookway_wire::Priority;
 
 /// What [`machines_by_cost`] and filling machine after machine must come to: the best machine, looked for anew
 /// for each task.
@@ -39,7 +10,7 @@
     let mut machines = Vec::new();
     for _ in 0..tasks {
         let job = &cluster.jobs[job_index];
-        let open = |i: &usize| usable(job_index, job, &cluster.machines[*i]);
+        let open = |i: &usize| is_usable(job_index, job, &cluster.machines[*i]);
         let cost = |i: &usize| placement_cost(cluster, job, &cluster.machines[*i]);
         let best =
             (0..cluster.machines.len()).filter(open).min_by(|a, b| cost(a).total_cmp(&cost(b)));
@@ -80,47 +51,6 @@
     }
 }
 
-pub(crate) fn machine(zone: usize) -> MachineView {
-    let total = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 16.0 };
-    MachineView {
-        machine_type: 0,
-        zone,
-        spot: false,
-        total,
-        free: total,
-        price: 1.0,
-        images: vec![],
-        schedulable: true,
-        booting: false,
-        reserved_for: None,
-        excluded_by: vec![],
-        placed_tasks: vec![],
-    }
-}
-
-pub(crate) fn cluster(jobs: Vec<JobView>, machines: Vec<MachineView>) -> ClusterSnapshot {
-    ClusterSnapshot {
-        now: 0.0,
-        cheapest_cpu_price: 0.25,
-        gang_requests: vec![],
-        jobs,
-        machines,
-        teams: vec![TeamView::default()],
-        machine_types: vec![MachineType {
-            name: "small".into(),
-            cpus: 4.0,
-            gpus: 0.0,
-            memory_gb: 16.0,
-            cache_gb: 50.0,
-            fetch_gb_per_s: 0.1,
-            price_per_hour: 1.0,
-            spot_price: Some(0.3),
-            boot_s: 20.0,
-            zones: vec!["a".into(), "b".into(), "c".into()],
-        }],
-    }
-}
-
 #[test]
 fn gang_without_resources_for_all_tasks_places_none() {
     let gang = JobView { gang: true, ..job(3.0, 3) };
@@ -149,7 +79,7 @@
 #[test]
 fn placement_respects_quota_zone_and_spot_constraints() {
     let mut w = cluster(vec![job(1.0, 10)], vec![machine(0), machine(1)]);
-    w.teams[0].limit = (3.0, 0.0);
+    w.teams[0].limit = Quota { cpus: 3.0, gpus: 0.0 };
     assert_eq!(place(&mut w).placements.iter().map(|p| p.machines.len()).sum::<usize>(), 3);
     let picky = JobView { zone: Some(1), spot: false, ..job(1.0, 10) };
     let spot = MachineView { spot: true, ..machine(1) };
@@ -165,7 +95,7 @@
     let gang = JobView { gang: true, ..job(2.0, 2) };
     let array = JobView { placed: 4, completed: 1, mean_task_time: Some(9.0), ..job(1.0, 50) };
     let mut w = cluster(vec![gang.clone(), array.clone()], vec![machine(0), machine(1)]);
-    w.teams[0].limit = (6.0, 0.0);
+    w.teams[0].limit = Quota { cpus: 6.0, gpus: 0.0 };
     w.teams[0].used.cpus = 4.0;
     assert_eq!(place(&mut w).placements, []);
     // Resources: the gang needs 4 CPUs on each of two machines that have 1 free each.
@@ -227,7 +157,7 @@
     let array = JobView { placed: 2, completed: 1, mean_task_time: Some(9.0), ..job(1.0, 50) };
     let at = |now: f64, machines: Vec<MachineView>| {
         let mut w = cluster(vec![gang.clone(), array.clone()], machines);
-        w.teams[0].limit = (14.0, 0.0);
+        w.teams[0].limit = Quota { cpus: 14.0, gpus: 0.0 };
         w.teams[0].used.cpus = 2.0;
         w.now = now;
         place(&mut w).placements.iter().map(|p| p.machines.len()).sum::<usize>()
@@ -241,7 +171,7 @@
 
 #[test]
 fn infeasible_request_is_rejected() {
-    let team = TeamView { limit: (4.0, 0.0), ..TeamView::default() };
+    let team = TeamView { limit: Quota { cpus: 4.0, gpus: 0.0 }, ..TeamView::default() };
     let room = |cpus| Resources { cpus, gpus: 0.0, memory_gb: 1.0 };
     assert!(check_feasible(&[true], &room(3.0), 1, &team).is_ok());
     assert!(check_feasible(&[true], &room(5.0), 1, &team).is_err());
--- /dev/null
+++ b/crates/policy/src/preemption/deadlines.rs
@@ -0,0 +1,118 @@
+//! Preemption of backfill for arrays that would miss their deadlines.
+
+use super::{Preemption, Victim};
+use crate::scheduling_queue::{has_no_objective, is_late, min_tasks_or_estimate};
+use crate::{ClusterSnapshot, MachineView, PlacedTaskView, Resources};
+use hookway_constants as constants;
+
+/// Resources of the machines, and the backfill that could be stopped there.
+struct Backfill<'a> {
+    /// Per machine: free resources, those of terminating tasks included.
+    free: Vec<Resources>,
+    /// Per machine: tasks that could be stopped.
+    stoppable: Vec<Vec<&'a PlacedTaskView>>,
+}
+
+/// Resources for arrays that have less than their deadlines require, taken from backfill: tasks of lower priority
+/// without an objective that write checkpoints. Otherwise tasks that run for minutes would keep a burst of short
+/// ones waiting past their deadlines.
+pub(super) fn preempt_for_deadlines(cluster: &ClusterSnapshot) -> Vec<Preemption> {
+    let mut backfill = Backfill::of(cluster);
+    if backfill.stoppable.iter().all(Vec::is_empty) {
+        return Vec::new();
+    }
+    let mut preemptions = Vec::new();
+    for (deadline, job_index) in jobs_by_deadline(cluster) {
+        let preemption = backfill.preempt_for(cluster, job_index, deadline);
+        if !preemption.victims.is_empty() {
+            preemptions.push(preemption);
+        }
+    }
+    preemptions
+}
+
+/// Arrays that can still meet their deadlines, earliest first.
+fn jobs_by_deadline(cluster: &ClusterSnapshot) -> Vec<(f64, usize)> {
+    let mut waiting: Vec<(f64, usize)> = Vec::new();
+    for (index, job) in cluster.jobs.iter().enumerate() {
+        let Some(deadline) = job.deadline else { continue };
+        if !job.gang && !job.crash_looping && job.startable > 0 && !is_late(job, cluster.now) {
+            waiting.push((deadline, index));
+        }
+    }
+    waiting.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+    waiting
+}
+
+/// Whether a task is backfill that has run long enough to be stopped.
+fn is_stoppable(cluster: &ClusterSnapshot, task: &PlacedTaskView) -> bool {
+    let job = &cluster.jobs[task.job];
+    let min_run_time = constants::BACKFILL_MIN_RUN_S
+        .max(constants::BACKFILL_MIN_CHECKPOINTS * job.checkpoint_time);
+    has_no_objective(job) && job.checkpoints && task.elapsed >= min_run_time
+}
+
+impl<'a> Backfill<'a> {
+    fn of(cluster: &'a ClusterSnapshot) -> Self {
+        let mut free = Vec::with_capacity(cluster.machines.len());
+        let mut stoppable = Vec::with_capacity(cluster.machines.len());
+        for machine in &cluster.machines {
+            free.push(free_after_terminations(machine));
+            let usable = machine.schedulable && !machine.booting && machine.reserved_for.is_none();
+            let tasks = machine.placed_tasks.iter();
+            let tasks = tasks
+                .filter(|task| usable && !task.terminating && is_stoppable(cluster, task))
+                .collect();
+            stoppable.push(tasks);
+        }
+        Self { free, stoppable }
+    }
+
+    /// Lays out what a job lacks of its minimum, and chooses what to stop for it.
+    fn preempt_for(
+        &mut self,
+        cluster: &ClusterSnapshot,
+        job_index: usize,
+        deadline: f64,
+    ) -> Preemption {
+        let job = &cluster.jobs[job_index];
+        let minimum = min_tasks_or_estimate(job, cluster.now, deadline);
+        let mut missing = minimum.saturating_sub(job.placed).min(job.startable);
+        if let Some(team) = cluster.teams.get(job.team) {
+            missing = missing.min(team.remaining_tasks(&job.request));
+        }
+        let mut preemption = Preemption::for_job(job_index);
+        // Machines that hold the image first.
+        for with_image in [true, false] {
+            for (index, machine) in cluster.machines.iter().enumerate() {
+                let usable = machine.images.contains(&job.image) == with_image
+                    && job.allows(machine.machine_type, machine.zone, machine.spot)
+                    && job.may_use_zone(machine.zone)
+                    && !machine.excluded_by.contains(&job_index);
+                while usable && missing > 0 {
+                    if self.free[index].fits(&job.request) {
+                        self.free[index].subtract(&job.request);
+                        missing -= 1;
+                        continue;
+                    }
+                    let lower_priority =
+                        |task: &&PlacedTaskView| cluster.jobs[task.job].priority < job.priority;
+                    let stoppable = &mut self.stoppable[index];
+                    let Some(at) = stoppable.iter().position(lower_priority) else { break };
+                    let task = stoppable.swap_remove(at);
+                    self.free[index].add(&task.request);
+                    preemption.victims.push(Victim { machine: index, task: task.id });
+                }
+            }
+        }
+        preemption
+    }
+}
+
+fn free_after_terminations(machine: &MachineView) -> Resources {
+    let mut free = machine.free;
+    for task in machine.placed_tasks.iter().filter(|task| task.terminating) {
+        free.add(&task.request);
+    }
+    free
+}
--- /dev/null
+++ b/crates/policy/src/preemption/quota.rs
@@ -0,0 +1,41 @@
+//! Preemption within a team that is at its limit.
+
+use super::victims::lost_work;
+use super::{Preemption, Victim};
+use crate::{ClusterSnapshot, PlacedTaskView};
+
+/// The team's own tasks of lower priority whose end brings its usage far enough below its limit; `None` if that is
+/// not possible, or nothing has to be stopped.
+pub(super) fn preempt_for_quota(
+    cluster: &ClusterSnapshot,
+    job_index: usize,
+    tasks: u32,
+) -> Option<Preemption> {
+    let job = &cluster.jobs[job_index];
+    let mut team = cluster.teams.get(job.team)?.clone();
+    let mut candidates: Vec<(f64, usize, &PlacedTaskView)> = Vec::new();
+    for (index, machine) in cluster.machines.iter().enumerate() {
+        for task in &machine.placed_tasks {
+            let other = &cluster.jobs[task.job];
+            if other.team != job.team {
+                continue;
+            }
+            if task.terminating {
+                team.used.subtract(&task.request);
+            } else if other.priority < job.priority {
+                candidates.push((lost_work(cluster, task), index, task));
+            }
+        }
+    }
+    candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
+    let mut preemption = Preemption::for_job(job_index);
+    for (_, machine, task) in candidates {
+        if team.remaining_tasks(&job.request) >= tasks {
+            break;
+        }
+        team.used.subtract(&task.request);
+        preemption.victims.push(Victim { machine, task: task.id });
+    }
+    let within_limit = team.remaining_tasks(&job.request) >= tasks;
+    (within_limit && !preemption.victims.is_empty()).then_some(preemption)
+}
--- a/crates/policy/src/preemption/tests.rs
+++ b/crates/policy/src/preemption/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::JobView;
-use crate::placement::tests::{cluster, job, machine};
+use crate::test_support::{cluster, job, machine};
+use crate::{JobView, MachineView, PlacedTaskView, Quota, Resources};
 use hookway_wire::Priority;
 
 fn full(job: usize, elapsed: f64) -> MachineView {
@@ -47,9 +47,10 @@
     let mut w = cluster(vec![mine, job(1.0, 8)], vec![full(1, 3.0)]);
     w.now = 10.0;
     w.teams[0].used = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 0.0 };
-    w.teams.push(crate::TeamView { guarantee: (2.0, 0.0), ..Default::default() });
+    w.teams
+        .push(crate::TeamView { guarantee: Quota { cpus: 2.0, gpus: 0.0 }, ..Default::default() });
     assert_eq!(preempt(&w).len(), 1);
-    w.teams[0].guarantee = (4.0, 0.0);
+    w.teams[0].guarantee = Quota { cpus: 4.0, gpus: 0.0 };
     assert_eq!(preempt(&w), [], "work within its own guarantee stays");
 }
 
--- /dev/null
+++ b/crates/policy/src/preemption/victims.rs
@@ -0,0 +1,91 @@
+//! Which tasks may be preempted on one machine, and what it costs.
+
+use crate::{ClusterSnapshot, MachineView, PlacedTaskView};
+use hookway_constants as constants;
+
+/// Work that a checkpointing task loses at most, s: what it has done since its last checkpoint.
+const MAX_UNSAVED_S: f64 = 5.0;
+
+/// Smallest number of CPUs in the cost of a victim, so that a task without CPUs is not free.
+const MIN_VICTIM_CPUS: f64 = 0.1;
+
+/// The tasks of one machine to preempt for a job.
+#[derive(Debug, Clone, PartialEq)]
+pub(super) struct MachineVictims {
+    /// Lost work and waiting time, CPU seconds.
+    pub cost: f64,
+    /// The caller's numbers of the tasks.
+    pub tasks: Vec<u64>,
+}
+
+/// The work lost by stopping a task, in CPU seconds; a checkpointing task loses next to nothing.
+pub(super) fn lost_work(cluster: &ClusterSnapshot, task: &PlacedTaskView) -> f64 {
+    let job = &cluster.jobs[task.job];
+    let seconds = if job.checkpoints { task.elapsed.min(MAX_UNSAVED_S) } else { task.elapsed };
+    // A gang loses all its tasks with one.
+    let tasks = if job.gang { f64::from(job.tasks) } else { 1.0 };
+    // A job that would become late loses more than its work; one that is late anyway does not.
+    let restarted_end = cluster.now + job.task_time();
+    let weight = match job.deadline {
+        Some(deadline) if cluster.now > deadline => constants::LATE_VICTIM_WEIGHT,
+        Some(deadline) if restarted_end > deadline => constants::TIGHT_VICTIM_WEIGHT,
+        _ => 1.0,
+    };
+    (1.0 + seconds) * task.request.cpus.max(MIN_VICTIM_CPUS) * tasks * weight
+}
+
+/// Whether a job may preempt a task: by priority, or because its team's guarantee covers it and the other team
+/// exceeds its own.
+fn may_preempt(cluster: &ClusterSnapshot, job_index: usize, task: &PlacedTaskView) -> bool {
+    let (job, victim) = (&cluster.jobs[job_index], &cluster.jobs[task.job]);
+    if victim.priority < job.priority {
+        return true;
+    }
+    if job.team == victim.team {
+        return false;
+    }
+    let team = cluster.teams.get(job.team);
+    let is_guaranteed = team.is_some_and(|team| team.guarantee_covers(&job.request));
+    let victim_team = cluster.teams.get(victim.team);
+    is_guaranteed && victim_team.is_some_and(|team| team.exceeds_guarantee())
+}
+
+/// The cheapest set of tasks whose end frees resources for so many tasks of a job on a machine; `None` if there is
+/// none.
+pub(super) fn victims_on_machine(
+    cluster: &ClusterSnapshot,
+    job_index: usize,
+    machine: &MachineView,
+    tasks: u32,
+) -> Option<MachineVictims> {
+    let job = &cluster.jobs[job_index];
+    let request = job.request.times(tasks);
+    let mut free = machine.free;
+    for task in machine.placed_tasks.iter().filter(|task| task.terminating) {
+        free.add(&task.request);
+    }
+    let mut candidates: Vec<(f64, &PlacedTaskView)> = machine
+        .placed_tasks
+        .iter()
+        .filter(|task| !task.terminating && may_preempt(cluster, job_index, task))
+        .map(|task| (lost_work(cluster, task), task))
+        .collect();
+    candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
+    // A machine without the image delays the job by the fetch.
+    let mut cost = cluster.fetch_time(job, machine) * request.cpus;
+    let mut victims = Vec::new();
+    let mut longest_stop: f64 = 0.0;
+    for (lost_work, task) in candidates {
+        if free.fits(&request) {
+            break;
+        }
+        free.add(&task.request);
+        cost += lost_work;
+        let stop = constants::PREEMPTION_DELAY_S + cluster.jobs[task.job].checkpoint_time;
+        longest_stop = longest_stop.max(stop);
+        victims.push(task.id);
+    }
+    // The job waits until the stops have arrived and checkpoints are written.
+    cost += longest_stop * request.cpus;
+    free.fits(&request).then_some(MachineVictims { cost, tasks: victims })
+}
--- a/crates/policy/src/resources.rs
+++ b/crates/policy/src/resources.rs
@@ -1,10 +1,12 @@
+//! Amounts of what machines offer and tasks request.
+
 use hookway_wire::{JobSpec, MachineType};
 use serde::{Deserialize, Serialize};
 
-/// Tolerance when amounts are compared, so that sums of decimals don't refuse an exact fit.
-const EPSILON: f64 = 1e-6;
+/// Tolerance of comparisons, so that rounding errors in sums of decimals don't reject an exact fit.
+pub(crate) const EPSILON: f64 = 1e-6;
 
-/// An amount of what a machine offers.
+/// An amount of each resource: what a machine has, or what a task requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Resources {
     /// CPUs.
@@ -17,59 +19,67 @@
 }
 
 impl Resources {
-    /// What one task of a job takes.
+    /// The request of one task of a job.
     pub fn of_task(spec: &JobSpec) -> Self {
         Self { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb }
     }
 
-    /// What a machine of a type offers.
+    /// What a machine of a type has.
     pub fn of_machine_type(machine_type: &MachineType) -> Self {
         Self { cpus: machine_type.cpus, gpus: machine_type.gpus, memory_gb: machine_type.memory_gb }
     }
 
-    /// Whether `need` fits in.
-    pub fn fits(&self, need: &Self) -> bool {
-        need.cpus <= self.cpus + EPSILON
-            && need.gpus <= self.gpus + EPSILON
-            && need.memory_gb <= self.memory_gb + EPSILON
+    /// Whether `request` fits.
+    pub fn fits(&self, request: &Self) -> bool {
+        request.cpus <= self.cpus + EPSILON
+            && request.gpus <= self.gpus + EPSILON
+            && request.memory_gb <= self.memory_gb + EPSILON
     }
 
-    /// Takes `need` away.
-    pub fn subtract(&mut self, need: &Self) {
-        self.cpus -= need.cpus;
-        self.gpus -= need.gpus;
-        self.memory_gb -= need.memory_gb;
+    /// Subtracts an amount.
+    pub fn subtract(&mut self, amount: &Self) {
+        self.cpus -= amount.cpus;
+        self.gpus -= amount.gpus;
+        self.memory_gb -= amount.memory_gb;
     }
 
-    /// Adds `need`.
-    pub fn add(&mut self, need: &Self) {
-        self.cpus += need.cpus;
-        self.gpus += need.gpus;
-        self.memory_gb += need.memory_gb;
+    /// Adds an amount.
+    pub fn add(&mut self, amount: &Self) {
+        self.cpus += amount.cpus;
+        self.gpus += amount.gpus;
+        self.memory_gb += amount.memory_gb;
     }
 
-    /// So many times this.
-    pub fn times(&self, n: u32) -> Self {
-        let n = f64::from(n);
-        Self { cpus: self.cpus * n, gpus: self.gpus * n, memory_gb: self.memory_gb * n }
+    /// This amount, multiplied.
+    pub fn times(&self, factor: u32) -> Self {
+        let factor = f64::from(factor);
+        Self {
+            cpus: self.cpus * factor,
+            gpus: self.gpus * factor,
+            memory_gb: self.memory_gb * factor,
+        }
     }
 
-    /// How many times `need` fits in.
-    pub fn capacity_for(&self, need: &Self) -> u32 {
-        let times = |have: f64, want: f64| {
-            if want <= 0.0 { f64::INFINITY } else { ((have + EPSILON) / want).floor().max(0.0) }
+    /// How many tasks with this request fit.
+    pub fn capacity_for(&self, request: &Self) -> u32 {
+        let tasks = |available: f64, requested: f64| {
+            if requested <= 0.0 {
+                f64::INFINITY
+            } else {
+                ((available + EPSILON) / requested).floor().max(0.0)
+            }
         };
-        let least = times(self.cpus, need.cpus)
-            .min(times(self.gpus, need.gpus))
-            .min(times(self.memory_gb, need.memory_gb));
-        if least >= f64::from(u32::MAX) { u32::MAX } else { least as u32 }
+        let fitting = tasks(self.cpus, request.cpus)
+            .min(tasks(self.gpus, request.gpus))
+            .min(tasks(self.memory_gb, request.memory_gb));
+        if fitting >= f64::from(u32::MAX) { u32::MAX } else { fitting as u32 }
     }
 
-    /// The largest share of `total` that `self` is, over what `total` has.
+    /// The largest share of `total` that this amount is, over the resources that `total` has.
     pub fn dominant_share_of(&self, total: &Self) -> f64 {
-        let part = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
-        part(self.cpus, total.cpus)
-            .max(part(self.gpus, total.gpus))
-            .max(part(self.memory_gb, total.memory_gb))
+        let share = |part: f64, whole: f64| if whole > 0.0 { part / whole } else { 0.0 };
+        share(self.cpus, total.cpus)
+            .max(share(self.gpus, total.gpus))
+            .max(share(self.memory_gb, total.memory_gb))
     }
 }
--- a/crates/policy/src/scheduling_queue/tests.rs
+++ b/crates/policy/src/scheduling_queue/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::placement::tests::job;
+use crate::test_support::job;
 
 #[test]
 fn queue_orders_new_jobs_then_deadlines_up_to_min_tasks_then_rest() {
--- /dev/null
+++ b/crates/policy/src/test_support.rs
@@ -0,0 +1,77 @@
+//! Builders for the tests of the policy.
+
+use crate::*;
+use hookway_wire::{MachineType, Priority};
+
+pub(crate) fn job(cpus: f64, tasks: u32) -> JobView {
+    JobView {
+        team: 0,
+        priority: Priority::Normal,
+        gang: false,
+        daemon: false,
+        tasks,
+        request: Resources { cpus, gpus: 0.0, memory_gb: 1.0 },
+        machine_types: vec![true],
+        zone: None,
+        one_zone: false,
+        max_tasks_per_zone: tasks,
+        spot: true,
+        image: 1,
+        image_gb: 1.0,
+        checkpoints: false,
+        checkpoint_time: 0.0,
+        submitted: 0.0,
+        deadline: None,
+        start_by: vec![],
+        estimated_task_time: 10.0,
+        completed: 0,
+        mean_task_time: None,
+        unfinished: tasks,
+        placed: 0,
+        startable: tasks,
+        crash_looping: false,
+        placed_per_zone: vec![0; 3],
+        waiting_since: 0.0,
+    }
+}
+
+pub(crate) fn machine(zone: usize) -> MachineView {
+    let total = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 16.0 };
+    MachineView {
+        machine_type: 0,
+        zone,
+        spot: false,
+        total,
+        free: total,
+        price: 1.0,
+        images: vec![],
+        schedulable: true,
+        booting: false,
+        reserved_for: None,
+        excluded_by: vec![],
+        placed_tasks: vec![],
+    }
+}
+
+pub(crate) fn cluster(jobs: Vec<JobView>, machines: Vec<MachineView>) -> ClusterSnapshot {
+    ClusterSnapshot {
+        now: 0.0,
+        cheapest_cpu_price: 0.25,
+        gang_requests: vec![],
+        jobs,
+        machines,
+        teams: vec![TeamView::default()],
+        machine_types: vec![MachineType {
+            name: "small".into(),
+            cpus: 4.0,
+            gpus: 0.0,
+            memory_gb: 16.0,
+            cache_gb: 50.0,
+            fetch_gb_per_s: 0.1,
+            price_per_hour: 1.0,
+            spot_price: Some(0.3),
+            boot_s: 20.0,
+            zones: vec!["a".into(), "b".into(), "c".into()],
+        }],
+    }
+}
