--- a/crates/clients/tests/requests.rs
+++ b/crates/clients/tests/requests.rs
@@ -7,6 +7,7 @@
     StoreClient, StoreError, WorkerClient,
 };
 use hookway_wire::{Change, Command, DirectCommands, Guard, JobId, RentRequest, Transaction};
+use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
@@ -14,6 +15,8 @@
 const REPORT: &str = r#"{"Host":"m-1","Addr":"10.1.0.2:9000","Flavor":"g8","Yard":"a","Loaners":true,"Tenure":3,"Tick":1}"#;
 const STATUS: &str = r#"{"NameId":"req-000412","Status":"running"}"#;
 const FAST: f64 = 1_000.0;
+/// Only tells a test that would wait for ever.
+const LIMIT: Duration = Duration::from_secs(30);
 
 /// One request: its first line without the version, and its body.
 async fn request(stream: &mut TcpStream) -> String {
@@ -64,6 +67,11 @@
     (address, served)
 }
 
+/// What was asked, once all answers are given.
+async fn asked(served: JoinHandle<Vec<String>>) -> Vec<String> {
+    tokio::time::timeout(LIMIT, served).await.expect("too few requests").expect("no panic")
+}
+
 #[tokio::test]
 async fn the_state_service_is_asked_by_its_paths() {
     let pair = r#"{"Key":"j/a b","V":1,"Stamp":4}"#;
@@ -98,7 +106,7 @@
     store.release(7).await.expect("released");
     assert_eq!(store.watch("lead/", 9, 1_000).await.expect("an answer").revision, 12);
     assert_eq!(
-        served.await.expect("no panic"),
+        asked(served).await,
         [
             "GET /keys/j/a%20b",
             "GET /keys/f/req-000412",
@@ -135,7 +143,7 @@
     assert!(matches!(store.commit(&nothing).await, Err(StoreError::Rejected(_))));
     assert!(matches!(store.commit(&nothing).await, Err(StoreError::Unexpected(418, _))));
     assert!(matches!(store.extend(7).await, Err(StoreError::NoLease)));
-    served.await.expect("no panic");
+    asked(served).await;
 }
 
 #[tokio::test]
@@ -171,7 +179,7 @@
     let rent =
         r#"POST /rentals {"Hire":"h-1","Flavor":"g8","Yard":"a","Loaners":true,"HowMany":2}"#;
     assert_eq!(
-        served.await.expect("no panic"),
+        asked(served).await,
         [
             "GET /flavors",
             rent,
@@ -207,7 +215,7 @@
     assert_eq!(report.session, 3);
     let sent = r#"POST /orders {"Baton":41,"Tenure":1,"Orders":[{"Verb":"run","Piece":"req-000412/0","Try":2}]}"#;
     assert_eq!(
-        served.await.expect("no panic"),
+        asked(served).await,
         [
             sent,
             sent,
@@ -239,7 +247,7 @@
     let refused = api.status(&id).await;
     assert!(matches!(&refused, Err(ApiError::Refused(500, why)) if why == "oops"), "{refused:?}");
     assert_eq!(
-        served.await.expect("no panic"),
+        asked(served).await,
         [
             r#"POST /api/jobs {"a":1}"#,
             "GET /api/jobs/req-000412",
--- a/crates/hookway/tests/command_line.rs
+++ b/crates/hookway/tests/command_line.rs
@@ -5,7 +5,11 @@
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener};
 use std::path::PathBuf;
-use std::process::{Command, Output};
+use std::process::{Command, Output, Stdio};
+use std::time::{Duration, Instant};
+
+/// Only tells a process that would run for ever.
+const LIMIT: Duration = Duration::from_secs(30);
 
 fn binary() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hookway"));
@@ -13,8 +17,24 @@
     command
 }
 
+/// What it prints until it ends. One that goes on, as a controller does that was to be refused, is ended.
+fn run(command: &mut Command) -> Output {
+    let command = command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
+    let mut process = command.spawn().expect("it runs");
+    let begun = Instant::now();
+    while process.try_wait().expect("its own process").is_none() {
+        if begun.elapsed() > LIMIT {
+            process.kill().expect("its own process");
+            let output = process.wait_with_output().expect("its own process");
+            panic!("it goes on: {}", String::from_utf8_lossy(&output.stderr));
+        }
+        std::thread::sleep(Duration::from_millis(5));
+    }
+    process.wait_with_output().expect("its own process")
+}
+
 fn hookway(arguments: &[&str]) -> Output {
-    binary().args(arguments).output().expect("it runs")
+    run(binary().args(arguments))
 }
 
 fn shown(output: &Output) -> (Option<i32>, String, String) {
@@ -143,11 +163,9 @@
     let why = format!("hookway: {}: unknown setting [replication] follow\n", unknown.path());
     let output = hookway(&["--config", settings.path(), "--operator", unknown.path()]);
     assert_eq!(shown(&output), (Some(1), String::new(), why.clone()));
-    let output = binary()
-        .args(["--config", settings.path()])
-        .env("HOOKWAY_OPERATOR_SETTINGS", unknown.path())
-        .output()
-        .expect("it runs");
+    let mut command = binary();
+    command.args(["--config", settings.path()]).env("HOOKWAY_OPERATOR_SETTINGS", unknown.path());
+    let output = run(&mut command);
     assert_eq!(shown(&output), (Some(1), String::new(), why));
 }
 
