--- a/crates/controller/src/cluster_state/autoscaling.rs
+++ b/crates/controller/src/cluster_state/autoscaling.rs
@@ -1,13 +1,10 @@
 use super::task_removal::TaskRemoval;
-use super::{ClusterState, Machine, worker_lease_expiry_ms};
+use super::{ClusterState, CordonReason, Machine, worker_lease_expiry_ms};
 use hookway_constants as constants;
 use hookway_policy::{MachineOffer, MachineView, Resources, plan_scaling};
 use hookway_wire::{ListedMachine, MachineState, MachineType, ScaleOutRequest};
 use std::collections::{HashMap, HashSet};
 
-/// Why a machine is given back that does not report any more.
-pub(super) const SILENT: &str = "silent";
-
 /// Something to ask of the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ScalingAction {
@@ -215,8 +212,7 @@
                 if quick
                     || busy
                     || !machine.has_reported
-                    || machine.cordon_reason.is_some()
-                    || machine.interruption_at.is_some()
+                    || machine.is_draining()
                     || (machine.spot && !seen.spot)
                     || !Resources::of_machine_type(machine_type).fits(&seen.request)
                     || now
@@ -224,7 +220,8 @@
                 {
                     continue;
                 }
-                let images = machine.images.iter().filter(|(i, _)| seen.images.contains(i)).count();
+                let images =
+                    machine.images.iter().filter(|c| seen.images.contains(&c.image)).count();
                 free.push((images, machine_type.price(machine.spot), name));
             }
             // As many as the class needed at a time of late, and one in any case.
@@ -278,7 +275,7 @@
     /// Machines with work that have missed their reports while most others of their zone have not. A
     /// deletion proves their tasks gone, which the list and their leases do only much later.
     fn silent_machines(&self, now: u64, patience: u64) -> HashSet<String> {
-        let live = |h: &Machine| h.has_reported && h.expired_incarnation < h.newest_message.0;
+        let live = |h: &Machine| h.is_live();
         let quiet = |h: &Machine| now.saturating_sub(h.last_response_at.max(self.resumed_at));
         let silent = |h: &Machine| quiet(h) >= patience;
         // In a cut machines fall silent one by one, each when its next report is due.
@@ -340,7 +337,7 @@
         for (name, machine) in &mut self.machines {
             let cut = cut.contains(&machine.zone);
             let needed = cut || needed.contains(name.as_str());
-            if !machine.placed_tasks.is_empty() || !machine.ended_tasks.is_empty() {
+            if !machine.is_empty() {
                 machine.idle_since = None;
             } else if machine.has_reported && machine.idle_since.is_none() {
                 machine.idle_since = Some(now);
@@ -357,7 +354,7 @@
                 && idle >= patience
                 && !spares.contains(name)
             {
-                machine.cordon_reason = Some("idle");
+                machine.cordon_reason = Some(CordonReason::Idle);
             }
             // CircuitBreaker while this node could not answer is not the machine's.
             let quiet_since = machine.last_response_at.max(self.resumed_at);
@@ -367,7 +364,7 @@
                 constants::SILENT_SCALE_IN_DELAY_MS
             };
             if (machine.has_reported || machine.registered) && now >= quiet_since + lease + wait {
-                machine.cordon_reason = Some(SILENT);
+                machine.cordon_reason = Some(CordonReason::Silent);
             }
             let ready_ms = self
                 .machine_types
@@ -382,25 +379,26 @@
                 && now >= machine.created_at + patience
                 && now >= self.resumed_at + lease;
             if never_up {
-                machine.cordon_reason = Some("never came up");
+                machine.cordon_reason = Some(CordonReason::BootTimeout);
             }
             // Work of earlier terms waits for machines that have not reported. A deletion proves
             // what is on them gone, sooner than their lease would.
             if unheard_lost.contains(name) {
-                machine.cordon_reason = Some("not heard since the takeover");
+                machine.cordon_reason = Some(CordonReason::Unreconciled);
             }
             // The same for what is on a machine that has fallen silent by itself.
             let lost = lost.contains(name);
             if lost {
-                machine.cordon_reason = Some(SILENT);
+                machine.cordon_reason = Some(CordonReason::Silent);
             }
-            let empty = lost || machine.placed_tasks.is_empty() && machine.ended_tasks.is_empty();
+            let empty = lost || machine.is_empty();
             let taken = machine.interruption_at.is_some() && machine.has_reported;
             if taken && empty && machine.cordon_reason.is_none() {
-                machine.cordon_reason = Some("the cloud wants it back");
+                machine.cordon_reason = Some(CordonReason::Interrupted);
             }
-            if machine.cordon_reason.is_some() && empty {
-                let why = machine.cordon_reason.unwrap_or_default();
+            if let Some(why) = machine.cordon_reason
+                && empty
+            {
                 tracing::info!("machine {name}: returning it ({why})");
                 machines_to_delete.push(name.clone());
             }
@@ -466,7 +464,7 @@
                 if entry.status == MachineState::Failed {
                     // Nothing runs there, but it stays listed until it is deleted.
                     let mut machine = Machine::new(now);
-                    machine.cordon_reason = Some("failed");
+                    machine.cordon_reason = Some(CordonReason::Failed);
                     self.machines.insert(name.clone(), machine);
                     continue;
                 }
@@ -486,9 +484,11 @@
                 machine.created_at = machine.created_at.min(now.saturating_sub(age_ms));
             }
             machine.first_listed_at.get_or_insert(now as i64);
-            if entry.status == MachineState::Failed && machine.cordon_reason != Some("failed") {
+            if entry.status == MachineState::Failed
+                && machine.cordon_reason != Some(CordonReason::Failed)
+            {
                 tracing::info!("machine {name}: failed");
-                machine.cordon_reason = Some("failed");
+                machine.cordon_reason = Some(CordonReason::Failed);
                 machine.expired_incarnation = u64::MAX;
                 self.remove_all_tasks(name, now, TaskRemoval::Lost);
                 self.unreconciled_machines.remove(name);
--- a/crates/controller/src/cluster_state/command_dispatch.rs
+++ b/crates/controller/src/cluster_state/command_dispatch.rs
@@ -36,7 +36,7 @@
             let job = e.job.and_then(|k| self.jobs.get(&k));
             let needed = e.cause == ExitCause::Done
                 && job.is_some_and(|j| {
-                    j.final_record.is_none()
+                    !j.completion.is_final()
                         && !j.spec.is_daemon()
                         && !j.progress.is_durable(e.index)
                 });
@@ -44,14 +44,14 @@
                 commands.push(Command::Reap { task: e.task.clone(), attempt: e.attempt });
             }
         }
-        let stays = machine.cordon_reason.is_none() && machine.interruption_at.is_none();
+        let stays = !machine.is_draining();
         let may_start = stays && machine.registered;
         let mut held = machine.placed_tasks.clone();
         let mut dropped = Vec::new();
         for h in &mut held {
             let job = h.job.and_then(|k| self.jobs.get(&k));
             let stray_elsewhere = job.is_some_and(|j| j.orphaned.contains(&h.index));
-            let opened = job.is_some_and(|j| h.index < j.watermark_stored);
+            let opened = job.is_some_and(|j| j.start_watermark.allows_start(h.index));
             match (h.phase, self.stop_grace_s(h, now)) {
                 (TaskPhase::Planned, None) if stray_elsewhere || !stays => {
                     dropped.push((h.task.clone(), h.attempt));
@@ -120,7 +120,7 @@
                     grace_s,
                 });
             }
-            let session = machine.newest_message.0;
+            let session = machine.newest_message.incarnation;
             let token = self.term + machine.token_offset;
             pushes.push((
                 machine.address.clone(),
--- a/crates/controller/src/cluster_state/commit_queue.rs
+++ b/crates/controller/src/cluster_state/commit_queue.rs
@@ -1,5 +1,6 @@
 //! What the leader has to write, in the order in which it goes, and transactions with what they stand for.
 
+use super::JobKey;
 use super::machine_registry::MachineRegistry;
 use super::shared_watermarks::SharedStartWatermarks;
 use crate::records::{
@@ -42,8 +43,8 @@
 #[derive(Debug)]
 pub(super) struct CommitQueue {
     pub leader_precondition: Precondition,
-    pub finished_jobs: VecDeque<u64>,
-    pub progress_pages: VecDeque<(u64, usize)>,
+    pub finished_jobs: VecDeque<JobKey>,
+    pub progress_pages: VecDeque<(JobKey, usize)>,
     pub registry: MachineRegistry,
     pub shared_watermarks: SharedStartWatermarks,
     /// Versions of the leader's own records in the store, by key.
@@ -51,11 +52,11 @@
     /// Entries of the older format, by machine: dropped once a record holds the machine.
     pub legacy_registry_keys: HashMap<String, String>,
     pub stale_keys: VecDeque<String>,
-    pub scheduling_records: BTreeSet<u64>,
+    pub scheduling_records: BTreeSet<JobKey>,
     /// What is known of the classes has changed.
     pub classes_changed: bool,
     /// Jobs of which tasks wait for the store to let them be started.
-    pub watermark_raises: BTreeSet<u64>,
+    pub watermark_raises: BTreeSet<JobKey>,
     pub bucket: TokenBucket,
     pub minimum_bucket: TokenBucket,
     /// Changes that a transaction may have, lowered when the state service rejects one.
@@ -119,13 +120,13 @@
 
 #[derive(Debug, Clone)]
 pub(super) enum CommitItem {
-    Final(u64, FinalRecord),
-    ProgressPage(u64, usize, ProgressRecord),
+    Final(JobKey, FinalRecord),
+    ProgressPage(JobKey, usize, ProgressRecord),
     MachineRegistry(u64, Vec<(String, Vec<u32>)>),
     StaleKey(String),
-    Scheduling(u64, JobSchedulingRecord),
+    Scheduling(JobKey, JobSchedulingRecord),
     /// A record of small jobs that may be started, and those that wait for it.
-    SharedWatermarks(u64, Vec<u64>),
+    SharedWatermarks(u64, Vec<JobKey>),
     Classes,
 }
 
--- a/crates/controller/src/cluster_state/commits.rs
+++ b/crates/controller/src/cluster_state/commits.rs
@@ -1,6 +1,6 @@
 use super::commit_queue::{CommitItem, CommitResult, PendingCommit, is_leader_record};
 use super::machine_registry::MachineRegistry;
-use super::{ClusterState, TaskPlacement};
+use super::{CachedImage, ClusterState, JobKey};
 use crate::records::{
     CLASSES_KEY, ClassRecord, FinalRecord, JobSchedulingRecord, ProgressRecord,
     SharedStartWatermarksRecord, final_state_key, fits_value_limit, job_key, parse_progress_key,
@@ -8,7 +8,7 @@
 };
 use hookway_constants as constants;
 use hookway_policy::min_tasks_need_rewrite;
-use hookway_wire::{JobId, JobState, KeyValue, Operation, Transaction};
+use hookway_wire::{JobId, KeyValue, Operation, Transaction};
 use std::collections::BTreeMap;
 
 impl ClusterState {
@@ -67,10 +67,7 @@
             && let Some(key) = self.commit_queue.finished_jobs.pop_front()
         {
             let Some(job) = self.jobs.get_mut(&key) else { continue };
-            let Some(state) = job.intended_end.filter(|_| job.final_record.is_none()) else {
-                continue;
-            };
-            job.end_in_flight = true;
+            let Some(state) = job.completion.begin_commit() else { continue };
             let mut record = FinalRecord {
                 state,
                 done: job.completed,
@@ -109,7 +106,7 @@
         let names = &self.image_names;
         let images = |machine: &str| -> Vec<(&str, f64)> {
             let held = self.machines.get(machine).map(|h| h.images.as_slice()).unwrap_or_default();
-            let named = |(i, gb): &(u32, f64)| Some((names.get(*i as usize)?.as_str(), *gb));
+            let named = |c: &CachedImage| Some((names.get(c.image as usize)?.as_str(), c.size_gb));
             held.iter().filter_map(named).collect()
         };
         let value_kb = self.config.platform.state.value_kb;
@@ -160,7 +157,7 @@
     }
 
     fn add_watermark_raises(&mut self, commit: &mut PendingCommit) {
-        let mut shared: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
+        let mut shared: BTreeMap<u64, Vec<JobKey>> = BTreeMap::new();
         while commit.has_room_for(1 + shared.len())
             && let Some(key) = self.commit_queue.watermark_raises.pop_first()
         {
@@ -169,11 +166,12 @@
                 if job.is_active() {
                     // A record of an earlier leader may be larger than values may be now.
                     let kept = job
-                        .shared_watermark
+                        .start_watermark
+                        .shared_record()
                         .filter(|n| !self.commit_queue.shared_watermarks.too_large(*n));
                     let number =
                         kept.unwrap_or_else(|| self.commit_queue.shared_watermarks.add(&job.id));
-                    job.shared_watermark = Some(number);
+                    job.start_watermark.set_shared_record(number);
                     shared.entry(number).or_default().push(key);
                 }
                 continue;
@@ -223,13 +221,13 @@
         commit.items.push(CommitItem::Classes);
     }
 
-    fn add_scheduling_record(&mut self, commit: &mut PendingCommit, key: u64) {
+    fn add_scheduling_record(&mut self, commit: &mut PendingCommit, key: JobKey) {
         let Some(job) = self.jobs.get(&key).filter(|j| j.is_active()) else { return };
         let record = JobSchedulingRecord {
             min_tasks: job.min_tasks,
             run_time_count: job.run_time_count,
             run_time_sum_ms: job.run_time_sum_ms,
-            start_watermark: job.watermark_stored.max(job.watermark_target),
+            start_watermark: job.start_watermark.highest(),
         };
         let Ok(value) = serde_json::to_value(&record) else { return };
         let name = scheduling_key(&job.id);
@@ -240,7 +238,7 @@
     }
 
     /// A job's minimum is now this: kept for the next leader if it changed by a quarter.
-    pub(super) fn set_min_tasks(&mut self, key: u64, least: u32) {
+    pub(super) fn set_min_tasks(&mut self, key: JobKey, least: u32) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         job.min_tasks = least;
         if !job.is_small() && min_tasks_need_rewrite(job.stored_min_tasks, least) {
@@ -292,7 +290,7 @@
                     if let CommitItem::Final(key, _) = &item
                         && let Some(job) = self.jobs.get_mut(key)
                     {
-                        job.end_indeterminate = true;
+                        job.completion.commit_indeterminate();
                     }
                     self.requeue(item);
                 }
@@ -306,7 +304,7 @@
         if let CommitItem::Final(key, _) = item
             && let Some(job) = self.jobs.get_mut(key)
         {
-            job.end_in_flight = job.end_indeterminate;
+            job.completion.commit_not_applied();
         }
     }
 
@@ -364,9 +362,8 @@
             CommitItem::Scheduling(key, record) => {
                 if let Some(job) = self.jobs.get_mut(&key) {
                     job.stored_min_tasks = Some(record.min_tasks);
-                    job.watermark_stored = job.watermark_stored.max(record.start_watermark);
-                    job.watermark_recorded = true;
-                    if job.final_record.is_some() {
+                    job.start_watermark.record_stored(record.start_watermark);
+                    if job.completion.is_final() {
                         let name = scheduling_key(&job.id);
                         self.commit_queue.stale_keys.push_back(name);
                     }
@@ -375,8 +372,7 @@
             CommitItem::SharedWatermarks(number, keys) => {
                 for key in keys {
                     if let Some(job) = self.jobs.get_mut(&key) {
-                        job.watermark_stored = job.spec.tasks;
-                        job.watermark_recorded = true;
+                        job.start_watermark.record_stored(job.spec.tasks);
                     }
                 }
                 // All of them ended while it was under way.
@@ -392,7 +388,7 @@
     fn requeue(&mut self, item: CommitItem) {
         match item {
             CommitItem::Final(key, _) => {
-                if self.jobs.get(&key).is_some_and(|j| j.final_record.is_none()) {
+                if self.jobs.get(&key).is_some_and(|j| !j.completion.is_final()) {
                     self.commit_queue.finished_jobs.push_front(key);
                 }
             }
@@ -408,9 +404,7 @@
                 self.commit_queue.watermark_raises.extend(keys)
             }
             CommitItem::Scheduling(key, _) => {
-                let waits = |j: &super::Job| {
-                    j.watermark_target > j.watermark_stored || !j.watermark_recorded
-                };
+                let waits = |j: &super::Job| j.start_watermark.needs_record();
                 if self.jobs.get(&key).is_some_and(waits) {
                     self.commit_queue.watermark_raises.insert(key);
                 }
@@ -418,7 +412,7 @@
         }
     }
 
-    fn queue_progress_page(&mut self, key: u64, chunk: usize) {
+    fn queue_progress_page(&mut self, key: JobKey, chunk: usize) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         if job.has_unstored_results(chunk) && job.progress.queue(chunk) {
             self.commit_queue.progress_pages.push_back((key, chunk));
@@ -458,7 +452,7 @@
     /// The progress record that begins at task `from`, as it is in the store.
     pub(super) fn apply_progress_record(
         &mut self,
-        key: u64,
+        key: JobKey,
         from: u32,
         stamp: u64,
         record: Option<&ProgressRecord>,
@@ -472,7 +466,13 @@
     }
 
     /// Results are in the store.
-    fn results_stored(&mut self, key: u64, from: u32, stamp: u64, record: Option<&ProgressRecord>) {
+    fn results_stored(
+        &mut self,
+        key: JobKey,
+        from: u32,
+        stamp: u64,
+        record: Option<&ProgressRecord>,
+    ) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         // A replica's end is no result, whatever a record says.
         if job.spec.is_daemon() || from >= job.spec.tasks {
@@ -480,11 +480,7 @@
         }
         let learned = job.progress.learn(from, stamp, record);
         for index in learned.done {
-            if job.placements[index as usize] != TaskPlacement::Completed {
-                job.placements[index as usize] = TaskPlacement::Completed;
-                job.unplaced.remove(&index);
-                job.completed += 1;
-            }
+            job.mark_completed(index);
         }
         for chunk in learned.pages_to_write {
             if job.progress.queue(chunk) {
@@ -492,17 +488,16 @@
             }
         }
         self.stops_due = true;
-        if job.final_record.is_some() && stamp != 0 {
+        if job.completion.is_final() && stamp != 0 {
             self.commit_queue.stale_keys.push_back(progress_key(&job.id, from));
         }
         self.finish_if_complete(key);
     }
 
     /// All tasks of a job are done: its end is to be written.
-    pub(super) fn finish_if_complete(&mut self, key: u64) {
+    pub(super) fn finish_if_complete(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
-        if job.completed == job.spec.tasks && job.intended_end.is_none() && !job.spec.is_daemon() {
-            job.intended_end = Some(JobState::Done);
+        if job.completed == job.spec.tasks && !job.spec.is_daemon() && job.completion.finish() {
             self.commit_queue.finished_jobs.push_back(key);
         }
     }
--- a/crates/controller/src/cluster_state/completion.rs
+++ b/crates/controller/src/cluster_state/completion.rs
@@ -1,141 +1,152 @@
-//! What users ask of jobs: their states, their cancellation, and their ends.
+//! The completion of a job: from the decision that it ends until the final record is durable.
 
-use super::{ClusterState, Job, leases_expire_within_cancellation};
 use crate::records::FinalRecord;
-use hookway_wire::{JobId, JobState, JobStatus};
-
-/// What the leader knows of a job that a user asks about.
-#[derive(Debug, Clone, PartialEq)]
-pub enum JobLookup {
-    /// Its state.
-    Known(JobStatus),
-    /// Its end is being written down: the state service must be asked.
-    CommitInFlight,
-    /// Not in this picture: over, not yet seen, or never accepted.
-    UnknownJob,
+use hookway_wire::JobState;
+
+/// What a job is to end as.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum IntendedEnd {
+    /// All of its tasks are completed.
+    Done,
+    /// Its user asked this leader to cancel it.
+    Cancelled { requested_at_ms: u64 },
 }
 
-/// What became of a request to cancel.
-#[derive(Debug, Clone, PartialEq)]
-pub enum CancelOutcome {
-    /// It is over already.
-    AlreadyFinal(JobStatus),
-    /// The decision is being written down; it comes with [`ClusterState::take_decided`].
-    Pending,
-    /// Its tasks may not be gone in time yet, so its user can't be told; nothing of it is started any more.
-    LeasesOutstanding,
-    /// Not in this picture.
-    UnknownJob,
+/// The transaction with the final record.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum FinalCommit {
+    /// None is in flight, and none may still be applied.
+    NotSent,
+    /// One is in flight.
+    InFlight,
+    /// Some transaction had no answer: it may be applied at any time, whatever becomes of later ones.
+    Indeterminate,
 }
 
-impl ClusterState {
-    /// What the leader can say of a job.
-    pub fn status(&self, id: &JobId) -> JobLookup {
-        let Some(job) = self.job_keys.get(id).and_then(|k| self.jobs.get(k)) else {
-            return JobLookup::UnknownJob;
-        };
-        match &job.final_record {
-            Some(record) => JobLookup::Known(record.status(id)),
-            None if job.end_in_flight => JobLookup::CommitInFlight,
-            None => JobLookup::Known(self.describe(job)),
-        }
+#[derive(Debug)]
+enum Phase {
+    Active,
+    Ending { intended: IntendedEnd, commit: FinalCommit },
+    Final { record: FinalRecord, cancel_requested_at_ms: Option<u64> },
+}
+
+/// How far the completion of a job has progressed: active, ending, or final.
+#[derive(Debug)]
+pub(super) struct Completion(Phase);
+
+impl Completion {
+    /// The completion of a job that nobody has ended.
+    pub fn active() -> Self {
+        Self(Phase::Active)
     }
 
-    pub(super) fn describe(&self, job: &Job) -> JobStatus {
-        JobStatus {
-            id: job.id.clone(),
-            state: if job.running > 0 { JobState::Running } else { JobState::Queued },
-            done: job.completed,
-            running: job.running,
-            team: Some(job.spec.team.clone()),
-            leader: Some(self.config.controller_name.clone()),
-            notes: job.notes.iter().cloned().collect(),
-        }
+    /// Whether no end is decided, so that tasks may be started.
+    pub fn is_active(&self) -> bool {
+        matches!(self.0, Phase::Active)
     }
 
-    /// A user cancels a job. Nothing of it is started from here on, even before the decision is
-    /// durable.
-    pub fn cancel(&mut self, id: &JobId) -> CancelOutcome {
-        let now = self.last_timestamp.monotonic;
-        let Some(key) = self.job_keys.get(id).copied() else { return CancelOutcome::UnknownJob };
-        let Some(job) = self.jobs.get_mut(&key) else { return CancelOutcome::UnknownJob };
-        if let Some(record) = &job.final_record {
-            return CancelOutcome::AlreadyFinal(record.status(id));
-        }
-        if job.intended_end.is_none() {
-            tracing::info!("job {id}: its user cancels it");
-            job.intended_end = Some(JobState::Cancelled);
-            job.cancel_asked_at = Some(now);
-            self.stops_due = true;
-            self.unproven_cancellations.insert(key);
-            self.queue_proven_cancellations(self.last_timestamp.monotonic);
-        }
-        if self.unproven_cancellations.contains(&key) {
-            CancelOutcome::LeasesOutstanding
-        } else {
-            CancelOutcome::Pending
+    /// Whether the end is durable.
+    pub fn is_final(&self) -> bool {
+        self.final_record().is_some()
+    }
+
+    /// The durable end.
+    pub fn final_record(&self) -> Option<&FinalRecord> {
+        match &self.0 {
+            Phase::Final { record, .. } => Some(record),
+            Phase::Active | Phase::Ending { .. } => None,
         }
     }
 
-    /// Cancellations of which it is sure that all rights which may keep tasks alive end in time are written
-    /// down. As a rule that is all of them at once: blocks are leased so that they end in time, and a
-    /// worker's lease is shorter than a cancellation may take. Where it is not, the tasks must be gone first.
-    pub(super) fn queue_proven_cancellations(&mut self, now: u64) {
-        if self.unproven_cancellations.is_empty() {
-            return;
+    /// Whether only the state service can tell if the job has ended: its final record is in flight,
+    /// or the outcome of that transaction is not known.
+    pub fn commit_outstanding(&self) -> bool {
+        matches!(
+            self.0,
+            Phase::Ending { commit: FinalCommit::InFlight | FinalCommit::Indeterminate, .. }
+        )
+    }
+
+    /// The state that the job ends, or has ended, as; `None` while it is active.
+    pub fn end_state(&self) -> Option<JobState> {
+        match &self.0 {
+            Phase::Active => None,
+            Phase::Ending { intended: IntendedEnd::Done, .. } => Some(JobState::Done),
+            Phase::Ending { intended: IntendedEnd::Cancelled { .. }, .. } => {
+                Some(JobState::Cancelled)
+            }
+            Phase::Final { record, .. } => Some(record.state),
         }
-        let by_themselves = leases_expire_within_cancellation(&self.config.platform);
-        let settled = self.reconciled(now);
-        for key in std::mem::take(&mut self.unproven_cancellations) {
-            let Some(job) = self.jobs.get(&key) else { continue };
-            if by_themselves || settled && job.placed == 0 {
-                self.commit_queue.finished_jobs.push_back(key);
-            } else {
-                self.unproven_cancellations.insert(key);
+    }
+
+    /// When the user asked this leader to cancel the job, ms; `None` if nobody did, or another
+    /// controller decided the cancellation.
+    pub fn cancel_requested_at_ms(&self) -> Option<u64> {
+        match self.0 {
+            Phase::Ending { intended: IntendedEnd::Cancelled { requested_at_ms }, .. } => {
+                Some(requested_at_ms)
             }
+            Phase::Final { cancel_requested_at_ms, .. } => cancel_requested_at_ms,
+            Phase::Active | Phase::Ending { .. } => None,
         }
     }
 
-    /// Jobs whose end has become durable since the last call.
-    pub fn take_completed_jobs(&mut self) -> Vec<(JobId, FinalRecord)> {
-        std::mem::take(&mut self.completed_jobs)
+    /// All tasks are completed. `false`: some end is decided already, which stays.
+    pub fn finish(&mut self) -> bool {
+        self.begin_ending(IntendedEnd::Done)
+    }
+
+    /// The user cancels the job at `now` (ms). `false`: some end is decided already, which stays.
+    pub fn request_cancel(&mut self, now: u64) -> bool {
+        self.begin_ending(IntendedEnd::Cancelled { requested_at_ms: now })
     }
 
-    /// The end of a job is durable.
-    pub(super) fn complete_job(&mut self, key: u64, record: FinalRecord) {
-        let Some(job) = self.jobs.get_mut(&key) else { return };
-        if job.final_record.is_some() {
-            return;
+    fn begin_ending(&mut self, intended: IntendedEnd) -> bool {
+        let was_active = self.is_active();
+        if was_active {
+            self.0 = Phase::Ending { intended, commit: FinalCommit::NotSent };
         }
-        tracing::info!("job {}: {}", job.id, record.state);
-        job.final_record = Some(record.clone());
-        job.intended_end = Some(record.state);
-        job.end_in_flight = false;
-        job.unplaced.clear();
-        for key in job.progress.stored_keys(&job.id) {
-            self.commit_queue.delete_stale(key);
+        was_active
+    }
+
+    /// A transaction with the final record is about to be sent: the state to write. `None`: there is
+    /// nothing to write, as the job is active or its end is durable.
+    pub fn begin_commit(&mut self) -> Option<JobState> {
+        let state = self.end_state();
+        let Phase::Ending { commit, .. } = &mut self.0 else { return None };
+        if *commit == FinalCommit::NotSent {
+            *commit = FinalCommit::InFlight;
         }
-        match job.shared_watermark {
-            Some(number) if self.commit_queue.shared_watermarks.remove(number, &job.id) => {
-                self.commit_queue.delete_stale(crate::records::shared_watermarks_key(number));
-            }
-            Some(_) => {}
-            None if job.stored_min_tasks.is_some() || job.watermark_stored > 0 => {
-                self.commit_queue.delete_stale(crate::records::scheduling_key(&job.id));
-            }
-            None => {}
+        state
+    }
+
+    /// The transaction was surely not applied. An earlier indeterminate one may still be, and other
+    /// controllers then tell the end that they read.
+    pub fn commit_not_applied(&mut self) {
+        if let Phase::Ending { commit, .. } = &mut self.0
+            && *commit == FinalCommit::InFlight
+        {
+            *commit = FinalCommit::NotSent;
+        }
+    }
+
+    /// The outcome of the transaction is not known.
+    pub fn commit_indeterminate(&mut self) {
+        if let Phase::Ending { commit, .. } = &mut self.0 {
+            *commit = FinalCommit::Indeterminate;
         }
-        self.stops_due = true;
-        self.ended_jobs.insert(job.id.clone());
-        self.completed_jobs.push((job.id.clone(), record));
-        self.forget_if_removed(key);
     }
 
-    /// Forgets a job that is over and has nothing left on any machine.
-    pub(super) fn forget_if_removed(&mut self, key: u64) {
-        let gone = self.jobs.get(&key).is_some_and(|j| j.final_record.is_some() && j.placed == 0);
-        if gone && let Some(job) = self.jobs.remove(&key) {
-            self.job_keys.remove(&job.id);
+    /// The final record is durable, whoever decided it. `false`: it was known already.
+    pub fn complete(&mut self, record: FinalRecord) -> bool {
+        if self.is_final() {
+            return false;
         }
+        let cancel_requested_at_ms = self.cancel_requested_at_ms();
+        self.0 = Phase::Final { record, cancel_requested_at_ms };
+        true
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/controller/src/cluster_state/direct_dispatch.rs
+++ b/crates/controller/src/cluster_state/direct_dispatch.rs
@@ -1,7 +1,7 @@
 //! Messages that go straight to workers: starts that should not wait for a report, and a new leader's question
 //! what is on a machine.
 
-use super::{ClusterState, TaskPhase};
+use super::{ClusterState, MessageVersion, TaskPhase};
 use hookway_clients::Delivery;
 use hookway_constants as constants;
 use hookway_wire::{Command, DirectCommands, Heartbeat};
@@ -36,8 +36,7 @@
             self.machines_with_planned_starts.remove(&name);
             let able = machine.has_reported
                 && !machine.address.is_empty()
-                && machine.cordon_reason.is_none()
-                && machine.interruption_at.is_none()
+                && !machine.is_draining()
                 && machine.token_offset + 1 < constants::TOKENS_PER_TERM;
             if !able {
                 continue;
@@ -50,7 +49,7 @@
                     h.phase == TaskPhase::Planned
                         && self.stop_grace_s(h, now).is_none()
                         && job.is_some_and(|j| {
-                            let opened = h.index < j.watermark_stored;
+                            let opened = j.start_watermark.allows_start(h.index);
                             unopened |= !opened;
                             opened && !j.orphaned.contains(&h.index)
                         })
@@ -75,7 +74,7 @@
             }
             let commands = DirectCommands {
                 fencing_token: token,
-                incarnation: machine.newest_message.0,
+                incarnation: machine.newest_message.incarnation,
                 commands,
             };
             let address = machine.address.clone();
@@ -93,10 +92,10 @@
         machine.direct_dispatch_in_flight = false;
         match delivery {
             Delivery::Executed(report) => {
-                let stamp = (report.incarnation, report.sequence);
+                let stamp = MessageVersion::of(&report);
                 // Only of the session that was addressed; it renews no lease.
                 if report.machine == name
-                    && report.incarnation == machine.newest_message.0
+                    && report.incarnation == machine.newest_message.incarnation
                     && report.incarnation > machine.expired_incarnation
                     && stamp > machine.newest_message
                 {
@@ -154,16 +153,21 @@
     pub fn state_probed(&mut self, name: &str, report: Option<Heartbeat>, now: u64) {
         let report = report.filter(|r| r.machine == name && r.fencing_token >= self.term);
         let Some(machine) = self.machines.get_mut(name) else { return };
-        if machine.state_probe.in_flight {
-            machine.state_probe.end(report.is_some());
+        if machine.state_probe.is_in_flight() {
+            if report.is_some() {
+                machine.state_probe.answered();
+            } else {
+                machine.state_probe.failed();
+            }
             self.state_probes_in_flight = self.state_probes_in_flight.saturating_sub(1);
         }
         let Some(report) = report else { return };
-        let stamp = (report.incarnation, report.sequence);
+        let stamp = MessageVersion::of(&report);
         let over =
             report.incarnation <= machine.expired_incarnation || machine.cordon_reason.is_some();
         // A session that began since its last report: its next report tells, and clears what the last one held.
-        let other_session = machine.has_reported && report.incarnation != machine.newest_message.0;
+        let other_session =
+            machine.has_reported && report.incarnation != machine.newest_message.incarnation;
         if over || other_session || stamp <= machine.newest_message {
             return;
         }
--- a/crates/controller/src/cluster_state/failure_attribution.rs
+++ b/crates/controller/src/cluster_state/failure_attribution.rs
@@ -5,7 +5,7 @@
 //! condemns machines nor takes anything from jobs that work; one that met a faulty machine goes on
 //! elsewhere at once.
 
-use super::{ClusterState, Job, Machine};
+use super::{ClusterState, CordonReason, Job, JobKey, Machine};
 use hookway_constants as constants;
 
 impl Job {
@@ -111,7 +111,7 @@
     }
 
     /// A task of job `key`, placed at `since`, has failed on a machine.
-    pub(super) fn attribute_failure(&mut self, name: &str, key: u64, since: u64, now: u64) {
+    pub(super) fn attribute_failure(&mut self, name: &str, key: JobKey, since: u64, now: u64) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         job.record_failure(name, since, now);
         let proven = job.failure_weight() >= 1.0;
@@ -139,6 +139,6 @@
             return;
         };
         tracing::info!("machine {name}: faulty, to be returned");
-        machine.cordon_reason = Some("faulty");
+        machine.cordon_reason = Some(CordonReason::Faulty);
     }
 }
--- a/crates/controller/src/cluster_state/heartbeat.rs
+++ b/crates/controller/src/cluster_state/heartbeat.rs
@@ -1,15 +1,13 @@
 use super::task_removal::TaskRemoval;
 use super::{
-    ClusterState, EndedTask, ExpectedHeartbeat, Machine, PlacedTask, TaskPhase, TaskPlacement,
+    CachedImage, ClusterState, CordonReason, EndedTask, ExpectedHeartbeat, Machine, MessageVersion,
+    PlacedTask, TaskAttempt, TaskPhase, TaskPlacement,
 };
 use hookway_constants as constants;
 use hookway_wire::{
     Command, ExitCause, Heartbeat, HeartbeatResponse, TaskId, TaskState, TaskStatus,
 };
 
-/// Why a machine is given back that reports, but takes no answer.
-const UNACKNOWLEDGED: &str = "it reports, but hears nothing";
-
 impl ClusterState {
     /// A worker reports. `None`: not to be answered with a 200, because the report is old, or comes
     /// from a session or machine that is surely over.
@@ -28,12 +26,12 @@
         }
         self.expire_lease_if_silent(name, now);
         let machine = self.machines.get_mut(name)?;
-        let stamp = (report.incarnation, report.sequence);
+        let stamp = MessageVersion::of(report);
         // Reports can arrive minutes late; only a newer one may change the picture. A session whose
         // lease has surely run out can't be heard from again: such a report is late, whatever its
         // number.
         if stamp <= machine.newest_heartbeat
-            || report.incarnation < machine.newest_message.0
+            || report.incarnation < machine.newest_message.incarnation
             || report.incarnation <= machine.expired_incarnation
         {
             tracing::debug!(
@@ -52,7 +50,8 @@
         // The worker sent this one before it answered commands that came straight to it: what it says
         // is out of date, but the worker waits for an answer.
         let overtaken = stamp < machine.newest_message;
-        let new_session = machine.has_reported && report.incarnation > machine.newest_message.0;
+        let new_session =
+            machine.has_reported && report.incarnation > machine.newest_message.incarnation;
         if !machine.has_reported {
             tracing::info!(
                 "machine {name}: up, {:.1} s old",
@@ -65,9 +64,7 @@
             machine.last_response_at = now;
         }
         machine.has_reported = true;
-        if machine.cordon_reason == Some(super::autoscaling::SILENT)
-            && !self.scaling_in.contains(name)
-        {
+        if machine.cordon_reason == Some(CordonReason::Silent) && !self.scaling_in.contains(name) {
             machine.cordon_reason = None;
         }
         if !overtaken {
@@ -116,8 +113,12 @@
         expected.fencing_token = (token > report.fencing_token).then_some(token);
         for order in &commands {
             match order {
-                Command::Run { task, attempt } => expected.starts.push((task.clone(), *attempt)),
-                Command::Reap { task, attempt } => expected.reaps.push((task.clone(), *attempt)),
+                Command::Run { task, attempt } => {
+                    expected.starts.push(TaskAttempt { task: task.clone(), attempt: *attempt })
+                }
+                Command::Reap { task, attempt } => {
+                    expected.reaps.push(TaskAttempt { task: task.clone(), attempt: *attempt })
+                }
                 Command::Kill { .. } => {}
             }
         }
@@ -135,7 +136,7 @@
         let Some(taken) = expected.acknowledged(report) else { return };
         if taken {
             machine.unacknowledged_responses = 0;
-            if machine.cordon_reason == Some(UNACKNOWLEDGED) {
+            if machine.cordon_reason == Some(CordonReason::Unacknowledged) {
                 tracing::info!("machine {name}: hears again");
                 machine.cordon_reason = None;
             }
@@ -166,8 +167,8 @@
             && machine.cordon_reason.is_none()
             && few
         {
-            tracing::info!("machine {name}: {UNACKNOWLEDGED}");
-            machine.cordon_reason = Some(UNACKNOWLEDGED);
+            tracing::info!("machine {name}: {}", CordonReason::Unacknowledged);
+            machine.cordon_reason = Some(CordonReason::Unacknowledged);
         }
     }
 
@@ -318,10 +319,7 @@
                 job.orphaned.push(task.index);
                 job.unplaced.remove(&task.index);
             }
-            job.placed += 1;
-            if let Some(zone) = self.config.platform.zone(&machine.zone) {
-                job.placed_per_zone[zone] += 1;
-            }
+            job.count_placed(self.config.platform.zone(&machine.zone));
         }
         if held.job.is_none() {
             self.unknown_tasks += 1;
@@ -342,16 +340,16 @@
             .iter()
             .find(|f| f.name == machine.machine_type)
             .map_or(0.0, |f| f.cache_gb);
-        let used: Vec<(u32, f64)> = machine
+        let used: Vec<CachedImage> = machine
             .placed_tasks
             .iter()
             .filter(|h| matches!(h.phase, TaskPhase::Reported(_)))
             .filter_map(|h| h.job.and_then(|k| self.jobs.get(&k)))
-            .map(|j| (j.image, j.spec.image_gb))
+            .map(|j| CachedImage { image: j.image, size_gb: j.spec.image_gb })
             .collect();
-        for (image, gb) in used {
-            if machine.images.last().is_none_or(|(i, _)| *i != image) {
-                machine.use_image(image, gb, cache);
+        for used in used {
+            if machine.images.last().is_none_or(|last| last.image != used.image) {
+                machine.use_image(used, cache);
             }
         }
         if machine.image_ids() != machine.stored_images {
@@ -363,11 +361,9 @@
     pub(super) fn count_running(&mut self, name: &str, add: bool) {
         let Some(machine) = self.machines.get(name) else { return };
         for held in &machine.placed_tasks {
-            let runs = matches!(
-                held.phase,
-                TaskPhase::Reported(TaskState::Running | TaskState::Checkpointing)
-            );
-            if runs && let Some(job) = held.job.and_then(|k| self.jobs.get_mut(&k)) {
+            if held.phase.is_running()
+                && let Some(job) = held.job.and_then(|k| self.jobs.get_mut(&k))
+            {
                 job.running = if add { job.running + 1 } else { job.running.saturating_sub(1) };
             }
         }
--- /dev/null
+++ b/crates/controller/src/cluster_state/job.rs
@@ -0,0 +1,274 @@
+//! A job, as the leader knows it.
+
+use super::Timestamp;
+use super::completion::Completion;
+use super::progress::Progress;
+use super::service_level_objectives::ServiceLevelObjectives;
+use super::start_watermark::StartWatermark;
+use crate::records::JobRecord;
+use hookway_constants as constants;
+use hookway_policy::Resources;
+use hookway_wire::{JobId, JobSpec};
+use std::collections::{BTreeSet, VecDeque};
+
+/// Identifies a job within one leader's cluster state. Never used again within a term; ascending in
+/// the order in which the leader learned of the jobs.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(super) struct JobKey(u64);
+
+impl JobKey {
+    /// The key with this number.
+    pub fn new(number: u64) -> Self {
+        Self(number)
+    }
+}
+
+/// Whether a task is placed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum TaskPlacement {
+    /// On no machine.
+    Unplaced,
+    /// On some machine, or being started there, or possibly there.
+    Placed,
+    /// Completed.
+    Completed,
+}
+
+/// What a job's state depends on beside its record.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct JobContext {
+    /// Index of its team.
+    pub team: usize,
+    /// Number that stands for its image.
+    pub image: u32,
+    /// Number of zones.
+    pub zones: usize,
+    /// Largest value that the state service takes, KiB.
+    pub value_kb: f64,
+    /// An earlier leader may have started some of it.
+    pub inherited: bool,
+}
+
+/// A job that is not final, or whose tasks have not all left their machines.
+#[derive(Debug)]
+pub(super) struct Job {
+    /// Its id.
+    pub id: JobId,
+    /// What its user submitted.
+    pub spec: JobSpec,
+    /// Index of its team.
+    pub team: usize,
+    /// Number that stands for its image.
+    pub image: u32,
+    /// Resources of one task.
+    pub request: Resources,
+    /// When it was submitted, s on the steady clock (may lie before the clock's start).
+    pub submitted_s: f64,
+    /// When it should be complete, s on the steady clock.
+    pub deadline_s: Option<f64>,
+    /// When it should have started, s on the steady clock, tightest objective first.
+    pub start_by_s: Vec<f64>,
+    /// An earlier leader may have started some of it.
+    pub inherited: bool,
+    /// Whether each task is placed, by task index.
+    pub placements: Vec<TaskPlacement>,
+    /// Unplaced tasks without an orphaned attempt: those that may be placed.
+    pub unplaced: BTreeSet<u32>,
+    /// Task indexes of attempts that are on a machine although they should not be, one entry each.
+    pub orphaned: Vec<u32>,
+    /// Number of completed tasks.
+    pub completed: u32,
+    /// Which results are durable.
+    pub progress: Progress,
+    /// Number of attempts that take resources of a machine, orphaned ones included.
+    pub placed: u32,
+    /// Number of running tasks, for display.
+    pub running: u32,
+    /// `placed`, by zone index.
+    pub placed_per_zone: Vec<u32>,
+    /// Sum of the known run times, ms.
+    pub run_time_sum_ms: u64,
+    /// Number of the known run times.
+    pub run_time_count: u32,
+    /// Attempt number that all tasks of a gang share.
+    pub gang_attempt: Option<u64>,
+    /// Attempt of a gang that an earlier leader was starting, from the replicated state.
+    pub resumed_attempt: Option<u64>,
+    /// Until then that attempt may be completed, ms; set once all machines are reconciled.
+    pub resume_deadline: Option<u64>,
+    /// The tasks found of that attempt wait for the other ones, which may be started.
+    pub completing: bool,
+    /// The gang's attempt has lost a task or is being stopped: all of its tasks must be stopped.
+    pub broken: bool,
+    /// How far its completion has progressed.
+    pub completion: Completion,
+    /// No task is started before this time, ms.
+    pub backoff_until: u64,
+    /// Consecutive tries that ended with an error.
+    pub consecutive_failures: u32,
+    /// When the last of those ended, ms.
+    pub last_failure_at: u64,
+    /// The machines that its tasks failed on last, oldest first.
+    pub failed_machines: VecDeque<String>,
+    /// Tasks that were restarted once for running far longer than others.
+    pub restarted_tasks: BTreeSet<u32>,
+    /// Why attempts ended, for the user.
+    pub notes: VecDeque<String>,
+    /// Since when it has been waiting for resources, ms.
+    pub waiting_since: u64,
+    /// Minimum task count, as last computed.
+    pub min_tasks: u32,
+    /// Minimum task count that is durable.
+    pub stored_min_tasks: Option<u32>,
+    /// How far its tasks may have been started.
+    pub start_watermark: StartWatermark,
+}
+
+impl Job {
+    /// The state of a job as it was accepted.
+    pub fn new(
+        record: JobRecord,
+        objectives: &ServiceLevelObjectives,
+        context: &JobContext,
+        at: Timestamp,
+    ) -> Self {
+        let spec = record.spec;
+        let age_s = (at.wall as f64 - record.accepted_at_ms as f64).max(0.0) / 1000.0;
+        let submitted_s = at.monotonic as f64 / 1000.0 - age_s;
+        let tasks = spec.tasks as usize;
+        Self {
+            id: spec.id.clone(),
+            team: context.team,
+            image: context.image,
+            request: Resources::of_task(&spec),
+            submitted_s,
+            deadline_s: objectives.deadline_s.map(|d| submitted_s + d),
+            start_by_s: objectives.start_s.iter().map(|s| submitted_s + s).collect(),
+            inherited: context.inherited,
+            placements: vec![TaskPlacement::Unplaced; tasks],
+            unplaced: (0..spec.tasks).collect(),
+            orphaned: Vec::new(),
+            completed: 0,
+            progress: Progress::new(spec.tasks, context.value_kb),
+            placed: 0,
+            running: 0,
+            placed_per_zone: vec![0; context.zones],
+            run_time_sum_ms: 0,
+            run_time_count: 0,
+            gang_attempt: None,
+            resumed_attempt: None,
+            resume_deadline: None,
+            completing: false,
+            broken: false,
+            completion: Completion::active(),
+            backoff_until: 0,
+            consecutive_failures: 0,
+            last_failure_at: 0,
+            failed_machines: VecDeque::new(),
+            restarted_tasks: BTreeSet::new(),
+            notes: VecDeque::new(),
+            waiting_since: at.monotonic,
+            min_tasks: 0,
+            stored_min_tasks: None,
+            start_watermark: StartWatermark::new(record.has_start_watermark),
+            spec,
+        }
+    }
+
+    /// Whether all of its tasks start at once or nearly so: its minimum task count needs no record,
+    /// and it shares the record of its start watermark with other small jobs.
+    pub fn is_small(&self) -> bool {
+        self.spec.is_gang() || self.spec.tasks <= constants::SMALL_JOB_TASKS
+    }
+
+    /// Whether the zones of its placed tasks decide where its other tasks may start.
+    pub fn bound_to_zones(&self) -> bool {
+        self.spec.one_zone || self.spec.spread
+    }
+
+    /// Number of tasks that are not completed.
+    pub fn unfinished(&self) -> u32 {
+        self.spec.tasks - self.completed
+    }
+
+    /// The start watermark that lets task `index` start: some steps above it, as each raise costs a
+    /// write.
+    pub fn watermark_for(&self, index: u32) -> u32 {
+        if self.spec.is_gang() {
+            return self.spec.tasks;
+        }
+        let step = (self.spec.tasks / constants::START_WATERMARK_STEPS)
+            .max(constants::START_WATERMARK_MIN_STEP);
+        (index / step + 1).saturating_mul(step).min(self.spec.tasks)
+    }
+
+    /// Whether a task is completed.
+    pub fn is_completed(&self, index: u32) -> bool {
+        self.placements[index as usize] == TaskPlacement::Completed
+    }
+
+    /// Marks a task as completed. `false`: it was marked already.
+    pub fn mark_completed(&mut self, index: u32) -> bool {
+        if self.is_completed(index) {
+            return false;
+        }
+        self.placements[index as usize] = TaskPlacement::Completed;
+        self.unplaced.remove(&index);
+        self.completed += 1;
+        true
+    }
+
+    /// Counts an attempt that takes resources in a zone; `None`: the zone is not in the settings.
+    pub fn count_placed(&mut self, zone: Option<usize>) {
+        self.placed += 1;
+        if let Some(zone) = zone {
+            self.placed_per_zone[zone] += 1;
+        }
+    }
+
+    /// Undoes [`Job::count_placed`].
+    pub fn count_removed(&mut self, zone: Option<usize>) {
+        self.placed = self.placed.saturating_sub(1);
+        if let Some(zone) = zone {
+            self.placed_per_zone[zone] = self.placed_per_zone[zone].saturating_sub(1);
+        }
+    }
+
+    /// The results of a progress page, as this leader knows them.
+    pub fn results(&self, page: usize) -> Vec<bool> {
+        self.progress.range(page).map(|index| self.is_completed(index)).collect()
+    }
+
+    /// Whether some result of a progress page is not durable.
+    pub fn has_unstored_results(&self, page: usize) -> bool {
+        let unstored = |index: u32| self.is_completed(index) && !self.progress.is_durable(index);
+        self.progress.range(page).any(unstored)
+    }
+
+    /// Adds a note for the user; the oldest one is dropped when there are too many.
+    pub fn add_note(&mut self, text: String) {
+        if self.notes.back() == Some(&text) {
+            return;
+        }
+        if self.notes.len() >= constants::MAX_JOB_NOTES {
+            self.notes.pop_front();
+        }
+        self.notes.push_back(text);
+    }
+
+    /// Mean of the known run times, ms.
+    pub fn mean_run_time_ms(&self) -> Option<f64> {
+        (self.run_time_count > 0)
+            .then(|| self.run_time_sum_ms as f64 / f64::from(self.run_time_count))
+    }
+
+    /// Mean of the known run times, ms, once there are enough to judge a machine by it.
+    pub fn reliable_mean_run_time_ms(&self) -> Option<f64> {
+        self.mean_run_time_ms().filter(|_| self.run_time_count >= constants::RELIABLE_MEAN_TASKS)
+    }
+
+    /// Whether its tasks may be started at all.
+    pub fn is_active(&self) -> bool {
+        self.completion.is_active()
+    }
+}
--- /dev/null
+++ b/crates/controller/src/cluster_state/machine.rs
@@ -0,0 +1,242 @@
+//! A machine, as the leader knows it.
+
+use super::JobKey;
+use super::placed_task::{EndedTask, ExpectedHeartbeat, PlacedTask};
+use super::state_probe::StateProbe;
+use hookway_constants as constants;
+use hookway_wire::Heartbeat;
+
+/// Why a machine is cordoned: it takes no new task and is scaled in once it is empty.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum CordonReason {
+    /// Without a task for longer than its type's idle timeout.
+    Idle,
+    /// Without heartbeats for longer than its worker's lease.
+    Silent,
+    /// Its worker never sent a heartbeat within the boot timeout.
+    BootTimeout,
+    /// In the machine registry, but without a heartbeat since the failover.
+    Unreconciled,
+    /// Interruption notice: the cloud takes it back.
+    Interrupted,
+    /// The cloud lists it as failed.
+    Failed,
+    /// Tasks take far longer on it than elsewhere.
+    Slow,
+    /// Tasks of different jobs fail on it.
+    Faulty,
+    /// Its heartbeats arrive, but its worker applies no response.
+    Unacknowledged,
+}
+
+impl std::fmt::Display for CordonReason {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str(match self {
+            Self::Idle => "idle",
+            Self::Silent => "silent",
+            Self::BootTimeout => "boot timeout",
+            Self::Unreconciled => "no heartbeat since failover",
+            Self::Interrupted => "interruption notice",
+            Self::Failed => "failed",
+            Self::Slow => "slow",
+            Self::Faulty => "faulty",
+            Self::Unacknowledged => "responses not acknowledged",
+        })
+    }
+}
+
+/// Orders the messages of a worker: a later incarnation, or a later one of the same incarnation.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct MessageVersion {
+    /// Incarnation of the worker.
+    pub incarnation: u64,
+    /// Sequence number of the message within the incarnation.
+    pub sequence: u64,
+}
+
+impl MessageVersion {
+    /// The version of a heartbeat, or of an answer to direct commands.
+    pub fn of(heartbeat: &Heartbeat) -> Self {
+        Self { incarnation: heartbeat.incarnation, sequence: heartbeat.sequence }
+    }
+}
+
+/// A machine that is kept free for a gang that waits for resources.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct GangReservation {
+    /// The gang.
+    pub job: JobKey,
+    /// When the reservation ends, ms.
+    pub until_ms: u64,
+}
+
+/// An image in a machine's cache.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(super) struct CachedImage {
+    /// The image's number.
+    pub image: u32,
+    /// Its size, GB.
+    pub size_gb: f64,
+}
+
+/// A machine.
+#[derive(Debug)]
+pub(super) struct Machine {
+    /// Machine type; empty until known.
+    pub machine_type: String,
+    /// Zone; empty until known.
+    pub zone: String,
+    /// Spot machine.
+    pub spot: bool,
+    /// Address where its worker listens; empty until known.
+    pub address: String,
+    /// Its worker has sent this leader a heartbeat.
+    pub has_reported: bool,
+    /// This leader's state probes of its worker.
+    pub state_probe: StateProbe,
+    /// Newest message of any kind.
+    pub newest_message: MessageVersion,
+    /// Newest heartbeat.
+    pub newest_heartbeat: MessageVersion,
+    /// Added to the term to make its fencing token: raised with each direct dispatch of starts.
+    pub token_offset: u64,
+    /// Starts are being dispatched directly to it.
+    pub direct_dispatch_in_flight: bool,
+    /// Its next heartbeat is expected before this, ms.
+    pub heartbeat_expected_by: u64,
+    /// The leases of incarnations up to this one have surely expired.
+    pub expired_incarnation: u64,
+    /// What its next heartbeat shows if its worker has applied the last response.
+    pub expected_heartbeat: ExpectedHeartbeat,
+    /// Consecutive responses that its worker surely did not apply.
+    pub unacknowledged_responses: u32,
+    /// Last time when any entitled controller may have answered its worker, which then may have
+    /// extended its lease, ms.
+    pub last_response_at: u64,
+    /// Its entry in the machine registry is durable.
+    pub registered: bool,
+    /// When it was requested or first seen, ms (may be corrected by its listed age).
+    pub created_at: u64,
+    /// Surely in the cloud's machine list since then, ms (may lie before the clock's start).
+    pub first_listed_at: Option<i64>,
+    /// Tasks on it.
+    pub placed_tasks: Vec<PlacedTask>,
+    /// Ended tasks that its worker still reports.
+    pub ended_tasks: Vec<EndedTask>,
+    /// When the cloud takes it back, ms.
+    pub interruption_at: Option<u64>,
+    /// Takes no new task until then, ms.
+    pub backoff_until: u64,
+    /// Jobs that failed on it since a task last completed on it.
+    pub failed_jobs: Vec<JobKey>,
+    /// Consecutive tasks that took far longer on it than others of their job.
+    pub consecutive_slow_tasks: u32,
+    /// Takes no new task and is scaled in once empty, for this reason.
+    pub cordon_reason: Option<CordonReason>,
+    /// Without any task since, ms.
+    pub idle_since: Option<u64>,
+    /// Images in its cache, least recently used first.
+    pub images: Vec<CachedImage>,
+    /// Images that its entry in the machine registry names, in ascending order.
+    pub stored_images: Vec<u32>,
+    /// Kept free for a gang.
+    pub reserved_for_gang: Option<GangReservation>,
+}
+
+impl Machine {
+    /// A machine of which nothing is known at `now` (ms).
+    pub fn new(now: u64) -> Self {
+        Self {
+            machine_type: String::new(),
+            zone: String::new(),
+            spot: false,
+            address: String::new(),
+            has_reported: false,
+            state_probe: StateProbe::default(),
+            newest_message: MessageVersion::default(),
+            newest_heartbeat: MessageVersion::default(),
+            token_offset: 0,
+            direct_dispatch_in_flight: false,
+            heartbeat_expected_by: 0,
+            expected_heartbeat: ExpectedHeartbeat::default(),
+            unacknowledged_responses: 0,
+            expired_incarnation: 0,
+            last_response_at: now,
+            registered: false,
+            created_at: now,
+            first_listed_at: None,
+            placed_tasks: Vec::new(),
+            ended_tasks: Vec::new(),
+            interruption_at: None,
+            backoff_until: 0,
+            failed_jobs: Vec::new(),
+            consecutive_slow_tasks: 0,
+            cordon_reason: None,
+            idle_since: None,
+            images: Vec::new(),
+            stored_images: Vec::new(),
+            reserved_for_gang: None,
+        }
+    }
+
+    /// Whether its worker should be probed at `now` (ms): it has sent no heartbeat, or one before it
+    /// had seen this leader's fencing token, and the next one is not expected at once.
+    pub fn needs_state_probe(&self, now: u64) -> bool {
+        let heartbeat_expected =
+            self.has_reported && now < self.last_response_at + constants::PROMPT_HEARTBEAT_MS;
+        self.state_probe.due(now)
+            && !heartbeat_expected
+            && !self.address.is_empty()
+            && self.cordon_reason.is_none()
+    }
+
+    /// Takes the machine's own properties from its newest message, received at `now` (ms).
+    pub fn update_from(&mut self, heartbeat: &Heartbeat, now: u64) {
+        self.newest_message = MessageVersion::of(heartbeat);
+        self.interruption_at =
+            heartbeat.interruption_notice_s.map(|s| now + (s.max(0.0) * 1000.0) as u64);
+        self.address.clone_from(&heartbeat.addr);
+        self.machine_type.clone_from(&heartbeat.machine_type);
+        self.zone.clone_from(&heartbeat.zone);
+        self.spot = heartbeat.spot;
+    }
+
+    /// Whether its worker has sent a heartbeat and its lease has not surely expired since.
+    pub fn is_live(&self) -> bool {
+        self.has_reported && self.expired_incarnation < self.newest_message.incarnation
+    }
+
+    /// Whether it must take no new task: cordoned, or with an interruption notice.
+    pub fn is_draining(&self) -> bool {
+        self.cordon_reason.is_some() || self.interruption_at.is_some()
+    }
+
+    /// Whether it has neither placed tasks nor ended tasks that its worker still reports.
+    pub fn is_empty(&self) -> bool {
+        self.placed_tasks.is_empty() && self.ended_tasks.is_empty()
+    }
+
+    /// Cordons the machine unless it is cordoned already; whether it was not.
+    pub fn cordon(&mut self, reason: CordonReason) -> bool {
+        let was_open = self.cordon_reason.is_none();
+        self.cordon_reason.get_or_insert(reason);
+        was_open
+    }
+
+    /// The images in its cache, in ascending order.
+    pub fn image_ids(&self) -> Vec<u32> {
+        let mut images: Vec<u32> = self.images.iter().map(|cached| cached.image).collect();
+        images.sort_unstable();
+        images
+    }
+
+    /// An image was used on it; the least recently used ones are dropped beyond `cache_gb`.
+    pub fn use_image(&mut self, used: CachedImage, cache_gb: f64) {
+        self.images.retain(|cached| cached.image != used.image);
+        self.images.push(used);
+        let mut total_gb: f64 = self.images.iter().map(|cached| cached.size_gb).sum();
+        while self.images.len() > 1 && total_gb > cache_gb {
+            total_gb -= self.images.remove(0).size_gb;
+        }
+    }
+}
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -4,6 +4,7 @@
 //! and carries out what comes back.
 
 mod autoscaling;
+mod bounded_set;
 mod command_dispatch;
 mod commit_queue;
 mod commits;
@@ -11,32 +12,38 @@
 mod direct_dispatch;
 mod failure_attribution;
 mod heartbeat;
+mod job;
+mod job_operations;
+mod machine;
 mod machine_registry;
-mod model;
+mod placed_task;
 mod progress;
 mod recovery;
 mod scheduling;
+mod service_level_objectives;
 mod shared_watermarks;
 mod standby_feed;
+mod start_watermark;
+mod state_probe;
 mod task_removal;
 
 pub use autoscaling::ScalingAction;
 pub use commit_queue::{CommitResult, PendingCommit, RereadKey};
-pub use completion::{CancelOutcome, JobLookup};
-pub use model::{
-    BoundedSet, EndedTask, ExpectedHeartbeat, Job, JobContext, Machine, PlacedTask,
-    ServiceLevelObjectives, StopOrder, TaskPhase, TaskPlacement,
-};
-pub use progress::Progress;
+pub use job_operations::{CancelOutcome, JobLookup};
 pub use standby_feed::WarmStart;
 
 use crate::blocks::Blocks;
 use crate::records::{ClassRecord, FinalRecord, JobRecord};
 use crate::settings::{OperatorSettings, PlatformSettings};
 use crate::shard_lease::{ShardLease, ShardLeaseRenewal, ShardLessor};
+use bounded_set::BoundedSet;
 use commit_queue::CommitQueue;
 use hookway_constants as constants;
-use hookway_wire::{JobId, JobSpec, JobState, KeyValue, MachineType, Precondition};
+use hookway_wire::{JobId, JobState, KeyValue, MachineType, Precondition};
+use job::{Job, JobContext, JobKey, TaskPlacement};
+use machine::{CachedImage, CordonReason, GangReservation, Machine, MessageVersion};
+use placed_task::{EndedTask, ExpectedHeartbeat, PlacedTask, StopOrder, TaskAttempt, TaskPhase};
+use service_level_objectives::ServiceLevelObjectives;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 
 /// What does not change while a node leads.
@@ -132,8 +139,8 @@
     machine_types: Vec<MachineType>,
     image_ids: HashMap<String, u32>,
     image_names: Vec<String>,
-    jobs: BTreeMap<u64, Job>,
-    job_keys: HashMap<JobId, u64>,
+    jobs: BTreeMap<JobKey, Job>,
+    job_keys: HashMap<JobId, JobKey>,
     /// Jobs that ended in this term: a late event must not bring them back.
     ended_jobs: BoundedSet<JobId>,
     machines: BTreeMap<String, Machine>,
@@ -169,7 +176,7 @@
     /// Workers that are being asked what is on their machines.
     state_probes_in_flight: usize,
     /// Cancelled jobs whose tasks may not be gone in time yet.
-    unproven_cancellations: BTreeSet<u64>,
+    unproven_cancellations: BTreeSet<JobKey>,
     /// Some task may have to be stopped that its worker was not told about.
     stops_due: bool,
     /// When this leader won, ms.
@@ -244,7 +251,7 @@
             at.monotonic,
         );
         let mut cluster = Self {
-            config: config,
+            config,
             term,
             next_attempt: 0,
             next_request: 0,
@@ -345,10 +352,12 @@
         if self.unknown_tasks > 0 || !self.reconciled(now) {
             return 0;
         }
-        let cancelled = |j: &&Job| j.intended_end == Some(JobState::Cancelled) && j.placed > 0;
+        let cancelled =
+            |j: &&Job| j.completion.end_state() == Some(JobState::Cancelled) && j.placed > 0;
         let longest = max_shard_lease_ms(&self.config);
         let left = |job: &Job| {
-            let since_asked = job.cancel_asked_at.map(|at| now.saturating_sub(at));
+            let since_asked =
+                job.completion.cancel_requested_at_ms().map(|at| now.saturating_sub(at));
             since_asked.map_or(0, |ms| longest.saturating_sub(ms))
         };
         let shortest = self.jobs.values().filter(cancelled).map(left).min();
@@ -388,8 +397,8 @@
         let team =
             self.config.platform.teams.iter().position(|t| t.name == record.spec.team).unwrap_or(0);
         self.next_job += 1;
-        let key = self.next_job;
-        let aims = self.objectives_of(&record.spec);
+        let key = JobKey::new(self.next_job);
+        let aims = ServiceLevelObjectives::of_job(&record.spec, &self.config.platform);
         tracing::info!(
             "job {id}: seen ({:?}, {} tasks, lane {}, {}, {} GB, guess {:.0} s, due {:?})",
             record.spec.kind,
@@ -427,38 +436,12 @@
         self.jobs.insert(key, job);
     }
 
-    /// A job's own deadline, or what the aims promise its class.
-    /// A daemon has none: all of its replicas are wanted all the time, and a late one is wanted no less.
-    fn objectives_of(&self, spec: &JobSpec) -> ServiceLevelObjectives {
-        if spec.is_daemon() {
-            return ServiceLevelObjectives::default();
-        }
-        let mut start_s: Vec<f64> = self.objectives(spec, "wait").collect();
-        start_s.sort_by(f64::total_cmp);
-        let finished = self.objectives(spec, "finished").next();
-        // All tasks of an array have started in time if the last ones end a task time later.
-        let started = start_s.first().filter(|_| !spec.is_gang()).map(|s| s + spec.estimate_s);
-        let implied = match (finished, started) {
-            (Some(f), Some(s)) => Some(f.min(s)),
-            (f, s) => f.or(s),
-        };
-        ServiceLevelObjectives { deadline_s: spec.deadline_s.or(implied), start_s }
-    }
-
-    fn objectives<'a>(
-        &'a self,
-        spec: &'a JobSpec,
-        kind: &'a str,
-    ) -> impl Iterator<Item = f64> + 'a {
-        let objectives = self.config.platform.objectives.iter();
-        objectives
-            .filter(move |o| o.kind == kind && o.class.as_deref() == Some(&spec.class))
-            .filter_map(|o| o.within_s)
-    }
-
     /// Images of a record, by their numbers.
-    fn image_ids_of(&mut self, named: &[(String, f64)]) -> Vec<(u32, f64)> {
-        named.iter().map(|(image, gb)| (self.image_id(image), *gb)).collect()
+    fn image_ids_of(&mut self, named: &[(String, f64)]) -> Vec<CachedImage> {
+        named
+            .iter()
+            .map(|(image, gb)| CachedImage { image: self.image_id(image), size_gb: *gb })
+            .collect()
     }
 
     fn image_id(&mut self, image: &str) -> u32 {
@@ -495,7 +478,7 @@
             let old = machine.first_listed_at.is_some_and(|since| {
                 since + (constants::BOOT_CERTAIN_MS as i64) < self.elected_at as i64
             });
-            if machine.has_reported && machine.expired_incarnation < machine.newest_message.0 {
+            if machine.is_live() {
                 expected += 1;
                 latest = latest.max(machine.last_response_at);
             } else if !machine.has_reported && old && self.unreconciled_machines.contains(name) {
--- a/crates/controller/src/cluster_state/recovery.rs
+++ b/crates/controller/src/cluster_state/recovery.rs
@@ -1,7 +1,7 @@
 //! How a new leader takes in what earlier ones left in the state service.
 
 use super::machine_registry::MachineRegistry;
-use super::{ClassHistory, ClusterState, LoadedState, Machine, Timestamp};
+use super::{CachedImage, ClassHistory, ClusterState, LoadedState, Machine, Timestamp};
 use crate::records::{
     ClassRecord, ImagesRecord, JobSchedulingRecord, MachineRegistryRecord, ProgressRecord,
     SharedStartWatermarksRecord,
@@ -123,11 +123,11 @@
                 job.stored_min_tasks = Some(record.min_tasks);
                 job.run_time_count = record.run_time_count;
                 job.run_time_sum_ms = record.run_time_sum_ms;
-                job.watermark_stored = record.start_watermark.max(job.watermark_stored);
+                job.start_watermark.load(record.start_watermark);
             }
             Err(e) => {
                 tracing::error!("{}: can't be read, all of the job counts as started: {e}", kv.key);
-                job.watermark_stored = job.spec.tasks;
+                job.start_watermark.load_all(job.spec.tasks);
             }
         }
     }
@@ -136,14 +136,10 @@
     /// leader must know it too.
     fn load_watermarks(&mut self, last_leader_kept_marks: bool, shared_marks_complete: bool) {
         for job in self.jobs.values_mut() {
-            let marked = job.has_start_watermark && last_leader_kept_marks;
-            if !marked || !shared_marks_complete && job.is_small() {
-                job.watermark_stored = job.spec.tasks;
-                job.watermark_recorded = false;
-            }
-            job.never_started_from = job.watermark_stored;
+            let complete = last_leader_kept_marks && (shared_marks_complete || !job.is_small());
+            job.start_watermark.finish_loading(job.spec.tasks, complete);
         }
-        let unwritten = self.jobs.iter().filter(|(_, j)| !j.watermark_recorded);
+        let unwritten = self.jobs.iter().filter(|(_, j)| !j.start_watermark.is_recorded());
         self.commit_queue.watermark_raises.extend(unwritten.map(|(key, _)| *key));
     }
 
@@ -192,8 +188,8 @@
         for id in record.jobs {
             let job = self.job_keys.get(&id).and_then(|key| self.jobs.get_mut(key));
             if let Some(job) = job {
-                job.watermark_stored = job.spec.tasks;
-                job.shared_watermark = Some(number);
+                job.start_watermark.load_all(job.spec.tasks);
+                job.start_watermark.set_shared_record(number);
                 live.insert(id);
             }
         }
@@ -208,7 +204,7 @@
         &mut self,
         name: &str,
         since: Option<u64>,
-        images: Vec<(u32, f64)>,
+        images: Vec<CachedImage>,
         at: Timestamp,
     ) {
         let mut machine = Machine::new(at.monotonic);
--- a/crates/controller/src/cluster_state/scheduling.rs
+++ b/crates/controller/src/cluster_state/scheduling.rs
@@ -1,17 +1,19 @@
-use super::{ClusterState, Job, Machine, PlacedTask, StopOrder, TaskPhase, TaskPlacement};
+use super::{
+    ClusterState, CordonReason, GangReservation, Job, JobKey, Machine, PlacedTask, StopOrder,
+    TaskPhase, TaskPlacement,
+};
 use crate::settings::Team;
 use hookway_constants as constants;
 use hookway_policy::{
     ClusterSnapshot, JobView, MachineView, PlacedTaskView, Resources, TeamView, min_tasks, place,
     preempt,
 };
-use hookway_wire::TaskState;
 use std::collections::{HashMap, HashSet};
 
 /// What is left of a job's turn after a round.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct UnplacedDemand {
-    key: u64,
+    key: JobKey,
     tasks: u32,
     leftover: bool,
 }
@@ -19,7 +21,7 @@
 /// A world for the policy, with what its indexes stand for.
 pub(super) struct SchedulingSnapshot {
     pub cluster: ClusterSnapshot,
-    pub job_keys: Vec<u64>,
+    pub job_keys: Vec<JobKey>,
     pub machine_names: Vec<String>,
 }
 
@@ -40,11 +42,11 @@
     /// The world as the policy sees it.
     pub(super) fn scheduling_snapshot(&self, now: u64) -> SchedulingSnapshot {
         let teams = self.team_views();
-        let mut index: HashMap<u64, usize> = HashMap::new();
+        let mut index: HashMap<JobKey, usize> = HashMap::new();
         let mut keys = Vec::new();
         let mut jobs = Vec::new();
         for (key, job) in &self.jobs {
-            if job.final_record.is_some() && job.placed == 0 {
+            if job.completion.is_final() && job.placed == 0 {
                 continue;
             }
             let startable = self.startable_now(job, now);
@@ -119,9 +121,9 @@
         // What the store says was never started can't be on any of them. But where a job's tasks must be
         // together, or may not all be, those that may be there decide where others may start.
         if job.spec.is_gang() || job.bound_to_zones() {
-            return if job.never_started_from == 0 { all } else { 0 };
+            return if job.start_watermark.never_started_from() == 0 { all } else { 0 };
         }
-        all.min(job.unplaced.range(job.never_started_from..).count() as u32)
+        all.min(job.unplaced.range(job.start_watermark.never_started_from()..).count() as u32)
     }
 
     fn startable(&self, job: &Job) -> u32 {
@@ -166,9 +168,9 @@
             image_gb: job.spec.image_gb,
             checkpoints: job.spec.checkpoints(),
             checkpoint_time: if job.spec.checkpoints() { job.spec.checkpoint_s } else { 0.0 },
-            submitted: job.submitted,
-            deadline: job.deadline,
-            start_by: job.start_by.clone(),
+            submitted: job.submitted_s,
+            deadline: job.deadline_s,
+            start_by: job.start_by_s.clone(),
             estimated_task_time: job.spec.estimate_s,
             completed: job.completed,
             mean_task_time: job.mean_run_time_ms().map(|ms| ms / 1000.0),
@@ -185,7 +187,7 @@
         &self,
         name: &str,
         machine: &Machine,
-        index: &HashMap<u64, usize>,
+        index: &HashMap<JobKey, usize>,
         now: u64,
     ) -> Option<MachineView> {
         let machine_type =
@@ -194,8 +196,7 @@
         let total = Resources::of_machine_type(&self.machine_types[machine_type]);
         let (free, strangers) = self.free_resources(machine, total);
         let quiet = (self.config.platform.workers.heartbeat_interval_s * 2000.0) as u64;
-        let taken =
-            machine.cordon_reason.is_some() || machine.interruption_at.is_some() || strangers;
+        let taken = machine.is_draining() || strangers;
         let silent = now >= machine.last_response_at + quiet;
         let open = machine.has_reported
             && !taken
@@ -226,7 +227,7 @@
             total,
             free,
             price: self.machine_types[machine_type].price(machine.spot),
-            images: machine.images.iter().map(|(i, _)| *i).collect(),
+            images: machine.images.iter().map(|cached| cached.image).collect(),
             schedulable: open,
             booting: !machine.has_reported && !taken,
             excluded_by: machine
@@ -239,7 +240,7 @@
                 .collect(),
             reserved_for: machine
                 .reserved_for_gang
-                .map(|(k, _)| index.get(&k).copied().unwrap_or(usize::MAX)),
+                .map(|r| index.get(&r.job).copied().unwrap_or(usize::MAX)),
             placed_tasks: held,
         })
     }
@@ -264,9 +265,7 @@
             return;
         }
         let Some(machine) = self.machines.get(name) else { return };
-        let taken = machine.cordon_reason.is_some()
-            || machine.interruption_at.is_some()
-            || machine.reserved_for_gang.is_some();
+        let taken = machine.is_draining() || machine.reserved_for_gang.is_some();
         if taken
             || !machine.registered
             || now < machine.backoff_until
@@ -286,7 +285,7 @@
         if strangers {
             return;
         }
-        let images: Vec<u32> = machine.images.iter().map(|(i, _)| *i).collect();
+        let images: Vec<u32> = machine.images.iter().map(|cached| cached.image).collect();
         let mut left = std::mem::take(&mut self.unplaced_demand);
         for with_image in [true, false] {
             for turn in &mut left {
@@ -346,7 +345,7 @@
             return;
         }
         let mut scene = self.scheduling_snapshot(now);
-        let minimums: Vec<(u64, u32)> = scene
+        let minimums: Vec<(JobKey, u32)> = scene
             .job_keys
             .iter()
             .zip(&scene.cluster.jobs)
@@ -384,7 +383,10 @@
             let key = scene.job_keys[eviction.job];
             for machine in &eviction.machines {
                 if let Some(machine) = self.machines.get_mut(&scene.machine_names[*machine]) {
-                    machine.reserved_for_gang = Some((key, now + constants::STOP_TIMEOUT_MS));
+                    machine.reserved_for_gang = Some(GangReservation {
+                        job: key,
+                        until_ms: now + constants::STOP_TIMEOUT_MS,
+                    });
                 }
             }
             for (machine, tag) in eviction.victims {
@@ -425,22 +427,14 @@
     /// Machines that the cloud takes back: work that can save is stopped in time, and work that has
     /// made no progress yet goes elsewhere. The rest runs on, for it may finish first.
     fn drain_machines(&mut self, now: u64) {
-        let names: Vec<String> = self
-            .machines
-            .iter()
-            .filter(|(_, h)| h.interruption_at.is_some() || h.cordon_reason.is_some())
-            .map(|(n, _)| n.clone())
-            .collect();
+        let names: Vec<String> =
+            self.machines.iter().filter(|(_, h)| h.is_draining()).map(|(n, _)| n.clone()).collect();
         for name in names {
             let Some(machine) = self.machines.get(&name) else { continue };
             let mut stops = Vec::new();
             for (i, held) in machine.placed_tasks.iter().enumerate() {
                 let Some(job) = held.job.and_then(|k| self.jobs.get(&k)) else { continue };
-                let idle = matches!(
-                    held.phase,
-                    TaskPhase::Planned
-                        | TaskPhase::Reported(TaskState::FetchingImage | TaskState::WaitingForGang)
-                );
+                let idle = held.phase.is_before_run();
                 // What can't be done before the machine goes starts anew elsewhere the sooner.
                 let ran = held.running_since.map_or(0, |s| now.saturating_sub(s)) as f64;
                 let goes = machine.interruption_at.map(|at| at.saturating_sub(now) as f64);
@@ -487,9 +481,7 @@
         for (name, i) in stuck {
             let Some(machine) = self.machines.get_mut(&name) else { continue };
             tracing::info!("machine {name}: {} is stuck there", machine.placed_tasks[i].task);
-            if machine.cordon_reason.is_none() {
-                machine.cordon_reason = Some("slow");
-            }
+            machine.cordon(CordonReason::Slow);
             let (key, index) = (machine.placed_tasks[i].job, machine.placed_tasks[i].index);
             if let Some(job) = key.and_then(|k| self.jobs.get_mut(&k)) {
                 job.restarted_tasks.insert(index);
@@ -501,16 +493,17 @@
         }
     }
 
-    fn place_tasks(&mut self, key: u64, machines: &[String], now: u64) {
+    fn place_tasks(&mut self, key: JobKey, machines: &[String], now: u64) {
         let unsettled = !self.reconciled(now);
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let gang = job.spec.is_gang();
-        let from = if unsettled && job.inherited { job.never_started_from } else { 0 };
+        let from =
+            if unsettled && job.inherited { job.start_watermark.never_started_from() } else { 0 };
         for name in machines {
             let Some(index) = job.unplaced.range(from..).next().copied() else { break };
             job.unplaced.remove(&index);
-            if index >= job.watermark_stored.max(job.watermark_target) {
-                job.watermark_target = job.watermark_for(index);
+            if !job.start_watermark.covers(index) {
+                job.start_watermark.raise_target(job.watermark_for(index));
                 self.commit_queue.watermark_raises.insert(key);
             }
             let Some(machine) = self.machines.get_mut(name) else {
@@ -530,14 +523,11 @@
                 job.gang_attempt = Some(attempt);
             }
             job.placements[index as usize] = TaskPlacement::Placed;
-            job.placed += 1;
-            if let Some(zone) = self.config.platform.zone(&machine.zone) {
-                job.placed_per_zone[zone] += 1;
-            }
+            job.count_placed(self.config.platform.zone(&machine.zone));
             self.machines_with_planned_starts.insert(name.clone());
             self.unpublished_machines.insert(name.clone());
             machine.idle_since = None;
-            machine.reserved_for_gang = machine.reserved_for_gang.filter(|(k, _)| *k != key);
+            machine.reserved_for_gang = machine.reserved_for_gang.filter(|r| r.job != key);
             machine.placed_tasks.push(PlacedTask {
                 job: Some(key),
                 task: format!("{}/{index}", job.id),
@@ -576,7 +566,7 @@
         }
     }
 
-    fn preempt_for(&mut self, name: &str, at: usize, winner: u64, now: u64) {
+    fn preempt_for(&mut self, name: &str, at: usize, winner: JobKey, now: u64) {
         let text = match (
             self.jobs.get(&winner),
             self.machines.get(name).and_then(|h| h.placed_tasks.get(at)),
--- /dev/null
+++ b/crates/controller/src/cluster_state/service_level_objectives.rs
@@ -0,0 +1,46 @@
+//! Service-level objectives: when a job should start and be complete.
+
+use crate::settings::PlatformSettings;
+use hookway_wire::JobSpec;
+
+/// When a job should start and be complete, in s after its submission.
+#[derive(Debug, Clone, Default)]
+pub(super) struct ServiceLevelObjectives {
+    /// When it should be complete.
+    pub deadline_s: Option<f64>,
+    /// When it should have started, tightest objective first.
+    pub start_s: Vec<f64>,
+}
+
+impl ServiceLevelObjectives {
+    /// A job's own deadline, or what the platform's objectives promise its class. A daemon has none:
+    /// all of its replicas are wanted all the time, and a late one is wanted no less.
+    pub fn of_job(spec: &JobSpec, platform: &PlatformSettings) -> Self {
+        if spec.is_daemon() {
+            return Self::default();
+        }
+        let mut start_s: Vec<f64> = class_objectives(platform, spec, "wait").collect();
+        start_s.sort_by(f64::total_cmp);
+        let finished_s = class_objectives(platform, spec, "finished").next();
+        // All tasks of an array have started in time if the last ones end a task time later.
+        let started_s = start_s.first().filter(|_| !spec.is_gang()).map(|s| s + spec.estimate_s);
+        let implied_s = match (finished_s, started_s) {
+            (Some(finished_s), Some(started_s)) => Some(finished_s.min(started_s)),
+            (finished_s, started_s) => finished_s.or(started_s),
+        };
+        Self { deadline_s: spec.deadline_s.or(implied_s), start_s }
+    }
+}
+
+/// The platform's objectives of one kind for a job's class, s.
+fn class_objectives<'a>(
+    platform: &'a PlatformSettings,
+    spec: &'a JobSpec,
+    kind: &'a str,
+) -> impl Iterator<Item = f64> + 'a {
+    platform
+        .objectives
+        .iter()
+        .filter(move |o| o.kind == kind && o.class.as_deref() == Some(&spec.class))
+        .filter_map(|o| o.within_s)
+}
--- a/crates/controller/src/cluster_state/standby_feed.rs
+++ b/crates/controller/src/cluster_state/standby_feed.rs
@@ -4,7 +4,7 @@
 //! wherever they were tried, and which attempt of a gang was being started. What runs where is told by the
 //! workers alone, and what was never started by the state service alone.
 
-use super::{ClusterState, Job, Machine, TaskPhase};
+use super::{ClusterState, Job, JobKey, Machine, TaskPhase};
 use crate::networks::Networks;
 use hookway_constants as constants;
 use hookway_replication::{JobHints, MachineView, Publisher, ReplicatedState, Stage, TaskView};
@@ -72,8 +72,11 @@
         let Some(machine) = self.machines.get(name).filter(|m| is_published(m)) else {
             return publisher.drop_machine(name);
         };
-        let view =
-            MachineView { name, address: &machine.address, session: machine.newest_message.0 };
+        let view = MachineView {
+            name,
+            address: &machine.address,
+            session: machine.newest_message.incarnation,
+        };
         let tasks = machine.placed_tasks.iter().map(|held| TaskView {
             task: &held.task,
             attempt: held.attempt,
@@ -157,7 +160,7 @@
 
     /// Gangs of which the attempt that an earlier leader was starting can still be completed: what was found of it
     /// waits for the rest, and nothing of it runs or goes.
-    pub(super) fn completable_gangs(&self) -> HashSet<u64> {
+    pub(super) fn completable_gangs(&self) -> HashSet<JobKey> {
         let resumed = |job: &Job| {
             job.resumed_attempt.is_some()
                 && !job.unplaced.is_empty()
@@ -165,17 +168,13 @@
                 && job.orphaned.is_empty()
                 && !job.broken
         };
-        let mut gangs: HashSet<u64> =
+        let mut gangs: HashSet<JobKey> =
             self.jobs.iter().filter(|(_, job)| resumed(job)).map(|(key, _)| *key).collect();
         if gangs.is_empty() {
             return gangs;
         }
         for held in self.machines.values().flat_map(|machine| &machine.placed_tasks) {
-            let waits = matches!(
-                held.phase,
-                TaskPhase::Planned
-                    | TaskPhase::Reported(TaskState::FetchingImage | TaskState::WaitingForGang)
-            );
+            let waits = held.phase.is_before_run();
             if let Some(key) = held.job
                 && (!waits || held.stop.is_some())
             {
--- a/crates/controller/src/cluster_state/task_removal.rs
+++ b/crates/controller/src/cluster_state/task_removal.rs
@@ -1,6 +1,9 @@
 //! How tasks leave their machines: they end, are lost, or were never started.
 
-use super::{ClusterState, Job, PlacedTask, TaskPhase, TaskPlacement, worker_lease_expiry_ms};
+use super::{
+    ClusterState, CordonReason, Job, JobKey, PlacedTask, TaskPhase, TaskPlacement,
+    worker_lease_expiry_ms,
+};
 use hookway_constants as constants;
 use hookway_wire::ExitCause;
 
@@ -30,10 +33,7 @@
             return;
         };
         let Some(job) = self.jobs.get_mut(&key) else { return };
-        job.placed = job.placed.saturating_sub(1);
-        if let Some(zone) = self.config.platform.zone(&zone) {
-            job.placed_per_zone[zone] = job.placed_per_zone[zone].saturating_sub(1);
-        }
+        job.count_removed(self.config.platform.zone(&zone));
         let index = held.index;
         if held.orphaned {
             if let Some(i) = job.orphaned.iter().position(|s| *s == index) {
@@ -78,7 +78,7 @@
     pub(super) fn task_ended(
         &mut self,
         name: &str,
-        key: u64,
+        key: JobKey,
         held: &PlacedTask,
         cause: ExitCause,
         now: u64,
@@ -104,14 +104,14 @@
                         && machine.cordon_reason.is_none()
                     {
                         tracing::info!("machine {name}: slow, to be returned");
-                        machine.cordon_reason = Some("slow");
+                        machine.cordon_reason = Some(CordonReason::Slow);
                     }
                 }
             }
             return;
         }
         let Some(job) = self.jobs.get_mut(&key) else { return };
-        if !held.orphaned && job.final_record.is_none() {
+        if !held.orphaned && !job.completion.is_final() {
             job.add_note(format!("task {} {} (machine {name})", held.index, cause.description()));
         }
         let Some(machine) = self.machines.get_mut(name) else { return };
@@ -127,9 +127,9 @@
     }
 
     /// A task has completed. A gang completes together.
-    pub(super) fn complete_task(&mut self, key: u64, index: u32, took_ms: Option<u64>) {
+    pub(super) fn complete_task(&mut self, key: JobKey, index: u32, took_ms: Option<u64>) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
-        if job.final_record.is_some() || job.spec.is_daemon() {
+        if job.completion.is_final() || job.spec.is_daemon() {
             return;
         }
         job.consecutive_failures = 0;
@@ -137,12 +137,9 @@
         self.stops_due |= all || !job.orphaned.is_empty();
         let indexes = if all { 0..job.spec.tasks } else { index..index + 1 };
         for i in indexes {
-            if job.placements[i as usize] == TaskPlacement::Completed {
+            if !job.mark_completed(i) {
                 continue;
             }
-            job.placements[i as usize] = TaskPlacement::Completed;
-            job.unplaced.remove(&i);
-            job.completed += 1;
             if i == index
                 && let Some(took) = took_ms
             {
@@ -174,7 +171,7 @@
     pub(super) fn remove_machine(&mut self, name: &str, now: u64) {
         self.remove_all_tasks(name, now, TaskRemoval::Lost);
         let removed = self.machines.remove(name);
-        if removed.is_some_and(|machine| machine.state_probe.in_flight) {
+        if removed.is_some_and(|machine| machine.state_probe.is_in_flight()) {
             self.state_probes_in_flight = self.state_probes_in_flight.saturating_sub(1);
         }
         self.commit_queue.registry.remove(name);
@@ -227,7 +224,7 @@
                 continue;
             }
             let Some(machine) = self.machines.get_mut(&name) else { continue };
-            if machine.reserved_for_gang.is_some_and(|(_, until)| now >= until) {
+            if machine.reserved_for_gang.is_some_and(|r| now >= r.until_ms) {
                 machine.reserved_for_gang = None;
             }
             if now >= machine.last_response_at + quiet {
@@ -249,9 +246,9 @@
         ) {
             return false;
         }
-        if machine.has_reported && machine.expired_incarnation < machine.newest_message.0 {
+        if machine.is_live() {
             tracing::info!("machine {name}: silent, its lease is over");
-            machine.expired_incarnation = machine.newest_message.0;
+            machine.expired_incarnation = machine.newest_message.incarnation;
             self.remove_all_tasks(name, now, TaskRemoval::Lost);
         }
         self.unreconciled_machines.remove(name);
