--- /dev/null
+++ b/crates/controller/src/cluster_state/draining.rs
@@ -0,0 +1,94 @@
+//! Moving tasks off machines: draining, and restarting stuck tasks elsewhere.
+
+use super::{ClusterState, CordonReason, Job, Machine, PlacedTask};
+use hookway_constants as constants;
+
+/// A task on a machine.
+struct TaskPosition {
+    machine: String,
+    /// Index in the machine's placed tasks.
+    index: usize,
+}
+
+impl ClusterState {
+    /// Drains cordoned machines and those with an interruption notice: tasks that can write a
+    /// checkpoint are stopped in time, and tasks without any progress are moved. The other tasks run
+    /// on, for they may finish first.
+    pub(super) fn drain_machines(&mut self, now: u64) {
+        let mut to_stop = Vec::new();
+        for (name, machine) in self.machines.iter().filter(|(_, m)| m.is_draining()) {
+            for (index, placed) in machine.placed_tasks.iter().enumerate() {
+                if placed.stop.is_none() && self.moves_when_drained(machine, placed, now) {
+                    to_stop.push(TaskPosition { machine: name.clone(), index });
+                }
+            }
+        }
+        for task in to_stop {
+            self.stop_task(&task.machine, task.index, now);
+        }
+    }
+
+    /// Whether a task on a draining machine is stopped, to start elsewhere.
+    fn moves_when_drained(&self, machine: &Machine, placed: &PlacedTask, now: u64) -> bool {
+        let Some(job) = placed.job.and_then(|key| self.jobs.get(&key)) else { return false };
+        // A task that can't finish before the machine is gone starts elsewhere the sooner.
+        let ran_ms = placed.running_since.map_or(0, |since| now.saturating_sub(since)) as f64;
+        let remaining_ms = machine.interruption_at.map(|at| at.saturating_sub(now) as f64);
+        let cannot_finish = !job.spec.is_gang()
+            && job
+                .reliable_mean_run_time_ms()
+                .zip(remaining_ms)
+                .is_some_and(|(mean_ms, remaining_ms)| mean_ms - ran_ms > remaining_ms);
+        // A replica of a daemon never finishes first.
+        placed.phase.is_before_run()
+            || job.spec.checkpoints()
+            || job.spec.is_daemon()
+            || cannot_finish
+    }
+
+    /// Restarts tasks that run many times longer than others of their job: their machine is most
+    /// likely faulty, so it is cordoned, and they run elsewhere.
+    pub(super) fn restart_stuck_tasks(&mut self, now: u64) {
+        for task in self.stuck_tasks(now) {
+            let Some(machine) = self.machines.get_mut(&task.machine) else { continue };
+            let placed = &machine.placed_tasks[task.index];
+            tracing::info!(machine = %task.machine, task = %placed.task, "task stuck");
+            let (key, index) = (placed.job, placed.index);
+            machine.cordon(CordonReason::Slow);
+            if let Some(job) = key.and_then(|key| self.jobs.get_mut(&key)) {
+                job.restarted_tasks.insert(index);
+                job.add_note(format!(
+                    "task {index} ran far longer than others on {}, tried elsewhere",
+                    task.machine
+                ));
+            }
+            self.stop_task(&task.machine, task.index, now);
+        }
+    }
+
+    fn stuck_tasks(&self, now: u64) -> Vec<TaskPosition> {
+        let mut stuck = Vec::new();
+        for (name, machine) in &self.machines {
+            for (index, placed) in machine.placed_tasks.iter().enumerate() {
+                if self.is_stuck(placed, now) {
+                    stuck.push(TaskPosition { machine: name.clone(), index });
+                }
+            }
+        }
+        stuck
+    }
+
+    fn is_stuck(&self, placed: &PlacedTask, now: u64) -> bool {
+        let (Some(since), None) = (placed.running_since, placed.stop) else { return false };
+        let independent = |job: &&Job| !job.spec.is_gang() && !job.spec.is_daemon();
+        let job = placed.job.and_then(|key| self.jobs.get(&key)).filter(independent);
+        let Some(job) = job else { return false };
+        // Once only: a task that is long wherever it runs must be able to finish.
+        if job.restarted_tasks.contains(&placed.index) {
+            return false;
+        }
+        let ran_ms = now.saturating_sub(since) as f64;
+        let mean_ms = job.reliable_mean_run_time_ms();
+        mean_ms.is_some_and(|mean_ms| ran_ms > mean_ms * constants::STUCK_TASK_RATIO)
+    }
+}
--- /dev/null
+++ b/crates/controller/src/cluster_state/gang_repair.rs
@@ -0,0 +1,53 @@
+//! Gangs of which only a part is placed: the rest is started, or the part is stopped.
+
+use super::{ClusterState, Job, JobKey, TaskPlacement};
+use hookway_constants as constants;
+use std::collections::HashSet;
+
+impl ClusterState {
+    /// Stops a gang that lost a task. One of which only a part was found after a failover is stopped
+    /// as well, unless that part still waits for the rest: then the rest is started.
+    pub(super) fn repair_gangs(&mut self, now: u64) {
+        let reconciled = self.reconciled(now);
+        let completable = if reconciled { self.completable_gangs() } else { HashSet::new() };
+        for (key, job) in &mut self.jobs {
+            let partial = job.spec.is_gang()
+                && job.is_active()
+                && job.placed > 0
+                && job.placements.contains(&TaskPlacement::Unplaced)
+                && (reconciled || !job.inherited);
+            job.completing = partial
+                && completable.contains(key)
+                && now < *job.resume_deadline.get_or_insert(now + constants::GANG_RESUME_LIMIT_MS);
+            if partial && !job.completing {
+                self.stops_due |= !job.broken;
+                job.broken = true;
+            }
+        }
+    }
+
+    /// Gangs whose attempt that an earlier leader was starting can still be completed: the tasks
+    /// found of it wait for the rest, and none of them runs or is being stopped.
+    fn completable_gangs(&self) -> HashSet<JobKey> {
+        let resumable = |job: &Job| {
+            job.resumed_attempt.is_some()
+                && !job.unplaced.is_empty()
+                && job.gang_attempt == job.resumed_attempt
+                && job.orphaned.is_empty()
+                && !job.broken
+        };
+        let mut gangs: HashSet<JobKey> =
+            self.jobs.iter().filter(|(_, job)| resumable(job)).map(|(key, _)| *key).collect();
+        if gangs.is_empty() {
+            return gangs;
+        }
+        for placed in self.machines.values().flat_map(|machine| &machine.placed_tasks) {
+            if let Some(key) = placed.job
+                && (!placed.phase.is_before_run() || placed.stop.is_some())
+            {
+                gangs.remove(&key);
+            }
+        }
+        gangs
+    }
+}
--- a/crates/controller/src/cluster_state/heartbeat.rs
+++ b/crates/controller/src/cluster_state/heartbeat.rs
@@ -94,7 +94,7 @@
             machine.last_response_at = now;
         }
         // As with the paper's heartbeats, room that a report shows free is filled in its answer.
-        if now >= self.last_round + self.round_interval_ms() {
+        if now >= self.last_round.at_ms + self.round_interval_ms() {
             self.scheduling_round(now);
         } else {
             self.fill_machine(name, now);
--- /dev/null
+++ b/crates/controller/src/cluster_state/machine_fill.rs
@@ -0,0 +1,124 @@
+//! Filling a machine at its heartbeat with tasks that had no room in the last scheduling round.
+
+use super::ClusterState;
+use super::scheduling_round::UnplacedDemand;
+use super::snapshot::FreeResources;
+use crate::settings::Team;
+use hookway_policy::{JobView, Resources};
+
+/// A machine with free resources.
+struct FillTarget<'a> {
+    name: &'a str,
+    /// Index of its machine type.
+    machine_type: usize,
+    /// Index of its zone.
+    zone: usize,
+    spot: bool,
+    free: Resources,
+    images: Vec<u32>,
+}
+
+impl ClusterState {
+    /// Fills the free resources of a machine that has just sent a heartbeat, in the order of the
+    /// last round's queue. Leftover demand whose image is cached there precedes other leftovers.
+    pub(super) fn fill_machine(&mut self, name: &str, now: u64) {
+        if self.last_round.unplaced.is_empty() {
+            return;
+        }
+        let Some(mut target) = self.fill_target(name, now) else { return };
+        let mut unplaced = std::mem::take(&mut self.last_round.unplaced);
+        for cached_leftovers_only in [true, false] {
+            for demand in &mut unplaced {
+                if cached_leftovers_only
+                    && demand.leftover
+                    && !self.has_cached_image(&target, demand)
+                {
+                    continue;
+                }
+                let Some(job) = self.jobs.get(&demand.job) else { continue };
+                let request = job.request;
+                let tasks = self.tasks_to_fill(&target, demand, now);
+                if tasks == 0 {
+                    continue;
+                }
+                demand.tasks -= tasks;
+                target.free.subtract(&request.times(tasks));
+                self.place_tasks(demand.job, &vec![name.to_owned(); tasks as usize], now);
+            }
+        }
+        unplaced.retain(|demand| demand.tasks > 0);
+        self.last_round.unplaced = unplaced;
+    }
+
+    /// The machine, if it may take tasks now.
+    fn fill_target<'a>(&self, name: &'a str, now: u64) -> Option<FillTarget<'a>> {
+        let machine = self.machines.get(name)?;
+        if self.last_round.reserved_machines.contains(name)
+            || machine.is_draining()
+            || machine.reserved_for_gang.is_some()
+            || !machine.registered
+            || now < machine.backoff_until
+            || !self.blocks.holds(name, &self.config.controller_name, now)
+        {
+            return None;
+        }
+        let machine_type =
+            self.machine_types.iter().position(|t| t.name == machine.machine_type)?;
+        let zone = self.config.platform.zone(&machine.zone)?;
+        let total = Resources::of_machine_type(&self.machine_types[machine_type]);
+        let FreeResources { free, has_unknown_tasks } = self.free_resources(machine, total);
+        (!has_unknown_tasks).then(|| FillTarget {
+            name,
+            machine_type,
+            zone,
+            spot: machine.spot,
+            free,
+            images: machine.images.iter().map(|cached| cached.image).collect(),
+        })
+    }
+
+    fn has_cached_image(&self, target: &FillTarget<'_>, demand: &UnplacedDemand) -> bool {
+        self.jobs.get(&demand.job).is_some_and(|job| target.images.contains(&job.image))
+    }
+
+    /// Number of tasks of a demand that may be placed on the machine now.
+    fn tasks_to_fill(&self, target: &FillTarget<'_>, demand: &UnplacedDemand, now: u64) -> u32 {
+        let Some(job) = self.jobs.get(&demand.job) else { return 0 };
+        if demand.tasks == 0
+            || job.excludes_machine(target.name, self.machines.len())
+            || !target.free.fits(&job.request)
+        {
+            return 0;
+        }
+        let startable = self.startable_now(job, now);
+        if startable == 0 {
+            return 0;
+        }
+        let view = self.job_view(job, startable);
+        if !view.allows(target.machine_type, target.zone, target.spot)
+            || !view.may_use_zone(target.zone)
+        {
+            return 0;
+        }
+        let in_zone = view.placed_per_zone.get(target.zone).copied().unwrap_or(0);
+        demand
+            .tasks
+            .min(view.startable)
+            .min(target.free.capacity_for(&view.request))
+            .min(view.max_tasks_per_zone.saturating_sub(in_zone))
+            .min(self.tasks_within_quota(&view))
+    }
+
+    /// Number of tasks of a job that its team's quota allows, less what is reserved for gangs.
+    fn tasks_within_quota(&self, job: &JobView) -> u32 {
+        let has_quota = self.config.platform.teams.get(job.team).is_some_and(Team::limited);
+        let team = has_quota.then(|| self.team_views().into_iter().nth(job.team)).flatten();
+        let Some(mut team) = team else { return u32::MAX };
+        for (_, reserved) in
+            self.last_round.quota_reservations.iter().filter(|(team, _)| *team == job.team)
+        {
+            team.used.add(reserved);
+        }
+        team.remaining_tasks(&job.request)
+    }
+}
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -10,20 +10,26 @@
 mod commits;
 mod completion;
 mod direct_dispatch;
+mod draining;
 mod failure_attribution;
+mod gang_repair;
 mod heartbeat;
 mod job;
 mod job_operations;
 mod machine;
+mod machine_fill;
 mod machine_registry;
 mod placed_task;
+mod placement;
 mod progress;
 mod recovery;
-mod scheduling;
+mod scheduling_round;
 mod service_level_objectives;
 mod shared_watermarks;
+mod snapshot;
 mod standby_feed;
 mod start_watermark;
+mod startable_tasks;
 mod state_probe;
 mod task_removal;
 
@@ -43,6 +49,7 @@
 use job::{Job, JobContext, JobKey, TaskPlacement};
 use machine::{CachedImage, CordonReason, GangReservation, Machine, MessageVersion};
 use placed_task::{EndedTask, ExpectedHeartbeat, PlacedTask, StopOrder, TaskAttempt, TaskPhase};
+use scheduling_round::LastRound;
 use service_level_objectives::ServiceLevelObjectives;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 
@@ -160,13 +167,8 @@
     unavailable_capacity: HashMap<(usize, usize, bool), u64>,
     pending_scale_outs: Vec<autoscaling::PendingScaleOut>,
     scaling_in: HashSet<String>,
-    last_round: u64,
-    /// Turns that found no room in the last round, in order: what reports fill free room with.
-    unplaced_demand: Vec<scheduling::UnplacedDemand>,
-    /// What the last round set aside of teams' limits for gangs that wait.
-    quota_reservations: Vec<(usize, hookway_policy::Resources)>,
-    /// Machines that the last round kept for gangs that wait.
-    reserved_machines: HashSet<String>,
+    /// What the last scheduling round left for heartbeats.
+    last_round: LastRound,
     /// Tasks on machines that belong to no job in this ledger.
     unknown_tasks: usize,
     /// Machines with starts that no worker was told of yet.
@@ -274,10 +276,7 @@
             unavailable_capacity: HashMap::new(),
             pending_scale_outs: Vec::new(),
             scaling_in: HashSet::new(),
-            last_round: 0,
-            unplaced_demand: Vec::new(),
-            quota_reservations: Vec::new(),
-            reserved_machines: HashSet::new(),
+            last_round: LastRound::default(),
             unknown_tasks: 0,
             machines_with_planned_starts: BTreeSet::new(),
             direct_dispatches_in_flight: 0,
--- /dev/null
+++ b/crates/controller/src/cluster_state/placement.rs
@@ -0,0 +1,96 @@
+//! Placing tasks on machines, stopping them, and preempting them for other jobs.
+
+use super::{ClusterState, JobKey, PlacedTask, StopOrder, TaskPhase, TaskPlacement};
+
+impl ClusterState {
+    /// Places one unplaced task of a job on each of `machines`, as long as there is one.
+    pub(super) fn place_tasks(&mut self, key: JobKey, machines: &[String], now: u64) {
+        let reconciled = self.reconciled(now);
+        let Some(job) = self.jobs.get_mut(&key) else { return };
+        let gang = job.spec.is_gang();
+        let first =
+            if reconciled || !job.inherited { 0 } else { job.start_watermark.never_started_from() };
+        for name in machines {
+            let Some(index) = job.unplaced.range(first..).next().copied() else { break };
+            job.unplaced.remove(&index);
+            if !job.start_watermark.covers(index) {
+                job.start_watermark.raise_target(job.watermark_for(index));
+                self.commit_queue.watermark_raises.insert(key);
+            }
+            let Some(machine) = self.machines.get_mut(name) else {
+                job.unplaced.insert(index);
+                continue;
+            };
+            // An attempt number is never used twice: the term is its upper part, and no two leaders
+            // share a term.
+            let attempt = job.gang_attempt.filter(|_| gang).unwrap_or_else(|| {
+                self.next_attempt += 1;
+                (self.term << 28) + self.next_attempt
+            });
+            if gang {
+                job.gang_attempt = Some(attempt);
+            }
+            job.placements[index as usize] = TaskPlacement::Placed;
+            job.count_placed(self.config.platform.zone(&machine.zone));
+            self.machines_with_planned_starts.insert(name.clone());
+            self.unpublished_machines.insert(name.clone());
+            machine.idle_since = None;
+            machine.reserved_for_gang = machine.reserved_for_gang.filter(|r| r.job != key);
+            machine.placed_tasks.push(PlacedTask {
+                job: Some(key),
+                task: format!("{}/{index}", job.id),
+                index,
+                attempt,
+                phase: TaskPhase::Planned,
+                orphaned: false,
+                stop: None,
+                stop_dispatched: false,
+                running_since: None,
+                placed_at: now,
+                adopted: false,
+            });
+        }
+    }
+
+    /// Stops the task at `position` of a machine's placed tasks, and its whole gang with it, with time
+    /// for a checkpoint.
+    pub(super) fn stop_task(&mut self, name: &str, position: usize, now: u64) {
+        let machine = self.machines.get(name);
+        let Some(placed) = machine.and_then(|m| m.placed_tasks.get(position)) else { return };
+        let Some(key) = placed.job else { return };
+        let (task, attempt) = (placed.task.clone(), placed.attempt);
+        let Some(job) = self.jobs.get(&key) else { return };
+        let grace_s = if job.spec.checkpoints() { job.spec.checkpoint_s + 1.0 } else { 0.0 };
+        let order = StopOrder { grace_s, decided_at: now };
+        let gang = job.spec.is_gang();
+        self.stops_due = true;
+        let placed_tasks = self.machines.values_mut().flat_map(|m| &mut m.placed_tasks);
+        for placed in placed_tasks {
+            let same_attempt = placed.job == Some(key) && placed.attempt == attempt;
+            if same_attempt && (gang || placed.task == task) {
+                placed.stop.get_or_insert(order);
+            }
+        }
+    }
+
+    /// Stops a task so that job `beneficiary` can start in its place.
+    pub(super) fn preempt_task(
+        &mut self,
+        name: &str,
+        position: usize,
+        beneficiary: JobKey,
+        now: u64,
+    ) {
+        let machine = self.machines.get(name);
+        let Some(placed) = machine.and_then(|m| m.placed_tasks.get(position)) else { return };
+        let Some(beneficiary) = self.jobs.get(&beneficiary).map(|job| job.id.clone()) else {
+            return;
+        };
+        let (victim, index) = (placed.job, placed.index);
+        if let Some(job) = victim.and_then(|key| self.jobs.get_mut(&key)) {
+            tracing::info!(job = %job.id, index, %beneficiary, "task preempted");
+            job.add_note(format!("task {index} makes room for {beneficiary}"));
+        }
+        self.stop_task(name, position, now);
+    }
+}
--- /dev/null
+++ b/crates/controller/src/cluster_state/scheduling_round.rs
@@ -0,0 +1,127 @@
+//! The scheduling round: stops what must stop, places tasks and preempts for those without room.
+
+use super::snapshot::SchedulingSnapshot;
+use super::{ClusterState, GangReservation, JobKey};
+use hookway_constants as constants;
+use hookway_policy::{QueueEntry, Resources, min_tasks, place, preempt};
+use std::collections::HashSet;
+
+/// Tasks of a job that the last round found no room for.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct UnplacedDemand {
+    /// The job.
+    pub job: JobKey,
+    /// Number of tasks that may still be placed.
+    pub tasks: u32,
+    /// Beyond the job's minimum task count: placed on leftover capacity only.
+    pub leftover: bool,
+}
+
+/// What the last scheduling round left for heartbeats until the next one.
+#[derive(Debug, Default)]
+pub(super) struct LastRound {
+    /// When it took place, ms; 0 before the first one.
+    pub at_ms: u64,
+    /// Tasks without room, in the order of the scheduling queue.
+    pub unplaced: Vec<UnplacedDemand>,
+    /// Parts of teams' quotas reserved for gangs that wait: team index and resources.
+    pub quota_reservations: Vec<(usize, Resources)>,
+    /// Machines reserved for gangs that wait.
+    pub reserved_machines: HashSet<String>,
+}
+
+impl ClusterState {
+    /// Minimum interval between two rounds, ms: the estimated cost of a round, divided by the share
+    /// of the core that rounds may take.
+    pub fn round_interval_ms(&self) -> u64 {
+        let machines = self.machines.len() as f64;
+        let waiting_jobs =
+            self.jobs.values().filter(|j| j.is_active() && !j.unplaced.is_empty()).count() as f64;
+        let per_machine_us =
+            constants::ROUND_COST_PER_MACHINE_US + waiting_jobs * constants::ROUND_COST_PER_PAIR_US;
+        let cost_ms = machines * per_machine_us / 1000.0;
+        let share = self.config.platform.machine_limits.core_share * constants::ROUND_CORE_SHARE;
+        ((cost_ms / share.max(0.001)) as u64)
+            .clamp(constants::HEARTBEAT_ROUND_INTERVAL_MS, constants::MAX_ROUND_INTERVAL_MS)
+    }
+
+    /// One scheduling round at `now` (ms).
+    pub fn scheduling_round(&mut self, now: u64) {
+        self.last_round.at_ms = now;
+        self.expire_leases(now);
+        self.log_reconciliation(now);
+        self.admit_machines(now);
+        self.repair_gangs(now);
+        self.drain_machines(now);
+        self.restart_stuck_tasks(now);
+        self.reset_steady_daemons(now);
+        if self.jobs.is_empty() || self.machine_types.is_empty() {
+            return;
+        }
+        let mut snapshot = self.scheduling_snapshot(now);
+        self.update_min_tasks(&snapshot);
+        self.last_round.unplaced.clear();
+        self.last_round.reserved_machines.clear();
+        if snapshot.cluster.jobs.iter().any(|job| job.startable > 0) {
+            self.place_startable_tasks(&mut snapshot, now);
+            self.preempt_for_unplaced_tasks(&snapshot, now);
+        }
+    }
+
+    /// Admits every machine to this leader's shard for the length of a shard lease.
+    fn admit_machines(&mut self, now: u64) {
+        let until = now + self.config.operator.shard_lease_ms;
+        let controller = self.config.controller_name.clone();
+        for name in self.machines.keys() {
+            self.blocks.lease(name, &controller, now, until);
+        }
+    }
+
+    /// Computes the minimum task counts of jobs with a deadline and a known task time.
+    fn update_min_tasks(&mut self, snapshot: &SchedulingSnapshot) {
+        for (key, job) in snapshot.job_keys.iter().zip(&snapshot.cluster.jobs) {
+            if job.deadline.is_some() && job.mean_task_time.is_some() {
+                self.set_min_tasks(*key, min_tasks(job, snapshot.cluster.now));
+            }
+        }
+    }
+
+    /// Places what has room, and keeps what has none for heartbeats.
+    fn place_startable_tasks(&mut self, snapshot: &mut SchedulingSnapshot, now: u64) {
+        let placed = place(&mut snapshot.cluster);
+        let unplaced = |entry: &QueueEntry| UnplacedDemand {
+            job: snapshot.job_keys[entry.job],
+            tasks: entry.tasks,
+            leftover: entry.leftover,
+        };
+        self.last_round.unplaced = placed.unplaced.iter().map(unplaced).collect();
+        self.last_round.quota_reservations = placed.quota_reservations;
+        for (name, machine) in snapshot.machine_names.iter().zip(&snapshot.cluster.machines) {
+            if machine.reserved_for.is_some() {
+                self.last_round.reserved_machines.insert(name.clone());
+            }
+        }
+        for placement in placed.placements {
+            let names = placement.machines.iter().map(|i| snapshot.machine_names[*i].clone());
+            let machines: Vec<String> = names.collect();
+            self.place_tasks(snapshot.job_keys[placement.job], &machines, now);
+        }
+    }
+
+    /// Stops tasks of lower priority for jobs without room, and reserves their machines.
+    fn preempt_for_unplaced_tasks(&mut self, snapshot: &SchedulingSnapshot, now: u64) {
+        let until_ms = now + constants::STOP_TIMEOUT_MS;
+        for preemption in preempt(&snapshot.cluster) {
+            let job = snapshot.job_keys[preemption.job];
+            for machine in &preemption.machines {
+                if let Some(machine) = self.machines.get_mut(&snapshot.machine_names[*machine]) {
+                    machine.reserved_for_gang = Some(GangReservation { job, until_ms });
+                }
+            }
+            for (machine, task) in preemption.victims {
+                let name = &snapshot.machine_names[machine];
+                self.preempt_task(name, task as usize, job, now);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/cluster_state/snapshot.rs
@@ -0,0 +1,227 @@
+//! The scheduling snapshot: jobs, machines and teams as the policy sees them.
+
+use super::{ClusterState, Job, JobKey, Machine, PlacedTask};
+use hookway_policy::{ClusterSnapshot, JobView, MachineView, PlacedTaskView, Resources, TeamView};
+use std::collections::HashMap;
+
+/// A cluster snapshot for the policy, with what its indexes stand for.
+pub(super) struct SchedulingSnapshot {
+    /// What the policy sees.
+    pub cluster: ClusterSnapshot,
+    /// The job of each job index.
+    pub job_keys: Vec<JobKey>,
+    /// The machine of each machine index.
+    pub machine_names: Vec<String>,
+}
+
+/// What placed tasks leave of a machine.
+pub(super) struct FreeResources {
+    /// Resources that no task of a known job takes.
+    pub free: Resources,
+    /// Some task belongs to no known job: what it takes is not known.
+    pub has_unknown_tasks: bool,
+}
+
+impl ClusterState {
+    /// What placed tasks leave of a machine's `total` resources.
+    pub(super) fn free_resources(&self, machine: &Machine, total: Resources) -> FreeResources {
+        let mut free = total;
+        let mut has_unknown_tasks = false;
+        for placed in &machine.placed_tasks {
+            match placed.job.and_then(|key| self.jobs.get(&key)) {
+                Some(job) => free.subtract(&job.request),
+                None => has_unknown_tasks = true,
+            }
+        }
+        FreeResources { free, has_unknown_tasks }
+    }
+
+    /// The cluster as the policy sees it at `now` (ms).
+    pub(super) fn scheduling_snapshot(&self, now: u64) -> SchedulingSnapshot {
+        let mut job_indexes: HashMap<JobKey, usize> = HashMap::new();
+        let mut job_keys = Vec::new();
+        let mut jobs = Vec::new();
+        for (key, job) in &self.jobs {
+            if job.completion.is_final() && job.placed == 0 {
+                continue;
+            }
+            job_indexes.insert(*key, jobs.len());
+            job_keys.push(*key);
+            jobs.push(self.job_view(job, self.startable_now(job, now)));
+        }
+        let (machine_names, machines) = self
+            .machines
+            .iter()
+            .filter_map(|(name, machine)| {
+                Some((name.clone(), self.machine_view(name, machine, &job_indexes, now)?))
+            })
+            .unzip();
+        let cluster = ClusterSnapshot {
+            now: now as f64 / 1000.0,
+            cheapest_cpu_price: self.cheapest_cpu_price(),
+            gang_requests: self.classes.values().filter(|c| c.gangs).map(|c| c.request).collect(),
+            jobs,
+            machines,
+            teams: self.team_views(),
+            machine_types: self.machine_types.clone(),
+        };
+        SchedulingSnapshot { cluster, job_keys, machine_names }
+    }
+
+    /// The lowest price of a CPU per hour, on demand or spot; 0 if there is no machine type.
+    fn cheapest_cpu_price(&self) -> f64 {
+        let cheapest = self
+            .machine_types
+            .iter()
+            .flat_map(|machine_type| {
+                let prices = [Some(machine_type.price_per_hour), machine_type.spot_price];
+                prices.map(|price| price.map(|price| price / machine_type.cpus.max(0.1)))
+            })
+            .flatten()
+            .fold(f64::INFINITY, f64::min);
+        if cheapest.is_finite() { cheapest } else { 0.0 }
+    }
+
+    /// The teams with the resources that their tasks take.
+    pub(super) fn team_views(&self) -> Vec<TeamView> {
+        let mut teams: Vec<TeamView> = self
+            .config
+            .platform
+            .teams
+            .iter()
+            .map(|team| TeamView {
+                used: Resources::default(),
+                guarantee: (team.cpus, team.gpus),
+                limit: (team.cpus_max, team.gpus_max),
+            })
+            .collect();
+        for job in self.jobs.values() {
+            if let Some(team) = teams.get_mut(job.team) {
+                team.used.add(&job.request.times(job.placed));
+            }
+        }
+        teams
+    }
+
+    /// A job as the policy sees it, with `startable` tasks to place.
+    pub(super) fn job_view(&self, job: &Job, startable: u32) -> JobView {
+        let machine_types = self
+            .machine_types
+            .iter()
+            .map(|offered| {
+                let allowed = job.spec.machine_types.as_ref();
+                allowed.is_none_or(|names| names.contains(&offered.name))
+                    && Resources::of_machine_type(offered).fits(&job.request)
+            })
+            .collect();
+        // A zone that is not in the settings matches no machine.
+        let zone = job.spec.zone.as_ref();
+        let zone = zone.map(|name| self.config.platform.zone(name).unwrap_or(usize::MAX));
+        JobView {
+            team: job.team,
+            priority: job.spec.priority,
+            gang: job.spec.is_gang(),
+            daemon: job.spec.is_daemon(),
+            tasks: job.spec.tasks,
+            request: job.request,
+            machine_types,
+            zone,
+            one_zone: job.spec.one_zone,
+            max_tasks_per_zone: job.spec.max_tasks_per_zone(),
+            spot: job.spec.spot,
+            image: job.image,
+            image_gb: job.spec.image_gb,
+            checkpoints: job.spec.checkpoints(),
+            checkpoint_time: if job.spec.checkpoints() { job.spec.checkpoint_s } else { 0.0 },
+            submitted: job.submitted_s,
+            deadline: job.deadline_s,
+            start_by: job.start_by_s.clone(),
+            estimated_task_time: job.spec.estimate_s,
+            completed: job.completed,
+            mean_task_time: job.mean_run_time_ms().map(|ms| ms / 1000.0),
+            unfinished: job.unfinished(),
+            placed: job.placed,
+            startable,
+            crash_looping: job.is_crash_looping(),
+            placed_per_zone: job.placed_per_zone.clone(),
+            waiting_since: job.waiting_since as f64 / 1000.0,
+        }
+    }
+
+    /// A machine as the policy sees it; `None` if its type or zone is not known.
+    fn machine_view(
+        &self,
+        name: &str,
+        machine: &Machine,
+        job_indexes: &HashMap<JobKey, usize>,
+        now: u64,
+    ) -> Option<MachineView> {
+        let machine_type =
+            self.machine_types.iter().position(|t| t.name == machine.machine_type)?;
+        let zone = self.config.platform.zone(&machine.zone)?;
+        let total = Resources::of_machine_type(&self.machine_types[machine_type]);
+        let FreeResources { free, has_unknown_tasks } = self.free_resources(machine, total);
+        let closed = machine.is_draining() || has_unknown_tasks;
+        let placed_tasks = machine
+            .placed_tasks
+            .iter()
+            .enumerate()
+            .filter_map(|(i, placed)| self.placed_task_view(i as u64, placed, job_indexes, now))
+            .collect();
+        let excluded_by = machine
+            .failed_jobs
+            .iter()
+            .filter(|key| {
+                let job = self.jobs.get(key);
+                job.is_some_and(|job| job.excludes_machine(name, self.machines.len()))
+            })
+            .filter_map(|key| job_indexes.get(key).copied())
+            .collect();
+        Some(MachineView {
+            machine_type,
+            zone,
+            spot: machine.spot,
+            total,
+            free,
+            price: self.machine_types[machine_type].price(machine.spot),
+            images: machine.images.iter().map(|cached| cached.image).collect(),
+            schedulable: machine.has_reported
+                && !closed
+                && now < machine.last_response_at + self.missed_heartbeat_ms()
+                && now >= machine.backoff_until
+                && self.blocks.holds(name, &self.config.controller_name, now),
+            booting: !machine.has_reported && !closed,
+            excluded_by,
+            reserved_for: machine
+                .reserved_for_gang
+                .map(|r| job_indexes.get(&r.job).copied().unwrap_or(usize::MAX)),
+            placed_tasks,
+        })
+    }
+
+    /// Time after a response from which a machine without a new heartbeat gets no new task, ms.
+    fn missed_heartbeat_ms(&self) -> u64 {
+        (self.config.platform.workers.heartbeat_interval_s * 2000.0) as u64
+    }
+
+    /// A placed task as the policy sees it; `None` if its job is not in the snapshot.
+    fn placed_task_view(
+        &self,
+        id: u64,
+        placed: &PlacedTask,
+        job_indexes: &HashMap<JobKey, usize>,
+        now: u64,
+    ) -> Option<PlacedTaskView> {
+        let key = placed.job?;
+        let job = self.jobs.get(&key)?;
+        let running_s =
+            placed.running_since.map_or(0.0, |since| now.saturating_sub(since) as f64 / 1e3);
+        Some(PlacedTaskView {
+            id,
+            job: *job_indexes.get(&key)?,
+            request: job.request,
+            elapsed: running_s,
+            terminating: placed.orphaned || placed.stop.is_some() || !job.is_active(),
+        })
+    }
+}
--- a/crates/controller/src/cluster_state/standby_feed.rs
+++ b/crates/controller/src/cluster_state/standby_feed.rs
@@ -4,12 +4,11 @@
 //! wherever they were tried, and which attempt of a gang was being started. What runs where is told by the
 //! workers alone, and what was never started by the state service alone.
 
-use super::{ClusterState, Job, JobKey, Machine, TaskPhase};
+use super::{ClusterState, Job, Machine, TaskPhase};
 use crate::networks::Networks;
 use hookway_constants as constants;
 use hookway_replication::{JobHints, MachineView, Publisher, ReplicatedState, Stage, TaskView};
 use hookway_wire::{JobId, TaskState};
-use std::collections::HashSet;
 
 /// What a new leader took from its copy.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -157,30 +156,4 @@
         }
         taken
     }
-
-    /// Gangs of which the attempt that an earlier leader was starting can still be completed: what was found of it
-    /// waits for the rest, and nothing of it runs or goes.
-    pub(super) fn completable_gangs(&self) -> HashSet<JobKey> {
-        let resumed = |job: &Job| {
-            job.resumed_attempt.is_some()
-                && !job.unplaced.is_empty()
-                && job.gang_attempt == job.resumed_attempt
-                && job.orphaned.is_empty()
-                && !job.broken
-        };
-        let mut gangs: HashSet<JobKey> =
-            self.jobs.iter().filter(|(_, job)| resumed(job)).map(|(key, _)| *key).collect();
-        if gangs.is_empty() {
-            return gangs;
-        }
-        for held in self.machines.values().flat_map(|machine| &machine.placed_tasks) {
-            let waits = held.phase.is_before_run();
-            if let Some(key) = held.job
-                && (!waits || held.stop.is_some())
-            {
-                gangs.remove(&key);
-            }
-        }
-        gangs
-    }
 }
--- /dev/null
+++ b/crates/controller/src/cluster_state/startable_tasks.rs
@@ -0,0 +1,46 @@
+//! Which tasks of a job may be started.
+
+use super::{ClusterState, Job};
+use crate::settings::Team;
+
+impl ClusterState {
+    /// Number of tasks of a job that may be started at `now` (ms).
+    pub(super) fn startable_now(&self, job: &Job, now: u64) -> u32 {
+        let team = self.config.platform.teams.get(job.team);
+        let has_quota = team.is_some_and(Team::limited);
+        // Until all machines are reconciled, a task of an inherited job may be on a machine that has
+        // not sent a heartbeat; so may tasks that use up an unknown part of a team's quota.
+        let reconciled = self.reconciled(now);
+        let quota_uncertain = has_quota && (!reconciled || self.unknown_tasks > 0);
+        if quota_uncertain || now < job.backoff_until {
+            return 0;
+        }
+        let startable = startable(job);
+        if reconciled || !job.inherited {
+            return startable;
+        }
+        // Tasks from the start watermark on were never started, so they are on none of those machines.
+        // But where a job's tasks must be together, or may not all be, the tasks that may be there
+        // decide where others may start.
+        let never_started_from = job.start_watermark.never_started_from();
+        if job.spec.is_gang() || job.bound_to_zones() {
+            return if never_started_from == 0 { startable } else { 0 };
+        }
+        startable.min(job.unplaced.range(never_started_from..).count() as u32)
+    }
+}
+
+/// Number of tasks that may be started once all machines are reconciled.
+fn startable(job: &Job) -> u32 {
+    if !job.is_active() {
+        return 0;
+    }
+    let unplaced = job.unplaced.len() as u32;
+    if job.spec.is_gang() {
+        // Tasks of an earlier attempt stay where they are until they exit.
+        let whole = job.placed == 0 && unplaced == job.spec.tasks;
+        let completing = job.completing && !job.broken;
+        return if whole || completing { unplaced } else { 0 };
+    }
+    if job.is_crash_looping() { unplaced.min(1).saturating_sub(job.placed) } else { unplaced }
+}
