--- /dev/null
+++ b/crates/controller/src/cluster_state/acknowledgement.rs
@@ -0,0 +1,59 @@
+//! Whether workers apply the responses to their heartbeats.
+
+use super::{ClusterState, CordonReason};
+use hookway_constants as constants;
+use hookway_wire::Heartbeat;
+
+impl ClusterState {
+    /// Checks whether the worker applied the last response, as far as its next heartbeat shows it.
+    ///
+    /// A worker has one heartbeat in flight and takes no response to an earlier one, so a response
+    /// without effect was not received and never will be: it extended no lease. A machine whose worker
+    /// applies several consecutive responses not at all takes no new task and is cordoned; its tasks
+    /// count until its lease has surely expired.
+    pub(super) fn check_acknowledgement(&mut self, name: &str, heartbeat: &Heartbeat, now: u64) {
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        let expected = std::mem::take(&mut machine.expected_heartbeat);
+        let Some(acknowledged) = expected.acknowledged(heartbeat) else { return };
+        if acknowledged {
+            machine.unacknowledged_responses = 0;
+            if machine.cordon_reason == Some(CordonReason::Unacknowledged) {
+                tracing::info!(machine = %name, "response acknowledged again, uncordoned");
+                machine.cordon_reason = None;
+            }
+            return;
+        }
+        // All machines are counted only when one has missed a response.
+        let few_affected = self.few_machines_miss_responses();
+        let backoff_until = now + self.max_heartbeat_interval_ms();
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        machine.unacknowledged_responses += 1;
+        // Unless it was answered since, by this controller as a lessee while its leadership was
+        // uncertain.
+        if machine.last_response_at <= expected.responded_at {
+            machine.last_response_at = expected.responded_before;
+        }
+        // A single response may get lost.
+        if machine.unacknowledged_responses > 1 {
+            machine.backoff_until = machine.backoff_until.max(backoff_until);
+        }
+        if machine.unacknowledged_responses >= constants::MAX_UNACKNOWLEDGED_RESPONSES
+            && few_affected
+            && machine.cordon(CordonReason::Unacknowledged)
+        {
+            let reason = CordonReason::Unacknowledged;
+            tracing::info!(machine = %name, %reason, "machine cordoned");
+        }
+    }
+
+    /// Whether at most a quarter of the machines miss responses. When more do, it is this controller
+    /// whose responses are late.
+    fn few_machines_miss_responses(&self) -> bool {
+        let affected = self
+            .machines
+            .values()
+            .filter(|m| m.unacknowledged_responses >= constants::MAX_UNACKNOWLEDGED_RESPONSES)
+            .count();
+        affected * 4 <= self.machines.len().max(4)
+    }
+}
--- a/crates/controller/src/cluster_state/direct_dispatch.rs
+++ b/crates/controller/src/cluster_state/direct_dispatch.rs
@@ -1,6 +1,7 @@
 //! Messages that go straight to workers: starts that should not wait for a report, and a new leader's question
 //! what is on a machine.
 
+use super::heartbeat_tasks::MessageKind;
 use super::{ClusterState, MessageVersion, TaskPhase};
 use hookway_clients::Delivery;
 use hookway_constants as constants;
@@ -100,7 +101,7 @@
                     && stamp > machine.newest_message
                 {
                     machine.newest_message = stamp;
-                    self.apply_heartbeat(name, &report, now, true);
+                    self.apply_heartbeat(name, &report, now, MessageKind::DirectAnswer);
                 }
             }
             // This copy was refused. Whether another one was carried out before shows in the next report
@@ -177,7 +178,7 @@
         }
         machine.update_from(&report, now);
         self.unreconciled_machines.remove(name);
-        self.apply_heartbeat(name, &report, now, true);
+        self.apply_heartbeat(name, &report, now, MessageKind::DirectAnswer);
     }
 
     /// Starts that were sent under `token` surely won't arrive any more.
--- /dev/null
+++ b/crates/controller/src/cluster_state/heartbeat_tasks.rs
@@ -0,0 +1,187 @@
+//! Bringing the tasks of a machine in line with a newer message of its worker.
+
+use super::task_removal::TaskRemoval;
+use super::{CachedImage, ClusterState, EndedTask, PlacedTask, TaskPhase};
+use hookway_wire::{ExitCause, Heartbeat, TaskId, TaskState, TaskStatus};
+
+/// What a message of a worker answers.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum MessageKind {
+    /// A heartbeat, sent by the worker itself: it has one in flight at a time.
+    Heartbeat,
+    /// The answer to direct commands or to a state probe: the response to a heartbeat may have been on
+    /// its way to the worker when it was sent.
+    DirectAnswer,
+}
+
+/// A placed task that has left its machine.
+struct RemovedTask {
+    task: PlacedTask,
+    removal: TaskRemoval,
+}
+
+/// What a message says of the tasks of its machine.
+#[derive(Default)]
+struct TaskChanges<'a> {
+    /// Tasks that stay: reported ones first, in the order of the message.
+    kept: Vec<PlacedTask>,
+    ended: Vec<EndedTask>,
+    removed: Vec<RemovedTask>,
+    /// Tasks that this leader did not place there.
+    unplaced: Vec<(TaskId, &'a TaskStatus)>,
+    /// Some start surely did not arrive and is planned again.
+    has_replanned_starts: bool,
+}
+
+impl ClusterState {
+    /// Brings the tasks of a machine in line with a message that is newer than all before.
+    pub(super) fn apply_heartbeat(
+        &mut self,
+        name: &str,
+        heartbeat: &Heartbeat,
+        now: u64,
+        kind: MessageKind,
+    ) {
+        self.mark_unpublished(name);
+        self.uncount_running(name);
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        let before = std::mem::take(&mut machine.placed_tasks);
+        let changes = task_changes(name, before, heartbeat, now, kind);
+        machine.placed_tasks = changes.kept;
+        machine.ended_tasks = changes.ended;
+        if changes.has_replanned_starts {
+            self.machines_with_planned_starts.insert(name.to_owned());
+        }
+        for removed in changes.removed {
+            self.remove_task(name, &removed.task, removed.removal, now);
+        }
+        for (task, reported) in changes.unplaced {
+            self.adopt_task(name, &task, reported, now);
+        }
+        self.update_images(name);
+        self.count_running(name);
+    }
+
+    /// Records the images of reported tasks as used on the machine.
+    fn update_images(&mut self, name: &str) {
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        let machine_type = self.machine_types.iter().find(|t| t.name == machine.machine_type);
+        let cache_gb = machine_type.map_or(0.0, |t| t.cache_gb);
+        let used_images: Vec<CachedImage> = machine
+            .placed_tasks
+            .iter()
+            .filter(|placed| matches!(placed.phase, TaskPhase::Reported(_)))
+            .filter_map(|placed| placed.job.and_then(|key| self.jobs.get(&key)))
+            .map(|job| CachedImage { image: job.image, size_gb: job.spec.image_gb })
+            .collect();
+        for used in used_images {
+            if machine.images.last().is_none_or(|last| last.image != used.image) {
+                machine.use_image(used, cache_gb);
+            }
+        }
+        if machine.image_ids() != machine.stored_images {
+            self.commit_queue.registry.mark_stale(name);
+        }
+    }
+
+    /// Adds the running tasks of a machine to the counts of their jobs.
+    fn count_running(&mut self, name: &str) {
+        self.update_running_counts(name, |running| running + 1);
+    }
+
+    /// Undoes [`ClusterState::count_running`], before the tasks of the machine change.
+    pub(super) fn uncount_running(&mut self, name: &str) {
+        self.update_running_counts(name, |running| running.saturating_sub(1));
+    }
+
+    fn update_running_counts(&mut self, name: &str, update: impl Fn(u32) -> u32) {
+        let Some(machine) = self.machines.get(name) else { return };
+        for placed in machine.placed_tasks.iter().filter(|placed| placed.phase.is_running()) {
+            if let Some(job) = placed.job.and_then(|key| self.jobs.get_mut(&key)) {
+                job.running = update(job.running);
+            }
+        }
+    }
+}
+
+/// Compares the tasks placed on a machine with those that a newer message reports.
+fn task_changes<'a>(
+    name: &str,
+    before: Vec<PlacedTask>,
+    heartbeat: &'a Heartbeat,
+    now: u64,
+    kind: MessageKind,
+) -> TaskChanges<'a> {
+    let mut changes = TaskChanges::default();
+    let mut is_reported = vec![false; before.len()];
+    for reported in &heartbeat.tasks {
+        let Some(task) = TaskId::parse(&reported.task) else {
+            tracing::error!(machine = %name, task = ?reported.task, "invalid task id reported");
+            continue;
+        };
+        let position = before
+            .iter()
+            .position(|p| p.attempt == reported.attempt && p.task == reported.task)
+            .filter(|i| !std::mem::replace(&mut is_reported[*i], true));
+        match position {
+            Some(i) => apply_reported(name, before[i].clone(), reported, now, &mut changes),
+            None => changes.unplaced.push((task, reported)),
+        }
+    }
+    for (placed, is_reported) in before.into_iter().zip(is_reported) {
+        if !is_reported {
+            apply_unreported(placed, heartbeat, kind, &mut changes);
+        }
+    }
+    changes
+}
+
+/// A placed task that the message names.
+fn apply_reported(
+    name: &str,
+    mut placed: PlacedTask,
+    reported: &TaskStatus,
+    now: u64,
+    changes: &mut TaskChanges<'_>,
+) {
+    if reported.state == TaskState::Ended {
+        let cause = reported.cause.unwrap_or(ExitCause::Other);
+        changes.ended.push(EndedTask::new(placed.job, placed.index, reported));
+        changes.removed.push(RemovedTask { task: placed, removal: TaskRemoval::Ended(cause) });
+        return;
+    }
+    placed.phase = TaskPhase::Reported(reported.state);
+    if reported.state == TaskState::Running && placed.running_since.is_none() {
+        let after_s = now.saturating_sub(placed.placed_at) as f64 / 1000.0;
+        tracing::debug!(machine = %name, task = %placed.task, after_s, "task running");
+        placed.running_since = Some(now);
+    }
+    changes.kept.push(placed);
+}
+
+/// A placed task that the message does not name.
+fn apply_unreported(
+    mut placed: PlacedTask,
+    heartbeat: &Heartbeat,
+    kind: MessageKind,
+    changes: &mut TaskChanges<'_>,
+) {
+    let start_failed = match placed.phase {
+        TaskPhase::Reported(_) => {
+            changes.removed.push(RemovedTask { task: placed, removal: TaskRemoval::Lost });
+            return;
+        }
+        TaskPhase::Planned => false,
+        // The command travels in a response, the worker has one heartbeat in flight at a time and takes
+        // no response to an earlier one: a newer heartbeat without the task proves that the command
+        // did not arrive and never will.
+        TaskPhase::Sent => kind == MessageKind::Heartbeat,
+        // Under a higher token the worker refuses the command, whenever it arrives.
+        TaskPhase::SentDirectly(token) => heartbeat.fencing_token > token,
+    };
+    if start_failed {
+        placed.phase = TaskPhase::Planned;
+        changes.has_replanned_starts = true;
+    }
+    changes.kept.push(placed);
+}
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -3,6 +3,7 @@
 //! No I/O and no clock: the caller says what happened and when (milliseconds on its steady clock),
 //! and carries out what comes back.
 
+mod acknowledgement;
 mod autoscaling;
 mod bounded_set;
 mod command_dispatch;
@@ -14,6 +15,8 @@
 mod failure_attribution;
 mod gang_repair;
 mod heartbeat;
+mod heartbeat_tasks;
+mod heartbeat_timing;
 mod job;
 mod job_operations;
 mod machine;
@@ -31,6 +34,7 @@
 mod start_watermark;
 mod startable_tasks;
 mod state_probe;
+mod task_adoption;
 mod task_removal;
 
 pub use autoscaling::ScalingAction;
@@ -463,54 +467,6 @@
         self.last_timestamp.wall + now.saturating_sub(self.last_timestamp.monotonic)
     }
 
-    /// Whether no worker has reported for several intervals although some should: this node may be
-    /// cut off from the workers alone, while another one is not.
-    pub fn all_workers_silent(&self, now: u64) -> bool {
-        let report_ms = self.config.platform.workers.heartbeat_interval_s * 1000.0;
-        let limit = ((report_ms * constants::WORKER_SILENCE_INTERVALS) as u64)
-            .max(constants::WORKER_SILENCE_MIN_MS);
-        let mut expected = 0u32;
-        let since = self.elected_at.max(self.resumed_at);
-        let mut latest = since;
-        for (name, machine) in &self.machines {
-            // Machines that have reported here, and those of the roster that must be up by now.
-            let old = machine.first_listed_at.is_some_and(|since| {
-                since + (constants::BOOT_CERTAIN_MS as i64) < self.elected_at as i64
-            });
-            if machine.is_live() {
-                expected += 1;
-                latest = latest.max(machine.last_response_at);
-            } else if !machine.has_reported && old && self.unreconciled_machines.contains(name) {
-                expected += 1;
-            }
-        }
-        // Where hundreds report, all of them are silent together within seconds only if this node can't hear
-        // them. But workers that look for a new leader come one by one.
-        let part = (constants::WORKER_SILENCE_FLEET_SIZE / f64::from(expected.max(1))).min(1.0);
-        let soon = ((report_ms * constants::WORKER_SILENCE_INTERVALS * part) as u64)
-            .clamp(constants::WORKER_SILENCE_LARGE_FLEET_MS, limit);
-        expected >= 2 && now >= latest + if latest > since { soon } else { limit }
-    }
-
-    /// Time after an answer by which a worker surely reports again, ms.
-    fn heartbeat_timeout_ms(&self) -> u64 {
-        let report_ms = self.config.platform.workers.heartbeat_interval_s * 1000.0;
-        (report_ms * constants::MAX_HEARTBEAT_INTERVAL_FACTOR) as u64
-            + constants::PROMPT_HEARTBEAT_MS
-    }
-
-    /// Whether some worker has missed its report.
-    pub fn any_heartbeat_overdue(&self, now: u64) -> bool {
-        let late = self.heartbeat_timeout_ms();
-        let lease = worker_lease_expiry_ms(&self.config.platform);
-        let silent = |h: &Machine| {
-            h.has_reported
-                && !h.placed_tasks.is_empty()
-                && (late..lease).contains(&(now - h.last_response_at.min(now)))
-        };
-        self.machines.values().any(silent)
-    }
-
     /// The node could not act as leader for a while (its lease was in doubt) and can again.
     pub fn resumed(&mut self, now: u64) {
         self.resumed_at = now;
--- a/crates/controller/src/cluster_state/placed_task.rs
+++ b/crates/controller/src/cluster_state/placed_task.rs
@@ -1,7 +1,7 @@
 //! Tasks on machines: those placed there and those that ended there.
 
 use super::JobKey;
-use hookway_wire::{ExitCause, Heartbeat, TaskState};
+use hookway_wire::{ExitCause, Heartbeat, TaskState, TaskStatus};
 
 /// How far the start of a placed task has progressed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -84,6 +84,19 @@
     pub cause: ExitCause,
 }
 
+impl EndedTask {
+    /// An ended task as its worker reports it.
+    pub fn new(job: Option<JobKey>, index: u32, reported: &TaskStatus) -> Self {
+        Self {
+            job,
+            task: reported.task.clone(),
+            index,
+            attempt: reported.attempt,
+            cause: reported.cause.unwrap_or(ExitCause::Other),
+        }
+    }
+}
+
 /// One attempt of a task, as commands name it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct TaskAttempt {
--- /dev/null
+++ b/crates/controller/src/cluster_state/task_adoption.rs
@@ -0,0 +1,101 @@
+//! Adoption of tasks that a worker reports and that this leader did not place there.
+
+use super::{ClusterState, EndedTask, Job, JobKey, PlacedTask, TaskPhase, TaskPlacement};
+use hookway_wire::{ExitCause, TaskId, TaskState, TaskStatus};
+
+impl ClusterState {
+    /// Takes in a task found on a machine.
+    pub(super) fn adopt_task(
+        &mut self,
+        name: &str,
+        task: &TaskId,
+        reported: &TaskStatus,
+        now: u64,
+    ) {
+        let key = self.job_with_task(task);
+        if reported.state == TaskState::Ended {
+            self.adopt_ended_task(name, key, task.index, reported);
+        } else {
+            self.adopt_placed_task(name, key, task.index, reported, now);
+        }
+    }
+
+    /// The job of a task, if it is known and has a task of that index.
+    fn job_with_task(&self, task: &TaskId) -> Option<JobKey> {
+        let key = *self.job_keys.get(&task.job)?;
+        self.jobs.get(&key).filter(|job| task.index < job.spec.tasks).map(|_| key)
+    }
+
+    fn adopt_ended_task(
+        &mut self,
+        name: &str,
+        key: Option<JobKey>,
+        index: u32,
+        reported: &TaskStatus,
+    ) {
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        let ended = EndedTask::new(key, index, reported);
+        let cause = ended.cause;
+        machine.ended_tasks.push(ended);
+        if let (Some(key), ExitCause::Done) = (key, cause) {
+            self.complete_task(key, index, None);
+        }
+    }
+
+    fn adopt_placed_task(
+        &mut self,
+        name: &str,
+        key: Option<JobKey>,
+        index: u32,
+        reported: &TaskStatus,
+        now: u64,
+    ) {
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        let mut orphaned = true;
+        if let Some(job) = key.and_then(|key| self.jobs.get_mut(&key)) {
+            orphaned = !job.adopt_attempt(index, reported.attempt);
+            self.stops_due |= orphaned;
+            job.count_placed(self.config.platform.zone(&machine.zone));
+        } else {
+            self.unknown_tasks += 1;
+        }
+        tracing::debug!(
+            machine = %name, task = %reported.task, attempt = reported.attempt, orphaned,
+            "task adopted"
+        );
+        machine.placed_tasks.push(PlacedTask {
+            job: key,
+            task: reported.task.clone(),
+            index,
+            attempt: reported.attempt,
+            phase: TaskPhase::Reported(reported.state),
+            orphaned,
+            stop: None,
+            stop_dispatched: false,
+            running_since: (reported.state == TaskState::Running).then_some(now),
+            placed_at: now,
+            adopted: true,
+        });
+    }
+}
+
+impl Job {
+    /// Takes in an attempt found on a machine. `false`: it is orphaned, as the task is placed elsewhere
+    /// or completed, the job is not active, or its gang has another attempt.
+    fn adopt_attempt(&mut self, index: u32, attempt: u64) -> bool {
+        let wanted = self.placements[index as usize] == TaskPlacement::Unplaced && self.is_active();
+        let gang = self.spec.is_gang();
+        let same_gang = !gang || self.gang_attempt.is_none_or(|expected| expected == attempt);
+        let adopted = wanted && same_gang;
+        if adopted {
+            self.placements[index as usize] = TaskPlacement::Placed;
+            if gang {
+                self.gang_attempt = Some(attempt);
+            }
+        } else {
+            self.orphaned.push(index);
+        }
+        self.unplaced.remove(&index);
+        adopted
+    }
+}
--- a/crates/controller/src/cluster_state/task_removal.rs
+++ b/crates/controller/src/cluster_state/task_removal.rs
@@ -88,7 +88,7 @@
             // After a silence nobody knows when it ended, and of one that an earlier leader started,
             // when it began: such times would make the mean too short.
             let heard = self.machines.get(name).map_or(0, |h| h.last_response_at);
-            let report_ms = self.config.platform.workers.heartbeat_interval_s * 1000.0;
+            let report_ms = self.heartbeat_interval_ms();
             let silence = now.saturating_sub(heard) as f64 > 2.0 * report_ms;
             let known = !silence && !held.adopted;
             let took = held.running_since.filter(|_| known).map(|s| now.saturating_sub(s));
@@ -157,7 +157,7 @@
     /// Everything that was on a machine is gone.
     pub(super) fn remove_all_tasks(&mut self, name: &str, now: u64, why: TaskRemoval) {
         self.mark_unpublished(name);
-        self.count_running(name, false);
+        self.uncount_running(name);
         let Some(machine) = self.machines.get_mut(name) else { return };
         machine.ended_tasks.clear();
         let held = std::mem::take(&mut machine.placed_tasks);
