--- a/crates/controller/src/cluster_state/machine.rs
+++ b/crates/controller/src/cluster_state/machine.rs
@@ -216,6 +216,15 @@
         self.placed_tasks.is_empty() && self.ended_tasks.is_empty()
     }
 
+    /// Updates since when it has no task, at `now` (ms).
+    pub fn update_idle_since(&mut self, now: u64) {
+        if !self.is_empty() {
+            self.idle_since = None;
+        } else if self.has_reported {
+            self.idle_since.get_or_insert(now);
+        }
+    }
+
     /// Cordons the machine unless it is cordoned already; whether it was not.
     pub fn cordon(&mut self, reason: CordonReason) -> bool {
         let was_open = self.cordon_reason.is_none();
--- /dev/null
+++ b/crates/controller/src/cluster_state/machine_list.rs
@@ -0,0 +1,88 @@
+//! Reconciliation with the cloud's machine list.
+
+use super::task_removal::TaskRemoval;
+use super::{ClusterState, CordonReason, Machine};
+use hookway_constants as constants;
+use hookway_wire::{ListedMachine, MachineState};
+use std::collections::HashSet;
+
+impl ClusterState {
+    /// Takes in the machine list, requested at `asked` and received at `now` (both ms).
+    pub fn machines_listed(&mut self, list: &[ListedMachine], asked: u64, now: u64) {
+        for listed in list {
+            if !self.removed_machines.contains(&listed.id) && self.add_listed_machine(listed, now) {
+                self.update_listed(listed, now);
+            }
+        }
+        for name in self.machines_missing_from(list, asked) {
+            tracing::info!(machine = %name, "machine not listed any more");
+            self.remove_machine(&name, now);
+        }
+    }
+
+    /// Adds a listed machine that this leader does not know. `false`: it has failed before this leader
+    /// knew it, so there is nothing more to update. It stays listed until it is deleted.
+    fn add_listed_machine(&mut self, listed: &ListedMachine, now: u64) -> bool {
+        let name = &listed.id;
+        if self.machines.contains_key(name) {
+            return true;
+        }
+        let mut machine = Machine::new(now);
+        let failed = listed.status == MachineState::Failed;
+        if failed {
+            machine.cordon_reason = Some(CordonReason::Failed);
+        } else {
+            tracing::info!(machine = %name, age_s = listed.age_s, "machine found in list");
+            machine.created_at = now.saturating_sub(age_ms(listed));
+        }
+        self.machines.insert(name.clone(), machine);
+        !failed
+    }
+
+    /// Takes in what the list says of a known machine.
+    fn update_listed(&mut self, listed: &ListedMachine, now: u64) {
+        let name = &listed.id;
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        if !machine.has_reported {
+            machine.machine_type.clone_from(&listed.machine_type);
+            machine.zone.clone_from(&listed.zone);
+            machine.spot = listed.spot;
+            if let Some(address) = &listed.addr {
+                machine.address.clone_from(address);
+            }
+            machine.created_at = machine.created_at.min(now.saturating_sub(age_ms(listed)));
+        }
+        machine.first_listed_at.get_or_insert(now as i64);
+        let known_as_failed = machine.cordon_reason == Some(CordonReason::Failed);
+        if listed.status == MachineState::Failed && !known_as_failed {
+            tracing::info!(machine = %name, "machine failed");
+            machine.cordon_reason = Some(CordonReason::Failed);
+            machine.expired_incarnation = u64::MAX;
+            self.remove_all_tasks(name, now, TaskRemoval::Lost);
+            self.unreconciled_machines.remove(name);
+        }
+    }
+
+    /// Machines that are gone, as a list requested at `asked` (ms) lacks them. Once listed, a machine
+    /// stays listed until it is gone; but a list may be older than the one before, by up to twice the
+    /// list's lag.
+    fn machines_missing_from(&self, list: &[ListedMachine], asked: u64) -> Vec<String> {
+        let lag_ms = (self.config.platform.cloud.list_lag_s
+            * 1000.0
+            * constants::UNLISTED_LAG_FACTOR) as u64;
+        let listed: HashSet<&str> = list.iter().map(|machine| machine.id.as_str()).collect();
+        let must_be_listed = |machine: &Machine| {
+            machine.first_listed_at.is_some_and(|since| asked as i64 > since + lag_ms as i64)
+        };
+        self.machines
+            .iter()
+            .filter(|(name, machine)| must_be_listed(machine) && !listed.contains(name.as_str()))
+            .map(|(name, _)| name.clone())
+            .collect()
+    }
+}
+
+/// Age of a listed machine, ms.
+fn age_ms(listed: &ListedMachine) -> u64 {
+    (listed.age_s.max(0.0) * 1000.0) as u64
+}
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -6,6 +6,7 @@
 mod acknowledgement;
 mod autoscaling;
 mod bounded_set;
+mod class_history;
 mod command_dispatch;
 mod commit_queue;
 mod commits;
@@ -21,15 +22,20 @@
 mod job_operations;
 mod machine;
 mod machine_fill;
+mod machine_list;
 mod machine_registry;
 mod placed_task;
 mod placement;
 mod progress;
 mod recovery;
+mod scale_in;
+mod scale_out;
 mod scheduling_round;
 mod service_level_objectives;
 mod shared_watermarks;
+mod silence;
 mod snapshot;
+mod spare_machines;
 mod standby_feed;
 mod start_watermark;
 mod startable_tasks;
@@ -43,19 +49,21 @@
 pub use standby_feed::WarmStart;
 
 use crate::blocks::Blocks;
-use crate::records::{ClassRecord, FinalRecord, JobRecord};
+use crate::records::{FinalRecord, JobRecord};
 use crate::settings::{OperatorSettings, PlatformSettings};
 use crate::shard_lease::{ShardLease, ShardLeaseRenewal, ShardLessor};
 use bounded_set::BoundedSet;
+use class_history::ClassHistory;
 use commit_queue::CommitQueue;
 use hookway_constants as constants;
 use hookway_wire::{JobId, JobState, KeyValue, MachineType, Precondition};
 use job::{Job, JobContext, JobKey, TaskPlacement};
 use machine::{CachedImage, CordonReason, GangReservation, Machine, MessageVersion};
 use placed_task::{EndedTask, ExpectedHeartbeat, PlacedTask, StopOrder, TaskAttempt, TaskPhase};
+use scale_out::ScaleOutState;
 use scheduling_round::LastRound;
 use service_level_objectives::ServiceLevelObjectives;
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
 /// What does not change while a node leads.
 #[derive(Debug, Clone)]
@@ -145,7 +153,6 @@
     config: ControllerConfig,
     term: u64,
     next_attempt: u64,
-    next_request: u64,
     next_job: u64,
     machine_types: Vec<MachineType>,
     image_ids: HashMap<String, u32>,
@@ -168,8 +175,8 @@
     resumed_at: u64,
     commit_queue: CommitQueue,
     completed_jobs: Vec<(JobId, FinalRecord)>,
-    unavailable_capacity: HashMap<(usize, usize, bool), u64>,
-    pending_scale_outs: Vec<autoscaling::PendingScaleOut>,
+    scale_outs: ScaleOutState,
+    /// Machines whose deletion is requested.
     scaling_in: HashSet<String>,
     /// What the last scheduling round left for heartbeats.
     last_round: LastRound,
@@ -201,43 +208,6 @@
     classes: HashMap<String, ClassHistory>,
 }
 
-/// What was seen of a class.
-#[derive(Debug, Clone)]
-struct ClassHistory {
-    /// The largest task.
-    request: hookway_policy::Resources,
-    /// The largest image, GB.
-    image_gb: f64,
-    /// Its images.
-    images: HashSet<u32>,
-    /// Machines that it needed at a time, with the time.
-    machines_needed: VecDeque<(u64, usize)>,
-    /// Whether its jobs may use spot machines.
-    spot: bool,
-    /// Its jobs are gangs.
-    gangs: bool,
-}
-
-impl ClassHistory {
-    /// A class as the store knows it.
-    fn from_record(record: &ClassRecord) -> Self {
-        Self {
-            request: record.request,
-            image_gb: record.image_gb,
-            images: HashSet::new(),
-            machines_needed: VecDeque::new(),
-            spot: record.spot,
-            gangs: record.gangs,
-        }
-    }
-
-    /// What the store should know of it.
-    fn record(&self) -> ClassRecord {
-        let (need, image_gb) = (self.request, self.image_gb);
-        ClassRecord { request: need, image_gb, spot: self.spot, gangs: self.gangs }
-    }
-}
-
 impl ClusterState {
     /// The ledger of a new leader. `at` must be read after the leadership was won.
     pub fn new(
@@ -260,7 +230,6 @@
             config,
             term,
             next_attempt: 0,
-            next_request: 0,
             next_job: 0,
             machine_types,
             image_ids: HashMap::new(),
@@ -277,8 +246,7 @@
             resumed_at: at.monotonic,
             commit_queue: writer,
             completed_jobs: Vec::new(),
-            unavailable_capacity: HashMap::new(),
-            pending_scale_outs: Vec::new(),
+            scale_outs: ScaleOutState::default(),
             scaling_in: HashSet::new(),
             last_round: LastRound::default(),
             unknown_tasks: 0,
@@ -412,20 +380,12 @@
             record.spec.estimate_s,
             record.spec.deadline_s
         );
-        let need = hookway_policy::Resources::of_task(&record.spec);
-        let fresh =
-            ClassRecord { request: need, image_gb: 0.0, spot: true, gangs: record.spec.is_gang() };
         let before = self.classes.get(&record.spec.class).map(ClassHistory::record);
         let class = self
             .classes
             .entry(record.spec.class.clone())
-            .or_insert_with(|| ClassHistory::from_record(&fresh));
-        class.request.cpus = class.request.cpus.max(need.cpus);
-        class.request.gpus = class.request.gpus.max(need.gpus);
-        class.request.memory_gb = class.request.memory_gb.max(need.memory_gb);
-        class.image_gb = class.image_gb.max(record.spec.image_gb);
-        class.images.insert(image);
-        class.spot &= record.spec.spot;
+            .or_insert_with(|| ClassHistory::before_first_job(&record.spec));
+        class.add_job(&record.spec, image);
         self.commit_queue.classes_changed |= before != Some(class.record());
         let context = JobContext {
             team,
--- /dev/null
+++ b/crates/controller/src/cluster_state/scale_out.rs
@@ -0,0 +1,173 @@
+//! Scale out: which machines the cloud may be asked for, and the requests in flight.
+
+use super::{ClusterState, Machine};
+use hookway_constants as constants;
+use hookway_policy::{MachineOffer, MachineView, Resources, ScalingPlan};
+use hookway_wire::ScaleOutRequest;
+use std::collections::{HashMap, HashSet};
+
+/// Machines that the cloud offers under the same conditions.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+struct CapacityPool {
+    /// Index of the machine type.
+    machine_type: usize,
+    /// Index of the zone.
+    zone: usize,
+    spot: bool,
+}
+
+/// A scale-out request in flight.
+#[derive(Debug, Clone)]
+struct PendingScaleOut {
+    request_id: String,
+    pool: CapacityPool,
+    count: u32,
+}
+
+/// The scale-out requests in flight, and the pools that had no capacity of late.
+#[derive(Debug, Default)]
+pub(super) struct ScaleOutState {
+    /// Number of requests of this term.
+    last_request: u64,
+    pending: Vec<PendingScaleOut>,
+    /// Pools without capacity, and until when they are not asked again, ms.
+    unavailable_until_ms: HashMap<CapacityPool, u64>,
+}
+
+impl ScaleOutState {
+    /// Whether a pool may be asked for machines: it had capacity, and no request is in flight. What a
+    /// request brings counts as booting machines, and more requests before its answer would only
+    /// queue up.
+    fn may_request(&self, pool: CapacityPool, now: u64) -> bool {
+        let unavailable = self.unavailable_until_ms.get(&pool).is_some_and(|until| now < *until);
+        !unavailable && !self.pending.iter().any(|pending| pending.pool == pool)
+    }
+
+    /// Ends a request in flight; `None` if there is no such request.
+    fn take(&mut self, request_id: &str) -> Option<PendingScaleOut> {
+        let position = self.pending.iter().position(|p| p.request_id == request_id)?;
+        Some(self.pending.swap_remove(position))
+    }
+}
+
+impl ClusterState {
+    /// What the cloud may be asked for at `now` (ms), outside of `partitioned` zones.
+    pub(super) fn offers(&self, partitioned: &HashSet<String>, now: u64) -> Vec<MachineOffer> {
+        let mut offers = Vec::new();
+        for (machine_type, offered) in self.machine_types.iter().enumerate() {
+            for name in offered.zones.iter().filter(|name| !partitioned.contains(*name)) {
+                let Some(zone) = self.config.platform.zone(name) else { continue };
+                let prices = [(false, Some(offered.price_per_hour)), (true, offered.spot_price)];
+                for (spot, price) in prices {
+                    let pool = CapacityPool { machine_type, zone, spot };
+                    if let Some(price) = price
+                        && self.scale_outs.may_request(pool, now)
+                    {
+                        offers.push(MachineOffer { machine_type, zone, spot, price });
+                    }
+                }
+            }
+        }
+        offers
+    }
+
+    /// The machines of the requests in flight, as the policy sees them.
+    pub(super) fn pending_machine_views(&self) -> Vec<MachineView> {
+        let mut views = Vec::new();
+        for PendingScaleOut { pool, count, .. } in &self.scale_outs.pending {
+            let total = Resources::of_machine_type(&self.machine_types[pool.machine_type]);
+            let view = MachineView {
+                machine_type: pool.machine_type,
+                zone: pool.zone,
+                spot: pool.spot,
+                total,
+                free: total,
+                price: 0.0,
+                images: vec![],
+                schedulable: false,
+                booting: true,
+                reserved_for: None,
+                excluded_by: vec![],
+                placed_tasks: vec![],
+            };
+            views.extend(std::iter::repeat_n(view, *count as usize));
+        }
+        views
+    }
+
+    /// The requests for the machines of a plan. `planned_machines` are those that the plan has taken
+    /// into account.
+    pub(super) fn request_scale_out(
+        &mut self,
+        plan: &ScalingPlan,
+        offers: &[MachineOffer],
+        planned_machines: usize,
+    ) -> Vec<ScaleOutRequest> {
+        let machines = planned_machines.max(self.machines.len());
+        let room = self.config.operator.max_machines.saturating_sub(machines);
+        let mut remaining = u32::try_from(room).unwrap_or(u32::MAX);
+        // No more requests than the cloud takes within about a second: one that waits in a queue is out
+        // of date when its turn comes.
+        let max_pending = self.config.platform.cloud.rps.max(2.0) as usize;
+        let mut requests = Vec::new();
+        for scale_out in &plan.scale_out {
+            let count = scale_out.count.min(constants::MAX_SCALE_OUT_MACHINES).min(remaining);
+            if count > 0 && self.scale_outs.pending.len() < max_pending {
+                remaining -= count;
+                requests.push(self.new_request(&offers[scale_out.offer], count));
+            }
+        }
+        requests
+    }
+
+    /// A request for `count` machines, in flight from now on.
+    fn new_request(&mut self, offer: &MachineOffer, count: u32) -> ScaleOutRequest {
+        self.scale_outs.last_request += 1;
+        // Never used again by any controller: the term is part of the id.
+        let request_id = format!("h-{}-{}", self.term, self.scale_outs.last_request);
+        let request = ScaleOutRequest {
+            request_id: request_id.clone(),
+            machine_type: self.machine_types[offer.machine_type].name.clone(),
+            zone: self.config.platform.zones[offer.zone].clone(),
+            spot: offer.spot,
+            count,
+        };
+        tracing::info!(
+            request = %request_id, count, machine_type = %request.machine_type,
+            zone = %request.zone, spot = request.spot, "scale out requested"
+        );
+        let MachineOffer { machine_type, zone, spot, .. } = *offer;
+        let pool = CapacityPool { machine_type, zone, spot };
+        self.scale_outs.pending.push(PendingScaleOut { request_id, pool, count });
+        request
+    }
+
+    /// The cloud answered a scale-out request at `now` (ms). `None`: no capacity.
+    pub fn scale_out_finished(
+        &mut self,
+        request: &ScaleOutRequest,
+        machines: Option<Vec<String>>,
+        now: u64,
+    ) {
+        let Some(pending) = self.scale_outs.take(&request.request_id) else { return };
+        let added = machines.as_ref().map_or(0, Vec::len);
+        tracing::info!(
+            request = %pending.request_id, added, requested = pending.count, "scale out finished"
+        );
+        if added < pending.count as usize {
+            let until_ms = now + constants::UNAVAILABLE_CAPACITY_MS;
+            self.scale_outs.unavailable_until_ms.insert(pending.pool, until_ms);
+        }
+        for name in machines.unwrap_or_default() {
+            if self.removed_machines.contains(&name) {
+                continue;
+            }
+            let machine = self.machines.entry(name).or_insert_with(|| Machine::new(now));
+            if !machine.has_reported {
+                machine.machine_type.clone_from(&request.machine_type);
+                machine.zone.clone_from(&request.zone);
+                machine.spot = request.spot;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/cluster_state/silence.rs
@@ -0,0 +1,114 @@
+//! Which machines and zones are silent: lost machines, and partitioned zones.
+
+use super::{ClusterState, Machine};
+use hookway_constants as constants;
+use std::collections::{HashMap, HashSet};
+
+/// Machines of a zone.
+#[derive(Debug, Clone, Copy, Default)]
+struct ZoneCount {
+    all: usize,
+    missing: usize,
+}
+
+impl ZoneCount {
+    fn add(&mut self, missing: bool) {
+        self.all += 1;
+        self.missing += usize::from(missing);
+    }
+
+    /// Whether so few are missing that they are most likely lost. When many machines of a zone are
+    /// missing together a network is cut, and they may come back.
+    fn few_missing(self) -> bool {
+        self.missing < self.all
+            && (self.missing == 1
+                || self.missing as f64 <= self.all as f64 * constants::LOST_MACHINES_MAX_SHARE)
+    }
+
+    /// Whether so many are missing that the zone is most likely partitioned.
+    fn is_partitioned(self) -> bool {
+        self.missing > 1 && self.missing as f64 > self.all as f64 * constants::PARTITION_SHARE
+    }
+}
+
+impl ClusterState {
+    /// Counts the machines that `counts` selects, and those of them that are missing, by zone.
+    fn count_by_zone(
+        &self,
+        counts: impl Fn(&Machine) -> bool,
+        missing: impl Fn(&str, &Machine) -> bool,
+    ) -> HashMap<&str, ZoneCount> {
+        let mut zones: HashMap<&str, ZoneCount> = HashMap::new();
+        for (name, machine) in self.machines.iter().filter(|(_, machine)| counts(machine)) {
+            zones.entry(&machine.zone).or_default().add(missing(name, machine));
+        }
+        zones
+    }
+
+    /// Time since the last response to a machine's worker, as far as this leader could answer, ms.
+    fn silence_ms(&self, machine: &Machine, now: u64) -> u64 {
+        now.saturating_sub(machine.last_response_at.max(self.resumed_at))
+    }
+
+    /// Zones that can't be reached at this moment. Nothing is added there, and their machines are kept
+    /// for a while: those that are gone are missing from the machine list.
+    pub(super) fn partitioned_zones(&self, now: u64) -> HashSet<String> {
+        let timeout_ms = self.heartbeat_timeout_ms();
+        let is_silent = |machine: &Machine| {
+            let since =
+                if machine.has_reported { machine.last_response_at } else { self.elected_at };
+            now >= since.max(self.resumed_at) + timeout_ms
+        };
+        let zones = self.count_by_zone(
+            |machine| machine.registered && !machine.zone.is_empty(),
+            |_, machine| is_silent(machine),
+        );
+        let partitioned = zones.iter().filter(|(_, count)| count.is_partitioned());
+        partitioned.map(|(zone, _)| (*zone).to_owned()).collect()
+    }
+
+    /// Machines with tasks that have been silent for `patience_ms` while most others of their zone
+    /// have not. A deletion proves their tasks gone, which the machine list and their leases do only
+    /// much later.
+    pub(super) fn silent_machines(&self, now: u64, patience_ms: u64) -> HashSet<String> {
+        // In a partition machines fall silent one by one, each when its next heartbeat is due.
+        let timeout_ms = self.heartbeat_timeout_ms();
+        let zones = self.count_by_zone(Machine::is_live, |_, machine| {
+            self.silence_ms(machine, now) >= timeout_ms
+        });
+        let lost = |machine: &Machine| {
+            machine.is_live()
+                && self.silence_ms(machine, now) >= patience_ms
+                && !machine.placed_tasks.is_empty()
+        };
+        self.lost_machines(&zones, |_, machine| lost(machine))
+    }
+
+    /// Machines of the registry without a heartbeat since the failover that `gone` selects, in zones
+    /// of which most other machines have sent one.
+    pub(super) fn unreconciled_lost_machines(
+        &self,
+        gone: impl Fn(&Machine) -> bool,
+    ) -> HashSet<String> {
+        let unreconciled = |name: &str| self.unreconciled_machines.contains(name);
+        let zones = self.count_by_zone(
+            |machine| machine.has_reported || !machine.zone.is_empty(),
+            |name, _| unreconciled(name),
+        );
+        self.lost_machines(&zones, |name, machine| unreconciled(name) && gone(machine))
+    }
+
+    /// The machines that `lost` selects in zones of which few are missing.
+    fn lost_machines(
+        &self,
+        zones: &HashMap<&str, ZoneCount>,
+        lost: impl Fn(&str, &Machine) -> bool,
+    ) -> HashSet<String> {
+        let few_missing = |zone: &str| zones.get(zone).is_some_and(|count| count.few_missing());
+        self.machines
+            .iter()
+            .filter(|(name, machine)| lost(name, machine) && few_missing(&machine.zone))
+            .map(|(name, _)| name.clone())
+            .collect()
+    }
+}
--- /dev/null
+++ b/crates/controller/src/cluster_state/spare_machines.rs
@@ -0,0 +1,109 @@
+//! Spare machines: kept although idle, for classes whose jobs must start sooner than a new machine is
+//! ready.
+
+use super::class_history::ClassHistory;
+use super::{ClusterState, Job, Machine, worker_lease_expiry_ms};
+use hookway_policy::Resources;
+use hookway_wire::MachineType;
+use std::collections::HashSet;
+
+/// A class with an objective for its start.
+struct SpareClass<'a> {
+    name: &'a str,
+    history: &'a ClassHistory,
+    /// Time within which its jobs should start, s.
+    start_within_s: f64,
+}
+
+/// A machine that can serve as a spare of a class.
+struct Candidate<'a> {
+    name: &'a str,
+    /// Number of the class's images in its cache.
+    cached_images: usize,
+    price: f64,
+}
+
+impl ClusterState {
+    /// Records how many machines each class needs at `now` (ms).
+    pub(super) fn record_demand(&mut self, now: u64) {
+        for (name, class) in &mut self.classes {
+            let tasks: u32 = self
+                .jobs
+                .values()
+                .filter(|j| j.is_active() && !j.is_crash_looping() && j.spec.class == *name)
+                .map(Job::unfinished)
+                .sum();
+            let capacity =
+                |t: &MachineType| Resources::of_machine_type(t).capacity_for(&class.request);
+            let tasks_per_machine = self.machine_types.iter().map(capacity).max();
+            let machines = tasks.div_ceil(tasks_per_machine.unwrap_or(0).max(1));
+            class.record_demand(machines as usize, now);
+        }
+    }
+
+    /// Machines that stay although idle.
+    pub(super) fn spare_machines(&self, now: u64) -> HashSet<String> {
+        let objectives = self.config.platform.objectives.iter();
+        objectives
+            .filter(|objective| objective.kind == "wait")
+            .filter_map(|objective| {
+                let name = objective.class.as_deref()?;
+                let start_within_s = objective.within_s?;
+                Some(SpareClass { name, history: self.classes.get(name)?, start_within_s })
+            })
+            .flat_map(|class| self.spare_machines_of(&class, now))
+            .collect()
+    }
+
+    /// The spares of a class: as many as it needed at a time of late, less those that run its tasks,
+    /// and one in any case. Those with most of the class's images come first, then the cheapest.
+    fn spare_machines_of(&self, class: &SpareClass<'_>, now: u64) -> Vec<String> {
+        let mut candidates: Vec<Candidate<'_>> = Vec::new();
+        let mut busy_machines = 0;
+        for (name, machine) in &self.machines {
+            let machine_type = self.machine_types.iter().find(|t| t.name == machine.machine_type);
+            let Some(machine_type) = machine_type else { continue };
+            if self.runs_class(machine, class.name) {
+                busy_machines += 1;
+            } else if self.is_spare_candidate(machine, machine_type, class, now) {
+                let images = &class.history.images;
+                let cached = machine.images.iter().filter(|c| images.contains(&c.image));
+                let price = machine_type.price(machine.spot);
+                candidates.push(Candidate { name, cached_images: cached.count(), price });
+            }
+        }
+        candidates.sort_by(|a, b| {
+            b.cached_images.cmp(&a.cached_images).then(a.price.total_cmp(&b.price))
+        });
+        let kept = class.history.peak_demand().saturating_sub(busy_machines).max(1);
+        candidates.into_iter().take(kept).map(|candidate| candidate.name.to_owned()).collect()
+    }
+
+    /// Whether a machine has a task of the class.
+    fn runs_class(&self, machine: &Machine, class: &str) -> bool {
+        machine.placed_tasks.iter().any(|placed| {
+            let job = placed.job.and_then(|key| self.jobs.get(&key));
+            job.is_some_and(|job| job.spec.class == class)
+        })
+    }
+
+    /// Whether a machine can take the class's tasks, and a new one would be ready too late.
+    fn is_spare_candidate(
+        &self,
+        machine: &Machine,
+        machine_type: &MachineType,
+        class: &SpareClass<'_>,
+        now: u64,
+    ) -> bool {
+        let history = class.history;
+        let ready_s = machine_type.boot_s + machine_type.fetch_s(history.image_gb);
+        let lease_ms = worker_lease_expiry_ms(&self.config.platform);
+        let ready_in_time = ready_s < class.start_within_s;
+        !ready_in_time
+            && machine.has_reported
+            && !machine.is_draining()
+            && (!machine.spot || history.spot)
+            && Resources::of_machine_type(machine_type).fits(&history.request)
+            && now < machine.last_response_at + lease_ms
+    }
+}
