--- a/crates/controller/src/leadership.rs
+++ b/crates/controller/src/leadership.rs
@@ -281,7 +281,7 @@
                 Precondition { key: LEADER_TERM_KEY.into(), mod_revision: term_revision },
             ],
             operations: vec![
-                Operation::Put { key: LEADER_KEY.into(), value: value, lease_id: Some(lease_id) },
+                Operation::Put { key: LEADER_KEY.into(), value, lease_id: Some(lease_id) },
                 Operation::put(LEADER_TERM_KEY, serde_json::json!(last)),
                 Operation::put(LEADER_WATERMARKS_KEY, serde_json::json!(last)),
             ],
--- a/crates/controller/tests/leadership.rs
+++ b/crates/controller/tests/leadership.rs
@@ -1,4 +1,4 @@
-//! Leadership against a state service on loopback whose leases end when the test says so. The tests
+//! Leadership with a state service on loopback whose leases expire when the test says so. The tests
 //! wait for events, not for time.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use tokio::sync::{Notify, watch};
 
-struct ControllerActor {
+struct RunningController {
     view: watch::Receiver<LeadershipView>,
     validity: Arc<LeadershipLease>,
     clock: Clock,
@@ -20,7 +20,7 @@
     leadership: tokio::task::JoinHandle<()>,
 }
 
-fn start(label: &str, address: &str) -> ControllerActor {
+fn start(label: &str, address: &str) -> RunningController {
     let (view_tx, view) = watch::channel(LeadershipView::default());
     let validity = Arc::new(LeadershipLease::default());
     let clock = Clock::default();
@@ -37,16 +37,16 @@
         has_warm_copy: Arc::default(),
     };
     let leadership = tokio::spawn(leadership.run());
-    ControllerActor { view, validity, clock, suspicion, leadership }
+    RunningController { view, validity, clock, suspicion, leadership }
 }
 
-async fn leads(node: &mut ControllerActor) -> LeaderTerm {
-    let view = node.view.wait_for(|v| v.own_term.is_some()).await.expect("the actor lives");
+async fn leads(controller: &mut RunningController) -> LeaderTerm {
+    let view = controller.view.wait_for(|v| v.own_term.is_some()).await.expect("the actor lives");
     view.own_term.clone().expect("just seen")
 }
 
 #[tokio::test]
-async fn a_lost_lease_ends_the_term_and_the_next_one_is_higher() {
+async fn lost_leadership_lease_ends_term_and_next_term_is_higher() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let mut one = start("one", &address);
@@ -63,9 +63,9 @@
         m = async { one.view.wait_for(|v| v.own_term.as_ref().is_some_and(|m| m.term > 1)).await
             .expect("the actor lives").own_term.clone().expect("just seen") } => m,
     };
-    // Above every token that the first one may have used, each machine's own ones included.
+    // Above every fencing token that the first term may have used, those of each machine included.
     assert_eq!(second.term, 1 + hookway_constants::TOKENS_PER_TERM);
-    // What the deposed leader still has under way is guarded by a version that is gone.
+    // A transaction of the deposed leader that is still under way fails by its precondition.
     let late = Transaction {
         preconditions: vec![first.precondition],
         operations: vec![Operation::put("f/req-000001", serde_json::json!("late"))],
@@ -74,7 +74,7 @@
 }
 
 #[tokio::test]
-async fn a_restarted_node_ends_the_lease_of_its_earlier_process() {
+async fn restarted_controller_revokes_lease_of_previous_process() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let lease_id = server.grant();
@@ -97,13 +97,13 @@
 }
 
 #[tokio::test]
-async fn after_an_outage_the_same_term_goes_on() {
+async fn term_continues_after_state_service_outage() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let mut one = start("one", &address);
     let first = leads(&mut one).await;
     server.refuse(true);
-    // Several extensions fail; the lease itself lasts, as all do over an outage.
+    // Several extensions fail; the lease itself lasts, as every lease does during an outage.
     server.refused(3).await;
     server.refuse(false);
     let two = start("two", &address);
@@ -112,10 +112,10 @@
     assert_eq!(one.view.borrow().own_term, Some(first));
 }
 
-/// A watch whose connection died unnoticed hides the end of a lease for seconds; a suspicion asks at once. The
-/// suspicion itself ends no lease.
+/// A watch whose connection broke unnoticed hides the expiry of a lease for seconds; a suspicion reads the leader at
+/// once. The suspicion itself ends no lease.
 #[tokio::test]
-async fn a_suspicion_asks_the_state_service_and_takes_nothing_from_a_leader_that_lives() {
+async fn leader_suspicion_reads_state_service_without_deposing_live_leader() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let mut one = start("one", &address);
@@ -127,7 +127,7 @@
     tokio::time::sleep(std::time::Duration::from_millis(200)).await;
     assert_eq!(two.view.borrow().own_term, None, "the lease runs, so it leads");
     assert_eq!(one.view.borrow().own_term, Some(first.clone()));
-    // Its process is gone, and nobody extends the lease; the muted watch says nothing.
+    // Its process has ended, and nobody extends the lease; the muted watch delivers no event.
     one.leadership.abort();
     server.end(first.lease_id);
     two.suspicion.notify_one();
--- a/crates/testkit/src/store.rs
+++ b/crates/testkit/src/store.rs
@@ -68,7 +68,7 @@
 
     fn remove(&mut self, key: String) {
         if self.keys.remove(&key).is_some() {
-            let event = WatchEvent::Delete { key: key, mod_revision: self.revision };
+            let event = WatchEvent::Delete { key, mod_revision: self.revision };
             self.events.push((self.revision, event));
         }
     }
