--- a/crates/controller/src/cluster_state/machine.rs
+++ b/crates/controller/src/cluster_state/machine.rs
@@ -141,6 +141,8 @@
     pub stored_images: Vec<u32>,
     /// Kept free for a gang.
     pub reserved_for_gang: Option<GangReservation>,
+    /// In this leader's shard until then, ms: it takes new tasks only before. 0: not admitted yet.
+    admitted_until_ms: u64,
 }
 
 impl Machine {
@@ -176,6 +178,7 @@
             images: Vec::new(),
             stored_images: Vec::new(),
             reserved_for_gang: None,
+            admitted_until_ms: 0,
         }
     }
 
@@ -201,6 +204,16 @@
         self.spot = heartbeat.spot;
     }
 
+    /// Admits the machine to this leader's shard; a later end of an earlier admission stays.
+    pub fn admit(&mut self, until_ms: u64) {
+        self.admitted_until_ms = self.admitted_until_ms.max(until_ms);
+    }
+
+    /// Whether the machine is in this leader's shard at `now` (ms).
+    pub fn is_admitted(&self, now: u64) -> bool {
+        now < self.admitted_until_ms
+    }
+
     /// Whether its worker has sent a heartbeat and its lease has not surely expired since.
     pub fn is_live(&self) -> bool {
         self.has_reported && self.expired_incarnation < self.newest_message.incarnation
@@ -249,3 +262,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/controller/src/cluster_state/machine_fill.rs
+++ b/crates/controller/src/cluster_state/machine_fill.rs
@@ -58,7 +58,7 @@
             || machine.reserved_for_gang.is_some()
             || !machine.registered
             || now < machine.backoff_until
-            || !self.blocks.holds(name, &self.config.controller_name, now)
+            || !machine.is_admitted(now)
         {
             return None;
         }
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -48,7 +48,6 @@
 pub use job_operations::{CancelOutcome, JobLookup};
 pub use standby_feed::WarmStart;
 
-use crate::blocks::Blocks;
 use crate::records::{FinalRecord, JobRecord};
 use crate::settings::{OperatorSettings, PlatformSettings};
 use crate::shard_lease::{ShardLease, ShardLeaseRenewal, ShardLessor};
@@ -164,7 +163,6 @@
     machines: BTreeMap<String, Machine>,
     /// Machines that this leader knows to be gone: late reports must not bring them back.
     removed_machines: BoundedSet<String>,
-    blocks: Blocks,
     /// Machines of the roster that have not reported to this leader yet.
     unreconciled_machines: BTreeSet<String>,
     /// When those may have been answered last by an earlier leader.
@@ -239,7 +237,6 @@
             ended_jobs: BoundedSet::new(constants::BOUNDED_SET_SIZE),
             machines: BTreeMap::new(),
             removed_machines: BoundedSet::new(constants::BOUNDED_SET_SIZE),
-            blocks: Blocks::default(),
             unreconciled_machines: BTreeSet::new(),
             unreconciled_since: at.monotonic,
             shard_lessor: holders,
--- a/crates/controller/src/cluster_state/scheduling_round.rs
+++ b/crates/controller/src/cluster_state/scheduling_round.rs
@@ -70,10 +70,9 @@
 
     /// Admits every machine to this leader's shard for the length of a shard lease.
     fn admit_machines(&mut self, now: u64) {
-        let until = now + self.config.operator.shard_lease_ms;
-        let controller = self.config.controller_name.clone();
-        for name in self.machines.keys() {
-            self.blocks.lease(name, &controller, now, until);
+        let until_ms = now + self.config.operator.shard_lease_ms;
+        for machine in self.machines.values_mut() {
+            machine.admit(until_ms);
         }
     }
 
--- a/crates/controller/src/cluster_state/snapshot.rs
+++ b/crates/controller/src/cluster_state/snapshot.rs
@@ -189,7 +189,7 @@
                 && !closed
                 && now < machine.last_response_at + self.missed_heartbeat_ms()
                 && now >= machine.backoff_until
-                && self.blocks.holds(name, &self.config.controller_name, now),
+                && machine.is_admitted(now),
             booting: !machine.has_reported && !closed,
             excluded_by,
             reserved_for: machine
--- a/crates/controller/src/cluster_state/task_removal.rs
+++ b/crates/controller/src/cluster_state/task_removal.rs
@@ -176,7 +176,6 @@
         }
         self.commit_queue.registry.remove(name);
         self.unreconciled_machines.remove(name);
-        self.blocks.forget(name);
         self.scaling_in.remove(name);
         self.removed_machines.insert(name.to_owned());
         tracing::info!("machine {name}: gone");
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -5,7 +5,6 @@
 //! owns the ledger while it leads, the user and worker interface, and the link to the other nodes.
 
 pub mod api_service;
-pub mod blocks;
 mod circuit_breaker;
 pub mod cluster_state;
 pub mod concurrency_limiter;
