--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -3,41 +3,66 @@
 //! No I/O and no clock: the caller says what happened and when (milliseconds on its steady clock),
 //! and carries out what comes back.
 
+mod acknowledgement;
 mod autoscaling;
+mod bounded_set;
+mod class_history;
 mod command_dispatch;
 mod commit_queue;
 mod commits;
 mod completion;
 mod direct_dispatch;
+mod draining;
 mod failure_attribution;
+mod gang_repair;
 mod heartbeat;
+mod heartbeat_tasks;
+mod heartbeat_timing;
+mod job;
+mod job_operations;
+mod machine;
+mod machine_fill;
+mod machine_list;
 mod machine_registry;
-mod model;
+mod placed_task;
+mod placement;
 mod progress;
 mod recovery;
-mod scheduling;
+mod scale_in;
+mod scale_out;
+mod scheduling_round;
+mod service_level_objectives;
 mod shared_watermarks;
+mod silence;
+mod snapshot;
+mod spare_machines;
 mod standby_feed;
+mod start_watermark;
+mod startable_tasks;
+mod state_probe;
+mod task_adoption;
 mod task_removal;
 
 pub use autoscaling::ScalingAction;
 pub use commit_queue::{CommitResult, PendingCommit, RereadKey};
-pub use completion::{CancelOutcome, JobLookup};
-pub use model::{
-    BoundedSet, EndedTask, ExpectedHeartbeat, Job, JobContext, Machine, PlacedTask,
-    ServiceLevelObjectives, StopOrder, TaskPhase, TaskPlacement,
-};
-pub use progress::Progress;
+pub use job_operations::{CancelOutcome, JobLookup};
 pub use standby_feed::WarmStart;
 
-use crate::blocks::Blocks;
-use crate::records::{ClassRecord, FinalRecord, JobRecord};
+use crate::records::{FinalRecord, JobRecord};
 use crate::settings::{OperatorSettings, PlatformSettings};
 use crate::shard_lease::{ShardLease, ShardLeaseRenewal, ShardLessor};
+use bounded_set::BoundedSet;
+use class_history::ClassHistory;
 use commit_queue::CommitQueue;
 use hookway_constants as constants;
-use hookway_wire::{JobId, JobSpec, JobState, KeyValue, MachineType, Precondition};
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
+use hookway_wire::{JobId, JobState, KeyValue, MachineType, Precondition};
+use job::{Job, JobContext, JobKey, TaskPlacement};
+use machine::{CachedImage, CordonReason, GangReservation, Machine, MessageVersion};
+use placed_task::{EndedTask, ExpectedHeartbeat, PlacedTask, StopOrder, TaskAttempt, TaskPhase};
+use scale_out::ScaleOutState;
+use scheduling_round::LastRound;
+use service_level_objectives::ServiceLevelObjectives;
+use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
 /// What does not change while a node leads.
 #[derive(Debug, Clone)]
@@ -127,19 +152,17 @@
     config: ControllerConfig,
     term: u64,
     next_attempt: u64,
-    next_request: u64,
     next_job: u64,
     machine_types: Vec<MachineType>,
     image_ids: HashMap<String, u32>,
     image_names: Vec<String>,
-    jobs: BTreeMap<u64, Job>,
-    job_keys: HashMap<JobId, u64>,
+    jobs: BTreeMap<JobKey, Job>,
+    job_keys: HashMap<JobId, JobKey>,
     /// Jobs that ended in this term: a late event must not bring them back.
     ended_jobs: BoundedSet<JobId>,
     machines: BTreeMap<String, Machine>,
     /// Machines that this leader knows to be gone: late reports must not bring them back.
     removed_machines: BoundedSet<String>,
-    blocks: Blocks,
     /// Machines of the roster that have not reported to this leader yet.
     unreconciled_machines: BTreeSet<String>,
     /// When those may have been answered last by an earlier leader.
@@ -150,16 +173,11 @@
     resumed_at: u64,
     commit_queue: CommitQueue,
     completed_jobs: Vec<(JobId, FinalRecord)>,
-    unavailable_capacity: HashMap<(usize, usize, bool), u64>,
-    pending_scale_outs: Vec<autoscaling::PendingScaleOut>,
+    scale_outs: ScaleOutState,
+    /// Machines whose deletion is requested.
     scaling_in: HashSet<String>,
-    last_round: u64,
-    /// Turns that found no room in the last round, in order: what reports fill free room with.
-    unplaced_demand: Vec<scheduling::UnplacedDemand>,
-    /// What the last round set aside of teams' limits for gangs that wait.
-    quota_reservations: Vec<hookway_policy::QuotaReservation>,
-    /// Machines that the last round kept for gangs that wait.
-    reserved_machines: HashSet<String>,
+    /// What the last scheduling round left for heartbeats.
+    last_round: LastRound,
     /// Tasks on machines that belong to no job in this ledger.
     unknown_tasks: usize,
     /// Machines with starts that no worker was told of yet.
@@ -169,7 +187,7 @@
     /// Workers that are being asked what is on their machines.
     state_probes_in_flight: usize,
     /// Cancelled jobs whose tasks may not be gone in time yet.
-    unproven_cancellations: BTreeSet<u64>,
+    unproven_cancellations: BTreeSet<JobKey>,
     /// Some task may have to be stopped that its worker was not told about.
     stops_due: bool,
     /// When this leader won, ms.
@@ -188,43 +206,6 @@
     classes: HashMap<String, ClassHistory>,
 }
 
-/// What was seen of a class.
-#[derive(Debug, Clone)]
-struct ClassHistory {
-    /// The largest task.
-    request: hookway_policy::Resources,
-    /// The largest image, GB.
-    image_gb: f64,
-    /// Its images.
-    images: HashSet<u32>,
-    /// Machines that it needed at a time, with the time.
-    machines_needed: VecDeque<(u64, usize)>,
-    /// Whether its jobs may use spot machines.
-    spot: bool,
-    /// Its jobs are gangs.
-    gangs: bool,
-}
-
-impl ClassHistory {
-    /// A class as the store knows it.
-    fn from_record(record: &ClassRecord) -> Self {
-        Self {
-            request: record.request,
-            image_gb: record.image_gb,
-            images: HashSet::new(),
-            machines_needed: VecDeque::new(),
-            spot: record.spot,
-            gangs: record.gangs,
-        }
-    }
-
-    /// What the store should know of it.
-    fn record(&self) -> ClassRecord {
-        let (need, image_gb) = (self.request, self.image_gb);
-        ClassRecord { request: need, image_gb, spot: self.spot, gangs: self.gangs }
-    }
-}
-
 impl ClusterState {
     /// The ledger of a new leader. `at` must be read after the leadership was won.
     pub fn new(
@@ -247,7 +228,6 @@
             config,
             term,
             next_attempt: 0,
-            next_request: 0,
             next_job: 0,
             machine_types,
             image_ids: HashMap::new(),
@@ -257,20 +237,15 @@
             ended_jobs: BoundedSet::new(constants::BOUNDED_SET_SIZE),
             machines: BTreeMap::new(),
             removed_machines: BoundedSet::new(constants::BOUNDED_SET_SIZE),
-            blocks: Blocks::default(),
             unreconciled_machines: BTreeSet::new(),
             unreconciled_since: at.monotonic,
             shard_lessor: holders,
             resumed_at: at.monotonic,
             commit_queue: writer,
             completed_jobs: Vec::new(),
-            unavailable_capacity: HashMap::new(),
-            pending_scale_outs: Vec::new(),
+            scale_outs: ScaleOutState::default(),
             scaling_in: HashSet::new(),
-            last_round: 0,
-            unplaced_demand: Vec::new(),
-            quota_reservations: Vec::new(),
-            reserved_machines: HashSet::new(),
+            last_round: LastRound::default(),
             unknown_tasks: 0,
             machines_with_planned_starts: BTreeSet::new(),
             direct_dispatches_in_flight: 0,
@@ -345,10 +320,12 @@
         if self.unknown_tasks > 0 || !self.reconciled(now) {
             return 0;
         }
-        let cancelled = |j: &&Job| j.intended_end == Some(JobState::Cancelled) && j.placed > 0;
+        let cancelled =
+            |j: &&Job| j.completion.end_state() == Some(JobState::Cancelled) && j.placed > 0;
         let longest = max_shard_lease_ms(&self.config);
         let left = |job: &Job| {
-            let since_asked = job.cancel_asked_at.map(|at| now.saturating_sub(at));
+            let since_asked =
+                job.completion.cancel_requested_at_ms().map(|at| now.saturating_sub(at));
             since_asked.map_or(0, |ms| longest.saturating_sub(ms))
         };
         let shortest = self.jobs.values().filter(cancelled).map(left).min();
@@ -388,8 +365,8 @@
         let team =
             self.config.platform.teams.iter().position(|t| t.name == record.spec.team).unwrap_or(0);
         self.next_job += 1;
-        let key = self.next_job;
-        let aims = self.objectives_of(&record.spec);
+        let key = JobKey::new(self.next_job);
+        let aims = ServiceLevelObjectives::of_job(&record.spec, &self.config.platform);
         tracing::info!(
             "job {id}: seen ({:?}, {} tasks, lane {}, {}, {} GB, guess {:.0} s, due {:?})",
             record.spec.kind,
@@ -400,20 +377,12 @@
             record.spec.estimate_s,
             record.spec.deadline_s
         );
-        let need = hookway_policy::Resources::of_task(&record.spec);
-        let fresh =
-            ClassRecord { request: need, image_gb: 0.0, spot: true, gangs: record.spec.is_gang() };
         let before = self.classes.get(&record.spec.class).map(ClassHistory::record);
         let class = self
             .classes
             .entry(record.spec.class.clone())
-            .or_insert_with(|| ClassHistory::from_record(&fresh));
-        class.request.cpus = class.request.cpus.max(need.cpus);
-        class.request.gpus = class.request.gpus.max(need.gpus);
-        class.request.memory_gb = class.request.memory_gb.max(need.memory_gb);
-        class.image_gb = class.image_gb.max(record.spec.image_gb);
-        class.images.insert(image);
-        class.spot &= record.spec.spot;
+            .or_insert_with(|| ClassHistory::before_first_job(&record.spec));
+        class.add_job(&record.spec, image);
         self.commit_queue.classes_changed |= before != Some(class.record());
         let context = JobContext {
             team,
@@ -427,38 +396,12 @@
         self.jobs.insert(key, job);
     }
 
-    /// A job's own deadline, or what the aims promise its class.
-    /// A daemon has none: all of its replicas are wanted all the time, and a late one is wanted no less.
-    fn objectives_of(&self, spec: &JobSpec) -> ServiceLevelObjectives {
-        if spec.is_daemon() {
-            return ServiceLevelObjectives::default();
-        }
-        let mut start_s: Vec<f64> = self.objectives(spec, "wait").collect();
-        start_s.sort_by(f64::total_cmp);
-        let finished = self.objectives(spec, "finished").next();
-        // All tasks of an array have started in time if the last ones end a task time later.
-        let started = start_s.first().filter(|_| !spec.is_gang()).map(|s| s + spec.estimate_s);
-        let implied = match (finished, started) {
-            (Some(f), Some(s)) => Some(f.min(s)),
-            (f, s) => f.or(s),
-        };
-        ServiceLevelObjectives { deadline_s: spec.deadline_s.or(implied), start_s }
-    }
-
-    fn objectives<'a>(
-        &'a self,
-        spec: &'a JobSpec,
-        kind: &'a str,
-    ) -> impl Iterator<Item = f64> + 'a {
-        let objectives = self.config.platform.objectives.iter();
-        objectives
-            .filter(move |o| o.kind == kind && o.class.as_deref() == Some(&spec.class))
-            .filter_map(|o| o.within_s)
-    }
-
     /// Images of a record, by their numbers.
-    fn image_ids_of(&mut self, named: &[(String, f64)]) -> Vec<(u32, f64)> {
-        named.iter().map(|(image, gb)| (self.image_id(image), *gb)).collect()
+    fn image_ids_of(&mut self, named: &[(String, f64)]) -> Vec<CachedImage> {
+        named
+            .iter()
+            .map(|(image, gb)| CachedImage { image: self.image_id(image), size_gb: *gb })
+            .collect()
     }
 
     fn image_id(&mut self, image: &str) -> u32 {
@@ -481,54 +424,6 @@
         self.last_timestamp.wall + now.saturating_sub(self.last_timestamp.monotonic)
     }
 
-    /// Whether no worker has reported for several intervals although some should: this node may be
-    /// cut off from the workers alone, while another one is not.
-    pub fn all_workers_silent(&self, now: u64) -> bool {
-        let report_ms = self.config.platform.workers.heartbeat_interval_s * 1000.0;
-        let limit = ((report_ms * constants::WORKER_SILENCE_INTERVALS) as u64)
-            .max(constants::WORKER_SILENCE_MIN_MS);
-        let mut expected = 0u32;
-        let since = self.elected_at.max(self.resumed_at);
-        let mut latest = since;
-        for (name, machine) in &self.machines {
-            // Machines that have reported here, and those of the roster that must be up by now.
-            let old = machine.first_listed_at.is_some_and(|since| {
-                since + (constants::BOOT_CERTAIN_MS as i64) < self.elected_at as i64
-            });
-            if machine.has_reported && machine.expired_incarnation < machine.newest_message.0 {
-                expected += 1;
-                latest = latest.max(machine.last_response_at);
-            } else if !machine.has_reported && old && self.unreconciled_machines.contains(name) {
-                expected += 1;
-            }
-        }
-        // Where hundreds report, all of them are silent together within seconds only if this node can't hear
-        // them. But workers that look for a new leader come one by one.
-        let part = (constants::WORKER_SILENCE_FLEET_SIZE / f64::from(expected.max(1))).min(1.0);
-        let soon = ((report_ms * constants::WORKER_SILENCE_INTERVALS * part) as u64)
-            .clamp(constants::WORKER_SILENCE_LARGE_FLEET_MS, limit);
-        expected >= 2 && now >= latest + if latest > since { soon } else { limit }
-    }
-
-    /// Time after an answer by which a worker surely reports again, ms.
-    fn heartbeat_timeout_ms(&self) -> u64 {
-        let report_ms = self.config.platform.workers.heartbeat_interval_s * 1000.0;
-        (report_ms * constants::MAX_HEARTBEAT_INTERVAL_FACTOR) as u64
-            + constants::PROMPT_HEARTBEAT_MS
-    }
-
-    /// Whether some worker has missed its report.
-    pub fn any_heartbeat_overdue(&self, now: u64) -> bool {
-        let late = self.heartbeat_timeout_ms();
-        let lease = worker_lease_expiry_ms(&self.config.platform);
-        let silent = |h: &Machine| {
-            h.has_reported
-                && !h.placed_tasks.is_empty()
-                && (late..lease).contains(&(now - h.last_response_at.min(now)))
-        };
-        self.machines.values().any(silent)
-    }
-
     /// The node could not act as leader for a while (its lease was in doubt) and can again.
     pub fn resumed(&mut self, now: u64) {
         self.resumed_at = now;
