--- a/crates/controller/src/api_service.rs
+++ b/crates/controller/src/api_service.rs
@@ -5,7 +5,7 @@
 use crate::concurrency_limiter::ConcurrencyLimiter;
 use crate::controller_actor::{ControllerRequest, HeartbeatReply};
 use crate::frame;
-use crate::leadership::{LeadershipView, wall_ms};
+use crate::leadership::{LeadershipView, wall_clock_ms};
 use crate::peers::{PeerRequest, PeerResponse, Peers};
 use crate::records::{
     FinalRecord, JobRecord, LEADER_KEY, final_state_key, fits_value_limit, job_key,
@@ -350,7 +350,7 @@
             Some(Err(why)) => return self.refuse_unless_accepted(&id, 422, why, from_peer).await,
         }
         let team = spec.team.clone();
-        let record = JobRecord { spec, accepted_at_ms: wall_ms(), has_start_watermark: true };
+        let record = JobRecord { spec, accepted_at_ms: wall_clock_ms(), has_start_watermark: true };
         let Ok(value) = serde_json::to_value(&record) else {
             return RequestOutcome::unavailable("internal");
         };
--- a/crates/controller/src/controller_actor.rs
+++ b/crates/controller/src/controller_actor.rs
@@ -303,7 +303,7 @@
         };
         match ask {
             ControllerRequest::Heartbeat(report, reply) => {
-                let until = self.instant_at(self.lease.until(term.term.term));
+                let until = self.instant_at(self.lease.expires_at(term.term.term));
                 let answer = cluster.handle_heartbeat(&report, now);
                 let starts = |a: &HeartbeatResponse| {
                     a.commands.iter().any(|command| matches!(command, Command::Run { .. }))
@@ -326,7 +326,7 @@
                 answer => drop(reply.send(Some(answer))),
             },
             ControllerRequest::AdoptJob(read_in, key, value, reply) => {
-                let at = Timestamp { monotonic: now, wall: crate::leadership::wall_ms() };
+                let at = Timestamp { monotonic: now, wall: crate::leadership::wall_clock_ms() };
                 if read_in == Some(term.term.term) {
                     cluster.add_job(&key, value, at, false);
                 }
@@ -357,7 +357,7 @@
     }
 
     fn handle_event(&self, term: &mut ActiveTerm, note: ControllerEvent) {
-        let at = self.clock.moment();
+        let at = self.clock.timestamp();
         match note {
             ControllerEvent::LoadedState(loaded, revision) => {
                 if !self.standby.borrow_mut().records_read(term.term.term, at.monotonic) {
@@ -560,7 +560,7 @@
                 now,
             );
         }
-        cluster.set_time(self.clock.moment());
+        cluster.set_time(self.clock.timestamp());
         if cluster.all_workers_silent(now)
             && self
                 .stepped_down_at
--- /dev/null
+++ b/crates/controller/src/leadership/clock.rs
@@ -0,0 +1,35 @@
+//! The clocks of this process.
+
+use crate::cluster_state::Timestamp;
+use std::time::{SystemTime, UNIX_EPOCH};
+use tokio::time::Instant;
+
+/// The monotonic clock of this process, together with the wall clock.
+#[derive(Debug, Clone, Copy)]
+pub struct Clock {
+    started_at: Instant,
+}
+
+impl Default for Clock {
+    fn default() -> Self {
+        Self { started_at: Instant::now() }
+    }
+}
+
+impl Clock {
+    /// Reads the monotonic clock: milliseconds since this clock was created.
+    pub fn now(&self) -> u64 {
+        u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX)
+    }
+
+    /// Reads both clocks.
+    pub fn timestamp(&self) -> Timestamp {
+        Timestamp { monotonic: self.now(), wall: wall_clock_ms() }
+    }
+}
+
+/// Reads the wall clock: milliseconds since the Unix epoch, 0 if it is set before the epoch.
+pub fn wall_clock_ms() -> u64 {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
+}
--- /dev/null
+++ b/crates/controller/src/leadership/election.rs
@@ -0,0 +1,343 @@
+//! The actor that campaigns for leadership, extends the leadership lease and detects its loss.
+
+use super::clock::Clock;
+use super::lease::{LeadershipLease, lease_expiry};
+use super::term::{LeaderTerm, LeadershipView};
+use crate::records::{
+    LEADER_KEY, LEADER_PREFIX, LEADER_TERM_KEY, LEADER_WATERMARKS_KEY, LeaderRecord,
+};
+use hookway_clients::{CommitOutcome, StoreClient, StoreError};
+use hookway_constants as constants;
+use hookway_wire::{Operation, Precondition, Transaction, WatchEvent};
+use rand::RngExt;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Duration;
+use tokio::sync::{Notify, watch};
+
+/// What the election actor needs, and shares with the rest of the controller.
+#[derive(Debug)]
+pub struct LeadershipConfig {
+    /// The name of this controller.
+    pub controller_name: String,
+    /// The client of the state service.
+    pub store: StoreClient,
+    /// The clock that lease expiries are computed on.
+    pub clock: Clock,
+    /// The lease of the current term, updated by this actor.
+    pub lease: Arc<LeadershipLease>,
+    /// Where this actor publishes who leads.
+    pub view: watch::Sender<LeadershipView>,
+    /// Notified by the controller actor to give up the leadership.
+    pub leadership_lost: Arc<Notify>,
+    /// Notified when the leader has been silent for unusually long. The actor then reads the
+    /// leader key at once, because a watch whose connection broke unnoticed delivers no event.
+    pub leader_suspected: Arc<Notify>,
+    /// Length of the leadership lease, ms.
+    pub lease_ms: u64,
+    /// Whether this controller has a usable copy of the cluster state. It then campaigns before
+    /// the controllers without one.
+    pub has_warm_copy: Arc<AtomicBool>,
+}
+
+/// The election actor.
+#[derive(Debug)]
+pub struct Leadership {
+    config: LeadershipConfig,
+    /// Distinguishes the campaigns of this actor from those of earlier processes of the same name.
+    nonce: u64,
+}
+
+/// What the state service records about the leader.
+enum LeaderState {
+    Elected(ElectedLeader),
+    Vacant(Vacancy),
+}
+
+/// The leader key and its metadata.
+struct ElectedLeader {
+    record: LeaderRecord,
+    mod_revision: u64,
+    lease_id: Option<u64>,
+}
+
+/// The state that a campaign starts from.
+struct Vacancy {
+    /// The highest fencing token of all terms so far.
+    last_token: u64,
+    /// The revision of `lead/term`; 0: the key does not exist.
+    term_revision: u64,
+    /// Whether the last leader recorded start watermarks.
+    has_start_watermarks: bool,
+}
+
+/// Why a term ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum TermEnd {
+    /// The controller actor gave the leadership up.
+    Resigned,
+    /// The state service has no such lease any more.
+    LeaseExpired,
+}
+
+impl Leadership {
+    /// Creates the actor; nothing happens before it runs.
+    pub fn new(config: LeadershipConfig) -> Self {
+        Self { config, nonce: rand::rng().random() }
+    }
+
+    /// Runs until the process ends.
+    pub async fn run(mut self) {
+        loop {
+            match self.read_leader().await {
+                Ok((LeaderState::Elected(leader), revision)) => {
+                    self.leader_found(leader, revision).await;
+                }
+                Ok((LeaderState::Vacant(vacancy), _)) => {
+                    self.publish_vacancy();
+                    pause(self.election_delay_ms()).await;
+                    self.campaign(&vacancy).await;
+                }
+                Err(error) => {
+                    tracing::debug!(%error, "reading the leader key failed");
+                    pause(constants::LEADER_RETRY_MS).await;
+                }
+            }
+        }
+    }
+
+    /// Handles an elected leader: this process, an earlier process of this controller, or another
+    /// controller.
+    async fn leader_found(&mut self, leader: ElectedLeader, revision: u64) {
+        let record = leader.record;
+        if record.controller_name == self.config.controller_name
+            && let Some(lease_id) = leader.lease_id
+        {
+            if record.nonce == self.nonce {
+                // The transaction of this process, whose response was lost. When the lease was
+                // granted is unknown, so it counts as expired until the first extension.
+                self.lead(new_term(&record, leader.mod_revision, lease_id, false), None).await;
+                self.nonce = rand::rng().random();
+            } else {
+                // One process at a time runs under this name, so the leader is an earlier process
+                // that has ended. Its requests in flight carry its precondition and fail.
+                tracing::info!(lease_id, "revoking the lease of the previous process");
+                if self.config.store.release(lease_id).await.is_err() {
+                    pause(constants::LEADER_RETRY_MS).await;
+                }
+            }
+            return;
+        }
+        self.publish(LeadershipView {
+            leader: Some(record.controller_name),
+            leader_term: Some(record.term),
+            own_term: None,
+        });
+        self.watch_leader(revision).await;
+    }
+
+    /// The delay before this controller campaigns, ms. Random, so that not all campaign at once.
+    fn election_delay_ms(&self) -> u64 {
+        let jitter_ms = rand::rng().random_range(0..=constants::ELECTION_JITTER_MS);
+        if self.config.has_warm_copy.load(Ordering::Relaxed) {
+            jitter_ms / constants::WARM_STANDBY_JITTER_DIVISOR
+        } else {
+            jitter_ms
+        }
+    }
+
+    /// Publishes that there is no leader. The name of the last one stays: it is the best guess of
+    /// whom to ask.
+    fn publish_vacancy(&self) {
+        self.config.view.send_if_modified(|view| view.leader_term.take().is_some());
+    }
+
+    fn publish(&self, new_view: LeadershipView) {
+        self.config.view.send_if_modified(|view| {
+            let changed = *view != new_view;
+            *view = new_view;
+            changed
+        });
+    }
+
+    /// Reads the leader key, and the revision of the reading.
+    async fn read_leader(&self) -> Result<(LeaderState, u64), StoreError> {
+        let store = &self.config.store;
+        let (pairs, revision) = store.list(LEADER_PREFIX).await?;
+        let find = |key: &str| pairs.iter().find(|pair| pair.key == key);
+        if let Some(pair) = find(LEADER_KEY)
+            && let Ok(record) = serde_json::from_value::<LeaderRecord>(pair.value.clone())
+        {
+            let mut pair = pair.clone();
+            // A list may omit the lease, which only the owner of the key needs.
+            if pair.lease_id.is_none()
+                && record.controller_name == self.config.controller_name
+                && let Some(full) = store.get(LEADER_KEY).await?
+            {
+                pair = full;
+            }
+            let (mod_revision, lease_id) = (pair.mod_revision, pair.lease_id);
+            let leader = ElectedLeader { record, mod_revision, lease_id };
+            return Ok((LeaderState::Elected(leader), revision));
+        }
+        let (term, watermarks) = (find(LEADER_TERM_KEY), find(LEADER_WATERMARKS_KEY));
+        let vacancy = Vacancy {
+            last_token: term.and_then(|pair| pair.value.as_u64()).unwrap_or(0),
+            term_revision: term.map_or(0, |pair| pair.mod_revision),
+            has_start_watermarks: term.map(|pair| &pair.value)
+                == watermarks.map(|pair| &pair.value),
+        };
+        Ok((LeaderState::Vacant(vacancy), revision))
+    }
+
+    /// Watches the leader key from `revision` on, until it changes, the watch fails, or the leader
+    /// is suspected.
+    async fn watch_leader(&self, mut revision: u64) {
+        loop {
+            let watched = tokio::select! {
+                watched = self.config.store.watch(LEADER_PREFIX, revision, constants::WATCH_WAIT_MS) => watched,
+                () = self.config.leader_suspected.notified() => return,
+            };
+            match watched {
+                Ok(response) => {
+                    let leader_changed = response.events.iter().any(|event| match event {
+                        WatchEvent::Delete { key, .. } | WatchEvent::Put { key, .. } => {
+                            key == LEADER_KEY
+                        }
+                    });
+                    if leader_changed {
+                        return;
+                    }
+                    revision = revision.max(response.revision);
+                }
+                Err(error) => {
+                    tracing::debug!(%error, "watching the leader key failed");
+                    return pause(constants::WATCH_RETRY_MS).await;
+                }
+            }
+        }
+    }
+
+    /// Tries to win the next term, and leads it if this succeeds.
+    async fn campaign(&self, vacancy: &Vacancy) {
+        let store = &self.config.store;
+        let sent_at = self.config.clock.now();
+        let lease_id = match store.grant(self.config.lease_ms).await {
+            Ok(lease_id) => lease_id,
+            Err(error) => {
+                tracing::debug!(%error, "requesting a leadership lease failed");
+                return pause(constants::LEADER_RETRY_MS).await;
+            }
+        };
+        let record = LeaderRecord {
+            controller_name: self.config.controller_name.clone(),
+            term: vacancy.last_token + 1,
+            nonce: self.nonce,
+        };
+        let Ok(value) = serde_json::to_value(&record) else { return };
+        match store.commit(&election_transaction(vacancy, value, lease_id)).await {
+            Ok(CommitOutcome::Applied(revision)) => {
+                let expires_at = lease_expiry(sent_at, self.config.lease_ms);
+                let term = new_term(&record, revision, lease_id, vacancy.has_start_watermarks);
+                self.lead(term, Some(expires_at)).await;
+            }
+            Ok(CommitOutcome::PreconditionFailed(_)) => {
+                let _ = store.release(lease_id).await;
+            }
+            // Whether it was applied is unknown; the next reading of the leader key shows it by the nonce.
+            Err(error) => {
+                tracing::debug!(%error, term = record.term, "campaigning failed");
+                pause(constants::LEADER_RETRY_MS).await;
+            }
+        }
+    }
+
+    /// Leads `term` until its lease is lost. `expires_at`: the expiry of its lease (monotonic
+    /// clock, ms); `None`: unknown, so the lease is extended at once.
+    async fn lead(&self, leader_term: LeaderTerm, expires_at: Option<u64>) {
+        let LeaderTerm { term, lease_id, .. } = leader_term;
+        tracing::info!(term, "elected leader");
+        self.config.lease.set(term, expires_at.unwrap_or(0));
+        self.publish(LeadershipView {
+            leader: Some(self.config.controller_name.clone()),
+            leader_term: Some(term),
+            own_term: Some(leader_term),
+        });
+        let first_extension_ms = expires_at.map_or(0, |_| constants::LEADER_EXTEND_INTERVAL_MS);
+        let end = self.extend_until_lost(term, lease_id, first_extension_ms).await;
+        self.config.lease.revoke(term);
+        tracing::info!(term, reason = ?end, "leadership lost");
+        self.publish(LeadershipView::default());
+        let _ = self.config.store.release(lease_id).await;
+        if end == TermEnd::Resigned {
+            // Another controller is to win the next term.
+            pause(constants::STEP_DOWN_PAUSE_MS).await;
+        }
+    }
+
+    /// Extends the lease of `term` again and again, first after `delay_ms`, until it is lost.
+    async fn extend_until_lost(&self, term: u64, lease_id: u64, mut delay_ms: u64) -> TermEnd {
+        loop {
+            tokio::select! {
+                () = pause(delay_ms) => {}
+                () = self.config.leadership_lost.notified() => return TermEnd::Resigned,
+            }
+            let sent_at = self.config.clock.now();
+            match self.config.store.extend(lease_id).await {
+                Ok(()) => {
+                    self.config.lease.set(term, lease_expiry(sent_at, self.config.lease_ms));
+                    delay_ms = constants::LEADER_EXTEND_INTERVAL_MS;
+                }
+                Err(StoreError::NoLease) => return TermEnd::LeaseExpired,
+                Err(error) => {
+                    tracing::debug!(%error, term, "extending the leadership lease failed");
+                    delay_ms = constants::LEADER_RETRY_MS;
+                }
+            }
+        }
+    }
+}
+
+/// The term of a leader record that was written at `mod_revision`.
+fn new_term(
+    record: &LeaderRecord,
+    mod_revision: u64,
+    lease_id: u64,
+    has_start_watermarks: bool,
+) -> LeaderTerm {
+    LeaderTerm {
+        term: record.term,
+        precondition: Precondition { key: LEADER_KEY.into(), mod_revision },
+        lease_id,
+        has_start_watermarks,
+    }
+}
+
+/// The transaction that wins an election: it writes the leader record and reserves the fencing
+/// tokens of the term, which `lead/term` records up to the last one.
+fn election_transaction(
+    vacancy: &Vacancy,
+    leader_record: serde_json::Value,
+    lease_id: u64,
+) -> Transaction {
+    let last_token = serde_json::json!(vacancy.last_token + constants::TOKENS_PER_TERM);
+    Transaction {
+        preconditions: vec![
+            Precondition { key: LEADER_KEY.into(), mod_revision: 0 },
+            Precondition { key: LEADER_TERM_KEY.into(), mod_revision: vacancy.term_revision },
+        ],
+        operations: vec![
+            Operation::Put {
+                key: LEADER_KEY.into(),
+                value: leader_record,
+                lease_id: Some(lease_id),
+            },
+            Operation::put(LEADER_TERM_KEY, last_token.clone()),
+            Operation::put(LEADER_WATERMARKS_KEY, last_token),
+        ],
+    }
+}
+
+async fn pause(ms: u64) {
+    tokio::time::sleep(Duration::from_millis(ms)).await;
+}
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -5,7 +5,7 @@
 use crate::connection_table::ConnectionTable;
 use crate::controller_actor::ControllerActor;
 use crate::http;
-use crate::leadership::{Clock, Leadership, LeadershipLease, LeadershipView};
+use crate::leadership::{Clock, Leadership, LeadershipConfig, LeadershipLease, LeadershipView};
 use crate::peers::{self, Peers};
 use crate::settings::{OperatorSettings, PlatformSettings, Settings};
 use crate::shard_lease::{ShardLessee, leader_timeout_ms};
@@ -74,7 +74,7 @@
         .await
         .map_err(|e| StartError::Listen(settings.api_addr.clone(), e.to_string()))?;
 
-    let leadership = Leadership {
+    let leadership = Leadership::new(LeadershipConfig {
         controller_name: label.clone(),
         store: client(constants::LEADERSHIP_REQUEST_SHARE),
         clock,
@@ -84,7 +84,7 @@
         leader_suspected: signals.leader_suspected.clone(),
         lease_ms: operator.replication.leader_lease_ms,
         has_warm_copy: signals.has_warm_copy.clone(),
-    };
+    });
     let standby = Standby::new(&label, operator.replication.standby, signals);
     let controller_networks = operator.replication.controller_networks.clone();
     let node = ControllerActor {
--- a/crates/controller/tests/controller_actor.rs
+++ b/crates/controller/tests/controller_actor.rs
@@ -6,7 +6,9 @@
 use hookway_controller::api_service::{ApiService, StoreClients};
 use hookway_controller::cluster_state::ControllerConfig;
 use hookway_controller::controller_actor::{ControllerActor, ControllerRequest};
-use hookway_controller::leadership::{Clock, Leadership, LeadershipLease, LeadershipView};
+use hookway_controller::leadership::{
+    Clock, Leadership, LeadershipConfig, LeadershipLease, LeadershipView,
+};
 use hookway_controller::networks::Networks;
 use hookway_controller::peers::{self, Peers};
 use hookway_controller::records::final_state_key;
@@ -90,7 +92,7 @@
         drop(machine_types_tx);
     });
     if campaigns {
-        let leadership = Leadership {
+        let leadership = Leadership::new(LeadershipConfig {
             controller_name: label.into(),
             store: client(),
             clock,
@@ -100,7 +102,7 @@
             leader_suspected: signals.leader_suspected,
             lease_ms: hookway_constants::LEADER_TTL_MS,
             has_warm_copy: signals.has_warm_copy,
-        };
+        });
         tokio::spawn(leadership.run());
     } else {
         std::mem::forget(view_tx);
--- a/crates/controller/tests/leadership.rs
+++ b/crates/controller/tests/leadership.rs
@@ -4,7 +4,7 @@
 
 use hookway_clients::StoreClient;
 use hookway_controller::leadership::{
-    Clock, LeaderTerm, Leadership, LeadershipLease, LeadershipView,
+    Clock, LeaderTerm, Leadership, LeadershipConfig, LeadershipLease, LeadershipView,
 };
 use hookway_controller::records::{LEADER_KEY, LEADER_TERM_KEY, LeaderRecord};
 use hookway_testkit::StoreServer;
@@ -25,7 +25,7 @@
     let validity = Arc::new(LeadershipLease::default());
     let clock = Clock::default();
     let suspicion = Arc::new(Notify::new());
-    let leadership = Leadership {
+    let leadership = Leadership::new(LeadershipConfig {
         controller_name: label.into(),
         store: StoreClient::new(address, 1_000.0),
         clock,
@@ -35,7 +35,7 @@
         leader_suspected: suspicion.clone(),
         lease_ms: hookway_constants::LEADER_TTL_MS,
         has_warm_copy: Arc::default(),
-    };
+    });
     let leadership = tokio::spawn(leadership.run());
     RunningController { view, validity, clock, suspicion, leadership }
 }
