--- a/crates/controller/src/leadership/lease.rs
+++ b/crates/controller/src/leadership/lease.rs
@@ -1,5 +1,6 @@
 //! The leadership lease, as the leader itself computes it.
 
+use crate::clock_drift::earliest_expiry;
 use hookway_constants as constants;
 use std::sync::Mutex;
 
@@ -50,8 +51,7 @@
 /// The earliest expiry (ms) of a lease of length `ttl_ms` whose request was sent at `sent_at`
 /// (ms), less clock drift and a safety margin.
 pub fn lease_expiry(sent_at: u64, ttl_ms: u64) -> u64 {
-    let drift_ms = (ttl_ms as f64 * constants::CLOCK_DRIFT).ceil() as u64;
-    (sent_at + ttl_ms).saturating_sub(drift_ms + constants::LEADER_MARGIN_MS)
+    earliest_expiry(sent_at, ttl_ms).saturating_sub(constants::LEADER_MARGIN_MS)
 }
 
 #[cfg(test)]
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -7,6 +7,7 @@
 pub mod api_service;
 pub mod blocks;
 mod circuit_breaker;
+mod clock_drift;
 pub mod cluster_state;
 pub mod concurrency_limiter;
 pub mod connection_table;
--- /dev/null
+++ b/crates/controller/src/shard_lease/lessor.rs
@@ -0,0 +1,168 @@
+//! The leader's side: which controller has which shard, and until when it may have extended worker
+//! leases.
+
+use super::messages::{ShardLease, ShardLeaseRenewal};
+use crate::clock_drift::{latest_expiry, latest_past};
+use std::collections::BTreeMap;
+
+/// What the leader knows about another controller. Times in ms on the leader's monotonic clock.
+#[derive(Debug, Default)]
+struct LesseeState {
+    zone: String,
+    /// The process that acknowledged a lease of this term.
+    process_nonce: Option<u64>,
+    /// The latest expiry of its lease, of this term or an earlier one.
+    lease_expires_at: u64,
+    /// Up to this time its extensions of worker leases are known from its renewals.
+    accounted_until: u64,
+    /// The latest of the extensions that are known; none followed until `accounted_until`.
+    last_extension_at: u64,
+}
+
+impl LesseeState {
+    /// A controller that may have a lease of an earlier leader until `lease_expires_at`.
+    fn of_earlier_term(zone: String, lease_expires_at: u64) -> Self {
+        Self { zone, lease_expires_at, ..Self::default() }
+    }
+
+    /// Whether it may extend worker leases after the time up to which it is accounted for.
+    fn may_extend(&self) -> bool {
+        self.lease_expires_at > self.accounted_until
+    }
+
+    /// Accounts for what a renewal states. Returns whether it was proven to come from the running
+    /// process after it dropped the leases of earlier terms; only then a lease may be granted.
+    fn account_for(&mut self, renewal: &ShardLeaseRenewal, term: u64, now: u64) -> bool {
+        // Renewals can arrive late, and after the end of their process. Only one that acknowledges
+        // a lease of this term was certainly sent in it, by the process that runs now.
+        let acknowledged = renewal
+            .acknowledged
+            .filter(|lease| lease.term == term && lease.granted_at_ms <= now)
+            .map(|lease| lease.granted_at_ms);
+        let Some(granted_at) = acknowledged else { return false };
+        let other_process = self.process_nonce != Some(renewal.process_nonce);
+        // A late renewal of an earlier process: the running one has acknowledged a later lease.
+        if other_process && self.process_nonce.is_some() && granted_at <= self.accounted_until {
+            return false;
+        }
+        if let Some(age_ms) = renewal.extended_ago_ms {
+            self.last_extension_at = self.last_extension_at.max(latest_past(now, age_ms));
+        }
+        if other_process {
+            // This process has dropped the leases of other terms. The previous process of this name
+            // had ended when this one started.
+            let started_at = latest_past(now, renewal.uptime_ms);
+            self.last_extension_at =
+                self.last_extension_at.max(self.lease_expires_at.min(started_at));
+            self.process_nonce = Some(renewal.process_nonce);
+            self.lease_expires_at = 0;
+        }
+        self.accounted_until = self.accounted_until.max(granted_at);
+        true
+    }
+}
+
+/// The leader's record of who may have extended worker leases.
+#[derive(Debug)]
+pub struct ShardLessor {
+    own_zone: String,
+    zones: Vec<String>,
+    /// By the name of the controller.
+    lessees: BTreeMap<String, LesseeState>,
+}
+
+impl ShardLessor {
+    /// Creates the record of a leader that was elected at `elected_at` at the latest, with these
+    /// other controllers (name and zone). Earlier leaders granted their leases, of at most
+    /// `lease_ms`, before that time.
+    pub fn new(
+        own_zone: &str,
+        controllers: &[(String, String)],
+        zones: &[String],
+        lease_ms: u64,
+        elected_at: u64,
+    ) -> Self {
+        let expires_at = latest_expiry(elected_at, lease_ms);
+        let lessee = |(name, zone): &(String, String)| {
+            (name.clone(), LesseeState::of_earlier_term(zone.clone(), expires_at))
+        };
+        Self {
+            own_zone: own_zone.to_owned(),
+            zones: zones.to_vec(),
+            lessees: controllers.iter().map(lessee).collect(),
+        }
+    }
+
+    /// Handles a renewal; `None` if it comes from an unknown controller. `lease_ms`, the length of a
+    /// lease, is at most the length that this record was created with.
+    pub fn renew(
+        &mut self,
+        term: u64,
+        renewal: &ShardLeaseRenewal,
+        lease_ms: u64,
+        now: u64,
+    ) -> Option<ShardLease> {
+        let zone = self.lessees.get(&renewal.controller)?.zone.clone();
+        // A shard has one lessee at a time, and the shard of the leader's own zone is the leader's.
+        let leasable = zone != self.own_zone
+            && self.zones.contains(&zone)
+            && !self.leased_to_other(&zone, &renewal.controller, now);
+        let lessee = self.lessees.get_mut(&renewal.controller)?;
+        let mut lease = ShardLease { term, granted_at_ms: now, zones: vec![], lease_ms: 0 };
+        if lessee.account_for(renewal, term, now) && leasable && lease_ms > 0 {
+            lease.lease_ms = lease_ms;
+            lease.zones.push(zone);
+            lessee.lease_expires_at = lessee.lease_expires_at.max(latest_expiry(now, lease_ms));
+        }
+        Some(lease)
+    }
+
+    /// Whether a controller other than `controller` may have the shard of `zone` at `now`.
+    fn leased_to_other(&self, zone: &str, controller: &str, now: u64) -> bool {
+        self.lessees.iter().any(|(name, lessee)| {
+            name != controller
+                && lessee.process_nonce.is_some()
+                && lessee.zone == zone
+                && lessee.lease_expires_at > now
+        })
+    }
+
+    /// The zones of the leader's own shard: its own zone, and those without a controller.
+    pub fn own_shard(&self) -> Vec<String> {
+        let own = |zone: &&String| **zone == self.own_zone || !self.has_lessee(zone);
+        self.zones.iter().filter(own).cloned().collect()
+    }
+
+    fn has_lessee(&self, zone: &str) -> bool {
+        self.lessees.values().any(|lessee| lessee.zone == zone)
+    }
+
+    /// Whether the lease of a worker has certainly expired at `now`: no controller extended it for
+    /// `worker_lease_ms`. The leader last answered the worker at `last_response_at`. `zone` is
+    /// empty if it is unknown.
+    pub fn worker_lease_expired(
+        &self,
+        zone: &str,
+        last_response_at: u64,
+        worker_lease_ms: u64,
+        now: u64,
+    ) -> bool {
+        let zone_has_controller = self.own_zone == zone || self.has_lessee(zone);
+        // The shard of a zone without a controller was leased by earlier leaders, to any of them.
+        let may_have_shard = |lessee: &&LesseeState| !zone_has_controller || lessee.zone == zone;
+        let mut last_extension_at = last_response_at;
+        let mut accounted_until = now;
+        let mut open_until = 0;
+        for lessee in self.lessees.values().filter(may_have_shard) {
+            last_extension_at = last_extension_at.max(lessee.last_extension_at);
+            if lessee.may_extend() {
+                accounted_until = accounted_until.min(lessee.accounted_until);
+                open_until = open_until.max(lessee.lease_expires_at);
+            }
+        }
+        // Either no extension came in time while all lessees were accounted for, or the worker lease
+        // ended after the latest expiry of every shard lease.
+        last_extension_at + worker_lease_ms <= accounted_until
+            || last_extension_at.max(open_until) + worker_lease_ms <= now
+    }
+}
--- a/crates/controller/src/shard_lease/tests.rs
+++ b/crates/controller/src/shard_lease/tests.rs
@@ -1,4 +1,7 @@
 use super::*;
+use crate::clock_drift::drift_ms;
+use hookway_constants as constants;
+use hookway_wire::{Command, Heartbeat, JobId, TaskState, TaskStatus};
 
 const LEASE: u64 = 30_000;
 const WORKER: u64 = 22_000;
@@ -110,7 +113,7 @@
     let kept = holding.extend_worker_lease(&report, 15_000, over).unwrap();
     let stop = Command::Kill { task: "req-000001/0".into(), attempt: 1, grace_s: 0.0 };
     assert_eq!((kept.response.fencing_token, kept.response.commands), (7, vec![stop]));
-    assert_eq!(kept.valid_until, 2_000 + LEASE - drift(LEASE));
+    assert_eq!(kept.valid_until, 2_000 + LEASE - drift_ms(LEASE));
 }
 
 #[test]
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -10,7 +10,7 @@
     MachineRegistryEntry, MachineRegistryRecord, ProgressRecord, SharedStartWatermarksRecord,
 };
 use hookway_controller::request_outcome::{JobSnapshot, RequestOutcome};
-use hookway_controller::shard_lease::{ShardLease, ShardLeaseRenewal};
+use hookway_controller::shard_lease::{ShardLease, ShardLeaseAcknowledgement, ShardLeaseRenewal};
 use hookway_policy::Resources;
 use hookway_replication::{
     Entry, FollowAnswer, FollowBody, FollowRequest, Held, ImagePiece, JobHints, PlacedTask,
@@ -175,7 +175,8 @@
         acknowledged: echo,
         extended_ago_ms: answered_ago_ms,
     };
-    frame("ask-renew", &PeerRequest::RenewShardLease(renewal(Some((4_097, 300)), Some(1_500))));
+    let acknowledged = ShardLeaseAcknowledgement { term: 4_097, granted_at_ms: 300 };
+    frame("ask-renew", &PeerRequest::RenewShardLease(renewal(Some(acknowledged), Some(1_500))));
     frame("ask-renew-first", &PeerRequest::RenewShardLease(renewal(None, None)));
     frame("ask-over", &PeerRequest::JobFinished(told(JobState::Cancelled)));
     let verdict = |verdict| PeerResponse::Outcome(verdict);
