--- /dev/null
+++ b/crates/controller/src/actor/dispatch.rs
@@ -0,0 +1,146 @@
+//! Carries out the decisions of the cluster state in background tasks: commits, direct commands and
+//! state probes to workers, and scaling actions at the cloud.
+
+use super::messages::{ClusterEvent, ControllerEvent};
+use super::store_io::commit_and_reread;
+use super::term::{ActiveTerm, Authority, TermTasks, TermTimers, take_due};
+use super::{ControllerActor, pause};
+use crate::cluster_state::{ClusterState, ScalingAction};
+use hookway_clients::{CloudClient, CloudError, Delivery, ScaleOutOutcome};
+use hookway_constants as constants;
+use hookway_wire::ScaleOutRequest;
+
+/// Delay before a failed request to the cloud is retried, ms.
+const CLOUD_RETRY_MS: u64 = 1_000;
+
+impl ControllerActor {
+    /// Sends the direct commands and the transaction that are due.
+    pub(super) fn dispatch(&mut self, active: &mut ActiveTerm) {
+        let now = self.config.clock.now();
+        if !active.tasks.authority.holds_at(now) {
+            return;
+        }
+        let ActiveTerm { cluster: Some(cluster), tasks, timers, .. } = active else { return };
+        self.send_direct_stops(cluster, tasks, now);
+        self.send_direct_starts(cluster, tasks, timers, now);
+        self.send_next_commit(cluster, tasks, now);
+    }
+
+    fn send_direct_stops(&self, cluster: &mut ClusterState, tasks: &mut TermTasks, now: u64) {
+        for (address, commands) in cluster.take_direct_stops(now) {
+            let workers = self.config.workers.clone();
+            tasks.spawn(async move { workers.stop(&address, &commands).await });
+        }
+    }
+
+    fn send_direct_starts(
+        &mut self,
+        cluster: &mut ClusterState,
+        tasks: &mut TermTasks,
+        timers: &mut TermTimers,
+        now: u64,
+    ) {
+        // Every heartbeat dispatches, and most machines with planned starts wait for a commit.
+        let interval_ms = constants::DIRECT_DISPATCH_INTERVAL_MS;
+        if !take_due(&mut timers.last_direct_dispatch_at, interval_ms, now) {
+            return;
+        }
+        let starts = cluster.take_direct_starts(now);
+        if !starts.is_empty() {
+            self.config.standby.start_dispatched(now);
+        }
+        for (machine, address, commands) in starts {
+            let (workers, authority) = (self.config.workers.clone(), tasks.authority.clone());
+            tasks.spawn_event(async move {
+                // A start that was queued while the process was paused must not be sent.
+                let delivery = if authority.holds() {
+                    workers.send(&address, &commands).await
+                } else {
+                    Delivery::NotSent
+                };
+                let fencing_token = commands.fencing_token;
+                ClusterEvent::DirectStartSent { machine, fencing_token, delivery }
+            });
+        }
+    }
+
+    fn send_next_commit(&self, cluster: &mut ClusterState, tasks: &mut TermTasks, now: u64) {
+        let Some(commit) = cluster.next_commit(now) else { return };
+        let (store, events) = (self.config.store.clone(), tasks.events.clone());
+        tasks.spawn_event(async move {
+            let unavailable = || drop(events.try_send(ControllerEvent::StoreUnavailable));
+            let result = commit_and_reread(&store, &commit, unavailable).await;
+            ClusterEvent::CommitFinished { commit, result }
+        });
+    }
+
+    /// Requests the tasks of machines whose workers have not sent a heartbeat to this leader yet.
+    pub(super) fn send_state_probes(&self, active: &mut ActiveTerm, now: u64) {
+        if !active.tasks.authority.holds_at(now) {
+            return;
+        }
+        let ActiveTerm { cluster: Some(cluster), tasks, .. } = active else { return };
+        let term = tasks.term();
+        for (machine, address) in cluster.take_state_probes(now) {
+            let workers = self.config.workers.clone();
+            tasks.spawn_event(async move {
+                let heartbeat = workers.probe_state(&address, term).await;
+                ClusterEvent::StateProbed { machine, heartbeat }
+            });
+        }
+    }
+
+    pub(super) fn spawn_scaling_action(&self, tasks: &mut TermTasks, action: ScalingAction) {
+        let (cloud, authority) = (self.config.cloud.clone(), tasks.authority.clone());
+        match action {
+            ScalingAction::ScaleOut(request) => {
+                tasks.spawn_event(scale_out(cloud, authority, tasks.term(), request));
+            }
+            ScalingAction::ScaleIn(machines) => {
+                tasks.spawn_event(scale_in(cloud, authority, machines));
+            }
+        }
+    }
+}
+
+/// Requests machines until the outcome is known. After an unclear outcome the same request, with the
+/// same id, returns the machines that were started, or starts them.
+async fn scale_out(
+    cloud: CloudClient,
+    authority: Authority,
+    term: u64,
+    request: ScaleOutRequest,
+) -> ClusterEvent {
+    loop {
+        if !authority.holds() {
+            pause(constants::LEADER_RETRY_MS).await;
+            continue;
+        }
+        match cloud.rent(&request).await {
+            Ok(ScaleOutOutcome::Rented(machines)) => {
+                return ClusterEvent::ScaleOutFinished { request, machines: Some(machines) };
+            }
+            Ok(ScaleOutOutcome::NoCapacity) | Err(CloudError::Unexpected(..)) => {
+                return ClusterEvent::ScaleOutFinished { request, machines: None };
+            }
+            Err(error) => {
+                tracing::debug!(request = request.request_id, term, %error, "scale-out failed");
+                pause(CLOUD_RETRY_MS).await;
+            }
+        }
+    }
+}
+
+/// Deletes machines, unless a later leader may have placed tasks on them by now.
+async fn scale_in(cloud: CloudClient, authority: Authority, machines: Vec<String>) -> ClusterEvent {
+    let deleted = if !authority.holds() {
+        false
+    } else if let Err(error) = cloud.delete(&machines).await {
+        tracing::debug!(?machines, %error, "scale-in failed");
+        pause(CLOUD_RETRY_MS).await;
+        false
+    } else {
+        true
+    };
+    ClusterEvent::ScaleInFinished { machines, deleted }
+}
--- /dev/null
+++ b/crates/controller/src/actor/events.rs
@@ -0,0 +1,116 @@
+//! Handling of the events that the background tasks of a term report.
+
+use super::ControllerActor;
+use super::messages::{ClusterEvent, ControllerEvent};
+use super::term::ActiveTerm;
+use crate::cluster_state::{ClusterState, LoadedState, Timestamp};
+
+impl ControllerActor {
+    pub(super) fn handle_event(&mut self, active: &mut ActiveTerm, event: ControllerEvent) {
+        let at = self.config.clock.timestamp();
+        match event {
+            ControllerEvent::StateLoaded { state, revision } => {
+                self.state_loaded(active, state, revision, at);
+            }
+            ControllerEvent::StoreUnavailable => active.pending_cancellations.store_unavailable(),
+            ControllerEvent::WatchTruncated => {
+                tracing::info!(term = active.term(), "job watch fell behind, reading all jobs");
+            }
+            ControllerEvent::Cluster(event) => self.handle_cluster_event(active, event, at),
+        }
+    }
+
+    fn handle_cluster_event(
+        &mut self,
+        active: &mut ActiveTerm,
+        event: ClusterEvent,
+        at: Timestamp,
+    ) {
+        let now = at.monotonic;
+        let Some(cluster) = &mut active.cluster else { return };
+        match event {
+            ClusterEvent::JobAdded { key, value } => cluster.add_job(&key, value, at, false),
+            ClusterEvent::CommitFinished { commit, result } => {
+                cluster.committed(commit, result, now);
+                self.finish_jobs(active);
+                self.dispatch(active);
+            }
+            ClusterEvent::ScaleOutFinished { request, machines } => {
+                cluster.scale_out_finished(&request, machines, now);
+                // Capacity that was refused is requested elsewhere at the next tick.
+                active.timers.last_autoscaling_at = 0;
+            }
+            ClusterEvent::ScaleInFinished { machines, deleted: true } => {
+                cluster.scale_in_finished(&machines, now);
+            }
+            ClusterEvent::ScaleInFinished { machines, deleted: false } => {
+                cluster.scale_in_failed(&machines);
+            }
+            ClusterEvent::DirectStartSent { machine, fencing_token, delivery } => {
+                cluster.direct_start_sent(&machine, fencing_token, delivery, now);
+            }
+            ClusterEvent::MachinesListed { machines, requested_at } => {
+                cluster.machines_listed(&machines, requested_at, now);
+                self.send_state_probes(active, now);
+            }
+            ClusterEvent::StateProbed { machine, heartbeat } => {
+                cluster.state_probed(&machine, heartbeat, now);
+                self.send_state_probes(active, now);
+            }
+        }
+    }
+
+    /// Creates the cluster state of the term from the records that were read.
+    fn state_loaded(
+        &mut self,
+        active: &mut ActiveTerm,
+        state: LoadedState,
+        revision: u64,
+        at: Timestamp,
+    ) {
+        let term = active.term();
+        if !self.config.standby.records_read(term, at.monotonic) {
+            return;
+        }
+        let machine_types = self.config.machine_types.borrow().as_ref().map(|types| types.to_vec());
+        let mut cluster = ClusterState::new(
+            self.config.cluster.clone(),
+            term,
+            active.leader_term.precondition.clone(),
+            machine_types.unwrap_or_default(),
+            state,
+            at,
+        );
+        self.warm_start(&mut cluster, at.monotonic);
+        tracing::info!(term, cluster = %cluster.summary(at.monotonic), "cluster state loaded");
+        active.cluster = Some(cluster);
+        self.spawn_job_watch(active, revision);
+    }
+
+    /// Completes the cluster state from this controller's copy of the previous leader's.
+    fn warm_start(&self, cluster: &mut ClusterState, now: u64) {
+        let term = cluster.term();
+        match self.config.standby.copy(term, now) {
+            Ok(copy) => {
+                let networks = &self.config.cluster.operator.replication.worker_networks;
+                let recovered = cluster.warm_start(copy, networks, now);
+                tracing::info!(term, %recovered, "warm start");
+            }
+            Err(reason) => tracing::info!(term, %reason, "cold start"),
+        }
+    }
+
+    /// Announces the jobs whose final state a commit made durable.
+    fn finish_jobs(&self, active: &mut ActiveTerm) {
+        let Some(cluster) = &mut active.cluster else { return };
+        for (job, record) in cluster.take_completed_jobs() {
+            // The cluster state drops the job, and its user requests the status once more. Without
+            // the cache each of these requests would take two reads of the state service.
+            self.config.final_states.remember(&record.status(&job).into());
+            active.pending_cancellations.job_finished(&job, &record);
+        }
+        if cluster.leadership_lost() {
+            self.config.leadership_lost.notify_one();
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/actor/requests.rs
@@ -0,0 +1,141 @@
+//! Handling of requests, as a follower and as the leader.
+
+use super::ControllerActor;
+use super::messages::{ControllerRequest, HeartbeatReply, PreparedRenewal, Reply};
+use super::term::ActiveTerm;
+use crate::cluster_state::{CancelOutcome, Timestamp};
+use crate::leadership::wall_clock_ms;
+use hookway_wire::{Command, Heartbeat, HeartbeatResponse, ReplicationStatus};
+
+impl ControllerActor {
+    /// Handles a request while another controller leads, or none.
+    pub(super) fn handle_as_follower(&mut self, request: ControllerRequest) {
+        let now = self.config.clock.now();
+        match request {
+            ControllerRequest::Heartbeat { heartbeat, reply } => {
+                let extension = self.extend_worker_lease(&heartbeat, now);
+                let _ = reply.send(extension.unwrap_or_else(|| self.redirect(now)));
+            }
+            ControllerRequest::Status { reply, .. } => drop(reply.send(None)),
+            ControllerRequest::Cancel { reply, .. } => drop(reply.send(None)),
+            ControllerRequest::AdoptJob { reply, .. } => drop(reply.send(None)),
+            ControllerRequest::RenewShardLease { reply, .. } => drop(reply.send(None)),
+            ControllerRequest::PrepareShardLeaseRenewal(reply) => {
+                let renewal = self.config.shard_lessee.renewal(now);
+                let _ = reply.send(Some(PreparedRenewal { renewal, sent_at: now }));
+            }
+            ControllerRequest::ShardLeaseGranted { lease, sent_at } => {
+                self.config.shard_lessee.lease_granted(lease, sent_at, now);
+            }
+            ControllerRequest::Follow { reply, .. } => drop(reply.send(None)),
+            ControllerRequest::PrepareFollow(reply) => {
+                let _ = reply.send(self.config.standby.next_request(now));
+            }
+            ControllerRequest::Followed(answer) => self.config.standby.followed(answer, now),
+            ControllerRequest::ReplicationStatus(reply) => self.replication_status(reply, now),
+        }
+    }
+
+    /// Handles a request in a term of this controller.
+    pub(super) fn handle_as_leader(&mut self, active: &mut ActiveTerm, request: ControllerRequest) {
+        let now = self.config.clock.now();
+        let may_decide = active.may_decide(now);
+        let Some(cluster) = active.cluster.as_mut().filter(|_| may_decide) else {
+            return self.handle_without_authority(active, request, now);
+        };
+        match request {
+            ControllerRequest::Heartbeat { heartbeat, reply } => {
+                let valid_until = self.config.clock.instant_at(active.tasks.authority.expires_at());
+                let response = cluster.handle_heartbeat(&heartbeat, now);
+                if response.as_ref().is_some_and(starts_a_task) {
+                    self.config.standby.start_dispatched(now);
+                }
+                let _ = reply.send(response.map_or(HeartbeatReply::Unavailable, |response| {
+                    HeartbeatReply::Respond { response, valid_until }
+                }));
+                self.dispatch(active);
+            }
+            ControllerRequest::Status { job, reply } => {
+                let _ = reply.send(Some(cluster.status(&job)));
+            }
+            ControllerRequest::Cancel { job, reply } => match cluster.cancel(&job) {
+                CancelOutcome::Pending => {
+                    active.pending_cancellations.add(job, reply);
+                    self.dispatch(active);
+                }
+                outcome => drop(reply.send(Some(outcome))),
+            },
+            ControllerRequest::AdoptJob { read_in_term, key, value, reply } => {
+                if read_in_term == Some(active.leader_term.term) {
+                    let at = Timestamp { monotonic: now, wall: wall_clock_ms() };
+                    cluster.add_job(&key, value, at, false);
+                }
+                let _ = reply.send(Some(()));
+            }
+            ControllerRequest::RenewShardLease { renewal, reply } => {
+                let _ = reply.send(cluster.renew_shard_lease(&renewal, now));
+            }
+            ControllerRequest::Follow { request, reply } => {
+                let _ = reply.send(active.publication.answer(cluster, &request, now));
+            }
+            // A leader leases its own shard, and follows nobody.
+            ControllerRequest::PrepareShardLeaseRenewal(reply) => drop(reply.send(None)),
+            ControllerRequest::PrepareFollow(reply) => drop(reply.send(None)),
+            ControllerRequest::ShardLeaseGranted { .. } | ControllerRequest::Followed(_) => {}
+            ControllerRequest::ReplicationStatus(reply) => self.replication_status(reply, now),
+        }
+    }
+
+    /// Handles a request in a term of this controller, while it has not read the records yet or its
+    /// lease has expired.
+    fn handle_without_authority(
+        &mut self,
+        active: &mut ActiveTerm,
+        request: ControllerRequest,
+        now: u64,
+    ) {
+        match request {
+            ControllerRequest::Heartbeat { heartbeat, reply } => {
+                let extension = self.extend_worker_lease(&heartbeat, now);
+                if extension.is_some()
+                    && let Some(cluster) = &mut active.cluster
+                {
+                    cluster.worker_lease_extended(&heartbeat.machine, now);
+                }
+                let _ = reply.send(extension.unwrap_or(HeartbeatReply::Unavailable));
+            }
+            ControllerRequest::PrepareShardLeaseRenewal(reply) => drop(reply.send(None)),
+            ControllerRequest::PrepareFollow(reply) => drop(reply.send(None)),
+            ControllerRequest::ShardLeaseGranted { .. } | ControllerRequest::Followed(_) => {}
+            other => self.handle_as_follower(other),
+        }
+    }
+
+    /// The reply that sends a worker to the leader, if that is another controller and reachable.
+    fn redirect(&self, now: u64) -> HeartbeatReply {
+        let reachable = self.config.shard_lessee.leader_reachable(now);
+        let leader = self.config.view.borrow().leader.clone().filter(|_| reachable);
+        let own_name = &self.config.cluster.controller_name;
+        HeartbeatReply::Redirect(leader.filter(|name| name != own_name))
+    }
+
+    /// The reply of this controller as the lessee of a shard, if it may and should give one.
+    fn extend_worker_lease(&mut self, heartbeat: &Heartbeat, now: u64) -> Option<HeartbeatReply> {
+        let final_states = &self.config.final_states;
+        let job_finished = |job: &_| final_states.contains(job);
+        let extension =
+            self.config.shard_lessee.extend_worker_lease(heartbeat, now, job_finished)?;
+        Some(HeartbeatReply::Respond {
+            response: extension.response,
+            valid_until: self.config.clock.instant_at(extension.valid_until),
+        })
+    }
+
+    fn replication_status(&self, reply: Reply<ReplicationStatus>, now: u64) {
+        let _ = reply.send(Some(self.config.standby.status(now)));
+    }
+}
+
+fn starts_a_task(response: &HeartbeatResponse) -> bool {
+    response.commands.iter().any(|command| matches!(command, Command::Run { .. }))
+}
--- /dev/null
+++ b/crates/controller/src/actor/store_io.rs
@@ -0,0 +1,161 @@
+//! Reads, watches and transactions at the state service, for the background tasks of a term.
+
+use super::messages::{ClusterEvent, ControllerEvent};
+use super::term::ActiveTerm;
+use super::{ControllerActor, pause};
+use crate::cluster_state::{CommitResult, LoadedState, PendingCommit, RereadKey};
+use crate::records::{
+    CLASSES_KEY, JOBS_PREFIX, LEGACY_IMAGES_PREFIX, PROGRESS_PREFIX, REGISTRY_PREFIX,
+    SCHEDULING_PREFIX,
+};
+use hookway_clients::{CommitOutcome, StoreClient, StoreError};
+use hookway_constants as constants;
+use hookway_wire::WatchEvent;
+use std::convert::Infallible;
+use tokio::sync::mpsc;
+
+impl ControllerActor {
+    /// Reads the records that a new leader needs, and retries until this succeeds.
+    pub(super) fn spawn_state_load(&self, active: &mut ActiveTerm) {
+        let (store, events) = (self.config.store.clone(), active.tasks.events.clone());
+        let has_start_watermarks = active.leader_term.has_start_watermarks;
+        active.tasks.spawn(async move {
+            loop {
+                match load_state(&store, has_start_watermarks).await {
+                    Ok((state, revision)) => {
+                        let loaded = ControllerEvent::StateLoaded { state, revision };
+                        let _ = events.send(loaded).await;
+                        return;
+                    }
+                    Err(error) => {
+                        tracing::debug!(%error, "reading the cluster state failed");
+                        pause(constants::LEADER_RETRY_MS).await;
+                    }
+                }
+            }
+        });
+    }
+
+    /// Watches for jobs that are accepted after `revision`.
+    pub(super) fn spawn_job_watch(&self, active: &mut ActiveTerm, revision: u64) {
+        let (store, events) = (self.config.store.clone(), active.tasks.events.clone());
+        active.tasks.spawn(async move {
+            let Err(TermEnded) = watch_jobs(store, events, revision).await;
+        });
+    }
+}
+
+/// The receiver of the events of a term no longer exists.
+struct TermEnded;
+
+/// Reads all records that a new leader needs, and the revision that later jobs come after.
+async fn load_state(
+    store: &StoreClient,
+    has_start_watermarks: bool,
+) -> Result<(LoadedState, u64), StoreError> {
+    let (jobs, revision) = store.list(JOBS_PREFIX).await?;
+    let (progress, _) = store.list(PROGRESS_PREFIX).await?;
+    let (scheduling, _) = store.list(SCHEDULING_PREFIX).await?;
+    let (registry, _) = store.list(REGISTRY_PREFIX).await?;
+    let (images, _) = store.list(LEGACY_IMAGES_PREFIX).await?;
+    let classes = store.get(CLASSES_KEY).await?;
+    let state =
+        LoadedState { jobs, progress, scheduling, registry, images, classes, has_start_watermarks };
+    Ok((state, revision))
+}
+
+async fn watch_jobs(
+    store: StoreClient,
+    events: mpsc::Sender<ControllerEvent>,
+    mut revision: u64,
+) -> Result<Infallible, TermEnded> {
+    loop {
+        match store.watch(JOBS_PREFIX, revision, constants::WATCH_WAIT_MS).await {
+            Ok(response) => {
+                revision = revision.max(response.revision);
+                for event in response.events {
+                    if let WatchEvent::Put { key, value, .. } = event {
+                        job_added(&events, key, value).await?;
+                    }
+                }
+            }
+            Err(StoreError::TooOld) => {
+                let _ = events.send(ControllerEvent::WatchTruncated).await;
+                match store.list(JOBS_PREFIX).await {
+                    Ok((jobs, read_at)) => {
+                        revision = read_at;
+                        for job in jobs {
+                            job_added(&events, job.key, job.value).await?;
+                        }
+                    }
+                    Err(error) => {
+                        tracing::debug!(%error, "reading all jobs failed");
+                        pause(constants::WATCH_RETRY_MS).await;
+                    }
+                }
+            }
+            Err(error) => {
+                tracing::debug!(%error, "watching for jobs failed");
+                pause(constants::WATCH_RETRY_MS).await;
+            }
+        }
+    }
+}
+
+async fn job_added(
+    events: &mpsc::Sender<ControllerEvent>,
+    key: String,
+    value: serde_json::Value,
+) -> Result<(), TermEnded> {
+    let event = ClusterEvent::JobAdded { key, value }.into();
+    events.send(event).await.map_err(|_| TermEnded)
+}
+
+/// Commits a transaction. If its outcome is unclear, reads its keys again.
+///
+/// `unavailable` is called when the state service does not respond, or rejects the requests of this
+/// controller.
+pub(super) async fn commit_and_reread(
+    store: &StoreClient,
+    commit: &PendingCommit,
+    unavailable: impl Fn(),
+) -> CommitResult {
+    let operations = commit.transaction.operations.len();
+    match store.commit(&commit.transaction).await {
+        Ok(CommitOutcome::Applied(revision)) => return CommitResult::Applied(revision),
+        Err(StoreError::Unavailable) => {
+            unavailable();
+            return CommitResult::NotApplied;
+        }
+        Err(StoreError::TooMany) => return CommitResult::NotApplied,
+        Err(StoreError::Rejected(reason)) => {
+            tracing::error!(operations, reason, "transaction rejected");
+            return CommitResult::Rejected;
+        }
+        Ok(CommitOutcome::PreconditionFailed(keys)) => {
+            tracing::info!(operations, ?keys, "transaction failed by its preconditions");
+        }
+        Err(error) => tracing::info!(operations, %error, "transaction outcome unclear"),
+    }
+    let mut reread = Vec::new();
+    for key in commit.keys() {
+        reread.push(reread_key(store, key, &unavailable).await);
+    }
+    CommitResult::Indeterminate(reread)
+}
+
+/// Reads a key, and retries until this succeeds.
+async fn reread_key(store: &StoreClient, key: String, unavailable: &impl Fn()) -> RereadKey {
+    loop {
+        match store.get(&key).await {
+            Ok(value) => return (key, value),
+            Err(error) => {
+                tracing::debug!(key, %error, "reading a key again failed");
+                if !matches!(error, StoreError::TooMany) {
+                    unavailable();
+                }
+                pause(constants::LEADER_RETRY_MS).await;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/actor/term.rs
@@ -0,0 +1,201 @@
+//! The state of one term of leadership. It is dropped when the term ends, and its background tasks
+//! are aborted with it.
+
+use super::messages::{ClusterEvent, ControllerEvent, Reply};
+use crate::cluster_state::{CancelOutcome, ClusterState};
+use crate::leadership::{Clock, LeaderTerm, LeadershipLease};
+use crate::records::FinalRecord;
+use hookway_constants as constants;
+use hookway_replication::{FollowAnswer, FollowRequest, Publisher};
+use hookway_wire::{JobId, MachineType};
+use std::collections::HashMap;
+use std::sync::Arc;
+use tokio::sync::mpsc;
+use tokio::task::JoinSet;
+
+/// A term that this controller leads.
+pub(super) struct ActiveTerm {
+    pub(super) leader_term: LeaderTerm,
+    /// `None` until the records of the state service have been read.
+    pub(super) cluster: Option<ClusterState>,
+    pub(super) publication: Publication,
+    pub(super) tasks: TermTasks,
+    pub(super) pending_cancellations: PendingCancellations,
+    pub(super) timers: TermTimers,
+    /// The lease had expired when the timer last fired. No decision is made until it holds again.
+    pub(super) suspended: bool,
+    /// The machine types that the cluster state has.
+    pub(super) machine_types: Option<Arc<Vec<MachineType>>>,
+}
+
+impl ActiveTerm {
+    pub(super) fn new(
+        leader_term: LeaderTerm,
+        lease: &Arc<LeadershipLease>,
+        clock: Clock,
+        events: mpsc::Sender<ControllerEvent>,
+    ) -> Self {
+        let term = leader_term.term;
+        let authority = Authority { term, lease: lease.clone(), clock };
+        Self {
+            cluster: None,
+            publication: Publication::new(term),
+            tasks: TermTasks { authority, events, tasks: JoinSet::new() },
+            pending_cancellations: PendingCancellations::default(),
+            timers: TermTimers { last_tick_at: clock.now(), ..TermTimers::default() },
+            suspended: false,
+            machine_types: None,
+            leader_term,
+        }
+    }
+
+    pub(super) fn term(&self) -> u64 {
+        self.leader_term.term
+    }
+
+    /// Whether this controller may decide as the leader of this term at `now`.
+    pub(super) fn may_decide(&self, now: u64) -> bool {
+        self.tasks.authority.holds_at(now) && !self.suspended
+    }
+}
+
+/// The authority to act as the leader of a term.
+///
+/// Every effect that no fencing token and no precondition guards must check it right before, in the
+/// task that carries it out: the process may have been paused since the decision.
+#[derive(Debug, Clone)]
+pub(super) struct Authority {
+    term: u64,
+    lease: Arc<LeadershipLease>,
+    clock: Clock,
+}
+
+impl Authority {
+    pub(super) fn holds(&self) -> bool {
+        self.holds_at(self.clock.now())
+    }
+
+    /// `now`: monotonic clock, ms.
+    pub(super) fn holds_at(&self, now: u64) -> bool {
+        self.lease.holds(self.term, now)
+    }
+
+    /// When it expires (monotonic clock, ms), as far as is known now.
+    pub(super) fn expires_at(&self) -> u64 {
+        self.lease.expires_at(self.term)
+    }
+}
+
+/// The background tasks of a term, and what they are given.
+pub(super) struct TermTasks {
+    pub(super) authority: Authority,
+    pub(super) events: mpsc::Sender<ControllerEvent>,
+    tasks: JoinSet<()>,
+}
+
+impl TermTasks {
+    pub(super) fn term(&self) -> u64 {
+        self.authority.term
+    }
+
+    pub(super) fn spawn(&mut self, task: impl Future<Output = ()> + Send + 'static) {
+        self.tasks.spawn(task);
+    }
+
+    /// Spawns a task that reports one event when it is done.
+    pub(super) fn spawn_event(
+        &mut self,
+        task: impl Future<Output = ClusterEvent> + Send + 'static,
+    ) {
+        let events = self.events.clone();
+        self.spawn(async move { drop(events.send(task.await.into()).await) });
+    }
+
+    /// Releases the memory of tasks that are done.
+    pub(super) fn reap_finished(&mut self) {
+        while self.tasks.try_join_next().is_some() {}
+    }
+}
+
+/// When the duties of a leader were last carried out (monotonic clock, ms); 0: not in this term.
+#[derive(Debug, Default)]
+pub(super) struct TermTimers {
+    pub(super) last_tick_at: u64,
+    pub(super) last_scheduling_at: u64,
+    pub(super) last_autoscaling_at: u64,
+    /// When the machine list was last requested; `None`: not in this term.
+    pub(super) last_machine_list_at: Option<u64>,
+    pub(super) last_summary_at: u64,
+    pub(super) last_direct_dispatch_at: u64,
+}
+
+/// Whether `interval_ms` has passed since `last_at`. If so, `last_at` becomes `now`.
+pub(super) fn take_due(last_at: &mut u64, interval_ms: u64, now: u64) -> bool {
+    let due = now >= *last_at + interval_ms;
+    if due {
+        *last_at = now;
+    }
+    due
+}
+
+/// The replication log that standbys follow.
+pub(super) struct Publication {
+    publisher: Publisher,
+    last_published_at: u64,
+    last_full_publish_at: u64,
+}
+
+impl Publication {
+    fn new(term: u64) -> Self {
+        let publisher = Publisher::new(term);
+        Self { publisher, last_published_at: 0, last_full_publish_at: 0 }
+    }
+
+    /// Answers a standby; `None` if its request is invalid.
+    pub(super) fn answer(
+        &mut self,
+        cluster: &mut ClusterState,
+        request: &FollowRequest,
+        now: u64,
+    ) -> Option<FollowAnswer> {
+        // Standbys ask one after the other: one comparison of the cluster state serves them all.
+        if take_due(&mut self.last_published_at, constants::FOLLOW_INTERVAL_MS / 2, now) {
+            let interval_ms = constants::FULL_PUBLISH_INTERVAL_MS;
+            if take_due(&mut self.last_full_publish_at, interval_ms, now) {
+                cluster.publish_all(&mut self.publisher);
+            } else {
+                cluster.publish(&mut self.publisher);
+            }
+        }
+        let answer = self.publisher.answer(request, now);
+        let log = |error| tracing::error!(%error, standby = request.follower, "answering a standby failed");
+        answer.map_err(log).ok()
+    }
+}
+
+/// The users whose cancellations are not durable yet.
+#[derive(Debug, Default)]
+pub(super) struct PendingCancellations {
+    replies: HashMap<JobId, Vec<Reply<CancelOutcome>>>,
+}
+
+impl PendingCancellations {
+    pub(super) fn add(&mut self, job: JobId, reply: Reply<CancelOutcome>) {
+        self.replies.entry(job).or_default().push(reply);
+    }
+
+    /// Answers the users of a job whose final state is durable.
+    pub(super) fn job_finished(&mut self, job: &JobId, record: &FinalRecord) {
+        for reply in self.replies.remove(job).unwrap_or_default() {
+            let _ = reply.send(Some(CancelOutcome::AlreadyFinal(record.status(job))));
+        }
+    }
+
+    /// Answers all users that their cancellations are pending, so that they retry later. The
+    /// decisions stay in the commit queue.
+    pub(super) fn store_unavailable(&mut self) {
+        for reply in self.replies.drain().flat_map(|(_, replies)| replies) {
+            let _ = reply.send(Some(CancelOutcome::Pending));
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/actor/timer.rs
@@ -0,0 +1,159 @@
+//! The periodic duties of a leader.
+
+use super::messages::ClusterEvent;
+use super::term::{ActiveTerm, TermTasks, TermTimers, take_due};
+use super::{ControllerActor, MachineTypes};
+use crate::cluster_state::ClusterState;
+use hookway_constants as constants;
+
+/// Interval between log lines with a summary of the cluster state, ms.
+const SUMMARY_INTERVAL_MS: u64 = 10_000;
+
+impl ControllerActor {
+    /// Carries out what is due. Called every `TICK_MS`, later if the actor is busy.
+    pub(super) fn tick(&mut self, active: &mut ActiveTerm) {
+        let now = self.config.clock.now();
+        debug_assert!(active.cluster.is_none() || self.config.standby.may_decide(active.term()));
+        if !suspend_or_resume(active, now) {
+            return;
+        }
+        let ActiveTerm { cluster: Some(cluster), tasks, timers, machine_types, .. } = active else {
+            return;
+        };
+        self.lease_own_shard(cluster, now);
+        cluster.set_time(self.config.clock.timestamp());
+        if self.step_down_if_isolated(cluster, now) {
+            return;
+        }
+        self.update_machine_types(cluster, machine_types);
+        run_scheduling_round(cluster, timers, now);
+        self.run_autoscaling_round(cluster, tasks, timers, now);
+        log_summary(cluster, timers, now);
+        self.request_machine_list(cluster, tasks, timers, now);
+        self.send_state_probes(active, now);
+        self.dispatch(active);
+    }
+
+    /// Extends the lease of the leader's own shard, unless the cluster state forbids it at `now`.
+    fn lease_own_shard(&mut self, cluster: &ClusterState, now: u64) {
+        let lease_ms = cluster.shard_lease_ms(now);
+        if lease_ms > 0 {
+            let zones = cluster.own_shard();
+            self.config.shard_lessee.hold_as_leader(cluster.term(), zones, lease_ms, now);
+        }
+    }
+
+    /// Gives up the leadership if no worker sends heartbeats any more: this controller may be
+    /// partitioned from the workers. Not too often, since the workers may be the cause.
+    fn step_down_if_isolated(&mut self, cluster: &ClusterState, now: u64) -> bool {
+        let allowed = self
+            .stepped_down_at
+            .is_none_or(|last_at| now >= last_at + constants::STEP_DOWN_INTERVAL_MS);
+        let steps_down = cluster.all_workers_silent(now) && allowed;
+        if steps_down {
+            tracing::info!(term = cluster.term(), "stepping down: no worker sends heartbeats");
+            self.stepped_down_at = Some(now);
+            self.config.leadership_lost.notify_one();
+        }
+        steps_down
+    }
+
+    fn update_machine_types(&self, cluster: &mut ClusterState, known: &mut MachineTypes) {
+        let current = self.config.machine_types.borrow().clone();
+        if current != *known {
+            cluster.set_machine_types(
+                current.as_ref().map(|types| types.to_vec()).unwrap_or_default(),
+            );
+            *known = current;
+        }
+    }
+
+    fn run_autoscaling_round(
+        &self,
+        cluster: &mut ClusterState,
+        tasks: &mut TermTasks,
+        timers: &mut TermTimers,
+        now: u64,
+    ) {
+        let interval_ms = constants::AUTOSCALING_INTERVAL_MS.max(2 * cluster.round_interval_ms());
+        if take_due(&mut timers.last_autoscaling_at, interval_ms, now) {
+            for action in cluster.autoscaling_round(now) {
+                self.spawn_scaling_action(tasks, action);
+            }
+        }
+    }
+
+    /// Requests the list of machines from the cloud: sooner if a heartbeat is overdue, because the
+    /// list shows whether the machine still exists; later for large fleets, whose list takes long.
+    fn request_machine_list(
+        &self,
+        cluster: &ClusterState,
+        tasks: &mut TermTasks,
+        timers: &mut TermTimers,
+        now: u64,
+    ) {
+        let shortest_ms = constants::CLOUD_LIST_INTERVAL_MS;
+        let interval_ms =
+            shortest_ms + constants::CLOUD_LIST_PER_MACHINE_MS * cluster.machine_count() as u64;
+        let due = |interval_ms| {
+            timers.last_machine_list_at.is_none_or(|last_at| now >= last_at + interval_ms)
+        };
+        let wanted_sooner = due(shortest_ms) && cluster.any_heartbeat_overdue(now);
+        if !(due(interval_ms) || wanted_sooner) {
+            return;
+        }
+        timers.last_machine_list_at = Some(now);
+        let (cloud, clock, events) =
+            (self.config.cloud.clone(), self.config.clock, tasks.events.clone());
+        tasks.spawn(async move {
+            let requested_at = clock.now();
+            match cloud.machines().await {
+                Ok(machines) => {
+                    let listed = ClusterEvent::MachinesListed { machines, requested_at };
+                    let _ = events.send(listed.into()).await;
+                }
+                Err(error) => tracing::debug!(%error, "listing machines failed"),
+            }
+        });
+    }
+}
+
+/// Suspends decisions while the leadership lease has expired, and resumes them when it holds.
+/// Returns whether decisions may be made at `now`.
+///
+/// After a suspension, or a pause of the process, the cluster state is told so that it does not take
+/// heartbeats that could not be received for lost ones.
+fn suspend_or_resume(active: &mut ActiveTerm, now: u64) -> bool {
+    let (term, lease_holds) = (active.term(), active.tasks.authority.holds_at(now));
+    let Some(cluster) = &mut active.cluster else { return false };
+    if !lease_holds {
+        if !active.suspended {
+            tracing::info!(term, "leadership lease expired, decisions suspended");
+            active.suspended = true;
+        }
+        return false;
+    }
+    let process_paused = now >= active.timers.last_tick_at + constants::PROCESS_PAUSE_MS;
+    active.timers.last_tick_at = now;
+    if process_paused || active.suspended {
+        cluster.resumed(now);
+    }
+    if active.suspended {
+        tracing::info!(term, "leadership lease holds again, decisions resumed");
+        active.suspended = false;
+    }
+    true
+}
+
+fn run_scheduling_round(cluster: &mut ClusterState, timers: &mut TermTimers, now: u64) {
+    let interval_ms = cluster.round_interval_ms().max(constants::SCHEDULING_INTERVAL_MS);
+    if take_due(&mut timers.last_scheduling_at, interval_ms, now) {
+        cluster.scheduling_round(now);
+    }
+}
+
+fn log_summary(cluster: &ClusterState, timers: &mut TermTimers, now: u64) {
+    if take_due(&mut timers.last_summary_at, SUMMARY_INTERVAL_MS, now) {
+        tracing::info!(term = cluster.term(), cluster = %cluster.summary(now), "cluster summary");
+    }
+}
--- a/crates/controller/src/api_service.rs
+++ b/crates/controller/src/api_service.rs
@@ -1,9 +1,9 @@
 //! What controllers answer users: the decisions behind the HTTP interface.
 
+use crate::actor::{ControllerRequest, HeartbeatReply, PreparedRenewal};
 use crate::circuit_breaker::CircuitBreaker;
 use crate::cluster_state::{CancelOutcome, JobLookup, leases_expire_within_cancellation};
 use crate::concurrency_limiter::ConcurrencyLimiter;
-use crate::controller_actor::{ControllerRequest, HeartbeatReply};
 use crate::frame;
 use crate::leadership::{LeadershipView, wall_clock_ms};
 use crate::peers::{PeerRequest, PeerResponse, Peers};
@@ -195,7 +195,7 @@
             return RequestOutcome::Known(told);
         }
         let term = self.own_term();
-        let mine = self.request(|r| ControllerRequest::Status(id.clone(), r)).await;
+        let mine = self.request(|reply| ControllerRequest::Status { job: id.clone(), reply }).await;
         let lead = mine.is_some();
         match mine {
             Some(JobLookup::Known(status)) => return self.remember(status.into()),
@@ -212,7 +212,13 @@
             Ok(StoredJob::Active(key, value)) => {
                 let told = self.queued_snapshot(id, &value);
                 if lead {
-                    self.request(|r| ControllerRequest::AdoptJob(term, key, value, r)).await;
+                    self.request(|reply| ControllerRequest::AdoptJob {
+                        read_in_term: term,
+                        key,
+                        value,
+                        reply,
+                    })
+                    .await;
                 }
                 RequestOutcome::Known(told)
             }
@@ -231,7 +237,7 @@
         }
         for _ in 0..2 {
             let term = self.own_term();
-            match self.request(|r| ControllerRequest::Cancel(id.clone(), r)).await {
+            match self.request(|reply| ControllerRequest::Cancel { job: id.clone(), reply }).await {
                 Some(CancelOutcome::AlreadyFinal(status)) => {
                     return self.announce_cancelled(status.into());
                 }
@@ -246,8 +252,13 @@
                         Ok(StoredJob::Final(told)) => return self.remember(told),
                         Ok(StoredJob::Absent) => return RequestOutcome::NotFound,
                         Ok(StoredJob::Active(key, value)) => {
-                            self.request(|r| ControllerRequest::AdoptJob(term, key, value, r))
-                                .await;
+                            self.request(|reply| ControllerRequest::AdoptJob {
+                                read_in_term: term,
+                                key,
+                                value,
+                                reply,
+                            })
+                            .await;
                         }
                         Err(e) => return RequestOutcome::Unavailable(e.to_string()),
                     }
@@ -452,7 +463,8 @@
             PeerRequest::JobFinished(told) => self.remember(told),
             PeerRequest::RenewShardLease(renewal) => {
                 return PeerResponse::ShardLease(
-                    self.request(|r| ControllerRequest::RenewShardLease(renewal, r)).await,
+                    self.request(|reply| ControllerRequest::RenewShardLease { renewal, reply })
+                        .await,
                 );
             }
             PeerRequest::Follow(request) => {
@@ -471,14 +483,17 @@
             else {
                 continue;
             };
-            let Some((renewal, sent)) = self.request(ControllerRequest::ShardLeaseRenewal).await
+            let Some(PreparedRenewal { renewal, sent_at }) =
+                self.request(ControllerRequest::PrepareShardLeaseRenewal).await
             else {
                 continue;
             };
             match self.peers.renew_shard_lease(&leader, renewal).await {
-                Ok(lease) => {
-                    drop(self.controller.send(ControllerRequest::ShardLeased(lease, sent)).await)
-                }
+                Ok(lease) => drop(
+                    self.controller
+                        .send(ControllerRequest::ShardLeaseGranted { lease, sent_at })
+                        .await,
+                ),
                 Err(e) => tracing::debug!("renewing the block with {leader}: {e}"),
             }
         }
@@ -490,7 +505,7 @@
             tracing::error!("{:?} asks to follow, and is no controller here", request.follower);
             return None;
         }
-        self.request(|r| ControllerRequest::Follow(request, r)).await
+        self.request(|reply| ControllerRequest::Follow { request, reply }).await
     }
 
     /// Keeps this node's copy of the leader's picture up to date, for as long as another node leads that publishes
@@ -519,7 +534,12 @@
 
     pub(crate) async fn handle_heartbeat(&self, report: Heartbeat) -> HeartbeatReply {
         let (reply, answer) = oneshot::channel();
-        if self.controller.send(ControllerRequest::Heartbeat(report, reply)).await.is_err() {
+        if self
+            .controller
+            .send(ControllerRequest::Heartbeat { heartbeat: report, reply })
+            .await
+            .is_err()
+        {
             return HeartbeatReply::Unavailable;
         }
         answer.await.unwrap_or(HeartbeatReply::Unavailable)
--- a/crates/controller/src/http.rs
+++ b/crates/controller/src/http.rs
@@ -1,7 +1,7 @@
 //! The HTTP interface for users, workers and health checks.
 
+use crate::actor::HeartbeatReply;
 use crate::api_service::ApiService;
-use crate::controller_actor::HeartbeatReply;
 use crate::request_outcome::RequestOutcome;
 use hookway_constants as constants;
 use hookway_wire::{ErrorBody, Heartbeat, HeartbeatRedirect, JobId, JobStatus};
@@ -112,15 +112,15 @@
             }
         };
         match self.0.handle_heartbeat(report).await {
-            HeartbeatReply::Respond(answer, until) if Instant::now() < until => {
+            HeartbeatReply::Respond { response, valid_until } if Instant::now() < valid_until => {
                 res.status_code(StatusCode::OK);
-                res.render(Json(answer));
+                res.render(Json(response));
             }
             HeartbeatReply::Redirect(report_to) => {
                 res.status_code(StatusCode::MISDIRECTED_REQUEST);
                 res.render(Json(HeartbeatRedirect { leader: report_to }));
             }
-            HeartbeatReply::Respond(..) | HeartbeatReply::Unavailable => {
+            HeartbeatReply::Respond { .. } | HeartbeatReply::Unavailable => {
                 unavailable(res, "not entitled to answer", constants::RETRY_AFTER_S)
             }
         }
--- a/crates/controller/src/leadership/clock.rs
+++ b/crates/controller/src/leadership/clock.rs
@@ -1,7 +1,7 @@
 //! The clocks of this process.
 
 use crate::cluster_state::Timestamp;
-use std::time::{SystemTime, UNIX_EPOCH};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
 /// The monotonic clock of this process, together with the wall clock.
@@ -22,6 +22,11 @@
         u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
+    /// The moment at which this clock reads `at`, ms; the present if that is past.
+    pub fn instant_at(&self, at: u64) -> Instant {
+        Instant::now() + Duration::from_millis(at.saturating_sub(self.now()))
+    }
+
     /// Reads both clocks.
     pub fn timestamp(&self) -> Timestamp {
         Timestamp { monotonic: self.now(), wall: wall_clock_ms() }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -4,6 +4,7 @@
 //! test can play any sequence of events to it. Around it stand the actors: leadership, the node that
 //! owns the ledger while it leads, the user and worker interface, and the link to the other nodes.
 
+pub mod actor;
 pub mod api_service;
 pub mod blocks;
 mod circuit_breaker;
@@ -11,7 +12,6 @@
 pub mod cluster_state;
 pub mod concurrency_limiter;
 pub mod connection_table;
-pub mod controller_actor;
 pub mod frame;
 pub mod http;
 pub mod leadership;
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -1,9 +1,9 @@
 //! Puts a node together and runs it.
 
+use crate::actor::{ControllerActor, ControllerActorConfig};
 use crate::api_service::{ApiService, StoreClients};
 use crate::cluster_state::ControllerConfig;
 use crate::connection_table::ConnectionTable;
-use crate::controller_actor::ControllerActor;
 use crate::http;
 use crate::leadership::{Clock, Leadership, LeadershipConfig, LeadershipLease, LeadershipView};
 use crate::peers::{self, Peers};
@@ -87,8 +87,8 @@
     });
     let standby = Standby::new(&label, operator.replication.standby, signals);
     let controller_networks = operator.replication.controller_networks.clone();
-    let node = ControllerActor {
-        config: ControllerConfig {
+    let node = ControllerActor::new(ControllerActorConfig {
+        cluster: ControllerConfig {
             controller_name: label.clone(),
             zone: settings.zone.clone(),
             peers: settings.peers.iter().map(|s| (s.name.clone(), s.zone.clone())).collect(),
@@ -105,10 +105,9 @@
         machine_types,
         requests: asks,
         final_states: api.final_states.clone(),
-        stepped_down_at: std::cell::Cell::new(None),
-        shard_lessee: std::cell::RefCell::new(ShardLessee::new(&label, rand::random(), patience)),
-        standby: std::cell::RefCell::new(standby),
-    };
+        shard_lessee: ShardLessee::new(&label, rand::random(), patience),
+        standby,
+    });
     // The lease must be extended and users answered whatever a round of the ledger takes: each of the
     // three has a thread of its own.
     on_a_thread("leadership", leadership.run()).map_err(StartError::Thread)?;
--- a/crates/controller/tests/api.rs
+++ b/crates/controller/tests/api.rs
@@ -3,9 +3,9 @@
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_clients::StoreClient;
+use hookway_controller::actor::{ControllerRequest, HeartbeatReply};
 use hookway_controller::api_service::{ApiService, StoreClients};
 use hookway_controller::cluster_state::{CancelOutcome, JobLookup};
-use hookway_controller::controller_actor::{ControllerRequest, HeartbeatReply};
 use hookway_controller::http::service;
 use hookway_controller::leadership::LeadershipView;
 use hookway_controller::peers::{PeerError, PeerRequest, PeerResponse, Peers};
@@ -92,17 +92,20 @@
         while let Some(ask) = asks.recv().await {
             let leads = role == Role::Leader;
             match ask {
-                ControllerRequest::Heartbeat(_, reply) => {
+                ControllerRequest::Heartbeat { reply, .. } => {
                     let answer = HeartbeatResponse { fencing_token: 7, commands: vec![] };
                     let _ = reply.send(if leads {
-                        HeartbeatReply::Respond(answer, Instant::now() + Duration::from_secs(60))
+                        HeartbeatReply::Respond {
+                            response: answer,
+                            valid_until: Instant::now() + Duration::from_secs(60),
+                        }
                     } else if role == Role::FormerLeader {
-                        HeartbeatReply::Respond(answer, Instant::now())
+                        HeartbeatReply::Respond { response: answer, valid_until: Instant::now() }
                     } else {
                         HeartbeatReply::Redirect(Some("worker-2".into()))
                     });
                 }
-                ControllerRequest::Status(id, reply) => {
+                ControllerRequest::Status { job: id, reply } => {
                     let answer = match id.as_str() {
                         "req-000001" => JobLookup::Known(known(&id, JobState::Running)),
                         "req-000002" => JobLookup::Known(known(&id, JobState::Done)),
@@ -110,14 +113,14 @@
                     };
                     let _ = reply.send(leads.then_some(answer));
                 }
-                ControllerRequest::Cancel(id, reply) => {
+                ControllerRequest::Cancel { job: id, reply } => {
                     let answer = CancelOutcome::AlreadyFinal(known(&id, JobState::Cancelled));
                     let _ = reply.send(leads.then_some(answer));
                 }
-                ControllerRequest::AdoptJob(_, _, _, reply) => drop(reply.send(Some(()))),
-                ControllerRequest::RenewShardLease(_, reply) => drop(reply.send(None)),
-                ControllerRequest::ShardLeaseRenewal(reply) => drop(reply.send(None)),
-                ControllerRequest::Follow(_, reply) => {
+                ControllerRequest::AdoptJob { reply, .. } => drop(reply.send(Some(()))),
+                ControllerRequest::RenewShardLease { reply, .. } => drop(reply.send(None)),
+                ControllerRequest::PrepareShardLeaseRenewal(reply) => drop(reply.send(None)),
+                ControllerRequest::Follow { reply, .. } => {
                     let end = Position { term: 7, index: 0 };
                     let body = FollowBody::Entries { after: end, entries: vec![], digest: None };
                     let _ = reply.send(leads.then_some(FollowAnswer { end, body }));
@@ -127,7 +130,7 @@
                     let phase = if leads { "active" } else { "following" }.to_owned();
                     let _ = reply.send(Some(ReplicationStatus { phase, ..Default::default() }));
                 }
-                ControllerRequest::ShardLeased(..) | ControllerRequest::Followed(_) => {}
+                ControllerRequest::ShardLeaseGranted { .. } | ControllerRequest::Followed(_) => {}
             }
         }
     });
--- a/crates/controller/tests/controller_actor.rs
+++ b/crates/controller/tests/controller_actor.rs
@@ -3,9 +3,9 @@
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
+use hookway_controller::actor::{ControllerActor, ControllerActorConfig, ControllerRequest};
 use hookway_controller::api_service::{ApiService, StoreClients};
 use hookway_controller::cluster_state::ControllerConfig;
-use hookway_controller::controller_actor::{ControllerActor, ControllerRequest};
 use hookway_controller::leadership::{
     Clock, Leadership, LeadershipConfig, LeadershipLease, LeadershipView,
 };
@@ -65,8 +65,8 @@
         view.clone(),
         machine_types_rx.clone(),
     ));
-    let node = ControllerActor {
-        config: ControllerConfig {
+    let node = ControllerActor::new(ControllerActorConfig {
+        cluster: ControllerConfig {
             controller_name: label.into(),
             zone: "a".into(),
             peers: siblings.iter().map(|(l, _)| ((*l).to_owned(), "b".to_owned())).collect(),
@@ -83,10 +83,9 @@
         machine_types: machine_types_rx,
         requests: asks,
         final_states: api_service.final_states.clone(),
-        stepped_down_at: std::cell::Cell::new(None),
-        shard_lessee: std::cell::RefCell::new(ShardLessee::new(label, 1, 1_000)),
-        standby: std::cell::RefCell::new(Standby::new(label, true, signals.clone())),
-    };
+        shard_lessee: ShardLessee::new(label, 1, 1_000),
+        standby: Standby::new(label, true, signals.clone()),
+    });
     tokio::task::spawn_local(async move {
         node.run().await;
         drop(machine_types_tx);
@@ -125,7 +124,7 @@
         let (reply, answer) = oneshot::channel();
         one.api_service
             .controller
-            .send(ControllerRequest::Status(id.clone(), reply))
+            .send(ControllerRequest::Status { job: id.clone(), reply })
             .await
             .expect("the actor lives");
         answer.await.expect("an answer").is_some()
