--- /dev/null
+++ b/crates/controller/tests/store_keys.rs
@@ -0,0 +1,137 @@
+//! The keys under which controllers of all versions keep their records in the state service, letter by letter.
+#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+
+mod harness;
+
+use harness::{LeaderHarness, job, small_worker};
+use hookway_clients::StoreClient;
+use hookway_controller::leadership::{Clock, Leadership, LeadershipLease, LeadershipView};
+use hookway_controller::records;
+use hookway_testkit::StoreServer;
+use hookway_wire::{ExitCause, JobId};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::{Notify, watch};
+
+fn id() -> JobId {
+    JobId::parse("req-000412").expect("an id")
+}
+
+#[test]
+fn keys_and_prefixes_are_spelt_as_pinned() {
+    assert_eq!(records::CLASSES_KEY, "c/lanes");
+    assert_eq!(records::LEGACY_IMAGES_PREFIX, "i/");
+    assert_eq!(records::LEADER_PREFIX, "lead/");
+    assert_eq!(records::LEADER_KEY, "lead/now");
+    assert_eq!(records::LEADER_TERM_KEY, "lead/term");
+    assert_eq!(records::LEADER_WATERMARKS_KEY, "lead/marked");
+    assert_eq!(records::JOBS_PREFIX, "j/");
+    assert_eq!(records::FINAL_STATES_PREFIX, "f/");
+    assert_eq!(records::PROGRESS_PREFIX, "p/");
+    assert_eq!(records::SCHEDULING_PREFIX, "m/");
+    assert_eq!(records::REGISTRY_PREFIX, "r/");
+    assert_eq!(records::job_key(&id()), "j/req-000412");
+    assert_eq!(records::final_state_key(&id()), "f/req-000412");
+    assert_eq!(records::scheduling_key(&id()), "m/req-000412");
+    assert_eq!(records::shared_watermarks_key(17), "m/shared-17");
+    assert_eq!(records::registry_key("m-000231"), "r/m-000231");
+    assert_eq!(hookway_constants::REGISTRY_RECORD_PREFIX, "record-");
+}
+
+#[test]
+fn progress_keys_name_the_chunk_and_the_task_within_it() {
+    for (from, key) in [
+        (0, "p/req-000412/0"),
+        (512, "p/req-000412/0/512"),
+        (16_384, "p/req-000412/1"),
+        (16_385, "p/req-000412/1/16385"),
+        (98_304, "p/req-000412/6"),
+    ] {
+        assert_eq!(records::progress_key(&id(), from), key);
+        assert_eq!(records::parse_progress_key(key), Some((id(), from)));
+    }
+    for odd in [
+        "p/req-000412",
+        "p/req-000412/x",
+        "p/req-000412/0/x",
+        "p/req-000412/0/1/2",
+        "p/req-1/0",
+        "q/req-000412/0",
+        "p/req-000412/4294967295",
+    ] {
+        assert_eq!(records::parse_progress_key(odd), None, "{odd}");
+    }
+}
+
+#[test]
+fn only_keys_of_shared_marks_have_a_number() {
+    assert_eq!(records::parse_shared_watermarks_key("m/shared-0"), Some(0));
+    assert_eq!(records::parse_shared_watermarks_key("m/shared-17"), Some(17));
+    for odd in ["m/req-000412", "m/shared-", "m/shared-x", "m/17", "shared-17"] {
+        assert_eq!(records::parse_shared_watermarks_key(odd), None, "{odd}");
+    }
+}
+
+#[tokio::test]
+async fn a_leader_writes_its_three_keys_and_only_the_first_hangs_on_its_lease() {
+    let server = StoreServer::default();
+    let address = server.start().await.expect("a free port");
+    let (view_tx, mut view) = watch::channel(LeadershipView::default());
+    let leadership = Leadership {
+        controller_name: "worker-0".into(),
+        store: StoreClient::new(&address, 1_000.0),
+        clock: Clock::default(),
+        lease: Arc::new(LeadershipLease::default()),
+        view: view_tx,
+        leadership_lost: Arc::new(Notify::new()),
+        leader_suspected: Arc::new(Notify::new()),
+        lease_ms: 5_000,
+        has_warm_copy: Arc::default(),
+    };
+    tokio::spawn(leadership.run());
+    let leads = view.wait_for(|v| v.own_term.is_some());
+    let mandate = tokio::time::timeout(Duration::from_secs(10), leads).await.expect("in time");
+    let mandate = mandate.expect("the actor lives").own_term.clone().expect("just seen");
+    let pairs = server.with(|store| store.list(""));
+    let keys: Vec<(&str, Option<u64>)> =
+        pairs.iter().map(|kv| (kv.key.as_str(), kv.lease_id)).collect();
+    let lease = Some(mandate.lease_id);
+    assert_eq!(keys, [("lead/marked", None), ("lead/now", lease), ("lead/term", None)]);
+    assert_eq!(pairs[0].value, 4_096);
+    assert_eq!(
+        (&pairs[1].value["label"], &pairs[1].value["term"]),
+        (&"worker-0".into(), &1.into())
+    );
+    assert!(pairs[1].value["nonce"].is_u64());
+    assert_eq!(pairs[2].value, 4_096);
+}
+
+#[test]
+fn a_ledger_writes_records_under_the_pinned_keys() {
+    let mut harness = LeaderHarness::start();
+    let (mut one, mut two) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
+    harness.submit(job("req-000001", "array", 300));
+    harness.submit(job("req-000002", "group", 1));
+    harness.run_rounds(&mut [&mut one, &mut two]);
+    for worker in [&mut one, &mut two] {
+        for task in worker.live() {
+            worker.end(&task, ExitCause::Done);
+        }
+    }
+    harness.run_rounds(&mut [&mut one, &mut two]);
+    harness.advance(60_000);
+    harness.run_rounds(&mut [&mut one, &mut two]);
+    let keys: Vec<String> = harness.store.list("").into_iter().map(|kv| kv.key).collect();
+    // The array goes on, the gang is over.
+    let pinned = [
+        "c/lanes",
+        "f/req-000002",
+        "j/req-000001",
+        "lead/now",
+        "m/req-000001",
+        "m/shared-0",
+        "p/req-000001/0",
+        "r/record-0",
+    ];
+    assert_eq!(keys, pinned);
+}
