--- a/crates/controller/src/actor/mod.rs
+++ b/crates/controller/src/actor/mod.rs
@@ -8,17 +8,19 @@
 
 mod dispatch;
 mod events;
+mod handle;
 mod messages;
 mod requests;
 mod store_io;
 mod term;
 mod timer;
 
+pub use handle::ControllerHandle;
 pub use messages::{ControllerRequest, HeartbeatReply, PreparedRenewal, Reply};
 
 use crate::cluster_state::ControllerConfig;
+use crate::final_state_cache::FinalStateCache;
 use crate::leadership::{Clock, LeaderTerm, LeadershipLease, LeadershipView};
-use crate::request_outcome::FinalStateCache;
 use crate::shard_lease::ShardLessee;
 use crate::standby::Standby;
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
--- /dev/null
+++ b/crates/controller/src/api/cancellation.rs
@@ -0,0 +1,114 @@
+//! Cancellations.
+
+use super::job_reader::StoredJob;
+use super::{ApiService, Origin};
+use crate::actor::ControllerRequest;
+use crate::cluster_state::{CancelOutcome, leases_expire_within_cancellation};
+use crate::job_snapshot::JobSnapshot;
+use crate::peers::PeerRequest;
+use crate::records::{FinalRecord, LEADER_KEY, final_state_key, job_key};
+use crate::request_outcome::RequestOutcome;
+use hookway_clients::{CommitOutcome, StoreError};
+use hookway_constants as constants;
+use hookway_wire::{JobId, JobState, Operation, Precondition, Transaction};
+
+/// How often the leader's actor is asked: a second time after it adopted a job that it did not know.
+const LEADER_ATTEMPTS: usize = 2;
+
+impl ApiService {
+    /// Cancels a job. The leader decides. While there is none, this controller writes the final
+    /// state itself, on the precondition that no leader is elected.
+    pub async fn cancel(&self, job: &JobId, origin: Origin) -> RequestOutcome {
+        if let Some(snapshot) = self.config.final_states.get(job) {
+            return RequestOutcome::Known(snapshot);
+        }
+        if let Some(outcome) = self.cancel_as_leader(job).await {
+            return outcome;
+        }
+        let request = PeerRequest::Cancel(job.to_string());
+        if origin == Origin::Client
+            && let Some(outcome) = self.ask_leader(&request, constants::STATUS_LIMIT_MS).await
+        {
+            return outcome;
+        }
+        match self.cancel_without_leader(job).await {
+            Ok(outcome) => outcome,
+            Err(error) => self.ask_other_controllers(request, &error, origin).await,
+        }
+    }
+
+    /// Cancels a job by this controller's actor. `None`: it does not lead, or does not know the job
+    /// although it adopted its record.
+    async fn cancel_as_leader(&self, job: &JobId) -> Option<RequestOutcome> {
+        for _ in 0..LEADER_ATTEMPTS {
+            let term = self.own_term();
+            let cancel = |reply| ControllerRequest::Cancel { job: job.clone(), reply };
+            match self.config.controller.request(cancel).await? {
+                CancelOutcome::AlreadyFinal(status) => {
+                    return Some(self.announce_cancelled(status.into()));
+                }
+                CancelOutcome::Pending => {
+                    return Some(RequestOutcome::unavailable("the decision is not durable yet"));
+                }
+                CancelOutcome::LeasesOutstanding => {
+                    let reason = "its tasks may not be gone in time yet";
+                    return Some(RequestOutcome::unavailable(reason));
+                }
+                CancelOutcome::UnknownJob => {}
+            }
+            match self.job_reader.read(&self.config.stores.submissions, job).await {
+                Ok(StoredJob::Final(snapshot)) => return Some(self.known(snapshot)),
+                Ok(StoredJob::Absent) => return Some(RequestOutcome::NotFound),
+                Ok(StoredJob::Active { key, value }) => self.adopt_job(term, key, value).await,
+                Err(error) => return Some(RequestOutcome::Unavailable(error.to_string())),
+            }
+        }
+        None
+    }
+
+    async fn cancel_without_leader(&self, job: &JobId) -> Result<RequestOutcome, StoreError> {
+        // An earlier leader may have extended worker leases until a moment ago, so whether the tasks
+        // have ended is unknown until those leases expire.
+        if !leases_expire_within_cancellation(&self.config.platform) {
+            let reason = "without a leader its tasks may not be gone in time";
+            return Ok(RequestOutcome::unavailable(reason));
+        }
+        let store = &self.config.stores.submissions;
+        let value = match self.job_reader.read(store, job).await? {
+            StoredJob::Final(snapshot) => return Ok(self.known(snapshot)),
+            StoredJob::Absent => return Ok(RequestOutcome::NotFound),
+            StoredJob::Active { value, .. } => value,
+        };
+        let team = self.queued_snapshot(job, &value).team.unwrap_or_default();
+        let record = FinalRecord { state: JobState::Cancelled, done: 0, team, notes: vec![] };
+        let Ok(final_value) = serde_json::to_value(&record) else {
+            return Ok(RequestOutcome::unavailable("internal"));
+        };
+        let transaction = Transaction {
+            preconditions: vec![
+                Precondition { key: LEADER_KEY.into(), mod_revision: 0 },
+                Precondition { key: final_state_key(job), mod_revision: 0 },
+            ],
+            operations: vec![
+                Operation::put(final_state_key(job), final_value),
+                Operation::delete(job_key(job)),
+            ],
+        };
+        Ok(match store.commit(&transaction).await? {
+            CommitOutcome::Applied(_) => self.announce_cancelled(record.status(job).into()),
+            CommitOutcome::PreconditionFailed(_) => {
+                RequestOutcome::unavailable("the job's leader can't be reached")
+            }
+        })
+    }
+
+    /// Announces a durable cancellation to the other controllers, so that a shard lessee that can't
+    /// reach the state service stops the job's tasks: docs/safety.md, "Cancellations are facts".
+    fn announce_cancelled(&self, snapshot: JobSnapshot) -> RequestOutcome {
+        for peer in self.config.peers.names() {
+            let (peers, snapshot) = (self.config.peers.clone(), snapshot.clone());
+            tokio::spawn(async move { peers.announce_finished(&peer, snapshot).await });
+        }
+        self.known(snapshot)
+    }
+}
--- /dev/null
+++ b/crates/controller/src/api/peer_requests.rs
@@ -0,0 +1,48 @@
+//! Requests of other controllers, answered from this controller's own knowledge.
+
+use super::{ApiService, Origin};
+use crate::actor::ControllerRequest;
+use crate::peers::{PeerHandler, PeerRequest, PeerResponse};
+use crate::request_outcome::RequestOutcome;
+use hookway_replication::{FollowAnswer, FollowRequest};
+use hookway_wire::JobId;
+
+impl PeerHandler for ApiService {
+    async fn handle(&self, request: PeerRequest) -> PeerResponse {
+        let outcome = match request {
+            PeerRequest::Status(job) => match JobId::parse(&job) {
+                Some(job) => self.status(&job, Origin::Peer).await,
+                None => RequestOutcome::NotFound,
+            },
+            PeerRequest::Cancel(job) => match JobId::parse(&job) {
+                Some(job) => self.cancel(&job, Origin::Peer).await,
+                None => RequestOutcome::NotFound,
+            },
+            PeerRequest::Submit(body) => self.submit(&body, Origin::Peer).await,
+            PeerRequest::JobFinished(snapshot) => self.known(snapshot),
+            PeerRequest::RenewShardLease(renewal) => {
+                let renew = |reply| ControllerRequest::RenewShardLease { renewal, reply };
+                return PeerResponse::ShardLease(self.config.controller.request(renew).await);
+            }
+            PeerRequest::Follow(request) => {
+                return PeerResponse::Followed(self.replication_entries(request).await);
+            }
+        };
+        PeerResponse::Outcome(outcome)
+    }
+}
+
+impl ApiService {
+    /// The replication entries that a standby lacks; `None` if it is not one of the controllers.
+    async fn replication_entries(&self, request: FollowRequest) -> Option<FollowAnswer> {
+        if !self.config.peers.knows(&request.follower) {
+            tracing::error!(
+                standby = request.follower,
+                "replication request from an unknown controller"
+            );
+            return None;
+        }
+        let follow = |reply| ControllerRequest::Follow { request, reply };
+        self.config.controller.request(follow).await
+    }
+}
--- /dev/null
+++ b/crates/controller/src/api/status.rs
@@ -0,0 +1,50 @@
+//! Status requests.
+
+use super::job_reader::StoredJob;
+use super::{ApiService, Origin};
+use crate::actor::ControllerRequest;
+use crate::cluster_state::JobLookup;
+use crate::peers::PeerRequest;
+use crate::request_outcome::RequestOutcome;
+use hookway_constants as constants;
+use hookway_wire::JobId;
+
+impl ApiService {
+    /// The state of a job. A state that can still change comes from the leader, or from a read of
+    /// the state service that began after this request; a final one may come from the cache.
+    pub async fn status(&self, job: &JobId, origin: Origin) -> RequestOutcome {
+        if let Some(snapshot) = self.config.final_states.get(job) {
+            return RequestOutcome::Known(snapshot);
+        }
+        let term = self.own_term();
+        let look_up = |reply| ControllerRequest::Status { job: job.clone(), reply };
+        let lookup = self.config.controller.request(look_up).await;
+        let leads = lookup.is_some();
+        match lookup {
+            Some(JobLookup::Known(status)) => return self.known(status.into()),
+            None if origin == Origin::Client => {
+                let request = PeerRequest::Status(job.to_string());
+                let limit_ms = constants::PEER_TIMEOUT_MS;
+                if let Some(outcome) = self.ask_leader(&request, limit_ms).await {
+                    return outcome;
+                }
+            }
+            _ => {}
+        }
+        match self.job_reader.read(&self.config.stores.queries, job).await {
+            Ok(StoredJob::Final(snapshot)) => self.known(snapshot),
+            Ok(StoredJob::Active { key, value }) => {
+                let snapshot = self.queued_snapshot(job, &value);
+                if leads {
+                    self.adopt_job(term, key, value).await;
+                }
+                RequestOutcome::Known(snapshot)
+            }
+            Ok(StoredJob::Absent) => RequestOutcome::NotFound,
+            Err(error) => {
+                let request = PeerRequest::Status(job.to_string());
+                self.ask_other_controllers(request, &error, origin).await
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/api/submission.rs
@@ -0,0 +1,118 @@
+//! Submissions. A job is accepted once its record is in the state service, whichever controller
+//! wrote it.
+
+use super::admission::check_admission;
+use super::job_reader::StoredJob;
+use super::{ApiService, Origin};
+use crate::job_snapshot::JobSnapshot;
+use crate::leadership::wall_clock_ms;
+use crate::peers::PeerRequest;
+use crate::records::{JobRecord, final_state_key, fits_value_limit, job_key};
+use crate::request_outcome::RequestOutcome;
+use hookway_clients::{CommitOutcome, StoreError};
+use hookway_wire::{JobId, JobSpec, Operation, Precondition, Transaction};
+
+/// The request body is invalid.
+const BAD_REQUEST: u16 = 400;
+/// The job is valid, but can never run here.
+const UNPROCESSABLE: u16 = 422;
+/// The reason if the record of a job exceeds the value limit of the state service.
+const TOO_LONG: &str = "the job's description is too long";
+
+impl ApiService {
+    /// Accepts a job, or answers with its state if it was accepted before.
+    pub async fn submit(&self, body: &[u8], origin: Origin) -> RequestOutcome {
+        let spec = match JobSpec::parse(body) {
+            Ok(spec) => spec,
+            Err(error) => {
+                let reason = error.to_string();
+                tracing::info!(reason, "submission rejected");
+                return RequestOutcome::Rejected { status: BAD_REQUEST, reason };
+            }
+        };
+        let job = spec.id.clone();
+        if let Some(snapshot) = self.config.final_states.get(&job) {
+            return RequestOutcome::Known(snapshot);
+        }
+        let Some(machine_types) = self.config.machine_types.borrow().clone() else {
+            return RequestOutcome::unavailable("the machine types are not known yet");
+        };
+        if let Err(reason) = check_admission(&spec, &self.config.platform, &machine_types) {
+            return self
+                .reject_unless_accepted(&job, UNPROCESSABLE, reason.to_string(), origin)
+                .await;
+        }
+        let record = JobRecord { spec, accepted_at_ms: wall_clock_ms(), has_start_watermark: true };
+        let Ok(value) = serde_json::to_value(&record) else {
+            return RequestOutcome::unavailable("internal");
+        };
+        if !fits_value_limit(&value, self.config.platform.state.largest_value_kb) {
+            return self.reject_unless_accepted(&job, BAD_REQUEST, TOO_LONG.into(), origin).await;
+        }
+        self.store_job(record.spec, value, body, origin).await
+    }
+
+    /// Writes the record of a job, unless the job is known. `body` is what was submitted.
+    async fn store_job(
+        &self,
+        spec: JobSpec,
+        value: serde_json::Value,
+        body: &[u8],
+        origin: Origin,
+    ) -> RequestOutcome {
+        let job = &spec.id;
+        let transaction = Transaction {
+            preconditions: vec![
+                Precondition { key: job_key(job), mod_revision: 0 },
+                Precondition { key: final_state_key(job), mod_revision: 0 },
+            ],
+            operations: vec![Operation::put(job_key(job), value.clone())],
+        };
+        let error = match self.config.stores.submissions.commit(&transaction).await {
+            Ok(CommitOutcome::Applied(_)) => {
+                let team = Some(spec.team);
+                return RequestOutcome::Accepted(JobSnapshot {
+                    team,
+                    ..self.queued_snapshot(job, &value)
+                });
+            }
+            Ok(CommitOutcome::PreconditionFailed(_)) => return self.status(job, origin).await,
+            // The record exceeds the value limit, which may have been lowered.
+            Err(StoreError::Rejected(_)) => {
+                let reason = TOO_LONG.into();
+                return self.reject_unless_accepted(job, BAD_REQUEST, reason, origin).await;
+            }
+            // Without a response the transaction may have been applied, or may be applied later.
+            Err(StoreError::Unknown(_)) => {
+                match self.job_reader.read(&self.config.stores.submissions, job).await {
+                    Ok(StoredJob::Active { .. }) => {
+                        return RequestOutcome::Accepted(self.queued_snapshot(job, &value));
+                    }
+                    Ok(StoredJob::Final(snapshot)) => return self.known(snapshot),
+                    Ok(StoredJob::Absent) => {
+                        return RequestOutcome::unavailable("the state service did not answer");
+                    }
+                    Err(error) => error,
+                }
+            }
+            Err(error) => error,
+        };
+        // If both controllers write the record, one of the transactions fails by its preconditions.
+        self.ask_other_controllers(PeerRequest::Submit(body.to_vec()), &error, origin).await
+    }
+
+    /// Rejects a job, but not one that was accepted before: limits and machine types change.
+    async fn reject_unless_accepted(
+        &self,
+        job: &JobId,
+        status: u16,
+        reason: String,
+        origin: Origin,
+    ) -> RequestOutcome {
+        match self.job_reader.read(&self.config.stores.submissions, job).await {
+            Ok(StoredJob::Absent) => RequestOutcome::Rejected { status, reason },
+            Ok(_) => self.status(job, origin).await,
+            Err(error) => RequestOutcome::Unavailable(error.to_string()),
+        }
+    }
+}
--- a/crates/controller/src/circuit_breaker.rs
+++ b/crates/controller/src/circuit_breaker.rs
@@ -1,27 +1,31 @@
-//! Who has not answered, so that users need not wait for it again and again.
+//! Circuit breakers, so that users need not wait for a service that does not respond.
 
 use hookway_constants as constants;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Whether somebody has been silent since it was asked last. Each question to it would take its whole time limit,
-/// so only one in a while is asked.
+/// The circuit breaker of a service. It opens when a request fails, and lets one request through
+/// every `CIRCUIT_BREAKER_OPEN_MS` until one succeeds.
 #[derive(Debug, Default)]
-pub struct CircuitBreaker(Option<Instant>);
+pub(crate) struct CircuitBreaker {
+    /// When the last request failed or was let through; `None`: closed.
+    opened_at: Option<Instant>,
+}
 
 impl CircuitBreaker {
-    /// It did not answer, or it did.
-    pub fn record(&mut self, silent: bool) {
-        self.0 = silent.then(Instant::now);
+    /// Records the result of a request: opens the circuit if it `failed`, closes it otherwise.
+    pub(crate) fn record(&mut self, failed: bool) {
+        self.opened_at = failed.then(Instant::now);
     }
 
-    /// Whether a user should wait for its answer; `true` once in a while although it is silent.
-    pub fn allows_request(&mut self) -> bool {
-        let Some(since) = self.0.as_mut() else { return true };
-        let again = since.elapsed() >= Duration::from_millis(constants::CIRCUIT_BREAKER_OPEN_MS);
-        if again {
-            *since = Instant::now();
+    /// Whether a request may be sent.
+    pub(crate) fn allows_request(&mut self) -> bool {
+        let Some(opened_at) = self.opened_at.as_mut() else { return true };
+        let probes =
+            opened_at.elapsed() >= Duration::from_millis(constants::CIRCUIT_BREAKER_OPEN_MS);
+        if probes {
+            *opened_at = Instant::now();
         }
-        again
+        probes
     }
 }
--- a/crates/controller/src/concurrency_limiter.rs
+++ b/crates/controller/src/concurrency_limiter.rs
@@ -1,50 +1,66 @@
-//! A limit on requests in progress that adjusts itself to measured times.
+//! A limit on requests in progress that adapts to measured latency.
 
 use hookway_constants as constants;
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// Additive increase while answers are quick, multiplicative decrease when they are not.
+/// Factor of the limit after a slow response.
+const DECREASE_FACTOR: f64 = 0.95;
+/// How much the limit grows in the course of as many fast responses as it admits requests.
+const INCREASE: f64 = 1.0;
+const LATENCY_TARGET: Duration = Duration::from_millis(constants::CONCURRENCY_LATENCY_TARGET_MS);
+
+/// Additive increase while responses are fast, multiplicative decrease while they are slow, between
+/// `MIN_CONCURRENCY` and a maximum.
 #[derive(Debug)]
 pub struct ConcurrencyLimiter {
     max_limit: f64,
-    state: Mutex<(usize, f64)>,
+    state: Mutex<LimiterState>,
+}
+
+#[derive(Debug)]
+struct LimiterState {
+    in_progress: usize,
+    limit: f64,
 }
 
-/// A request in progress; ends when dropped.
+/// Permission for one request, which is in progress until this is dropped.
 #[derive(Debug)]
 pub struct Permit<'a>(&'a ConcurrencyLimiter);
 
 impl ConcurrencyLimiter {
-    /// A limit that never exceeds `most`.
-    pub fn new(most: usize) -> Self {
-        let most = most.max(constants::MIN_CONCURRENCY) as f64;
-        Self { max_limit: most, state: Mutex::new((0, most)) }
+    /// Creates a limiter whose limit starts at its maximum, `max_requests`.
+    pub fn new(max_requests: usize) -> Self {
+        let max_limit = max_requests.max(constants::MIN_CONCURRENCY) as f64;
+        Self { max_limit, state: Mutex::new(LimiterState { in_progress: 0, limit: max_limit }) }
     }
 
-    /// Lets a request in, or not.
+    /// Admits a request; `None` if the limit is reached.
     pub fn try_acquire(&self) -> Option<Permit<'_>> {
         let mut state = self.state.lock().ok()?;
-        if state.0 as f64 >= state.1 {
+        if state.in_progress as f64 >= state.limit {
             return None;
         }
-        state.0 += 1;
+        state.in_progress += 1;
         Some(Permit(self))
     }
 
-    /// A request took this long.
-    pub fn record_latency(&self, took: Duration) {
+    /// Adapts the limit to the latency of a request.
+    pub fn record_latency(&self, latency: Duration) {
         let Ok(mut state) = self.state.lock() else { return };
-        let slow = took > Duration::from_millis(constants::CONCURRENCY_LATENCY_TARGET_MS);
-        let next = if slow { state.1 * 0.95 } else { state.1 + 1.0 / state.1.max(1.0) };
-        state.1 = next.clamp(constants::MIN_CONCURRENCY as f64, self.max_limit);
+        let adapted = if latency > LATENCY_TARGET {
+            state.limit * DECREASE_FACTOR
+        } else {
+            state.limit + INCREASE / state.limit.max(1.0)
+        };
+        state.limit = adapted.clamp(constants::MIN_CONCURRENCY as f64, self.max_limit);
     }
 }
 
 impl Drop for Permit<'_> {
     fn drop(&mut self) {
         if let Ok(mut state) = self.0.state.lock() {
-            state.0 = state.0.saturating_sub(1);
+            state.in_progress = state.in_progress.saturating_sub(1);
         }
     }
 }
--- a/crates/controller/src/http.rs
+++ b/crates/controller/src/http.rs
@@ -1,7 +1,8 @@
 //! The HTTP interface for users, workers and health checks.
 
 use crate::actor::HeartbeatReply;
-use crate::api_service::ApiService;
+use crate::api::{ApiService, Origin};
+use crate::concurrency_limiter::ConcurrencyLimiter;
 use crate::request_outcome::RequestOutcome;
 use hookway_constants as constants;
 use hookway_wire::{ErrorBody, Heartbeat, HeartbeatRedirect, JobId, JobStatus};
@@ -11,87 +12,116 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-fn refuse(res: &mut Response, status: StatusCode, why: &str) {
-    res.status_code(status);
-    res.render(Json(ErrorBody { error: why.to_owned() }));
+/// Creates the service with all routes.
+pub fn service(api: Arc<ApiService>) -> Service {
+    let limits = Arc::new(UserLimits::new(api.max_sockets()));
+    let user = |request| UserHandler { api: api.clone(), limits: limits.clone(), request };
+    let router = Router::new()
+        .push(Router::with_path("up").get(up))
+        .push(Router::with_path("replication").get(ReplicationHandler(api.clone())))
+        .push(Router::with_path("checkin").post(HeartbeatHandler(api.clone())))
+        .push(
+            Router::with_path("api/jobs")
+                .post(user(UserRequest::Submit))
+                .push(Router::with_path("{id}").get(user(UserRequest::Status)))
+                .push(Router::with_path("{id}/withdraw").post(user(UserRequest::Cancel))),
+        );
+    Service::new(router).catcher(salvo::catcher::Catcher::default().hoop(error_body))
 }
 
-fn unavailable(res: &mut Response, why: &str, back_s: u32) {
-    tracing::debug!("503: {why}");
-    refuse(res, StatusCode::SERVICE_UNAVAILABLE, why);
-    res.headers_mut().insert("retry-after", HeaderValue::from(back_s));
+/// The kind of a user's request.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum UserRequest {
+    Submit,
+    Status,
+    Cancel,
 }
 
-fn render(res: &mut Response, verdict: RequestOutcome, back_s: u32) {
-    match verdict {
-        RequestOutcome::Accepted(told) => {
-            res.status_code(StatusCode::CREATED);
-            res.render(Json(JobStatus::from(told)));
+impl UserRequest {
+    /// The time limit for the response.
+    fn time_limit(self) -> Duration {
+        Duration::from_millis(match self {
+            Self::Status => constants::STATUS_LIMIT_MS,
+            Self::Submit | Self::Cancel => constants::SUBMIT_LIMIT_MS,
+        })
+    }
+
+    /// The value of `Retry-After`, s.
+    fn retry_after_s(self) -> u32 {
+        match self {
+            Self::Status => constants::STATUS_RETRY_AFTER_S,
+            Self::Submit | Self::Cancel => constants::RETRY_AFTER_S,
         }
-        RequestOutcome::Known(told) => {
-            res.status_code(StatusCode::OK);
-            res.render(Json(JobStatus::from(told)));
+    }
+}
+
+/// The limits on users' requests in progress. Status requests have their own, so that many of them
+/// don't shut out submissions and slow responses to one kind don't lower the limit of the other.
+struct UserLimits {
+    status: ConcurrencyLimiter,
+    changes: ConcurrencyLimiter,
+}
+
+impl UserLimits {
+    fn new(max_sockets: usize) -> Self {
+        let max_requests = (max_sockets as f64 * constants::CONCURRENCY_SOCKET_SHARE) as usize;
+        Self {
+            status: ConcurrencyLimiter::new(max_requests),
+            changes: ConcurrencyLimiter::new(max_requests),
         }
-        RequestOutcome::NotFound => refuse(res, StatusCode::NOT_FOUND, "no such job"),
-        RequestOutcome::Rejected(status, why) => {
-            refuse(res, StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_REQUEST), &why);
+    }
+
+    fn limiter(&self, request: UserRequest) -> &ConcurrencyLimiter {
+        match request {
+            UserRequest::Status => &self.status,
+            UserRequest::Submit | UserRequest::Cancel => &self.changes,
         }
-        RequestOutcome::Unavailable(why) => unavailable(res, &why, back_s),
     }
 }
 
-/// Which request of a user.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Kind {
-    Submit,
-    Status,
-    Cancel,
+struct UserHandler {
+    api: Arc<ApiService>,
+    limits: Arc<UserLimits>,
+    request: UserRequest,
 }
 
-struct UserHandler(Arc<ApiService>, Kind);
-
 #[async_trait]
 impl Handler for UserHandler {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let Self(api, kind) = self;
-        // Many questions must not shut out submissions, nor one kind's slow answers lower the other's limit.
-        let back_s = match kind {
-            Kind::Status => constants::STATUS_RETRY_AFTER_S,
-            Kind::Submit | Kind::Cancel => constants::RETRY_AFTER_S,
-        };
-        let limiter = if *kind == Kind::Status { &api.status_limiter } else { &api.limiter };
-        let Some(pass) = limiter.try_acquire() else {
-            return unavailable(res, "too many requests in progress", back_s);
-        };
-        let begun = Instant::now();
-        let limit = match kind {
-            Kind::Status => constants::STATUS_LIMIT_MS,
-            Kind::Submit | Kind::Cancel => constants::SUBMIT_LIMIT_MS,
+        let retry_after_s = self.request.retry_after_s();
+        let limiter = self.limits.limiter(self.request);
+        let Some(permit) = limiter.try_acquire() else {
+            return render_unavailable(res, "too many requests in progress", retry_after_s);
         };
-        let work = async {
-            if *kind == Kind::Submit {
-                return match req.payload_with_max_size(constants::BODY_LIMIT).await {
-                    Ok(body) => api.submit(body, false).await,
-                    Err(_) => {
-                        RequestOutcome::Rejected(400, "the body is over 64 KiB or broken".into())
-                    }
-                };
-            }
-            let Some(id) = req.param::<String>("id").as_deref().and_then(JobId::parse) else {
-                return RequestOutcome::NotFound;
-            };
-            if *kind == Kind::Status {
-                api.status(&id, false).await
-            } else {
-                api.cancel(&id, false).await
-            }
-        };
-        let verdict = tokio::time::timeout(Duration::from_millis(limit), work)
+        let started_at = Instant::now();
+        let outcome = tokio::time::timeout(self.request.time_limit(), self.decide(req))
             .await
             .unwrap_or_else(|_| RequestOutcome::unavailable("no decision in time"));
-        limiter.record_latency(begun.elapsed());
-        drop(pass);
-        render(res, verdict, back_s);
+        limiter.record_latency(started_at.elapsed());
+        drop(permit);
+        render_outcome(res, outcome, retry_after_s);
+    }
+}
+
+impl UserHandler {
+    async fn decide(&self, req: &mut Request) -> RequestOutcome {
+        if self.request == UserRequest::Submit {
+            return match req.payload_with_max_size(constants::BODY_LIMIT).await {
+                Ok(body) => self.api.submit(body, Origin::Client).await,
+                Err(_) => RequestOutcome::Rejected {
+                    status: StatusCode::BAD_REQUEST.as_u16(),
+                    reason: "the body is over 64 KiB or broken".into(),
+                },
+            };
+        }
+        let Some(job) = req.param::<String>("id").as_deref().and_then(JobId::parse) else {
+            return RequestOutcome::NotFound;
+        };
+        if self.request == UserRequest::Status {
+            self.api.status(&job, Origin::Client).await
+        } else {
+            self.api.cancel(&job, Origin::Client).await
+        }
     }
 }
 
@@ -100,33 +130,34 @@
 #[async_trait]
 impl Handler for HeartbeatHandler {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let report = match req.payload_with_max_size(constants::BODY_LIMIT).await {
+        let heartbeat = match req.payload_with_max_size(constants::BODY_LIMIT).await {
             Ok(body) => serde_json::from_slice::<Heartbeat>(body).map_err(|e| e.to_string()),
             Err(e) => Err(e.to_string()),
         };
-        let report = match report {
-            Ok(report) => report,
-            Err(why) => {
-                tracing::error!("a report can't be read: {why}");
-                return refuse(res, StatusCode::BAD_REQUEST, &why);
+        let heartbeat = match heartbeat {
+            Ok(heartbeat) => heartbeat,
+            Err(reason) => {
+                tracing::error!(reason, "invalid heartbeat");
+                return render_error(res, StatusCode::BAD_REQUEST, &reason);
             }
         };
-        match self.0.handle_heartbeat(report).await {
+        match self.0.handle_heartbeat(heartbeat).await {
             HeartbeatReply::Respond { response, valid_until } if Instant::now() < valid_until => {
                 res.status_code(StatusCode::OK);
                 res.render(Json(response));
             }
-            HeartbeatReply::Redirect(report_to) => {
+            HeartbeatReply::Redirect(leader) => {
                 res.status_code(StatusCode::MISDIRECTED_REQUEST);
-                res.render(Json(HeartbeatRedirect { leader: report_to }));
+                res.render(Json(HeartbeatRedirect { leader }));
             }
             HeartbeatReply::Respond { .. } | HeartbeatReply::Unavailable => {
-                unavailable(res, "not entitled to answer", constants::RETRY_AFTER_S)
+                render_unavailable(res, "not entitled to answer", constants::RETRY_AFTER_S);
             }
         }
     }
 }
 
+/// The health check.
 #[handler]
 async fn up(res: &mut Response) {
     res.status_code(StatusCode::OK);
@@ -141,31 +172,46 @@
         let limit = Duration::from_millis(constants::STATUS_LIMIT_MS);
         match tokio::time::timeout(limit, self.0.replication_status()).await {
             Ok(Some(status)) => res.render(Json(status)),
-            _ => unavailable(res, "no answer in time", constants::RETRY_AFTER_S),
+            _ => render_unavailable(res, "no answer in time", constants::RETRY_AFTER_S),
         }
     }
 }
 
+/// The body of errors that the router itself finds: an unknown path, a wrong method.
 #[handler]
-async fn plain_error(res: &mut Response, ctrl: &mut FlowCtrl) {
+async fn error_body(res: &mut Response, ctrl: &mut FlowCtrl) {
     let status = res.status_code.unwrap_or(StatusCode::NOT_FOUND);
-    let why = status.canonical_reason().unwrap_or("error").to_lowercase();
-    refuse(res, status, &why);
+    let reason = status.canonical_reason().unwrap_or("error").to_lowercase();
+    render_error(res, status, &reason);
     ctrl.skip_rest();
 }
 
-/// All routes.
-pub fn service(api: Arc<ApiService>) -> Service {
-    let user = |kind| UserHandler(api.clone(), kind);
-    let router = Router::new()
-        .push(Router::with_path("up").get(up))
-        .push(Router::with_path("replication").get(ReplicationHandler(api.clone())))
-        .push(Router::with_path("checkin").post(HeartbeatHandler(api.clone())))
-        .push(
-            Router::with_path("api/jobs")
-                .post(user(Kind::Submit))
-                .push(Router::with_path("{id}").get(user(Kind::Status)))
-                .push(Router::with_path("{id}/withdraw").post(user(Kind::Cancel))),
-        );
-    Service::new(router).catcher(salvo::catcher::Catcher::default().hoop(plain_error))
+fn render_outcome(res: &mut Response, outcome: RequestOutcome, retry_after_s: u32) {
+    match outcome {
+        RequestOutcome::Accepted(job) => {
+            res.status_code(StatusCode::CREATED);
+            res.render(Json(JobStatus::from(job)));
+        }
+        RequestOutcome::Known(job) => {
+            res.status_code(StatusCode::OK);
+            res.render(Json(JobStatus::from(job)));
+        }
+        RequestOutcome::NotFound => render_error(res, StatusCode::NOT_FOUND, "no such job"),
+        RequestOutcome::Rejected { status, reason } => {
+            let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_REQUEST);
+            render_error(res, status, &reason);
+        }
+        RequestOutcome::Unavailable(reason) => render_unavailable(res, &reason, retry_after_s),
+    }
+}
+
+fn render_unavailable(res: &mut Response, reason: &str, retry_after_s: u32) {
+    tracing::debug!(reason, "request unavailable");
+    render_error(res, StatusCode::SERVICE_UNAVAILABLE, reason);
+    res.headers_mut().insert("retry-after", HeaderValue::from(retry_after_s));
+}
+
+fn render_error(res: &mut Response, status: StatusCode, reason: &str) {
+    res.status_code(status);
+    res.render(Json(ErrorBody { error: reason.to_owned() }));
 }
--- /dev/null
+++ b/crates/controller/src/leader_sync.rs
@@ -0,0 +1,74 @@
+//! What a controller periodically requests from the leader: its shard lease, and the replication
+//! entries that its copy of the cluster state lacks.
+
+use crate::actor::{ControllerHandle, ControllerRequest, PreparedRenewal};
+use crate::frame;
+use crate::leadership::LeadershipView;
+use crate::peers::Peers;
+use hookway_constants as constants;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::watch;
+
+/// The periodic exchange of a controller with the leader.
+#[derive(Debug, Clone)]
+pub struct LeaderSync {
+    /// The name of this controller.
+    pub controller_name: String,
+    /// The actor of this controller.
+    pub controller: ControllerHandle,
+    /// The other controllers.
+    pub peers: Arc<Peers>,
+    /// Who leads.
+    pub view: watch::Receiver<LeadershipView>,
+}
+
+impl LeaderSync {
+    /// Renews the shard lease of this controller while another one leads and is reachable. Runs
+    /// until the process ends.
+    pub async fn renew_shard_lease(self) {
+        loop {
+            pause(constants::SHARD_LEASE_RENEWAL_INTERVAL_MS).await;
+            let Some(leader) = self.other_leader() else { continue };
+            let prepare = ControllerRequest::PrepareShardLeaseRenewal;
+            let Some(PreparedRenewal { renewal, sent_at }) = self.controller.request(prepare).await
+            else {
+                continue;
+            };
+            match self.peers.renew_shard_lease(&leader, renewal).await {
+                Ok(lease) => {
+                    let granted = ControllerRequest::ShardLeaseGranted { lease, sent_at };
+                    self.controller.notify(granted).await;
+                }
+                Err(error) => tracing::debug!(leader, %error, "renewing the shard lease failed"),
+            }
+        }
+    }
+
+    /// Keeps this controller's copy of the cluster state current while another one leads and
+    /// publishes its cluster state. Runs until the process ends.
+    pub async fn follow_leader(self) {
+        loop {
+            pause(constants::FOLLOW_INTERVAL_MS).await;
+            let prepare = ControllerRequest::PrepareFollow;
+            let Some(request) = self.controller.request(prepare).await else { continue };
+            // The responses to shard lease renewals tell the leader's version.
+            let publishes =
+                |leader: &String| self.peers.version(leader) >= Some(frame::REPLICATION);
+            let Some(leader) = self.other_leader().filter(publishes) else { continue };
+            match self.peers.follow(&leader, request).await {
+                Ok(answer) => self.controller.notify(ControllerRequest::Followed(answer)).await,
+                Err(error) => tracing::debug!(leader, %error, "following the leader failed"),
+            }
+        }
+    }
+
+    /// The leader, if it is another controller.
+    fn other_leader(&self) -> Option<String> {
+        self.view.borrow().leader.clone().filter(|leader| *leader != self.controller_name)
+    }
+}
+
+async fn pause(ms: u64) {
+    tokio::time::sleep(Duration::from_millis(ms)).await;
+}
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,19 +1,24 @@
-//! The controller of hookway: the part that every node runs, as a library.
+//! The controller of hookway as a library.
 //!
-//! [`ClusterState`] is the leader's picture of jobs and machines. It does no I/O and reads no clock, so a
-//! test can play any sequence of events to it. Around it stand the actors: leadership, the node that
-//! owns the ledger while it leads, the user and worker interface, and the link to the other nodes.
+//! [`ClusterState`] is the leader's model of jobs and machines. It does no I/O and reads no clock, so
+//! a test can apply any sequence of events to it. Around it are the actors and services of a
+//! controller: the election of the leader (`leadership`), the actor that owns the cluster state while
+//! the controller leads (`actor`), the API for users and workers (`api`, `http`) and the protocol
+//! between controllers (`peers`, `leader_sync`).
 
 pub mod actor;
-pub mod api_service;
+pub mod api;
 pub mod blocks;
 mod circuit_breaker;
 mod clock_drift;
 pub mod cluster_state;
 pub mod concurrency_limiter;
 pub mod connection_table;
+pub mod final_state_cache;
 pub mod frame;
 pub mod http;
+pub mod job_snapshot;
+pub mod leader_sync;
 pub mod leadership;
 pub mod networks;
 pub mod peers;
--- /dev/null
+++ b/crates/controller/src/peers/mod.rs
@@ -0,0 +1,15 @@
+//! The protocol between controllers: requests and responses in length-prefixed frames over TCP.
+//!
+//! A controller asks the others about requests of users that it can't decide itself, renews its
+//! shard lease at the leader, and follows the leader's replication log.
+
+mod client;
+mod connection;
+mod error;
+mod messages;
+mod server;
+
+pub use client::Peers;
+pub use error::PeerError;
+pub use messages::{PeerRequest, PeerResponse};
+pub use server::{PeerHandler, serve};
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -1,10 +1,14 @@
-//! Puts a node together and runs it.
+//! Assembles a controller and runs it.
 
-use crate::actor::{ControllerActor, ControllerActorConfig};
-use crate::api_service::{ApiService, StoreClients};
+use crate::actor::{
+    ControllerActor, ControllerActorConfig, ControllerHandle, ControllerRequest, MachineTypes,
+};
+use crate::api::{ApiService, ApiServiceConfig, StoreClients};
 use crate::cluster_state::ControllerConfig;
 use crate::connection_table::ConnectionTable;
+use crate::final_state_cache::FinalStateCache;
 use crate::http;
+use crate::leader_sync::LeaderSync;
 use crate::leadership::{Clock, Leadership, LeadershipConfig, LeadershipLease, LeadershipView};
 use crate::peers::{self, Peers};
 use crate::settings::{OperatorSettings, PlatformSettings, Settings};
@@ -12,159 +16,259 @@
 use crate::standby::{Standby, StandbySignals};
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
 use hookway_constants as constants;
-use hookway_wire::MachineType;
-use salvo::conn::TcpListener;
-use salvo::prelude::*;
+use salvo::Listener;
+use salvo::conn::tcp::TcpAcceptor;
+use salvo::prelude::{Server, TcpListener};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{Notify, mpsc, watch};
 
-/// Why a node could not start.
+/// Why a controller could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// An address can't be used.
-    #[error("can't listen on {0}: {1}")]
-    Listen(String, String),
-    /// No thread for an actor.
+    /// An address can't be listened on.
+    #[error("can't listen on {address}: {reason}")]
+    Listen {
+        /// The address.
+        address: String,
+        /// The error of the operating system.
+        reason: String,
+    },
+    /// The thread of an actor can't be started.
     #[error("can't start a thread: {0}")]
-    Thread(std::io::Error),
+    Thread(#[source] std::io::Error),
 }
 
-/// Runs a node until the process ends.
+/// Runs a controller until the process ends.
 pub async fn run(settings: Settings, operator: OperatorSettings) -> Result<(), StartError> {
-    let params = settings.platform.clone();
-    let label = settings.controller_name.clone();
-    let patience = leader_timeout_ms(params.workers.heartbeat_interval_s, params.workers.lease_s);
-    let connections = ConnectionTable::for_machine(
-        params.machine_limits.max_sockets,
-        params.workers.heartbeat_interval_s,
-    );
-    let clock = Clock::default();
-    let rps = params.state.rps;
-    let client = |share: f64| StoreClient::new(&settings.endpoints.state, rps * share);
-    let stores = StoreClients {
-        submissions: client(constants::SUBMISSION_REQUEST_SHARE)
-            .with_queue_limit(constants::SUBMISSION_QUEUE_LIMIT_MS),
-        queries: client(constants::STATUS_REQUEST_SHARE).with_queue_limit(0),
-    };
-    let cloud =
-        CloudClient::new(&settings.endpoints.cloud, params.cloud.rps * constants::CLOUD_RATE_SHARE);
-    let (view_tx, view) = watch::channel(LeadershipView::default());
-    let (machine_types_tx, machine_types) = watch::channel(None);
-    let (node_tx, asks) = mpsc::channel(constants::CHANNEL_CAPACITY);
-    let validity = Arc::new(LeadershipLease::default());
-    let doubt = Arc::new(Notify::new());
-    let signals = StandbySignals::default();
-
-    let addresses = settings.peers.iter().map(|s| (s.name.clone(), s.address.clone())).collect();
-    let api = Arc::new(ApiService::new(
-        params.clone(),
-        label.clone(),
-        stores,
-        Peers::new(addresses),
-        node_tx,
-        view.clone(),
-        machine_types.clone(),
-    ));
-    let peer_listener = tokio::net::TcpListener::bind(&settings.peer_bind)
-        .await
-        .map_err(|e| StartError::Listen(settings.peer_bind.clone(), e.to_string()))?;
-    let acceptor = TcpListener::new(settings.api_addr.clone())
-        .try_bind()
-        .await
-        .map_err(|e| StartError::Listen(settings.api_addr.clone(), e.to_string()))?;
-
-    let leadership = Leadership::new(LeadershipConfig {
-        controller_name: label.clone(),
-        store: client(constants::LEADERSHIP_REQUEST_SHARE),
-        clock,
-        lease: validity.clone(),
-        view: view_tx,
-        leadership_lost: doubt.clone(),
-        leader_suspected: signals.leader_suspected.clone(),
-        lease_ms: operator.replication.leader_lease_ms,
-        has_warm_copy: signals.has_warm_copy.clone(),
-    });
-    let standby = Standby::new(&label, operator.replication.standby, signals);
-    let controller_networks = operator.replication.controller_networks.clone();
-    let node = ControllerActor::new(ControllerActorConfig {
-        cluster: ControllerConfig {
-            controller_name: label.clone(),
-            zone: settings.zone.clone(),
-            peers: settings.peers.iter().map(|s| (s.name.clone(), s.zone.clone())).collect(),
-            platform: params,
-            operator,
-        },
-        store: client(constants::CONTROLLER_REQUEST_SHARE),
-        cloud: cloud.clone(),
-        workers: WorkerClient::default(),
-        clock,
-        lease: validity,
-        view,
-        leadership_lost: doubt,
-        machine_types,
-        requests: asks,
-        final_states: api.final_states.clone(),
-        shard_lessee: ShardLessee::new(&label, rand::random(), patience),
-        standby,
-    });
-    // The lease must be extended and users answered whatever a round of the ledger takes: each of the
-    // three has a thread of its own.
-    on_a_thread("leadership", leadership.run()).map_err(StartError::Thread)?;
-    on_a_thread("ledger", node.run()).map_err(StartError::Thread)?;
-    tokio::spawn(read_machine_types(cloud, machine_types_tx));
-    tokio::spawn(peers::serve(peer_listener, api.clone(), controller_networks));
-    let holder = api.clone();
-    tokio::spawn(async move { holder.renew_shard_lease_loop().await });
-    let follower = api.clone();
-    tokio::spawn(async move { follower.follow_leader_loop().await });
-    log_settings(&settings.platform);
-    tracing::info!("{label}: serving on {}", settings.api_addr);
-    Server::new(acceptor).fuse_policy(connections).serve(http::service(api)).await;
+    let listeners = Listeners::bind(&settings).await?;
+    let (view_sender, view) = watch::channel(LeadershipView::default());
+    let (machine_types_sender, machine_types) = watch::channel(None);
+    let (request_sender, requests) = mpsc::channel(constants::CHANNEL_CAPACITY);
+    let controller = ControllerHandle::new(request_sender);
+    let parts = Parts::new(settings, operator, view, machine_types);
+
+    // The lease must be extended and users answered however long a scheduling round takes, so each
+    // of the actors has a thread of its own.
+    run_on_thread("leadership", parts.leadership(view_sender).run())?;
+    run_on_thread("controller", parts.controller_actor(requests).run())?;
+    tokio::spawn(read_machine_types(parts.cloud.clone(), machine_types_sender));
+    let sync = parts.leader_sync(controller.clone());
+    tokio::spawn(sync.clone().renew_shard_lease());
+    tokio::spawn(sync.follow_leader());
+    let api = Arc::new(parts.api(controller));
+    let networks = parts.operator.replication.controller_networks.clone();
+    tokio::spawn(peers::serve(listeners.peers, api.clone(), networks));
+
+    log_platform_settings(&parts.settings.platform);
+    let (controller, address) = (&parts.settings.controller_name, &parts.settings.api_addr);
+    tracing::info!(controller, address, "serving");
+    Server::new(listeners.api)
+        .fuse_policy(parts.connection_table())
+        .serve(http::service(api))
+        .await;
     Ok(())
 }
 
-/// Says what teams may use and what is expected of classes.
-fn log_settings(params: &PlatformSettings) {
-    for t in &params.teams {
+/// The sockets that a controller listens on.
+struct Listeners {
+    api: TcpAcceptor,
+    peers: tokio::net::TcpListener,
+}
+
+impl Listeners {
+    async fn bind(settings: &Settings) -> Result<Self, StartError> {
+        let failed = |address: &str, reason: String| StartError::Listen {
+            address: address.to_owned(),
+            reason,
+        };
+        let peers = tokio::net::TcpListener::bind(&settings.peer_bind)
+            .await
+            .map_err(|error| failed(&settings.peer_bind, error.to_string()))?;
+        let api = TcpListener::new(settings.api_addr.clone())
+            .try_bind()
+            .await
+            .map_err(|error| failed(&settings.api_addr, error.to_string()))?;
+        Ok(Self { api, peers })
+    }
+}
+
+/// What several actors and services of a controller share.
+struct Parts {
+    settings: Settings,
+    operator: OperatorSettings,
+    clock: Clock,
+    cloud: CloudClient,
+    peers: Arc<Peers>,
+    lease: Arc<LeadershipLease>,
+    leadership_lost: Arc<Notify>,
+    standby_signals: StandbySignals,
+    final_states: Arc<FinalStateCache>,
+    view: watch::Receiver<LeadershipView>,
+    machine_types: watch::Receiver<MachineTypes>,
+}
+
+impl Parts {
+    fn new(
+        settings: Settings,
+        operator: OperatorSettings,
+        view: watch::Receiver<LeadershipView>,
+        machine_types: watch::Receiver<MachineTypes>,
+    ) -> Self {
+        let cloud_rps = settings.platform.cloud.rps * constants::CLOUD_RATE_SHARE;
+        let addresses =
+            settings.peers.iter().map(|peer| (peer.name.clone(), peer.address.clone())).collect();
+        Self {
+            cloud: CloudClient::new(&settings.endpoints.cloud, cloud_rps),
+            peers: Arc::new(Peers::new(addresses)),
+            settings,
+            operator,
+            clock: Clock::default(),
+            lease: Arc::default(),
+            leadership_lost: Arc::default(),
+            standby_signals: StandbySignals::default(),
+            final_states: Arc::default(),
+            view,
+            machine_types,
+        }
+    }
+
+    /// A client of the state service with this share of the request rate.
+    fn store_client(&self, rate_share: f64) -> StoreClient {
+        let rps = self.settings.platform.state.rps * rate_share;
+        StoreClient::new(&self.settings.endpoints.state, rps)
+    }
+
+    fn leadership(&self, view: watch::Sender<LeadershipView>) -> Leadership {
+        Leadership::new(LeadershipConfig {
+            controller_name: self.settings.controller_name.clone(),
+            store: self.store_client(constants::LEADERSHIP_REQUEST_SHARE),
+            clock: self.clock,
+            lease: self.lease.clone(),
+            view,
+            leadership_lost: self.leadership_lost.clone(),
+            leader_suspected: self.standby_signals.leader_suspected.clone(),
+            lease_ms: self.operator.replication.leader_lease_ms,
+            has_warm_copy: self.standby_signals.has_warm_copy.clone(),
+        })
+    }
+
+    fn controller_actor(&self, requests: mpsc::Receiver<ControllerRequest>) -> ControllerActor {
+        let settings = &self.settings;
+        let name = &settings.controller_name;
+        let workers = &settings.platform.workers;
+        let leader_timeout_ms = leader_timeout_ms(workers.heartbeat_interval_s, workers.lease_s);
+        let follows = self.operator.replication.standby;
+        let peer_zone =
+            |peer: &crate::settings::PeerController| (peer.name.clone(), peer.zone.clone());
+        ControllerActor::new(ControllerActorConfig {
+            cluster: ControllerConfig {
+                controller_name: name.clone(),
+                zone: settings.zone.clone(),
+                peers: settings.peers.iter().map(peer_zone).collect(),
+                platform: settings.platform.clone(),
+                operator: self.operator.clone(),
+            },
+            store: self.store_client(constants::CONTROLLER_REQUEST_SHARE),
+            cloud: self.cloud.clone(),
+            workers: WorkerClient::default(),
+            clock: self.clock,
+            lease: self.lease.clone(),
+            view: self.view.clone(),
+            leadership_lost: self.leadership_lost.clone(),
+            machine_types: self.machine_types.clone(),
+            requests,
+            final_states: self.final_states.clone(),
+            shard_lessee: ShardLessee::new(name, rand::random(), leader_timeout_ms),
+            standby: Standby::new(name, follows, self.standby_signals.clone()),
+        })
+    }
+
+    fn api(&self, controller: ControllerHandle) -> ApiService {
+        let stores = StoreClients {
+            submissions: self
+                .store_client(constants::SUBMISSION_REQUEST_SHARE)
+                .with_queue_limit(constants::SUBMISSION_QUEUE_LIMIT_MS),
+            queries: self.store_client(constants::STATUS_REQUEST_SHARE).with_queue_limit(0),
+        };
+        ApiService::new(ApiServiceConfig {
+            platform: self.settings.platform.clone(),
+            stores,
+            peers: self.peers.clone(),
+            controller,
+            view: self.view.clone(),
+            machine_types: self.machine_types.clone(),
+            final_states: self.final_states.clone(),
+        })
+    }
+
+    fn leader_sync(&self, controller: ControllerHandle) -> LeaderSync {
+        LeaderSync {
+            controller_name: self.settings.controller_name.clone(),
+            controller,
+            peers: self.peers.clone(),
+            view: self.view.clone(),
+        }
+    }
+
+    fn connection_table(&self) -> ConnectionTable {
+        let platform = &self.settings.platform;
+        ConnectionTable::for_machine(
+            platform.machine_limits.max_sockets,
+            platform.workers.heartbeat_interval_s,
+        )
+    }
+}
+
+/// Logs the quotas of teams and the service level objectives.
+fn log_platform_settings(platform: &PlatformSettings) {
+    for team in &platform.teams {
         tracing::info!(
-            "team {}: {} CPUs and {} GPUs guaranteed, at most {} and {} (0: none)",
-            t.name,
-            t.cpus,
-            t.gpus,
-            t.cpus_max,
-            t.gpus_max
+            team = team.name,
+            cpus = team.cpus,
+            gpus = team.gpus,
+            max_cpus = team.cpus_max,
+            max_gpus = team.gpus_max,
+            "team with guarantee and limit (0: none)"
         );
     }
-    for o in &params.objectives {
-        let class = o.class.as_deref().unwrap_or("-");
-        tracing::debug!("aim: {} of {class} within {:?} s", o.kind, o.within_s);
+    for objective in &platform.objectives {
+        tracing::debug!(
+            kind = objective.kind,
+            class = objective.class,
+            within_s = objective.within_s,
+            "service level objective"
+        );
     }
 }
 
 /// Runs an actor on a thread of its own until the process ends.
-fn on_a_thread(
+fn run_on_thread(
     name: &str,
     actor: impl Future<Output = ()> + Send + 'static,
-) -> std::io::Result<()> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+) -> Result<(), StartError> {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(StartError::Thread)?;
     let run = move || runtime.block_on(actor);
-    std::thread::Builder::new().name(name.into()).spawn(run).map(drop)
+    let spawned = std::thread::Builder::new().name(name.into()).spawn(run);
+    spawned.map(drop).map_err(StartError::Thread)
 }
 
-/// Keeps the machine types and their prices up to date.
-async fn read_machine_types(cloud: CloudClient, out: watch::Sender<Option<Arc<Vec<MachineType>>>>) {
+/// Reads the machine types and their prices periodically, until the process ends.
+async fn read_machine_types(cloud: CloudClient, sender: watch::Sender<MachineTypes>) {
     loop {
-        let wait = match cloud.machine_types().await {
+        let delay_ms = match cloud.machine_types().await {
             Ok(machine_types) => {
-                let _ = out.send(Some(Arc::new(machine_types)));
+                let _ = sender.send(Some(Arc::new(machine_types)));
                 constants::MACHINE_TYPES_INTERVAL_MS
             }
-            Err(e) => {
-                tracing::debug!("machine types: {e}");
+            Err(error) => {
+                tracing::debug!(%error, "reading the machine types failed");
                 constants::MACHINE_TYPES_RETRY_MS
             }
         };
-        tokio::time::sleep(Duration::from_millis(wait)).await;
+        tokio::time::sleep(Duration::from_millis(delay_ms)).await;
     }
 }
--- a/crates/controller/tests/api.rs
+++ b/crates/controller/tests/api.rs
@@ -3,12 +3,12 @@
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_clients::StoreClient;
-use hookway_controller::actor::{ControllerRequest, HeartbeatReply};
-use hookway_controller::api_service::{ApiService, StoreClients};
+use hookway_controller::actor::{ControllerHandle, ControllerRequest, HeartbeatReply};
+use hookway_controller::api::{ApiService, ApiServiceConfig, Origin, StoreClients};
 use hookway_controller::cluster_state::{CancelOutcome, JobLookup};
 use hookway_controller::http::service;
 use hookway_controller::leadership::LeadershipView;
-use hookway_controller::peers::{PeerError, PeerRequest, PeerResponse, Peers};
+use hookway_controller::peers::{PeerError, PeerHandler, PeerRequest, PeerResponse, Peers};
 use hookway_controller::records::{JobRecord, job_key};
 use hookway_controller::request_outcome::RequestOutcome;
 use hookway_controller::settings::Settings;
@@ -156,15 +156,15 @@
     let peers = Peers::new(HashMap::from([("worker-1".into(), "127.0.0.1:1".into())]));
     let questions = StoreClient::new(store_at, polls_rate).with_queue_limit(0);
     let stores = StoreClients { submissions, queries: questions };
-    let api_service = ApiService::new(
-        settings.platform,
-        settings.controller_name,
+    let api_service = ApiService::new(ApiServiceConfig {
+        platform: settings.platform,
         stores,
-        peers,
-        tx,
+        peers: Arc::new(peers),
+        controller: ControllerHandle::new(tx),
         view,
         machine_types,
-    );
+        final_states: Arc::default(),
+    });
     Arc::new(api_service)
 }
 
@@ -374,9 +374,9 @@
 async fn decided_final_state_is_answered_without_state_service() {
     let api_service = api_service(Role::Leader, true, LeadershipView::default(), None, 0.1);
     let id = JobId::parse("req-000009").expect("an id");
-    api_service.final_states.remember(&known(&id, JobState::Done).into());
+    api_service.final_states().remember(&known(&id, JobState::Done).into());
     api_service
-        .final_states
+        .final_states()
         .remember(&known(&JobId::parse("req-000010").expect("an id"), JobState::Running).into());
     let api = service(api_service);
     let (status, text, _) = get(&api, "/api/jobs/req-000009").await;
@@ -414,7 +414,7 @@
     let id = JobId::parse("req-000001").expect("an id");
     let took = async || {
         let begun = Instant::now();
-        let verdict = api_service.status(&id, false).await;
+        let verdict = api_service.status(&id, Origin::Client).await;
         assert!(matches!(verdict, RequestOutcome::Unavailable(_)), "{verdict:?}");
         begun.elapsed()
     };
@@ -509,8 +509,8 @@
     let ask = |name: &str| {
         PeerRequest::Follow(FollowRequest { follower: name.into(), held: Held::Nothing })
     };
-    let answered = api_service.answer_peer(ask("worker-1")).await;
+    let answered = api_service.handle(ask("worker-1")).await;
     assert!(matches!(answered, PeerResponse::Followed(Some(_))), "{answered:?}");
-    let refused = api_service.answer_peer(ask("somebody")).await;
+    let refused = api_service.handle(ask("somebody")).await;
     assert_eq!(refused, PeerResponse::Followed(None));
 }
--- a/crates/controller/tests/controller_actor.rs
+++ b/crates/controller/tests/controller_actor.rs
@@ -3,8 +3,10 @@
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
-use hookway_controller::actor::{ControllerActor, ControllerActorConfig, ControllerRequest};
-use hookway_controller::api_service::{ApiService, StoreClients};
+use hookway_controller::actor::{
+    ControllerActor, ControllerActorConfig, ControllerHandle, ControllerRequest,
+};
+use hookway_controller::api::{ApiService, ApiServiceConfig, Origin, StoreClients};
 use hookway_controller::cluster_state::ControllerConfig;
 use hookway_controller::leadership::{
     Clock, Leadership, LeadershipConfig, LeadershipLease, LeadershipView,
@@ -35,6 +37,7 @@
 /// A running controller.
 struct RunningController {
     api_service: Arc<ApiService>,
+    requests: mpsc::Sender<ControllerRequest>,
     view: watch::Receiver<LeadershipView>,
 }
 
@@ -56,15 +59,16 @@
     let addresses: HashMap<String, String> =
         siblings.iter().map(|(l, a)| ((*l).to_owned(), (*a).to_owned())).collect();
     let stores = StoreClients { submissions: client(), queries: client() };
-    let api_service = Arc::new(ApiService::new(
-        settings.platform.clone(),
-        label.into(),
+    let final_states = Arc::default();
+    let api_service = Arc::new(ApiService::new(ApiServiceConfig {
+        platform: settings.platform.clone(),
         stores,
-        Peers::new(addresses),
-        node_tx,
-        view.clone(),
-        machine_types_rx.clone(),
-    ));
+        peers: Arc::new(Peers::new(addresses)),
+        controller: ControllerHandle::new(node_tx.clone()),
+        view: view.clone(),
+        machine_types: machine_types_rx.clone(),
+        final_states: Arc::clone(&final_states),
+    }));
     let node = ControllerActor::new(ControllerActorConfig {
         cluster: ControllerConfig {
             controller_name: label.into(),
@@ -82,7 +86,7 @@
         leadership_lost: doubt.clone(),
         machine_types: machine_types_rx,
         requests: asks,
-        final_states: api_service.final_states.clone(),
+        final_states,
         shard_lessee: ShardLessee::new(label, 1, 1_000),
         standby: Standby::new(label, true, signals.clone()),
     });
@@ -106,7 +110,7 @@
     } else {
         std::mem::forget(view_tx);
     }
-    RunningController { api_service, view }
+    RunningController { api_service, requests: node_tx, view }
 }
 
 async fn within<T>(work: impl Future<Output = T>) -> T {
@@ -116,14 +120,13 @@
 /// Accepts the job and waits until the leader knows it.
 async fn accepted(one: &mut RunningController) -> JobId {
     one.view.wait_for(|v| v.own_term.is_some()).await.expect("the actor lives");
-    let verdict = one.api_service.submit(JOB.as_bytes(), false).await;
+    let verdict = one.api_service.submit(JOB.as_bytes(), Origin::Client).await;
     assert!(matches!(verdict, RequestOutcome::Accepted(_)), "{verdict:?}");
     let id = JobId::parse("req-000412").expect("an id");
     // Its cluster state has been loaded.
     let known = async || {
         let (reply, answer) = oneshot::channel();
-        one.api_service
-            .controller
+        one.requests
             .send(ControllerRequest::Status { job: id.clone(), reply })
             .await
             .expect("the actor lives");
@@ -145,14 +148,16 @@
         let mut one = start("one", &address, &[], true).await;
         let id = accepted(&mut one).await;
         server.refuse(true);
-        let verdict = within(one.api_service.cancel(&id, false)).await;
+        let verdict = within(one.api_service.cancel(&id, Origin::Client)).await;
         assert!(matches!(verdict, RequestOutcome::Unavailable(_)), "{verdict:?}");
         assert!(server.with(|store| store.get(&final_state_key(&id))).is_none());
         server.refuse(false);
         // The decision stayed in the queue; whoever asks again learns the outcome.
         let told = within(async {
             loop {
-                if let RequestOutcome::Known(told) = one.api_service.cancel(&id, false).await {
+                if let RequestOutcome::Known(told) =
+                    one.api_service.cancel(&id, Origin::Client).await
+                {
                     break told;
                 }
             }
@@ -177,16 +182,16 @@
         tokio::spawn(peers::serve(listener, two.api_service.clone(), Networks::default()));
         let mut one = start("one", &address, &[("two", &there)], true).await;
         let id = accepted(&mut one).await;
-        assert!(!two.api_service.final_states.contains(&id));
-        let verdict = within(one.api_service.cancel(&id, false)).await;
+        assert!(!two.api_service.final_states().contains(&id));
+        let verdict = within(one.api_service.cancel(&id, Origin::Client)).await;
         assert!(matches!(verdict, RequestOutcome::Known(_)), "{verdict:?}");
         within(async {
-            while !two.api_service.final_states.contains(&id) {
+            while !two.api_service.final_states().contains(&id) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         })
         .await;
-        let RequestOutcome::Known(told) = two.api_service.status(&id, false).await else {
+        let RequestOutcome::Known(told) = two.api_service.status(&id, Origin::Client).await else {
             panic!("it knows the end without the state service")
         };
         assert_eq!(told.state, JobState::Cancelled);
@@ -208,19 +213,22 @@
         tokio::spawn(peers::serve(listener, two.api_service.clone(), Networks::default()));
         let one = start("one", NOWHERE, &[("two", &there)], false).await;
         let first = JobId::parse("req-000412").expect("an id");
-        let verdict = within(one.api_service.submit(JOB.as_bytes(), false)).await;
+        let verdict = within(one.api_service.submit(JOB.as_bytes(), Origin::Client)).await;
         assert!(matches!(verdict, RequestOutcome::Accepted(_)), "{verdict:?}");
-        let verdict = within(one.api_service.status(&first, false)).await;
+        let verdict = within(one.api_service.status(&first, Origin::Client)).await;
         assert!(matches!(verdict, RequestOutcome::Known(told) if told.state == JobState::Queued));
-        let verdict = within(one.api_service.cancel(&first, false)).await;
+        let verdict = within(one.api_service.cancel(&first, Origin::Client)).await;
         assert!(
             matches!(verdict, RequestOutcome::Known(told) if told.state == JobState::Cancelled)
         );
         let absent = JobId::parse("req-000999").expect("an id");
-        assert_eq!(within(one.api_service.status(&absent, false)).await, RequestOutcome::NotFound);
+        assert_eq!(
+            within(one.api_service.status(&absent, Origin::Client)).await,
+            RequestOutcome::NotFound
+        );
         // While the state service is away for all, nobody knows.
         server.refuse(true);
-        let verdict = within(one.api_service.status(&absent, false)).await;
+        let verdict = within(one.api_service.status(&absent, Origin::Client)).await;
         assert!(matches!(verdict, RequestOutcome::Unavailable(_)), "{verdict:?}");
     };
     LocalSet::new().run_until(work).await;
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -7,12 +7,13 @@
 
 use formats_support::{fixture, frame, id, json, spec, status};
 use hookway_controller::frame::{self, CURRENT, FrameVersion};
+use hookway_controller::job_snapshot::JobSnapshot;
 use hookway_controller::peers::{PeerRequest, PeerResponse};
 use hookway_controller::records::{
     ClassRecord, FinalRecord, ImagesRecord, JobRecord, JobSchedulingRecord, LeaderRecord,
     MachineRegistryEntry, MachineRegistryRecord, ProgressRecord, SharedStartWatermarksRecord,
 };
-use hookway_controller::request_outcome::{JobSnapshot, RequestOutcome};
+use hookway_controller::request_outcome::RequestOutcome;
 use hookway_controller::shard_lease::{ShardLease, ShardLeaseAcknowledgement, ShardLeaseRenewal};
 use hookway_policy::Resources;
 use hookway_replication::{
@@ -128,7 +129,10 @@
     frame("answer-known-running", &verdict(RequestOutcome::Known(told(JobState::Running))));
     frame("answer-known-done", &verdict(RequestOutcome::Known(told(JobState::Done))));
     frame("answer-absent", &verdict(RequestOutcome::NotFound));
-    frame("answer-refused", &verdict(RequestOutcome::Rejected(422, "no room".into())));
+    frame(
+        "answer-refused",
+        &verdict(RequestOutcome::Rejected { status: 422, reason: "no room".into() }),
+    );
     frame("answer-later", &verdict(RequestOutcome::Unavailable("not now".into())));
     let lease = ShardLease {
         term: 4_097,
--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -5,13 +5,13 @@
 mod formats_support;
 
 use formats_support::{fixture, frame, json, spec, status};
+use hookway_controller::job_snapshot::JobSnapshot;
 use hookway_controller::leadership::LeadershipView;
 use hookway_controller::peers::{PeerRequest, PeerResponse, Peers};
 use hookway_controller::records::{
     ClassRecord, FinalRecord, ImagesRecord, JobRecord, JobSchedulingRecord, MachineRegistryEntry,
     MachineRegistryRecord, ProgressRecord, SharedStartWatermarksRecord,
 };
-use hookway_controller::request_outcome::JobSnapshot;
 use hookway_controller::standby::{Standby, StandbySignals};
 use hookway_policy::Resources;
 use hookway_replication::{
--- a/crates/controller/tests/http_routes.rs
+++ b/crates/controller/tests/http_routes.rs
@@ -3,7 +3,8 @@
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_clients::StoreClient;
-use hookway_controller::api_service::{ApiService, StoreClients};
+use hookway_controller::actor::ControllerHandle;
+use hookway_controller::api::{ApiService, ApiServiceConfig, StoreClients};
 use hookway_controller::http::service;
 use hookway_controller::leadership::LeadershipView;
 use hookway_controller::peers::Peers;
@@ -36,15 +37,15 @@
     let client = || StoreClient::new(store, 2_000.0);
     let stores = StoreClients { submissions: client(), queries: client() };
     let peers = Peers::new(HashMap::new());
-    let desk = ApiService::new(
-        settings.platform,
-        settings.controller_name,
+    let desk = ApiService::new(ApiServiceConfig {
+        platform: settings.platform,
         stores,
-        peers,
-        node,
+        peers: Arc::new(peers),
+        controller: ControllerHandle::new(node),
         view,
-        types,
-    );
+        machine_types: types,
+        final_states: Arc::default(),
+    });
     service(Arc::new(desk))
 }
 
--- a/crates/controller/tests/store_keys.rs
+++ b/crates/controller/tests/store_keys.rs
@@ -5,7 +5,9 @@
 
 use harness::{LeaderHarness, job, small_worker};
 use hookway_clients::StoreClient;
-use hookway_controller::leadership::{Clock, Leadership, LeadershipLease, LeadershipView};
+use hookway_controller::leadership::{
+    Clock, Leadership, LeadershipConfig, LeadershipLease, LeadershipView,
+};
 use hookway_controller::records;
 use hookway_testkit::StoreServer;
 use hookway_wire::{ExitCause, JobId};
@@ -77,7 +79,7 @@
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let (view_tx, mut view) = watch::channel(LeadershipView::default());
-    let leadership = Leadership {
+    let leadership = Leadership::new(LeadershipConfig {
         controller_name: "worker-0".into(),
         store: StoreClient::new(&address, 1_000.0),
         clock: Clock::default(),
@@ -87,7 +89,7 @@
         leader_suspected: Arc::new(Notify::new()),
         lease_ms: 5_000,
         has_warm_copy: Arc::default(),
-    };
+    });
     tokio::spawn(leadership.run());
     let leads = view.wait_for(|v| v.own_term.is_some());
     let mandate = tokio::time::timeout(Duration::from_secs(10), leads).await.expect("in time");
