--- a/crates/controller/src/networks.rs
+++ b/crates/controller/src/networks.rs
@@ -1,29 +1,38 @@
-//! Networks that operators name, and whether an address is in one of them.
+//! Sets of IP networks that operators allow addresses from.
 
 use ipnet::IpNet;
 use std::net::{IpAddr, SocketAddr};
 
-/// IP networks; without any, every address is allowed.
+/// A list of networks could not be parsed.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+#[error("{network:?} is no network such as 10.0.0.0/24")]
+pub struct NetworksError {
+    /// The part of the list that is not a network.
+    pub network: String,
+}
+
+/// A set of IP networks. The empty set allows every address.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Networks(Vec<IpNet>);
 
 impl Networks {
-    /// From a list such as `10.0.0.0/24, 10.1.0.0/16`. The error names the part that is no network.
-    pub fn parse(list: &str) -> Result<Self, String> {
+    /// Parses a list such as `10.0.0.0/24, 10.1.0.0/16`.
+    pub fn parse(list: &str) -> Result<Self, NetworksError> {
         let parse = |part: &str| {
-            let part = part.trim();
-            part.parse::<IpNet>().map_err(|_| format!("{part:?} is no network such as 10.0.0.0/24"))
+            let network = part.trim();
+            network.parse().map_err(|_| NetworksError { network: network.to_owned() })
         };
         let networks: Vec<IpNet> = list.split(',').map(parse).collect::<Result<_, _>>()?;
         Ok(Self(IpNet::aggregate(&networks)))
     }
 
-    /// Whether an address is in one of them.
+    /// Whether an IP address is allowed.
     pub fn allow(&self, address: IpAddr) -> bool {
         self.0.is_empty() || self.0.iter().any(|network| network.contains(&address))
     }
 
-    /// Whether an address with a port is in one of them. What is no such address is in none.
+    /// Whether an address with a port, such as `10.0.0.1:9000`, is allowed. Text that is no such
+    /// address is allowed by the empty set only.
     pub fn allow_socket(&self, address: &str) -> bool {
         self.0.is_empty()
             || address.parse::<SocketAddr>().is_ok_and(|address| self.allow(address.ip()))
--- a/crates/controller/src/networks/tests.rs
+++ b/crates/controller/src/networks/tests.rs
@@ -15,6 +15,6 @@
 fn invalid_network_is_rejected_by_name() {
     for wrong in ["10.0.0.0/33", "10.0.0.0/24,", "nowhere", "10.0.0/24", "fd00::/129"] {
         let part = wrong.split(',').next_back().unwrap();
-        assert!(Networks::parse(wrong).unwrap_err().contains(part), "{wrong}");
+        assert!(Networks::parse(wrong).unwrap_err().to_string().contains(part), "{wrong}");
     }
 }
--- /dev/null
+++ b/crates/controller/src/settings/operator.rs
@@ -0,0 +1,149 @@
+//! The operators' settings, an INI file. Every key is optional; unknown keys are rejected.
+
+use super::{ConfigError, SettingError};
+use crate::networks::Networks;
+use hookway_constants as constants;
+use std::ops::RangeInclusive;
+use std::path::Path;
+
+/// The range of times other than the length of the leadership lease, s.
+const TIME_RANGE_S: RangeInclusive<f64> = 1.0..=86_400.0;
+
+/// The operators' settings.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct OperatorSettings {
+    /// `[fleet] idle_return_s`: idle time after which a machine is scaled in, ms. `None`: derived
+    /// from the machine type.
+    pub idle_return_ms: Option<u64>,
+    /// `[fleet] most_machines`: maximum number of machines at a time.
+    pub max_machines: usize,
+    /// `[scheduling] block_lease_s`: length of a shard lease, ms.
+    pub shard_lease_ms: u64,
+    /// `[replication]`.
+    pub replication: ReplicationSettings,
+}
+
+impl Default for OperatorSettings {
+    fn default() -> Self {
+        Self {
+            idle_return_ms: None,
+            max_machines: usize::MAX,
+            shard_lease_ms: constants::SHARD_LEASE_MS,
+            replication: ReplicationSettings::default(),
+        }
+    }
+}
+
+impl OperatorSettings {
+    /// Reads and checks an INI file.
+    pub fn load(path: &Path) -> Result<Self, ConfigError> {
+        super::load(path, Self::parse)
+    }
+
+    /// Parses and checks the text of an INI file.
+    pub fn parse(text: &str) -> Result<Self, SettingError> {
+        let ini = ini::Ini::load_from_str(text)?;
+        let mut settings = Self::default();
+        for (section, properties) in ini.iter() {
+            for (key, value) in properties.iter() {
+                let name = format!("[{}] {key}", section.unwrap_or(""));
+                settings.set(section, key, value.trim(), name)?;
+            }
+        }
+        Ok(settings)
+    }
+
+    /// Sets one key. `name` is the setting in error messages.
+    fn set(
+        &mut self,
+        section: Option<&str>,
+        key: &str,
+        value: &str,
+        name: String,
+    ) -> Result<(), SettingError> {
+        match (section, key) {
+            (Some("fleet"), "idle_return_s") => {
+                self.idle_return_ms = Some(parse_time(value, name)?)
+            }
+            (Some("fleet"), "most_machines") => {
+                self.max_machines =
+                    value.parse().map_err(|_| SettingError::NotAWholeNumber(name))?;
+            }
+            (Some("scheduling"), "block_lease_s") => {
+                self.shard_lease_ms = parse_time(value, name)?;
+            }
+            (Some("replication"), key) => self.replication.set(key, value, name)?,
+            _ => return Err(SettingError::Unknown(name)),
+        }
+        Ok(())
+    }
+}
+
+/// `[replication]`: how controllers follow the leader.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct ReplicationSettings {
+    /// `standby`: whether followers keep a copy of the leader's cluster state.
+    pub standby: bool,
+    /// `leader_lease_s`: length of the leadership lease, ms. A new leader can't be elected before
+    /// the lease of the previous one has expired.
+    pub leader_lease_ms: u64,
+    /// `controller_networks`: where connections of other controllers are accepted from.
+    pub controller_networks: Networks,
+    /// `worker_networks`: the addresses of workers that a new leader accepts from its copy.
+    pub worker_networks: Networks,
+}
+
+impl Default for ReplicationSettings {
+    fn default() -> Self {
+        Self {
+            standby: constants::STANDBY_DEFAULT,
+            leader_lease_ms: constants::LEADER_TTL_MS,
+            controller_networks: Networks::default(),
+            worker_networks: Networks::default(),
+        }
+    }
+}
+
+impl ReplicationSettings {
+    fn set(&mut self, key: &str, value: &str, name: String) -> Result<(), SettingError> {
+        match key {
+            "standby" => {
+                self.standby = match value {
+                    "on" => true,
+                    "off" => false,
+                    _ => return Err(SettingError::NotASwitch(name)),
+                }
+            }
+            "leader_lease_s" => self.leader_lease_ms = parse_leader_lease(value, name)?,
+            "controller_networks" => self.controller_networks = parse_networks(value, name)?,
+            "worker_networks" => self.worker_networks = parse_networks(value, name)?,
+            _ => return Err(SettingError::Unknown(name)),
+        }
+        Ok(())
+    }
+}
+
+/// Parses a time in s; returns it in ms.
+fn parse_time(value: &str, name: String) -> Result<u64, SettingError> {
+    let Ok(seconds) = value.parse::<f64>() else { return Err(SettingError::NotANumber(name)) };
+    if !TIME_RANGE_S.contains(&seconds) {
+        let (min_s, max_s) = (*TIME_RANGE_S.start() as u64, *TIME_RANGE_S.end() as u64);
+        return Err(SettingError::OutOfRange { name, min_s, max_s });
+    }
+    Ok((seconds * 1_000.0) as u64)
+}
+
+/// Parses the length of the leadership lease in s; returns it in ms.
+fn parse_leader_lease(value: &str, name: String) -> Result<u64, SettingError> {
+    let (min_ms, max_ms) = constants::LEADER_TTL_RANGE_MS.into_inner();
+    let lease_ms = value.parse().unwrap_or(f64::NAN) * 1_000.0;
+    if !(min_ms as f64..=max_ms as f64).contains(&lease_ms) {
+        let (min_s, max_s) = (min_ms / 1_000, max_ms / 1_000);
+        return Err(SettingError::OutOfRange { name, min_s, max_s });
+    }
+    Ok(lease_ms as u64)
+}
+
+fn parse_networks(value: &str, name: String) -> Result<Networks, SettingError> {
+    Networks::parse(value).map_err(|source| SettingError::Networks { name, source })
+}
--- a/crates/controller/src/settings/tests.rs
+++ b/crates/controller/src/settings/tests.rs
@@ -5,26 +5,28 @@
 fn unknown_settings_are_ignored_and_invalid_ones_are_named() {
     assert!(Settings::parse(SETTINGS).is_ok());
     let broken = SETTINGS.replace("lease_s = 14.0", "");
-    assert!(Settings::parse(&broken).unwrap_err().contains("lease_s"));
+    assert!(Settings::parse(&broken).unwrap_err().to_string().contains("lease_s"));
     let broken = SETTINGS.replace("lease_s = 14.0", "lease_s = 'soon'");
-    assert!(Settings::parse(&broken).unwrap_err().contains("lease_s"));
+    assert!(Settings::parse(&broken).unwrap_err().to_string().contains("lease_s"));
     let broken = SETTINGS.replace("lease_s = 14.0", "lease_s = -1.0");
-    assert!(Settings::parse(&broken).unwrap_err().contains("lease_s"));
+    assert!(Settings::parse(&broken).unwrap_err().to_string().contains("lease_s"));
     let broken = format!("{SETTINGS}[settings.machine_limits]\nmax_sockets = 0\n");
-    assert!(Settings::parse(&broken).unwrap_err().contains("max_sockets"));
+    assert!(Settings::parse(&broken).unwrap_err().to_string().contains("max_sockets"));
     let broken = format!("{SETTINGS}[settings.machine_limits]\ncore_share = -0.1\n");
-    assert!(Settings::parse(&broken).unwrap_err().contains("core_share"));
+    assert!(Settings::parse(&broken).unwrap_err().to_string().contains("core_share"));
     let broken = SETTINGS.replace("list_lag_s = 4.0", "list_lag_s = nan");
-    assert!(Settings::parse(&broken).unwrap_err().contains("list_lag_s"));
+    assert!(Settings::parse(&broken).unwrap_err().to_string().contains("list_lag_s"));
     let broken = SETTINGS.replace("state = \"127.0.0.1:1\"", "state = \"nowhere\"");
-    assert!(Settings::parse(&broken).unwrap_err().contains("outside.state"));
+    assert!(Settings::parse(&broken).unwrap_err().to_string().contains("outside.state"));
 }
 
 #[test]
 fn unknown_operator_setting_is_rejected() {
     let found = OperatorSettings::parse("[fleet]\nidle_return_s = 30\n").unwrap();
     assert_eq!(found.idle_return_ms, Some(30_000));
-    assert!(OperatorSettings::parse("[fleet]\nidle = 30\n").unwrap_err().contains("idle"));
+    assert!(
+        OperatorSettings::parse("[fleet]\nidle = 30\n").unwrap_err().to_string().contains("idle")
+    );
     assert!(OperatorSettings::parse("[fleet]\nidle_return_s = soon\n").is_err());
 }
 
@@ -51,7 +53,7 @@
         "txn_ops = 2.5",
     ] {
         let broken = format!("{SETTINGS}[settings.state.next]\n{wrong}\n");
-        let why = Settings::parse(&broken).unwrap_err();
+        let why = Settings::parse(&broken).unwrap_err().to_string();
         let name = wrong.split(' ').next().unwrap();
         assert!(why.contains(name), "{wrong}: {why}");
     }
@@ -79,7 +81,7 @@
         "follow = on",
     ] {
         let name = wrong.split(' ').next().unwrap();
-        let why = read(wrong).unwrap_err();
+        let why = read(wrong).unwrap_err().to_string();
         assert!(why.contains(&format!("[replication] {name}")), "{wrong}: {why}");
     }
 }
--- a/crates/controller/tests/settings_keys.rs
+++ b/crates/controller/tests/settings_keys.rs
@@ -158,7 +158,7 @@
     for (place, line) in lines.iter().enumerate() {
         let Some((key, _)) = line.split_once(" = ") else { continue };
         let rest = [&lines[..place], &lines[place + 1..]].concat().join("\n");
-        let why = Settings::parse(&rest).unwrap_err();
+        let why = Settings::parse(&rest).unwrap_err().to_string();
         assert!(why.contains(&format!("missing field `{key}`")), "without {key}: {why}");
     }
     for (table, key) in [
@@ -167,7 +167,7 @@
         ("[[settings.teams]]\ncpus = 1.0\n", "name"),
         ("[[settings.objectives]]\nclass = 'cleanup'\n", "kind"),
     ] {
-        let why = Settings::parse(&format!("{LEAST}{table}")).unwrap_err();
+        let why = Settings::parse(&format!("{LEAST}{table}")).unwrap_err().to_string();
         assert!(why.contains(&format!("missing field `{key}`")), "without {key}: {why}");
     }
 }
