--- /dev/null
+++ b/crates/controller/src/records/mod.rs
@@ -0,0 +1,48 @@
+//! The records of the controllers in the state service, as JSON.
+//!
+//! | key | record |
+//! | --- | --- |
+//! | `lead/now` | [`LeaderRecord`]: the leader; attached to its lease |
+//! | `lead/term` | the highest fencing token so far; only grows |
+//! | `lead/marked` | the value of `lead/term` that the last leader with start watermarks wrote |
+//! | `j/<job>` | [`JobRecord`]: an accepted job that is not finished |
+//! | `f/<job>` | [`FinalRecord`]: the final state of a job; written once, never changed |
+//! | `p/<job>/<page>` | [`ProgressRecord`]: the completed tasks of a page of tasks |
+//! | `p/<job>/<page>/<task>` | the same from this task on, where a value can't hold a whole page |
+//! | `m/<job>` | [`JobSchedulingRecord`]: hints for the next leader, and the job's start watermark |
+//! | `m/shared-<n>` | [`SharedStartWatermarksRecord`]: small jobs whose tasks may have been started |
+//! | `r/record-<n>` | [`MachineRegistryRecord`]: machines that may have tasks |
+//! | `c/lanes` | [`ClassRecord`] by class of jobs: a hint for the next leader |
+//!
+//! Version 0.1.0 had `r/<machine>` and `i/<machine>` ([`ImagesRecord`]) instead of `r/record-<n>`.
+//! Both are read, and replaced.
+
+mod job;
+mod keys;
+mod leader;
+mod machine_registry;
+mod progress;
+mod scheduling;
+
+pub use job::{FinalRecord, JobRecord};
+pub use keys::{
+    CLASSES_KEY, FINAL_STATES_PREFIX, JOBS_PREFIX, LEADER_KEY, LEADER_PREFIX, LEADER_TERM_KEY,
+    LEADER_WATERMARKS_KEY, LEGACY_IMAGES_PREFIX, PROGRESS_PREFIX, REGISTRY_PREFIX,
+    SCHEDULING_PREFIX, final_state_key, job_key, parse_progress_key, parse_shared_watermarks_key,
+    progress_key, registry_key, scheduling_key, shared_watermarks_key,
+};
+pub use leader::LeaderRecord;
+pub use machine_registry::{ImagesRecord, MachineRegistryEntry, MachineRegistryRecord};
+pub use progress::ProgressRecord;
+pub use scheduling::{ClassRecord, JobSchedulingRecord, SharedStartWatermarksRecord};
+
+use serde::Serialize;
+
+/// Whether a record, as JSON, does not exceed the maximum size of a value, KiB.
+pub fn fits_value_limit(record: &impl Serialize, value_kb: f64) -> bool {
+    let length = serde_json::to_string(record).map_or(usize::MAX, |text| text.len());
+    length as f64 <= value_kb * 1024.0
+}
+
+#[cfg(test)]
+mod tests;
