--- a/crates/controller/src/connection_table.rs
+++ b/crates/controller/src/connection_table.rs
@@ -1,10 +1,9 @@
-//! The door: the connections that this node has accepted, as many as its sockets allow.
+//! The inbound connections of a controller, limited by its number of sockets.
 //!
-//! Each machine keeps one connection to the leader, users keep theirs, and a cut leaves behind
-//! connections whose other side is gone. When the table is full, the connection that has been quiet
-//! longest is closed: a worker or user opens a new one when it needs one. What is left over of the
-//! sockets stays for the state service, the cloud, the other controllers and the workers that are
-//! sent to.
+//! Each worker keeps one connection to the leader, users keep theirs, and a network partition leaves
+//! connections whose other side is gone. When the table is full, the connections that have been idle
+//! longest are closed: a worker or user opens a new one when needed. The remaining sockets are for
+//! the state service, the cloud, the other controllers and direct commands to workers.
 
 use hookway_constants as constants;
 use salvo::async_trait;
@@ -15,60 +14,130 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A connection that may be closed.
-struct OpenConnection {
-    last_ms: Arc<AtomicU64>,
-    ctrl: ConnCtrl,
+/// The policy that admits inbound connections and closes idle ones.
+#[derive(Clone)]
+pub struct ConnectionTable {
+    table: Arc<Connections>,
+    config: FuseConfig,
+}
+
+impl ConnectionTable {
+    /// Creates a table for `max_connections`, at least one. A connection without traffic for
+    /// `idle_timeout` is closed in any case.
+    pub fn new(max_connections: usize, idle_timeout: Duration) -> Self {
+        let table = Connections {
+            created_at: Instant::now(),
+            max_connections: max_connections.max(1),
+            held_sockets: AtomicUsize::new(0),
+            next_id: AtomicU64::new(0),
+            open: Mutex::default(),
+        };
+        let config = FuseConfig::default()
+            .with_http1_header_timeout(idle_timeout)
+            .with_connection_idle_timeout(idle_timeout);
+        Self { table: Arc::new(table), config }
+    }
+
+    /// Creates the table of a machine with `max_sockets`, a share of which stays for outbound
+    /// connections. The idle timeout exceeds the longest heartbeat interval of a worker.
+    pub fn for_machine(max_sockets: usize, heartbeat_interval_s: f64) -> Self {
+        let max_connections = (max_sockets as f64 * constants::INBOUND_SOCKET_SHARE) as usize;
+        let idle_timeout_s = (heartbeat_interval_s * constants::CONNECTION_IDLE_HEARTBEATS)
+            .max(constants::CONNECTION_IDLE_MIN_S);
+        Self::new(max_connections, Duration::from_secs_f64(idle_timeout_s))
+    }
+
+    /// The number of connections that hold a socket.
+    pub fn open_connections(&self) -> usize {
+        self.table.held_sockets.load(Ordering::Relaxed)
+    }
+}
+
+#[async_trait]
+impl FusePolicy for ConnectionTable {
+    /// Delays a new connection while the table is full; never refuses it.
+    async fn decide(&self, _: &FuseInfo) -> FuseAction {
+        while self.open_connections() >= self.table.max_connections {
+            self.table.close_idle(self.table.now_ms());
+            tokio::time::sleep(Duration::from_millis(constants::CONNECTION_TABLE_RETRY_MS)).await;
+        }
+        FuseAction::Accept(self.config)
+    }
+
+    fn observe(&self, _: &FuseInfo, ctrl: &ConnCtrl) -> Option<ArcConnObserver> {
+        let id = self.table.next_id.fetch_add(1, Ordering::Relaxed);
+        let last_traffic_ms = Arc::new(AtomicU64::new(self.table.now_ms()));
+        self.table.held_sockets.fetch_add(1, Ordering::Relaxed);
+        if let Ok(mut open) = self.table.open.lock() {
+            let connection =
+                OpenConnection { last_traffic_ms: last_traffic_ms.clone(), ctrl: ctrl.clone() };
+            open.insert(id, connection);
+        }
+        Some(Arc::new(ConnectionActivity { id, table: self.table.clone(), last_traffic_ms }))
+    }
 }
 
 struct Connections {
-    start: Instant,
+    created_at: Instant,
     max_connections: usize,
-    /// Connections that hold a socket, those included that are being closed.
+    /// Connections that hold a socket, including those that are being closed.
     held_sockets: AtomicUsize,
     next_id: AtomicU64,
     open: Mutex<HashMap<u64, OpenConnection>>,
 }
 
+/// A connection that can be closed.
+struct OpenConnection {
+    /// See [`Connections::now_ms`].
+    last_traffic_ms: Arc<AtomicU64>,
+    ctrl: ConnCtrl,
+}
+
 impl Connections {
+    /// Milliseconds since the table was created.
     fn now_ms(&self) -> u64 {
-        u64::try_from(self.start.elapsed().as_millis()).unwrap_or(u64::MAX)
+        u64::try_from(self.created_at.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Closes those that have been quiet longest, a few at a time, so that looking at all of them pays.
-    fn close_quiet(&self, now_ms: u64) {
+    /// Closes the connections that have been idle longest, several at a time to make the scan of the
+    /// whole table worthwhile.
+    fn close_idle(&self, now_ms: u64) {
         let Ok(mut open) = self.open.lock() else { return };
-        let mut quiet: Vec<(u64, u64)> = open
+        let mut idle: Vec<(u64, u64)> = open
             .iter()
-            .map(|(id, o)| (o.last_ms.load(Ordering::Relaxed), *id))
-            .filter(|(last, _)| last + constants::CONNECTION_BUSY_MS <= now_ms)
+            .map(|(id, connection)| (connection.last_traffic_ms.load(Ordering::Relaxed), *id))
+            .filter(|(last_ms, _)| last_ms + constants::CONNECTION_BUSY_MS <= now_ms)
             .collect();
-        quiet.sort_unstable();
-        for (_, id) in quiet
-            .into_iter()
-            .take(self.max_connections.div_ceil(constants::CONNECTION_CLOSE_DIVISOR))
-        {
-            if let Some(o) = open.remove(&id) {
-                o.ctrl.abort();
+        idle.sort_unstable();
+        let batch = self.max_connections.div_ceil(constants::CONNECTION_CLOSE_DIVISOR);
+        for (_, id) in idle.into_iter().take(batch) {
+            if let Some(connection) = open.remove(&id) {
+                connection.ctrl.abort();
             }
         }
     }
 }
 
-/// One connection's traffic; it leaves the table when the connection's stream is dropped.
+/// Observes the traffic of a connection. When its stream is dropped, it leaves the table.
 struct ConnectionActivity {
     id: u64,
     table: Arc<Connections>,
-    last_ms: Arc<AtomicU64>,
+    last_traffic_ms: Arc<AtomicU64>,
+}
+
+impl ConnectionActivity {
+    fn record_traffic(&self) {
+        self.last_traffic_ms.store(self.table.now_ms(), Ordering::Relaxed);
+    }
 }
 
 impl ConnObserver for ConnectionActivity {
     fn on_read(&self, _: usize) {
-        self.last_ms.store(self.table.now_ms(), Ordering::Relaxed);
+        self.record_traffic();
     }
 
     fn on_write(&self, _: usize) {
-        self.last_ms.store(self.table.now_ms(), Ordering::Relaxed);
+        self.record_traffic();
     }
 }
 
@@ -81,65 +150,5 @@
     }
 }
 
-/// Lets connections in and closes quiet ones.
-#[derive(Clone)]
-pub struct ConnectionTable {
-    table: Arc<Connections>,
-    config: FuseConfig,
-}
-
-impl ConnectionTable {
-    /// A door for `most` connections. One that is quiet for `idle` is closed in any case.
-    pub fn new(most: usize, idle: Duration) -> Self {
-        let table = Connections {
-            start: Instant::now(),
-            max_connections: most.max(1),
-            held_sockets: AtomicUsize::new(0),
-            next_id: AtomicU64::new(0),
-            open: Mutex::default(),
-        };
-        let config = FuseConfig::default()
-            .with_http1_header_timeout(idle)
-            .with_connection_idle_timeout(idle);
-        Self { table: Arc::new(table), config }
-    }
-
-    /// For a node with so many sockets, whose workers report every `report_s`: a part stays for what
-    /// the node opens itself, and no connection is closed that a worker still reports over.
-    pub fn for_machine(max_sockets: usize, report_s: f64) -> Self {
-        let most = (max_sockets as f64 * constants::INBOUND_SOCKET_SHARE) as usize;
-        let idle = (report_s * constants::CONNECTION_IDLE_HEARTBEATS)
-            .max(constants::CONNECTION_IDLE_MIN_S);
-        Self::new(most, Duration::from_secs_f64(idle))
-    }
-
-    /// Connections that hold a socket.
-    pub fn open_connections(&self) -> usize {
-        self.table.held_sockets.load(Ordering::Relaxed)
-    }
-}
-
-#[async_trait]
-impl FusePolicy for ConnectionTable {
-    /// A full table delays a new connection and never refuses it.
-    async fn decide(&self, _: &FuseInfo) -> FuseAction {
-        while self.open_connections() >= self.table.max_connections {
-            self.table.close_quiet(self.table.now_ms());
-            tokio::time::sleep(Duration::from_millis(constants::CONNECTION_TABLE_RETRY_MS)).await;
-        }
-        FuseAction::Accept(self.config)
-    }
-
-    fn observe(&self, _: &FuseInfo, ctrl: &ConnCtrl) -> Option<ArcConnObserver> {
-        let id = self.table.next_id.fetch_add(1, Ordering::Relaxed);
-        let last_ms = Arc::new(AtomicU64::new(self.table.now_ms()));
-        self.table.held_sockets.fetch_add(1, Ordering::Relaxed);
-        if let Ok(mut open) = self.table.open.lock() {
-            open.insert(id, OpenConnection { last_ms: last_ms.clone(), ctrl: ctrl.clone() });
-        }
-        Some(Arc::new(ConnectionActivity { id, table: self.table.clone(), last_ms }))
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/controller/src/frame.rs
+++ b/crates/controller/src/frame.rs
@@ -1,16 +1,18 @@
-//! Frames between controllers: a message as `bincode`, then the version of the sender's formats.
+//! Frames between controllers: a message encoded with `bincode`, followed by the version of the
+//! sender's formats.
 //!
-//! Builds before versions were named wrote the message alone, and ignore what follows it; a frame of theirs is
-//! of version 0. So each version reads what the others write, as long as
+//! Builds before version 1 sent the message alone and ignore what follows it; a frame of theirs has
+//! version 0. Every version can read the frames of every other one, under these rules:
 //!
-//! - a message keeps its place in its enum and its fields keep their order, for ever;
-//! - new messages come last in their enum, and go only to controllers whose frames name a version that has them;
-//! - whatever else a frame is to say follows the version, where older builds ignore it.
+//! - a variant keeps its position in its enum, and fields keep their order, for ever;
+//! - new variants come last in their enum, and are sent only to controllers whose frames name a
+//!   version that has them;
+//! - additional data of a frame follows the version, where older builds ignore it.
 
 use hookway_constants as constants;
 use serde::{Deserialize, Serialize};
 
-/// The version of the formats that a controller writes and reads.
+/// The version of the formats that a build writes and reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct FrameVersion(pub u32);
 
@@ -23,10 +25,10 @@
 /// Why a frame can't be written or read.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The message can't be written.
+    /// The message can't be encoded, or exceeds the maximum length.
     #[error("can't be written: {0}")]
     Encode(#[from] bincode::error::EncodeError),
-    /// The bytes are no message that this build knows.
+    /// The bytes are not a message that this build knows.
     #[error("can't be read: {0}")]
     Decode(#[from] bincode::error::DecodeError),
 }
@@ -35,17 +37,17 @@
     bincode::config::standard().with_limit::<{ constants::PEER_FRAME_LIMIT }>()
 }
 
-/// A message with the version of this build.
+/// Encodes a message, with the version of this build.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, FrameError> {
-    let mut body = bincode::serde::encode_to_vec(message, config())?;
-    body.extend(bincode::serde::encode_to_vec(CURRENT, config())?);
-    Ok(body)
+    let mut frame = bincode::serde::encode_to_vec(message, config())?;
+    frame.extend(bincode::serde::encode_to_vec(CURRENT, config())?);
+    Ok(frame)
 }
 
-/// A message, and the version of the build that wrote it.
-pub fn decode<T: for<'de> Deserialize<'de>>(body: &[u8]) -> Result<(T, FrameVersion), FrameError> {
-    let (message, read) = bincode::serde::decode_from_slice(body, config())?;
-    let rest = body.get(read..).unwrap_or_default();
+/// Decodes a message, and the version of the build that sent it.
+pub fn decode<T: for<'de> Deserialize<'de>>(frame: &[u8]) -> Result<(T, FrameVersion), FrameError> {
+    let (message, message_length) = bincode::serde::decode_from_slice(frame, config())?;
+    let rest = frame.get(message_length..).unwrap_or_default();
     if rest.is_empty() {
         return Ok((message, FrameVersion::default()));
     }
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -11,9 +11,9 @@
 use crate::leader_sync::LeaderSync;
 use crate::leadership::{Clock, Leadership, LeadershipConfig, LeadershipLease, LeadershipView};
 use crate::peers::{self, Peers};
-use crate::settings::{OperatorSettings, PlatformSettings, Settings};
+use crate::settings::{OperatorSettings, PeerController, PlatformSettings, Settings};
 use crate::shard_lease::{ShardLessee, leader_timeout_ms};
-use crate::standby::{Standby, StandbySignals};
+use crate::standby::{Standby, StandbyMode, StandbySignals};
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
 use hookway_constants as constants;
 use salvo::Listener;
@@ -158,9 +158,9 @@
         let name = &settings.controller_name;
         let workers = &settings.platform.workers;
         let leader_timeout_ms = leader_timeout_ms(workers.heartbeat_interval_s, workers.lease_s);
-        let follows = self.operator.replication.standby;
-        let peer_zone =
-            |peer: &crate::settings::PeerController| (peer.name.clone(), peer.zone.clone());
+        let warm = self.operator.replication.standby;
+        let standby_mode = if warm { StandbyMode::Warm } else { StandbyMode::Cold };
+        let peer_zone = |peer: &PeerController| (peer.name.clone(), peer.zone.clone());
         ControllerActor::new(ControllerActorConfig {
             cluster: ControllerConfig {
                 controller_name: name.clone(),
@@ -180,7 +180,7 @@
             requests,
             final_states: self.final_states.clone(),
             shard_lessee: ShardLessee::new(name, rand::random(), leader_timeout_ms),
-            standby: Standby::new(name, follows, self.standby_signals.clone()),
+            standby: Standby::new(name, standby_mode, self.standby_signals.clone()),
         })
     }
 
--- a/crates/controller/src/standby.rs
+++ b/crates/controller/src/standby.rs
@@ -1,5 +1,7 @@
-//! A controller's side as a warm standby: the copy of the leader's picture, the judgement of its silence, and the
-//! steps by which this controller takes over. Owned by the node's actor.
+//! A controller as a warm standby: its copy of the leader's cluster state, the detection of a silent
+//! leader, and the steps of a failover to this controller. Owned by the controller actor.
+//!
+//! Times are milliseconds on the monotonic clock of this controller.
 
 use crate::leadership::LeadershipView;
 use hookway_replication::{
@@ -11,83 +13,100 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use tokio::sync::Notify;
 
-/// What a standby shares with the actor that seeks leadership.
+/// What a standby shares with the election actor.
 #[derive(Debug, Clone, Default)]
 pub struct StandbySignals {
-    /// Rung when the leader's silence is unusual.
+    /// Notified when the leader has been silent for unusually long.
     pub leader_suspected: Arc<Notify>,
-    /// Whether this node has a usable copy.
+    /// Whether this controller has a usable copy of the cluster state.
     pub has_warm_copy: Arc<AtomicBool>,
 }
 
-/// A controller as a standby, and on its way to lead.
+/// Whether a controller keeps a copy of the leader's cluster state.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum StandbyMode {
+    /// It follows the leader.
+    Warm,
+    /// It reads the records of the state service after a failover.
+    Cold,
+}
+
+/// The state of a controller as a standby, and during a failover to it.
 #[derive(Debug)]
 pub struct Standby {
     controller_name: String,
-    /// Whether it follows the leader; the steps of a takeover are kept in any case.
-    follows: bool,
+    mode: StandbyMode,
     follower: Follower,
     detector: FailureDetector,
+    /// The steps of a failover, which apply in both modes.
     promotion: Promotion,
     signals: StandbySignals,
-    /// The leader that is followed, and its term.
-    leader: Option<(String, u64)>,
+    followed_leader: Option<FollowedLeader>,
+}
+
+/// The leader that this controller follows.
+#[derive(Debug, Clone, PartialEq, Eq)]
+struct FollowedLeader {
+    name: String,
+    term: u64,
 }
 
 impl Standby {
-    /// Of a process that has just begun.
-    pub fn new(label: &str, follows: bool, signals: StandbySignals) -> Self {
+    /// Creates the state of a controller whose process has just started.
+    pub fn new(controller_name: &str, mode: StandbyMode, signals: StandbySignals) -> Self {
         Self {
-            controller_name: label.to_owned(),
-            follows,
-            follower: Follower::new(label),
+            controller_name: controller_name.to_owned(),
+            mode,
+            follower: Follower::new(controller_name),
             detector: FailureDetector::default(),
             promotion: Promotion::default(),
             signals,
-            leader: None,
+            followed_leader: None,
         }
     }
 
-    /// What the state service says of who leads has changed.
+    /// Handles a change of the leadership.
     pub fn view_changed(&mut self, view: &LeadershipView, now: u64) {
         if view.own_term.is_some() {
             return;
         }
         let leader = view.leader.clone().zip(view.leader_term);
-        let other = leader.filter(|(label, _)| *label != self.controller_name);
-        let Some((label, term)) = other else {
-            return self.step(Event::LeaseEnded, now);
+        let other = leader.filter(|(name, _)| *name != self.controller_name);
+        let Some((name, term)) = other else {
+            return self.handle(Event::LeaseEnded, now);
         };
         self.promotion.learn_term(term);
         self.follower.learn_term(term);
-        self.step(Event::OtherLeads, now);
-        if self.leader.as_ref().is_none_or(|known| *known != (label.clone(), term)) {
+        self.handle(Event::OtherLeads, now);
+        let leader = Some(FollowedLeader { name, term });
+        if self.followed_leader != leader {
             self.detector.reset();
-            self.leader = Some((label, term));
+            self.followed_leader = leader;
         }
     }
 
-    /// What to ask the leader next; its silence is judged on the way.
+    /// The next request to the leader; `None` if this controller does not follow. Also checks
+    /// whether the leader is suspected to have failed.
     pub fn next_request(&mut self, now: u64) -> Option<FollowRequest> {
-        if !self.follows {
+        if self.mode == StandbyMode::Cold {
             return None;
         }
         if self.detector.suspects(now) {
-            self.step(Event::Silence, now);
+            self.handle(Event::Silence, now);
         }
-        self.signals.has_warm_copy.store(self.copy(u64::MAX, now).is_ok(), Ordering::Relaxed);
+        self.signals.has_warm_copy.store(self.usable_copy(now).is_ok(), Ordering::Relaxed);
         Some(self.follower.request())
     }
 
-    /// The leader's answer.
+    /// Handles the leader's response to a request.
     pub fn followed(&mut self, answer: FollowAnswer, now: u64) {
         match self.follower.take(answer, now) {
             Ok(progress) => {
                 self.detector.heard(now);
-                self.step(Event::LeaderHeard, now);
+                self.handle(Event::LeaderHeard, now);
                 self.log_progress(&progress);
             }
-            Err(e) => tracing::info!("replication: {e}; fetching an image"),
+            Err(error) => tracing::info!(%error, "replication interrupted, fetching an image"),
         }
     }
 
@@ -95,101 +114,107 @@
         let Progress::Image { differing } = progress else { return };
         let state = self.follower.state();
         tracing::info!(
-            "replication: image taken, {} machines, {} tasks",
-            state.machines.len(),
-            state.task_count()
+            machines = state.machines.len(),
+            tasks = state.task_count(),
+            "replication image applied"
         );
         if !differing.is_empty() {
-            tracing::error!("replication: the copy was wrong about {}", differing.join(", "));
+            tracing::error!(differing = differing.join(", "), "replicated copy was inconsistent");
         }
     }
 
-    /// The state service has recorded this node as the leader of a term. `false`: it must not lead, since a later
-    /// term is known.
+    /// The state service has recorded this controller as the leader of `term`. Returns `false` if it
+    /// must not lead, because a later term is known.
     pub fn elected(&mut self, term: u64, now: u64) -> bool {
-        self.allowed(Event::Elected { term }, now) == Some(Step::ReadRecords)
+        self.advance(Event::Elected { term }, now) == Some(Step::ReadRecords)
     }
 
-    /// The records were read, in a reading that began in this term. `false`: it is not this node's any more.
+    /// The records have been read, by a read that began in `term`. Returns `false` if the term has
+    /// ended since.
     pub fn records_read(&mut self, term: u64, now: u64) -> bool {
-        self.allowed(Event::RecordsRead { term }, now) == Some(Step::Lead)
+        self.advance(Event::RecordsRead { term }, now) == Some(Step::Lead)
     }
 
-    /// Whether this node may decide as the leader of a term, as far as the steps of its takeover go.
+    /// Whether the failover has reached the step in which the leader of `term` decides.
     pub fn may_decide(&self, term: u64) -> bool {
         self.promotion.may_decide(term)
     }
 
-    /// The first start of the term went out, or a later one.
+    /// A command that starts a task was dispatched. The first one of a term ends the failover.
     pub fn start_dispatched(&mut self, now: u64) {
-        let before = self.promotion.metrics().whole.count();
-        self.step(Event::Decided, now);
+        let completed_before = self.promotion.metrics().whole.count();
+        self.handle(Event::Decided, now);
         let times = self.promotion.metrics();
-        if times.whole.count() > before {
-            tracing::info!(
-                "takeover: first start; last sign of the old leader until now {}",
-                times.whole
-            );
+        if times.whole.count() > completed_before {
+            tracing::info!(duration = %times.whole, "failover complete: first task start dispatched");
         }
     }
 
-    /// This node leads no more.
+    /// This controller does not lead any more.
     pub fn deposed(&mut self, now: u64) {
-        self.step(Event::Deposed, now);
+        self.handle(Event::Deposed, now);
         self.detector.reset();
-        self.leader = None;
+        self.followed_leader = None;
     }
 
-    /// The copy of an earlier leader's picture, for the leader of a term.
+    /// The copy of an earlier leader's cluster state, for the leader of `term`.
     pub fn copy(&self, term: u64, now: u64) -> Result<&ReplicatedState, Unusable> {
-        if !self.follows {
+        if self.mode == StandbyMode::Cold {
             return Err(Unusable::Empty);
         }
         self.follower.usable(term, now)
     }
 
-    fn step(&mut self, event: Event, now: u64) {
-        if self.allowed(event, now) == Some(Step::Look) {
-            tracing::info!("the leader is silent for unusually long: asking the state service");
+    /// The copy, for the leader of any later term.
+    fn usable_copy(&self, now: u64) -> Result<&ReplicatedState, Unusable> {
+        self.copy(u64::MAX, now)
+    }
+
+    /// Advances the failover, and notifies the election actor if the leader is suspected.
+    fn handle(&mut self, event: Event, now: u64) {
+        if self.advance(event, now) == Some(Step::Look) {
+            tracing::info!("leader suspected, reading the leader key");
             self.signals.leader_suspected.notify_one();
         }
     }
 
-    fn allowed(&mut self, event: Event, now: u64) -> Option<Step> {
+    /// Advances the failover; `None` if the event is invalid in its present step.
+    fn advance(&mut self, event: Event, now: u64) -> Option<Step> {
         match self.promotion.on(event, now) {
             Ok(step) => Some(step),
-            Err(e) => {
-                tracing::error!("takeover: {event:?} refused: {e}");
+            Err(error) => {
+                tracing::error!(?event, %error, "invalid failover event");
                 None
             }
         }
     }
 
-    /// How things stand, for operators.
+    /// The state of replication, for operators.
     pub fn status(&self, now: u64) -> ReplicationStatus {
         let metrics = self.follower.metrics();
         let times = self.promotion.metrics();
         let position = self.follower.position();
         let state = self.follower.state();
+        let copy = self.usable_copy(now);
         ReplicationStatus {
             phase: phase_name(self.promotion.phase()).to_owned(),
-            leader: self.leader.as_ref().map(|(label, _)| label.clone()),
-            copy: self.copy(u64::MAX, now).err().map_or("usable".to_owned(), |why| why.to_string()),
-            term: position.map(|p| p.term),
-            index: position.map(|p| p.index),
+            leader: self.followed_leader.as_ref().map(|leader| leader.name.clone()),
+            copy: copy.err().map_or("usable".to_owned(), |reason| reason.to_string()),
+            term: position.map(|position| position.term),
+            index: position.map(|position| position.index),
             machines: state.machines.len(),
             tasks: state.task_count(),
             lag_entries: metrics.lag_entries,
             lag_ms: metrics.lag_ms(now),
-            lag: durations(&metrics.lag),
+            lag: duration_status(&metrics.lag),
             images: metrics.images,
             resyncs: metrics.resyncs,
             takeover: TakeoverStatus {
-                detection: durations(&times.detection),
-                election: durations(&times.election),
-                catching_up: durations(&times.catching_up),
-                first_start: durations(&times.first_decision),
-                whole: durations(&times.whole),
+                detection: duration_status(&times.detection),
+                election: duration_status(&times.election),
+                catching_up: duration_status(&times.catching_up),
+                first_start: duration_status(&times.first_decision),
+                whole: duration_status(&times.whole),
             },
         }
     }
@@ -205,7 +230,7 @@
     }
 }
 
-fn durations(times: &Durations) -> DurationStatus {
+fn duration_status(times: &Durations) -> DurationStatus {
     DurationStatus {
         count: times.count(),
         p50_ms: times.quantile(0.5),
--- a/crates/controller/tests/controller_actor.rs
+++ b/crates/controller/tests/controller_actor.rs
@@ -17,7 +17,7 @@
 use hookway_controller::request_outcome::RequestOutcome;
 use hookway_controller::settings::{OperatorSettings, Settings};
 use hookway_controller::shard_lease::ShardLessee;
-use hookway_controller::standby::{Standby, StandbySignals};
+use hookway_controller::standby::{Standby, StandbyMode, StandbySignals};
 use hookway_testkit::{SETTINGS, StoreServer, machine_types};
 use hookway_wire::{JobId, JobState};
 use std::collections::HashMap;
@@ -88,7 +88,7 @@
         requests: asks,
         final_states,
         shard_lessee: ShardLessee::new(label, 1, 1_000),
-        standby: Standby::new(label, true, signals.clone()),
+        standby: Standby::new(label, StandbyMode::Warm, signals.clone()),
     });
     tokio::task::spawn_local(async move {
         node.run().await;
--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -12,7 +12,7 @@
     ClassRecord, FinalRecord, ImagesRecord, JobRecord, JobSchedulingRecord, MachineRegistryEntry,
     MachineRegistryRecord, ProgressRecord, SharedStartWatermarksRecord,
 };
-use hookway_controller::standby::{Standby, StandbySignals};
+use hookway_controller::standby::{Standby, StandbyMode, StandbySignals};
 use hookway_policy::Resources;
 use hookway_replication::{
     Entry, FollowAnswer, FollowBody, FollowRequest, Held, JobHints, MachineView, PlacedTask,
@@ -386,7 +386,7 @@
 
 #[test]
 fn phases_and_copies_are_told_in_the_pinned_words() {
-    let mut standby = Standby::new("worker-0", true, StandbySignals::default());
+    let mut standby = Standby::new("worker-0", StandbyMode::Warm, StandbySignals::default());
     let said = |standby: &Standby, now| {
         let status = standby.status(now);
         (status.phase, status.copy)
