--- a/crates/controller/tests/controller_actor.rs
+++ b/crates/controller/tests/controller_actor.rs
@@ -3,17 +3,21 @@
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
-use hookway_controller::api_service::{ApiService, StoreClients};
+use hookway_controller::actor::{
+    ControllerActor, ControllerActorConfig, ControllerHandle, ControllerRequest,
+};
+use hookway_controller::api::{ApiService, ApiServiceConfig, Origin, StoreClients};
 use hookway_controller::cluster_state::ControllerConfig;
-use hookway_controller::controller_actor::{ControllerActor, ControllerRequest};
-use hookway_controller::leadership::{Clock, Leadership, LeadershipLease, LeadershipView};
+use hookway_controller::leadership::{
+    Clock, Leadership, LeadershipConfig, LeadershipLease, LeadershipView,
+};
 use hookway_controller::networks::Networks;
 use hookway_controller::peers::{self, Peers};
 use hookway_controller::records::final_state_key;
 use hookway_controller::request_outcome::RequestOutcome;
 use hookway_controller::settings::{OperatorSettings, Settings};
 use hookway_controller::shard_lease::ShardLessee;
-use hookway_controller::standby::{Standby, StandbySignals};
+use hookway_controller::standby::{Standby, StandbyMode, StandbySignals};
 use hookway_testkit::{SETTINGS, StoreServer, machine_types};
 use hookway_wire::{JobId, JobState};
 use std::collections::HashMap;
@@ -33,6 +37,7 @@
 /// A running controller.
 struct RunningController {
     api_service: Arc<ApiService>,
+    requests: mpsc::Sender<ControllerRequest>,
     view: watch::Receiver<LeadershipView>,
 }
 
@@ -54,17 +59,18 @@
     let addresses: HashMap<String, String> =
         siblings.iter().map(|(l, a)| ((*l).to_owned(), (*a).to_owned())).collect();
     let stores = StoreClients { submissions: client(), queries: client() };
-    let api_service = Arc::new(ApiService::new(
-        settings.platform.clone(),
-        label.into(),
+    let final_states = Arc::default();
+    let api_service = Arc::new(ApiService::new(ApiServiceConfig {
+        platform: settings.platform.clone(),
         stores,
-        Peers::new(addresses),
-        node_tx,
-        view.clone(),
-        machine_types_rx.clone(),
-    ));
-    let node = ControllerActor {
-        config: ControllerConfig {
+        peers: Arc::new(Peers::new(addresses)),
+        controller: ControllerHandle::new(node_tx.clone()),
+        view: view.clone(),
+        machine_types: machine_types_rx.clone(),
+        final_states: Arc::clone(&final_states),
+    }));
+    let node = ControllerActor::new(ControllerActorConfig {
+        cluster: ControllerConfig {
             controller_name: label.into(),
             zone: "a".into(),
             peers: siblings.iter().map(|(l, _)| ((*l).to_owned(), "b".to_owned())).collect(),
@@ -80,17 +86,16 @@
         leadership_lost: doubt.clone(),
         machine_types: machine_types_rx,
         requests: asks,
-        final_states: api_service.final_states.clone(),
-        stepped_down_at: std::cell::Cell::new(None),
-        shard_lessee: std::cell::RefCell::new(ShardLessee::new(label, 1, 1_000)),
-        standby: std::cell::RefCell::new(Standby::new(label, true, signals.clone())),
-    };
+        final_states,
+        shard_lessee: ShardLessee::new(label, 1, 1_000),
+        standby: Standby::new(label, StandbyMode::Warm, signals.clone()),
+    });
     tokio::task::spawn_local(async move {
         node.run().await;
         drop(machine_types_tx);
     });
     if campaigns {
-        let leadership = Leadership {
+        let leadership = Leadership::new(LeadershipConfig {
             controller_name: label.into(),
             store: client(),
             clock,
@@ -100,12 +105,12 @@
             leader_suspected: signals.leader_suspected,
             lease_ms: hookway_constants::LEADER_TTL_MS,
             has_warm_copy: signals.has_warm_copy,
-        };
+        });
         tokio::spawn(leadership.run());
     } else {
         std::mem::forget(view_tx);
     }
-    RunningController { api_service, view }
+    RunningController { api_service, requests: node_tx, view }
 }
 
 async fn within<T>(work: impl Future<Output = T>) -> T {
@@ -115,15 +120,14 @@
 /// Accepts the job and waits until the leader knows it.
 async fn accepted(one: &mut RunningController) -> JobId {
     one.view.wait_for(|v| v.own_term.is_some()).await.expect("the actor lives");
-    let verdict = one.api_service.submit(JOB.as_bytes(), false).await;
+    let verdict = one.api_service.submit(JOB.as_bytes(), Origin::Client).await;
     assert!(matches!(verdict, RequestOutcome::Accepted(_)), "{verdict:?}");
     let id = JobId::parse("req-000412").expect("an id");
     // Its cluster state has been loaded.
     let known = async || {
         let (reply, answer) = oneshot::channel();
-        one.api_service
-            .controller
-            .send(ControllerRequest::Status(id.clone(), reply))
+        one.requests
+            .send(ControllerRequest::Status { job: id.clone(), reply })
             .await
             .expect("the actor lives");
         answer.await.expect("an answer").is_some()
@@ -144,14 +148,16 @@
         let mut one = start("one", &address, &[], true).await;
         let id = accepted(&mut one).await;
         server.refuse(true);
-        let verdict = within(one.api_service.cancel(&id, false)).await;
+        let verdict = within(one.api_service.cancel(&id, Origin::Client)).await;
         assert!(matches!(verdict, RequestOutcome::Unavailable(_)), "{verdict:?}");
         assert!(server.with(|store| store.get(&final_state_key(&id))).is_none());
         server.refuse(false);
         // The decision stayed in the queue; whoever asks again learns the outcome.
         let told = within(async {
             loop {
-                if let RequestOutcome::Known(told) = one.api_service.cancel(&id, false).await {
+                if let RequestOutcome::Known(told) =
+                    one.api_service.cancel(&id, Origin::Client).await
+                {
                     break told;
                 }
             }
@@ -176,16 +182,16 @@
         tokio::spawn(peers::serve(listener, two.api_service.clone(), Networks::default()));
         let mut one = start("one", &address, &[("two", &there)], true).await;
         let id = accepted(&mut one).await;
-        assert!(!two.api_service.final_states.contains(&id));
-        let verdict = within(one.api_service.cancel(&id, false)).await;
+        assert!(!two.api_service.final_states().contains(&id));
+        let verdict = within(one.api_service.cancel(&id, Origin::Client)).await;
         assert!(matches!(verdict, RequestOutcome::Known(_)), "{verdict:?}");
         within(async {
-            while !two.api_service.final_states.contains(&id) {
+            while !two.api_service.final_states().contains(&id) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         })
         .await;
-        let RequestOutcome::Known(told) = two.api_service.status(&id, false).await else {
+        let RequestOutcome::Known(told) = two.api_service.status(&id, Origin::Client).await else {
             panic!("it knows the end without the state service")
         };
         assert_eq!(told.state, JobState::Cancelled);
@@ -207,19 +213,22 @@
         tokio::spawn(peers::serve(listener, two.api_service.clone(), Networks::default()));
         let one = start("one", NOWHERE, &[("two", &there)], false).await;
         let first = JobId::parse("req-000412").expect("an id");
-        let verdict = within(one.api_service.submit(JOB.as_bytes(), false)).await;
+        let verdict = within(one.api_service.submit(JOB.as_bytes(), Origin::Client)).await;
         assert!(matches!(verdict, RequestOutcome::Accepted(_)), "{verdict:?}");
-        let verdict = within(one.api_service.status(&first, false)).await;
+        let verdict = within(one.api_service.status(&first, Origin::Client)).await;
         assert!(matches!(verdict, RequestOutcome::Known(told) if told.state == JobState::Queued));
-        let verdict = within(one.api_service.cancel(&first, false)).await;
+        let verdict = within(one.api_service.cancel(&first, Origin::Client)).await;
         assert!(
             matches!(verdict, RequestOutcome::Known(told) if told.state == JobState::Cancelled)
         );
         let absent = JobId::parse("req-000999").expect("an id");
-        assert_eq!(within(one.api_service.status(&absent, false)).await, RequestOutcome::NotFound);
+        assert_eq!(
+            within(one.api_service.status(&absent, Origin::Client)).await,
+            RequestOutcome::NotFound
+        );
         // While the state service is away for all, nobody knows.
         server.refuse(true);
-        let verdict = within(one.api_service.status(&absent, false)).await;
+        let verdict = within(one.api_service.status(&absent, Origin::Client)).await;
         assert!(matches!(verdict, RequestOutcome::Unavailable(_)), "{verdict:?}");
     };
     LocalSet::new().run_until(work).await;
