--- /dev/null
+++ b/crates/controller/tests/api/circuit_breakers.rs
@@ -0,0 +1,51 @@
+//! A peer or store that does not answer costs one request per interval.
+
+use crate::support::*;
+use hookway_controller::api::Origin;
+use hookway_controller::leadership::LeadershipView;
+use hookway_controller::peers::{PeerError, PeerRequest, Peers};
+use hookway_controller::request_outcome::RequestOutcome;
+use hookway_wire::JobId;
+use std::collections::HashMap;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// A frozen or partitioned controller does not respond. A user's request to any of its peers must not wait for the
+/// full time limit each time.
+#[tokio::test(start_paused = true)]
+async fn unresponsive_controller_trips_circuit_breaker() {
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let address = listener.local_addr().expect("bound").to_string();
+    let peers = Peers::new(HashMap::from([("worker-1".into(), address)]));
+    let ask = PeerRequest::Status("req-000001".into());
+    assert!(matches!(peers.ask("worker-1", &ask, 600).await, Err(PeerError::Timeout)));
+    for _ in 0..20 {
+        assert!(matches!(peers.ask("worker-1", &ask, 600).await, Err(PeerError::CircuitOpen)));
+    }
+    tokio::time::advance(std::time::Duration::from_millis(1_100)).await;
+    assert!(matches!(peers.ask("worker-1", &ask, 600).await, Err(PeerError::Timeout)), "one tries");
+    assert!(matches!(peers.ask("worker-1", &ask, 600).await, Err(PeerError::CircuitOpen)));
+}
+
+/// The same for a state service that does not respond to this controller: without this a request spent its whole
+/// time limit there, with none left for another controller.
+#[tokio::test(start_paused = true)]
+async fn unresponsive_state_service_trips_circuit_breaker() {
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let address = listener.local_addr().expect("bound").to_string();
+    let api_service =
+        api_service(Role::Follower, true, LeadershipView::default(), Some(&address), 2000.0);
+    let id = JobId::parse("req-000001").expect("an id");
+    let took = async || {
+        let begun = Instant::now();
+        let verdict = api_service.status(&id, Origin::Client).await;
+        assert!(matches!(verdict, RequestOutcome::Unavailable(_)), "{verdict:?}");
+        begun.elapsed()
+    };
+    assert!(took().await >= Duration::from_secs(1));
+    for _ in 0..10 {
+        assert!(took().await < Duration::from_millis(50));
+    }
+    tokio::time::advance(Duration::from_millis(1_100)).await;
+    assert!(took().await >= Duration::from_secs(1), "one tries");
+}
--- /dev/null
+++ b/crates/controller/tests/api/status.rs
@@ -0,0 +1,148 @@
+//! Status requests, final states, and requests that can't be decided.
+
+use crate::support::*;
+use hookway_controller::http::service;
+use hookway_controller::leadership::LeadershipView;
+use hookway_controller::records::job_key;
+use hookway_testkit::StoreServer;
+use hookway_wire::{JobId, JobState, JobStatus};
+use salvo::http::StatusCode;
+
+#[tokio::test]
+async fn possibly_known_job_gets_no_permanent_error_without_state_service() {
+    let api = api(Role::Leader, true);
+    // Whether this id was accepted once can't be read, so 422 would be a guess.
+    let body = JOB.replace("\"vision\"", "\"nobody\"");
+    let (status, text, retry) = post(&api, "/api/jobs", &body).await;
+    assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true), "{text}");
+}
+
+#[tokio::test]
+async fn undecidable_request_gets_503_with_retry_after() {
+    for (role, machine_types) in
+        [(Role::Leader, false), (Role::Leader, true), (Role::Follower, true)]
+    {
+        let api = api(role, machine_types);
+        let (status, text, retry) = post(&api, "/api/jobs", JOB).await;
+        assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true), "{text}");
+        let (status, _, retry) = get(&api, "/api/jobs/req-000404").await;
+        assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true), "absence is unproven");
+    }
+    let api = api(Role::Follower, true);
+    let (status, ..) = post(&api, "/api/jobs/req-000001/withdraw", "{}").await;
+    assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
+}
+
+#[tokio::test]
+async fn final_state_is_cached_and_answered_without_leader() {
+    let api = api(Role::Leader, true);
+    let (status, text, _) = get(&api, "/api/jobs/req-000002").await;
+    assert_eq!(status, StatusCode::OK);
+    let told: JobStatus = serde_json::from_str(&text).expect("a status");
+    assert_eq!(told.state, JobState::Done);
+    // The same id submitted again: its state, from memory, with the store away.
+    let (status, text, _) = post(&api, "/api/jobs", &JOB.replace("000412", "000002")).await;
+    assert_eq!(status, StatusCode::OK);
+    let told: JobStatus = serde_json::from_str(&text).expect("a status");
+    assert_eq!(told.state, JobState::Done);
+    let (status, text, _) = post(&api, "/api/jobs/req-000002/withdraw", "").await;
+    let told: JobStatus = serde_json::from_str(&text).expect("a status");
+    assert_eq!((status, told.state), (StatusCode::OK, JobState::Done), "done stays done");
+}
+
+#[tokio::test]
+async fn invalid_paths_ids_and_methods_get_json_errors() {
+    let api = api(Role::Leader, true);
+    for path in ["/", "/api/jobs/job-1", "/api/jobs/req-1/x", "/api/jobs/%00", "/nowhere"] {
+        let (status, text, _) = get(&api, path).await;
+        assert_eq!(status, StatusCode::NOT_FOUND, "{path}");
+        assert!(!reason(&text).is_empty());
+    }
+    let (status, text, _) = get(&api, "/api/jobs").await;
+    assert!(status.is_client_error(), "{text}");
+    assert!(!reason(&text).is_empty());
+    assert_eq!(get(&api, "/up").await.0, StatusCode::OK);
+}
+
+#[tokio::test]
+async fn every_controller_answers_job_status_from_state_service() {
+    let server = StoreServer::default();
+    let address = server.start().await.expect("a free port");
+    let id = JobId::parse("req-000007").expect("an id");
+    let spec = JOB.replace("000412", "000007");
+    let spec: serde_json::Value = serde_json::from_str(&spec).expect("JSON");
+    let record = serde_json::json!({ "spec": spec, "at_ms": 0 });
+    server.with(|store| store.put(&job_key(&id), record));
+    let sees = |leader: Option<&str>| LeadershipView {
+        leader: leader.map(str::to_owned),
+        ..LeadershipView::default()
+    };
+    // The leader has not seen it yet; nobody leads; the leader can't be reached; it is this controller, as
+    // far as its view goes, while it is not entitled.
+    for (role, leader) in [
+        (Role::Leader, None),
+        (Role::Follower, None),
+        (Role::Follower, Some("worker-1")),
+        (Role::Follower, Some("worker-0")),
+    ] {
+        let api = api_at(role, true, sees(leader), Some(&address));
+        let (status, text, _) = get(&api, "/api/jobs/req-000007").await;
+        let told: JobStatus = serde_json::from_str(&text).expect("a status");
+        assert_eq!((status, told.state), (StatusCode::OK, JobState::Queued), "{leader:?}");
+        let (status, ..) = get(&api, "/api/jobs/req-000008").await;
+        assert_eq!(
+            status,
+            StatusCode::NOT_FOUND,
+            "what is in the store nowhere was never accepted"
+        );
+    }
+    // While the store is away as well, absence can't be told; as soon as it is back, the job can.
+    let api = api_at(Role::Follower, true, sees(Some("worker-1")), Some(&address));
+    server.refuse(true);
+    let (status, _, retry) = get(&api, "/api/jobs/req-000007").await;
+    assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true));
+    server.refuse(false);
+    assert_eq!(get(&api, "/api/jobs/req-000007").await.0, StatusCode::OK);
+}
+
+/// A high-load day of 2026-12-02: with a thousand jobs open and no leader for seconds, status queries used up a
+/// controller's request budget at the state service, and submissions waited for seconds and were rejected.
+#[tokio::test]
+async fn rate_limited_status_query_gets_503_at_once_and_delays_no_submission() {
+    let server = StoreServer::default();
+    let address = server.start().await.expect("a free port");
+    let spec: serde_json::Value = serde_json::from_str(JOB).expect("JSON");
+    let record = serde_json::json!({ "spec": spec, "at_ms": 0 });
+    let id = JobId::parse("req-000412").expect("an id");
+    server.with(|store| store.put(&job_key(&id), record));
+    // One reading, and then none for ten seconds.
+    let api =
+        service(api_service(Role::Follower, true, LeadershipView::default(), Some(&address), 0.1));
+    assert_eq!(get(&api, "/api/jobs/req-000412").await.0, StatusCode::OK);
+    for _ in 0..50 {
+        let (status, text, retry) = get(&api, "/api/jobs/req-000412").await;
+        assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true), "{text}");
+    }
+    let (status, text, _) = post(&api, "/api/jobs", &JOB.replace("000412", "000413")).await;
+    assert_eq!(status, StatusCode::CREATED, "{text}");
+    let (status, ..) = post(&api, "/api/jobs/req-000412/withdraw", "").await;
+    assert_eq!(status, StatusCode::OK, "nor a withdrawal");
+}
+
+/// The same day: after all controllers crashed, each finished job's last status query took two reads of the state
+/// service, half of them without effect, and thousands of responses failed for minutes.
+#[tokio::test]
+async fn decided_final_state_is_answered_without_state_service() {
+    let api_service = api_service(Role::Leader, true, LeadershipView::default(), None, 0.1);
+    let id = JobId::parse("req-000009").expect("an id");
+    api_service.final_states().remember(&known(&id, JobState::Done).into());
+    api_service
+        .final_states()
+        .remember(&known(&JobId::parse("req-000010").expect("an id"), JobState::Running).into());
+    let api = service(api_service);
+    let (status, text, _) = get(&api, "/api/jobs/req-000009").await;
+    let told: JobStatus = serde_json::from_str(&text).expect("a status");
+    assert_eq!((status, told.state), (StatusCode::OK, JobState::Done));
+    let (status, ..) = get(&api, "/api/jobs/req-000010").await;
+    assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE, "what can change is not told from memory");
+}
