--- a/crates/controller/src/cluster_state/command_dispatch.rs
+++ b/crates/controller/src/cluster_state/command_dispatch.rs
@@ -94,7 +94,7 @@
         let names: Vec<String> = self.machines.keys().cloned().collect();
         for name in names {
             let Some(machine) = self.machines.get(&name) else { continue };
-            let silent = now >= machine.last_response_at.max(self.resumed_at) + quiet;
+            let silent = now >= machine.last_response_at.max(self.clocks.resumed_at) + quiet;
             if !machine.has_reported || machine.address.is_empty() || silent {
                 continue;
             }
--- a/crates/controller/src/cluster_state/commits.rs
+++ b/crates/controller/src/cluster_state/commits.rs
@@ -103,10 +103,10 @@
     }
 
     fn add_registry_record(&mut self, commit: &mut PendingCommit, number: u64) {
-        let names = &self.image_names;
+        let names = &self.images;
         let images = |machine: &str| -> Vec<(&str, f64)> {
             let held = self.machines.get(machine).map(|h| h.images.as_slice()).unwrap_or_default();
-            let named = |c: &CachedImage| Some((names.get(c.image as usize)?.as_str(), c.size_gb));
+            let named = |c: &CachedImage| Some((names.name(c.image)?, c.size_gb));
             held.iter().filter_map(named).collect()
         };
         let value_kb = self.config.platform.state.value_kb;
@@ -427,8 +427,7 @@
         }
         let mut parts = key.split('/');
         let kind = parts.next().unwrap_or_default();
-        let job =
-            parts.next().and_then(JobId::parse).and_then(|id| self.job_keys.get(&id)).copied();
+        let job = parts.next().and_then(JobId::parse).and_then(|id| self.jobs.key(&id));
         let Some(job) = job else { return };
         match kind {
             "f" => {
--- a/crates/controller/src/cluster_state/direct_dispatch.rs
+++ b/crates/controller/src/cluster_state/direct_dispatch.rs
@@ -6,6 +6,16 @@
 use hookway_clients::Delivery;
 use hookway_constants as constants;
 use hookway_wire::{Command, DirectCommands, Heartbeat};
+use std::collections::BTreeSet;
+
+/// The starts that are dispatched directly.
+#[derive(Debug, Default)]
+pub(super) struct DirectDispatch {
+    /// Machines with planned starts whose workers were not told yet.
+    pub machines_with_planned_starts: BTreeSet<String>,
+    /// Number of messages with starts in flight.
+    pub in_flight: usize,
+}
 
 impl ClusterState {
     /// Starts that should not wait for their workers' next reports: machine, address and commands. The
@@ -16,16 +26,17 @@
     /// `reap`, carries a higher one, after which the worker refuses the command.
     pub fn take_direct_starts(&mut self, now: u64) -> Vec<(String, String, DirectCommands)> {
         let mut sends = Vec::new();
-        if self.direct_dispatches_in_flight >= constants::MAX_DIRECT_DISPATCHES {
+        if self.direct_dispatch.in_flight >= constants::MAX_DIRECT_DISPATCHES {
             return sends;
         }
-        let names: Vec<String> = self.machines_with_planned_starts.iter().cloned().collect();
+        let names: Vec<String> =
+            self.direct_dispatch.machines_with_planned_starts.iter().cloned().collect();
         for name in names {
-            if self.direct_dispatches_in_flight + sends.len() >= constants::MAX_DIRECT_DISPATCHES {
+            if self.direct_dispatch.in_flight + sends.len() >= constants::MAX_DIRECT_DISPATCHES {
                 break;
             }
             let Some(machine) = self.machines.get(&name) else {
-                self.machines_with_planned_starts.remove(&name);
+                self.direct_dispatch.machines_with_planned_starts.remove(&name);
                 continue;
             };
             if machine.direct_dispatch_in_flight
@@ -34,7 +45,7 @@
             {
                 continue;
             }
-            self.machines_with_planned_starts.remove(&name);
+            self.direct_dispatch.machines_with_planned_starts.remove(&name);
             let able = machine.has_reported
                 && !machine.address.is_empty()
                 && !machine.is_draining()
@@ -58,7 +69,7 @@
                 .take(constants::DIRECT_DISPATCH_MAX_TASKS)
                 .collect();
             if unopened {
-                self.machines_with_planned_starts.insert(name.clone());
+                self.direct_dispatch.machines_with_planned_starts.insert(name.clone());
             }
             if chosen.is_empty() {
                 continue;
@@ -82,13 +93,13 @@
             self.mark_unpublished(&name);
             sends.push((name, address, commands));
         }
-        self.direct_dispatches_in_flight += sends.len();
+        self.direct_dispatch.in_flight += sends.len();
         sends
     }
 
     /// What became of starts that were sent straight to a worker under `token`.
     pub fn direct_start_sent(&mut self, name: &str, token: u64, delivery: Delivery, now: u64) {
-        self.direct_dispatches_in_flight = self.direct_dispatches_in_flight.saturating_sub(1);
+        self.direct_dispatch.in_flight = self.direct_dispatch.in_flight.saturating_sub(1);
         let Some(machine) = self.machines.get_mut(name) else { return };
         machine.direct_dispatch_in_flight = false;
         match delivery {
@@ -129,12 +140,13 @@
     /// seconds for each controller that hangs, and shows the new token with the report after that, which may be its
     /// next regular one; until all have, most work of earlier terms waits.
     pub fn take_state_probes(&mut self, now: u64) -> Vec<(String, String)> {
-        let room = constants::MAX_STATE_PROBES.saturating_sub(self.state_probes_in_flight);
-        if room == 0 || self.unreconciled_machines.is_empty() || now < self.state_probes_from {
+        let room = constants::MAX_STATE_PROBES.saturating_sub(self.state_probes.in_flight);
+        if room == 0 || self.reconciliation.machines.is_empty() || now < self.state_probes.start_at
+        {
             return Vec::new();
         }
         let mut chosen = Vec::new();
-        for name in &self.unreconciled_machines {
+        for name in &self.reconciliation.machines {
             if chosen.len() >= room {
                 break;
             }
@@ -144,7 +156,7 @@
                 chosen.push((name.clone(), machine.address.clone()));
             }
         }
-        self.state_probes_in_flight += chosen.len();
+        self.state_probes.in_flight += chosen.len();
         chosen
     }
 
@@ -160,7 +172,7 @@
             } else {
                 machine.state_probe.failed();
             }
-            self.state_probes_in_flight = self.state_probes_in_flight.saturating_sub(1);
+            self.state_probes.end_one();
         }
         let Some(report) = report else { return };
         let stamp = MessageVersion::of(&report);
@@ -177,7 +189,7 @@
             machine.last_response_at = now;
         }
         machine.update_from(&report, now);
-        self.unreconciled_machines.remove(name);
+        self.reconciliation.machines.remove(name);
         self.apply_heartbeat(name, &report, now, MessageKind::DirectAnswer);
     }
 
@@ -190,6 +202,6 @@
         {
             held.phase = TaskPhase::Planned;
         }
-        self.machines_with_planned_starts.insert(name.to_owned());
+        self.direct_dispatch.machines_with_planned_starts.insert(name.to_owned());
     }
 }
--- a/crates/controller/src/cluster_state/gang_repair.rs
+++ b/crates/controller/src/cluster_state/gang_repair.rs
@@ -10,7 +10,7 @@
     pub(super) fn repair_gangs(&mut self, now: u64) {
         let reconciled = self.reconciled(now);
         let completable = if reconciled { self.completable_gangs() } else { HashSet::new() };
-        for (key, job) in &mut self.jobs {
+        for (key, job) in self.jobs.iter_mut() {
             let partial = job.spec.is_gang()
                 && job.is_active()
                 && job.placed > 0
--- a/crates/controller/src/cluster_state/heartbeat.rs
+++ b/crates/controller/src/cluster_state/heartbeat.rs
@@ -119,7 +119,7 @@
     /// and the next leader need not wait for it.
     fn register_if_new(&mut self, name: &str, now: u64) {
         if self.machines.get(name).is_some_and(|machine| !machine.registered) {
-            let at_ms = self.wall_at(now);
+            let at_ms = self.clocks.wall_at(now);
             self.commit_queue.registry.register(name, at_ms);
         }
     }
@@ -129,7 +129,7 @@
     /// it is the newest that this leader has seen.
     fn reconcile_machine(&mut self, heartbeat: &Heartbeat) {
         if heartbeat.fencing_token >= self.term {
-            self.unreconciled_machines.remove(&heartbeat.machine);
+            self.reconciliation.machines.remove(&heartbeat.machine);
         }
     }
 
--- a/crates/controller/src/cluster_state/heartbeat_tasks.rs
+++ b/crates/controller/src/cluster_state/heartbeat_tasks.rs
@@ -50,7 +50,7 @@
         machine.placed_tasks = changes.kept;
         machine.ended_tasks = changes.ended;
         if changes.has_replanned_starts {
-            self.machines_with_planned_starts.insert(name.to_owned());
+            self.direct_dispatch.machines_with_planned_starts.insert(name.to_owned());
         }
         for removed in changes.removed {
             self.remove_task(name, &removed.task, removed.removal, now);
--- a/crates/controller/src/cluster_state/heartbeat_timing.rs
+++ b/crates/controller/src/cluster_state/heartbeat_timing.rs
@@ -34,7 +34,7 @@
     /// Whether no worker has sent a heartbeat for several intervals although some should have: this
     /// controller may be cut off from the workers alone, while another one is not.
     pub fn all_workers_silent(&self, now: u64) -> bool {
-        let since = self.elected_at.max(self.resumed_at);
+        let since = self.clocks.answering_since();
         let mut expected = 0u32;
         let mut latest = since;
         for (name, machine) in &self.machines {
@@ -57,11 +57,11 @@
     /// long before the election that it must be up.
     fn surely_up_but_silent(&self, name: &str, machine: &Machine) -> bool {
         let booted = |listed_at: i64| {
-            listed_at + (constants::BOOT_CERTAIN_MS as i64) < self.elected_at as i64
+            listed_at + (constants::BOOT_CERTAIN_MS as i64) < self.clocks.elected_at() as i64
         };
         !machine.has_reported
             && machine.first_listed_at.is_some_and(booted)
-            && self.unreconciled_machines.contains(name)
+            && self.reconciliation.machines.contains(name)
     }
 
     /// Silence of all workers that counts, before any heartbeat has arrived, ms.
--- a/crates/controller/src/cluster_state/job_operations.rs
+++ b/crates/controller/src/cluster_state/job_operations.rs
@@ -31,7 +31,7 @@
 impl ClusterState {
     /// What the leader can say of a job.
     pub fn status(&self, id: &JobId) -> JobLookup {
-        let Some(job) = self.job_keys.get(id).and_then(|k| self.jobs.get(k)) else {
+        let Some(job) = self.jobs.by_id(id) else {
             return JobLookup::UnknownJob;
         };
         match job.completion.final_record() {
@@ -56,8 +56,8 @@
     /// A user cancels a job. Nothing of it is started from here on, even before the decision is
     /// durable.
     pub fn cancel(&mut self, id: &JobId) -> CancelOutcome {
-        let now = self.last_timestamp.monotonic;
-        let Some(key) = self.job_keys.get(id).copied() else { return CancelOutcome::UnknownJob };
+        let now = self.clocks.latest.monotonic;
+        let Some(key) = self.jobs.key(id) else { return CancelOutcome::UnknownJob };
         let Some(job) = self.jobs.get_mut(&key) else { return CancelOutcome::UnknownJob };
         if let Some(record) = job.completion.final_record() {
             return CancelOutcome::AlreadyFinal(record.status(id));
@@ -66,7 +66,7 @@
             tracing::info!("job {id}: its user cancels it");
             self.stops_due = true;
             self.unproven_cancellations.insert(key);
-            self.queue_proven_cancellations(self.last_timestamp.monotonic);
+            self.queue_proven_cancellations(self.clocks.latest.monotonic);
         }
         if self.unproven_cancellations.contains(&key) {
             CancelOutcome::LeasesOutstanding
@@ -121,16 +121,17 @@
             None => {}
         }
         self.stops_due = true;
-        self.ended_jobs.insert(job.id.clone());
-        self.completed_jobs.push((job.id.clone(), record));
+        let id = job.id.clone();
+        self.jobs.mark_ended(&id);
+        self.completed_jobs.push((id, record));
         self.forget_if_removed(key);
     }
 
     /// Forgets a job that is over and has nothing left on any machine.
     pub(super) fn forget_if_removed(&mut self, key: JobKey) {
         let gone = self.jobs.get(&key).is_some_and(|j| j.completion.is_final() && j.placed == 0);
-        if gone && let Some(job) = self.jobs.remove(&key) {
-            self.job_keys.remove(&job.id);
+        if gone {
+            self.jobs.remove(key);
         }
     }
 }
--- a/crates/controller/src/cluster_state/machine_list.rs
+++ b/crates/controller/src/cluster_state/machine_list.rs
@@ -59,7 +59,7 @@
             machine.cordon_reason = Some(CordonReason::Failed);
             machine.expired_incarnation = u64::MAX;
             self.remove_all_tasks(name, now, TaskRemoval::Lost);
-            self.unreconciled_machines.remove(name);
+            self.reconciliation.machines.remove(name);
         }
     }
 
--- a/crates/controller/src/cluster_state/placement.rs
+++ b/crates/controller/src/cluster_state/placement.rs
@@ -24,15 +24,15 @@
             // An attempt number is never used twice: the term is its upper part, and no two leaders
             // share a term.
             let attempt = job.gang_attempt.filter(|_| gang).unwrap_or_else(|| {
-                self.next_attempt += 1;
-                (self.term << 28) + self.next_attempt
+                self.last_attempt += 1;
+                (self.term << 28) + self.last_attempt
             });
             if gang {
                 job.gang_attempt = Some(attempt);
             }
             job.placements[index as usize] = TaskPlacement::Placed;
             job.count_placed(self.config.platform.zone(&machine.zone));
-            self.machines_with_planned_starts.insert(name.clone());
+            self.direct_dispatch.machines_with_planned_starts.insert(name.clone());
             self.unpublished_machines.insert(name.clone());
             machine.idle_since = None;
             machine.reserved_for_gang = machine.reserved_for_gang.filter(|r| r.job != key);
--- a/crates/controller/src/cluster_state/recovery.rs
+++ b/crates/controller/src/cluster_state/recovery.rs
@@ -1,7 +1,7 @@
 //! How a new leader takes in what earlier ones left in the state service.
 
 use super::machine_registry::MachineRegistry;
-use super::{CachedImage, ClassHistory, ClusterState, LoadedState, Machine, Timestamp};
+use super::{CachedImage, ClassHistory, ClusterState, Machine, Timestamp};
 use crate::records::{
     ClassRecord, ImagesRecord, JobSchedulingRecord, MachineRegistryRecord, ProgressRecord,
     SharedStartWatermarksRecord,
@@ -9,6 +9,25 @@
 use hookway_wire::{JobId, KeyValue};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
+/// What a new leader read from the state service.
+#[derive(Debug, Clone, Default)]
+pub struct LoadedState {
+    /// Job records: `j/`.
+    pub jobs: Vec<KeyValue>,
+    /// Progress records: `p/`.
+    pub progress: Vec<KeyValue>,
+    /// Scheduling records and shared start watermarks: `m/`.
+    pub scheduling: Vec<KeyValue>,
+    /// The machine registry: `r/`.
+    pub registry: Vec<KeyValue>,
+    /// Image records of version 0.1.0: `i/`.
+    pub images: Vec<KeyValue>,
+    /// The record of the job classes.
+    pub classes: Option<KeyValue>,
+    /// The leader before kept start watermarks.
+    pub has_start_watermarks: bool,
+}
+
 /// The job that a record of the kind `<prefix>/<job>...` is about.
 fn job_of_key(key: &str) -> Option<JobId> {
     key.split('/').nth(1).and_then(JobId::parse)
@@ -84,7 +103,7 @@
 
     fn load_progress(&mut self, kv: KeyValue, accepted: &Accepted) {
         let place = crate::records::parse_progress_key(&kv.key)
-            .and_then(|(id, from)| Some((*self.job_keys.get(&id)?, from)));
+            .and_then(|(id, from)| Some((self.jobs.key(&id)?, from)));
         let Some((job, from)) = place else {
             return self.remove_if_orphaned(kv.key, accepted);
         };
@@ -114,8 +133,8 @@
     }
 
     fn load_scheduling_record(&mut self, kv: KeyValue, accepted: &Accepted) {
-        let known = job_of_key(&kv.key).and_then(|id| self.job_keys.get(&id));
-        let Some(job) = known.and_then(|k| self.jobs.get_mut(k)) else {
+        let job = job_of_key(&kv.key).and_then(|id| self.jobs.by_id_mut(&id));
+        let Some(job) = job else {
             return self.remove_if_orphaned(kv.key, accepted);
         };
         match serde_json::from_value::<JobSchedulingRecord>(kv.value) {
@@ -157,12 +176,12 @@
                 // Nothing can be said of its machines: what they hold shows in their reports, and
                 // until their leases are over nothing older is started.
                 tracing::error!("{}: the roster record can't be read: {e}", kv.key);
-                self.unreconciled_machines.insert(kv.key);
+                self.reconciliation.machines.insert(kv.key);
                 self.commit_queue.registry.unreadable(number);
                 return;
             }
         };
-        let images = self.image_ids_of(&record.images);
+        let images = self.images.of_record(&record.images);
         for (machine, entry) in record.machines {
             let held = entry.images.iter().filter_map(|i| images.get(*i).copied()).collect();
             self.inherit_machine(&machine, Some(entry.registered_at_ms), held, at);
@@ -174,7 +193,7 @@
     fn load_images(&mut self, kv: KeyValue) {
         let name = kv.key.strip_prefix(crate::records::LEGACY_IMAGES_PREFIX).unwrap_or_default();
         if let Ok(record) = serde_json::from_value::<ImagesRecord>(kv.value) {
-            let images = self.image_ids_of(&record.images);
+            let images = self.images.of_record(&record.images);
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.images = images;
             }
@@ -186,8 +205,7 @@
     fn load_shared_marks(&mut self, key: String, number: u64, record: SharedStartWatermarksRecord) {
         let mut live = BTreeSet::new();
         for id in record.jobs {
-            let job = self.job_keys.get(&id).and_then(|key| self.jobs.get_mut(key));
-            if let Some(job) = job {
+            if let Some(job) = self.jobs.by_id_mut(&id) {
                 job.start_watermark.load_all(job.spec.tasks);
                 job.start_watermark.set_shared_record(number);
                 live.insert(id);
@@ -221,6 +239,6 @@
             }
         }
         self.machines.insert(name.to_owned(), machine);
-        self.unreconciled_machines.insert(name.to_owned());
+        self.reconciliation.machines.insert(name.to_owned());
     }
 }
--- a/crates/controller/src/cluster_state/scale_in.rs
+++ b/crates/controller/src/cluster_state/scale_in.rs
@@ -116,7 +116,7 @@
         let patience_ms = self.max_heartbeat_interval_ms() + constants::UNRECONCILED_SCALE_IN_MS;
         let context = ScaleInContext {
             now,
-            resumed_at: self.resumed_at,
+            resumed_at: self.clocks.resumed_at,
             lease_ms: worker_lease_expiry_ms(&self.config.platform),
             reconciled: self.reconciled(now),
             machine_types: &self.machine_types,
@@ -152,14 +152,14 @@
         let inherited_waits =
             self.jobs.values().any(|j| j.inherited && j.is_active() && !j.unplaced.is_empty());
         let leases_expire_at =
-            self.unreconciled_since + worker_lease_expiry_ms(&self.config.platform);
+            self.reconciliation.last_answered_at + worker_lease_expiry_ms(&self.config.platform);
         let worthwhile = !self.reconciled(now)
             && inherited_waits
             && now + constants::UNRECONCILED_SCALE_IN_MIN_GAIN_MS < leases_expire_at;
         if !worthwhile {
             return HashSet::new();
         }
-        let overdue = now >= self.elected_at.max(self.resumed_at) + patience_ms;
+        let overdue = now >= self.clocks.answering_since() + patience_ms;
         self.unreconciled_lost_machines(|machine| {
             overdue || !machine.has_reported && machine.state_probe.is_unresponsive()
         })
--- a/crates/controller/src/cluster_state/silence.rs
+++ b/crates/controller/src/cluster_state/silence.rs
@@ -47,7 +47,7 @@
 
     /// Time since the last response to a machine's worker, as far as this leader could answer, ms.
     fn silence_ms(&self, machine: &Machine, now: u64) -> u64 {
-        now.saturating_sub(machine.last_response_at.max(self.resumed_at))
+        now.saturating_sub(machine.last_response_at.max(self.clocks.resumed_at))
     }
 
     /// Zones that can't be reached at this moment. Nothing is added there, and their machines are kept
@@ -55,9 +55,12 @@
     pub(super) fn partitioned_zones(&self, now: u64) -> HashSet<String> {
         let timeout_ms = self.heartbeat_timeout_ms();
         let is_silent = |machine: &Machine| {
-            let since =
-                if machine.has_reported { machine.last_response_at } else { self.elected_at };
-            now >= since.max(self.resumed_at) + timeout_ms
+            let since = if machine.has_reported {
+                machine.last_response_at
+            } else {
+                self.clocks.elected_at()
+            };
+            now >= since.max(self.clocks.resumed_at) + timeout_ms
         };
         let zones = self.count_by_zone(
             |machine| machine.registered && !machine.zone.is_empty(),
@@ -90,7 +93,7 @@
         &self,
         gone: impl Fn(&Machine) -> bool,
     ) -> HashSet<String> {
-        let unreconciled = |name: &str| self.unreconciled_machines.contains(name);
+        let unreconciled = |name: &str| self.reconciliation.machines.contains(name);
         let zones = self.count_by_zone(
             |machine| machine.has_reported || !machine.zone.is_empty(),
             |name, _| unreconciled(name),
--- a/crates/controller/src/cluster_state/snapshot.rs
+++ b/crates/controller/src/cluster_state/snapshot.rs
@@ -41,7 +41,7 @@
         let mut job_indexes: HashMap<JobKey, usize> = HashMap::new();
         let mut job_keys = Vec::new();
         let mut jobs = Vec::new();
-        for (key, job) in &self.jobs {
+        for (key, job) in self.jobs.iter() {
             if job.completion.is_final() && job.placed == 0 {
                 continue;
             }
--- a/crates/controller/src/cluster_state/standby_feed.rs
+++ b/crates/controller/src/cluster_state/standby_feed.rs
@@ -93,7 +93,7 @@
             }
         }
         publisher.retain_jobs(shown, |id| {
-            let job = JobId::parse(id).and_then(|id| self.jobs.get(self.job_keys.get(&id)?));
+            let job = JobId::parse(id).and_then(|id| self.jobs.by_id(&id));
             job.is_some_and(|job| self.replicated_hints(job).is_some())
         });
     }
@@ -108,8 +108,8 @@
         let mut hints = JobHints { attempt, ..JobHints::default() };
         if job.consecutive_failures > 0 {
             hints.errors = job.consecutive_failures;
-            hints.failed_at = self.elected_at_timestamp.wall_at_monotonic(job.last_failure_at);
-            hints.paused_until = self.elected_at_timestamp.wall_at_monotonic(job.backoff_until);
+            hints.failed_at = self.clocks.elected.wall_at_monotonic(job.last_failure_at);
+            hints.paused_until = self.clocks.elected.wall_at_monotonic(job.backoff_until);
             hints.failed_on = job.failed_machines.iter().cloned().collect();
         }
         Some(hints)
@@ -133,8 +133,8 @@
             }
         }
         for (id, hints) in &copy.jobs {
-            let key = JobId::parse(id).and_then(|id| self.job_keys.get(&id));
-            let Some(job) = key.and_then(|key| self.jobs.get_mut(key)) else { continue };
+            let job = JobId::parse(id).and_then(|id| self.jobs.by_id_mut(&id));
+            let Some(job) = job else { continue };
             if job.spec.is_gang() && hints.attempt.is_some() {
                 job.resumed_attempt = hints.attempt;
                 taken.gangs += 1;
@@ -143,16 +143,16 @@
                 let latest = now + constants::FAILURE_BACKOFF_MAX_MS;
                 job.consecutive_failures = hints.errors.min(constants::MAX_RESUMED_FAILURES);
                 job.last_failure_at =
-                    self.elected_at_timestamp.monotonic_at_wall(hints.failed_at).min(now);
+                    self.clocks.elected.monotonic_at_wall(hints.failed_at).min(now);
                 job.backoff_until =
-                    self.elected_at_timestamp.monotonic_at_wall(hints.paused_until).min(latest);
+                    self.clocks.elected.monotonic_at_wall(hints.paused_until).min(latest);
                 let kept = hints.failed_on.iter().take(constants::MAX_FAILED_MACHINES);
                 job.failed_machines = kept.cloned().collect();
                 taken.failing_jobs += 1;
             }
         }
         if taken.addresses > 0 {
-            self.state_probes_from = now;
+            self.state_probes.start_at = now;
         }
         taken
     }
--- a/crates/controller/src/cluster_state/state_probe.rs
+++ b/crates/controller/src/cluster_state/state_probe.rs
@@ -2,6 +2,27 @@
 
 use hookway_constants as constants;
 
+/// The state probes of all machines.
+#[derive(Debug)]
+pub(super) struct StateProbes {
+    /// Number of probes in flight.
+    pub in_flight: usize,
+    /// Workers without a heartbeat are probed from then on, ms.
+    pub start_at: u64,
+}
+
+impl StateProbes {
+    /// No probes yet, of a leader that was elected at `elected_at` (ms).
+    pub fn new(elected_at: u64) -> Self {
+        Self { in_flight: 0, start_at: elected_at + constants::STATE_PROBE_DELAY_MS }
+    }
+
+    /// A probe has ended.
+    pub fn end_one(&mut self) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+    }
+}
+
 /// The state probes of one machine whose worker has not shown this leader's fencing token yet.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct StateProbe {
--- a/crates/controller/src/cluster_state/task_adoption.rs
+++ b/crates/controller/src/cluster_state/task_adoption.rs
@@ -22,7 +22,7 @@
 
     /// The job of a task, if it is known and has a task of that index.
     fn job_with_task(&self, task: &TaskId) -> Option<JobKey> {
-        let key = *self.job_keys.get(&task.job)?;
+        let key = self.jobs.key(&task.job)?;
         self.jobs.get(&key).filter(|job| task.index < job.spec.tasks).map(|_| key)
     }
 
--- a/crates/controller/src/cluster_state/task_removal.rs
+++ b/crates/controller/src/cluster_state/task_removal.rs
@@ -172,10 +172,10 @@
         self.remove_all_tasks(name, now, TaskRemoval::Lost);
         let removed = self.machines.remove(name);
         if removed.is_some_and(|machine| machine.state_probe.is_in_flight()) {
-            self.state_probes_in_flight = self.state_probes_in_flight.saturating_sub(1);
+            self.state_probes.end_one();
         }
         self.commit_queue.registry.remove(name);
-        self.unreconciled_machines.remove(name);
+        self.reconciliation.machines.remove(name);
         self.scaling_in.remove(name);
         self.removed_machines.insert(name.to_owned());
         tracing::info!("machine {name}: gone");
@@ -250,7 +250,7 @@
             machine.expired_incarnation = machine.newest_message.incarnation;
             self.remove_all_tasks(name, now, TaskRemoval::Lost);
         }
-        self.unreconciled_machines.remove(name);
+        self.reconciliation.machines.remove(name);
         true
     }
 }
