--- /dev/null
+++ b/crates/controller/src/cluster_state/commit_outcome.rs
@@ -0,0 +1,184 @@
+//! What the outcome of a transaction means for each of its records.
+
+use super::commit_queue::{CommitItem, RegistryMember, is_leader_record};
+use super::{ClusterState, JobKey};
+use crate::records::{
+    FinalRecord, JobSchedulingRecord, ProgressRecord, parse_progress_key, scheduling_key,
+    shared_watermarks_key,
+};
+use hookway_wire::{JobId, KeyValue};
+
+impl ClusterState {
+    /// An item is durable since this revision.
+    pub(super) fn item_applied(&mut self, item: CommitItem, revision: u64) {
+        match item {
+            CommitItem::Final { job, record } => self.complete_job(job, record),
+            CommitItem::ProgressPage { job: key, page, record } => {
+                if let Some(job) = self.jobs.get(&key) {
+                    let first = job.progress.range(page).start;
+                    self.results_stored(key, first, revision, Some(&record));
+                }
+            }
+            CommitItem::MachineRegistry { number, members } => {
+                self.registry_record_stored(number, members);
+            }
+            CommitItem::Scheduling { job, record } => {
+                self.scheduling_record_stored(job, &record);
+            }
+            CommitItem::SharedWatermarks { number, jobs } => {
+                self.shared_watermarks_stored(number, &jobs);
+            }
+            CommitItem::StaleKey(_) | CommitItem::Classes => {}
+        }
+    }
+
+    fn registry_record_stored(&mut self, number: u64, members: Vec<RegistryMember>) {
+        let machines = members.iter().map(|member| member.machine.as_str());
+        self.commit_queue.registry.stored(number, machines);
+        for RegistryMember { machine: name, images } in members {
+            // A machine that is gone meanwhile has left its record, which is stale already.
+            if let Some(machine) = self.machines.get_mut(&name) {
+                machine.registered = true;
+                machine.stored_images = images;
+            }
+            if let Some(legacy_key) = self.commit_queue.legacy_registry_keys.remove(&name) {
+                self.commit_queue.stale_keys.push_back(legacy_key);
+            }
+        }
+    }
+
+    fn scheduling_record_stored(&mut self, key: JobKey, record: &JobSchedulingRecord) {
+        let Some(job) = self.jobs.get_mut(&key) else { return };
+        job.stored_min_tasks = Some(record.min_tasks);
+        job.start_watermark.record_stored(record.start_watermark);
+        if job.completion.is_final() {
+            let name = scheduling_key(&job.id);
+            self.commit_queue.stale_keys.push_back(name);
+        }
+    }
+
+    fn shared_watermarks_stored(&mut self, number: u64, keys: &[JobKey]) {
+        for key in keys {
+            if let Some(job) = self.jobs.get_mut(key) {
+                job.start_watermark.record_stored(job.spec.tasks);
+            }
+        }
+        // All of its jobs ended while it was in flight.
+        if self.commit_queue.shared_watermarks.jobs(number).is_none() {
+            self.commit_queue.stale_keys.push_back(shared_watermarks_key(number));
+        }
+    }
+
+    /// An item that may not be durable returns to its queue.
+    pub(super) fn requeue(&mut self, item: CommitItem) {
+        match item {
+            CommitItem::Final { job: key, .. } => {
+                if self.jobs.get(&key).is_some_and(|job| !job.completion.is_final()) {
+                    self.commit_queue.finished_jobs.push_front(key);
+                }
+            }
+            CommitItem::ProgressPage { job: key, page, .. } => {
+                if self.jobs.get_mut(&key).is_some_and(|job| job.progress.queue(page)) {
+                    self.commit_queue.progress_pages.push_back((key, page));
+                }
+            }
+            CommitItem::MachineRegistry { number, .. } => {
+                self.commit_queue.registry.requeue(number);
+            }
+            CommitItem::StaleKey(key) => self.commit_queue.stale_keys.push_back(key),
+            CommitItem::Classes => self.commit_queue.classes_changed = true,
+            CommitItem::SharedWatermarks { jobs, .. } => {
+                self.commit_queue.watermark_raises.extend(jobs);
+            }
+            CommitItem::Scheduling { job: key, .. } => {
+                if self.jobs.get(&key).is_some_and(|job| job.start_watermark.needs_record()) {
+                    self.commit_queue.watermark_raises.insert(key);
+                }
+            }
+        }
+    }
+
+    /// Takes in a key that was read again after a transaction without a plain outcome.
+    pub(super) fn apply_reread(&mut self, key: &str, value: Option<KeyValue>) {
+        if is_leader_record(key) {
+            self.commit_queue.set_mod_revision(key, value.map_or(0, |v| v.mod_revision));
+            return;
+        }
+        let mut parts = key.split('/');
+        let kind = parts.next().unwrap_or_default();
+        let id = parts.next().and_then(JobId::parse);
+        let Some(job) = id.and_then(|id| self.jobs.key(&id)) else { return };
+        match kind {
+            "f" => {
+                let record =
+                    value.and_then(|v| serde_json::from_value::<FinalRecord>(v.value).ok());
+                if let Some(record) = record {
+                    self.complete_job(job, record);
+                }
+            }
+            "p" => {
+                let Some((_, first)) = parse_progress_key(key) else { return };
+                let revision = value.as_ref().map_or(0, |v| v.mod_revision);
+                let record =
+                    value.and_then(|v| serde_json::from_value::<ProgressRecord>(v.value).ok());
+                self.apply_progress_record(job, first, revision, record.as_ref());
+            }
+            _ => {}
+        }
+    }
+
+    /// Takes in the stored progress record whose results begin at task `first`; `None`: there is none,
+    /// or it can't be read.
+    pub(super) fn apply_progress_record(
+        &mut self,
+        key: JobKey,
+        first: u32,
+        revision: u64,
+        record: Option<&ProgressRecord>,
+    ) {
+        self.results_stored(key, first, revision, record);
+        let Some(job) = self.jobs.get_mut(&key) else { return };
+        let page = job.progress.page_of(first);
+        if first < job.spec.tasks && job.has_unstored_results(page) && job.progress.queue(page) {
+            self.commit_queue.progress_pages.push_back((key, page));
+        }
+    }
+
+    /// The results of a progress record are durable.
+    fn results_stored(
+        &mut self,
+        key: JobKey,
+        first: u32,
+        revision: u64,
+        record: Option<&ProgressRecord>,
+    ) {
+        let Some(job) = self.jobs.get_mut(&key) else { return };
+        // The end of a replica is no result, whatever a record says.
+        if job.spec.is_daemon() || first >= job.spec.tasks {
+            return;
+        }
+        let stored = job.progress.learn(first, revision, record);
+        for index in stored.done {
+            job.mark_completed(index);
+        }
+        for page in stored.pages_to_write {
+            if job.progress.queue(page) {
+                self.commit_queue.progress_pages.push_back((key, page));
+            }
+        }
+        self.stops_due = true;
+        if job.completion.is_final() && revision != 0 {
+            let name = crate::records::progress_key(&job.id, first);
+            self.commit_queue.stale_keys.push_back(name);
+        }
+        self.finish_if_complete(key);
+    }
+
+    /// Queues the final record of a job once all of its tasks are completed.
+    pub(super) fn finish_if_complete(&mut self, key: JobKey) {
+        let Some(job) = self.jobs.get_mut(&key) else { return };
+        if job.completed == job.spec.tasks && !job.spec.is_daemon() && job.completion.finish() {
+            self.commit_queue.finished_jobs.push_back(key);
+        }
+    }
+}
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -10,6 +10,8 @@
 mod class_history;
 mod clocks;
 mod command_dispatch;
+mod commit_items;
+mod commit_outcome;
 mod commit_queue;
 mod commits;
 mod completion;
@@ -50,6 +52,7 @@
 mod summary;
 mod task_adoption;
 mod task_removal;
+mod token_bucket;
 
 pub use autoscaling::ScalingAction;
 pub use clocks::Timestamp;
