--- a/crates/controller/src/cluster_state/machine_fill.rs
+++ b/crates/controller/src/cluster_state/machine_fill.rs
@@ -114,10 +114,9 @@
         let has_quota = self.config.platform.teams.get(job.team).is_some_and(Team::limited);
         let team = has_quota.then(|| self.team_views().into_iter().nth(job.team)).flatten();
         let Some(mut team) = team else { return u32::MAX };
-        for (_, reserved) in
-            self.last_round.quota_reservations.iter().filter(|(team, _)| *team == job.team)
-        {
-            team.used.add(reserved);
+        let reservations = self.last_round.quota_reservations.iter();
+        for reserved in reservations.filter(|reserved| reserved.team == job.team) {
+            team.used.add(&reserved.resources);
         }
         team.remaining_tasks(&job.request)
     }
--- a/crates/controller/src/cluster_state/scheduling_round.rs
+++ b/crates/controller/src/cluster_state/scheduling_round.rs
@@ -3,7 +3,7 @@
 use super::snapshot::SchedulingSnapshot;
 use super::{ClusterState, GangReservation, JobKey};
 use hookway_constants as constants;
-use hookway_policy::{QueueEntry, Resources, min_tasks, place, preempt};
+use hookway_policy::{QueueEntry, QuotaReservation, Victim, min_tasks, place, preempt};
 use std::collections::HashSet;
 
 /// Tasks of a job that the last round found no room for.
@@ -24,8 +24,8 @@
     pub at_ms: u64,
     /// Tasks without room, in the order of the scheduling queue.
     pub unplaced: Vec<UnplacedDemand>,
-    /// Parts of teams' quotas reserved for gangs that wait: team index and resources.
-    pub quota_reservations: Vec<(usize, Resources)>,
+    /// Parts of teams' quotas reserved for gangs that wait.
+    pub quota_reservations: Vec<QuotaReservation>,
     /// Machines reserved for gangs that wait.
     pub reserved_machines: HashSet<String>,
 }
@@ -117,7 +117,7 @@
                     machine.reserved_for_gang = Some(GangReservation { job, until_ms });
                 }
             }
-            for (machine, task) in preemption.victims {
+            for Victim { machine, task } in preemption.victims {
                 let name = &snapshot.machine_names[machine];
                 self.preempt_task(name, task as usize, job, now);
             }
--- a/crates/controller/src/cluster_state/snapshot.rs
+++ b/crates/controller/src/cluster_state/snapshot.rs
@@ -1,7 +1,9 @@
 //! The scheduling snapshot: jobs, machines and teams as the policy sees them.
 
 use super::{ClusterState, Job, JobKey, Machine, PlacedTask};
-use hookway_policy::{ClusterSnapshot, JobView, MachineView, PlacedTaskView, Resources, TeamView};
+use hookway_policy::{
+    ClusterSnapshot, JobView, MachineView, PlacedTaskView, Quota, Resources, TeamView,
+};
 use std::collections::HashMap;
 
 /// A cluster snapshot for the policy, with what its indexes stand for.
@@ -91,8 +93,8 @@
             .iter()
             .map(|team| TeamView {
                 used: Resources::default(),
-                guarantee: (team.cpus, team.gpus),
-                limit: (team.cpus_max, team.gpus_max),
+                guarantee: Quota { cpus: team.cpus, gpus: team.gpus },
+                limit: Quota { cpus: team.cpus_max, gpus: team.gpus_max },
             })
             .collect();
         for job in self.jobs.values() {
