--- a/crates/controller/src/cluster_state/direct_dispatch.rs
+++ b/crates/controller/src/cluster_state/direct_dispatch.rs
@@ -1,11 +1,10 @@
-//! Messages that go straight to workers: starts that should not wait for a report, and a new leader's question
-//! what is on a machine.
+//! Direct dispatch: starts that should not wait for the workers' next heartbeats.
 
 use super::heartbeat_tasks::MessageKind;
-use super::{ClusterState, MessageVersion, TaskPhase};
+use super::{ClusterState, Machine, MessageVersion, TaskPhase};
 use hookway_clients::Delivery;
 use hookway_constants as constants;
-use hookway_wire::{Command, DirectCommands, Heartbeat};
+use hookway_wire::{DirectCommands, Heartbeat};
 use std::collections::BTreeSet;
 
 /// The starts that are dispatched directly.
@@ -14,116 +13,120 @@
     /// Machines with planned starts whose workers were not told yet.
     pub machines_with_planned_starts: BTreeSet<String>,
     /// Number of messages with starts in flight.
-    pub in_flight: usize,
+    in_flight: usize,
+}
+
+/// The planned starts of a machine that may be dispatched now.
+struct StartSelection {
+    /// Positions in the machine's placed tasks.
+    positions: Vec<usize>,
+    /// Some task waits for its start watermark to become durable.
+    waits_for_watermark: bool,
 }
 
 impl ClusterState {
-    /// Starts that should not wait for their workers' next reports: machine, address and commands. The
-    /// outcome comes with [`ClusterState::direct_start_sent`].
+    /// Starts that should not wait for their workers' next heartbeats: machine, address and commands.
+    /// The outcome goes to [`ClusterState::direct_start_sent`].
     ///
     /// Such a command may arrive late, or twice, and after `reap` a second arrival would start the
-    /// task again. So the machine's token rises with each: every later answer, and with it every
-    /// `reap`, carries a higher one, after which the worker refuses the command.
+    /// task again. So the machine's fencing token rises with each: every later response, and with it
+    /// every `reap`, carries a higher one, after which the worker refuses the command.
     pub fn take_direct_starts(&mut self, now: u64) -> Vec<(String, String, DirectCommands)> {
-        let mut sends = Vec::new();
-        if self.direct_dispatch.in_flight >= constants::MAX_DIRECT_DISPATCHES {
-            return sends;
-        }
-        let names: Vec<String> =
-            self.direct_dispatch.machines_with_planned_starts.iter().cloned().collect();
+        let mut dispatches = Vec::new();
+        let names = self.direct_dispatch.machines_with_planned_starts.clone();
         for name in names {
-            if self.direct_dispatch.in_flight + sends.len() >= constants::MAX_DIRECT_DISPATCHES {
+            let in_flight = self.direct_dispatch.in_flight + dispatches.len();
+            if in_flight >= constants::MAX_DIRECT_DISPATCHES {
                 break;
             }
-            let Some(machine) = self.machines.get(&name) else {
-                self.direct_dispatch.machines_with_planned_starts.remove(&name);
-                continue;
-            };
-            if machine.direct_dispatch_in_flight
-                || !machine.registered
-                || now < machine.heartbeat_expected_by
-            {
-                continue;
-            }
-            self.direct_dispatch.machines_with_planned_starts.remove(&name);
-            let able = machine.has_reported
-                && !machine.address.is_empty()
-                && !machine.is_draining()
-                && machine.token_offset + 1 < constants::TOKENS_PER_TERM;
-            if !able {
-                continue;
-            }
-            let mut unopened = false;
-            let chosen: Vec<usize> = (0..machine.placed_tasks.len())
-                .filter(|i| {
-                    let h = &machine.placed_tasks[*i];
-                    let job = h.job.and_then(|k| self.jobs.get(&k));
-                    h.phase == TaskPhase::Planned
-                        && self.stop_grace_s(h, now).is_none()
-                        && job.is_some_and(|j| {
-                            let opened = j.start_watermark.allows_start(h.index);
-                            unopened |= !opened;
-                            opened && !j.orphaned.contains(&h.index)
-                        })
-                })
-                .take(constants::DIRECT_DISPATCH_MAX_TASKS)
-                .collect();
-            if unopened {
-                self.direct_dispatch.machines_with_planned_starts.insert(name.clone());
+            if let Some((address, commands)) = self.take_direct_starts_of(&name, now) {
+                dispatches.push((name, address, commands));
             }
-            if chosen.is_empty() {
-                continue;
-            }
-            let Some(machine) = self.machines.get_mut(&name) else { continue };
-            let token = self.term + machine.token_offset;
-            machine.token_offset += 1;
-            machine.direct_dispatch_in_flight = true;
-            let mut commands = Vec::with_capacity(chosen.len());
-            for i in chosen {
-                let held = &mut machine.placed_tasks[i];
-                held.phase = TaskPhase::SentDirectly(token);
-                commands.push(Command::Run { task: held.task.clone(), attempt: held.attempt });
-            }
-            let commands = DirectCommands {
-                fencing_token: token,
-                incarnation: machine.newest_message.incarnation,
-                commands,
-            };
-            let address = machine.address.clone();
-            self.mark_unpublished(&name);
-            sends.push((name, address, commands));
         }
-        self.direct_dispatch.in_flight += sends.len();
-        sends
+        self.direct_dispatch.in_flight += dispatches.len();
+        dispatches
+    }
+
+    fn take_direct_starts_of(&mut self, name: &str, now: u64) -> Option<(String, DirectCommands)> {
+        let Some(machine) = self.machines.get(name) else {
+            self.direct_dispatch.machines_with_planned_starts.remove(name);
+            return None;
+        };
+        if machine.direct_dispatch_in_flight
+            || !machine.registered
+            || now < machine.heartbeat_expected_by
+        {
+            return None;
+        }
+        self.direct_dispatch.machines_with_planned_starts.remove(name);
+        if !can_dispatch_to(machine) {
+            return None;
+        }
+        let selection = self.select_starts(machine, now);
+        if selection.waits_for_watermark {
+            self.direct_dispatch.machines_with_planned_starts.insert(name.to_owned());
+        }
+        if selection.positions.is_empty() {
+            return None;
+        }
+        let machine = self.machines.get_mut(name)?;
+        let fencing_token = self.term + machine.token_offset;
+        machine.token_offset += 1;
+        machine.direct_dispatch_in_flight = true;
+        let mut commands = Vec::with_capacity(selection.positions.len());
+        for position in selection.positions {
+            let placed = &mut machine.placed_tasks[position];
+            placed.phase = TaskPhase::SentDirectly(fencing_token);
+            commands.push(placed.run_command());
+        }
+        let incarnation = machine.newest_message.incarnation;
+        let address = machine.address.clone();
+        self.mark_unpublished(name);
+        Some((address, DirectCommands { fencing_token, incarnation, commands }))
     }
 
-    /// What became of starts that were sent straight to a worker under `token`.
-    pub fn direct_start_sent(&mut self, name: &str, token: u64, delivery: Delivery, now: u64) {
-        self.direct_dispatch.in_flight = self.direct_dispatch.in_flight.saturating_sub(1);
+    /// Selects planned starts, up to the number that one message may have.
+    fn select_starts(&self, machine: &Machine, now: u64) -> StartSelection {
+        let mut waits_for_watermark = false;
+        let positions = machine
+            .placed_tasks
+            .iter()
+            .enumerate()
+            .filter(|(_, placed)| {
+                if placed.phase != TaskPhase::Planned || self.stop_grace_s(placed, now).is_some() {
+                    return false;
+                }
+                let allowed = self.watermark_allows_start(placed);
+                waits_for_watermark |= !allowed;
+                allowed && !self.has_orphaned_attempt(placed)
+            })
+            .map(|(position, _)| position)
+            .take(constants::DIRECT_DISPATCH_MAX_TASKS)
+            .collect();
+        StartSelection { positions, waits_for_watermark }
+    }
+
+    /// Takes in the outcome of starts dispatched to a worker under `fencing_token`, at `now` (ms).
+    pub fn direct_start_sent(
+        &mut self,
+        name: &str,
+        fencing_token: u64,
+        delivery: Delivery,
+        now: u64,
+    ) {
+        let in_flight = &mut self.direct_dispatch.in_flight;
+        *in_flight = in_flight.saturating_sub(1);
         let Some(machine) = self.machines.get_mut(name) else { return };
         machine.direct_dispatch_in_flight = false;
         match delivery {
-            Delivery::Executed(report) => {
-                let stamp = MessageVersion::of(&report);
-                // Only of the session that was addressed; it renews no lease.
-                if report.machine == name
-                    && report.incarnation == machine.newest_message.incarnation
-                    && report.incarnation > machine.expired_incarnation
-                    && stamp > machine.newest_message
-                {
-                    machine.newest_message = stamp;
-                    self.apply_heartbeat(name, &report, now, MessageKind::DirectAnswer);
-                }
-            }
-            // This copy was refused. Whether another one was carried out before shows in the next report
-            // with a higher token.
+            Delivery::Executed(heartbeat) => self.apply_direct_answer(name, &heartbeat, now),
+            // This copy was refused. Whether another one was executed before shows in the next
+            // heartbeat with a higher fencing token.
             Delivery::Refused => {}
             Delivery::NotSent => {
-                self.direct_start_not_sent(name, token);
-                if let Some(machine) = self.machines.get_mut(name) {
-                    machine.backoff_until = now + constants::UNREACHABLE_BACKOFF_MS;
-                }
-                tracing::debug!("machine {name}: can't be reached");
+                machine.backoff_until = now + constants::UNREACHABLE_BACKOFF_MS;
+                self.direct_start_not_sent(name, fencing_token);
+                tracing::debug!(machine = %name, "worker unreachable");
                 self.cancel_planned_starts(name, now);
             }
             Delivery::Indeterminate => {
@@ -133,75 +136,38 @@
         }
     }
 
-    /// Workers that have not shown this leader's token and should be asked what is on their machines: name
-    /// and address. The outcome comes with [`ClusterState::state_probed`].
-    ///
-    /// A worker finds a new leader only after its report to the old one has failed, which takes it some
-    /// seconds for each controller that hangs, and shows the new token with the report after that, which may be its
-    /// next regular one; until all have, most work of earlier terms waits.
-    pub fn take_state_probes(&mut self, now: u64) -> Vec<(String, String)> {
-        let room = constants::MAX_STATE_PROBES.saturating_sub(self.state_probes.in_flight);
-        if room == 0 || self.reconciliation.machines.is_empty() || now < self.state_probes.start_at
-        {
-            return Vec::new();
-        }
-        let mut chosen = Vec::new();
-        for name in &self.reconciliation.machines {
-            if chosen.len() >= room {
-                break;
-            }
-            let Some(machine) = self.machines.get_mut(name) else { continue };
-            if machine.needs_state_probe(now) {
-                machine.state_probe.begin(now);
-                chosen.push((name.clone(), machine.address.clone()));
-            }
-        }
-        self.state_probes.in_flight += chosen.len();
-        chosen
-    }
-
-    /// What a worker said that was asked what is on its machine. With the new term's token it names
-    /// everything: whatever an earlier leader sent, the worker refuses from then on. It renewed no lease; but
-    /// the worker may be in a session whose lease began just now.
-    pub fn state_probed(&mut self, name: &str, report: Option<Heartbeat>, now: u64) {
-        let report = report.filter(|r| r.machine == name && r.fencing_token >= self.term);
+    /// The answer of a worker to direct commands. It counts only if it is of the incarnation that was
+    /// addressed, and it extends no lease.
+    fn apply_direct_answer(&mut self, name: &str, heartbeat: &Heartbeat, now: u64) {
         let Some(machine) = self.machines.get_mut(name) else { return };
-        if machine.state_probe.is_in_flight() {
-            if report.is_some() {
-                machine.state_probe.answered();
-            } else {
-                machine.state_probe.failed();
-            }
-            self.state_probes.end_one();
-        }
-        let Some(report) = report else { return };
-        let stamp = MessageVersion::of(&report);
-        let over =
-            report.incarnation <= machine.expired_incarnation || machine.cordon_reason.is_some();
-        // A session that began since its last report: its next report tells, and clears what the last one held.
-        let other_session =
-            machine.has_reported && report.incarnation != machine.newest_message.incarnation;
-        if over || other_session || stamp <= machine.newest_message {
-            return;
-        }
-        if !machine.has_reported {
-            machine.has_reported = true;
-            machine.last_response_at = now;
+        let version = MessageVersion::of(heartbeat);
+        if heartbeat.machine == name
+            && version.incarnation == machine.newest_message.incarnation
+            && version.incarnation > machine.expired_incarnation
+            && version > machine.newest_message
+        {
+            machine.newest_message = version;
+            self.apply_heartbeat(name, heartbeat, now, MessageKind::DirectAnswer);
         }
-        machine.update_from(&report, now);
-        self.reconciliation.machines.remove(name);
-        self.apply_heartbeat(name, &report, now, MessageKind::DirectAnswer);
     }
 
-    /// Starts that were sent under `token` surely won't arrive any more.
-    pub(super) fn direct_start_not_sent(&mut self, name: &str, token: u64) {
+    /// Starts dispatched under `fencing_token` surely won't arrive any more.
+    fn direct_start_not_sent(&mut self, name: &str, fencing_token: u64) {
         self.mark_unpublished(name);
         let Some(machine) = self.machines.get_mut(name) else { return };
-        for held in
-            machine.placed_tasks.iter_mut().filter(|h| h.phase == TaskPhase::SentDirectly(token))
-        {
-            held.phase = TaskPhase::Planned;
+        for placed in &mut machine.placed_tasks {
+            if placed.phase == TaskPhase::SentDirectly(fencing_token) {
+                placed.phase = TaskPhase::Planned;
+            }
         }
         self.direct_dispatch.machines_with_planned_starts.insert(name.to_owned());
     }
 }
+
+/// Whether starts may be dispatched directly to a machine.
+fn can_dispatch_to(machine: &Machine) -> bool {
+    machine.has_reported
+        && !machine.address.is_empty()
+        && !machine.is_draining()
+        && machine.token_offset + 1 < constants::TOKENS_PER_TERM
+}
--- a/crates/controller/src/cluster_state/failure_attribution.rs
+++ b/crates/controller/src/cluster_state/failure_attribution.rs
@@ -1,53 +1,53 @@
-//! Whose fault an error is.
+//! Failure attribution: whether an error is due to the job or to the machine.
 //!
-//! One job that fails on many machines is the job's fault, many jobs that fail on one machine are the
-//! machine's. A job with a mistake is tried again with growing pauses, one task at a time, and neither
-//! condemns machines nor takes anything from jobs that work; one that met a faulty machine goes on
+//! When one job fails on many machines the job is faulty, when many jobs fail on one machine the
+//! machine is. A faulty job is tried again with growing backoff, one task at a time, and neither
+//! cordons machines nor takes anything from jobs that work; one that met a faulty machine is restarted
 //! elsewhere at once.
 
-use super::{ClusterState, CordonReason, Job, JobKey, Machine};
+use super::{ClusterState, CordonReason, Job, JobKey};
 use hookway_constants as constants;
 
 impl Job {
-    /// It failed, and nothing speaks for it: no task has completed, and not more of them run than there
+    /// Whether it fails wherever it is tried: no task has completed, and no more of them run than there
     /// are machines that it failed on.
     pub fn is_crash_looping(&self) -> bool {
-        let tries =
+        let max_failures =
             if self.spec.needs_all_tasks_at_once() { constants::GANG_MAX_FAILURES } else { 1 };
-        self.consecutive_failures >= tries && self.unproven()
+        self.consecutive_failures >= max_failures && self.unproven()
     }
 
-    /// Nothing shows that it can run at all.
+    /// Whether nothing shows that it can run at all.
     fn unproven(&self) -> bool {
         self.completed == 0 && self.running as usize <= self.failed_machines.len()
     }
 
-    /// How much an error of this job says against the machine that it happened on.
+    /// Weight of an error of this job in the attribution to the machine that it happened on.
     fn failure_weight(&self) -> f64 {
         if !self.unproven() {
             return 1.0;
         }
-        // On one machine only, so far: it may be either's fault.
+        // On one machine only, so far: either may be faulty.
         if self.failed_machines.len() == 1 { constants::UNPROVEN_JOB_WEIGHT } else { 0.0 }
     }
 
-    /// Machines that it should not be tried on again, out of so many: the last ones that it failed on, and
-    /// never so many that too few are left.
+    /// Whether it should not be tried again on a machine, out of so many: on one of those that it failed on
+    /// last, and never on more than half of all.
     pub fn excludes_machine(&self, name: &str, machines: usize) -> bool {
-        let most = machines / 2;
-        self.failed_machines.iter().rev().take(most).any(|machine| machine == name)
+        let max_excluded = machines / 2;
+        self.failed_machines.iter().rev().take(max_excluded).any(|machine| machine == name)
     }
 
-    /// A task of it, placed at `since`, has failed on a machine. Errors of tasks that were placed before the
-    /// last error count with that one: they are one try.
-    fn record_failure(&mut self, machine: &str, since: u64, now: u64) {
-        if !self.failed_machines.iter().any(|h| h == machine) {
+    /// A task of it, placed at `placed_at` (ms), has failed on a machine. Errors of tasks that were placed
+    /// before the last error count with that one: they are one try.
+    fn record_failure(&mut self, machine: &str, placed_at: u64, now: u64) {
+        if !self.failed_machines.iter().any(|failed| failed == machine) {
             if self.failed_machines.len() >= constants::MAX_FAILED_MACHINES {
                 self.failed_machines.pop_front();
             }
             self.failed_machines.push_back(machine.to_owned());
         }
-        if self.consecutive_failures > 0 && since <= self.last_failure_at {
+        if self.consecutive_failures > 0 && placed_at <= self.last_failure_at {
             return;
         }
         if self.spec.is_daemon()
@@ -61,23 +61,23 @@
         if proven && self.consecutive_failures < constants::PROVEN_JOB_MAX_FAILURES {
             return;
         }
-        let pause = constants::FAILURE_BACKOFF_MS << (self.consecutive_failures - 1).min(10);
-        let pause = pause.min(constants::FAILURE_BACKOFF_MAX_MS);
-        // Jobs that were submitted together with the same mistake shall not all come back together.
+        let backoff_ms = constants::FAILURE_BACKOFF_MS << (self.consecutive_failures - 1).min(10);
+        let backoff_ms = backoff_ms.min(constants::FAILURE_BACKOFF_MAX_MS);
+        // Jobs that were submitted together with the same fault shall not all be tried together.
         let spread = |sum: u64, byte: u8| sum.wrapping_mul(31).wrapping_add(u64::from(byte));
         let spread = self.id.as_str().bytes().fold(u64::from(self.consecutive_failures), spread);
-        let jitter = pause / 4 * (spread % 100) / 100;
-        self.backoff_until = now + pause + jitter;
+        let jitter_ms = backoff_ms / 4 * (spread % 100) / 100;
+        self.backoff_until = now + backoff_ms + jitter_ms;
         if self.is_crash_looping() {
             self.add_note(format!(
                 "failed on {} machines and ran on none; next try in {} s",
                 self.failed_machines.len(),
-                (pause + jitter) / 1000
+                (backoff_ms + jitter_ms) / 1000
             ));
         }
     }
 
-    /// A replica of a daemon said that it is done. It runs again, and if it ended at once, after a pause.
+    /// A replica of a daemon is done. It is started again, after a backoff if it ended at once.
     pub(super) fn replica_completed(
         &mut self,
         machine: &str,
@@ -93,27 +93,27 @@
 }
 
 impl ClusterState {
-    /// A daemon of which a replica has run for a while works, whatever failed before: it has no completed tasks
-    /// that would show it.
+    /// Forgets the failures of daemons with a replica that has run for a while: they have no completed tasks
+    /// that would show that they work.
     pub(super) fn reset_steady_daemons(&mut self, now: u64) {
         let failed = |job: &Job| job.spec.is_daemon() && job.consecutive_failures > 0;
         if !self.jobs.values().any(failed) {
             return;
         }
         let steady = |since: &u64| now >= since + constants::REPLICA_STEADY_MS;
-        for held in self.machines.values().flat_map(|machine| &machine.placed_tasks) {
-            let Some(job) = held.job.and_then(|key| self.jobs.get_mut(&key)) else { continue };
-            if failed(job) && held.running_since.as_ref().is_some_and(steady) {
+        for placed in self.machines.values().flat_map(|machine| &machine.placed_tasks) {
+            let Some(job) = placed.job.and_then(|key| self.jobs.get_mut(&key)) else { continue };
+            if failed(job) && placed.running_since.as_ref().is_some_and(steady) {
                 job.consecutive_failures = 0;
                 job.failed_machines.clear();
             }
         }
     }
 
-    /// A task of job `key`, placed at `since`, has failed on a machine.
-    pub(super) fn attribute_failure(&mut self, name: &str, key: JobKey, since: u64, now: u64) {
+    /// A task of job `key`, placed at `placed_at` (ms), has failed on a machine.
+    pub(super) fn attribute_failure(&mut self, name: &str, key: JobKey, placed_at: u64, now: u64) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
-        job.record_failure(name, since, now);
+        job.record_failure(name, placed_at, now);
         let proven = job.failure_weight() >= 1.0;
         let Some(machine) = self.machines.get_mut(name) else { return };
         if !machine.failed_jobs.contains(&key) {
@@ -123,22 +123,11 @@
             machine.backoff_until =
                 machine.backoff_until.max(now + constants::REJECTED_START_BACKOFF_MS);
         }
-        let blamed = |machine: &Machine| -> f64 {
-            machine
-                .failed_jobs
-                .iter()
-                .filter_map(|k| self.jobs.get(k))
-                .map(Job::failure_weight)
-                .sum()
-        };
-        let faulty =
-            self.machines.get(name).is_some_and(|h| blamed(h) >= constants::FAULTY_MACHINE_WEIGHT);
-        let Some(machine) =
-            self.machines.get_mut(name).filter(|h| faulty && h.cordon_reason.is_none())
-        else {
-            return;
-        };
-        tracing::info!("machine {name}: faulty, to be returned");
-        machine.cordon_reason = Some(CordonReason::Faulty);
+        let weights = machine.failed_jobs.iter().filter_map(|key| self.jobs.get(key));
+        let total_weight: f64 = weights.map(Job::failure_weight).sum();
+        if total_weight >= constants::FAULTY_MACHINE_WEIGHT && machine.cordon(CordonReason::Faulty)
+        {
+            tracing::info!(machine = %name, reason = %CordonReason::Faulty, "machine cordoned");
+        }
     }
 }
--- a/crates/controller/src/cluster_state/job_operations.rs
+++ b/crates/controller/src/cluster_state/job_operations.rs
@@ -1,35 +1,36 @@
-//! What users ask of jobs: their states, their cancellation, and their ends.
+//! Operations of users on jobs, status and cancellation, and the completion of jobs.
 
 use super::{ClusterState, Job, JobKey, leases_expire_within_cancellation};
 use crate::records::FinalRecord;
 use hookway_wire::{JobId, JobState, JobStatus};
 
-/// What the leader knows of a job that a user asks about.
+/// What the leader knows of the status of a job.
 #[derive(Debug, Clone, PartialEq)]
 pub enum JobLookup {
-    /// Its state.
+    /// Its status.
     Known(JobStatus),
-    /// Its end is being written down: the state service must be asked.
+    /// Its final record is in flight: only the state service can tell whether it has ended.
     CommitInFlight,
-    /// Not in this picture: over, not yet seen, or never accepted.
+    /// Not in the cluster state: ended, not yet seen, or never accepted.
     UnknownJob,
 }
 
-/// What became of a request to cancel.
+/// The outcome of a request to cancel a job.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CancelOutcome {
-    /// It is over already.
+    /// It has ended already.
     AlreadyFinal(JobStatus),
-    /// The decision is being written down; it comes with [`ClusterState::take_completed_jobs`].
+    /// The final record is being written; once it is durable, the job comes with [`ClusterState::take_completed_jobs`].
     Pending,
-    /// Its tasks may not be gone in time yet, so its user can't be told; nothing of it is started any more.
+    /// Its tasks may not be gone in time, so the cancellation can't be confirmed yet; none of its tasks
+    /// is started any more.
     LeasesOutstanding,
-    /// Not in this picture.
+    /// Not in the cluster state.
     UnknownJob,
 }
 
 impl ClusterState {
-    /// What the leader can say of a job.
+    /// The status of a job.
     pub fn status(&self, id: &JobId) -> JobLookup {
         let Some(job) = self.jobs.by_id(id) else {
             return JobLookup::UnknownJob;
@@ -37,11 +38,12 @@
         match job.completion.final_record() {
             Some(record) => JobLookup::Known(record.status(id)),
             None if job.completion.commit_outstanding() => JobLookup::CommitInFlight,
-            None => JobLookup::Known(self.describe(job)),
+            None => JobLookup::Known(self.status_of(job)),
         }
     }
 
-    pub(super) fn describe(&self, job: &Job) -> JobStatus {
+    /// The status of a job that has not ended.
+    fn status_of(&self, job: &Job) -> JobStatus {
         JobStatus {
             id: job.id.clone(),
             state: if job.running > 0 { JobState::Running } else { JobState::Queued },
@@ -53,8 +55,8 @@
         }
     }
 
-    /// A user cancels a job. Nothing of it is started from here on, even before the decision is
-    /// durable.
+    /// Cancels a job for its user. None of its tasks is started from now on, even before the final record
+    /// is durable.
     pub fn cancel(&mut self, id: &JobId) -> CancelOutcome {
         let now = self.clocks.latest.monotonic;
         let Some(key) = self.jobs.key(id) else { return CancelOutcome::UnknownJob };
@@ -63,10 +65,10 @@
             return CancelOutcome::AlreadyFinal(record.status(id));
         }
         if job.completion.request_cancel(now) {
-            tracing::info!("job {id}: its user cancels it");
+            tracing::info!(job = %id, "cancellation requested");
             self.stops_due = true;
             self.unproven_cancellations.insert(key);
-            self.queue_proven_cancellations(self.clocks.latest.monotonic);
+            self.queue_proven_cancellations(now);
         }
         if self.unproven_cancellations.contains(&key) {
             CancelOutcome::LeasesOutstanding
@@ -75,18 +77,18 @@
         }
     }
 
-    /// Cancellations of which it is sure that all rights which may keep tasks alive end in time are written
-    /// down. As a rule that is all of them at once: blocks are leased so that they end in time, and a
-    /// worker's lease is shorter than a cancellation may take. Where it is not, the tasks must be gone first.
+    /// Queues the final records of cancellations of which it is sure that all leases which may keep tasks
+    /// alive end in time. As a rule these are all of them at once: shard leases end in time, and a worker's
+    /// lease is shorter than a cancellation may take. Where it is not, the tasks must be gone first.
     pub(super) fn queue_proven_cancellations(&mut self, now: u64) {
         if self.unproven_cancellations.is_empty() {
             return;
         }
-        let by_themselves = leases_expire_within_cancellation(&self.config.platform);
-        let settled = self.reconciled(now);
+        let leases_expire_in_time = leases_expire_within_cancellation(&self.config.platform);
+        let reconciled = self.reconciled(now);
         for key in std::mem::take(&mut self.unproven_cancellations) {
             let Some(job) = self.jobs.get(&key) else { continue };
-            if by_themselves || settled && job.placed == 0 {
+            if leases_expire_in_time || reconciled && job.placed == 0 {
                 self.commit_queue.finished_jobs.push_back(key);
             } else {
                 self.unproven_cancellations.insert(key);
@@ -94,18 +96,18 @@
         }
     }
 
-    /// Jobs whose end has become durable since the last call.
+    /// The jobs whose final record has become durable since the last call.
     pub fn take_completed_jobs(&mut self) -> Vec<(JobId, FinalRecord)> {
         std::mem::take(&mut self.completed_jobs)
     }
 
-    /// The end of a job is durable.
+    /// The final record of a job is durable.
     pub(super) fn complete_job(&mut self, key: JobKey, record: FinalRecord) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         if !job.completion.complete(record.clone()) {
             return;
         }
-        tracing::info!("job {}: {}", job.id, record.state);
+        tracing::info!(job = %job.id, state = %record.state, "job completed");
         job.unplaced.clear();
         for key in job.progress.stored_keys(&job.id) {
             self.commit_queue.delete_stale(key);
@@ -127,10 +129,10 @@
         self.forget_if_removed(key);
     }
 
-    /// Forgets a job that is over and has nothing left on any machine.
+    /// Removes a job that has ended and has no task on any machine.
     pub(super) fn forget_if_removed(&mut self, key: JobKey) {
-        let gone = self.jobs.get(&key).is_some_and(|j| j.completion.is_final() && j.placed == 0);
-        if gone {
+        let removed = self.jobs.get(&key).is_some_and(|j| j.completion.is_final() && j.placed == 0);
+        if removed {
             self.jobs.remove(key);
         }
     }
--- a/crates/controller/src/cluster_state/machine_registry.rs
+++ b/crates/controller/src/cluster_state/machine_registry.rs
@@ -1,31 +1,36 @@
+//! The machine registry: which machines may have tasks, in records shared by many machines.
+
 use crate::records::{MachineRegistryEntry, MachineRegistryRecord, fits_value_limit, registry_key};
 use hookway_constants as constants;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Which machines stand in which record. Many machines share one, so that hundreds of them may take
-/// their first tasks within seconds at a few changes a second.
+/// Which record each machine is in. Many machines share one, so that hundreds of them may take their
+/// first tasks within seconds at a few writes per second.
 #[derive(Debug)]
 pub(super) struct MachineRegistry {
+    /// Maximum number of machines of a record.
     max_entries: usize,
+    /// Machines by record, with the time of day of their registration, ms.
     records: BTreeMap<u64, BTreeMap<String, u64>>,
+    /// The record of each machine.
     record_of: HashMap<String, u64>,
-    /// Records that lack a machine in the store: written before anything starts there.
+    /// Records whose stored version lacks a machine: written before a task starts on it.
     urgent: BTreeSet<u64>,
-    /// Records whose hints, or machines that are gone, are out of date.
+    /// Records whose hints are out of date, or that name machines that are gone.
     stale: BTreeSet<u64>,
-    /// Records that can't be read. They stay as they are until the leases of their machines are surely
-    /// over: the next leader must know that it does not know all machines.
+    /// Records that can't be read. They stay as they are until the leases of their machines have surely
+    /// expired: the next leader must know that it does not know all machines.
     unreadable: BTreeSet<u64>,
-    /// Machines that move to another record, with the one that still names them in the store.
+    /// Machines that move to another record, with the one whose stored version still names them.
     moving: HashMap<String, u64>,
 }
 
 impl MachineRegistry {
-    /// An empty roster for values of at most `value_kb` KiB.
+    /// An empty registry for values of at most `value_kb` KiB.
     pub fn new(value_kb: f64) -> Self {
-        let most = value_kb.max(0.0) * 1024.0 / constants::REGISTRY_ENTRY_BYTES as f64;
+        let max_entries = value_kb.max(0.0) * 1024.0 / constants::REGISTRY_ENTRY_BYTES as f64;
         Self {
-            max_entries: (most as usize).max(1),
+            max_entries: (max_entries as usize).max(1),
             records: BTreeMap::new(),
             record_of: HashMap::new(),
             urgent: BTreeSet::new(),
@@ -35,12 +40,12 @@
         }
     }
 
-    /// A record that can't be read.
+    /// Takes in that a record can't be read.
     pub fn unreadable(&mut self, number: u64) {
         self.unreadable.insert(number);
     }
 
-    /// The leases of the machines in unreadable records are over: the records are as good as empty.
+    /// The leases of the machines in unreadable records have expired: the records count as empty.
     pub fn forget_unreadable(&mut self) {
         for number in std::mem::take(&mut self.unreadable) {
             self.records.entry(number).or_default();
@@ -48,7 +53,7 @@
         }
     }
 
-    /// A record that an earlier leader wrote.
+    /// Takes in a machine of a record that an earlier leader wrote.
     pub fn loaded(&mut self, number: u64, machine: &str, at_ms: u64) {
         let members = self.records.entry(number).or_default();
         if self.record_of.contains_key(machine) {
@@ -60,7 +65,7 @@
         self.record_of.insert(machine.to_owned(), number);
     }
 
-    /// A machine is to be in the roster, known since `at_ms` (time of day).
+    /// Adds a machine, registered at `at_ms` (time of day), unless it is here already.
     pub fn register(&mut self, machine: &str, at_ms: u64) {
         if self.record_of.contains_key(machine) {
             return;
@@ -84,8 +89,8 @@
         number
     }
 
-    /// A record is larger than a value may be: it was written under a larger limit. What is too much of it
-    /// moves to other records, and only once the store has those is it written again.
+    /// Divides a record that is larger than a value may be, as it was written under a larger limit. Its
+    /// surplus machines move to other records, and only once those are durable is it written again.
     pub fn split(&mut self, number: u64) {
         let Some(members) = self.records.get(&number) else { return };
         let staying = members.iter().filter(|(machine, _)| !self.moving.contains_key(*machine));
@@ -100,7 +105,7 @@
         }
     }
 
-    /// A record with these machines is in the store.
+    /// A record with these machines is durable.
     pub fn stored<'a>(&mut self, number: u64, machines: impl Iterator<Item = &'a str>) {
         for machine in machines {
             let here = self.record_of.get(machine) == Some(&number);
@@ -118,7 +123,7 @@
         self.stale.insert(number);
     }
 
-    /// A machine is gone. That its entry stays a while longer costs the next leader a look only.
+    /// Removes a machine that is gone. An entry that stays stored for a while is harmless.
     pub fn remove(&mut self, machine: &str) {
         let numbers = [self.record_of.remove(machine), self.moving.remove(machine)];
         for number in numbers.into_iter().flatten() {
@@ -126,7 +131,7 @@
         }
     }
 
-    /// The hints about a machine have changed.
+    /// Takes in that the hints about a machine have changed.
     pub fn mark_stale(&mut self, machine: &str) {
         if let Some(number) = self.record_of.get(machine) {
             self.stale.insert(*number);
@@ -166,8 +171,8 @@
         name.strip_prefix(constants::REGISTRY_RECORD_PREFIX)?.parse().ok()
     }
 
-    /// What is written of a record; `None` if its machines alone are too many for a value. `images` says what a
-    /// machine holds; without room for the hints they are left out.
+    /// The value of a record; `None` if its machines alone are too many for a value. `images` gives the
+    /// names and sizes (GB) of the images cached on a machine; where they have no room they are left out.
     pub fn record<'a>(
         &self,
         number: u64,
@@ -177,10 +182,10 @@
         let mut record = MachineRegistryRecord::default();
         let mut numbers: HashMap<&str, usize> = HashMap::new();
         for (machine, at_ms) in self.members(number) {
-            let held = images(machine);
-            let newest = held.len().saturating_sub(constants::REGISTRY_ENTRY_IMAGES);
+            let cached = images(machine);
+            let newest = cached.len().saturating_sub(constants::REGISTRY_ENTRY_IMAGES);
             let mut entry = MachineRegistryEntry { registered_at_ms: at_ms, images: Vec::new() };
-            for (name, gb) in &held[newest..] {
+            for (name, gb) in &cached[newest..] {
                 let next = numbers.len();
                 let n = *numbers.entry(name).or_insert(next);
                 if n == next {
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -27,6 +27,7 @@
 mod job_index;
 mod job_intake;
 mod job_operations;
+mod lease_expiry;
 mod leases;
 mod machine;
 mod machine_fill;
@@ -51,6 +52,7 @@
 mod state_probe;
 mod summary;
 mod task_adoption;
+mod task_end;
 mod task_removal;
 mod token_bucket;
 
--- a/crates/controller/src/cluster_state/placed_task.rs
+++ b/crates/controller/src/cluster_state/placed_task.rs
@@ -1,7 +1,7 @@
 //! Tasks on machines: those placed there and those that ended there.
 
 use super::JobKey;
-use hookway_wire::{ExitCause, Heartbeat, TaskState, TaskStatus};
+use hookway_wire::{Command, ExitCause, Heartbeat, TaskState, TaskStatus};
 
 /// How far the start of a placed task has progressed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -69,6 +69,23 @@
     pub adopted: bool,
 }
 
+impl PlacedTask {
+    /// The attempt, as commands name it.
+    pub fn task_attempt(&self) -> TaskAttempt {
+        TaskAttempt { task: self.task.clone(), attempt: self.attempt }
+    }
+
+    /// The command to start it.
+    pub fn run_command(&self) -> Command {
+        Command::Run { task: self.task.clone(), attempt: self.attempt }
+    }
+
+    /// The command to stop it, with so much time for a checkpoint.
+    pub fn kill_command(&self, grace_s: f64) -> Command {
+        Command::Kill { task: self.task.clone(), attempt: self.attempt, grace_s }
+    }
+}
+
 /// An ended task that the worker still reports.
 #[derive(Debug, Clone)]
 pub(super) struct EndedTask {
--- a/crates/controller/src/cluster_state/progress.rs
+++ b/crates/controller/src/cluster_state/progress.rs
@@ -1,6 +1,6 @@
-//! Which results of a job are in the state service, and the records that hold them.
+//! Which results of a job are durable, and the records that have them.
 //!
-//! A record holds the results of a page of tasks. Where values may be large, a page has
+//! A record has the results of a page of tasks. Where values may be large, a page has
 //! [`constants::PROGRESS_PAGE_TASKS`] tasks. Where they may not, it has a part of that many; the first part
 //! keeps the key of the whole, and the others have the number of their first task in theirs. A record that
 //! was written under a larger limit stays readable; it is overwritten once the other parts are stored.
@@ -18,20 +18,20 @@
 /// A progress record.
 #[derive(Debug, Clone, Default)]
 struct Page {
-    /// Its version in the store; 0 if there is none.
+    /// Revision of its record; 0 if there is none.
     mod_revision: u64,
-    /// It waits to be written.
+    /// It is queued to be written.
     queued: bool,
-    /// The stored record holds results of other pages too, which must be stored by themselves first.
+    /// The stored record has results of other pages too, which must be stored in their own records first.
     spans_other_pages: bool,
 }
 
-/// What a stored record says.
+/// The content of a stored record.
 #[derive(Debug, PartialEq, Eq)]
 pub struct StoredResults {
-    /// Tasks whose results it holds.
+    /// Tasks whose results it has.
     pub done: Vec<u32>,
-    /// Chunks whose results it holds although they have records of their own: those must be written.
+    /// Pages whose results it has although they have records of their own: those must be written.
     pub pages_to_write: Vec<usize>,
 }
 
@@ -39,16 +39,18 @@
 #[derive(Debug)]
 pub struct Progress {
     tasks: u32,
+    /// Tasks of a page.
     page_tasks: u32,
+    /// Whether the result of each task is durable.
     durable: Vec<bool>,
     pages: Vec<Page>,
 }
 
 /// Tasks whose results fit into one value: a power of two, so that pages divide those of larger values.
 fn tasks_per_page(value_kb: f64) -> u32 {
-    let most = (value_kb * 1024.0 - ENVELOPE_BYTES) * TASKS_PER_CHARACTER;
+    let max_tasks = (value_kb * 1024.0 - ENVELOPE_BYTES) * TASKS_PER_CHARACTER;
     let mut tasks = constants::PROGRESS_PAGE_TASKS;
-    while tasks > constants::PROGRESS_PAGE_MIN_TASKS && f64::from(tasks) > most {
+    while tasks > constants::PROGRESS_PAGE_MIN_TASKS && f64::from(tasks) > max_tasks {
         tasks /= 2;
     }
     tasks
@@ -78,19 +80,19 @@
         from..(from + self.page_tasks).min(self.tasks)
     }
 
-    /// A page is to be written; `false` if it waits already.
+    /// Queues a page to be written; `false` if it is queued already.
     pub fn queue(&mut self, page: usize) -> bool {
         self.pages.get_mut(page).is_some_and(|c| !std::mem::replace(&mut c.queued, true))
     }
 
-    /// A page waits no more: it is being written, or needs no record.
+    /// A page is not queued any more: it is being written, or needs no record.
     pub fn unqueue(&mut self, page: usize) {
         if let Some(page) = self.pages.get_mut(page) {
             page.queued = false;
         }
     }
 
-    /// The version of a page's record; 0 if there is none.
+    /// The revision of a page's record; 0 if there is none.
     pub fn mod_revision(&self, page: usize) -> u64 {
         self.pages.get(page).map_or(0, |c| c.mod_revision)
     }
@@ -106,24 +108,25 @@
         (0..self.pages.len()).filter(stored).map(|page| self.key(id, page)).collect()
     }
 
-    /// Whether a page's record must not be overwritten yet: it holds results of other pages that are not
-    /// stored by themselves.
+    /// Whether a page's record must not be overwritten yet: it has results of other pages that are not stored
+    /// in records of their own.
     pub fn must_wait(&self, page: usize) -> bool {
-        let wide = self.pages.get(page).is_some_and(|c| c.spans_other_pages);
-        wide && self.rest_of_block(page).any(|other| {
-            self.holds_results(other) && {
-                let other = &self.pages[other];
-                other.queued || other.mod_revision == 0
-            }
-        })
+        let spans_other_pages = self.pages.get(page).is_some_and(|c| c.spans_other_pages);
+        spans_other_pages
+            && self.rest_of_full_page(page).any(|other| {
+                self.has_results(other) && {
+                    let other = &self.pages[other];
+                    other.queued || other.mod_revision == 0
+                }
+            })
     }
 
-    /// The record whose results begin at task `from` has this version and these results, counted from there
-    /// (`None`: there is no such record).
+    /// Takes in the stored record whose results begin at task `from`, with its revision (`None`: there is no
+    /// such record).
     pub fn learn(
         &mut self,
         from: u32,
-        stamp: u64,
+        mod_revision: u64,
         record: Option<&ProgressRecord>,
     ) -> StoredResults {
         let results = record.map(ProgressRecord::completed).unwrap_or_default();
@@ -143,18 +146,18 @@
         let mut others: Vec<usize> =
             done.iter().map(|i| self.page_of(*i)).filter(|page| *page != own).collect();
         others.dedup();
-        self.pages[own].mod_revision = stamp;
+        self.pages[own].mod_revision = mod_revision;
         self.pages[own].spans_other_pages = !others.is_empty();
         StoredResults { done, pages_to_write: others }
     }
 
-    /// The pages that one record holds where values may be large, but for the first of them.
-    fn rest_of_block(&self, first: usize) -> Range<usize> {
+    /// The pages that one record has where values may be large, but for the first of them.
+    fn rest_of_full_page(&self, first: usize) -> Range<usize> {
         let pages = (constants::PROGRESS_PAGE_TASKS / self.page_tasks) as usize;
         first + 1..(first + pages).min(self.pages.len())
     }
 
-    fn holds_results(&self, page: usize) -> bool {
+    fn has_results(&self, page: usize) -> bool {
         self.range(page).any(|index| self.is_durable(index))
     }
 }
--- a/crates/controller/src/cluster_state/recovery.rs
+++ b/crates/controller/src/cluster_state/recovery.rs
@@ -1,4 +1,4 @@
-//! How a new leader takes in what earlier ones left in the state service.
+//! Recovery: how a new leader takes in the records of earlier ones from the state service.
 
 use super::machine_registry::MachineRegistry;
 use super::{CachedImage, ClassHistory, ClusterState, Machine, Timestamp};
@@ -33,8 +33,8 @@
     key.split('/').nth(1).and_then(JobId::parse)
 }
 
-/// The jobs that have a record, whether it can be read or not: of a job whose record can't be read nothing is
-/// thrown away, since a later version may read it.
+/// The jobs that have a record, whether it can be read or not: no record of a job whose own record can't be
+/// read is deleted, since a later version may read it.
 struct Accepted(HashSet<JobId>);
 
 impl Accepted {
@@ -42,17 +42,18 @@
         Self(jobs.iter().filter_map(|kv| job_of_key(&kv.key)).collect())
     }
 
-    /// Whether a record is about no job that was accepted and is not over.
+    /// Whether a record is about no accepted job that has not ended.
     fn lacks_job_of(&self, key: &str) -> bool {
         job_of_key(key).is_none_or(|id| !self.0.contains(&id))
     }
 }
 
 impl ClusterState {
-    /// Takes in everything that was read. Jobs come first, as what the other records say is about them.
+    /// Takes in all records. Jobs come first, as the other records are about them.
     pub(super) fn load(&mut self, loaded: LoadedState, at: Timestamp) {
-        let own = loaded.scheduling.iter().chain(&loaded.registry).chain(&loaded.classes);
-        own.for_each(|kv| self.commit_queue.set_mod_revision(&kv.key, kv.mod_revision));
+        let leader_records =
+            loaded.scheduling.iter().chain(&loaded.registry).chain(&loaded.classes);
+        leader_records.for_each(|kv| self.commit_queue.set_mod_revision(&kv.key, kv.mod_revision));
         self.load_classes(loaded.classes);
         let accepted = Accepted::new(&loaded.jobs);
         for kv in loaded.jobs {
@@ -61,16 +62,16 @@
         for kv in loaded.progress {
             self.load_progress(kv, &accepted);
         }
-        let mut shared_marks_complete = true;
+        let mut shared_watermarks_complete = true;
         for kv in loaded.scheduling {
             match crate::records::parse_shared_watermarks_key(&kv.key) {
                 Some(number) => {
-                    shared_marks_complete &= self.load_shared_watermark_record(kv, number)
+                    shared_watermarks_complete &= self.load_shared_watermark_record(kv, number)
                 }
                 None => self.load_scheduling_record(kv, &accepted),
             }
         }
-        self.load_watermarks(loaded.has_start_watermarks, shared_marks_complete);
+        self.load_watermarks(loaded.has_start_watermarks, shared_watermarks_complete);
         for kv in loaded.registry {
             self.load_registry_record(kv, at);
         }
@@ -79,8 +80,8 @@
         }
     }
 
-    /// What classes need. Without it a leader that finds no job of a class would return the machines that stand
-    /// by for it.
+    /// Loads the histories of the job classes. Without them a leader that finds no job of a class would scale
+    /// in the spare machines of the class.
     fn load_classes(&mut self, classes: Option<KeyValue>) {
         let classes = classes.map(|kv| serde_json::from_value(kv.value));
         match classes.transpose() {
@@ -90,11 +91,14 @@
                     classes.into_iter().map(|(name, r)| (name, ClassHistory::from_record(&r)));
                 self.classes.extend(known);
             }
-            Err(e) => tracing::error!("{}: can't be read: {e}", crate::records::CLASSES_KEY),
+            Err(error) => {
+                let key = crate::records::CLASSES_KEY;
+                tracing::error!(key, %error, "class record can't be read");
+            }
         }
     }
 
-    /// Removes a record of a job that is over, or never was.
+    /// Deletes a record of a job that has ended, or was never accepted.
     fn remove_if_orphaned(&mut self, key: String, accepted: &Accepted) {
         if accepted.lacks_job_of(&key) {
             self.commit_queue.delete_stale(key);
@@ -109,23 +113,26 @@
         };
         match serde_json::from_value::<ProgressRecord>(kv.value) {
             Ok(record) => self.apply_progress_record(job, from, kv.mod_revision, Some(&record)),
-            Err(e) => {
-                // What it says is done runs once more, and the new record replaces just this version.
-                tracing::error!("{}: the progress record can't be read: {e}", kv.key);
+            Err(error) => {
+                // Its completed tasks run once more, and the new record replaces just this revision.
+                tracing::error!(key = %kv.key, %error, "progress record can't be read");
                 self.apply_progress_record(job, from, kv.mod_revision, None);
             }
         }
     }
 
-    /// A record of marks that small jobs share; `false` if it can't be read.
+    /// Loads a start watermark record that small jobs share; `false` if it can't be read.
     fn load_shared_watermark_record(&mut self, kv: KeyValue, number: u64) -> bool {
         match serde_json::from_value::<SharedStartWatermarksRecord>(kv.value) {
             Ok(record) => {
-                self.load_shared_marks(kv.key, number, record);
+                self.load_shared_watermarks(kv.key, number, record);
                 true
             }
-            Err(e) => {
-                tracing::error!("{}: can't be read, all jobs count as started: {e}", kv.key);
+            Err(error) => {
+                tracing::error!(
+                    key = %kv.key, %error,
+                    "shared start watermarks can't be read, all small jobs count as started"
+                );
                 self.commit_queue.shared_watermarks.loaded(number, BTreeSet::new());
                 false
             }
@@ -144,18 +151,26 @@
                 job.run_time_sum_ms = record.run_time_sum_ms;
                 job.start_watermark.load(record.start_watermark);
             }
-            Err(e) => {
-                tracing::error!("{}: can't be read, all of the job counts as started: {e}", kv.key);
+            Err(error) => {
+                tracing::error!(
+                    key = %kv.key, %error,
+                    "scheduling record can't be read, all tasks of the job count as started"
+                );
                 job.start_watermark.load_all(job.spec.tasks);
             }
         }
     }
 
-    /// From which task on each job was surely not started. Without marks every task may have been, and the next
-    /// leader must know it too.
-    fn load_watermarks(&mut self, last_leader_kept_marks: bool, shared_marks_complete: bool) {
+    /// Sets from which task on each job was surely not started. Without a start watermark every task may have
+    /// been, and the next leader must know it too.
+    fn load_watermarks(
+        &mut self,
+        last_leader_kept_watermarks: bool,
+        shared_watermarks_complete: bool,
+    ) {
         for job in self.jobs.values_mut() {
-            let complete = last_leader_kept_marks && (shared_marks_complete || !job.is_small());
+            let complete =
+                last_leader_kept_watermarks && (shared_watermarks_complete || !job.is_small());
             job.start_watermark.finish_loading(job.spec.tasks, complete);
         }
         let unwritten = self.jobs.iter().filter(|(_, j)| !j.start_watermark.is_recorded());
@@ -172,10 +187,10 @@
         };
         let record: MachineRegistryRecord = match serde_json::from_value(kv.value) {
             Ok(record) => record,
-            Err(e) => {
-                // Nothing can be said of its machines: what they hold shows in their reports, and
-                // until their leases are over nothing older is started.
-                tracing::error!("{}: the roster record can't be read: {e}", kv.key);
+            Err(error) => {
+                // Its machines are not known: their tasks show in their heartbeats, and until their leases
+                // have expired no inherited task is started.
+                tracing::error!(key = %kv.key, %error, "machine registry record can't be read");
                 self.reconciliation.machines.insert(kv.key);
                 self.commit_queue.registry.unreadable(number);
                 return;
@@ -183,13 +198,13 @@
         };
         let images = self.images.of_record(&record.images);
         for (machine, entry) in record.machines {
-            let held = entry.images.iter().filter_map(|i| images.get(*i).copied()).collect();
-            self.inherit_machine(&machine, Some(entry.registered_at_ms), held, at);
+            let cached = entry.images.iter().filter_map(|i| images.get(*i).copied()).collect();
+            self.inherit_machine(&machine, Some(entry.registered_at_ms), cached, at);
             self.commit_queue.registry.loaded(number, &machine, entry.registered_at_ms);
         }
     }
 
-    /// A machine's images as version 0.1.0 wrote them; the roster has them from now on.
+    /// Loads a machine's images as version 0.1.0 wrote them; the machine registry has them from now on.
     fn load_images(&mut self, kv: KeyValue) {
         let name = kv.key.strip_prefix(crate::records::LEGACY_IMAGES_PREFIX).unwrap_or_default();
         if let Ok(record) = serde_json::from_value::<ImagesRecord>(kv.value) {
@@ -201,8 +216,13 @@
         self.commit_queue.delete_stale(kv.key);
     }
 
-    /// Small jobs that an earlier leader may have started.
-    fn load_shared_marks(&mut self, key: String, number: u64, record: SharedStartWatermarksRecord) {
+    /// Takes in small jobs that an earlier leader may have started.
+    fn load_shared_watermarks(
+        &mut self,
+        key: String,
+        number: u64,
+        record: SharedStartWatermarksRecord,
+    ) {
         let mut live = BTreeSet::new();
         for id in record.jobs {
             if let Some(job) = self.jobs.by_id_mut(&id) {
@@ -217,7 +237,7 @@
         self.commit_queue.shared_watermarks.loaded(number, live);
     }
 
-    /// A machine of the roster, known since that time of day.
+    /// Adds a machine of the registry, registered at `since` (time of day, ms).
     fn inherit_machine(
         &mut self,
         name: &str,
@@ -229,13 +249,13 @@
         machine.registered = true;
         machine.images = images;
         machine.stored_images = machine.image_ids();
-        // Old enough entries must be in any list from now on, or the machine is gone. Times of day
-        // may be off on either side.
+        // A machine that was registered long enough ago must be in any list from now on, or it is gone.
+        // Times of day may be off on either side.
         if let Some(since) = since {
-            let off = self.config.platform.clock_off_ms * 2.0 + 1000.0;
-            let age = at.wall as f64 - since as f64 - off;
-            if age > 0.0 {
-                machine.first_listed_at = Some(at.monotonic as i64 - age as i64);
+            let clock_error_ms = self.config.platform.clock_off_ms * 2.0 + 1000.0;
+            let age_ms = at.wall as f64 - since as f64 - clock_error_ms;
+            if age_ms > 0.0 {
+                machine.first_listed_at = Some(at.monotonic as i64 - age_ms as i64);
             }
         }
         self.machines.insert(name.to_owned(), machine);
--- a/crates/controller/src/cluster_state/standby_feed.rs
+++ b/crates/controller/src/cluster_state/standby_feed.rs
@@ -1,8 +1,8 @@
-//! What a leader publishes for warm standbys, and what a new leader takes from its copy.
+//! What a leader publishes for warm standbys, and what a new leader takes from its replicated state.
 //!
-//! The copy is a hint. It names addresses where workers may be asked what they have, says which jobs failed
-//! wherever they were tried, and which attempt of a gang was being started. What runs where is told by the
-//! workers alone, and what was never started by the state service alone.
+//! The replicated state is a hint. It has addresses at which workers can be probed, jobs that failed
+//! wherever they were tried, and attempts of gangs that were being started. Which tasks run is known from
+//! the workers alone, and which tasks were never started from the state service alone.
 
 use super::{ClusterState, Job, Machine, TaskPhase};
 use crate::networks::Networks;
@@ -10,14 +10,14 @@
 use hookway_replication::{JobHints, MachineView, Publisher, ReplicatedState, Stage, TaskView};
 use hookway_wire::{JobId, TaskState};
 
-/// What a new leader took from its copy.
+/// What a new leader took from its replicated state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WarmStart {
-    /// Machines that can be asked at once what they have.
+    /// Machines that can be probed at once.
     pub addresses: usize,
-    /// Jobs of which failures are known.
+    /// Jobs with known failures.
     pub failing_jobs: usize,
-    /// Gangs of which an attempt was being started.
+    /// Gangs with an attempt that was being started.
     pub gangs: usize,
 }
 
@@ -42,14 +42,14 @@
 }
 
 impl ClusterState {
-    /// A machine may have changed.
+    /// Marks a machine that may have changed.
     pub(super) fn mark_unpublished(&mut self, name: &str) {
         if !self.unpublished_machines.contains(name) {
             self.unpublished_machines.insert(name.to_owned());
         }
     }
 
-    /// Publishes what has changed since the last time.
+    /// Publishes the changes since the last call.
     pub fn publish(&mut self, publisher: &mut Publisher) {
         for name in std::mem::take(&mut self.unpublished_machines) {
             self.publish_machine(&name, publisher);
@@ -57,7 +57,7 @@
         self.publish_jobs(publisher);
     }
 
-    /// Publishes every difference between what was published and what there is.
+    /// Publishes every difference between the published state and this one.
     pub fn publish_all(&mut self, publisher: &mut Publisher) {
         self.unpublished_machines.clear();
         for name in self.machines.keys() {
@@ -76,10 +76,10 @@
             address: &machine.address,
             session: machine.newest_message.incarnation,
         };
-        let tasks = machine.placed_tasks.iter().map(|held| TaskView {
-            task: &held.task,
-            attempt: held.attempt,
-            stage: stage(held.phase),
+        let tasks = machine.placed_tasks.iter().map(|placed| TaskView {
+            task: &placed.task,
+            attempt: placed.attempt,
+            stage: stage(placed.phase),
         });
         publisher.show_machine(view, tasks);
     }
@@ -98,7 +98,7 @@
         });
     }
 
-    /// What the next leader should know of a job beside its records; `None`: nothing.
+    /// What the next leader should know of a job beside its records, if anything.
     fn replicated_hints(&self, job: &Job) -> Option<JobHints> {
         let attempt =
             job.gang_attempt.filter(|_| job.spec.is_gang() && job.is_active() && !job.broken);
@@ -115,8 +115,8 @@
         Some(hints)
     }
 
-    /// Takes from the copy of an earlier leader's picture what helps and can't harm. The records of the state
-    /// service win: only machines and jobs that they name are looked at.
+    /// Takes from the replicated state of an earlier leader what helps and can't harm. The records of the
+    /// state service have precedence: only machines and jobs that they name are considered.
     pub fn warm_start(
         &mut self,
         copy: &ReplicatedState,
@@ -126,8 +126,8 @@
         let mut taken = WarmStart::default();
         for (name, known) in &copy.machines {
             let Some(machine) = self.machines.get_mut(name) else { continue };
-            let asked = !machine.has_reported && machine.address.is_empty();
-            if asked && workers.allow_socket(&known.address) {
+            let needs_address = !machine.has_reported && machine.address.is_empty();
+            if needs_address && workers.allow_socket(&known.address) {
                 machine.address.clone_from(&known.address);
                 taken.addresses += 1;
             }
--- a/crates/controller/src/cluster_state/state_probe.rs
+++ b/crates/controller/src/cluster_state/state_probe.rs
@@ -1,6 +1,9 @@
 //! State probes: how a new leader asks a worker for the tasks on its machine.
 
+use super::heartbeat_tasks::MessageKind;
+use super::{ClusterState, MessageVersion};
 use hookway_constants as constants;
+use hookway_wire::Heartbeat;
 
 /// The state probes of all machines.
 #[derive(Debug)]
@@ -69,3 +72,68 @@
         !self.in_flight && self.unanswered >= constants::MAX_UNANSWERED_STATE_PROBES
     }
 }
+
+impl ClusterState {
+    /// Workers that have not shown this leader's fencing token and should be probed: machine and
+    /// address. The outcome goes to [`ClusterState::state_probed`].
+    ///
+    /// A worker finds a new leader only after its heartbeat to the old one has failed, which takes it
+    /// some seconds for each controller that hangs, and shows the new token with the heartbeat after
+    /// that, which may be its next regular one; until all workers have, most work of earlier terms
+    /// waits.
+    pub fn take_state_probes(&mut self, now: u64) -> Vec<(String, String)> {
+        let room = constants::MAX_STATE_PROBES.saturating_sub(self.state_probes.in_flight);
+        if now < self.state_probes.start_at {
+            return Vec::new();
+        }
+        let mut probes = Vec::new();
+        for name in &self.reconciliation.machines {
+            if probes.len() >= room {
+                break;
+            }
+            let Some(machine) = self.machines.get_mut(name) else { continue };
+            if machine.needs_state_probe(now) {
+                machine.state_probe.begin(now);
+                probes.push((name.clone(), machine.address.clone()));
+            }
+        }
+        self.state_probes.in_flight += probes.len();
+        probes
+    }
+
+    /// Takes in the answer of a probed worker, received at `now` (ms); `None` if there was none.
+    ///
+    /// With this term's fencing token it names every task: the worker refuses whatever an earlier
+    /// leader sent. It extends no lease; but the worker may be in an incarnation whose lease began
+    /// just now.
+    pub fn state_probed(&mut self, name: &str, answer: Option<Heartbeat>, now: u64) {
+        let answer = answer.filter(|a| a.machine == name && a.fencing_token >= self.term);
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        if machine.state_probe.is_in_flight() {
+            if answer.is_some() {
+                machine.state_probe.answered();
+            } else {
+                machine.state_probe.failed();
+            }
+            self.state_probes.end_one();
+        }
+        let Some(answer) = answer else { return };
+        let version = MessageVersion::of(&answer);
+        let gone = version.incarnation <= machine.expired_incarnation;
+        // A worker that has restarted tells so with its next heartbeat, which removes the tasks of its
+        // earlier incarnation.
+        let restarted =
+            machine.has_reported && version.incarnation != machine.newest_message.incarnation;
+        let outdated = version <= machine.newest_message;
+        if gone || machine.cordon_reason.is_some() || restarted || outdated {
+            return;
+        }
+        if !machine.has_reported {
+            machine.has_reported = true;
+            machine.last_response_at = now;
+        }
+        machine.update_from(&answer, now);
+        self.reconciliation.machines.remove(name);
+        self.apply_heartbeat(name, &answer, now, MessageKind::DirectAnswer);
+    }
+}
--- /dev/null
+++ b/crates/controller/src/cluster_state/task_end.rs
@@ -0,0 +1,106 @@
+//! Ends of tasks: completions, failures and what they tell of the machine.
+
+use super::{ClusterState, CordonReason, Job, JobKey, PlacedTask};
+use hookway_constants as constants;
+use hookway_wire::ExitCause;
+
+impl ClusterState {
+    /// A placed task has ended on a machine.
+    pub(super) fn task_ended(
+        &mut self,
+        name: &str,
+        key: JobKey,
+        placed: &PlacedTask,
+        cause: ExitCause,
+        now: u64,
+    ) {
+        let daemon = self.jobs.get(&key).is_some_and(|job| job.spec.is_daemon());
+        if cause == ExitCause::Done && !daemon {
+            self.task_done(name, key, placed, now);
+        } else {
+            self.attempt_failed(name, key, placed, cause, now);
+        }
+    }
+
+    /// A task that is no replica of a daemon is done.
+    fn task_done(&mut self, name: &str, key: JobKey, placed: &PlacedTask, now: u64) {
+        let run_time_ms = self.known_run_time_ms(name, placed, now);
+        let mean_ms = self.jobs.get(&key).and_then(Job::reliable_mean_run_time_ms);
+        self.complete_task(key, placed.index, run_time_ms);
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        machine.failed_jobs.clear();
+        let (Some(run_time_ms), Some(mean_ms)) = (run_time_ms, mean_ms) else { return };
+        let slow = run_time_ms as f64 > mean_ms * constants::SLOW_TASK_RATIO;
+        machine.consecutive_slow_tasks = if slow { machine.consecutive_slow_tasks + 1 } else { 0 };
+        if machine.consecutive_slow_tasks >= constants::SLOW_TASKS
+            && machine.cordon(CordonReason::Slow)
+        {
+            tracing::info!(machine = %name, reason = %CordonReason::Slow, "machine cordoned");
+        }
+    }
+
+    /// Run time of a task that ended, ms, if it is known. After a silence nobody knows when it ended,
+    /// and of an adopted task, when it began: such times would make the mean too short.
+    fn known_run_time_ms(&self, name: &str, placed: &PlacedTask, now: u64) -> Option<u64> {
+        let answered_at = self.machines.get(name).map_or(0, |m| m.last_response_at);
+        let silence_ms = now.saturating_sub(answered_at) as f64;
+        let after_silence = silence_ms > 2.0 * self.heartbeat_interval_ms();
+        let known = !after_silence && !placed.adopted;
+        placed.running_since.filter(|_| known).map(|since| now.saturating_sub(since))
+    }
+
+    /// An attempt ended without completing its task.
+    fn attempt_failed(
+        &mut self,
+        name: &str,
+        key: JobKey,
+        placed: &PlacedTask,
+        cause: ExitCause,
+        now: u64,
+    ) {
+        let Some(job) = self.jobs.get_mut(&key) else { return };
+        if !placed.orphaned && !job.completion.is_final() {
+            job.add_note(format!("task {} {} (machine {name})", placed.index, cause.description()));
+        }
+        let Some(machine) = self.machines.get_mut(name) else { return };
+        match cause {
+            ExitCause::Error => self.attribute_failure(name, key, placed.placed_at, now),
+            ExitCause::Done => {
+                job.replica_completed(name, placed.running_since, placed.placed_at, now);
+            }
+            ExitCause::InsufficientResources | ExitCause::AttemptConflict => {
+                machine.backoff_until = now + constants::REJECTED_START_BACKOFF_MS;
+            }
+            ExitCause::UnknownJob => job.backoff_until = now + constants::FAILURE_BACKOFF_MS,
+            _ => {}
+        }
+    }
+
+    /// A task has completed; of a gang, all tasks have. `run_time_ms` is its run time if known.
+    pub(super) fn complete_task(&mut self, key: JobKey, index: u32, run_time_ms: Option<u64>) {
+        let Some(job) = self.jobs.get_mut(&key) else { return };
+        if job.completion.is_final() || job.spec.is_daemon() {
+            return;
+        }
+        job.consecutive_failures = 0;
+        let gang = job.spec.is_gang();
+        self.stops_due |= gang || !job.orphaned.is_empty();
+        let completed = if gang { 0..job.spec.tasks } else { index..index + 1 };
+        for i in completed {
+            if !job.mark_completed(i) {
+                continue;
+            }
+            if i == index
+                && let Some(run_time_ms) = run_time_ms
+            {
+                job.run_time_sum_ms += run_time_ms;
+                job.run_time_count += 1;
+            }
+            let page = job.progress.page_of(i);
+            if job.progress.queue(page) {
+                self.commit_queue.progress_pages.push_back((key, page));
+            }
+        }
+        self.finish_if_complete(key);
+    }
+}
--- a/crates/controller/src/cluster_state/task_removal.rs
+++ b/crates/controller/src/cluster_state/task_removal.rs
@@ -1,68 +1,51 @@
-//! How tasks leave their machines: they end, are lost, or were never started.
+//! Removal of tasks from their machines: they ended, are lost, or were never started.
 
-use super::{
-    ClusterState, CordonReason, Job, JobKey, PlacedTask, TaskPhase, TaskPlacement,
-    worker_lease_expiry_ms,
-};
-use hookway_constants as constants;
+use super::{ClusterState, Job, PlacedTask, TaskAttempt, TaskPhase, TaskPlacement};
 use hookway_wire::ExitCause;
 
-/// How a task left its place.
+/// How a placed task left its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TaskRemoval {
     /// Its start was never sent, or surely did not arrive.
     NotStarted,
     /// It ended there.
     Ended(ExitCause),
-    /// The machine, or the worker's session, is gone.
+    /// The machine, or the incarnation of its worker, is gone.
     Lost,
 }
 
 impl ClusterState {
-    /// A task has left its place on a machine.
+    /// A placed task has left its machine.
     pub(super) fn remove_task(
         &mut self,
         name: &str,
-        held: &PlacedTask,
-        leave: TaskRemoval,
+        placed: &PlacedTask,
+        removal: TaskRemoval,
         now: u64,
     ) {
-        let zone = self.machines.get(name).map(|h| h.zone.clone()).unwrap_or_default();
-        let Some(key) = held.job else {
+        let Some(key) = placed.job else {
             self.unknown_tasks = self.unknown_tasks.saturating_sub(1);
             return;
         };
+        let machine = self.machines.get(name);
+        let zone = machine.and_then(|machine| self.config.platform.zone(&machine.zone));
         let Some(job) = self.jobs.get_mut(&key) else { return };
-        job.count_removed(self.config.platform.zone(&zone));
-        let index = held.index;
-        if held.orphaned {
-            if let Some(i) = job.orphaned.iter().position(|s| *s == index) {
-                job.orphaned.swap_remove(i);
-            }
-        } else if job.placements[index as usize] == TaskPlacement::Placed {
-            job.placements[index as usize] = TaskPlacement::Unplaced;
-            if job.spec.is_gang() && leave != TaskRemoval::Ended(ExitCause::Done) {
-                job.broken = true;
-                self.stops_due = true;
-            }
-        }
-        // Free only when no machine has it in any attempt: a stray counts as much as the real one.
-        let elsewhere = job.orphaned.contains(&index);
-        if job.is_active()
-            && job.placements[index as usize] == TaskPlacement::Unplaced
-            && !elsewhere
-        {
-            job.unplaced.insert(index);
-        }
-        match leave {
+        job.count_removed(zone);
+        self.stops_due |= job.release_attempt(placed, removal);
+        match removal {
             TaskRemoval::NotStarted => {}
             TaskRemoval::Ended(cause) => {
-                tracing::debug!("task {} attempt {} on {name}: {cause:?}", held.task, held.attempt);
-                self.task_ended(name, key, held, cause, now);
+                tracing::debug!(
+                    machine = %name, task = %placed.task, attempt = placed.attempt, ?cause,
+                    "task ended"
+                );
+                self.task_ended(name, key, placed, cause, now);
             }
             TaskRemoval::Lost => {
-                tracing::info!("task {} attempt {} on {name}: lost", held.task, held.attempt);
-                job.add_note(format!("task {index} was lost with its machine {name}"));
+                tracing::info!(
+                    machine = %name, task = %placed.task, attempt = placed.attempt, "task lost"
+                );
+                job.add_note(format!("task {} was lost with its machine {name}", placed.index));
             }
         }
         if let Some(job) = self.jobs.get_mut(&key) {
@@ -75,95 +58,16 @@
         self.forget_if_removed(key);
     }
 
-    pub(super) fn task_ended(
-        &mut self,
-        name: &str,
-        key: JobKey,
-        held: &PlacedTask,
-        cause: ExitCause,
-        now: u64,
-    ) {
-        let daemon = self.jobs.get(&key).is_some_and(|j| j.spec.is_daemon());
-        if cause == ExitCause::Done && !daemon {
-            // After a silence nobody knows when it ended, and of one that an earlier leader started,
-            // when it began: such times would make the mean too short.
-            let heard = self.machines.get(name).map_or(0, |h| h.last_response_at);
-            let report_ms = self.heartbeat_interval_ms();
-            let silence = now.saturating_sub(heard) as f64 > 2.0 * report_ms;
-            let known = !silence && !held.adopted;
-            let took = held.running_since.filter(|_| known).map(|s| now.saturating_sub(s));
-            let mean = self.jobs.get(&key).and_then(Job::reliable_mean_run_time_ms);
-            self.complete_task(key, held.index, took);
-            if let Some(machine) = self.machines.get_mut(name) {
-                machine.failed_jobs.clear();
-                if let (Some(took), Some(mean)) = (took, mean) {
-                    let slow = took as f64 > mean * constants::SLOW_TASK_RATIO;
-                    machine.consecutive_slow_tasks =
-                        if slow { machine.consecutive_slow_tasks + 1 } else { 0 };
-                    if machine.consecutive_slow_tasks >= constants::SLOW_TASKS
-                        && machine.cordon_reason.is_none()
-                    {
-                        tracing::info!("machine {name}: slow, to be returned");
-                        machine.cordon_reason = Some(CordonReason::Slow);
-                    }
-                }
-            }
-            return;
-        }
-        let Some(job) = self.jobs.get_mut(&key) else { return };
-        if !held.orphaned && !job.completion.is_final() {
-            job.add_note(format!("task {} {} (machine {name})", held.index, cause.description()));
-        }
-        let Some(machine) = self.machines.get_mut(name) else { return };
-        match cause {
-            ExitCause::Error => self.attribute_failure(name, key, held.placed_at, now),
-            ExitCause::Done => job.replica_completed(name, held.running_since, held.placed_at, now),
-            ExitCause::InsufficientResources | ExitCause::AttemptConflict => {
-                machine.backoff_until = now + constants::REJECTED_START_BACKOFF_MS;
-            }
-            ExitCause::UnknownJob => job.backoff_until = now + constants::FAILURE_BACKOFF_MS,
-            _ => {}
-        }
-    }
-
-    /// A task has completed. A gang completes together.
-    pub(super) fn complete_task(&mut self, key: JobKey, index: u32, took_ms: Option<u64>) {
-        let Some(job) = self.jobs.get_mut(&key) else { return };
-        if job.completion.is_final() || job.spec.is_daemon() {
-            return;
-        }
-        job.consecutive_failures = 0;
-        let all = job.spec.is_gang();
-        self.stops_due |= all || !job.orphaned.is_empty();
-        let indexes = if all { 0..job.spec.tasks } else { index..index + 1 };
-        for i in indexes {
-            if !job.mark_completed(i) {
-                continue;
-            }
-            if i == index
-                && let Some(took) = took_ms
-            {
-                job.run_time_sum_ms += took;
-                job.run_time_count += 1;
-            }
-            let chunk = job.progress.page_of(i);
-            if job.progress.queue(chunk) {
-                self.commit_queue.progress_pages.push_back((key, chunk));
-            }
-        }
-        self.finish_if_complete(key);
-    }
-
-    /// Everything that was on a machine is gone.
-    pub(super) fn remove_all_tasks(&mut self, name: &str, now: u64, why: TaskRemoval) {
+    /// All tasks on a machine are gone. Starts that were never sent count as not started.
+    pub(super) fn remove_all_tasks(&mut self, name: &str, now: u64, removal: TaskRemoval) {
         self.mark_unpublished(name);
         self.uncount_running(name);
         let Some(machine) = self.machines.get_mut(name) else { return };
         machine.ended_tasks.clear();
-        let held = std::mem::take(&mut machine.placed_tasks);
-        for h in held {
-            let leave = if h.phase == TaskPhase::Planned { TaskRemoval::NotStarted } else { why };
-            self.remove_task(name, &h, leave, now);
+        for placed in std::mem::take(&mut machine.placed_tasks) {
+            let planned = placed.phase == TaskPhase::Planned;
+            let removal = if planned { TaskRemoval::NotStarted } else { removal };
+            self.remove_task(name, &placed, removal, now);
         }
     }
 
@@ -178,79 +82,61 @@
         self.reconciliation.machines.remove(name);
         self.scaling_in.remove(name);
         self.removed_machines.insert(name.to_owned());
-        tracing::info!("machine {name}: gone");
+        tracing::info!(machine = %name, "machine removed");
     }
 
-    /// Drops all starts on a machine that were never sent.
+    /// Cancels all starts on a machine that were never sent.
     pub(super) fn cancel_planned_starts(&mut self, name: &str, now: u64) {
         let Some(machine) = self.machines.get(name) else { return };
-        let planned: Vec<(String, u64)> = machine
+        let planned: Vec<TaskAttempt> = machine
             .placed_tasks
             .iter()
-            .filter(|h| h.phase == TaskPhase::Planned)
-            .map(|h| (h.task.clone(), h.attempt))
+            .filter(|placed| placed.phase == TaskPhase::Planned)
+            .map(PlacedTask::task_attempt)
             .collect();
-        for (task, attempt) in planned {
-            self.cancel_planned_start(name, &task, attempt, now);
+        for start in planned {
+            self.cancel_planned_start(name, &start, now);
         }
     }
 
-    /// Drops a start that was never sent.
-    pub(super) fn cancel_planned_start(&mut self, name: &str, task: &str, attempt: u64, now: u64) {
+    /// Cancels a start that was never sent.
+    pub(super) fn cancel_planned_start(&mut self, name: &str, start: &TaskAttempt, now: u64) {
         let Some(machine) = self.machines.get_mut(name) else { return };
-        let found = machine
-            .placed_tasks
-            .iter()
-            .position(|h| h.phase == TaskPhase::Planned && h.attempt == attempt && h.task == task);
-        if let Some(i) = found {
-            let held = machine.placed_tasks.remove(i);
+        let position = machine.placed_tasks.iter().position(|placed| {
+            placed.phase == TaskPhase::Planned
+                && placed.attempt == start.attempt
+                && placed.task == start.task
+        });
+        if let Some(position) = position {
+            let placed = machine.placed_tasks.remove(position);
             self.mark_unpublished(name);
-            self.remove_task(name, &held, TaskRemoval::NotStarted, now);
+            self.remove_task(name, &placed, TaskRemoval::NotStarted, now);
         }
     }
+}
 
-    /// Time passes: what is on machines whose lease has surely run out is gone, and starts that
-    /// wait for a silent machine are dropped.
-    pub fn expire_leases(&mut self, now: u64) {
-        self.queue_proven_cancellations(now);
-        if self.unreconciled_leases_expired(now) {
-            self.commit_queue.registry.forget_unreadable();
-        }
-        let quiet = (self.config.platform.workers.heartbeat_interval_s * 2500.0) as u64;
-        let names: Vec<String> = self.machines.keys().cloned().collect();
-        for name in names {
-            if self.expire_lease_if_silent(&name, now) {
-                continue;
-            }
-            let Some(machine) = self.machines.get_mut(&name) else { continue };
-            if machine.reserved_for_gang.is_some_and(|r| now >= r.until_ms) {
-                machine.reserved_for_gang = None;
+impl Job {
+    /// An attempt has left its machine: the task is unplaced again, unless another attempt of it is on
+    /// some machine. Whether the job's gang has lost a task, so that the other tasks must stop.
+    fn release_attempt(&mut self, placed: &PlacedTask, removal: TaskRemoval) -> bool {
+        let index = placed.index;
+        let mut breaks_gang = false;
+        if placed.orphaned {
+            if let Some(position) = self.orphaned.iter().position(|orphan| *orphan == index) {
+                self.orphaned.swap_remove(position);
             }
-            if now >= machine.last_response_at + quiet {
-                self.cancel_planned_starts(&name, now);
-            }
-        }
-    }
-
-    /// Whether the lease of a machine's worker has surely run out; then its tasks are gone, and
-    /// with them its session.
-    pub(super) fn expire_lease_if_silent(&mut self, name: &str, now: u64) -> bool {
-        let lease = worker_lease_expiry_ms(&self.config.platform);
-        let Some(machine) = self.machines.get_mut(name) else { return false };
-        if !self.shard_lessor.worker_lease_expired(
-            &machine.zone,
-            machine.last_response_at,
-            lease,
-            now,
-        ) {
-            return false;
-        }
-        if machine.is_live() {
-            tracing::info!("machine {name}: silent, its lease is over");
-            machine.expired_incarnation = machine.newest_message.incarnation;
-            self.remove_all_tasks(name, now, TaskRemoval::Lost);
+        } else if self.placements[index as usize] == TaskPlacement::Placed {
+            self.placements[index as usize] = TaskPlacement::Unplaced;
+            breaks_gang = self.spec.is_gang() && removal != TaskRemoval::Ended(ExitCause::Done);
+            self.broken |= breaks_gang;
+        }
+        // An orphaned attempt on another machine counts as much as the expected one.
+        if self.is_active()
+            && self.placements[index as usize] == TaskPlacement::Unplaced
+            && !self.orphaned.contains(&index)
+        {
+            self.unplaced.insert(index);
         }
-        self.reconciliation.machines.remove(name);
-        true
+        breaks_gang
     }
 }
