--- a/crates/controller/src/cluster_state/machine_fill.rs
+++ b/crates/controller/src/cluster_state/machine_fill.rs
@@ -115,8 +115,8 @@
         let team = has_quota.then(|| self.team_views().into_iter().nth(job.team)).flatten();
         let Some(mut team) = team else { return u32::MAX };
         let reservations = self.last_round.quota_reservations.iter();
-        for reservation in reservations.filter(|reservation| reservation.team == job.team) {
-            team.used.add(&reservation.resources);
+        for reserved in reservations.filter(|reserved| reserved.team == job.team) {
+            team.used.add(&reserved.resources);
         }
         team.remaining_tasks(&job.request)
     }
