--- a/crates/controller/src/api_service.rs
+++ b/crates/controller/src/api_service.rs
@@ -337,7 +337,7 @@
             Ok(spec) => spec,
             Err(why) => {
                 tracing::info!("submission refused: {why}");
-                return RequestOutcome::Rejected(400, why);
+                return RequestOutcome::Rejected(400, why.to_string());
             }
         };
         let id = spec.id.clone();
--- a/crates/controller/src/standby.rs
+++ b/crates/controller/src/standby.rs
@@ -6,7 +6,7 @@
     Durations, Event, FailureDetector, FollowAnswer, FollowRequest, Follower, Phase, Progress,
     Promotion, ReplicatedState, Step, Unusable,
 };
-use hookway_wire::{DurationStatus, ReplicationStatus, TakeoverStatus};
+use hookway_wire::{DurationStatus, FailoverStatus, ReplicationStatus};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use tokio::sync::Notify;
@@ -184,7 +184,7 @@
             lag: durations(&metrics.lag),
             images: metrics.images,
             resyncs: metrics.resyncs,
-            takeover: TakeoverStatus {
+            failover: FailoverStatus {
                 detection: durations(&times.detection),
                 election: durations(&times.election),
                 catching_up: durations(&times.catching_up),
--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -19,10 +19,10 @@
     Position, Publisher, RangeDigest, ReplicatedState, Stage, TaskView,
 };
 use hookway_wire::{
-    Command, CommitResponse, DurationStatus, ExitCause, Heartbeat, HeartbeatResponse, JobKind,
-    JobSpec, JobState, JobStatus, KeyPage, KeyValue, ListedMachine, MachineList, MachineNames,
-    MachineState, MachineType, MachineTypes, Operation, Priority, ReplicationStatus,
-    TakeoverStatus, TaskState, TaskStatus, Transaction, WatchEvent, WatchResponse,
+    Command, CommitResponse, DurationStatus, ExitCause, FailoverStatus, Heartbeat,
+    HeartbeatResponse, JobKind, JobSpec, JobState, JobStatus, KeyPage, KeyValue, ListedMachine,
+    MachineList, MachineNames, MachineState, MachineType, MachineTypes, Operation, Priority,
+    ReplicationStatus, TaskState, TaskStatus, Transaction, WatchEvent, WatchResponse,
 };
 use serde::de::DeserializeOwned;
 use std::collections::{BTreeMap, BTreeSet};
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn optional_parts_of_records_are_left_out_as_before_and_may_be_missing() {
+fn optional_record_fields_are_omitted_when_empty_and_default_when_missing() {
     let record = |marked| JobRecord {
         spec: bare_spec(),
         accepted_at_ms: 1_764_654_219_000,
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn the_record_of_classes_is_a_map_by_class() {
+fn class_statistics_record_is_map_keyed_by_class() {
     let need = Resources { cpus: 8.0, gpus: 1.0, memory_gb: 64.0 };
     let gang = ClassRecord { request: need, image_gb: 6.2, spot: true, gangs: true };
     let need = Resources { cpus: 0.5, gpus: 0.0, memory_gb: 2.0 };
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn every_state_of_a_job_has_its_place_in_frames() {
+fn job_state_frames_match_fixtures() {
     let over = |state| {
         PeerRequest::JobFinished(JobSnapshot { notes: vec![], ..JobSnapshot::from(status(state)) })
     };
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn every_stage_and_missing_part_has_its_place_in_frames_of_replication() {
+fn replication_frames_match_fixtures_for_every_stage_and_absent_option() {
     let at = |index| Position { term: u64::MAX, index };
     let entry = |stage| Entry::Task {
         machine: "m-000231".into(),
@@ -121,7 +121,7 @@
 }
 
 /// A leader's picture with a task at each stage and two jobs.
-fn leader_with_picture() -> Publisher {
+fn publisher_with_cluster_state() -> Publisher {
     let mut publisher = Publisher::new(4_097);
     let task = |task, attempt, stage| TaskView { task, attempt, stage };
     let view = MachineView { name: "m-000231", address: "10.1.0.232:9000", session: 2 };
@@ -147,8 +147,8 @@
 }
 
 #[test]
-fn an_image_has_the_bytes_and_the_digest_that_followers_of_this_version_expect() {
-    let mut publisher = leader_with_picture();
+fn state_image_matches_pinned_bytes_and_digest() {
+    let mut publisher = publisher_with_cluster_state();
     let request = FollowRequest { follower: "worker-1".into(), held: Held::Nothing };
     let answer = publisher.answer(&request, 0).expect("an image");
     frame("pinned-answer-image", &PeerResponse::Followed(Some(answer)));
@@ -157,8 +157,8 @@
 }
 
 #[test]
-fn a_picture_has_the_digests_that_followers_of_this_version_reckon() {
-    let publisher = leader_with_picture();
+fn replicated_state_matches_pinned_range_digests() {
+    let publisher = publisher_with_cluster_state();
     let digests: Vec<String> = (0..)
         .map_while(|range| RangeDigest::of(publisher.state(), range))
         .map(|digest| format!("{:016x}", digest.digest))
@@ -167,7 +167,7 @@
 }
 
 #[tokio::test]
-async fn a_frame_goes_out_behind_its_length_as_four_bytes_and_its_answer_comes_back_so() {
+async fn peer_frames_are_prefixed_with_four_byte_length_in_both_directions() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound").to_string();
     let served = tokio::spawn(async move {
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn jobs_of_every_kind_and_priority_are_read_and_written_as_pinned() {
+fn job_spec_json_matches_fixtures_for_every_kind_and_priority() {
     for (kind, name) in
         [(JobKind::Array, "array"), (JobKind::Gang, "group"), (JobKind::Daemon, "daemon")]
     {
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn statuses_of_every_state_are_read_and_written_as_pinned() {
+fn job_status_json_matches_fixtures_for_every_state() {
     let bare = |state| JobStatus { team: None, leader: None, notes: vec![], ..status(state) };
     json("pinned-http-status-queued", &bare(JobState::Queued));
     json("pinned-http-status-running", &bare(JobState::Running));
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn every_cause_and_state_of_a_task_is_read_and_written_as_pinned() {
+fn task_status_json_matches_fixtures_for_every_state_and_cause() {
     for (cause, name) in [
         (ExitCause::Done, "done"),
         (ExitCause::Stopped, "stopped"),
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn reports_may_lack_what_is_optional() {
+fn heartbeat_without_optional_fields_parses_with_defaults() {
     let task = |cause, saved| TaskStatus {
         task: "req-000412/3".into(),
         attempt: 2,
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn every_command_is_read_and_written_as_pinned() {
+fn command_json_matches_fixtures_for_every_command() {
     let task = || "req-000412/4".to_owned();
     json("pinned-command-run", &Command::Run { task: task(), attempt: 2 });
     json("pinned-command-kill", &Command::Kill { task: task(), attempt: 2, grace_s: 0.0 });
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn messages_of_the_state_service_may_lack_what_is_optional() {
+fn store_messages_without_optional_fields_parse_with_defaults() {
     let v = serde_json::json!([1, "a", null]);
     let pair = KeyValue { key: "a/b".into(), value: v.clone(), mod_revision: 412, lease_id: None };
     json("pinned-store-pair-null", &pair);
@@ -310,7 +310,7 @@
 }
 
 #[test]
-fn messages_of_the_cloud_may_lack_what_is_optional() {
+fn cloud_messages_without_optional_fields_parse_with_defaults() {
     let machine_type = MachineType {
         name: "c4".into(),
         cpus: 4.0,
@@ -351,7 +351,7 @@
 }
 
 #[test]
-fn the_status_of_replication_is_read_and_written_as_pinned() {
+fn replication_status_json_matches_fixtures() {
     json("pinned-http-replication-bare", &ReplicationStatus::default());
     let times = |count| DurationStatus {
         count,
@@ -359,7 +359,7 @@
         p99_ms: count + 2,
         longest_ms: count + 3,
     };
-    let takeover = TakeoverStatus {
+    let failover = FailoverStatus {
         detection: times(20),
         election: times(30),
         catching_up: times(40),
@@ -379,13 +379,13 @@
         lag: times(10),
         images: 6,
         resyncs: 7,
-        takeover,
+        failover,
     };
     json("pinned-http-replication", &status);
 }
 
 #[test]
-fn phases_and_copies_are_told_in_the_pinned_words() {
+fn replication_phase_and_copy_state_have_pinned_spellings() {
     let mut standby = Standby::new("worker-0", true, StandbySignals::default());
     let said = |standby: &Standby, now| {
         let status = standby.status(now);
@@ -395,7 +395,7 @@
     assert_eq!(said(&standby, 0), words("following", "no copy"));
     let (leader, leader_term) = (Some("worker-1".to_owned()), Some(4_097));
     standby.view_changed(&LeadershipView { leader, leader_term, own_term: None }, 0);
-    let mut publisher = leader_with_picture();
+    let mut publisher = publisher_with_cluster_state();
     for now in (0..10_000).step_by(200) {
         let request = standby.next_request(now).expect("it follows");
         standby.followed(publisher.answer(&request, now).expect("an answer"), now);
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -1,131 +1,134 @@
+//! Messages of the cloud's API: machine types, scale-out and delete requests, the machine list.
+
 use serde::{Deserialize, Serialize};
 
-/// A machine type.
+/// A machine type that the cloud offers, with its capacity and prices.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct MachineType {
-    /// Its name.
+    /// Unique name of the machine type, for example `g8`.
     #[serde(rename = "Label")]
     pub name: String,
-    /// CPUs.
+    /// Number of virtual CPUs.
     #[serde(rename = "Vcpus")]
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Memory, GB.
+    /// Memory in GB.
     #[serde(rename = "RamGb")]
     pub memory_gb: f64,
-    /// Space for images, GB.
+    /// Size of the local image cache in GB.
     #[serde(default)]
     #[serde(rename = "LocalGb")]
     pub cache_gb: f64,
-    /// Image fetch rate.
+    /// Image fetch rate in GB/s; 0 if fetching takes no time.
     #[serde(default)]
     pub fetch_gb_per_s: f64,
-    /// Price of an ordinary machine per hour.
+    /// Price of an on-demand machine per hour, in the cloud's currency.
     #[serde(rename = "Hourly")]
     pub price_per_hour: f64,
-    /// Current price of a spot machine per hour.
+    /// Current price of a spot machine per hour; if `None`, the on-demand
+    /// price applies.
     #[serde(default)]
     #[serde(rename = "MarketPrice")]
     pub spot_price: Option<f64>,
-    /// Nominal boot time, s.
+    /// Nominal boot time in seconds.
     #[serde(rename = "ReadyS")]
     pub boot_s: f64,
-    /// Zones that offer it.
+    /// Names of the zones that offer this machine type.
     #[serde(rename = "Yards")]
     pub zones: Vec<String>,
 }
 
 impl MachineType {
-    /// Nominal time to fetch an image of this size, s.
+    /// Nominal time in seconds to fetch an image of `image_gb` GB.
     pub fn fetch_s(&self, image_gb: f64) -> f64 {
         if self.fetch_gb_per_s > 0.0 { image_gb / self.fetch_gb_per_s } else { 0.0 }
     }
 
-    /// Current price per hour of a spot or ordinary machine.
+    /// Current price per hour, of a spot machine if `spot`, else of an on-demand machine.
     pub fn price(&self, spot: bool) -> f64 {
         if spot { self.spot_price.unwrap_or(self.price_per_hour) } else { self.price_per_hour }
     }
 }
 
-/// All machine types.
+/// The response to a request for the machine types.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct MachineTypes {
-    /// The types.
+    /// All machine types with their current prices.
     #[serde(rename = "Flavors")]
     pub machine_types: Vec<MachineType>,
 }
 
-/// A request for more machines.
+/// A scale-out request: creates machines of one type in one zone.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ScaleOutRequest {
-    /// Its id, never reused: repeating a request is idempotent.
+    /// Idempotency key: unique for each request, and equal in each retry of it.
     #[serde(rename = "Hire")]
     pub request_id: String,
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "Flavor")]
     pub machine_type: String,
-    /// Zone.
+    /// Name of the zone.
     #[serde(rename = "Yard")]
     pub zone: String,
-    /// Spot or ordinary.
+    /// `true` for spot machines, `false` for on-demand machines.
     #[serde(rename = "Loaners")]
     pub spot: bool,
-    /// Machines asked for.
+    /// Number of machines requested.
     #[serde(rename = "HowMany")]
     pub count: u32,
 }
 
-/// Machines, by name: the response to a scale-out request, the body of a deletion.
+/// Machine names: the response to a scale-out request, and the body of a delete request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct MachineNames {
-    /// The names.
+    /// Names of the machines.
     #[serde(rename = "Hosts")]
     pub machines: Vec<String>,
 }
 
-/// The state of a machine in the cloud's list.
+/// The lifecycle state of a machine according to the cloud.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// Not up yet, as far as the list knows.
+    /// Created, but not yet known to be running.
     Booting,
-    /// Up.
+    /// Running.
     Running,
-    /// Stopped on its own.
+    /// Stopped without a delete request.
     Failed,
-    /// A state that this version does not know.
+    /// Any state that this version does not know.
     #[serde(other)]
     Other,
 }
 
-/// A machine in the cloud's list.
+/// A machine in the cloud's machine list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ListedMachine {
-    /// Its name.
+    /// Unique name of the machine.
     #[serde(rename = "NameId")]
     pub id: String,
-    /// Where its worker listens.
+    /// Address (`host:port`) of the machine's worker; `None` before it is known.
     #[serde(default)]
     pub addr: Option<String>,
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "Flavor")]
     pub machine_type: String,
-    /// Zone.
+    /// Name of the zone.
     #[serde(rename = "Yard")]
     pub zone: String,
-    /// Spot or ordinary.
+    /// `true` for spot machines, `false` for on-demand machines.
     #[serde(rename = "Loaners")]
     pub spot: bool,
-    /// State.
+    /// Lifecycle state.
     pub status: MachineState,
-    /// Age since the scale-out request, s.
+    /// Time since the scale-out request, in seconds.
     #[serde(default)]
     pub age_s: f64,
 }
@@ -134,10 +137,10 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct MachineList {
-    /// The machines.
+    /// The machines of this page, in the order of their names.
     #[serde(rename = "Hosts")]
     pub machines: Vec<ListedMachine>,
-    /// Whether more follow.
+    /// Whether there is a next page.
     #[serde(default)]
     pub has_next: bool,
 }
--- a/crates/wire/src/job.rs
+++ b/crates/wire/src/job.rs
@@ -1,20 +1,23 @@
+//! Jobs as users submit them, their ids, and their status.
+
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
 /// Largest number of tasks in a job.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// A job's id in the form `req-000412`.
+/// A job's id: `req-` followed by 6 to 18 decimal digits, for example `req-000412`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct JobId(String);
 
 impl JobId {
-    /// Reads an id; `None` if it has the wrong form.
+    /// Parses a job id; `None` if the text has another form.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix("req-")?;
-        let fits = (6..=18).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
-        fits.then(|| Self(text.to_owned()))
+        let is_valid =
+            (6..=18).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
+        is_valid.then(|| Self(text.to_owned()))
     }
 
     /// The id as text.
@@ -32,14 +35,14 @@
 /// A task's id: `req-000412/3` is task 3 of its job.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
-    /// The job.
+    /// Id of the job that the task belongs to.
     pub job: JobId,
-    /// The task's number, from 0.
+    /// Index of the task in its job, counted from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    /// Reads a task id.
+    /// Parses a task id; `None` if the text has another form.
     pub fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.rsplit_once('/')?;
         Some(Self { job: JobId::parse(job)?, index: index.parse().ok()? })
@@ -52,13 +55,13 @@
     }
 }
 
-/// How a job's tasks belong together.
+/// How the tasks of a job depend on each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobKind {
     /// Independent tasks.
     Array,
-    /// A gang: all tasks at the same time or none.
+    /// A gang: all tasks run at the same time, or none.
     #[serde(rename = "group")]
     Gang,
     /// Independent tasks that run until their user cancels the job. The protocol page does not
@@ -70,13 +73,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Gives way to everything.
+    /// Lowest priority.
     Low,
-    /// The usual.
+    /// The ordinary priority.
     Normal,
-    /// Ahead of the usual.
+    /// Above [`Priority::Normal`].
     High,
-    /// Ahead of everything.
+    /// Highest priority.
     Production,
 }
 
@@ -84,92 +87,131 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct JobSpec {
-    /// Unique id, chosen by the user.
+    /// Unique id of the job, chosen by the user.
     #[serde(rename = "NameId")]
     pub id: JobId,
-    /// The class of jobs that it belongs to.
+    /// Name of the job class that the job belongs to; never empty.
     #[serde(rename = "Lane")]
     pub class: String,
-    /// The team.
+    /// Name of the team that submits the job; never empty.
     #[serde(rename = "Owner")]
     pub team: String,
-    /// Array or gang.
+    /// How the tasks depend on each other.
     #[serde(rename = "Shape")]
     pub kind: JobKind,
-    /// Priority.
+    /// Scheduling priority.
     #[serde(rename = "Rank")]
     pub priority: Priority,
-    /// Number of tasks.
+    /// Number of tasks, from 1 to [`MAX_TASKS`].
     #[serde(rename = "Pieces")]
     pub tasks: u32,
-    /// CPUs of one task.
+    /// Virtual CPUs requested for each task; above 0.
     #[serde(rename = "Vcpus")]
     pub cpus: f64,
-    /// GPUs of one task.
+    /// GPUs requested for each task.
     pub gpus: f64,
-    /// Memory of one task, GB.
+    /// Memory requested for each task, in GB.
     #[serde(rename = "RamGb")]
     pub memory_gb: f64,
-    /// The image that a machine needs.
+    /// Name of the image that a machine needs to run the tasks; never empty.
     #[serde(rename = "Bundle")]
     pub image: String,
-    /// The image's size, GB.
+    /// Size of the image in GB.
     pub image_gb: f64,
-    /// Allowed machine types; `None` for any.
+    /// Names of the allowed machine types; `None` allows every type.
     #[serde(default)]
     #[serde(rename = "Flavors")]
     pub machine_types: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// Name of the only allowed zone; `None` allows every zone.
     #[serde(default)]
     #[serde(rename = "Yard")]
     pub zone: Option<String>,
-    /// All tasks in the same zone.
+    /// Whether all tasks must run in the same zone.
     #[serde(rename = "Together")]
     pub one_zone: bool,
-    /// At most half of the tasks in one zone.
+    /// Whether at most half of the tasks (rounded up) may run in one zone.
     pub spread: bool,
-    /// Whether spot machines are allowed.
+    /// Whether tasks may run on spot machines.
     #[serde(rename = "Loaners")]
     pub spot: bool,
-    /// The team's estimate of a task's run time, s.
+    /// The team's estimate of the run time of each task, in seconds.
     #[serde(rename = "GuessS")]
     pub estimate_s: f64,
-    /// Checkpoint interval, s; 0 if the task never writes one.
+    /// Checkpoint interval in seconds; 0 if the tasks write no checkpoints.
     #[serde(rename = "SnapshotEveryS")]
     pub checkpoint_every_s: f64,
-    /// Time to write a checkpoint when stopped, s.
+    /// Time that a task takes to write a checkpoint when it is stopped, in seconds.
     #[serde(rename = "SnapshotS")]
     pub checkpoint_s: f64,
-    /// Deadline from submission, s.
+    /// Deadline in seconds after submission; `None` for no deadline.
     #[serde(default)]
     #[serde(rename = "DueS")]
     pub deadline_s: Option<f64>,
 }
 
+/// Why the body of a submission is not a valid job. The texts are part of the API: they name fields
+/// as the protocol spells them.
+#[derive(Debug, thiserror::Error)]
+pub enum JobSpecError {
+    /// The body is not JSON.
+    #[error("the body is not JSON: {0}")]
+    NotJson(#[source] serde_json::Error),
+    /// The body is JSON, but not an object.
+    #[error("the body is not a JSON object")]
+    NotAnObject,
+    /// A field is missing, duplicate or of the wrong type.
+    #[error("the job is invalid: {0}")]
+    InvalidField(#[source] serde_json::Error),
+    /// The job's id does not have the form of a [`JobId`].
+    #[error("NameId must have the form req-000412")]
+    InvalidId,
+    /// The number of tasks is 0 or above [`MAX_TASKS`].
+    #[error("Pieces must be from 1 to {max}", max = MAX_TASKS)]
+    InvalidTaskCount,
+    /// The CPUs requested for each task are not a finite number above 0.
+    #[error("Vcpus must be a number above 0")]
+    InvalidCpus,
+    /// An amount is not finite or below 0.
+    #[error("{field} must be a number and not negative")]
+    InvalidAmount {
+        /// Name of the field, as the protocol spells it.
+        field: &'static str,
+    },
+    /// A text that identifies something is empty.
+    #[error("{field} must not be empty")]
+    EmptyText {
+        /// Name of the field, as the protocol spells it.
+        field: &'static str,
+    },
+}
+
 impl JobSpec {
-    /// Reads and checks a submission. The error says what is wrong, in plain words.
-    pub fn parse(body: &[u8]) -> Result<Self, String> {
+    /// Parses and validates the body of a submission.
+    ///
+    /// # Errors
+    ///
+    /// A [`JobSpecError`], whose text is the reason given to the user.
+    pub fn parse(body: &[u8]) -> Result<Self, JobSpecError> {
         let value: serde_json::Value =
-            serde_json::from_slice(body).map_err(|e| format!("the body is not JSON: {e}"))?;
+            serde_json::from_slice(body).map_err(JobSpecError::NotJson)?;
         if !value.is_object() {
-            return Err("the body is not a JSON object".into());
+            return Err(JobSpecError::NotAnObject);
         }
-        // Read the text again rather than the value: a field given twice is refused that way.
-        let spec: Self =
-            serde_json::from_slice(body).map_err(|e| format!("the job is invalid: {e}"))?;
-        spec.check()?;
+        // Parses the text again rather than the value, so that a duplicate field is rejected.
+        let spec: Self = serde_json::from_slice(body).map_err(JobSpecError::InvalidField)?;
+        spec.validate()?;
         Ok(spec)
     }
 
-    fn check(&self) -> Result<(), String> {
+    fn validate(&self) -> Result<(), JobSpecError> {
         if JobId::parse(self.id.as_str()).is_none() {
-            return Err("NameId must have the form req-000412".into());
+            return Err(JobSpecError::InvalidId);
         }
         if self.tasks == 0 || self.tasks > MAX_TASKS {
-            return Err(format!("Pieces must be from 1 to {MAX_TASKS}"));
+            return Err(JobSpecError::InvalidTaskCount);
         }
         if !(self.cpus.is_finite() && self.cpus > 0.0) {
-            return Err("Vcpus must be a number above 0".into());
+            return Err(JobSpecError::InvalidCpus);
         }
         let amounts = [
             ("Gpus", self.gpus),
@@ -180,15 +222,15 @@
             ("SnapshotS", self.checkpoint_s),
             ("DueS", self.deadline_s.unwrap_or(0.0)),
         ];
-        for (name, amount) in amounts {
+        for (field, amount) in amounts {
             if !(amount.is_finite() && amount >= 0.0) {
-                return Err(format!("{name} must be a number and not negative"));
+                return Err(JobSpecError::InvalidAmount { field });
             }
         }
-        for (name, text) in [("Lane", &self.class), ("Owner", &self.team), ("Bundle", &self.image)]
-        {
+        let texts = [("Lane", &self.class), ("Owner", &self.team), ("Bundle", &self.image)];
+        for (field, text) in texts {
             if text.is_empty() {
-                return Err(format!("{name} must not be empty"));
+                return Err(JobSpecError::EmptyText { field });
             }
         }
         Ok(())
@@ -199,83 +241,78 @@
         self.kind == JobKind::Gang
     }
 
-    /// Whether the tasks are meant to run until the job is cancelled.
+    /// Whether the tasks run until the job is cancelled.
     pub fn is_daemon(&self) -> bool {
         self.kind == JobKind::Daemon
     }
 
-    /// Whether all tasks are wanted at the same time: of a gang, and of a daemon.
+    /// Whether all tasks have to run at the same time, as those of a gang or a daemon.
     pub fn needs_all_tasks_at_once(&self) -> bool {
         self.is_gang() || self.is_daemon()
     }
 
-    /// Most tasks that one zone may hold at a time.
+    /// Maximum number of tasks that may run in one zone at the same time.
     pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread { self.tasks.div_ceil(2) } else { self.tasks }
     }
 
-    /// Whether tasks write checkpoints, and so keep progress when they are stopped.
+    /// Whether tasks write checkpoints, and so keep their progress when they are stopped.
     pub fn checkpoints(&self) -> bool {
         self.checkpoint_every_s > 0.0
     }
 }
 
-/// What a user hears of a job.
+/// The state of a job as its user sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobState {
-    /// No task runs.
+    /// No task is running.
     Queued,
-    /// Some task runs.
+    /// At least one task is running.
     Running,
-    /// All tasks are done.
+    /// All tasks are completed.
     Done,
-    /// Its user cancelled it.
+    /// The user cancelled the job.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
 
 impl fmt::Display for JobState {
-    /// As the protocol spells it.
+    /// Writes the state as the protocol spells it.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            Self::Queued => "queued",
-            Self::Running => "running",
-            Self::Done => "done",
-            Self::Cancelled => "withdrawn",
-        })
+        self.serialize(f)
     }
 }
 
 impl JobState {
-    /// Whether the state can't change any more.
+    /// Whether the job has ended, so that its state never changes again.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Done | Self::Cancelled)
     }
 }
 
-/// The answer to a submission, a status request and a cancellation.
+/// The response to a submission, a status request or a cancellation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobStatus {
-    /// The job.
+    /// Id of the job.
     #[serde(rename = "NameId")]
     pub id: JobId,
-    /// Its state.
+    /// State of the job.
     #[serde(rename = "Status")]
     pub state: JobState,
-    /// Completed tasks.
+    /// Number of completed tasks.
     #[serde(default)]
     pub done: u32,
-    /// Running tasks.
+    /// Number of running tasks.
     #[serde(default)]
     pub running: u32,
-    /// The team (an addition of hookway).
+    /// Name of the team that submitted the job (an extension of the protocol).
     #[serde(rename = "Owner", default, skip_serializing_if = "Option::is_none")]
     pub team: Option<String>,
-    /// The controller that leads (an addition of hookway).
+    /// Name of the controller that is the leader (an extension of the protocol).
     #[serde(rename = "Commander", default, skip_serializing_if = "Option::is_none")]
     pub leader: Option<String>,
-    /// Why attempts ended, in plain words, newest last (an addition of hookway).
+    /// Reasons why attempts ended, newest last (an extension of the protocol).
     #[serde(rename = "Notes", default, skip_serializing_if = "Vec::is_empty")]
     pub notes: Vec<String>,
 }
--- a/crates/wire/src/job/tests.rs
+++ b/crates/wire/src/job/tests.rs
@@ -46,3 +46,21 @@
         assert_eq!(serde_json::to_value(state).unwrap(), state.to_string());
     }
 }
+
+#[test]
+fn rejection_names_the_field_as_the_protocol_spells_it() {
+    for (from, to, text) in [
+        ("req-000412", "job-1", "NameId must have the form req-000412"),
+        ("\"Pieces\":16", "\"Pieces\":100001", "Pieces must be from 1 to 100000"),
+        ("\"Vcpus\":8.0", "\"Vcpus\":0", "Vcpus must be a number above 0"),
+        ("\"DueS\":900.0", "\"DueS\":-5", "DueS must be a number and not negative"),
+        ("\"vision\"", "\"\"", "Owner must not be empty"),
+        ("\"RamGb\":64.0,", "", "the job is invalid: missing field `RamGb` at line 4 column 71"),
+    ] {
+        let body = GOOD.replace(from, to);
+        assert_eq!(JobSpec::parse(body.as_bytes()).unwrap_err().to_string(), text);
+    }
+    let text = |body: &[u8]| JobSpec::parse(body).unwrap_err().to_string();
+    assert_eq!(text(b"[1]"), "the body is not a JSON object");
+    assert!(text(b"").starts_with("the body is not JSON: "));
+}
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,9 @@
-//! Wire formats of hookway: everything that users, workers, the cloud and the state service see.
+//! Wire formats of hookway: the JSON messages exchanged with users, workers, the cloud, the state
+//! service and operators.
 //!
-//! Input is strict: a field with the wrong type or an impossible amount is refused; unknown fields
-//! are ignored, as the protocol demands.
+//! The spellings of the protocol stand in `serde` attributes; the Rust names are the standard terms.
+//! Parsing is strict: a field of the wrong type or out of range is rejected. Unknown fields are
+//! ignored, as the protocol demands.
 
 mod cloud;
 mod job;
@@ -17,9 +19,9 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The body of every refusal.
+/// The body of every error response.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct ErrorBody {
-    /// What is wrong, in plain words.
+    /// Description of the error for the client.
     pub error: String,
 }
--- a/crates/wire/src/replication.rs
+++ b/crates/wire/src/replication.rs
@@ -1,62 +1,63 @@
-//! What a controller tells operators of its replication (`GET /replication`).
+//! Status of a controller's replication, for operators (`GET /replication`).
 
 use serde::{Deserialize, Serialize};
 
-/// A distribution of times.
+/// Summary of a distribution of durations.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DurationStatus {
-    /// Number of times.
+    /// Number of measurements.
     pub count: u64,
-    /// Half of them are no longer, ms.
+    /// Median in ms.
     pub p50_ms: u64,
-    /// 99% of them are no longer, ms.
+    /// 99th percentile in ms.
     pub p99_ms: u64,
-    /// The longest, ms.
+    /// Maximum in ms.
     pub longest_ms: u64,
 }
 
-/// How long takeovers by this controller took, by phase.
+/// Durations of the failovers to this controller, by phase.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TakeoverStatus {
-    /// From the last sign of the old leader to the end of its lease.
+pub struct FailoverStatus {
+    /// From the last message of the previous leader to the expiry of its leadership lease.
     pub detection: DurationStatus,
-    /// From there to the election.
+    /// From the expiry of the lease to the election.
     pub election: DurationStatus,
-    /// From there until all records were read.
+    /// From the election until all records were read.
     pub catching_up: DurationStatus,
-    /// From there to the first start.
+    /// From the end of catching up to the first task start.
     pub first_start: DurationStatus,
-    /// From the last sign to the first start.
+    /// The whole failover: from the last message of the previous leader to the first task start.
     pub whole: DurationStatus,
 }
 
-/// How a controller's replication stands.
+/// Replication status of a controller.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicationStatus {
-    /// `following`, `suspecting`, `fencing`, `catching up` or `active`.
+    /// Phase of the promotion: `following`, `suspecting`, `fencing`, `catching up` or `active`.
     pub phase: String,
-    /// The leader that it follows, or followed last.
+    /// Name of the leader that this controller follows, or followed last.
     pub leader: Option<String>,
-    /// `usable`, or why the copy is not.
+    /// `usable`, or the reason why the replicated copy of the cluster state is not usable.
     pub copy: String,
-    /// Term of the copy.
+    /// Leader term of the copy.
     pub term: Option<u64>,
-    /// The last entry of that term's log that the copy has.
+    /// Index of the last entry of that term's log in the copy.
     pub index: Option<u64>,
-    /// Machines in the copy.
+    /// Number of machines in the copy.
     pub machines: usize,
-    /// Tasks in the copy.
+    /// Number of tasks in the copy.
     pub tasks: usize,
-    /// Entries that the copy lacked at the leader's last answer.
+    /// Replication lag at the leader's last response, in log entries.
     pub lag_entries: u64,
-    /// For how long it has lacked entries, ms.
+    /// Time since the copy was last complete, in ms; 0 while it is complete.
     pub lag_ms: u64,
-    /// How long it lacked entries until it had all.
+    /// Durations of the past periods in which the copy was incomplete.
     pub lag: DurationStatus,
-    /// Images that it took.
+    /// Number of full state images applied.
     pub images: u64,
-    /// Answers that it refused.
+    /// Number of responses rejected, each followed by a resynchronization.
     pub resyncs: u64,
-    /// Takeovers by this controller.
-    pub takeover: TakeoverStatus,
+    /// Failovers to this controller.
+    #[serde(rename = "takeover")]
+    pub failover: FailoverStatus,
 }
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -1,33 +1,35 @@
+//! Messages of the state service: keys, transactions, leases and watches.
+
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A key with its value.
+/// A key with its value and revision.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct KeyValue {
     /// The key.
     pub key: String,
-    /// The value.
+    /// The value stored under the key.
     #[serde(rename = "V")]
     pub value: Value,
     /// Revision at which the key was last modified.
     #[serde(rename = "Stamp")]
     pub mod_revision: u64,
-    /// The lease that the key is attached to; the key is deleted when it expires.
+    /// Id of the lease that the key is attached to: the key is deleted when the lease expires.
     #[serde(rename = "Permit", default)]
     pub lease_id: Option<u64>,
 }
 
-/// A page of keys.
+/// A page of a range read.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct KeyPage {
-    /// The keys.
+    /// The key-value pairs of this page, in the order of their keys.
     pub pairs: Vec<KeyValue>,
-    /// Whether more follow.
+    /// Whether there is a next page.
     #[serde(default)]
     pub has_next: bool,
-    /// Revision of the store.
+    /// Revision of the store at the time of the read.
     #[serde(rename = "Epoch")]
     pub revision: u64,
 }
@@ -36,31 +38,31 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Precondition {
-    /// The key.
+    /// The key that is checked.
     pub key: String,
-    /// The revision at which it must have been last modified; 0 if it must not exist.
+    /// Required revision of the key's last modification; 0 if the key must not exist.
     #[serde(rename = "Stamp")]
     pub mod_revision: u64,
 }
 
-/// A write in a transaction.
+/// A write operation of a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Operation {
-    /// Sets a key.
+    /// Sets the value of a key.
     #[serde(rename_all = "PascalCase")]
     Put {
         /// The key.
         #[serde(rename = "Put")]
         key: String,
-        /// Its value.
+        /// The new value.
         #[serde(rename = "V")]
         value: Value,
-        /// The lease to attach it to.
+        /// Id of the lease to attach the key to, if any.
         #[serde(rename = "Permit", default, skip_serializing_if = "Option::is_none")]
         lease_id: Option<u64>,
     },
-    /// Removes a key.
+    /// Deletes a key.
     #[serde(rename_all = "PascalCase")]
     Delete {
         /// The key.
@@ -70,17 +72,17 @@
 }
 
 impl Operation {
-    /// A put without a lease.
+    /// Creates a put operation without a lease.
     pub fn put(key: impl Into<String>, value: Value) -> Self {
         Self::Put { key: key.into(), value, lease_id: None }
     }
 
-    /// A removal.
+    /// Creates a delete operation.
     pub fn delete(key: impl Into<String>) -> Self {
         Self::Delete { key: key.into() }
     }
 
-    /// The key that it changes.
+    /// The key that the operation writes.
     pub fn key(&self) -> &str {
         match self {
             Self::Put { key, .. } | Self::Delete { key } => key,
@@ -88,14 +90,14 @@
     }
 }
 
-/// A transaction.
+/// A transaction: all operations are applied atomically if all preconditions hold.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Transaction {
-    /// All must hold, or nothing is written.
+    /// Preconditions; if any of them fails, no operation is applied.
     #[serde(rename = "Guards")]
     pub preconditions: Vec<Precondition>,
-    /// The writes.
+    /// The write operations.
     #[serde(rename = "Apply", default)]
     pub operations: Vec<Operation>,
 }
@@ -103,68 +105,68 @@
 /// The response to a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommitResponse {
-    /// Keys whose preconditions failed.
+    /// Keys whose preconditions failed; empty if the transaction was applied.
     #[serde(default)]
     pub failed: Vec<String>,
-    /// Revision.
+    /// Revision of the store after the transaction.
     #[serde(rename = "Epoch")]
     pub revision: u64,
 }
 
-/// A request for a lease.
+/// A request for a new lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct LeaseGrantRequest {
-    /// Its length, ms.
+    /// Time to live of the lease in ms, counted from its last extension.
     pub ttl_ms: u64,
 }
 
-/// A lease.
+/// The response to a lease request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct LeaseGrant {
-    /// Its id.
+    /// Id of the granted lease.
     #[serde(rename = "Permit")]
     pub lease_id: u64,
 }
 
-/// A change that a watch reports.
+/// A change of a key that a watch returns.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum WatchEvent {
-    /// A key was set.
+    /// The value of a key was set.
     #[serde(rename_all = "PascalCase")]
     Put {
         /// The key.
         #[serde(rename = "Put")]
         key: String,
-        /// Its value.
+        /// The new value.
         #[serde(rename = "V")]
         value: Value,
         /// Revision of the write.
         #[serde(rename = "Stamp")]
         mod_revision: u64,
     },
-    /// A key was removed.
+    /// A key was deleted.
     #[serde(rename_all = "PascalCase")]
     Delete {
         /// The key.
         #[serde(rename = "Delete")]
         key: String,
-        /// Revision of the removal.
+        /// Revision of the deletion.
         #[serde(rename = "Stamp")]
         mod_revision: u64,
     },
 }
 
-/// The response of a watch.
+/// The response to a watch request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct WatchResponse {
-    /// Revision of the store.
+    /// Revision of the store at the time of the read.
     #[serde(rename = "Epoch")]
     pub revision: u64,
-    /// What changed.
+    /// Changes since the requested revision, oldest first; empty if there were none.
     #[serde(default)]
     pub events: Vec<WatchEvent>,
 }
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,21 +1,23 @@
+//! Messages between controllers and workers: heartbeats and commands.
+
 use serde::{Deserialize, Serialize};
 
 /// The state of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
-    /// Its image is being fetched.
+    /// The task's image is being fetched.
     #[serde(rename = "pulling")]
     FetchingImage,
-    /// A task of a gang that waits for the others.
+    /// Ready, and waiting for the other tasks of its gang.
     #[serde(rename = "waiting")]
     WaitingForGang,
     /// Running.
     Running,
-    /// Writing a checkpoint before it stops.
+    /// Writing a checkpoint before stopping.
     #[serde(rename = "saving")]
     Checkpointing,
-    /// Ended; see the cause.
+    /// Ended; [`TaskStatus::cause`] says why.
     Ended,
 }
 
@@ -25,15 +27,15 @@
 pub enum ExitCause {
     /// Completed.
     Done,
-    /// Stopped by command.
+    /// Stopped by a [`Command::Kill`].
     Stopped,
-    /// Another task of the gang was lost.
+    /// Stopped because another task of the gang was lost.
     #[serde(rename = "peers")]
     GangMemberLost,
-    /// The gang was not complete in time.
+    /// Stopped because the gang was not complete in time.
     #[serde(rename = "incomplete")]
     GangIncomplete,
-    /// Failed.
+    /// The task or its machine failed.
     Error,
     /// Start refused: the machine lacks the resources.
     #[serde(rename = "no_room")]
@@ -41,16 +43,16 @@
     /// Start refused: another attempt of the task is on the machine.
     #[serde(rename = "busy")]
     AttemptConflict,
-    /// Start refused: no such job.
+    /// Start refused: the worker does not find the job.
     #[serde(rename = "unknown")]
     UnknownJob,
-    /// A cause that this version does not know.
+    /// Any cause that this version does not know.
     #[serde(other)]
     Other,
 }
 
 impl ExitCause {
-    /// The cause in plain words, for users.
+    /// Description of the cause for the notes of a job; follows the name of the task.
     pub fn description(self) -> &'static str {
         match self {
             Self::Done => "completed",
@@ -70,54 +72,54 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct TaskStatus {
-    /// The task, as `req-000412/3`.
+    /// Id of the task in the form `req-000412/3` (see [`TaskId`](crate::TaskId)).
     #[serde(rename = "Piece")]
     pub task: String,
-    /// The attempt.
+    /// Number of the attempt.
     #[serde(rename = "Try")]
     pub attempt: u64,
-    /// Its state.
+    /// State of the attempt.
     #[serde(rename = "Status")]
     pub state: TaskState,
-    /// Why it ended; set once the state is [`TaskState::Ended`].
+    /// Why the attempt ended; set when the state is [`TaskState::Ended`].
     #[serde(default)]
     pub cause: Option<ExitCause>,
-    /// Whether a checkpoint of its progress was written.
+    /// Whether a checkpoint was written before the attempt ended; `None` if the worker does not say.
     #[serde(rename = "Saved", default)]
     pub checkpointed: Option<bool>,
 }
 
-/// A worker's heartbeat, with the status of everything on its machine.
+/// A worker's heartbeat, with the status of all tasks on its machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Heartbeat {
-    /// The machine.
+    /// Name of the machine.
     #[serde(rename = "Host")]
     pub machine: String,
-    /// Where its worker listens.
+    /// Address (`host:port`) of the worker.
     pub addr: String,
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "Flavor")]
     pub machine_type: String,
-    /// Zone.
+    /// Name of the zone.
     #[serde(rename = "Yard")]
     pub zone: String,
-    /// Spot machine.
+    /// `true` for a spot machine, `false` for an on-demand machine.
     #[serde(rename = "Loaners")]
     pub spot: bool,
-    /// Incarnation of the worker: rises each time it starts with no tasks.
+    /// Incarnation of the worker: increases each time the worker starts without tasks.
     #[serde(rename = "Tenure")]
     pub incarnation: u64,
-    /// Sequence number of the heartbeat within the incarnation.
+    /// Sequence number of the heartbeat, increasing within the incarnation.
     #[serde(rename = "Tick")]
     pub sequence: u64,
-    /// Highest fencing token that the worker has seen.
+    /// Highest fencing token that the worker has received; it refuses commands with a lower one.
     #[serde(rename = "Baton", default)]
     pub fencing_token: u64,
-    /// Seconds until the cloud reclaims the machine, if it has given an interruption notice.
+    /// Time until the cloud reclaims the machine, in seconds; `None` without interruption notice.
     #[serde(rename = "EvictionS", default)]
     pub interruption_notice_s: Option<f64>,
-    /// All tasks on the machine.
+    /// Status of all tasks on the machine.
     #[serde(default)]
     #[serde(rename = "Pieces")]
     pub tasks: Vec<TaskStatus>,
@@ -127,36 +129,36 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "Verb", rename_all = "lowercase")]
 pub enum Command {
-    /// Start a task.
+    /// Starts an attempt of a task.
     #[serde(rename_all = "PascalCase")]
     Run {
-        /// The task.
+        /// Id of the task in the form `req-000412/3`.
         #[serde(rename = "Piece")]
         task: String,
-        /// The attempt.
+        /// Number of the attempt.
         #[serde(rename = "Try")]
         attempt: u64,
     },
-    /// Stop a task.
+    /// Stops an attempt of a task.
     #[serde(rename_all = "PascalCase")]
     Kill {
-        /// The task.
+        /// Id of the task in the form `req-000412/3`.
         #[serde(rename = "Piece")]
         task: String,
-        /// The attempt.
+        /// Number of the attempt.
         #[serde(rename = "Try")]
         attempt: u64,
-        /// Time it has to write a checkpoint, s.
+        /// Time that the task has to write a checkpoint, in seconds.
         #[serde(rename = "WindDownS")]
         grace_s: f64,
     },
-    /// Forget an ended task: it is left out of later heartbeats.
+    /// Removes an ended attempt from the worker's later heartbeats.
     #[serde(rename_all = "PascalCase")]
     Reap {
-        /// The task.
+        /// Id of the task in the form `req-000412/3`.
         #[serde(rename = "Piece")]
         task: String,
-        /// The attempt.
+        /// Number of the attempt.
         #[serde(rename = "Try")]
         attempt: u64,
     },
@@ -166,10 +168,10 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct HeartbeatResponse {
-    /// The fencing token of the leader that answers.
+    /// Fencing token of the leader that responds.
     #[serde(rename = "Baton")]
     pub fencing_token: u64,
-    /// Commands, in order.
+    /// Commands, in the order of their execution.
     #[serde(rename = "Orders")]
     pub commands: Vec<Command>,
 }
@@ -178,22 +180,22 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct DirectCommands {
-    /// The fencing token of the leader that answers.
+    /// Fencing token of the leader that sends the commands.
     #[serde(rename = "Baton")]
     pub fencing_token: u64,
-    /// The incarnation of the worker that they are for; any other refuses them.
+    /// Incarnation of the worker that the commands are for; any other incarnation refuses them.
     #[serde(rename = "Tenure")]
     pub incarnation: u64,
-    /// Commands, in order.
+    /// Commands, in the order of their execution.
     #[serde(rename = "Orders")]
     pub commands: Vec<Command>,
 }
 
-/// The response of a controller that does not lead.
+/// The response of a controller that is not the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct HeartbeatRedirect {
-    /// The leader, if it is known.
+    /// Name of the leader, which takes the heartbeats, if it is known.
     #[serde(rename = "Foreman", skip_serializing_if = "Option::is_none")]
     pub leader: Option<String>,
 }
