--- a/crates/controller/tests/http_routes.rs
+++ b/crates/controller/tests/http_routes.rs
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test]
-async fn each_path_and_method_has_its_status() {
+async fn each_path_and_method_returns_pinned_status() {
     let server = StoreServer::default();
     let api = api(&server.start().await.expect("a free port"));
     let odd = JOB.replace("\"Pieces\":4", "\"Pieces\":0");
@@ -93,7 +93,7 @@
 }
 
 #[tokio::test]
-async fn a_refusal_has_one_field_that_says_why() {
+async fn error_response_has_single_error_field() {
     let server = StoreServer::default();
     let api = api(&server.start().await.expect("a free port"));
     for (method, path, text) in [
@@ -115,7 +115,7 @@
 }
 
 #[tokio::test]
-async fn while_the_state_service_is_away_questions_come_back_later_than_submissions() {
+async fn store_unavailable_sets_longer_retry_after_for_status_than_for_submission() {
     let server = StoreServer::default();
     let api = api(&server.start().await.expect("a free port"));
     server.refuse(true);
--- a/crates/controller/tests/settings_keys.rs
+++ b/crates/controller/tests/settings_keys.rs
@@ -87,7 +87,7 @@
 "#;
 
 #[test]
-fn each_key_of_the_platforms_file_sets_its_value() {
+fn each_platform_settings_key_sets_its_value() {
     let found = Settings::parse(ALL).unwrap();
     assert_eq!((found.controller_name.as_str(), found.zone.as_str()), ("worker-0", "a"));
     assert_eq!(found.api_addr, "127.0.0.1:8080");
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn each_key_of_the_next_limits_lowers_the_present_one() {
+fn each_next_limit_key_lowers_current_limit() {
     let state = |text: &str| Settings::parse(text).unwrap().platform.state;
     let now = state(LEAST);
     assert_eq!((now.rps, now.write_rps, now.value_kb, now.txn_ops), (200.0, 25.0, 8.0, 16));
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn optional_keys_of_the_platforms_file_have_their_defaults() {
+fn missing_optional_platform_settings_keys_have_defaults() {
     let found = Settings::parse(LEAST).unwrap();
     assert_eq!(found.zone, "");
     assert!(found.peers.is_empty());
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_platforms_file_without_a_required_key_is_refused_by_its_name() {
+fn missing_required_platform_settings_key_is_rejected_by_name() {
     let lines: Vec<&str> = LEAST.lines().collect();
     for (place, line) in lines.iter().enumerate() {
         let Some((key, _)) = line.split_once(" = ") else { continue };
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn each_key_of_the_operators_file_sets_its_value_in_its_section_only() {
+fn each_operator_settings_key_sets_its_value_only_in_its_section() {
     let parse =
         |section: &str, line: &str| OperatorSettings::parse(&format!("[{section}]\n{line}\n"));
     let set = |section, line| parse(section, line).unwrap();
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn an_empty_operators_file_leaves_the_defaults() {
+fn empty_operator_settings_keep_defaults() {
     let found = OperatorSettings::parse("").unwrap();
     assert_eq!(found, OperatorSettings::default());
     assert_eq!(found.idle_return_ms, None);
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn amounts_of_the_operators_file_are_taken_from_their_least_to_their_most() {
+fn operator_settings_accept_values_from_minimum_to_maximum() {
     for (section, key, least, most, below, above) in [
         ("fleet", "idle_return_s", "1", "86400", "0.9", "86401"),
         ("scheduling", "block_lease_s", "1", "86400", "0.9", "86401"),
--- a/crates/controller/tests/store_keys.rs
+++ b/crates/controller/tests/store_keys.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn keys_and_prefixes_are_spelt_as_pinned() {
+fn store_keys_and_prefixes_have_pinned_spellings() {
     assert_eq!(records::CLASSES_KEY, "c/lanes");
     assert_eq!(records::LEGACY_IMAGES_PREFIX, "i/");
     assert_eq!(records::LEADER_PREFIX, "lead/");
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn progress_keys_name_the_chunk_and_the_task_within_it() {
+fn progress_key_names_page_and_task_index_within_page() {
     for (from, key) in [
         (0, "p/req-000412/0"),
         (512, "p/req-000412/0/512"),
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn only_keys_of_shared_marks_have_a_number() {
+fn only_shared_watermark_keys_have_number() {
     assert_eq!(records::parse_shared_watermarks_key("m/shared-0"), Some(0));
     assert_eq!(records::parse_shared_watermarks_key("m/shared-17"), Some(17));
     for odd in ["m/req-000412", "m/shared-", "m/shared-x", "m/17", "shared-17"] {
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test]
-async fn a_leader_writes_its_three_keys_and_only_the_first_hangs_on_its_lease() {
+async fn leader_writes_three_keys_and_attaches_only_first_to_lease() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let (view_tx, mut view) = watch::channel(LeadershipView::default());
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_ledger_writes_records_under_the_pinned_keys() {
+fn cluster_state_writes_records_under_pinned_keys() {
     let mut harness = LeaderHarness::start();
     let (mut one, mut two) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     harness.submit(job("req-000001", "array", 300));
