--- a/crates/clients/src/api.rs
+++ b/crates/clients/src/api.rs
@@ -1,65 +1,80 @@
+//! Client of hookway's API, for users.
+
 use crate::{HttpClient, HttpError};
 use hookway_wire::{ErrorBody, JobId, JobStatus};
 use hyper::{Method, StatusCode};
 use std::time::Duration;
 
-/// How long a user waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Timeout of a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a user's request did not succeed.
+/// Why a request of a user failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ApiError {
-    /// No answer.
+    /// There was no response.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The service refused.
+    /// The service rejected the request: the HTTP status and the reason.
     #[error("{0}: {1}")]
     Refused(u16, String),
-    /// An answer that makes no sense.
-    #[error("unreadable answer: {0}")]
-    Unreadable(String),
+    /// The body of the response is not a job status.
+    #[error("invalid response: {0}")]
+    InvalidResponse(String),
 }
 
-/// A user's client of the service.
+/// A user's client of the API.
 #[derive(Debug, Clone)]
 pub struct ApiClient {
     http: HttpClient,
 }
 
 impl ApiClient {
-    /// A client for a controller or load balancer at `address`.
+    /// Creates a client of the controller or load balancer at `address` (`host:port`).
     pub fn new(address: &str) -> Self {
         Self { http: HttpClient::new(address) }
     }
 
-    async fn ask(
+    async fn request(
         &self,
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
     ) -> Result<JobStatus, ApiError> {
-        let (status, body) = self.http.exchange(method, path, body, PATIENCE).await?;
+        let (status, body) = self.http.exchange(method, path, body, REQUEST_TIMEOUT).await?;
         if status == StatusCode::OK || status == StatusCode::CREATED {
-            return serde_json::from_slice(&body).map_err(|e| ApiError::Unreadable(e.to_string()));
+            return serde_json::from_slice(&body)
+                .map_err(|error| ApiError::InvalidResponse(error.to_string()));
         }
-        let why = serde_json::from_slice::<ErrorBody>(&body)
-            .map(|e| e.error)
+        let reason = serde_json::from_slice::<ErrorBody>(&body)
+            .map(|body| body.error)
             .unwrap_or_else(|_| String::from_utf8_lossy(&body).into_owned());
-        Err(ApiError::Refused(status.as_u16(), why))
+        Err(ApiError::Refused(status.as_u16(), reason))
     }
 
-    /// Submits a job, given as JSON.
+    /// Submits a job. `job` is the JSON of a [`JobSpec`](hookway_wire::JobSpec).
+    ///
+    /// # Errors
+    ///
+    /// [`ApiError::Refused`] if the job is invalid or the service unavailable.
     pub async fn submit(&self, job: Vec<u8>) -> Result<JobStatus, ApiError> {
-        self.ask(Method::POST, "/api/jobs", Some(job)).await
+        self.request(Method::POST, "/api/jobs", Some(job)).await
     }
 
-    /// Asks for a job's state.
+    /// Returns the status of a job.
+    ///
+    /// # Errors
+    ///
+    /// [`ApiError::Refused`] with status 404 if there is no such job.
     pub async fn status(&self, job: &JobId) -> Result<JobStatus, ApiError> {
-        self.ask(Method::GET, &format!("/api/jobs/{job}"), None).await
+        self.request(Method::GET, &format!("/api/jobs/{job}"), None).await
     }
 
-    /// Cancels a job.
+    /// Cancels a job and returns its status.
+    ///
+    /// # Errors
+    ///
+    /// [`ApiError::Refused`] with status 404 if there is no such job.
     pub async fn cancel(&self, job: &JobId) -> Result<JobStatus, ApiError> {
-        self.ask(Method::POST, &format!("/api/jobs/{job}/withdraw"), Some(b"{}".to_vec())).await
+        self.request(Method::POST, &format!("/api/jobs/{job}/withdraw"), Some(b"{}".to_vec())).await
     }
 }
--- a/crates/clients/src/cloud.rs
+++ b/crates/clients/src/cloud.rs
@@ -1,46 +1,57 @@
-use crate::{Budget, HttpClient, HttpError};
+//! Client of the cloud: machine types, scale out, scale in and the machine list.
+
+use crate::http::{body_contains, quoted_body};
+use crate::{HttpClient, HttpError, RateLimiter};
 use hookway_constants as constants;
 use hookway_wire::{
     ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, ScaleOutRequest,
 };
 use hyper::{Method, StatusCode};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Why the cloud did not do what it was asked.
+/// The text by which a 503 response says that the cloud has no machines left, rather than an outage.
+const NO_CAPACITY: &str = "no capacity";
+/// Status in errors about a request that could not be encoded, and so has no response.
+const NOT_SENT: u16 = 0;
+
+/// Why a request to the cloud failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CloudError {
-    /// Not carried out: asked too often, or in trouble.
-    #[error("the cloud is not available ({0})")]
+    /// Not executed, because of an outage or the rate limit: the HTTP status.
+    #[error("the cloud is unavailable (status {0})")]
     Unavailable(u16),
-    /// Nothing is known: the request may have been carried out, or may be later.
-    #[error("no answer from the cloud: {0}")]
+    /// The outcome is unknown: the request may have been executed, or may be later.
+    #[error("no response from the cloud: {0}")]
     Unknown(HttpError),
-    /// An answer that makes no sense.
-    #[error("unexpected answer {0}: {1}")]
+    /// The response has an unexpected HTTP status or body: the status and the reason.
+    #[error("unexpected response of the cloud (status {0}): {1}")]
     Unexpected(u16, String),
 }
 
-/// The answer to a rental.
+/// The outcome of a scale-out request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ScaleOutOutcome {
-    /// These machines were rented.
-    Rented(Vec<String>),
-    /// None is to be had.
+    /// Machines with these names were created.
+    Created(Vec<String>),
+    /// The cloud has no capacity for this machine type in this zone.
     NoCapacity,
 }
 
-/// A client of the cloud that stays within its share of the request rate.
+/// A client of the cloud that limits its request rate.
 #[derive(Debug, Clone)]
 pub struct CloudClient {
     http: HttpClient,
-    budget: Arc<Budget>,
+    rate_limiter: Arc<RateLimiter>,
 }
 
 impl CloudClient {
-    /// A client for `address` that makes at most `rate` requests a second.
-    pub fn new(address: &str, rate: f64) -> Self {
-        Self { http: HttpClient::new(address), budget: Arc::new(Budget::new(rate)) }
+    /// Creates a client of `address` (`host:port`) that sends at most `requests_per_s` requests per second.
+    pub fn new(address: &str, requests_per_s: f64) -> Self {
+        let rate_limiter = Arc::new(RateLimiter::new(requests_per_s));
+        Self { http: HttpClient::new(address), rate_limiter }
     }
 
     async fn call(
@@ -49,60 +60,84 @@
         path: &str,
         body: Option<Vec<u8>>,
     ) -> Result<(StatusCode, bytes::Bytes), CloudError> {
-        self.budget.spend(1.0).await;
-        let limit = Duration::from_millis(constants::CLOUD_TIMEOUT_MS);
+        self.rate_limiter.acquire(1.0).await;
+        let timeout = Duration::from_millis(constants::CLOUD_TIMEOUT_MS);
         let (status, body) =
-            self.http.exchange(method, path, body, limit).await.map_err(CloudError::Unknown)?;
+            self.http.exchange(method, path, body, timeout).await.map_err(CloudError::Unknown)?;
         if status == StatusCode::TOO_MANY_REQUESTS {
             return Err(CloudError::Unavailable(status.as_u16()));
         }
         Ok((status, body))
     }
 
-    fn odd(status: StatusCode, body: &[u8]) -> CloudError {
-        let text = String::from_utf8_lossy(&body[..body.len().min(200)]).into_owned();
+    fn unexpected(status: StatusCode, body: &[u8]) -> CloudError {
         match status {
             StatusCode::SERVICE_UNAVAILABLE => CloudError::Unavailable(status.as_u16()),
-            _ => CloudError::Unexpected(status.as_u16(), text),
+            _ => CloudError::Unexpected(status.as_u16(), quoted_body(body)),
         }
     }
 
-    /// The machine types with their current prices.
+    fn encode<T: Serialize>(request: &T) -> Result<Vec<u8>, CloudError> {
+        serde_json::to_vec(request)
+            .map_err(|error| CloudError::Unexpected(NOT_SENT, error.to_string()))
+    }
+
+    fn decode<T: DeserializeOwned>(status: StatusCode, body: &[u8]) -> Result<T, CloudError> {
+        serde_json::from_slice(body)
+            .map_err(|error| CloudError::Unexpected(status.as_u16(), error.to_string()))
+    }
+
+    /// Returns all machine types with their current prices.
+    ///
+    /// # Errors
+    ///
+    /// Any [`CloudError`].
     pub async fn machine_types(&self) -> Result<Vec<MachineType>, CloudError> {
         let (status, body) = self.call(Method::GET, "/flavors", None).await?;
         if status != StatusCode::OK {
-            return Err(Self::odd(status, &body));
+            return Err(Self::unexpected(status, &body));
         }
-        serde_json::from_slice::<MachineTypes>(&body)
-            .map(|f| f.machine_types)
-            .map_err(|e| CloudError::Unexpected(200, e.to_string()))
+        Self::decode::<MachineTypes>(status, &body).map(|types| types.machine_types)
     }
 
-    /// Rents machines. The same request may be repeated after an unknown outcome.
-    pub async fn rent(&self, request: &ScaleOutRequest) -> Result<ScaleOutOutcome, CloudError> {
-        let body =
-            serde_json::to_vec(request).map_err(|e| CloudError::Unexpected(0, e.to_string()))?;
+    /// Creates machines.
+    ///
+    /// # Errors
+    ///
+    /// Any [`CloudError`]. After [`CloudError::Unknown`] the same request may be repeated: it is idempotent
+    /// by its id.
+    pub async fn scale_out(
+        &self,
+        request: &ScaleOutRequest,
+    ) -> Result<ScaleOutOutcome, CloudError> {
+        let body = Self::encode(request)?;
         let (status, body) = self.call(Method::POST, "/rentals", Some(body)).await?;
         match status {
-            StatusCode::OK => serde_json::from_slice::<MachineNames>(&body)
-                .map(|h| ScaleOutOutcome::Rented(h.machines))
-                .map_err(|e| CloudError::Unexpected(200, e.to_string())),
-            StatusCode::SERVICE_UNAVAILABLE if body.windows(11).any(|w| w == b"no capacity") => {
+            StatusCode::OK => Self::decode::<MachineNames>(status, &body)
+                .map(|names| ScaleOutOutcome::Created(names.machines)),
+            StatusCode::SERVICE_UNAVAILABLE if body_contains(&body, NO_CAPACITY) => {
                 Ok(ScaleOutOutcome::NoCapacity)
             }
-            _ => Err(Self::odd(status, &body)),
+            _ => Err(Self::unexpected(status, &body)),
         }
     }
 
-    /// Deletes machines. Once this returns `Ok`, they and all that was on them are gone.
+    /// Deletes machines. After `Ok` the machines are gone, and all tasks on them.
+    ///
+    /// # Errors
+    ///
+    /// Any [`CloudError`]. After [`CloudError::Unknown`] the same request may be repeated.
     pub async fn delete(&self, machines: &[String]) -> Result<(), CloudError> {
-        let body = serde_json::to_vec(&MachineNames { machines: machines.to_vec() })
-            .map_err(|e| CloudError::Unexpected(0, e.to_string()))?;
+        let body = Self::encode(&MachineNames { machines: machines.to_vec() })?;
         let (status, body) = self.call(Method::POST, "/rentals/delete", Some(body)).await?;
-        if status == StatusCode::OK { Ok(()) } else { Err(Self::odd(status, &body)) }
+        if status == StatusCode::OK { Ok(()) } else { Err(Self::unexpected(status, &body)) }
     }
 
-    /// The whole machine list.
+    /// Returns all machines, read page by page.
+    ///
+    /// # Errors
+    ///
+    /// Any [`CloudError`]; the pages that were read are discarded.
     pub async fn machines(&self) -> Result<Vec<ListedMachine>, CloudError> {
         let mut all: Vec<ListedMachine> = Vec::new();
         loop {
@@ -112,13 +147,12 @@
             }
             let (status, body) = self.call(Method::GET, &path, None).await?;
             if status != StatusCode::OK {
-                return Err(Self::odd(status, &body));
+                return Err(Self::unexpected(status, &body));
             }
-            let page: MachineList = serde_json::from_slice(&body)
-                .map_err(|e| CloudError::Unexpected(200, e.to_string()))?;
-            let empty = page.machines.is_empty();
+            let page: MachineList = Self::decode(status, &body)?;
+            let is_empty = page.machines.is_empty();
             all.extend(page.machines);
-            if !page.has_next || empty {
+            if !page.has_next || is_empty {
                 return Ok(all);
             }
         }
--- a/crates/clients/src/http.rs
+++ b/crates/clients/src/http.rs
@@ -1,3 +1,5 @@
+//! HTTP client with timeouts and a connection pool, on which the other clients are built.
+
 use bytes::Bytes;
 use hookway_constants as constants;
 use http_body_util::{BodyExt, Full};
@@ -6,82 +8,126 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use std::time::Duration;
 
-/// Why an exchange gave no answer.
+/// Idle connections that a client keeps to each address unless it is built for workers.
+const MAX_IDLE_CONNECTIONS: usize = 8;
+/// Longest part of an unexpected body that an error text quotes, in bytes.
+const MAX_QUOTED_BYTES: usize = 200;
+
+/// The start of a response body, for an error text.
+pub(crate) fn quoted_body(body: &[u8]) -> String {
+    String::from_utf8_lossy(&body[..body.len().min(MAX_QUOTED_BYTES)]).into_owned()
+}
+
+/// Whether a response body contains a text.
+pub(crate) fn body_contains(body: &[u8], text: &str) -> bool {
+    body.windows(text.len()).any(|window| window == text.as_bytes())
+}
+
+/// Why a request has no response.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
-    /// No answer within the time limit. The request may have been carried out, or may be later.
-    #[error("no answer in time")]
+    /// There was no response before the timeout. The request may have been executed, or may be later.
+    #[error("no response before the timeout")]
     Timeout,
-    /// No connection came about, so nothing was sent.
-    #[error("no connection: {0}")]
-    NotSent(String),
-    /// The connection failed. The request may have been carried out.
-    #[error("connection failed: {0}")]
-    Connection(String),
-    /// The request could not be built.
-    #[error("bad request: {0}")]
-    Request(String),
+    /// No connection was established, so the request was not sent.
+    #[error("no connection to {address}: {reason}")]
+    NotSent {
+        /// Address of the server.
+        address: String,
+        /// Reason given by the HTTP library.
+        reason: String,
+    },
+    /// The connection failed after it was established. The request may have been executed.
+    #[error("connection to {address} failed: {reason}")]
+    Connection {
+        /// Address of the server.
+        address: String,
+        /// Reason given by the HTTP library.
+        reason: String,
+    },
+    /// The request could not be built, so it was not sent.
+    #[error("invalid request to {address}: {reason}")]
+    InvalidRequest {
+        /// Address of the server.
+        address: String,
+        /// Reason given by the HTTP library.
+        reason: String,
+    },
 }
 
-/// A small HTTP client for one address, with connections that stay open.
+/// An HTTP client of one address that keeps idle connections in a pool.
 #[derive(Debug, Clone)]
 pub struct HttpClient {
-    base: String,
+    address: String,
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl HttpClient {
-    /// A client for `address` (`machine:port`).
+    /// Creates a client of `address` (`host:port`) with the default pool.
     pub fn new(address: &str) -> Self {
-        Self::keeping(address, 8, Duration::from_millis(constants::CLIENT_IDLE_MS))
+        let idle_timeout = Duration::from_millis(constants::CLIENT_IDLE_MS);
+        Self::with_pool(address, MAX_IDLE_CONNECTIONS, idle_timeout)
     }
 
-    /// A client that keeps at most `most` idle connections to each address, for `idle`.
-    pub fn keeping(address: &str, most: usize, idle: Duration) -> Self {
+    /// Creates a client that keeps at most `max_idle` idle connections to each address, each for at
+    /// most `idle_timeout`.
+    pub fn with_pool(address: &str, max_idle: usize, idle_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(Duration::from_millis(constants::CONNECT_TIMEOUT_MS)));
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(idle)
-            .pool_max_idle_per_host(most)
+            .pool_idle_timeout(idle_timeout)
+            .pool_max_idle_per_host(max_idle)
             .build(connector);
-        Self { base: format!("http://{address}"), client }
+        Self { address: address.to_owned(), client }
     }
 
-    /// A client for another address that shares this one's connections.
-    pub fn at(&self, address: &str) -> Self {
-        Self { base: format!("http://{address}"), client: self.client.clone() }
+    /// Returns a client of another address that shares this client's connection pool.
+    pub fn with_address(&self, address: &str) -> Self {
+        Self { address: address.to_owned(), client: self.client.clone() }
     }
 
-    /// One exchange: the status and the body.
+    /// Sends a request and returns the status and body of the response.
+    ///
+    /// # Errors
+    ///
+    /// An [`HttpError`] if there is no response within `timeout`; its variants say whether the request may
+    /// have been executed.
     pub async fn exchange(
         &self,
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(StatusCode, Bytes), HttpError> {
-        let mut request = Request::builder().method(method).uri(format!("{}{path}", self.base));
+        let uri = format!("http://{}{path}", self.address);
+        let mut request = Request::builder().method(method).uri(uri);
         if body.is_some() {
             request = request.header("content-type", "application/json");
         }
-        let request = request
-            .body(Full::new(Bytes::from(body.unwrap_or_default())))
-            .map_err(|e| HttpError::Request(e.to_string()))?;
-        let work = async {
-            let response = self.client.request(request).await.map_err(|e| {
-                let text = e.to_string();
-                if e.is_connect() { HttpError::NotSent(text) } else { HttpError::Connection(text) }
+        let request =
+            request.body(Full::new(Bytes::from(body.unwrap_or_default()))).map_err(|error| {
+                HttpError::InvalidRequest {
+                    address: self.address.clone(),
+                    reason: error.to_string(),
+                }
+            })?;
+        let exchange = async {
+            let response = self.client.request(request).await.map_err(|error| {
+                let (address, reason) = (self.address.clone(), error.to_string());
+                if error.is_connect() {
+                    HttpError::NotSent { address, reason }
+                } else {
+                    HttpError::Connection { address, reason }
+                }
             })?;
             let status = response.status();
-            let body = response
-                .into_body()
-                .collect()
-                .await
-                .map_err(|e| HttpError::Connection(e.to_string()))?;
+            let body = response.into_body().collect().await.map_err(|error| {
+                HttpError::Connection { address: self.address.clone(), reason: error.to_string() }
+            })?;
             Ok((status, body.to_bytes()))
         };
-        tokio::time::timeout(limit, work).await.map_err(|_| HttpError::Timeout)?
+        tokio::time::timeout(timeout, exchange).await.map_err(|_| HttpError::Timeout)?
     }
 }
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -1,17 +1,18 @@
-//! Clients of everything that a controller talks to over HTTP: the state service, the cloud and,
-//! for users, the API itself. Every call has a time limit, and an answer that did not come is told
-//! apart from a refusal, because the request may still be carried out.
+//! HTTP clients of the state service, the cloud and the workers, and of hookway's API for users.
+//!
+//! Every call has a timeout. Errors tell a request without response from a rejected one, because a
+//! request without response may have been executed, or may be executed later.
 
 mod api;
-mod budget;
 mod cloud;
 mod http;
+mod rate_limiter;
 mod store;
 mod worker;
 
 pub use api::{ApiClient, ApiError};
-pub use budget::Budget;
 pub use cloud::{CloudClient, CloudError, ScaleOutOutcome};
 pub use http::{HttpClient, HttpError};
+pub use rate_limiter::RateLimiter;
 pub use store::{CommitOutcome, StoreClient, StoreError};
 pub use worker::{Delivery, WorkerClient};
--- /dev/null
+++ b/crates/clients/src/rate_limiter.rs
@@ -0,0 +1,74 @@
+//! Limit on the rate of requests to a service.
+
+use std::sync::Mutex;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Lowest rate that a limiter accepts, in permits per second; keeps waiting times finite.
+const MIN_PERMITS_PER_S: f64 = 0.1;
+/// Smallest capacity of the bucket, in permits: a request of one permit must fit.
+const MIN_BURST_PERMITS: f64 = 1.0;
+
+/// A token bucket that refills at a constant rate and holds at most the permits of one second.
+#[derive(Debug)]
+pub struct RateLimiter {
+    permits_per_s: f64,
+    bucket: Mutex<Bucket>,
+}
+
+/// Level of a token bucket. It is negative while acquired permits have yet to be refilled.
+#[derive(Debug)]
+struct Bucket {
+    permits: f64,
+    updated_at: Instant,
+}
+
+impl RateLimiter {
+    /// Creates a limiter with a full bucket. Rates below 0.1 permits per second are raised to that.
+    pub fn new(permits_per_s: f64) -> Self {
+        let permits_per_s = permits_per_s.max(MIN_PERMITS_PER_S);
+        let permits = permits_per_s.max(MIN_BURST_PERMITS);
+        let bucket = Bucket { permits, updated_at: Instant::now() };
+        Self { permits_per_s, bucket: Mutex::new(bucket) }
+    }
+
+    /// Acquires `permits` at once, even below zero, and returns how long the caller has to wait before
+    /// it may use them.
+    pub fn acquire_now(&self, permits: f64) -> Duration {
+        let Ok(mut bucket) = self.bucket.lock() else { return Duration::ZERO };
+        let now = Instant::now();
+        let elapsed_s = (now - bucket.updated_at).as_secs_f64();
+        let refilled = bucket.permits + elapsed_s * self.permits_per_s;
+        bucket.permits = refilled.min(self.permits_per_s.max(MIN_BURST_PERMITS)) - permits;
+        bucket.updated_at = now;
+        if bucket.permits >= 0.0 {
+            Duration::ZERO
+        } else {
+            Duration::from_secs_f64(-bucket.permits / self.permits_per_s)
+        }
+    }
+
+    /// Waits until `permits` are available, if that takes at most `queue_limit`. Otherwise acquires
+    /// nothing and returns `false` at once.
+    pub async fn acquire_within(&self, permits: f64, queue_limit: Duration) -> bool {
+        let wait = self.acquire_now(permits);
+        if wait > queue_limit {
+            if let Ok(mut bucket) = self.bucket.lock() {
+                bucket.permits += permits;
+            }
+            return false;
+        }
+        if !wait.is_zero() {
+            tokio::time::sleep(wait).await;
+        }
+        true
+    }
+
+    /// Waits until `permits` are available, however long that takes.
+    pub async fn acquire(&self, permits: f64) {
+        let wait = self.acquire_now(permits);
+        if !wait.is_zero() {
+            tokio::time::sleep(wait).await;
+        }
+    }
+}
--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -1,79 +1,93 @@
-use crate::{Budget, HttpClient, HttpError};
+//! Client of the state service: reads, transactions, leases and watches.
+
+use crate::http::{body_contains, quoted_body};
+use crate::{HttpClient, HttpError, RateLimiter};
 use hookway_constants as constants;
 use hookway_wire::{
     CommitResponse, KeyPage, KeyValue, LeaseGrant, LeaseGrantRequest, Transaction, WatchResponse,
 };
 use hyper::{Method, StatusCode};
 use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, utf8_percent_encode};
+use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Everything but letters, digits and what may stand in a key unescaped.
-const ESCAPED: &AsciiSet =
+/// Characters of a key that are percent-encoded in a URL.
+const ENCODED_CHARACTERS: &AsciiSet =
     &NON_ALPHANUMERIC.remove(b'/').remove(b'-').remove(b'_').remove(b'.').remove(b'~');
 
-/// Why the state service did not do what it was asked.
+/// Keys in a page of a range read.
+const LIST_PAGE_KEYS: u32 = 1_000;
+/// Timeout of a page of a range read, as a multiple of that of other requests: pages are large.
+const LIST_TIMEOUT_FACTOR: u64 = 2;
+/// The text by which a 400 response to a transaction says that a lease does not exist.
+const NO_SUCH_LEASE: &str = "no such lease";
+/// Status in errors about a request that could not be encoded, and so has no response.
+const NOT_SENT: u16 = 0;
+
+/// Why a request to the state service failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// Not carried out: an outage, or this node is being refused.
-    #[error("the state service is not available")]
+    /// Not executed: the service has an outage, or rejects this controller's requests.
+    #[error("the state service is unavailable")]
     Unavailable,
-    /// Not carried out: above a rate limit.
-    #[error("the state service is asked too often")]
+    /// Not executed: above the rate limit of the service, or of this client ([`StoreClient::with_queue_limit`]).
+    #[error("the rate limit of the state service is reached")]
     TooMany,
-    /// Nothing is known: the request may have been carried out, or may be later.
-    #[error("no answer from the state service: {0}")]
+    /// The outcome is unknown: the request may have been executed, or may be later.
+    #[error("no response from the state service: {0}")]
     Unknown(HttpError),
-    /// The lease does not exist any more.
-    #[error("the lease has ended")]
+    /// The lease has expired or was released.
+    #[error("the lease does not exist")]
     NoLease,
-    /// The watch asked for changes that are no longer kept.
-    #[error("the revision is too old")]
+    /// The changes that the watch asked for are compacted.
+    #[error("the watched revision is compacted")]
     TooOld,
-    /// Not carried out: the request is malformed, or larger than the state service takes.
-    #[error("refused by the state service: {0}")]
+    /// Not executed: the request is invalid or too large. The response body, shortened.
+    #[error("rejected by the state service: {0}")]
     Rejected(String),
-    /// An answer that makes no sense.
-    #[error("unexpected answer {0}: {1}")]
+    /// The response has an unexpected HTTP status or body: the status and the reason.
+    #[error("unexpected response of the state service (status {0}): {1}")]
     Unexpected(u16, String),
 }
 
-/// What became of a transaction that was answered.
+/// The outcome of a transaction that has a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// Applied, at this revision.
+    /// All operations were applied, at this revision.
     Applied(u64),
-    /// Not applied: these conditions failed.
+    /// No operation was applied: the preconditions on these keys failed.
     PreconditionFailed(Vec<String>),
 }
 
-/// A client of the state service that stays within its share of the request rate.
+/// A client of the state service that limits its request rate.
 #[derive(Debug, Clone)]
 pub struct StoreClient {
     http: HttpClient,
-    budget: Arc<Budget>,
-    patience: Option<Duration>,
+    rate_limiter: Arc<RateLimiter>,
+    queue_limit: Option<Duration>,
 }
 
 impl StoreClient {
-    /// A client for `address` that makes at most `rate` requests a second.
-    pub fn new(address: &str, rate: f64) -> Self {
-        let budget = Arc::new(Budget::new(rate));
-        Self { http: HttpClient::new(address), budget, patience: None }
+    /// Creates a client of `address` (`host:port`) that sends at most `requests_per_s` requests per second;
+    /// requests above the rate wait.
+    pub fn new(address: &str, requests_per_s: f64) -> Self {
+        let rate_limiter = Arc::new(RateLimiter::new(requests_per_s));
+        Self { http: HttpClient::new(address), rate_limiter, queue_limit: None }
     }
 
-    /// The same, but what would wait longer than this for its turn is not asked at all
-    /// ([`StoreError::TooMany`]).
-    pub fn with_queue_limit(self, patience_ms: u64) -> Self {
-        Self { patience: Some(Duration::from_millis(patience_ms)), ..self }
+    /// Returns the client with a limit on the time that a request waits for the rate limiter: above it
+    /// the request fails at once with [`StoreError::TooMany`].
+    pub fn with_queue_limit(self, queue_limit_ms: u64) -> Self {
+        Self { queue_limit: Some(Duration::from_millis(queue_limit_ms)), ..self }
     }
 
-    /// Waits for this request's turn.
+    /// Waits until the rate limiter admits a request.
     async fn acquire(&self) -> Result<(), StoreError> {
-        match self.patience {
-            None => self.budget.spend(1.0).await,
-            Some(patience) if self.budget.spend_within(1.0, patience).await => {}
+        match self.queue_limit {
+            None => self.rate_limiter.acquire(1.0).await,
+            Some(limit) if self.rate_limiter.acquire_within(1.0, limit).await => {}
             Some(_) => return Err(StoreError::TooMany),
         }
         Ok(())
@@ -84,11 +98,11 @@
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
-        limit_ms: u64,
+        timeout_ms: u64,
     ) -> Result<(StatusCode, bytes::Bytes), StoreError> {
-        let limit = Duration::from_millis(limit_ms);
+        let timeout = Duration::from_millis(timeout_ms);
         let (status, body) =
-            self.http.exchange(method, path, body, limit).await.map_err(StoreError::Unknown)?;
+            self.http.exchange(method, path, body, timeout).await.map_err(StoreError::Unknown)?;
         match status {
             StatusCode::SERVICE_UNAVAILABLE => Err(StoreError::Unavailable),
             StatusCode::TOO_MANY_REQUESTS => Err(StoreError::TooMany),
@@ -97,123 +111,154 @@
         }
     }
 
-    fn read<T: DeserializeOwned>(status: StatusCode, body: &[u8]) -> Result<T, StoreError> {
-        serde_json::from_slice(body).map_err(|e| {
-            StoreError::Unexpected(
-                status.as_u16(),
-                format!("{e}: {}", String::from_utf8_lossy(&body[..body.len().min(200)])),
-            )
+    fn encode<T: Serialize>(request: &T) -> Result<Vec<u8>, StoreError> {
+        serde_json::to_vec(request)
+            .map_err(|error| StoreError::Unexpected(NOT_SENT, error.to_string()))
+    }
+
+    fn decode<T: DeserializeOwned>(status: StatusCode, body: &[u8]) -> Result<T, StoreError> {
+        serde_json::from_slice(body).map_err(|error| {
+            StoreError::Unexpected(status.as_u16(), format!("{error}: {}", quoted_body(body)))
         })
     }
 
     fn unexpected(status: StatusCode, body: &[u8]) -> StoreError {
-        let text = String::from_utf8_lossy(&body[..body.len().min(200)]).into_owned();
-        StoreError::Unexpected(status.as_u16(), text)
+        StoreError::Unexpected(status.as_u16(), quoted_body(body))
     }
 
-    /// Reads a key.
+    /// Reads a key; `None` if it does not exist.
+    ///
+    /// # Errors
+    ///
+    /// Any [`StoreError`] but those of leases and watches.
     pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, StoreError> {
         self.acquire().await?;
-        let path = format!("/keys/{}", utf8_percent_encode(key, ESCAPED));
+        let path = format!("/keys/{}", utf8_percent_encode(key, ENCODED_CHARACTERS));
         let (status, body) =
             self.call(Method::GET, &path, None, constants::STORE_TIMEOUT_MS).await?;
         match status {
-            StatusCode::OK => Self::read(status, &body).map(Some),
+            StatusCode::OK => Self::decode(status, &body).map(Some),
             StatusCode::NOT_FOUND => Ok(None),
             _ => Err(Self::unexpected(status, &body)),
         }
     }
 
-    /// Reads all keys with a prefix, page by page, and a revision from before the first page: a
-    /// watch from there misses nothing.
+    /// Reads all keys with a prefix, page by page. The revision is that of the first page, so that a
+    /// watch from there misses no change.
+    ///
+    /// # Errors
+    ///
+    /// Any [`StoreError`] but those of leases and watches; the pages that were read are discarded.
     pub async fn list(&self, prefix: &str) -> Result<(Vec<KeyValue>, u64), StoreError> {
         let mut all: Vec<KeyValue> = Vec::new();
         let mut first_revision = None;
         loop {
             self.acquire().await?;
-            let mut path = format!("/keys?Prefix={}", utf8_percent_encode(prefix, ESCAPED));
+            let mut path =
+                format!("/keys?Prefix={}", utf8_percent_encode(prefix, ENCODED_CHARACTERS));
             if let Some(last) = all.last() {
-                path.push_str(&format!("&After={}", utf8_percent_encode(&last.key, ESCAPED)));
+                path.push_str(&format!(
+                    "&After={}",
+                    utf8_percent_encode(&last.key, ENCODED_CHARACTERS)
+                ));
             }
-            path.push_str("&Most=1000");
-            let (status, body) =
-                self.call(Method::GET, &path, None, constants::STORE_TIMEOUT_MS * 2).await?;
+            path.push_str(&format!("&Most={LIST_PAGE_KEYS}"));
+            let timeout_ms = constants::STORE_TIMEOUT_MS * LIST_TIMEOUT_FACTOR;
+            let (status, body) = self.call(Method::GET, &path, None, timeout_ms).await?;
             if status != StatusCode::OK {
                 return Err(Self::unexpected(status, &body));
             }
-            let page: KeyPage = Self::read(status, &body)?;
+            let page: KeyPage = Self::decode(status, &body)?;
             let revision = *first_revision.get_or_insert(page.revision);
-            let empty = page.pairs.is_empty();
+            let is_empty = page.pairs.is_empty();
             all.extend(page.pairs);
-            if !page.has_next || empty {
+            if !page.has_next || is_empty {
                 return Ok((all, revision));
             }
         }
     }
 
     /// Commits a transaction.
+    ///
+    /// # Errors
+    ///
+    /// Any [`StoreError`]; [`StoreError::NoLease`] if an operation attaches a key to a lease that does not
+    /// exist.
     pub async fn commit(&self, transaction: &Transaction) -> Result<CommitOutcome, StoreError> {
         self.acquire().await?;
-        let body = serde_json::to_vec(transaction)
-            .map_err(|e| StoreError::Unexpected(0, e.to_string()))?;
+        let body = Self::encode(transaction)?;
         let (status, body) =
             self.call(Method::POST, "/commit", Some(body), constants::STORE_TIMEOUT_MS).await?;
         match status {
             StatusCode::OK => {
-                let answer: CommitResponse = Self::read(status, &body)?;
-                Ok(CommitOutcome::Applied(answer.revision))
+                let response: CommitResponse = Self::decode(status, &body)?;
+                Ok(CommitOutcome::Applied(response.revision))
             }
             StatusCode::CONFLICT => {
-                let answer: CommitResponse = Self::read(status, &body)?;
-                Ok(CommitOutcome::PreconditionFailed(answer.failed))
+                let response: CommitResponse = Self::decode(status, &body)?;
+                Ok(CommitOutcome::PreconditionFailed(response.failed))
             }
-            StatusCode::BAD_REQUEST if body.windows(13).any(|w| w == b"no such lease") => {
+            StatusCode::BAD_REQUEST if body_contains(&body, NO_SUCH_LEASE) => {
                 Err(StoreError::NoLease)
             }
-            StatusCode::BAD_REQUEST => {
-                let why = String::from_utf8_lossy(&body[..body.len().min(200)]).into_owned();
-                Err(StoreError::Rejected(why))
-            }
+            StatusCode::BAD_REQUEST => Err(StoreError::Rejected(quoted_body(&body))),
             _ => Err(Self::unexpected(status, &body)),
         }
     }
 
-    /// Asks for a lease.
+    /// Requests a lease of `ttl_ms` milliseconds and returns its id.
+    ///
+    /// # Errors
+    ///
+    /// Any [`StoreError`]. After [`StoreError::Unknown`] a lease may exist that nobody extends; it expires.
     pub async fn grant(&self, ttl_ms: u64) -> Result<u64, StoreError> {
         self.acquire().await?;
-        let body = serde_json::to_vec(&LeaseGrantRequest { ttl_ms })
-            .map_err(|e| StoreError::Unexpected(0, e.to_string()))?;
+        let body = Self::encode(&LeaseGrantRequest { ttl_ms })?;
         let (status, body) =
             self.call(Method::POST, "/grants", Some(body), constants::STORE_TIMEOUT_MS).await?;
         match status {
             StatusCode::OK | StatusCode::CREATED => {
-                Self::read::<LeaseGrant>(status, &body).map(|g| g.lease_id)
+                Self::decode::<LeaseGrant>(status, &body).map(|grant| grant.lease_id)
             }
             _ => Err(Self::unexpected(status, &body)),
         }
     }
 
-    /// Extends a lease. Goes ahead of everything else: the budget is charged but never waited for.
+    /// Extends a lease by its time to live. The request takes its permit of the rate limiter without
+    /// waiting, before all other requests.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::NoLease`] if the lease does not exist, else any [`StoreError`].
     pub async fn extend(&self, lease_id: u64) -> Result<(), StoreError> {
-        let _ = self.budget.take(1.0);
+        let _ = self.rate_limiter.acquire_now(1.0);
         let path = format!("/grants/{lease_id}/extend");
         let (status, body) = self
             .call(Method::POST, &path, Some(b"{}".to_vec()), constants::EXTEND_TIMEOUT_MS)
             .await?;
         match status {
-            s if s.is_success() => Ok(()),
+            status if status.is_success() => Ok(()),
             StatusCode::NOT_FOUND => Err(StoreError::NoLease),
             _ => Err(Self::unexpected(status, &body)),
         }
     }
 
-    /// Ends a lease.
+    /// Releases a lease, so that its keys are deleted. Does not use the rate limiter.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Unavailable`], [`StoreError::TooMany`], [`StoreError::TooOld`] or
+    /// [`StoreError::Unknown`]; other statuses count as success.
     pub async fn release(&self, lease_id: u64) -> Result<(), StoreError> {
         let path = format!("/grants/{lease_id}");
         self.call(Method::DELETE, &path, None, constants::STORE_TIMEOUT_MS).await.map(|_| ())
     }
 
-    /// Waits for changes of keys with a prefix.
+    /// Waits up to `wait_ms` milliseconds for changes of keys with a prefix after the revision `after`.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::TooOld`] if that revision is compacted, else any [`StoreError`].
     pub async fn watch(
         &self,
         prefix: &str,
@@ -223,12 +268,12 @@
         self.acquire().await?;
         let path = format!(
             "/watch?Prefix={}&After={after}&WaitMs={wait_ms}",
-            utf8_percent_encode(prefix, ESCAPED)
+            utf8_percent_encode(prefix, ENCODED_CHARACTERS)
         );
-        let limit = wait_ms + constants::WATCH_GRACE_MS;
-        let (status, body) = self.call(Method::GET, &path, None, limit).await?;
+        let timeout_ms = wait_ms + constants::WATCH_GRACE_MS;
+        let (status, body) = self.call(Method::GET, &path, None, timeout_ms).await?;
         match status {
-            StatusCode::OK => Self::read(status, &body),
+            StatusCode::OK => Self::decode(status, &body),
             _ => Err(Self::unexpected(status, &body)),
         }
     }
--- a/crates/clients/src/worker.rs
+++ b/crates/clients/src/worker.rs
@@ -1,4 +1,7 @@
+//! Client of the workers, for commands that do not wait for a heartbeat.
+
 use crate::{HttpClient, HttpError};
+use bytes::Bytes;
 use hookway_constants as constants;
 use hookway_wire::{DirectCommands, Heartbeat};
 use hyper::{Method, StatusCode};
@@ -6,62 +9,77 @@
 use std::time::Duration;
 use tokio::sync::Semaphore;
 
-/// What became of commands that were sent straight to a worker.
+/// Path of the workers' API that takes commands.
+const COMMANDS_PATH: &str = "/orders";
+/// Idle connections kept to each worker.
+const MAX_IDLE_CONNECTIONS: usize = 1;
+/// Base address of the client; each request replaces it by that of its worker.
+const NO_ADDRESS: &str = "0.0.0.0:0";
+/// The incarnation that a state probe tries first: that of a worker that never restarted.
+const FIRST_INCARNATION: u64 = 1;
+/// Requests of a state probe: one with the first incarnation, one with that named by the refusal.
+const PROBE_ATTEMPTS: u32 = 2;
+
+/// The outcome of commands that were sent directly to a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Delivery {
-    /// Carried out; the worker's report after them.
+    /// Executed; the worker's heartbeat after them.
     Executed(Heartbeat),
-    /// Not carried out: the worker has a higher token, or is in another session. A copy may have been,
-    /// before.
+    /// Not executed: the worker has a higher fencing token or another incarnation. An earlier copy of the
+    /// request may have been executed.
     Refused,
-    /// Surely not sent.
+    /// The commands were certainly not sent.
     NotSent,
-    /// They may have been carried out, or may be later.
+    /// The commands may have been executed, or may be later.
     Indeterminate,
 }
 
-/// A client of the workers, for commands that do not wait for a report. One that is under way may
-/// arrive minutes late, or twice; the ledger sees to it that a late start finds a higher token.
+/// A client of all workers. A request may arrive minutes late, or twice: callers have to ensure that a
+/// late start command is refused for its lower fencing token.
 #[derive(Debug, Clone)]
 pub struct WorkerClient {
     http: HttpClient,
-    stops: Arc<Semaphore>,
+    /// Bounds the number of concurrent stop requests.
+    stop_permits: Arc<Semaphore>,
 }
 
 impl Default for WorkerClient {
     fn default() -> Self {
-        let idle = Duration::from_millis(constants::WORKER_IDLE_MS);
-        let stops = Arc::new(Semaphore::new(constants::MAX_DIRECT_STOPS));
-        Self { http: HttpClient::keeping("0.0.0.0:0", 1, idle), stops }
+        let idle_timeout = Duration::from_millis(constants::WORKER_IDLE_MS);
+        let stop_permits = Arc::new(Semaphore::new(constants::MAX_DIRECT_STOPS));
+        Self {
+            http: HttpClient::with_pool(NO_ADDRESS, MAX_IDLE_CONNECTIONS, idle_timeout),
+            stop_permits,
+        }
     }
 }
 
 impl WorkerClient {
-    /// Sends commands that only stop tasks, a bounded number at a time. What would wait for long is left
-    /// to the answer to the worker's next report, which says the same.
+    /// Sends commands that only stop tasks, with bounded concurrency. Commands that would wait too long for
+    /// a permit are not sent: the response to the worker's next heartbeat repeats them.
     pub async fn stop(&self, address: &str, commands: &DirectCommands) {
-        let wait = Duration::from_millis(constants::DIRECT_STOP_QUEUE_LIMIT_MS);
-        if let Ok(Ok(_permit)) = tokio::time::timeout(wait, self.stops.acquire()).await {
+        let queue_limit = Duration::from_millis(constants::DIRECT_STOP_QUEUE_LIMIT_MS);
+        if let Ok(Ok(_permit)) =
+            tokio::time::timeout(queue_limit, self.stop_permits.acquire()).await
+        {
             self.send(address, commands).await;
         }
     }
 
-    /// Tells a worker a new leader's token and asks what is on its machine. The session is not known yet: the
-    /// first one, most likely; if not, the refusal names it.
-    pub async fn probe_state(&self, address: &str, token: u64) -> Option<Heartbeat> {
-        let mut session = 1;
-        for _ in 0..2 {
-            let hello =
-                DirectCommands { fencing_token: token, incarnation: session, commands: vec![] };
-            let body = serde_json::to_vec(&hello).ok()?;
-            let limit = Duration::from_millis(constants::WORKER_TIMEOUT_MS);
-            let post = self.http.at(address);
-            let answer = post.exchange(Method::POST, "/orders", Some(body), limit).await.ok()?;
-            let report: Heartbeat = serde_json::from_slice(&answer.1).ok()?;
-            match answer.0 {
-                StatusCode::OK => return Some(report),
-                StatusCode::CONFLICT if report.incarnation != session => {
-                    session = report.incarnation
+    /// State probe: sends a new leader's fencing token without commands, and returns the worker's heartbeat;
+    /// `None` if there is none. The worker's incarnation is unknown: if it is not the first one, the
+    /// refusal names it.
+    pub async fn probe_state(&self, address: &str, fencing_token: u64) -> Option<Heartbeat> {
+        let mut incarnation = FIRST_INCARNATION;
+        for _ in 0..PROBE_ATTEMPTS {
+            let probe = DirectCommands { fencing_token, incarnation, commands: vec![] };
+            let body = serde_json::to_vec(&probe).ok()?;
+            let (status, body) = self.post_commands(address, body).await.ok()?;
+            let heartbeat: Heartbeat = serde_json::from_slice(&body).ok()?;
+            match status {
+                StatusCode::OK => return Some(heartbeat),
+                StatusCode::CONFLICT if heartbeat.incarnation != incarnation => {
+                    incarnation = heartbeat.incarnation;
                 }
                 _ => return None,
             }
@@ -69,26 +87,35 @@
         None
     }
 
-    /// Sends commands to the worker at `address`.
+    async fn post_commands(
+        &self,
+        address: &str,
+        body: Vec<u8>,
+    ) -> Result<(StatusCode, Bytes), HttpError> {
+        let timeout = Duration::from_millis(constants::WORKER_TIMEOUT_MS);
+        let http = self.http.with_address(address);
+        http.exchange(Method::POST, COMMANDS_PATH, Some(body), timeout).await
+    }
+
+    /// Sends commands to the worker at `address` (`host:port`).
     pub async fn send(&self, address: &str, commands: &DirectCommands) -> Delivery {
         let Ok(body) = serde_json::to_vec(commands) else { return Delivery::NotSent };
-        let limit = Duration::from_millis(constants::WORKER_TIMEOUT_MS);
-        match self.http.at(address).exchange(Method::POST, "/orders", Some(body), limit).await {
+        match self.post_commands(address, body).await {
             Ok((StatusCode::OK, body)) => match serde_json::from_slice(&body) {
-                Ok(report) => Delivery::Executed(report),
-                Err(e) => {
-                    tracing::error!("worker at {address}: its report can't be read: {e}");
+                Ok(heartbeat) => Delivery::Executed(heartbeat),
+                Err(error) => {
+                    tracing::error!(address, %error, "invalid heartbeat in response to commands");
                     Delivery::Indeterminate
                 }
             },
             Ok((StatusCode::CONFLICT | StatusCode::BAD_REQUEST, _)) => Delivery::Refused,
             Ok((status, _)) => {
-                tracing::debug!("worker at {address}: {status}");
+                tracing::debug!(address, %status, "unexpected response to commands");
                 Delivery::Indeterminate
             }
-            Err(e) => {
-                tracing::debug!("worker at {address}: {e}");
-                if matches!(e, HttpError::NotSent(_)) {
+            Err(error) => {
+                tracing::debug!(address, %error, "commands without response");
+                if matches!(error, HttpError::NotSent { .. }) {
                     Delivery::NotSent
                 } else {
                     Delivery::Indeterminate
--- a/crates/clients/tests/requests.rs
+++ b/crates/clients/tests/requests.rs
@@ -171,11 +171,11 @@
         spot: true,
         count: 2,
     };
-    let rented = cloud.rent(&rent).await.expect("an answer");
-    assert_eq!(rented, ScaleOutOutcome::Rented(vec!["m-1".into()]));
-    assert_eq!(cloud.rent(&rent).await.expect("an answer"), ScaleOutOutcome::NoCapacity);
-    assert!(matches!(cloud.rent(&rent).await, Err(CloudError::Unavailable(503))));
-    assert!(matches!(cloud.rent(&rent).await, Err(CloudError::Unavailable(429))));
+    let rented = cloud.scale_out(&rent).await.expect("an answer");
+    assert_eq!(rented, ScaleOutOutcome::Created(vec!["m-1".into()]));
+    assert_eq!(cloud.scale_out(&rent).await.expect("an answer"), ScaleOutOutcome::NoCapacity);
+    assert!(matches!(cloud.scale_out(&rent).await, Err(CloudError::Unavailable(503))));
+    assert!(matches!(cloud.scale_out(&rent).await, Err(CloudError::Unavailable(429))));
     cloud.delete(&["m-1".into()]).await.expect("deleted");
     assert_eq!(cloud.machines().await.expect("pages").len(), 1);
     let rent =
--- a/crates/controller/src/controller_actor.rs
+++ b/crates/controller/src/controller_actor.rs
@@ -641,8 +641,8 @@
                         pause(constants::LEADER_RETRY_MS).await;
                         continue;
                     }
-                    match cloud.rent(&request).await {
-                        Ok(ScaleOutOutcome::Rented(machines)) => {
+                    match cloud.scale_out(&request).await {
+                        Ok(ScaleOutOutcome::Created(machines)) => {
                             let _ = notes
                                 .send(ControllerEvent::ScaledOut(request, Some(machines)))
                                 .await;
