--- a/crates/controller/src/cluster_state/standby_feed.rs
+++ b/crates/controller/src/cluster_state/standby_feed.rs
@@ -9,7 +9,6 @@
 use hookway_constants as constants;
 use hookway_replication::{JobHints, MachineView, Publisher, ReplicatedState, Stage, TaskView};
 use hookway_wire::{JobId, TaskState};
-use std::collections::HashSet;
 
 /// What a new leader took from its copy.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -72,8 +71,11 @@
         let Some(machine) = self.machines.get(name).filter(|m| is_published(m)) else {
             return publisher.drop_machine(name);
         };
-        let view =
-            MachineView { name, address: &machine.address, session: machine.newest_message.0 };
+        let view = MachineView {
+            name,
+            address: &machine.address,
+            session: machine.newest_message.incarnation,
+        };
         let tasks = machine.placed_tasks.iter().map(|held| TaskView {
             task: &held.task,
             attempt: held.attempt,
@@ -154,34 +156,4 @@
         }
         taken
     }
-
-    /// Gangs of which the attempt that an earlier leader was starting can still be completed: what was found of it
-    /// waits for the rest, and nothing of it runs or goes.
-    pub(super) fn completable_gangs(&self) -> HashSet<u64> {
-        let resumed = |job: &Job| {
-            job.resumed_attempt.is_some()
-                && !job.unplaced.is_empty()
-                && job.gang_attempt == job.resumed_attempt
-                && job.orphaned.is_empty()
-                && !job.broken
-        };
-        let mut gangs: HashSet<u64> =
-            self.jobs.iter().filter(|(_, job)| resumed(job)).map(|(key, _)| *key).collect();
-        if gangs.is_empty() {
-            return gangs;
-        }
-        for held in self.machines.values().flat_map(|machine| &machine.placed_tasks) {
-            let waits = matches!(
-                held.phase,
-                TaskPhase::Planned
-                    | TaskPhase::Reported(TaskState::FetchingImage | TaskState::WaitingForGang)
-            );
-            if let Some(key) = held.job
-                && (!waits || held.stop.is_some())
-            {
-                gangs.remove(&key);
-            }
-        }
-        gangs
-    }
 }
