--- a/crates/controller/src/cluster_state/standby_feed.rs
+++ b/crates/controller/src/cluster_state/standby_feed.rs
@@ -69,19 +69,19 @@
 
     fn publish_machine(&self, name: &str, publisher: &mut Publisher) {
         let Some(machine) = self.machines.get(name).filter(|m| is_published(m)) else {
-            return publisher.drop_machine(name);
+            return publisher.remove_machine(name);
         };
         let view = MachineView {
             name,
             address: &machine.address,
-            session: machine.newest_message.incarnation,
+            incarnation: machine.newest_message.incarnation,
         };
         let tasks = machine.placed_tasks.iter().map(|held| TaskView {
             task: &held.task,
             attempt: held.attempt,
             stage: stage(held.phase),
         });
-        publisher.show_machine(view, tasks);
+        publisher.publish_machine(view, tasks);
     }
 
     fn publish_jobs(&self, publisher: &mut Publisher) {
@@ -89,7 +89,7 @@
         for job in self.jobs.values() {
             if let Some(hints) = self.replicated_hints(job) {
                 shown += 1;
-                publisher.show_job(job.id.as_str(), hints);
+                publisher.publish_job(job.id.as_str(), hints);
             }
         }
         publisher.retain_jobs(shown, |id| {
--- a/crates/controller/src/standby.rs
+++ b/crates/controller/src/standby.rs
@@ -3,8 +3,8 @@
 
 use crate::leadership::LeadershipView;
 use hookway_replication::{
-    Durations, Event, FailureDetector, FollowAnswer, FollowRequest, Follower, Phase, Progress,
-    Promotion, ReplicatedState, Step, Unusable,
+    DurationHistogram, Event, FailureDetector, FollowAnswer, FollowOutcome, FollowRequest,
+    Follower, Phase, Promotion, ReplicatedState, Step, UnusableCopy,
 };
 use hookway_wire::{DurationStatus, FailoverStatus, ReplicationStatus};
 use std::sync::Arc;
@@ -56,11 +56,11 @@
         let leader = view.leader.clone().zip(view.leader_term);
         let other = leader.filter(|(label, _)| *label != self.controller_name);
         let Some((label, term)) = other else {
-            return self.step(Event::LeaseEnded, now);
+            return self.step(Event::LeaseExpired, now);
         };
-        self.promotion.learn_term(term);
-        self.follower.learn_term(term);
-        self.step(Event::OtherLeads, now);
+        self.promotion.observe_term(term);
+        self.follower.observe_term(term);
+        self.step(Event::OtherLeader, now);
         if self.leader.as_ref().is_none_or(|known| *known != (label.clone(), term)) {
             self.detector.reset();
             self.leader = Some((label, term));
@@ -73,7 +73,7 @@
             return None;
         }
         if self.detector.suspects(now) {
-            self.step(Event::Silence, now);
+            self.step(Event::LeaderSilent, now);
         }
         self.signals.has_warm_copy.store(self.copy(u64::MAX, now).is_ok(), Ordering::Relaxed);
         Some(self.follower.request())
@@ -81,18 +81,18 @@
 
     /// The leader's answer.
     pub fn followed(&mut self, answer: FollowAnswer, now: u64) {
-        match self.follower.take(answer, now) {
+        match self.follower.handle_answer(answer, now) {
             Ok(progress) => {
-                self.detector.heard(now);
-                self.step(Event::LeaderHeard, now);
+                self.detector.record_message(now);
+                self.step(Event::LeaderResponded, now);
                 self.log_progress(&progress);
             }
             Err(e) => tracing::info!("replication: {e}; fetching an image"),
         }
     }
 
-    fn log_progress(&self, progress: &Progress) {
-        let Progress::Image { differing } = progress else { return };
+    fn log_progress(&self, progress: &FollowOutcome) {
+        let FollowOutcome::ImageApplied { differing } = progress else { return };
         let state = self.follower.state();
         tracing::info!(
             "replication: image taken, {} machines, {} tasks",
@@ -117,13 +117,13 @@
 
     /// Whether this node may decide as the leader of a term, as far as the steps of its takeover go.
     pub fn may_decide(&self, term: u64) -> bool {
-        self.promotion.may_decide(term)
+        self.promotion.may_dispatch(term)
     }
 
     /// The first start of the term went out, or a later one.
     pub fn start_dispatched(&mut self, now: u64) {
         let before = self.promotion.metrics().whole.count();
-        self.step(Event::Decided, now);
+        self.step(Event::Dispatched, now);
         let times = self.promotion.metrics();
         if times.whole.count() > before {
             tracing::info!(
@@ -141,22 +141,22 @@
     }
 
     /// The copy of an earlier leader's picture, for the leader of a term.
-    pub fn copy(&self, term: u64, now: u64) -> Result<&ReplicatedState, Unusable> {
+    pub fn copy(&self, term: u64, now: u64) -> Result<&ReplicatedState, UnusableCopy> {
         if !self.follows {
-            return Err(Unusable::Empty);
+            return Err(UnusableCopy::Empty);
         }
         self.follower.usable(term, now)
     }
 
     fn step(&mut self, event: Event, now: u64) {
-        if self.allowed(event, now) == Some(Step::Look) {
+        if self.allowed(event, now) == Some(Step::ReadLeader) {
             tracing::info!("the leader is silent for unusually long: asking the state service");
             self.signals.leader_suspected.notify_one();
         }
     }
 
     fn allowed(&mut self, event: Event, now: u64) -> Option<Step> {
-        match self.promotion.on(event, now) {
+        match self.promotion.handle(event, now) {
             Ok(step) => Some(step),
             Err(e) => {
                 tracing::error!("takeover: {event:?} refused: {e}");
@@ -188,7 +188,7 @@
                 detection: durations(&times.detection),
                 election: durations(&times.election),
                 catching_up: durations(&times.catching_up),
-                first_start: durations(&times.first_decision),
+                first_start: durations(&times.first_dispatch),
                 whole: durations(&times.whole),
             },
         }
@@ -205,7 +205,7 @@
     }
 }
 
-fn durations(times: &Durations) -> DurationStatus {
+fn durations(times: &DurationHistogram) -> DurationStatus {
     DurationStatus {
         count: times.count(),
         p50_ms: times.quantile(0.5),
--- a/crates/controller/tests/api.rs
+++ b/crates/controller/tests/api.rs
@@ -12,7 +12,7 @@
 use hookway_controller::records::{JobRecord, job_key};
 use hookway_controller::request_outcome::RequestOutcome;
 use hookway_controller::settings::Settings;
-use hookway_replication::{FollowAnswer, FollowBody, FollowRequest, Held, Position};
+use hookway_replication::{FollowAnswer, FollowBody, FollowRequest, FollowerProgress, Position};
 use hookway_testkit::{SETTINGS, StoreServer};
 use hookway_wire::{
     ErrorBody, HeartbeatResponse, JobId, JobSpec, JobState, JobStatus, MachineType,
@@ -504,7 +504,10 @@
     let api_service =
         api_service_with(SETTINGS, Role::Leader, true, LeadershipView::default(), None, 100.0);
     let ask = |name: &str| {
-        PeerRequest::Follow(FollowRequest { follower: name.into(), held: Held::Nothing })
+        PeerRequest::Follow(FollowRequest {
+            follower: name.into(),
+            progress: FollowerProgress::Empty,
+        })
     };
     let answered = api_service.answer_peer(ask("worker-1")).await;
     assert!(matches!(answered, PeerResponse::Followed(Some(_))), "{answered:?}");
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -16,8 +16,8 @@
 use hookway_controller::shard_lease::{ShardLease, ShardLeaseRenewal};
 use hookway_policy::Resources;
 use hookway_replication::{
-    Entry, FollowAnswer, FollowBody, FollowRequest, Held, ImagePiece, JobHints, PlacedTask,
-    Position, RangeDigest, Stage,
+    Entry, FollowAnswer, FollowBody, FollowRequest, FollowerProgress, ImageChunk, JobHints,
+    PlacedTask, Position, RangeDigest, Stage,
 };
 use hookway_wire::{
     Command, CommitResponse, DirectCommands, ErrorBody, ExitCause, Heartbeat, HeartbeatRedirect,
@@ -144,10 +144,14 @@
 #[test]
 fn frames_of_replication_are_read_and_written_as_in_version_2() {
     let at = |index| Position { term: 4_097, index };
-    let ask = |held| PeerRequest::Follow(FollowRequest { follower: "worker-1".into(), held });
-    frame("ask-follow-nothing", &ask(Held::Nothing));
-    frame("ask-follow-through", &ask(Held::Through(at(300))));
-    frame("ask-follow-pieces", &ask(Held::Pieces(at(300), 2)));
+    let ask =
+        |progress| PeerRequest::Follow(FollowRequest { follower: "worker-1".into(), progress });
+    frame("ask-follow-nothing", &ask(FollowerProgress::Empty));
+    frame("ask-follow-through", &ask(FollowerProgress::Through(at(300))));
+    frame(
+        "ask-follow-pieces",
+        &ask(FollowerProgress::ReceivingImage { position: at(300), next_chunk: 2 }),
+    );
     let hints = JobHints {
         attempt: Some(9),
         errors: 2,
@@ -158,19 +162,24 @@
     let task = PlacedTask { task: "req-000412/3".into(), attempt: 9, stage: Stage::Running };
     let machine = || "m-000231".to_owned();
     let entries = vec![
-        Entry::Machine { name: machine(), address: "10.1.0.232:9000".into(), session: 2 },
-        Entry::MachineGone { name: machine() },
+        Entry::Machine { name: machine(), address: "10.1.0.232:9000".into(), incarnation: 2 },
+        Entry::MachineRemoved { name: machine() },
         Entry::Task { machine: machine(), task },
-        Entry::TaskGone { machine: machine(), task: "req-000412/3".into(), attempt: 9 },
+        Entry::TaskRemoved { machine: machine(), task: "req-000412/3".into(), attempt: 9 },
         Entry::Job { id: "req-000412".into(), hints },
-        Entry::JobGone { id: "req-000412".into() },
+        Entry::JobRemoved { id: "req-000412".into() },
     ];
     let digest = Some(RangeDigest { range: 3, digest: 77 });
     let body = FollowBody::Entries { after: at(300), entries, digest };
     frame("answer-entries", &PeerResponse::Followed(Some(FollowAnswer { end: at(400), body })));
-    let piece =
-        ImagePiece { position: at(300), number: 1, length: 5, digest: 8, bytes: vec![1, 2] };
-    let body = FollowBody::Piece(piece);
+    let chunk = ImageChunk {
+        position: at(300),
+        index: 1,
+        image_bytes: 5,
+        image_digest: 8,
+        bytes: vec![1, 2],
+    };
+    let body = FollowBody::ImageChunk(chunk);
     frame("answer-piece", &PeerResponse::Followed(Some(FollowAnswer { end: at(400), body })));
     frame("answer-follows-not", &PeerResponse::Followed(None));
 }
--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -15,8 +15,8 @@
 use hookway_controller::standby::{Standby, StandbySignals};
 use hookway_policy::Resources;
 use hookway_replication::{
-    Entry, FollowAnswer, FollowBody, FollowRequest, Held, JobHints, MachineView, PlacedTask,
-    Position, Publisher, RangeDigest, ReplicatedState, Stage, TaskView,
+    Entry, FollowAnswer, FollowBody, FollowRequest, FollowerProgress, JobHints, MachineView,
+    PlacedTask, Position, Publisher, RangeDigest, ReplicatedState, Stage, TaskView,
 };
 use hookway_wire::{
     Command, CommitResponse, DurationStatus, ExitCause, FailoverStatus, Heartbeat,
@@ -124,16 +124,16 @@
 fn publisher_with_cluster_state() -> Publisher {
     let mut publisher = Publisher::new(4_097);
     let task = |task, attempt, stage| TaskView { task, attempt, stage };
-    let view = MachineView { name: "m-000231", address: "10.1.0.232:9000", session: 2 };
+    let view = MachineView { name: "m-000231", address: "10.1.0.232:9000", incarnation: 2 };
     let tasks = [
         task("req-000412/3", 9, Stage::Planned),
         task("req-000412/4", 9, Stage::Sent),
         task("req-000413/0", 300, Stage::Accepted),
         task("req-000413/1", 70_000, Stage::Running),
     ];
-    publisher.show_machine(view, tasks.into_iter());
-    let view = MachineView { name: "m-000232", address: "10.1.0.233:9000", session: 1 };
-    publisher.show_machine(view, std::iter::empty());
+    publisher.publish_machine(view, tasks.into_iter());
+    let view = MachineView { name: "m-000232", address: "10.1.0.233:9000", incarnation: 1 };
+    publisher.publish_machine(view, std::iter::empty());
     let hints = JobHints {
         attempt: Some(9),
         errors: 2,
@@ -141,15 +141,15 @@
         paused_until: 1_764_654_224_000,
         failed_on: vec!["m-000231".into(), "m-000232".into()],
     };
-    publisher.show_job("req-000412", hints);
-    publisher.show_job("req-000413", JobHints { errors: 1, ..JobHints::default() });
+    publisher.publish_job("req-000412", hints);
+    publisher.publish_job("req-000413", JobHints { errors: 1, ..JobHints::default() });
     publisher
 }
 
 #[test]
 fn state_image_matches_pinned_bytes_and_digest() {
     let mut publisher = publisher_with_cluster_state();
-    let request = FollowRequest { follower: "worker-1".into(), held: Held::Nothing };
+    let request = FollowRequest { follower: "worker-1".into(), progress: FollowerProgress::Empty };
     let answer = publisher.answer(&request, 0).expect("an image");
     frame("pinned-answer-image", &PeerResponse::Followed(Some(answer)));
     frame("pinned-image-state", publisher.state());
--- a/crates/controller/tests/simulation/controllers.rs
+++ b/crates/controller/tests/simulation/controllers.rs
@@ -233,7 +233,7 @@
             Some(lead) if lead.controller == n => self.end_lead(),
             Some(lead) => {
                 self.controllers[n].seen = Some(lead.controller);
-                self.controllers[n].follower.learn_term(lead.term);
+                self.controllers[n].follower.observe_term(lead.term);
             }
             None => {
                 self.controllers[n].seen = None;
--- a/crates/controller/tests/simulation/standbys.rs
+++ b/crates/controller/tests/simulation/standbys.rs
@@ -58,7 +58,7 @@
         if !observed || controller.leader.is_some() {
             return;
         }
-        let refused = controller.follower.take(answer, now).is_err();
+        let refused = controller.follower.handle_answer(answer, now).is_err();
         self.counts.refused_answers += usize::from(refused);
     }
 
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -187,7 +187,7 @@
     let mut copy = copy_of(&mut harness.cluster);
     let gone = copy.machines["m-1"].tasks()[0].clone();
     let machine = "m-1".to_owned();
-    let entry = Entry::TaskGone { machine, task: gone.task, attempt: gone.attempt };
+    let entry = Entry::TaskRemoved { machine, task: gone.task, attempt: gone.attempt };
     copy.apply(entry).expect("it was there");
     fail_over(&mut harness, &copy);
     let mut idle = vec![small_worker("m-2", "a")];
@@ -210,7 +210,7 @@
     let ghost = || "m-99".to_owned();
     let task = PlacedTask { task: "req-000009/0".into(), attempt: 7, stage: Stage::Running };
     for entry in [
-        Entry::Machine { name: ghost(), address: "127.0.0.1:1".into(), session: 1 },
+        Entry::Machine { name: ghost(), address: "127.0.0.1:1".into(), incarnation: 1 },
         Entry::Task { machine: ghost(), task },
         Entry::Job {
             id: "req-000009".into(),
--- a/crates/replication/examples/embedded.rs
+++ b/crates/replication/examples/embedded.rs
@@ -1,5 +1,5 @@
-//! A program of its own with a warm standby inside, and no hookway daemon: an active side publishes what it decided, a
-//! standby follows, the active side falls silent, and the standby takes over step by step.
+//! A program that embeds a warm standby without the hookway daemon: a leader publishes its tasks, a follower copies
+//! them, the leader falls silent, and the follower is promoted phase by phase.
 //!
 //!     cargo run -p hookway-replication --example embedded
 
@@ -11,10 +11,10 @@
 const NEW_TERM: u64 = 2;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    // Who leads is for the program to settle: by a lease in a store, as hookway does, or otherwise.
+    // The program has to elect the leader itself, for example by a lease in a store as hookway does.
     let mut publisher = Publisher::new(OLD_TERM);
     let mut follower = Follower::new("standby");
-    follower.learn_term(OLD_TERM);
+    follower.observe_term(OLD_TERM);
     let mut detector = FailureDetector::default();
     let mut promotion = Promotion::default();
 
@@ -22,31 +22,31 @@
     for round in 0..20_u64 {
         now += 200;
         let task = format!("render/{round}");
-        let machine = MachineView { name: "box-1", address: "127.0.0.1:9000", session: 1 };
+        let machine = MachineView { name: "box-1", address: "127.0.0.1:9000", incarnation: 1 };
         let tasks = [TaskView { task: &task, attempt: round, stage: Stage::Running }];
-        publisher.show_machine(machine, tasks.into_iter());
-        // The program carries these two messages, however it likes.
-        let question = follower.request();
-        let answer = publisher.answer(&question, now)?;
-        follower.take(answer, now)?;
-        detector.heard(now);
-        promotion.on(Event::LeaderHeard, now)?;
+        publisher.publish_machine(machine, tasks.into_iter());
+        // The program has to transport these two messages.
+        let request = follower.request();
+        let answer = publisher.answer(&request, now)?;
+        follower.handle_answer(answer, now)?;
+        detector.record_message(now);
+        promotion.handle(Event::LeaderResponded, now)?;
     }
     println!("at {now} ms the copy has {} tasks", follower.state().task_count());
 
     while !detector.suspects(now) {
         now += 100;
     }
-    assert_eq!(promotion.on(Event::Silence, now)?, Step::Look);
-    println!("at {now} ms the active side is suspected; nothing follows but a look");
+    assert_eq!(promotion.handle(Event::LeaderSilent, now)?, Step::ReadLeader);
+    println!("at {now} ms the leader is suspected, so the leadership record has to be read");
 
     now += 3_000;
-    promotion.on(Event::LeaseEnded, now)?;
-    assert_eq!(promotion.on(Event::Elected { term: NEW_TERM }, now + 20)?, Step::ReadRecords);
-    assert!(!promotion.may_decide(NEW_TERM), "what the store has was not read yet");
-    assert_eq!(promotion.on(Event::RecordsRead { term: NEW_TERM }, now + 40)?, Step::Lead);
+    promotion.handle(Event::LeaseExpired, now)?;
+    assert_eq!(promotion.handle(Event::Elected { term: NEW_TERM }, now + 20)?, Step::ReadRecords);
+    assert!(!promotion.may_dispatch(NEW_TERM), "the records have not been read yet");
+    assert_eq!(promotion.handle(Event::RecordsRead { term: NEW_TERM }, now + 40)?, Step::Lead);
     let copy = follower.usable(NEW_TERM, now + 40)?;
-    println!("at {} ms the standby leads term {NEW_TERM}; its copy names:", now + 40);
+    println!("at {} ms the standby is the leader of term {NEW_TERM}; its copy names:", now + 40);
     for (name, machine) in &copy.machines {
         println!("  {name} at {}: {:?}", machine.address, machine.tasks());
     }
--- a/crates/replication/src/detector.rs
+++ b/crates/replication/src/detector.rs
@@ -1,55 +1,57 @@
-//! Failure detection by measured times between signs of life.
+//! Failure detection by the measured intervals between the leader's messages.
 
 use hookway_constants as constants;
 use std::collections::VecDeque;
 
-/// Judges a silence by how long the pauses before it were. Its word is a reason to look, never a proof: a leader
-/// that stands still, or whose network is cut, is silent as well.
+/// Suspects a leader that is silent for much longer than the usual interval between its messages. A suspicion is
+/// no proof of failure: a paused or partitioned leader is silent as well. All times are in ms on the caller's
+/// monotonic clock.
 #[derive(Debug, Default)]
 pub struct FailureDetector {
-    pauses: VecDeque<u64>,
-    last: Option<u64>,
+    intervals_ms: VecDeque<u64>,
+    last_message_ms: Option<u64>,
 }
 
 impl FailureDetector {
-    /// A sign of life at `now`, ms.
-    pub fn heard(&mut self, now: u64) {
-        if let Some(last) = self.last {
-            if self.pauses.len() >= constants::DETECTOR_WINDOW {
-                self.pauses.pop_front();
+    /// Records a message of the leader at `now_ms`.
+    pub fn record_message(&mut self, now_ms: u64) {
+        if let Some(last) = self.last_message_ms {
+            if self.intervals_ms.len() >= constants::DETECTOR_WINDOW {
+                self.intervals_ms.pop_front();
             }
-            self.pauses.push_back(now.saturating_sub(last));
+            self.intervals_ms.push_back(now_ms.saturating_sub(last));
         }
-        self.last = Some(now);
+        self.last_message_ms = Some(now_ms);
     }
 
-    /// Another leader, or none: what was measured says nothing of the next one.
+    /// Discards all measurements, because the leader has changed.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// When the last sign came, ms.
-    pub fn last(&self) -> Option<u64> {
-        self.last
+    /// Time of the last message, in ms; `None` before the first.
+    pub fn last_message_ms(&self) -> Option<u64> {
+        self.last_message_ms
     }
 
-    /// How long a silence may be before it is unusual, ms: the mean of the pauses and several deviations.
-    /// `None` until enough were measured.
-    pub fn patience(&self) -> Option<u64> {
-        if self.pauses.len() < constants::DETECTOR_MIN_SAMPLES {
+    /// Longest silence without suspicion, in ms: the mean of the intervals plus several standard deviations.
+    /// `None` until enough intervals have been measured.
+    pub fn silence_limit_ms(&self) -> Option<u64> {
+        if self.intervals_ms.len() < constants::DETECTOR_MIN_SAMPLES {
             return None;
         }
-        let count = self.pauses.len() as f64;
-        let mean = self.pauses.iter().sum::<u64>() as f64 / count;
-        let squares = self.pauses.iter().map(|p| (*p as f64 - mean).powi(2)).sum::<f64>();
-        let deviation = (squares / count).sqrt();
-        let usual = mean + constants::DETECTOR_DEVIATIONS * deviation;
-        Some((usual as u64).max(constants::DETECTOR_MIN_SILENCE_MS))
+        let count = self.intervals_ms.len() as f64;
+        let mean = self.intervals_ms.iter().sum::<u64>() as f64 / count;
+        let squared_deviations =
+            self.intervals_ms.iter().map(|interval| (*interval as f64 - mean).powi(2)).sum::<f64>();
+        let deviation = (squared_deviations / count).sqrt();
+        let limit = mean + constants::DETECTOR_DEVIATIONS * deviation;
+        Some((limit as u64).max(constants::DETECTOR_MIN_SILENCE_MS))
     }
 
-    /// Whether the silence at `now` is unusual.
-    pub fn suspects(&self, now: u64) -> bool {
-        let silence = self.last.map(|last| now.saturating_sub(last));
-        silence.zip(self.patience()).is_some_and(|(silence, patience)| silence > patience)
+    /// Whether the leader is suspected at `now_ms`.
+    pub fn suspects(&self, now_ms: u64) -> bool {
+        let silence_ms = self.last_message_ms.map(|last| now_ms.saturating_sub(last));
+        silence_ms.zip(self.silence_limit_ms()).is_some_and(|(silence, limit)| silence > limit)
     }
 }
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -1,54 +1,53 @@
-//! What the log is made of.
+//! Entries of the replication log.
 
 use crate::state::{JobHints, PlacedTask};
 use serde::{Deserialize, Serialize};
 
-/// One change of a leader's picture. Every entry names what it changes and what that is afterwards, so an entry
-/// that is applied twice changes nothing.
+/// A change of the leader's cluster state. Entries are idempotent: each one holds the value after the change.
 ///
-/// The places of the variants and the order of their fields are a format: new ones come last.
+/// The order of the variants and of their fields is a wire format: new ones are added at the end.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// A machine, or its worker's address or session, is new.
+    /// A machine was added, or the address or incarnation of its worker changed.
     Machine {
-        /// Its name.
+        /// Name of the machine.
         name: String,
-        /// Where its worker listens.
+        /// Address (`host:port`) of its worker.
         address: String,
-        /// Its worker's session.
-        session: u64,
+        /// Incarnation of its worker.
+        incarnation: u64,
     },
-    /// A machine is gone, with all tasks on it.
-    MachineGone {
-        /// Its name.
+    /// A machine was removed, with all tasks on it.
+    MachineRemoved {
+        /// Name of the machine.
         name: String,
     },
-    /// A task was placed on a machine, or came further there.
+    /// A task was placed on a machine, or its stage changed.
     Task {
-        /// The machine.
+        /// Name of the machine.
         machine: String,
-        /// The task and how far it has come.
+        /// The task with its new stage.
         task: PlacedTask,
     },
-    /// A task left its machine.
-    TaskGone {
-        /// The machine.
+    /// A task was removed from its machine.
+    TaskRemoved {
+        /// Name of the machine.
         machine: String,
-        /// The task.
+        /// Id of the task.
         task: String,
-        /// Its attempt.
+        /// Number of the attempt.
         attempt: u64,
     },
-    /// What is known of a job beside its records.
+    /// The state of a job that no record holds changed.
     Job {
-        /// Its id.
+        /// Id of the job.
         id: String,
-        /// What is known.
+        /// The state after the change.
         hints: JobHints,
     },
-    /// A job is over.
-    JobGone {
-        /// Its id.
+    /// A job ended.
+    JobRemoved {
+        /// Id of the job.
         id: String,
     },
 }
--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -1,127 +1,127 @@
-//! A follower: the copy that a standby keeps of the leader's picture.
+//! A follower: a standby's copy of the leader's cluster state, kept up to date by entries and images.
 
 use crate::digest::RangeDigest;
 use crate::entry::Entry;
-use crate::image::{Assembly, ImageError, ImagePiece};
-use crate::message::{FollowAnswer, FollowBody, FollowRequest, Held};
-use crate::metrics::FollowMetrics;
+use crate::image::{ImageAssembly, ImageChunk, ImageError};
+use crate::message::{FollowAnswer, FollowBody, FollowRequest, FollowerProgress};
+use crate::metrics::FollowerMetrics;
 use crate::position::Position;
 use crate::state::{ApplyError, ReplicatedState};
 use hookway_constants as constants;
 
-/// Why an answer was refused. One of another term than the leader's, or that does not go on from the copy, is passed
-/// over; after everything else the copy is not trusted any more, and the follower fetches an image.
+/// Why a response was rejected. A response of another term, or one that does not continue the copy, is ignored;
+/// after any other error the copy is not trusted any more, and the follower requests an image.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FollowError {
-    /// It comes from a leader of an earlier term.
-    #[error("an answer of term {found}, and term {known} is known")]
+    /// The response is of an earlier term than the leader's.
+    #[error("response of term {found}, but term {known} is known")]
     OldTerm {
-        /// Its term.
+        /// Term of the response.
         found: u64,
-        /// The latest known one.
+        /// Term of the leader according to the state service.
         known: u64,
     },
-    /// It is of a term that the state service does not know of.
-    #[error("an answer of term {found}, and the leader's is {known}")]
+    /// The response is of a later term than the state service has recorded.
+    #[error("response of term {found}, but the leader's term is {known}")]
     FutureTerm {
-        /// Its term.
+        /// Term of the response.
         found: u64,
-        /// The leader's.
+        /// Term of the leader according to the state service.
         known: u64,
     },
-    /// It does not go on from where the follower is.
-    #[error("entries after {found}, and the copy is at {expected:?}")]
+    /// The entries do not continue the copy.
+    #[error("entries after {found}, but the copy is at {expected:?}")]
     Gap {
-        /// Where the follower is.
+        /// Position of the copy.
         expected: Option<Position>,
-        /// Where the entries begin.
+        /// Position before the first entry.
         found: Position,
     },
-    /// Entries lie beyond the end that the same message names, or are of another term.
-    #[error("entries up to {last}, and the log ends at {end}")]
-    Impossible {
-        /// The last entry.
+    /// The response is inconsistent: its content is after the end of the log that it names, or of another term.
+    #[error("entries up to {last}, but the log ends at {end}")]
+    Inconsistent {
+        /// Position of the last entry.
         last: Position,
-        /// The end of the log.
+        /// End of the log.
         end: Position,
     },
-    /// An entry does not fit the copy.
-    #[error("entry {index}: {why}")]
+    /// An entry cannot be applied to the copy.
+    #[error("entry {index}: {source}")]
     Entry {
-        /// Its number.
+        /// Index of the entry in the log.
         index: u64,
-        /// Why.
-        why: ApplyError,
+        /// Reason.
+        source: ApplyError,
     },
-    /// The copy does not have the leader's digest.
+    /// The digest of a range of the copy differs from the leader's.
     #[error("range {range} differs from the leader's at {position}")]
     Diverged {
-        /// The range.
+        /// Index of the range.
         range: u32,
-        /// Where.
+        /// Position of the digest.
         position: Position,
     },
-    /// A piece of an image is wrong.
+    /// A chunk of an image is invalid.
     #[error("image: {0}")]
     Image(#[from] ImageError),
 }
 
-/// What an answer brought.
+/// The effect of a response on the copy.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Progress {
-    /// So many entries that the copy lacked; none if the answer is late, or came before.
+pub enum FollowOutcome {
+    /// This number of new entries was applied; 0 if the response is delayed or duplicated.
     Applied(usize),
-    /// A piece of an image.
-    Piece,
-    /// The last piece. Names of machines and jobs that an earlier copy had wrong, if one was found to be.
-    Image {
-        /// The first of those.
+    /// A chunk of an image was stored.
+    ImageChunk,
+    /// The last chunk of an image was received, and the image replaced the copy.
+    ImageApplied {
+        /// If the previous copy had diverged: the first machines and jobs that were wrong in it.
         differing: Vec<String>,
     },
 }
 
 impl FollowError {
-    /// Whether the copy is as good as before: the answer belongs elsewhere, and says nothing of the copy.
-    fn spares_copy(&self) -> bool {
+    /// Whether the copy is still valid: the response says nothing about it.
+    fn keeps_copy(&self) -> bool {
         matches!(self, Self::OldTerm { .. } | Self::FutureTerm { .. } | Self::Gap { .. })
     }
 }
 
-/// Why a copy can't help a new leader.
+/// Why a new leader cannot use a copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Unusable {
-    /// There is none.
+pub enum UnusableCopy {
+    /// There is no copy.
     #[error("no copy")]
     Empty,
-    /// It is of a term that the new leader's does not come after.
+    /// The copy is not of an earlier term than the new leader's: the term of the copy.
     #[error("the copy is of term {0}, which is not earlier")]
     NotEarlier(u64),
-    /// It was found to differ from its leader's.
+    /// The copy differs from the leader's state.
     #[error("the copy has diverged")]
     Diverged,
-    /// Its leader was heard too long ago.
+    /// The leader's last response is too old: its age in ms.
     #[error("the copy is {0} ms old")]
     Stale(u64),
 }
 
-/// A standby's copy.
+/// A standby's copy of the leader's cluster state. Times are in ms on the caller's monotonic clock.
 #[derive(Debug)]
 pub struct Follower {
     name: String,
     state: ReplicatedState,
     position: Option<Position>,
-    assembly: Option<Assembly>,
-    /// The leader's term, as the state service has it.
+    assembly: Option<ImageAssembly>,
+    /// Term of the leader according to the state service.
     term: u64,
-    /// The copy was found to differ; kept to tell what differs once an image has come.
+    /// The copy is known to be wrong. It is kept to name the differences once an image has been received.
     diverged: bool,
-    /// When the leader last answered, ms.
-    heard_at: Option<u64>,
-    metrics: FollowMetrics,
+    /// Time of the leader's last response.
+    last_response_ms: Option<u64>,
+    metrics: FollowerMetrics,
 }
 
 impl Follower {
-    /// With nothing yet.
+    /// Creates a follower without a copy. `name` is that of its controller.
     pub fn new(name: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -130,31 +130,43 @@
             assembly: None,
             term: 0,
             diverged: false,
-            heard_at: None,
-            metrics: FollowMetrics::default(),
+            last_response_ms: None,
+            metrics: FollowerMetrics::default(),
         }
     }
 
-    /// What it asks the leader.
+    /// The next request to the leader.
     pub fn request(&self) -> FollowRequest {
-        let held = match (&self.assembly, self.position) {
-            (Some(assembly), _) => Held::Pieces(assembly.position, assembly.next),
-            (None, Some(position)) if !self.diverged => Held::Through(position),
-            _ => Held::Nothing,
+        let progress = match (&self.assembly, self.position) {
+            (Some(assembly), _) => FollowerProgress::ReceivingImage {
+                position: assembly.position,
+                next_chunk: assembly.next_chunk,
+            },
+            (None, Some(position)) if !self.diverged => FollowerProgress::Through(position),
+            _ => FollowerProgress::Empty,
         };
-        FollowRequest { follower: self.name.clone(), held }
+        FollowRequest { follower: self.name.clone(), progress }
     }
 
-    /// The state service says that the leader is of this term: whatever another one says is refused from now on.
-    pub fn learn_term(&mut self, term: u64) {
+    /// Records the term of the leader according to the state service. Responses of other terms are rejected from
+    /// now on.
+    pub fn observe_term(&mut self, term: u64) {
         if term != self.term {
             self.term = term;
             self.assembly = None;
         }
     }
 
-    /// Takes an answer, at `now`, ms.
-    pub fn take(&mut self, answer: FollowAnswer, now: u64) -> Result<Progress, FollowError> {
+    /// Applies the leader's response at `now_ms`.
+    ///
+    /// # Errors
+    ///
+    /// A [`FollowError`]; see there for its effect on the copy.
+    pub fn handle_answer(
+        &mut self,
+        answer: FollowAnswer,
+        now_ms: u64,
+    ) -> Result<FollowOutcome, FollowError> {
         let end = answer.end;
         let (found, known) = (end.term, self.term);
         if found < known {
@@ -163,86 +175,90 @@
         if found > known {
             return Err(FollowError::FutureTerm { found, known });
         }
-        self.heard_at = Some(now);
-        let taken = match answer.body {
+        self.last_response_ms = Some(now_ms);
+        let outcome = match answer.body {
             FollowBody::Entries { after, entries, digest } => {
-                self.take_entries(end, after, entries, digest)
+                self.apply_entries(end, after, entries, digest)
             }
-            FollowBody::Piece(piece) => self.take_piece(end, piece),
+            FollowBody::ImageChunk(chunk) => self.add_image_chunk(end, chunk),
         };
-        match &taken {
-            Ok(_) => self.metrics.heard(self.behind(end), now),
-            Err(error) if error.spares_copy() => {}
+        match &outcome {
+            Ok(_) => self.metrics.record_lag(self.lag_entries(end), now_ms),
+            Err(error) if error.keeps_copy() => {}
             Err(_) => {
                 self.metrics.resyncs += 1;
                 self.assembly = None;
                 self.diverged = true;
             }
         }
-        taken
+        outcome
     }
 
-    /// Entries that the copy lacks.
-    fn behind(&self, end: Position) -> u64 {
+    /// Number of entries that the copy is behind the end of the log.
+    fn lag_entries(&self, end: Position) -> u64 {
         match self.position.filter(|p| p.term == end.term && !self.diverged) {
             Some(position) => end.index.saturating_sub(position.index),
             None => end.index,
         }
     }
 
-    fn take_entries(
+    fn apply_entries(
         &mut self,
         end: Position,
         after: Position,
         entries: Vec<Entry>,
         digest: Option<RangeDigest>,
-    ) -> Result<Progress, FollowError> {
+    ) -> Result<FollowOutcome, FollowError> {
         let gap = FollowError::Gap { expected: self.position, found: after };
         let Some(position) = self.position.filter(|p| p.term == after.term && !self.diverged)
         else {
             return Err(gap);
         };
-        // A late answer, or a copy of one, begins with entries that were applied.
-        let known = position.index.checked_sub(after.index).ok_or(gap)?;
+        // A delayed or duplicated response begins with entries that were applied before.
+        let applied = position.index.checked_sub(after.index).ok_or(gap)?;
         let count = entries.len();
-        let index = after.index.checked_add(count as u64);
-        let last = Position { index: index.unwrap_or(u64::MAX), ..after };
-        if index.is_none() || after.term != end.term || last.index > end.index {
-            return Err(FollowError::Impossible { last, end });
+        let last_index = after.index.checked_add(count as u64);
+        let last = Position { index: last_index.unwrap_or(u64::MAX), ..after };
+        if last_index.is_none() || after.term != end.term || last.index > end.index {
+            return Err(FollowError::Inconsistent { last, end });
         }
         if last.index < position.index {
-            return Ok(Progress::Applied(0));
+            return Ok(FollowOutcome::Applied(0));
         }
-        let known = usize::try_from(known).unwrap_or(usize::MAX);
-        for (before, entry) in (after.index..).zip(entries).skip(known) {
-            let index = before + 1;
-            self.state.apply(entry).map_err(|why| FollowError::Entry { index, why })?;
+        let applied = usize::try_from(applied).unwrap_or(usize::MAX);
+        for (previous_index, entry) in (after.index..).zip(entries).skip(applied) {
+            let index = previous_index + 1;
+            self.state.apply(entry).map_err(|source| FollowError::Entry { index, source })?;
         }
         self.position = Some(last);
-        if let Some(theirs) = digest
-            && RangeDigest::of(&self.state, theirs.range) != Some(theirs)
+        if let Some(expected) = digest
+            && RangeDigest::of(&self.state, expected.range) != Some(expected)
         {
-            return Err(FollowError::Diverged { range: theirs.range, position: last });
+            return Err(FollowError::Diverged { range: expected.range, position: last });
         }
-        Ok(Progress::Applied(count.saturating_sub(known)))
+        Ok(FollowOutcome::Applied(count.saturating_sub(applied)))
     }
 
-    fn take_piece(&mut self, end: Position, piece: ImagePiece) -> Result<Progress, FollowError> {
-        let position = piece.position;
+    fn add_image_chunk(
+        &mut self,
+        end: Position,
+        chunk: ImageChunk,
+    ) -> Result<FollowOutcome, FollowError> {
+        let position = chunk.position;
         if position.term != end.term || position.index > end.index {
-            return Err(FollowError::Impossible { last: position, end });
+            return Err(FollowError::Inconsistent { last: position, end });
         }
-        if self.is_late(&piece) {
-            return Ok(Progress::Applied(0));
+        if self.is_duplicate(&chunk) {
+            return Ok(FollowOutcome::Applied(0));
         }
-        // The first piece of another image: the leader could not go on with the one before.
-        let mut assembly = match self.assembly.take().filter(|a| a.matches(&piece)) {
+        // The first chunk of another image: the leader could not continue the previous one.
+        let mut assembly = match self.assembly.take().filter(|assembly| assembly.matches(&chunk)) {
             Some(assembly) => assembly,
-            None => Assembly::begin(&piece)?,
+            None => ImageAssembly::begin(&chunk)?,
         };
-        let Some(state) = assembly.add(piece)? else {
+        let Some(state) = assembly.add(chunk)? else {
             self.assembly = Some(assembly);
-            return Ok(Progress::Piece);
+            return Ok(FollowOutcome::ImageChunk);
         };
         let same_term = self.position.is_some_and(|p| p.term == position.term);
         let differing = if self.diverged && same_term {
@@ -254,47 +270,52 @@
         self.position = Some(position);
         self.diverged = false;
         self.metrics.images += 1;
-        Ok(Progress::Image { differing })
+        Ok(FollowOutcome::ImageApplied { differing })
     }
 
-    /// Whether a piece brings nothing: the copy has what its image has, or the piece itself was taken.
-    fn is_late(&self, piece: &ImagePiece) -> bool {
+    /// Whether a chunk was received before, or the copy is at least as recent as its image.
+    fn is_duplicate(&self, chunk: &ImageChunk) -> bool {
         match &self.assembly {
-            Some(assembly) => assembly.matches(piece) && piece.number < assembly.next,
+            Some(assembly) => assembly.matches(chunk) && chunk.index < assembly.next_chunk,
             None => {
-                let newer = |p: &Position| p.term == piece.position.term && *p >= piece.position;
-                !self.diverged && self.position.as_ref().is_some_and(newer)
+                let image = chunk.position;
+                let covers = |copy: Position| copy.term == image.term && copy >= image;
+                !self.diverged && self.position.is_some_and(covers)
             }
         }
     }
 
-    /// Where the copy is.
+    /// Position of the copy; `None` without a copy.
     pub fn position(&self) -> Option<Position> {
         self.position
     }
 
-    /// The copy as it is, usable or not.
+    /// The copy, whether it is usable or not.
     pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
-    /// How far behind it is and was.
-    pub fn metrics(&self) -> &FollowMetrics {
+    /// Metrics of this follower.
+    pub fn metrics(&self) -> &FollowerMetrics {
         &self.metrics
     }
 
-    /// The copy, for the leader of `term` that won it at `now`, ms. It is a hint, however new it is.
-    pub fn usable(&self, term: u64, now: u64) -> Result<&ReplicatedState, Unusable> {
-        let position = self.position.ok_or(Unusable::Empty)?;
+    /// Returns the copy for this controller as the new leader of `term`. It is a hint and proves nothing.
+    ///
+    /// # Errors
+    ///
+    /// An [`UnusableCopy`] that says why the copy cannot be used.
+    pub fn usable(&self, term: u64, now_ms: u64) -> Result<&ReplicatedState, UnusableCopy> {
+        let position = self.position.ok_or(UnusableCopy::Empty)?;
         if self.diverged {
-            return Err(Unusable::Diverged);
+            return Err(UnusableCopy::Diverged);
         }
         if position.term >= term {
-            return Err(Unusable::NotEarlier(position.term));
+            return Err(UnusableCopy::NotEarlier(position.term));
         }
-        let age = self.heard_at.map_or(u64::MAX, |at| now.saturating_sub(at));
-        if age > constants::REPLICATION_STALE_MS {
-            return Err(Unusable::Stale(age));
+        let age_ms = self.last_response_ms.map_or(u64::MAX, |at| now_ms.saturating_sub(at));
+        if age_ms > constants::REPLICATION_STALE_MS {
+            return Err(UnusableCopy::Stale(age_ms));
         }
         Ok(&self.state)
     }
--- a/crates/replication/src/image.rs
+++ b/crates/replication/src/image.rs
@@ -1,4 +1,5 @@
-//! A whole state in pieces, for a follower that the log does not reach.
+//! State images: the whole replicated state, sent in chunks to a follower whose missing entries are no
+//! longer in the log.
 
 use crate::position::Position;
 use crate::state::ReplicatedState;
@@ -6,132 +7,160 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Why an image can't be made or taken.
+/// Why an image cannot be made or applied.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ImageError {
-    /// It is longer than any may be.
+    /// The image is larger than the limit: its size in bytes.
     #[error("an image of {0} bytes")]
-    TooLong(u64),
-    /// A piece does not continue what came before.
-    #[error("piece {found} of an image where piece {expected} is due")]
+    TooLarge(u64),
+    /// A chunk is not the next one.
+    #[error("chunk {found} of an image instead of chunk {expected}")]
     OutOfOrder {
-        /// The one that is due.
+        /// Index of the next chunk.
         expected: u32,
-        /// The one that came.
+        /// Index of the received chunk.
         found: u32,
     },
-    /// A piece is empty, longer than any may be, or longer than the image.
-    #[error("a piece of {0} bytes")]
-    PieceLength(usize),
-    /// The bytes do not give the digest.
-    #[error("the image does not have its digest")]
-    Digest,
-    /// The bytes are no state.
-    #[error("the image can't be read: {0}")]
-    Unreadable(String),
+    /// A chunk is empty, above the size limit, or exceeds the image: its size in bytes.
+    #[error("an image chunk of {0} bytes")]
+    ChunkLength(usize),
+    /// The digest of the received bytes differs from that of the image.
+    #[error("the digest of the image does not match")]
+    DigestMismatch,
+    /// The state cannot be encoded, or the bytes cannot be decoded: the reason.
+    #[error("the image cannot be encoded or decoded: {0}")]
+    Undecodable(String),
 }
 
-fn config() -> impl bincode::config::Config {
+fn codec() -> impl bincode::config::Config {
     bincode::config::standard().with_limit::<{ constants::REPLICATION_IMAGE_LIMIT }>()
 }
 
-/// One piece of an image.
+/// A chunk of a state image.
+///
+/// The order of the fields is a wire format: new ones are added at the end.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ImagePiece {
-    /// Where in the log the image was made.
+pub struct ImageChunk {
+    /// Position of the log at which the image was made.
     pub position: Position,
-    /// Which piece, counted from 0.
-    pub number: u32,
-    /// Length of the whole image.
-    pub length: u64,
-    /// Digest of the whole image.
-    pub digest: u64,
-    /// Its bytes.
+    /// Index of the chunk, counted from 0.
+    pub index: u32,
+    /// Size of the whole image in bytes.
+    pub image_bytes: u64,
+    /// XXH3 digest of the whole image.
+    pub image_digest: u64,
+    /// The bytes of this chunk.
     pub bytes: Vec<u8>,
 }
 
-/// A state as it was at one position.
+/// An encoded state as of one position of the log.
 #[derive(Debug)]
 pub(crate) struct Image {
     pub position: Position,
-    /// When it was made, ms.
-    pub made_at: u64,
+    /// When the image was made, in ms on the caller's clock.
+    pub made_at_ms: u64,
     digest: u64,
     bytes: Vec<u8>,
 }
 
 impl Image {
-    pub fn new(state: &ReplicatedState, position: Position, now: u64) -> Result<Self, ImageError> {
-        let bytes = bincode::serde::encode_to_vec(state, config())
-            .map_err(|e| ImageError::Unreadable(e.to_string()))?;
+    /// Encodes a state.
+    ///
+    /// # Errors
+    ///
+    /// [`ImageError::TooLarge`] above the size limit, [`ImageError::Undecodable`] if it cannot be encoded.
+    pub fn new(
+        state: &ReplicatedState,
+        position: Position,
+        now_ms: u64,
+    ) -> Result<Self, ImageError> {
+        let bytes = bincode::serde::encode_to_vec(state, codec())
+            .map_err(|error| ImageError::Undecodable(error.to_string()))?;
         if bytes.len() > constants::REPLICATION_IMAGE_LIMIT {
-            return Err(ImageError::TooLong(bytes.len() as u64));
+            return Err(ImageError::TooLarge(bytes.len() as u64));
         }
-        Ok(Self { position, made_at: now, digest: xxh3_64(&bytes), bytes })
+        Ok(Self { position, made_at_ms: now_ms, digest: xxh3_64(&bytes), bytes })
     }
 
-    /// A piece; `None` past the last one.
-    pub fn piece(&self, number: u32) -> Option<ImagePiece> {
-        let bytes = self.bytes.chunks(constants::REPLICATION_PIECE_BYTES).nth(number as usize)?;
-        Some(ImagePiece {
+    /// Returns a chunk; `None` after the last one.
+    pub fn chunk(&self, index: u32) -> Option<ImageChunk> {
+        let bytes = self.bytes.chunks(constants::REPLICATION_PIECE_BYTES).nth(index as usize)?;
+        Some(ImageChunk {
             position: self.position,
-            number,
-            length: self.bytes.len() as u64,
-            digest: self.digest,
+            index,
+            image_bytes: self.bytes.len() as u64,
+            image_digest: self.digest,
             bytes: bytes.to_vec(),
         })
     }
 }
 
-/// An image of which some pieces have come.
+/// A partially received image.
 #[derive(Debug)]
-pub(crate) struct Assembly {
+pub(crate) struct ImageAssembly {
+    /// Position of the log at which the image was made.
     pub position: Position,
-    pub next: u32,
-    length: u64,
-    digest: u64,
+    /// Index of the next chunk.
+    pub next_chunk: u32,
+    image_bytes: u64,
+    image_digest: u64,
     bytes: Vec<u8>,
 }
 
-impl Assembly {
-    /// Begins with the first piece.
-    pub fn begin(piece: &ImagePiece) -> Result<Self, ImageError> {
-        if piece.length > constants::REPLICATION_IMAGE_LIMIT as u64 {
-            return Err(ImageError::TooLong(piece.length));
+impl ImageAssembly {
+    /// Starts the assembly of the image that a chunk belongs to, without adding the chunk.
+    ///
+    /// # Errors
+    ///
+    /// [`ImageError::TooLarge`] above the size limit.
+    pub fn begin(chunk: &ImageChunk) -> Result<Self, ImageError> {
+        if chunk.image_bytes > constants::REPLICATION_IMAGE_LIMIT as u64 {
+            return Err(ImageError::TooLarge(chunk.image_bytes));
         }
-        let (length, digest) = (piece.length, piece.digest);
-        Ok(Self { position: piece.position, next: 0, length, digest, bytes: Vec::new() })
+        Ok(Self {
+            position: chunk.position,
+            next_chunk: 0,
+            image_bytes: chunk.image_bytes,
+            image_digest: chunk.image_digest,
+            bytes: Vec::new(),
+        })
     }
 
-    /// Whether a piece is of this image.
-    pub fn matches(&self, piece: &ImagePiece) -> bool {
-        let whole = (piece.position, piece.length, piece.digest);
-        whole == (self.position, self.length, self.digest)
+    /// Whether a chunk belongs to this image.
+    pub fn matches(&self, chunk: &ImageChunk) -> bool {
+        chunk.position == self.position
+            && chunk.image_bytes == self.image_bytes
+            && chunk.image_digest == self.image_digest
     }
 
-    /// Adds a piece. The state, once all have come.
-    pub fn add(&mut self, piece: ImagePiece) -> Result<Option<ReplicatedState>, ImageError> {
-        if piece.number != self.next {
-            return Err(ImageError::OutOfOrder { expected: self.next, found: piece.number });
+    /// Adds the next chunk. Returns the decoded state once the image is complete.
+    ///
+    /// # Errors
+    ///
+    /// Any [`ImageError`]; the assembly must then be discarded.
+    pub fn add(&mut self, chunk: ImageChunk) -> Result<Option<ReplicatedState>, ImageError> {
+        if chunk.index != self.next_chunk {
+            let (expected, found) = (self.next_chunk, chunk.index);
+            return Err(ImageError::OutOfOrder { expected, found });
         }
-        let length = piece.bytes.len();
-        let left = self.length - self.bytes.len() as u64;
-        let fits = length <= constants::REPLICATION_PIECE_BYTES && length as u64 <= left;
+        let length = chunk.bytes.len();
+        let missing = self.image_bytes - self.bytes.len() as u64;
+        let fits = length <= constants::REPLICATION_PIECE_BYTES && length as u64 <= missing;
         if length == 0 || !fits {
-            return Err(ImageError::PieceLength(length));
+            return Err(ImageError::ChunkLength(length));
         }
-        self.bytes.extend(piece.bytes);
-        self.next += 1;
-        if (self.bytes.len() as u64) < self.length {
+        self.bytes.extend(chunk.bytes);
+        self.next_chunk += 1;
+        if (self.bytes.len() as u64) < self.image_bytes {
             return Ok(None);
         }
-        if xxh3_64(&self.bytes) != self.digest {
-            return Err(ImageError::Digest);
+        if xxh3_64(&self.bytes) != self.image_digest {
+            return Err(ImageError::DigestMismatch);
         }
-        let (state, read) = bincode::serde::decode_from_slice(&self.bytes, config())
-            .map_err(|e| ImageError::Unreadable(e.to_string()))?;
-        if read != self.bytes.len() {
-            return Err(ImageError::Unreadable("more bytes than a state".into()));
+        let (state, decoded_bytes) = bincode::serde::decode_from_slice(&self.bytes, codec())
+            .map_err(|error| ImageError::Undecodable(error.to_string()))?;
+        if decoded_bytes != self.bytes.len() {
+            return Err(ImageError::Undecodable("trailing bytes after the state".into()));
         }
         Ok(Some(state))
     }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,14 +1,13 @@
-//! Replication of a leader's decisions to warm standbys, and the steps by which a standby takes over.
+//! Replication of the leader's cluster state to warm standbys, and the phases of a failover.
 //!
-//! The leader's [`Publisher`] turns its picture of machines, tasks and jobs into a log of [`Entry`] values. A
-//! [`Follower`] asks for what it lacks, applies it to a copy of its own and checks that copy by digests.
-//! [`FailureDetector`] tells when the leader's silence is unusual, and [`Promotion`] which step of a takeover
-//! may follow which.
+//! The leader's [`Publisher`] turns changes of machines, tasks and jobs into a log of [`Entry`] values. A
+//! [`Follower`] requests missing entries, applies them to its copy and verifies the copy by digests. The
+//! [`FailureDetector`] suspects a silent leader, and [`Promotion`] is the state machine of a failover.
 //!
-//! What a follower holds is a hint. It shortens what a new leader has to find out, and never stands for proof:
-//! who may decide is settled by the state service, and what runs where by workers' reports and ended leases.
+//! A follower's copy is a hint: it shortens the recovery of a new leader, but proves nothing. The state
+//! service decides who is the leader; heartbeats and expired leases prove what runs on which machine.
 //!
-//! No I/O, and no clock: the caller passes the time and carries the messages.
+//! The crate does no I/O and reads no clock: callers pass the time and transport the messages.
 
 mod detector;
 mod digest;
@@ -26,12 +25,12 @@
 pub use detector::FailureDetector;
 pub use digest::RangeDigest;
 pub use entry::Entry;
-pub use follower::{FollowError, Follower, Progress, Unusable};
-pub use image::{ImageError, ImagePiece};
+pub use follower::{FollowError, FollowOutcome, Follower, UnusableCopy};
+pub use image::{ImageChunk, ImageError};
 pub use log::ReplicationLog;
-pub use message::{FollowAnswer, FollowBody, FollowRequest, Held};
-pub use metrics::{Durations, FollowMetrics, TakeoverMetrics};
+pub use message::{FollowAnswer, FollowBody, FollowRequest, FollowerProgress};
+pub use metrics::{DurationHistogram, FailoverMetrics, FollowerMetrics};
 pub use position::Position;
-pub use promotion::{Event, Phase, Promotion, Refused, Step};
+pub use promotion::{Event, Phase, Promotion, Step, TransitionError};
 pub use publisher::{MachineView, Publisher, TaskView};
 pub use state::{ApplyError, JobHints, MachineState, PlacedTask, ReplicatedState, Stage};
--- a/crates/replication/src/log.rs
+++ b/crates/replication/src/log.rs
@@ -1,53 +1,55 @@
-//! The leader's log: the newest entries, bounded.
+//! The leader's replication log: a bounded buffer of the newest entries.
 
 use crate::entry::Entry;
 use crate::position::Position;
 use std::collections::VecDeque;
 
-/// The newest entries of one term. Older ones are dropped, whoever still lacks them: a follower that is too slow
-/// gets an image, and never slows the leader.
+/// The newest entries of one term. Older entries are dropped even if a follower still needs them: a slow
+/// follower receives an image instead, so that it never delays the leader.
 #[derive(Debug)]
 pub struct ReplicationLog {
     term: u64,
-    /// Number of the last entry.
-    last: u64,
+    /// Index of the last entry; 0 before the first.
+    last_index: u64,
     entries: VecDeque<Entry>,
-    most: usize,
+    max_entries: usize,
 }
 
 impl ReplicationLog {
-    /// An empty log that keeps `most` entries.
-    pub fn new(term: u64, most: usize) -> Self {
-        Self { term, last: 0, entries: VecDeque::new(), most }
+    /// Creates an empty log that keeps the newest `max_entries` entries.
+    pub fn new(term: u64, max_entries: usize) -> Self {
+        Self { term, last_index: 0, entries: VecDeque::new(), max_entries }
     }
 
-    /// Where the log ends.
+    /// Position of the last entry.
     pub fn end(&self) -> Position {
-        Position { term: self.term, index: self.last }
+        Position { term: self.term, index: self.last_index }
     }
 
-    /// Adds an entry.
+    /// Appends an entry, and drops the oldest one if the log is full.
     pub fn append(&mut self, entry: Entry) {
-        self.last += 1;
+        self.last_index += 1;
         self.entries.push_back(entry);
-        if self.entries.len() > self.most {
+        if self.entries.len() > self.max_entries {
             self.entries.pop_front();
         }
     }
 
-    /// Number of the last entry that was dropped.
-    fn dropped(&self) -> u64 {
-        self.last - self.entries.len() as u64
+    /// Index of the last dropped entry; 0 if none was dropped.
+    fn last_dropped_index(&self) -> u64 {
+        self.last_index - self.entries.len() as u64
     }
 
-    /// Whether whoever has applied everything up to `after` can go on from there.
-    pub fn reaches(&self, after: Position) -> bool {
-        after.term == self.term && (self.dropped()..=self.last).contains(&after.index)
+    /// Whether the log still has all entries after a position.
+    pub fn covers(&self, after: Position) -> bool {
+        after.term == self.term
+            && (self.last_dropped_index()..=self.last_index).contains(&after.index)
     }
 
-    /// The entries after a position; `None` if the log does not reach so far back, or never was there.
+    /// Returns the entries after a position; `None` if the log does not have all of them.
     pub fn after(&self, after: Position) -> Option<impl Iterator<Item = &Entry>> {
-        let skip = self.reaches(after).then(|| (after.index - self.dropped()) as usize)?;
+        let skip =
+            self.covers(after).then(|| (after.index - self.last_dropped_index()) as usize)?;
         Some(self.entries.iter().skip(skip))
     }
 }
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -1,52 +1,61 @@
-//! What goes between a follower and the leader. The follower asks; one answer under way at a time.
+//! Messages between a follower and the leader. A follower sends one request at a time.
 
 use crate::digest::RangeDigest;
 use crate::entry::Entry;
-use crate::image::ImagePiece;
+use crate::image::ImageChunk;
 use crate::position::Position;
 use serde::{Deserialize, Serialize};
 
-/// What a follower has.
+/// How much of the leader's state a follower has.
+///
+/// The order of the variants and of their fields is a wire format: new ones are added at the end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Held {
-    /// Nothing that it trusts.
-    Nothing,
-    /// Everything up to this position.
+pub enum FollowerProgress {
+    /// No valid copy.
+    Empty,
+    /// All entries up to this position.
     Through(Position),
-    /// Pieces of the image of this position, up to but not including that one.
-    Pieces(Position, u32),
+    /// The first chunks of a state image.
+    ReceivingImage {
+        /// Position of the log at which the image was made.
+        position: Position,
+        /// Index of the next chunk, counted from 0.
+        next_chunk: u32,
+    },
 }
 
-/// A follower asks for what it lacks. What it has is its acknowledgement of everything before.
+/// A follower's request for entries or for a chunk of an image. It acknowledges everything before.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowRequest {
-    /// Its name.
+    /// Name of the follower.
     pub follower: String,
-    /// What it has.
-    pub held: Held,
+    /// How much of the leader's state the follower has.
+    pub progress: FollowerProgress,
 }
 
-/// What a leader sends.
+/// The part of the leader's state in a response.
+///
+/// The order of the variants and of their fields is a wire format: new ones are added at the end.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FollowBody {
-    /// The entries after a position, as many as one message holds.
+    /// The entries after a position, limited by the size of a message.
     Entries {
-        /// That position.
+        /// Position before the first of the entries.
         after: Position,
-        /// The entries.
+        /// The entries, in the order of the log.
         entries: Vec<Entry>,
-        /// The digest of a range once these entries are applied, now and then.
+        /// Digest of one range of the state after these entries; `None` in most responses.
         digest: Option<RangeDigest>,
     },
-    /// The next piece of an image.
-    Piece(ImagePiece),
+    /// The next chunk of a state image.
+    ImageChunk(ImageChunk),
 }
 
-/// The leader's answer.
+/// The leader's response to a [`FollowRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowAnswer {
-    /// Where the leader's log ends. Its term is the leader's.
+    /// End of the leader's log. Its term is the leader's term.
     pub end: Position,
-    /// What the follower lacks.
+    /// The entries or the chunk that the follower needs next.
     pub body: FollowBody,
 }
--- a/crates/replication/src/position.rs
+++ b/crates/replication/src/position.rs
@@ -1,13 +1,13 @@
-//! Places in the log.
+//! Positions in the replication log.
 
 use serde::{Deserialize, Serialize};
 
-/// A place in the log of one leader: its term, and how many of its entries lie before and at the place.
+/// A position in the log of one leader term. Displayed as `term/index`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Position {
-    /// The leader's term.
+    /// Term of the leader that wrote the log.
     pub term: u64,
-    /// Number of the last entry; 0 before the first.
+    /// Index of the last entry up to this position, counted from 1; 0 before the first entry.
     pub index: u64,
 }
 
--- a/crates/replication/src/promotion.rs
+++ b/crates/replication/src/promotion.rs
@@ -1,96 +1,96 @@
-//! The steps of a takeover. Each has its proof, and none can be passed over.
+//! The state machine of a failover. Each transition needs its proof, and no phase can be skipped.
 
-use crate::metrics::TakeoverMetrics;
+use crate::metrics::FailoverMetrics;
 use hookway_constants as constants;
 
-/// Where a controller stands.
+/// Phase of a controller between standby and leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// It follows the active controller, or looks for one.
+    /// It follows the leader, or waits for one.
     Following,
-    /// The active controller is silent for unusually long. Nothing follows from that but a closer look.
+    /// The leader is silent for unusually long. The only consequence is a read of the leadership record.
     Suspecting,
-    /// The state service has ended the active controller's lease: its term is over, and it knows that by its own
-    /// reckoning. Somebody has to be elected.
+    /// The leader's lease has expired in the state service, and earlier on the leader's own clock: its term has
+    /// ended. A new leader has to be elected.
     Fencing,
-    /// Elected for this term, whose token workers prefer to every earlier one. What earlier leaders recorded is
-    /// being read, in a reading that began after the election.
+    /// Elected for this term, whose fencing token is higher than all earlier ones. The records of earlier leaders
+    /// are being read; the read began after the election.
     CatchingUp(u64),
-    /// It decides, as the leader of this term.
+    /// It is the leader of this term and dispatches tasks.
     Active(u64),
 }
 
-/// What happens.
+/// An event that may change the phase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// The active controller gave a sign of life.
-    LeaderHeard,
-    /// Its silence is unusual.
-    Silence,
-    /// The state service says that nobody leads.
-    LeaseEnded,
-    /// The state service says that another controller leads.
-    OtherLeads,
+    /// The leader responded to a request.
+    LeaderResponded,
+    /// The leader is silent for unusually long.
+    LeaderSilent,
+    /// According to the state service there is no leader.
+    LeaseExpired,
+    /// According to the state service another controller is the leader.
+    OtherLeader,
     /// The state service has recorded this controller as the leader of a term.
     Elected {
         /// The term.
         term: u64,
     },
-    /// Everything that a leader needs was read.
+    /// All records were read.
     RecordsRead {
-        /// The term in which the reading began.
+        /// Term in which the read began.
         term: u64,
     },
-    /// The first decision since the election was made.
-    Decided,
-    /// This controller leads no more.
+    /// A task start was dispatched. Only the first one of a term counts.
+    Dispatched,
+    /// This controller has lost the leadership.
     Deposed,
 }
 
-/// A step that is not allowed.
+/// Why a transition is not allowed. The phase is then unchanged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
-    /// The term is no later than one that is known.
+pub enum TransitionError {
+    /// The term is not later than the latest known one.
     #[error("term {found} does not come after term {known}")]
     OldTerm {
-        /// Its term.
+        /// Term of the event.
         found: u64,
-        /// The latest known one.
+        /// Latest known term.
         known: u64,
     },
-    /// What was read was not read in the term that this controller leads.
-    #[error("records that were read in term {0}, which this controller does not lead")]
+    /// The read of the records began in a term of which this controller is not the elected leader.
+    #[error("records read in term {0}, of which this controller is not the elected leader")]
     OldRecords(u64),
 }
 
-/// What a step leads to.
+/// What the caller has to do after an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing to do.
-    Stay,
-    /// Look at the state service now.
-    Look,
-    /// Read what earlier leaders recorded.
+    /// Nothing.
+    NoAction,
+    /// Read the leadership record in the state service now.
+    ReadLeader,
+    /// Read the records of earlier leaders.
     ReadRecords,
-    /// Decide.
+    /// Start to act as the leader.
     Lead,
-    /// Decide nothing any more.
+    /// Stop acting as the leader.
     Stop,
 }
 
-/// The state machine of a takeover.
+/// The state machine of a failover. All times are in ms on the caller's monotonic clock.
 #[derive(Debug)]
 pub struct Promotion {
     phase: Phase,
-    /// The latest term that this controller was elected for, or saw.
+    /// Latest term that this controller was elected for or has observed.
     term: u64,
-    /// When the active controller was last heard, ms.
-    heard_at: Option<u64>,
-    suspected_at: Option<u64>,
-    lease_ended_at: Option<u64>,
-    elected_at: Option<u64>,
-    read_at: Option<u64>,
-    metrics: TakeoverMetrics,
+    /// Time of the leader's last response.
+    leader_responded_at_ms: Option<u64>,
+    suspected_at_ms: Option<u64>,
+    lease_expired_at_ms: Option<u64>,
+    elected_at_ms: Option<u64>,
+    records_read_at_ms: Option<u64>,
+    metrics: FailoverMetrics,
 }
 
 impl Default for Promotion {
@@ -98,122 +98,135 @@
         Self {
             phase: Phase::Following,
             term: 0,
-            heard_at: None,
-            suspected_at: None,
-            lease_ended_at: None,
-            elected_at: None,
-            read_at: None,
-            metrics: TakeoverMetrics::default(),
+            leader_responded_at_ms: None,
+            suspected_at_ms: None,
+            lease_expired_at_ms: None,
+            elected_at_ms: None,
+            records_read_at_ms: None,
+            metrics: FailoverMetrics::default(),
         }
     }
 }
 
 impl Promotion {
-    /// Where the controller stands.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Whether it may decide as the leader of `term`.
-    pub fn may_decide(&self, term: u64) -> bool {
+    /// Whether the controller may dispatch tasks as the leader of `term`.
+    pub fn may_dispatch(&self, term: u64) -> bool {
         self.phase == Phase::Active(term)
     }
 
-    /// How long takeovers took.
-    pub fn metrics(&self) -> &TakeoverMetrics {
+    /// Durations of the failovers to this controller.
+    pub fn metrics(&self) -> &FailoverMetrics {
         &self.metrics
     }
 
-    /// Another controller's term became known.
-    pub fn learn_term(&mut self, term: u64) {
+    /// Records the term of another controller.
+    pub fn observe_term(&mut self, term: u64) {
         self.term = self.term.max(term);
     }
 
-    /// Something happened at `now`, ms.
-    pub fn on(&mut self, event: Event, now: u64) -> Result<Step, Refused> {
+    /// Handles an event at `now_ms`, and returns what the caller has to do.
+    ///
+    /// # Errors
+    ///
+    /// A [`TransitionError`] if the event is of a wrong term.
+    pub fn handle(&mut self, event: Event, now_ms: u64) -> Result<Step, TransitionError> {
         match event {
-            Event::LeaderHeard => {
-                self.heard_at = Some(now);
+            Event::LeaderResponded => {
+                self.leader_responded_at_ms = Some(now_ms);
                 if self.phase == Phase::Suspecting {
-                    self.follow();
+                    self.return_to_following();
                 }
-                Ok(Step::Stay)
+                Ok(Step::NoAction)
             }
-            Event::Silence if self.phase == Phase::Following => {
+            Event::LeaderSilent if self.phase == Phase::Following => {
                 self.phase = Phase::Suspecting;
-                self.suspected_at = Some(now);
-                Ok(Step::Look)
+                self.suspected_at_ms = Some(now_ms);
+                Ok(Step::ReadLeader)
             }
-            Event::Silence if self.phase == Phase::Suspecting && self.looks_again(now) => {
-                self.suspected_at = Some(now);
-                Ok(Step::Look)
+            Event::LeaderSilent
+                if self.phase == Phase::Suspecting && self.may_read_leader_again(now_ms) =>
+            {
+                self.suspected_at_ms = Some(now_ms);
+                Ok(Step::ReadLeader)
             }
-            Event::LeaseEnded if matches!(self.phase, Phase::Following | Phase::Suspecting) => {
+            Event::LeaseExpired if matches!(self.phase, Phase::Following | Phase::Suspecting) => {
                 self.phase = Phase::Fencing;
-                self.lease_ended_at = Some(now);
-                Ok(Step::Stay)
+                self.lease_expired_at_ms = Some(now_ms);
+                Ok(Step::NoAction)
             }
-            Event::OtherLeads if matches!(self.phase, Phase::Suspecting | Phase::Fencing) => {
-                self.follow();
-                Ok(Step::Stay)
+            Event::OtherLeader if matches!(self.phase, Phase::Suspecting | Phase::Fencing) => {
+                self.return_to_following();
+                Ok(Step::NoAction)
             }
-            Event::Elected { term } => self.elected(term, now),
-            Event::RecordsRead { term } => self.records_read(term, now),
-            Event::Decided => {
-                self.decided(now);
-                Ok(Step::Stay)
+            Event::Elected { term } => self.elected(term, now_ms),
+            Event::RecordsRead { term } => self.records_read(term, now_ms),
+            Event::Dispatched => {
+                self.dispatched(now_ms);
+                Ok(Step::NoAction)
             }
             Event::Deposed => {
-                let acted = matches!(self.phase, Phase::CatchingUp(_) | Phase::Active(_));
-                self.follow();
-                Ok(if acted { Step::Stop } else { Step::Stay })
+                let was_elected = matches!(self.phase, Phase::CatchingUp(_) | Phase::Active(_));
+                self.return_to_following();
+                Ok(if was_elected { Step::Stop } else { Step::NoAction })
             }
-            Event::Silence | Event::LeaseEnded | Event::OtherLeads => Ok(Step::Stay),
+            Event::LeaderSilent | Event::LeaseExpired | Event::OtherLeader => Ok(Step::NoAction),
         }
     }
 
-    /// A look may have come a moment before the lease ended.
-    fn looks_again(&self, now: u64) -> bool {
-        let again = |at: u64| now >= at + constants::LEADER_CHECK_INTERVAL_MS;
-        self.suspected_at.is_none_or(again)
+    /// Whether the leadership record may be read once more: an earlier read may have come just before the lease
+    /// expired.
+    fn may_read_leader_again(&self, now_ms: u64) -> bool {
+        let interval_over = |at: u64| now_ms >= at + constants::LEADER_CHECK_INTERVAL_MS;
+        self.suspected_at_ms.is_none_or(interval_over)
     }
 
-    fn follow(&mut self) {
+    fn return_to_following(&mut self) {
         self.phase = Phase::Following;
-        (self.suspected_at, self.lease_ended_at) = (None, None);
-        (self.elected_at, self.read_at) = (None, None);
+        (self.suspected_at_ms, self.lease_expired_at_ms) = (None, None);
+        (self.elected_at_ms, self.records_read_at_ms) = (None, None);
     }
 
-    fn elected(&mut self, term: u64, now: u64) -> Result<Step, Refused> {
+    fn elected(&mut self, term: u64, now_ms: u64) -> Result<Step, TransitionError> {
         if term <= self.term {
-            return Err(Refused::OldTerm { found: term, known: self.term });
+            return Err(TransitionError::OldTerm { found: term, known: self.term });
         }
         self.term = term;
         self.phase = Phase::CatchingUp(term);
-        self.elected_at = Some(now);
+        self.elected_at_ms = Some(now_ms);
         Ok(Step::ReadRecords)
     }
 
-    fn records_read(&mut self, term: u64, now: u64) -> Result<Step, Refused> {
+    fn records_read(&mut self, term: u64, now_ms: u64) -> Result<Step, TransitionError> {
         if self.phase != Phase::CatchingUp(term) {
-            return Err(Refused::OldRecords(term));
+            return Err(TransitionError::OldRecords(term));
         }
         self.phase = Phase::Active(term);
-        self.read_at = Some(now);
+        self.records_read_at_ms = Some(now_ms);
         Ok(Step::Lead)
     }
 
-    fn decided(&mut self, now: u64) {
+    fn dispatched(&mut self, now_ms: u64) {
         let Phase::Active(_) = self.phase else { return };
-        let (Some(elected), Some(read)) = (self.elected_at.take(), self.read_at.take()) else {
+        let (Some(elected), Some(read)) =
+            (self.elected_at_ms.take(), self.records_read_at_ms.take())
+        else {
             return;
         };
         let since = |from: Option<u64>, to: u64| from.map(|from| to.saturating_sub(from));
-        self.metrics.detection.record(since(self.heard_at, self.lease_ended_at.unwrap_or(elected)));
-        self.metrics.election.record(since(self.lease_ended_at, elected));
+        self.metrics.detection.record(since(
+            self.leader_responded_at_ms,
+            self.lease_expired_at_ms.unwrap_or(elected),
+        ));
+        self.metrics.election.record(since(self.lease_expired_at_ms, elected));
         self.metrics.catching_up.record(Some(read.saturating_sub(elected)));
-        self.metrics.first_decision.record(Some(now.saturating_sub(read)));
-        self.metrics.whole.record(since(self.heard_at, now));
-        (self.suspected_at, self.lease_ended_at, self.heard_at) = (None, None, None);
+        self.metrics.first_dispatch.record(Some(now_ms.saturating_sub(read)));
+        self.metrics.whole.record(since(self.leader_responded_at_ms, now_ms));
+        (self.suspected_at_ms, self.lease_expired_at_ms, self.leader_responded_at_ms) =
+            (None, None, None);
     }
 }
--- a/crates/replication/src/publisher.rs
+++ b/crates/replication/src/publisher.rs
@@ -1,53 +1,60 @@
-//! The leader's side: from its picture to the log, and from the log to answers.
+//! The leader's side of replication: writes changes of the cluster state to the log, and responds to followers.
 
 use crate::digest::RangeDigest;
 use crate::entry::Entry;
-use crate::image::{Image, ImageError};
+use crate::image::{Image, ImageChunk, ImageError};
 use crate::log::ReplicationLog;
-use crate::message::{FollowAnswer, FollowBody, FollowRequest, Held};
+use crate::message::{FollowAnswer, FollowBody, FollowRequest, FollowerProgress};
 use crate::position::Position;
 use crate::state::{JobHints, PlacedTask, ReplicatedState, Stage};
 use hookway_constants as constants;
 use std::collections::BTreeMap;
 
-/// A task as the leader has it at this moment.
+/// The current state of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TaskView<'a> {
-    /// The task.
+    /// Id of the task.
     pub task: &'a str,
-    /// The attempt.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// How far it has come.
+    /// Progress of the attempt.
     pub stage: Stage,
 }
 
-/// A machine as the leader has it at this moment.
+/// The current state of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MachineView<'a> {
-    /// Its name.
+    /// Name of the machine.
     pub name: &'a str,
-    /// Where its worker listens.
+    /// Address (`host:port`) of its worker.
     pub address: &'a str,
-    /// Its worker's session.
-    pub session: u64,
+    /// Incarnation of its worker.
+    pub incarnation: u64,
 }
 
-/// Publishes the changes of a leader's picture. The leader shows machines and jobs as often as it likes; what differs
-/// from the last time becomes entries. A leader that now and then shows everything can forget no change for long,
-/// wherever it was made.
+/// Publishes changes of the leader's cluster state. The leader may publish a machine or job as often as it likes:
+/// only differences from the last published state become entries. Publishing everything periodically bounds the
+/// time for which a change can be missed. Times are in ms on the caller's monotonic clock.
 #[derive(Debug)]
 pub struct Publisher {
-    /// What followers have once they have applied the whole log.
+    /// The published state: that of a follower that has applied the whole log.
     state: ReplicatedState,
     log: ReplicationLog,
-    /// An image that followers fetch at this moment.
+    /// The image that followers are receiving, if any.
     image: Option<Image>,
-    /// By follower: the range that it compares next, and when it compared the last one, ms.
-    digests: BTreeMap<String, (u32, u64)>,
+    /// Progress of the comparison of digests, by name of the follower.
+    digests: BTreeMap<String, DigestSchedule>,
+}
+
+/// Progress of the comparison of digests with one follower.
+#[derive(Debug, Default)]
+struct DigestSchedule {
+    next_range: u32,
+    last_sent_ms: u64,
 }
 
 impl Publisher {
-    /// For the leader of a term.
+    /// Creates a publisher with an empty state and log, for the leader of `term`.
     pub fn new(term: u64) -> Self {
         Self {
             state: ReplicatedState::default(),
@@ -57,194 +64,215 @@
         }
     }
 
-    /// Where the log ends.
+    /// Position of the last entry.
     pub fn end(&self) -> Position {
         self.log.end()
     }
 
-    /// What followers have once they have applied the whole log.
+    /// The published state: that of a follower that has applied the whole log.
     pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
-    fn publish(&mut self, entry: Entry) {
-        // Every entry is made from a difference to this very state, so it applies.
+    fn append(&mut self, entry: Entry) {
+        // Every entry is a difference from this state, so it can always be applied.
         if self.state.apply(entry.clone()).is_ok() {
             self.log.append(entry);
         }
     }
 
-    /// Shows a machine with everything on it.
-    pub fn show_machine<'a>(
+    /// Publishes a machine with all tasks on it.
+    pub fn publish_machine<'a>(
         &mut self,
         view: MachineView<'_>,
         tasks: impl Iterator<Item = TaskView<'a>> + Clone,
     ) {
         let known = self.state.machines.get(view.name);
-        let described =
-            known.is_some_and(|m| m.address == view.address && m.session == view.session);
-        if !described {
-            self.publish(Entry::Machine {
+        let is_published = known.is_some_and(|machine| {
+            machine.address == view.address && machine.incarnation == view.incarnation
+        });
+        if !is_published {
+            self.append(Entry::Machine {
                 name: view.name.to_owned(),
                 address: view.address.to_owned(),
-                session: view.session,
+                incarnation: view.incarnation,
             });
         }
         let Some(known) = self.state.machines.get(view.name) else { return };
-        let unchanged = |t: TaskView<'_>| known.stage(t.task, t.attempt) == Some(t.stage);
-        let shown = tasks.clone().count();
-        if shown == known.tasks().len() && tasks.clone().all(unchanged) {
+        let unchanged =
+            |task: TaskView<'_>| known.stage(task.task, task.attempt) == Some(task.stage);
+        let count = tasks.clone().count();
+        if count == known.tasks().len() && tasks.clone().all(unchanged) {
             return;
         }
-        for entry in changes(view.name, known.tasks(), tasks) {
-            self.publish(entry);
+        for entry in task_entries(view.name, known.tasks(), tasks) {
+            self.append(entry);
         }
     }
 
-    /// The leader does not have a machine any more, or never had it.
-    pub fn drop_machine(&mut self, name: &str) {
+    /// Publishes the removal of a machine. Does nothing if the machine was never published.
+    pub fn remove_machine(&mut self, name: &str) {
         if self.state.machines.contains_key(name) {
-            self.publish(Entry::MachineGone { name: name.to_owned() });
+            self.append(Entry::MachineRemoved { name: name.to_owned() });
         }
     }
 
-    /// Drops all machines that the leader does not have any more.
+    /// Removes all published machines for which `exists` is false.
     pub fn retain_machines(&mut self, exists: impl Fn(&str) -> bool) {
-        let gone: Vec<String> =
+        let removed: Vec<String> =
             self.state.machines.keys().filter(|name| !exists(name)).cloned().collect();
-        gone.iter().for_each(|name| self.drop_machine(name));
+        removed.iter().for_each(|name| self.remove_machine(name));
     }
 
-    /// Shows what is known of a job beside its records.
-    pub fn show_job(&mut self, id: &str, hints: JobHints) {
+    /// Publishes the state of a job that no record holds.
+    pub fn publish_job(&mut self, id: &str, hints: JobHints) {
         if self.state.jobs.get(id) != Some(&hints) {
-            self.publish(Entry::Job { id: id.to_owned(), hints });
+            self.append(Entry::Job { id: id.to_owned(), hints });
         }
     }
 
-    /// Drops jobs that the leader does not have any more. `shown` is how many it has.
-    pub fn retain_jobs(&mut self, shown: usize, exists: impl Fn(&str) -> bool) {
-        if self.state.jobs.len() == shown {
+    /// Removes all published jobs for which `exists` is false. `count` is the number of jobs for which it is true;
+    /// if as many are published, nothing is checked.
+    pub fn retain_jobs(&mut self, count: usize, exists: impl Fn(&str) -> bool) {
+        if self.state.jobs.len() == count {
             return;
         }
-        let gone: Vec<String> = self.state.jobs.keys().filter(|id| !exists(id)).cloned().collect();
-        for id in gone {
-            self.publish(Entry::JobGone { id });
+        let removed: Vec<String> =
+            self.state.jobs.keys().filter(|id| !exists(id)).cloned().collect();
+        for id in removed {
+            self.append(Entry::JobRemoved { id });
         }
     }
 
-    /// Answers a follower at `now`, ms. An error means that the state is too large for an image.
+    /// Responds to a follower at `now_ms`: with entries if the log has all that are missing, else with a chunk of an
+    /// image.
+    ///
+    /// # Errors
+    ///
+    /// An [`ImageError`] if the state is too large for an image.
     pub fn answer(
         &mut self,
         request: &FollowRequest,
-        now: u64,
+        now_ms: u64,
     ) -> Result<FollowAnswer, ImageError> {
         let end = self.log.end();
-        if let Held::Through(after) = request.held
-            && let Some(body) = self.entries(&request.follower, after, now)
+        if let FollowerProgress::Through(after) = request.progress
+            && let Some(body) = self.entries_after(&request.follower, after, now_ms)
         {
             return Ok(FollowAnswer { end, body });
         }
-        let wanted = match request.held {
-            Held::Pieces(position, next) => Some((position, next)),
-            Held::Nothing | Held::Through(_) => None,
+        let next_chunk = match request.progress {
+            FollowerProgress::ReceivingImage { position, next_chunk } => {
+                self.chunk_of_current_image(position, next_chunk)
+            }
+            FollowerProgress::Empty | FollowerProgress::Through(_) => None,
+        };
+        let chunk = match next_chunk {
+            Some(chunk) => chunk,
+            None => self.first_chunk(now_ms)?,
         };
-        let body = FollowBody::Piece(self.piece(wanted, now)?);
+        let body = FollowBody::ImageChunk(chunk);
         Ok(FollowAnswer { end, body })
     }
 
-    /// What follows a position, as much as one message holds.
-    fn entries(&mut self, follower: &str, after: Position, now: u64) -> Option<FollowBody> {
+    /// The entries after a position, limited by the size of a message; `None` if the log does not have them.
+    fn entries_after(
+        &mut self,
+        follower: &str,
+        after: Position,
+        now_ms: u64,
+    ) -> Option<FollowBody> {
         let mut bytes = 0;
         let mut entries = Vec::new();
         for entry in self.log.after(after)? {
-            bytes += size(entry);
+            bytes += max_encoded_bytes(entry);
             if bytes > constants::REPLICATION_PIECE_BYTES && !entries.is_empty() {
                 break;
             }
             entries.push(entry.clone());
         }
-        // A digest is of the whole log's state: only who has all of it can compare.
-        let whole = after.index + entries.len() as u64 == self.log.end().index;
-        let digest = if whole { self.next_digest(follower, now) } else { None };
+        // The digest is of the state at the end of the log, so only a follower that gets there can compare it.
+        let is_complete = after.index + entries.len() as u64 == self.log.end().index;
+        let digest = if is_complete { self.next_digest(follower, now_ms) } else { None };
         Some(FollowBody::Entries { after, entries, digest })
     }
 
-    /// The digest of the next range, if one is due for this follower.
-    fn next_digest(&mut self, follower: &str, now: u64) -> Option<RangeDigest> {
-        let (range, at) = self.digests.entry(follower.to_owned()).or_default();
-        if now < *at + constants::REPLICATION_DIGEST_INTERVAL_MS {
+    /// The digest of the next range, if the follower has received none for the digest interval.
+    fn next_digest(&mut self, follower: &str, now_ms: u64) -> Option<RangeDigest> {
+        let schedule = self.digests.entry(follower.to_owned()).or_default();
+        if now_ms < schedule.last_sent_ms + constants::REPLICATION_DIGEST_INTERVAL_MS {
             return None;
         }
-        let digest = RangeDigest::of(&self.state, *range);
-        *at = now;
-        *range = (*range + 1) % constants::REPLICATION_DIGEST_RANGES;
+        let digest = RangeDigest::of(&self.state, schedule.next_range);
+        schedule.last_sent_ms = now_ms;
+        schedule.next_range = (schedule.next_range + 1) % constants::REPLICATION_DIGEST_RANGES;
         digest
     }
 
-    /// The piece that a follower is at, of the image that it fetches; else the first one of an image that the log
-    /// goes on from.
-    fn piece(
-        &mut self,
-        wanted: Option<(Position, u32)>,
-        now: u64,
-    ) -> Result<crate::ImagePiece, ImageError> {
-        if let Some((position, number)) = wanted
-            && let Some(image) = self.image.as_ref().filter(|i| i.position == position)
-            && self.log.reaches(position)
-            && let Some(piece) = image.piece(number)
-        {
-            return Ok(piece);
-        }
+    /// A chunk of the current image; `None` if the image is of another position, the log does not continue it any
+    /// more, or there is no such chunk.
+    fn chunk_of_current_image(&self, position: Position, index: u32) -> Option<ImageChunk> {
+        let image = self.image.as_ref().filter(|image| image.position == position)?;
+        if self.log.covers(position) { image.chunk(index) } else { None }
+    }
+
+    /// The first chunk of an image that the log continues: the current image while it is young, else a new one.
+    fn first_chunk(&mut self, now_ms: u64) -> Result<ImageChunk, ImageError> {
         let log = &self.log;
-        let young = |i: &Image| {
-            now < i.made_at + constants::REPLICATION_IMAGE_LIFETIME_MS && log.reaches(i.position)
+        let is_young = |image: &Image| {
+            now_ms < image.made_at_ms + constants::REPLICATION_IMAGE_LIFETIME_MS
+                && log.covers(image.position)
         };
-        let image = match self.image.take().filter(young) {
+        let image = match self.image.take().filter(is_young) {
             Some(image) => image,
-            None => Image::new(&self.state, self.log.end(), now)?,
+            None => Image::new(&self.state, self.log.end(), now_ms)?,
         };
-        let first = image.piece(0);
+        let first = image.chunk(0);
         self.image = Some(image);
-        first.ok_or(ImageError::PieceLength(0))
+        first.ok_or(ImageError::ChunkLength(0))
     }
 }
 
-/// Entries that turn what is known to be on a machine into what the leader shows.
-fn changes<'a>(
+/// Entries that turn the published tasks of a machine into the current ones. Removals come first.
+fn task_entries<'a>(
     machine: &str,
-    known: &[PlacedTask],
-    shown: impl Iterator<Item = TaskView<'a>> + Clone,
+    published: &[PlacedTask],
+    current: impl Iterator<Item = TaskView<'a>> + Clone,
 ) -> Vec<Entry> {
-    let is_shown =
-        |k: &PlacedTask| shown.clone().any(|t| t.attempt == k.attempt && t.task == k.task);
-    let gone = known.iter().filter(|k| !is_shown(k)).map(|k| Entry::TaskGone {
+    let exists = |old: &PlacedTask| {
+        current.clone().any(|new| new.attempt == old.attempt && new.task == old.task)
+    };
+    let removed = published.iter().filter(|old| !exists(old)).map(|old| Entry::TaskRemoved {
         machine: machine.to_owned(),
-        task: k.task.clone(),
-        attempt: k.attempt,
+        task: old.task.clone(),
+        attempt: old.attempt,
     });
-    let is_known = |t: &TaskView<'_>| {
-        known.iter().any(|k| k.attempt == t.attempt && k.task == t.task && k.stage == t.stage)
+    let is_published = |new: &TaskView<'_>| {
+        published
+            .iter()
+            .any(|old| old.attempt == new.attempt && old.task == new.task && old.stage == new.stage)
     };
-    let new = shown.clone().filter(|t| !is_known(t)).map(|t| Entry::Task {
+    let changed = current.clone().filter(|new| !is_published(new)).map(|new| Entry::Task {
         machine: machine.to_owned(),
-        task: PlacedTask { task: t.task.to_owned(), attempt: t.attempt, stage: t.stage },
+        task: PlacedTask { task: new.task.to_owned(), attempt: new.attempt, stage: new.stage },
     });
-    gone.chain(new).collect()
+    removed.chain(changed).collect()
 }
 
-/// What an entry takes in a message, bytes, or a little more.
-fn size(entry: &Entry) -> usize {
-    const NUMBERS: usize = 32;
-    NUMBERS
-        + match entry {
-            Entry::Machine { name, address, .. } => name.len() + address.len(),
-            Entry::MachineGone { name } => name.len(),
-            Entry::Task { machine, task } => machine.len() + task.task.len(),
-            Entry::TaskGone { machine, task, .. } => machine.len() + task.len(),
-            Entry::Job { id, hints } => {
-                NUMBERS + id.len() + hints.failed_on.iter().map(|m| m.len() + 1).sum::<usize>()
-            }
-            Entry::JobGone { id } => id.len(),
+/// Upper estimate of the encoded size of an entry, in bytes.
+fn max_encoded_bytes(entry: &Entry) -> usize {
+    /// Numbers, lengths and the variant of an entry, or the numbers of a job's state.
+    const FIXED_BYTES: usize = 32;
+    let variable_bytes = match entry {
+        Entry::Machine { name, address, .. } => name.len() + address.len(),
+        Entry::MachineRemoved { name } => name.len(),
+        Entry::Task { machine, task } => machine.len() + task.task.len(),
+        Entry::TaskRemoved { machine, task, .. } => machine.len() + task.len(),
+        Entry::Job { id, hints } => {
+            let machines = hints.failed_on.iter().map(|machine| machine.len() + 1);
+            FIXED_BYTES + id.len() + machines.sum::<usize>()
         }
+        Entry::JobRemoved { id } => id.len(),
+    };
+    FIXED_BYTES + variable_bytes
 }
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -1,30 +1,30 @@
-//! The copy of a leader's picture that the log builds up.
+//! The replicated part of the leader's cluster state, and how entries change it.
 
 use crate::entry::Entry;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How far a placed task has come.
+/// Progress of a placed task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Stage {
-    /// Decided; no command was sent.
+    /// Placed; the start command has not been sent.
     Planned,
-    /// The command was sent.
+    /// The start command was sent.
     Sent,
-    /// The worker has it; it does not run yet.
+    /// The worker has accepted the task, which is not running yet.
     Accepted,
-    /// It runs.
+    /// The task is running.
     Running,
 }
 
 /// A task on a machine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacedTask {
-    /// The task, as the protocol writes it.
+    /// Id of the task in the form `req-000412/3`.
     pub task: String,
-    /// The attempt.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// How far it has come.
+    /// Progress of the attempt.
     pub stage: Stage,
 }
 
@@ -34,41 +34,41 @@
     }
 }
 
-/// A machine.
+/// A machine with the tasks on it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineState {
-    /// Where its worker listens.
+    /// Address (`host:port`) of its worker.
     pub address: String,
-    /// Its worker's session.
-    pub session: u64,
-    /// What is on it, by task and attempt.
+    /// Incarnation of its worker.
+    pub incarnation: u64,
+    /// Tasks on the machine, sorted by task and attempt.
     tasks: Vec<PlacedTask>,
 }
 
 impl MachineState {
-    /// What is on it.
+    /// Tasks on the machine, sorted by task and attempt.
     pub fn tasks(&self) -> &[PlacedTask] {
         &self.tasks
     }
 
-    /// How far a task has come.
+    /// Stage of a task; `None` if this attempt is not on the machine.
     pub fn stage(&self, task: &str, attempt: u64) -> Option<Stage> {
-        self.place(task, attempt).ok().map(|i| self.tasks[i].stage)
+        self.search(task, attempt).ok().map(|i| self.tasks[i].stage)
     }
 
-    fn place(&self, task: &str, attempt: u64) -> Result<usize, usize> {
+    fn search(&self, task: &str, attempt: u64) -> Result<usize, usize> {
         self.tasks.binary_search_by(|placed| placed.key().cmp(&(task, attempt)))
     }
 
     fn put(&mut self, task: PlacedTask) {
-        match self.place(&task.task, task.attempt) {
+        match self.search(&task.task, task.attempt) {
             Ok(i) => self.tasks[i] = task,
             Err(i) => self.tasks.insert(i, task),
         }
     }
 
     fn remove(&mut self, task: &str, attempt: u64) -> bool {
-        let found = self.place(task, attempt);
+        let found = self.search(task, attempt);
         if let Ok(i) = found {
             self.tasks.remove(i);
         }
@@ -76,68 +76,74 @@
     }
 }
 
-/// What a leader knows of a job that no record holds. Times of day are in ms.
+/// State of a job that no record holds. Times are wall-clock times in ms.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobHints {
     /// Attempt that all tasks of a gang share.
     pub attempt: Option<u64>,
-    /// Tries in a row that ended with an error.
+    /// Number of consecutive attempts that ended with an error.
     pub errors: u32,
-    /// Time of day of the last of those.
+    /// Time of the last of these errors.
     pub failed_at: u64,
-    /// No start before this time of day.
+    /// Time before which no task of the job is started.
     pub paused_until: u64,
-    /// Machines that tasks of it failed on, the last ones.
+    /// Names of the machines on which tasks of the job failed last.
     pub failed_on: Vec<String>,
 }
 
-/// Why an entry can't be applied: it speaks of what the copy does not have.
+/// Why an entry cannot be applied: it changes something that the copy does not have.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
-    /// No such machine.
+    /// The copy has no machine of this name.
     #[error("no machine {0}")]
     UnknownMachine(String),
-    /// No such task on the machine.
+    /// The copy does not have this attempt on the machine.
     #[error("no attempt {attempt} of {task} on {machine}")]
     UnknownTask {
-        /// The machine.
+        /// Name of the machine.
         machine: String,
-        /// The task.
+        /// Id of the task.
         task: String,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: u64,
     },
-    /// No such job.
+    /// The copy has no job with this id.
     #[error("no job {0}")]
     UnknownJob(String),
 }
 
-/// A leader's picture of machines, tasks and jobs.
+/// The replicated part of a leader's cluster state: machines, their tasks, and jobs.
+///
+/// The order of the fields is a wire format.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// By name.
+    /// Machines by name.
     pub machines: BTreeMap<String, MachineState>,
-    /// By id.
+    /// Job states by job id.
     pub jobs: BTreeMap<String, JobHints>,
 }
 
 impl ReplicatedState {
-    /// Applies an entry. After an error the state is as it was.
+    /// Applies an entry.
+    ///
+    /// # Errors
+    ///
+    /// An [`ApplyError`] if the entry does not fit; the state is then unchanged.
     pub fn apply(&mut self, entry: Entry) -> Result<(), ApplyError> {
         match entry {
-            Entry::Machine { name, address, session } => {
+            Entry::Machine { name, address, incarnation } => {
                 let machine = self.machines.entry(name).or_default();
                 machine.address = address;
-                machine.session = session;
+                machine.incarnation = incarnation;
             }
-            Entry::MachineGone { name } => {
+            Entry::MachineRemoved { name } => {
                 self.machines.remove(&name).ok_or(ApplyError::UnknownMachine(name))?;
             }
             Entry::Task { machine, task } => match self.machines.get_mut(&machine) {
                 Some(found) => found.put(task),
                 None => return Err(ApplyError::UnknownMachine(machine)),
             },
-            Entry::TaskGone { machine, task, attempt } => {
+            Entry::TaskRemoved { machine, task, attempt } => {
                 let Some(found) = self.machines.get_mut(&machine) else {
                     return Err(ApplyError::UnknownMachine(machine));
                 };
@@ -148,27 +154,27 @@
             Entry::Job { id, hints } => {
                 self.jobs.insert(id, hints);
             }
-            Entry::JobGone { id } => {
+            Entry::JobRemoved { id } => {
                 self.jobs.remove(&id).ok_or(ApplyError::UnknownJob(id))?;
             }
         }
         Ok(())
     }
 
-    /// Tasks on all machines.
+    /// Number of tasks on all machines.
     pub fn task_count(&self) -> usize {
         self.machines.values().map(|machine| machine.tasks.len()).sum()
     }
 
-    /// Names of machines and jobs that differ between two states, at most so many.
-    pub fn differing(&self, other: &Self, most: usize) -> Vec<String> {
+    /// Names of machines and ids of jobs that differ between two states, at most `limit` of them.
+    pub fn differing(&self, other: &Self, limit: usize) -> Vec<String> {
         let machines = differing_keys(&self.machines, &other.machines);
         let jobs = differing_keys(&self.jobs, &other.jobs);
-        machines.chain(jobs).take(most).cloned().collect()
+        machines.chain(jobs).take(limit).cloned().collect()
     }
 }
 
-/// Keys whose values differ, or that only one of the maps has.
+/// Keys whose values differ, or that are only in one of the maps.
 fn differing_keys<'a, V: PartialEq>(
     one: &'a BTreeMap<String, V>,
     other: &'a BTreeMap<String, V>,
--- a/crates/replication/tests/promotion.rs
+++ b/crates/replication/tests/promotion.rs
@@ -1,31 +1,31 @@
 //! The phases of a failover: none without its proof.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
-use hookway_replication::{Event, FailureDetector, Phase, Promotion, Refused, Step};
+use hookway_replication::{Event, FailureDetector, Phase, Promotion, Step, TransitionError};
 
 /// A standby that has been elected for a term.
 fn elected(term: u64) -> Promotion {
     let mut promotion = Promotion::default();
-    promotion.on(Event::LeaderHeard, 1_000).expect("allowed");
-    promotion.on(Event::LeaseEnded, 6_000).expect("allowed");
-    assert_eq!(promotion.on(Event::Elected { term }, 6_100), Ok(Step::ReadRecords));
+    promotion.handle(Event::LeaderResponded, 1_000).expect("allowed");
+    promotion.handle(Event::LeaseExpired, 6_000).expect("allowed");
+    assert_eq!(promotion.handle(Event::Elected { term }, 6_100), Ok(Step::ReadRecords));
     promotion
 }
 
 #[test]
 fn failover_passes_every_phase_and_records_durations() {
     let mut promotion = Promotion::default();
-    promotion.on(Event::LeaderHeard, 1_000).expect("allowed");
-    assert_eq!(promotion.on(Event::Silence, 2_500), Ok(Step::Look));
+    promotion.handle(Event::LeaderResponded, 1_000).expect("allowed");
+    assert_eq!(promotion.handle(Event::LeaderSilent, 2_500), Ok(Step::ReadLeader));
     assert_eq!(promotion.phase(), Phase::Suspecting);
-    promotion.on(Event::LeaseEnded, 5_000).expect("allowed");
+    promotion.handle(Event::LeaseExpired, 5_000).expect("allowed");
     assert_eq!(promotion.phase(), Phase::Fencing);
-    assert_eq!(promotion.on(Event::Elected { term: 9 }, 5_100), Ok(Step::ReadRecords));
-    assert!(!promotion.may_decide(9), "nothing was read yet");
-    assert_eq!(promotion.on(Event::RecordsRead { term: 9 }, 5_200), Ok(Step::Lead));
-    assert!(promotion.may_decide(9) && !promotion.may_decide(8));
-    promotion.on(Event::Decided, 5_250).expect("allowed");
-    promotion.on(Event::Decided, 9_999).expect("allowed");
+    assert_eq!(promotion.handle(Event::Elected { term: 9 }, 5_100), Ok(Step::ReadRecords));
+    assert!(!promotion.may_dispatch(9), "nothing was read yet");
+    assert_eq!(promotion.handle(Event::RecordsRead { term: 9 }, 5_200), Ok(Step::Lead));
+    assert!(promotion.may_dispatch(9) && !promotion.may_dispatch(8));
+    promotion.handle(Event::Dispatched, 5_250).expect("allowed");
+    promotion.handle(Event::Dispatched, 9_999).expect("allowed");
     let times = promotion.metrics();
     assert_eq!(times.whole.count(), 1, "only the first decision counts");
     assert!(times.whole.quantile(1.0).abs_diff(4_250) < 50, "{}", times.whole);
@@ -36,61 +36,77 @@
 #[test]
 fn suspicion_permits_no_decision_and_ends_when_leader_is_heard() {
     let mut promotion = Promotion::default();
-    promotion.on(Event::Silence, 100).expect("allowed");
-    assert_eq!(promotion.on(Event::Silence, 200), Ok(Step::Stay), "it has just looked");
-    assert_eq!(promotion.on(Event::Silence, 1_100), Ok(Step::Look));
-    assert!(!promotion.may_decide(0));
-    promotion.on(Event::LeaderHeard, 1_300).expect("allowed");
+    promotion.handle(Event::LeaderSilent, 100).expect("allowed");
+    assert_eq!(
+        promotion.handle(Event::LeaderSilent, 200),
+        Ok(Step::NoAction),
+        "it has just looked"
+    );
+    assert_eq!(promotion.handle(Event::LeaderSilent, 1_100), Ok(Step::ReadLeader));
+    assert!(!promotion.may_dispatch(0));
+    promotion.handle(Event::LeaderResponded, 1_300).expect("allowed");
     assert_eq!(promotion.phase(), Phase::Following);
     // The other standby won.
-    promotion.on(Event::Silence, 400).expect("allowed");
-    promotion.on(Event::LeaseEnded, 500).expect("allowed");
-    promotion.on(Event::OtherLeads, 600).expect("allowed");
+    promotion.handle(Event::LeaderSilent, 400).expect("allowed");
+    promotion.handle(Event::LeaseExpired, 500).expect("allowed");
+    promotion.handle(Event::OtherLeader, 600).expect("allowed");
     assert_eq!(promotion.phase(), Phase::Following);
 }
 
 #[test]
 fn records_read_before_election_or_in_other_term_are_rejected() {
     let mut promotion = Promotion::default();
-    promotion.on(Event::LeaseEnded, 50).expect("allowed");
-    assert_eq!(promotion.on(Event::RecordsRead { term: 4 }, 60), Err(Refused::OldRecords(4)));
+    promotion.handle(Event::LeaseExpired, 50).expect("allowed");
+    assert_eq!(
+        promotion.handle(Event::RecordsRead { term: 4 }, 60),
+        Err(TransitionError::OldRecords(4))
+    );
     let mut promotion = elected(4);
-    assert_eq!(promotion.on(Event::RecordsRead { term: 3 }, 6_200), Err(Refused::OldRecords(3)));
-    assert_eq!(promotion.on(Event::RecordsRead { term: 5 }, 6_200), Err(Refused::OldRecords(5)));
-    assert!(!promotion.may_decide(4));
+    assert_eq!(
+        promotion.handle(Event::RecordsRead { term: 3 }, 6_200),
+        Err(TransitionError::OldRecords(3))
+    );
+    assert_eq!(
+        promotion.handle(Event::RecordsRead { term: 5 }, 6_200),
+        Err(TransitionError::OldRecords(5))
+    );
+    assert!(!promotion.may_dispatch(4));
     // Deposed while reading: what comes back late makes nobody a leader.
-    assert_eq!(promotion.on(Event::Deposed, 6_300), Ok(Step::Stop));
-    assert_eq!(promotion.on(Event::RecordsRead { term: 4 }, 6_400), Err(Refused::OldRecords(4)));
-    assert!(!promotion.may_decide(4));
+    assert_eq!(promotion.handle(Event::Deposed, 6_300), Ok(Step::Stop));
+    assert_eq!(
+        promotion.handle(Event::RecordsRead { term: 4 }, 6_400),
+        Err(TransitionError::OldRecords(4))
+    );
+    assert!(!promotion.may_dispatch(4));
 }
 
 #[test]
 fn election_for_non_increasing_term_is_rejected() {
     let mut promotion = elected(8);
-    promotion.on(Event::Deposed, 7_000).expect("allowed");
-    promotion.learn_term(20);
+    promotion.handle(Event::Deposed, 7_000).expect("allowed");
+    promotion.observe_term(20);
     for old in [8, 19, 20] {
-        let refused = promotion.on(Event::Elected { term: old }, 8_000);
-        assert_eq!(refused, Err(Refused::OldTerm { found: old, known: 20 }));
-        assert!(!promotion.may_decide(old));
+        let refused = promotion.handle(Event::Elected { term: old }, 8_000);
+        assert_eq!(refused, Err(TransitionError::OldTerm { found: old, known: 20 }));
+        assert!(!promotion.may_dispatch(old));
     }
-    assert_eq!(promotion.on(Event::Elected { term: 21 }, 8_000), Ok(Step::ReadRecords));
+    assert_eq!(promotion.handle(Event::Elected { term: 21 }, 8_000), Ok(Step::ReadRecords));
 }
 
 #[test]
 fn deposed_leader_makes_no_decision_and_follows() {
     let mut promotion = elected(4);
-    promotion.on(Event::RecordsRead { term: 4 }, 6_200).expect("allowed");
-    assert!(promotion.may_decide(4));
+    promotion.handle(Event::RecordsRead { term: 4 }, 6_200).expect("allowed");
+    assert!(promotion.may_dispatch(4));
     // A frame of a standby, or silence of others, changes nothing for who leads.
-    promotion.on(Event::Silence, 6_250).expect("allowed");
-    promotion.on(Event::OtherLeads, 6_260).expect("allowed");
-    promotion.on(Event::LeaseEnded, 6_270).expect("allowed");
-    assert!(promotion.may_decide(4));
-    assert_eq!(promotion.on(Event::Deposed, 6_300), Ok(Step::Stop));
-    assert!(!promotion.may_decide(4));
+    promotion.handle(Event::LeaderSilent, 6_250).expect("allowed");
+    promotion.handle(Event::OtherLeader, 6_260).expect("allowed");
+    promotion.handle(Event::LeaseExpired, 6_270).expect("allowed");
+    assert!(promotion.may_dispatch(4));
+    assert_eq!(promotion.handle(Event::Deposed, 6_300), Ok(Step::Stop));
+    assert!(!promotion.may_dispatch(4));
     assert_eq!(promotion.phase(), Phase::Following);
-    assert_eq!(promotion.on(Event::Deposed, 6_301), Ok(Step::Stay));
+    assert_eq!(promotion.handle(Event::Deposed, 6_301), Ok(Step::NoAction));
 }
 
 #[test]
@@ -98,7 +114,7 @@
     let mut detector = FailureDetector::default();
     assert!(!detector.suspects(60_000), "nothing was measured");
     for n in 0..20 {
-        detector.heard(n * 200);
+        detector.record_message(n * 200);
     }
     let last = 19 * 200;
     assert!(!detector.suspects(last + 900), "a lost packet is no failure");
@@ -108,7 +124,7 @@
     let mut now = 0;
     for n in 0..40 {
         now += if n % 2 == 0 { 200 } else { 2_200 };
-        slow.heard(now);
+        slow.record_message(now);
     }
     assert!(!slow.suspects(now + 5_000));
     assert!(slow.suspects(now + 8_000));
--- /dev/null
+++ b/crates/replication/tests/support/mod.rs
@@ -0,0 +1,52 @@
+//! A publisher and a follower that exchange messages in memory.
+
+use hookway_replication::{
+    FollowError, FollowOutcome, Follower, MachineView, Publisher, Stage, TaskView,
+};
+
+pub const TERM: u64 = 4_097;
+
+pub fn machine(name: &str) -> MachineView<'_> {
+    MachineView { name, address: "127.0.0.1:9000", incarnation: 1 }
+}
+
+pub fn running(task: &str, attempt: u64) -> TaskView<'_> {
+    TaskView { task, attempt, stage: Stage::Running }
+}
+
+/// A leader with so many machines, each with a task.
+pub fn leader(machines: usize) -> Publisher {
+    let mut publisher = Publisher::new(TERM);
+    for n in 0..machines {
+        let (name, task) = (format!("m-{n}"), format!("req-000001/{n}"));
+        publisher.publish_machine(machine(&name), [running(&task, n as u64)].into_iter());
+    }
+    publisher
+}
+
+pub fn follower() -> Follower {
+    let mut follower = Follower::new("worker-1");
+    follower.observe_term(TERM);
+    follower
+}
+
+/// One question and its answer.
+pub fn exchange(
+    follower: &mut Follower,
+    publisher: &mut Publisher,
+    now: u64,
+) -> Result<FollowOutcome, FollowError> {
+    let answer = publisher.answer(&follower.request(), now).expect("an answer");
+    follower.handle_answer(answer, now)
+}
+
+/// Asks until the follower has everything.
+pub fn catch_up(follower: &mut Follower, publisher: &mut Publisher, now: u64) {
+    for _ in 0..1_000 {
+        exchange(follower, publisher, now).expect("taken");
+        if follower.position() == Some(publisher.end()) {
+            return assert_eq!(follower.state(), publisher.state());
+        }
+    }
+    panic!("the follower is at {:?} of {}", follower.position(), publisher.end());
+}
