--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -5,14 +5,14 @@
 mod formats_support;
 
 use formats_support::{fixture, frame, json, spec, status};
+use hookway_controller::job_snapshot::JobSnapshot;
 use hookway_controller::leadership::LeadershipView;
 use hookway_controller::peers::{PeerRequest, PeerResponse, Peers};
 use hookway_controller::records::{
     ClassRecord, FinalRecord, ImagesRecord, JobRecord, JobSchedulingRecord, MachineRegistryEntry,
     MachineRegistryRecord, ProgressRecord, SharedStartWatermarksRecord,
 };
-use hookway_controller::request_outcome::JobSnapshot;
-use hookway_controller::standby::{Standby, StandbySignals};
+use hookway_controller::standby::{Standby, StandbyMode, StandbySignals};
 use hookway_policy::Resources;
 use hookway_replication::{
     Entry, FollowAnswer, FollowBody, FollowRequest, FollowerProgress, JobHints, MachineView,
@@ -386,7 +386,7 @@
 
 #[test]
 fn replication_phase_and_copy_state_have_pinned_spellings() {
-    let mut standby = Standby::new("worker-0", true, StandbySignals::default());
+    let mut standby = Standby::new("worker-0", StandbyMode::Warm, StandbySignals::default());
     let said = |standby: &Standby, now| {
         let status = standby.status(now);
         (status.phase, status.copy)
