--- a/crates/controller/src/actor/dispatch.rs
+++ b/crates/controller/src/actor/dispatch.rs
@@ -116,8 +116,8 @@
             pause(constants::LEADER_RETRY_MS).await;
             continue;
         }
-        match cloud.rent(&request).await {
-            Ok(ScaleOutOutcome::Rented(machines)) => {
+        match cloud.scale_out(&request).await {
+            Ok(ScaleOutOutcome::Created(machines)) => {
                 return ClusterEvent::ScaleOutFinished { request, machines: Some(machines) };
             }
             Ok(ScaleOutOutcome::NoCapacity) | Err(CloudError::Unexpected(..)) => {
--- a/crates/controller/src/standby.rs
+++ b/crates/controller/src/standby.rs
@@ -5,10 +5,10 @@
 
 use crate::leadership::LeadershipView;
 use hookway_replication::{
-    Durations, Event, FailureDetector, FollowAnswer, FollowRequest, Follower, Phase, Progress,
-    Promotion, ReplicatedState, Step, Unusable,
+    DurationHistogram, Event, FailureDetector, FollowAnswer, FollowOutcome, FollowRequest,
+    Follower, Phase, Promotion, ReplicatedState, Step, UnusableCopy,
 };
-use hookway_wire::{DurationStatus, ReplicationStatus, TakeoverStatus};
+use hookway_wire::{DurationStatus, FailoverStatus, ReplicationStatus};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use tokio::sync::Notify;
@@ -73,11 +73,11 @@
         let leader = view.leader.clone().zip(view.leader_term);
         let other = leader.filter(|(name, _)| *name != self.controller_name);
         let Some((name, term)) = other else {
-            return self.handle(Event::LeaseEnded, now);
+            return self.handle(Event::LeaseExpired, now);
         };
-        self.promotion.learn_term(term);
-        self.follower.learn_term(term);
-        self.handle(Event::OtherLeads, now);
+        self.promotion.observe_term(term);
+        self.follower.observe_term(term);
+        self.handle(Event::OtherLeader, now);
         let leader = Some(FollowedLeader { name, term });
         if self.followed_leader != leader {
             self.detector.reset();
@@ -92,7 +92,7 @@
             return None;
         }
         if self.detector.suspects(now) {
-            self.handle(Event::Silence, now);
+            self.handle(Event::LeaderSilent, now);
         }
         self.signals.has_warm_copy.store(self.usable_copy(now).is_ok(), Ordering::Relaxed);
         Some(self.follower.request())
@@ -100,18 +100,18 @@
 
     /// Handles the leader's response to a request.
     pub fn followed(&mut self, answer: FollowAnswer, now: u64) {
-        match self.follower.take(answer, now) {
+        match self.follower.handle_answer(answer, now) {
             Ok(progress) => {
-                self.detector.heard(now);
-                self.handle(Event::LeaderHeard, now);
+                self.detector.record_message(now);
+                self.handle(Event::LeaderResponded, now);
                 self.log_progress(&progress);
             }
             Err(error) => tracing::info!(%error, "replication interrupted, fetching an image"),
         }
     }
 
-    fn log_progress(&self, progress: &Progress) {
-        let Progress::Image { differing } = progress else { return };
+    fn log_progress(&self, progress: &FollowOutcome) {
+        let FollowOutcome::ImageApplied { differing } = progress else { return };
         let state = self.follower.state();
         tracing::info!(
             machines = state.machines.len(),
@@ -137,13 +137,13 @@
 
     /// Whether the failover has reached the step in which the leader of `term` decides.
     pub fn may_decide(&self, term: u64) -> bool {
-        self.promotion.may_decide(term)
+        self.promotion.may_dispatch(term)
     }
 
     /// A command that starts a task was dispatched. The first one of a term ends the failover.
     pub fn start_dispatched(&mut self, now: u64) {
         let completed_before = self.promotion.metrics().whole.count();
-        self.handle(Event::Decided, now);
+        self.handle(Event::Dispatched, now);
         let times = self.promotion.metrics();
         if times.whole.count() > completed_before {
             tracing::info!(duration = %times.whole, "failover complete: first task start dispatched");
@@ -158,21 +158,21 @@
     }
 
     /// The copy of an earlier leader's cluster state, for the leader of `term`.
-    pub fn copy(&self, term: u64, now: u64) -> Result<&ReplicatedState, Unusable> {
+    pub fn copy(&self, term: u64, now: u64) -> Result<&ReplicatedState, UnusableCopy> {
         if self.mode == StandbyMode::Cold {
-            return Err(Unusable::Empty);
+            return Err(UnusableCopy::Empty);
         }
         self.follower.usable(term, now)
     }
 
     /// The copy, for the leader of any later term.
-    fn usable_copy(&self, now: u64) -> Result<&ReplicatedState, Unusable> {
+    fn usable_copy(&self, now: u64) -> Result<&ReplicatedState, UnusableCopy> {
         self.copy(u64::MAX, now)
     }
 
     /// Advances the failover, and notifies the election actor if the leader is suspected.
     fn handle(&mut self, event: Event, now: u64) {
-        if self.advance(event, now) == Some(Step::Look) {
+        if self.advance(event, now) == Some(Step::ReadLeader) {
             tracing::info!("leader suspected, reading the leader key");
             self.signals.leader_suspected.notify_one();
         }
@@ -180,7 +180,7 @@
 
     /// Advances the failover; `None` if the event is invalid in its present step.
     fn advance(&mut self, event: Event, now: u64) -> Option<Step> {
-        match self.promotion.on(event, now) {
+        match self.promotion.handle(event, now) {
             Ok(step) => Some(step),
             Err(error) => {
                 tracing::error!(?event, %error, "invalid failover event");
@@ -209,11 +209,11 @@
             lag: duration_status(&metrics.lag),
             images: metrics.images,
             resyncs: metrics.resyncs,
-            takeover: TakeoverStatus {
+            failover: FailoverStatus {
                 detection: duration_status(&times.detection),
                 election: duration_status(&times.election),
                 catching_up: duration_status(&times.catching_up),
-                first_start: duration_status(&times.first_decision),
+                first_start: duration_status(&times.first_dispatch),
                 whole: duration_status(&times.whole),
             },
         }
@@ -230,7 +230,7 @@
     }
 }
 
-fn duration_status(times: &Durations) -> DurationStatus {
+fn duration_status(times: &DurationHistogram) -> DurationStatus {
     DurationStatus {
         count: times.count(),
         p50_ms: times.quantile(0.5),
--- a/crates/controller/tests/api/replication.rs
+++ b/crates/controller/tests/api/replication.rs
@@ -3,7 +3,7 @@
 use crate::support::*;
 use hookway_controller::leadership::LeadershipView;
 use hookway_controller::peers::{PeerHandler, PeerRequest, PeerResponse};
-use hookway_replication::{FollowRequest, Held};
+use hookway_replication::{FollowRequest, FollowerProgress};
 use hookway_testkit::SETTINGS;
 use hookway_wire::ReplicationStatus;
 use salvo::http::StatusCode;
@@ -17,7 +17,10 @@
     let api_service =
         api_service_with(SETTINGS, Role::Leader, true, LeadershipView::default(), None, 100.0);
     let ask = |name: &str| {
-        PeerRequest::Follow(FollowRequest { follower: name.into(), held: Held::Nothing })
+        PeerRequest::Follow(FollowRequest {
+            follower: name.into(),
+            progress: FollowerProgress::Empty,
+        })
     };
     let answered = api_service.handle(ask("worker-1")).await;
     assert!(matches!(answered, PeerResponse::Followed(Some(_))), "{answered:?}");
