--- a/crates/controller/src/actor/dispatch.rs
+++ b/crates/controller/src/actor/dispatch.rs
@@ -1,11 +1,12 @@
 //! Carries out the decisions of the cluster state in background tasks: commits, direct commands and
 //! state probes to workers, and scaling actions at the cloud.
 
+use super::ControllerActor;
 use super::messages::{ClusterEvent, ControllerEvent};
 use super::store_io::commit_and_reread;
 use super::term::{ActiveTerm, Authority, TermTasks, TermTimers, take_due};
-use super::{ControllerActor, pause};
 use crate::cluster_state::{ClusterState, ScalingAction};
+use crate::leadership::pause;
 use hookway_clients::{CloudClient, CloudError, Delivery, ScaleOutOutcome};
 use hookway_constants as constants;
 use hookway_wire::ScaleOutRequest;
--- a/crates/controller/src/actor/mod.rs
+++ b/crates/controller/src/actor/mod.rs
@@ -142,7 +142,3 @@
         }
     }
 }
-
-async fn pause(ms: u64) {
-    tokio::time::sleep(Duration::from_millis(ms)).await;
-}
--- a/crates/controller/src/actor/store_io.rs
+++ b/crates/controller/src/actor/store_io.rs
@@ -1,9 +1,10 @@
 //! Reads, watches and transactions at the state service, for the background tasks of a term.
 
+use super::ControllerActor;
 use super::messages::{ClusterEvent, ControllerEvent};
 use super::term::ActiveTerm;
-use super::{ControllerActor, pause};
 use crate::cluster_state::{CommitResult, LoadedState, PendingCommit, RereadKey};
+use crate::leadership::pause;
 use crate::records::{
     CLASSES_KEY, JOBS_PREFIX, LEGACY_IMAGES_PREFIX, PROGRESS_PREFIX, REGISTRY_PREFIX,
     SCHEDULING_PREFIX,
--- a/crates/controller/src/actor/term.rs
+++ b/crates/controller/src/actor/term.rs
@@ -1,13 +1,14 @@
 //! The state of one term of leadership. It is dropped when the term ends, and its background tasks
 //! are aborted with it.
 
+use super::MachineTypes;
 use super::messages::{ClusterEvent, ControllerEvent, Reply};
 use crate::cluster_state::{CancelOutcome, ClusterState};
 use crate::leadership::{Clock, LeaderTerm, LeadershipLease};
 use crate::records::FinalRecord;
 use hookway_constants as constants;
 use hookway_replication::{FollowAnswer, FollowRequest, Publisher};
-use hookway_wire::{JobId, MachineType};
+use hookway_wire::JobId;
 use std::collections::HashMap;
 use std::sync::Arc;
 use tokio::sync::mpsc;
@@ -25,7 +26,7 @@
     /// The lease had expired when the timer last fired. No decision is made until it holds again.
     pub(super) suspended: bool,
     /// The machine types that the cluster state has.
-    pub(super) machine_types: Option<Arc<Vec<MachineType>>>,
+    pub(super) machine_types: MachineTypes,
 }
 
 impl ActiveTerm {
--- a/crates/controller/src/actor/timer.rs
+++ b/crates/controller/src/actor/timer.rs
@@ -121,8 +121,8 @@
 /// Suspends decisions while the leadership lease has expired, and resumes them when it holds.
 /// Returns whether decisions may be made at `now`.
 ///
-/// After a suspension, or a pause of the process, the cluster state is told so that it does not take
-/// heartbeats that could not be received for lost ones.
+/// After a suspension, or a pause of the process, the cluster state restarts its heartbeat timeouts:
+/// workers may have sent heartbeats that could not be received.
 fn suspend_or_resume(active: &mut ActiveTerm, now: u64) -> bool {
     let (term, lease_holds) = (active.term(), active.tasks.authority.holds_at(now));
     let Some(cluster) = &mut active.cluster else { return false };
--- a/crates/controller/src/api/cancellation.rs
+++ b/crates/controller/src/api/cancellation.rs
@@ -12,7 +12,8 @@
 use hookway_constants as constants;
 use hookway_wire::{JobId, JobState, Operation, Precondition, Transaction};
 
-/// How often the leader's actor is asked: a second time after it adopted a job that it did not know.
+/// Maximum number of requests to the leader's actor: the second one follows the adoption of a job
+/// that it did not know.
 const LEADER_ATTEMPTS: usize = 2;
 
 impl ApiService {
--- a/crates/controller/src/leader_sync.rs
+++ b/crates/controller/src/leader_sync.rs
@@ -3,11 +3,10 @@
 
 use crate::actor::{ControllerHandle, ControllerRequest, PreparedRenewal};
 use crate::frame;
-use crate::leadership::LeadershipView;
+use crate::leadership::{LeadershipView, pause};
 use crate::peers::Peers;
 use hookway_constants as constants;
 use std::sync::Arc;
-use std::time::Duration;
 use tokio::sync::watch;
 
 /// The periodic exchange of a controller with the leader.
@@ -68,7 +67,3 @@
         self.view.borrow().leader.clone().filter(|leader| *leader != self.controller_name)
     }
 }
-
-async fn pause(ms: u64) {
-    tokio::time::sleep(Duration::from_millis(ms)).await;
-}
--- a/crates/controller/src/leadership/clock.rs
+++ b/crates/controller/src/leadership/clock.rs
@@ -38,3 +38,8 @@
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
 }
+
+/// Waits for `duration_ms`.
+pub(crate) async fn pause(duration_ms: u64) {
+    tokio::time::sleep(Duration::from_millis(duration_ms)).await;
+}
--- a/crates/controller/src/leadership/election.rs
+++ b/crates/controller/src/leadership/election.rs
@@ -1,6 +1,6 @@
 //! The actor that campaigns for leadership, extends the leadership lease and detects its loss.
 
-use super::clock::Clock;
+use super::clock::{Clock, pause};
 use super::lease::{LeadershipLease, lease_expiry};
 use super::term::{LeaderTerm, LeadershipView};
 use crate::records::{
@@ -12,7 +12,6 @@
 use rand::RngExt;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::time::Duration;
 use tokio::sync::{Notify, watch};
 
 /// What the election actor needs, and shares with the rest of the controller.
@@ -337,7 +336,3 @@
         ],
     }
 }
-
-async fn pause(ms: u64) {
-    tokio::time::sleep(Duration::from_millis(ms)).await;
-}
--- a/crates/controller/src/leadership/mod.rs
+++ b/crates/controller/src/leadership/mod.rs
@@ -14,6 +14,7 @@
 mod lease;
 mod term;
 
+pub(crate) use clock::pause;
 pub use clock::{Clock, wall_clock_ms};
 pub use election::{Leadership, LeadershipConfig};
 pub use lease::{LeadershipLease, lease_expiry};
