--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -8,7 +8,6 @@
 
 pub mod actor;
 pub mod api;
-pub mod blocks;
 mod circuit_breaker;
 mod clock_drift;
 pub mod cluster_state;
