--- a/crates/controller/src/actor/term.rs
+++ b/crates/controller/src/actor/term.rs
@@ -169,8 +169,10 @@
             }
         }
         let answer = self.publisher.answer(request, now);
-        let log = |error| tracing::error!(%error, standby = request.follower, "answering a standby failed");
-        answer.map_err(log).ok()
+        if let Err(error) = &answer {
+            tracing::error!(standby = request.follower, %error, "answering a standby failed");
+        }
+        answer.ok()
     }
 }
 
--- a/crates/controller/src/http.rs
+++ b/crates/controller/src/http.rs
@@ -131,8 +131,10 @@
 impl Handler for HeartbeatHandler {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let heartbeat = match req.payload_with_max_size(constants::BODY_LIMIT).await {
-            Ok(body) => serde_json::from_slice::<Heartbeat>(body).map_err(|e| e.to_string()),
-            Err(e) => Err(e.to_string()),
+            Ok(body) => {
+                serde_json::from_slice::<Heartbeat>(body).map_err(|error| error.to_string())
+            }
+            Err(error) => Err(error.to_string()),
         };
         let heartbeat = match heartbeat {
             Ok(heartbeat) => heartbeat,
--- a/crates/controller/src/leadership/election.rs
+++ b/crates/controller/src/leadership/election.rs
@@ -58,6 +58,8 @@
     record: LeaderRecord,
     mod_revision: u64,
     lease_id: Option<u64>,
+    /// The revision of the reading, which later changes come after.
+    read_at_revision: u64,
 }
 
 /// The state that a campaign starts from.
@@ -89,10 +91,8 @@
     pub async fn run(mut self) {
         loop {
             match self.read_leader().await {
-                Ok((LeaderState::Elected(leader), revision)) => {
-                    self.leader_found(leader, revision).await;
-                }
-                Ok((LeaderState::Vacant(vacancy), _)) => {
+                Ok(LeaderState::Elected(leader)) => self.leader_found(leader).await,
+                Ok(LeaderState::Vacant(vacancy)) => {
                     self.publish_vacancy();
                     pause(self.election_delay_ms()).await;
                     self.campaign(&vacancy).await;
@@ -107,7 +107,7 @@
 
     /// Handles an elected leader: this process, an earlier process of this controller, or another
     /// controller.
-    async fn leader_found(&mut self, leader: ElectedLeader, revision: u64) {
+    async fn leader_found(&mut self, leader: ElectedLeader) {
         let record = leader.record;
         if record.controller_name == self.config.controller_name
             && let Some(lease_id) = leader.lease_id
@@ -132,7 +132,7 @@
             leader_term: Some(record.term),
             own_term: None,
         });
-        self.watch_leader(revision).await;
+        self.watch_leader(leader.read_at_revision).await;
     }
 
     /// The delay before this controller campaigns, ms. Random, so that not all campaign at once.
@@ -159,8 +159,8 @@
         });
     }
 
-    /// Reads the leader key, and the revision of the reading.
-    async fn read_leader(&self) -> Result<(LeaderState, u64), StoreError> {
+    /// Reads who leads or, if nobody does, what a campaign starts from.
+    async fn read_leader(&self) -> Result<LeaderState, StoreError> {
         let store = &self.config.store;
         let (pairs, revision) = store.list(LEADER_PREFIX).await?;
         let find = |key: &str| pairs.iter().find(|pair| pair.key == key);
@@ -175,26 +175,29 @@
             {
                 pair = full;
             }
-            let (mod_revision, lease_id) = (pair.mod_revision, pair.lease_id);
-            let leader = ElectedLeader { record, mod_revision, lease_id };
-            return Ok((LeaderState::Elected(leader), revision));
+            return Ok(LeaderState::Elected(ElectedLeader {
+                record,
+                mod_revision: pair.mod_revision,
+                lease_id: pair.lease_id,
+                read_at_revision: revision,
+            }));
         }
         let (term, watermarks) = (find(LEADER_TERM_KEY), find(LEADER_WATERMARKS_KEY));
-        let vacancy = Vacancy {
+        Ok(LeaderState::Vacant(Vacancy {
             last_token: term.and_then(|pair| pair.value.as_u64()).unwrap_or(0),
             term_revision: term.map_or(0, |pair| pair.mod_revision),
             has_start_watermarks: term.map(|pair| &pair.value)
                 == watermarks.map(|pair| &pair.value),
-        };
-        Ok((LeaderState::Vacant(vacancy), revision))
+        }))
     }
 
     /// Watches the leader key from `revision` on, until it changes, the watch fails, or the leader
     /// is suspected.
     async fn watch_leader(&self, mut revision: u64) {
         loop {
+            let watch = self.config.store.watch(LEADER_PREFIX, revision, constants::WATCH_WAIT_MS);
             let watched = tokio::select! {
-                watched = self.config.store.watch(LEADER_PREFIX, revision, constants::WATCH_WAIT_MS) => watched,
+                watched = watch => watched,
                 () = self.config.leader_suspected.notified() => return,
             };
             match watched {
--- a/crates/controller/src/standby.rs
+++ b/crates/controller/src/standby.rs
@@ -146,7 +146,8 @@
         self.handle(Event::Decided, now);
         let times = self.promotion.metrics();
         if times.whole.count() > completed_before {
-            tracing::info!(duration = %times.whole, "failover complete: first task start dispatched");
+            let duration = &times.whole;
+            tracing::info!(%duration, "failover complete: first task start dispatched");
         }
     }
 
