--- a/crates/controller/tests/api.rs
+++ b/crates/controller/tests/api.rs
@@ -311,7 +311,7 @@
     let spec = JOB.replace("000412", "000007");
     let spec: serde_json::Value = serde_json::from_str(&spec).expect("JSON");
     let record = serde_json::json!({ "spec": spec, "at_ms": 0 });
-    server.with(|store| store.put(&job_key(&id), record));
+    server.with_store(|store| store.put(&job_key(&id), record));
     let sees = |leader: Option<&str>| LeadershipView {
         leader: leader.map(str::to_owned),
         ..LeadershipView::default()
@@ -337,10 +337,10 @@
     }
     // While the store is away as well, absence can't be told; as soon as it is back, the job can.
     let api = api_at(Role::Follower, true, sees(Some("worker-1")), Some(&address));
-    server.refuse(true);
+    server.begin_outage();
     let (status, _, retry) = get(&api, "/api/jobs/req-000007").await;
     assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true));
-    server.refuse(false);
+    server.end_outage();
     assert_eq!(get(&api, "/api/jobs/req-000007").await.0, StatusCode::OK);
 }
 
@@ -353,7 +353,7 @@
     let spec: serde_json::Value = serde_json::from_str(JOB).expect("JSON");
     let record = serde_json::json!({ "spec": spec, "at_ms": 0 });
     let id = JobId::parse("req-000412").expect("an id");
-    server.with(|store| store.put(&job_key(&id), record));
+    server.with_store(|store| store.put(&job_key(&id), record));
     // One reading, and then none for ten seconds.
     let api =
         service(api_service(Role::Follower, true, LeadershipView::default(), Some(&address), 0.1));
@@ -471,7 +471,7 @@
     let record = JobRecord { spec, accepted_at_ms: 1, has_start_watermark: true };
     let value = serde_json::to_value(record).expect("a record");
     let key = job_key(&JobId::parse("req-000412").expect("an id"));
-    server.with(|store| store.put(&key, value));
+    server.with_store(|store| store.put(&key, value));
     assert_eq!(post(&api, "/api/jobs", &long).await.0, StatusCode::OK);
 }
 
@@ -490,7 +490,7 @@
     ));
     let long = |id: &str| JOB.replace("img-07", &"x".repeat(4_000)).replace("req-000412", id);
     assert_eq!(post(&api, "/api/jobs", &long("req-000412")).await.0, StatusCode::CREATED);
-    server.limit_values(2_048);
+    server.limit_value_bytes(2_048);
     let (status, text, _) = post(&api, "/api/jobs", &long("req-000413")).await;
     assert_eq!(status, StatusCode::BAD_REQUEST, "{text}");
     assert!(reason(&text).contains("too long"), "{text}");
--- a/crates/controller/tests/cluster_state/autoscaling.rs
+++ b/crates/controller/tests/cluster_state/autoscaling.rs
@@ -46,7 +46,7 @@
     let entry = listed_machine("m-1", MachineState::Failed, 60.0);
     harness.cluster.machines_listed(&[entry], harness.now, harness.now);
     harness.run_rounds(&mut [&mut two]);
-    assert_eq!(two.live(), ["req-000001/0"]);
+    assert_eq!(two.unfinished_tasks(), ["req-000001/0"]);
 }
 
 #[test]
@@ -89,7 +89,7 @@
     let mut w = small_worker("m-1", "a");
     harness.submit(job("req-000001", "group", 1));
     harness.run_rounds(&mut [&mut w]);
-    w.end("req-000001/0", ExitCause::Done);
+    w.end_task("req-000001/0", ExitCause::Done);
     harness.run_rounds(&mut [&mut w]);
     assert!(harness.store.list("j/").is_empty(), "no job of the class is left");
     // The next leader has never seen a job of the class.
--- a/crates/controller/tests/cluster_state/cancellation.rs
+++ b/crates/controller/tests/cluster_state/cancellation.rs
@@ -9,8 +9,8 @@
 fn concurrent_cancellation_and_completion_have_one_outcome() {
     for withdraw_first in [true, false] {
         let (mut harness, mut w, id) = one_running_task();
-        w.end("req-000001/0", ExitCause::Done);
-        let report = w.report();
+        w.end_task("req-000001/0", ExitCause::Done);
+        let report = w.heartbeat();
         if withdraw_first {
             harness.cluster.cancel(&id);
             harness.cluster.handle_heartbeat(&report, harness.now);
@@ -32,11 +32,14 @@
     let (mut w, mut late) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     let id = harness.submit(job("req-000001", "array", 5));
     harness.run_rounds(&mut [&mut w]);
-    assert_eq!(w.live().len(), 1);
+    assert_eq!(w.unfinished_tasks().len(), 1);
     harness.cluster.cancel(&id);
     harness.commit_pending();
     harness.run_rounds(&mut [&mut w, &mut late]);
-    assert_eq!((w.live().len(), w.started.len(), late.started.len()), (0, 1, 0));
+    assert_eq!(
+        (w.unfinished_tasks().len(), w.started_attempts.len(), late.started_attempts.len()),
+        (0, 1, 0)
+    );
     // A delayed watch event delivers the job's record again.
     let record = JobRecord {
         spec: job("req-000001", "array", 5),
@@ -47,7 +50,7 @@
     let at = Timestamp { monotonic: harness.now, wall: 0 };
     harness.cluster.add_job(&job_key(&id), value, at, false);
     harness.run_rounds(&mut [&mut w, &mut late]);
-    assert_eq!((w.started.len(), late.started.len()), (1, 0));
+    assert_eq!((w.started_attempts.len(), late.started_attempts.len()), (1, 0));
 }
 
 #[test]
@@ -57,5 +60,5 @@
     harness.commit_pending();
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, 9_000);
     next.run_rounds(&mut [&mut w]);
-    assert_eq!(w.live().len(), 0);
+    assert_eq!(w.unfinished_tasks().len(), 0);
 }
--- a/crates/controller/tests/cluster_state/commit_queue.rs
+++ b/crates/controller/tests/cluster_state/commit_queue.rs
@@ -14,13 +14,13 @@
     let mut w = small_worker("m-1", "a");
     let id = harness.submit(job("req-000001", "array", 2));
     harness.run_rounds(&mut [&mut w]);
-    assert_eq!(w.live(), ["req-000001/0"], "one task fits at a time");
+    assert_eq!(w.unfinished_tasks(), ["req-000001/0"], "one task fits at a time");
     assert_eq!(harness.job_state(&id), JobState::Running);
-    w.end("req-000001/0", ExitCause::Done);
+    w.end_task("req-000001/0", ExitCause::Done);
     harness.run_rounds(&mut [&mut w]);
-    assert_eq!(w.live(), ["req-000001/1"]);
-    w.end("req-000001/1", ExitCause::Done);
-    let report = w.report();
+    assert_eq!(w.unfinished_tasks(), ["req-000001/1"]);
+    w.end_task("req-000001/1", ExitCause::Done);
+    let report = w.heartbeat();
     let answer = harness.cluster.handle_heartbeat(&report, harness.now).expect("an answer");
     assert!(
         !answer.commands.iter().any(|o| matches!(o, Command::Reap { .. })),
@@ -32,7 +32,7 @@
     let revision = harness.store.commit(&commit.transaction).expect("applied");
     harness.cluster.committed(commit, CommitResult::Applied(revision), harness.now);
     assert_eq!(harness.cluster.take_completed_jobs()[0].1.state, JobState::Done);
-    w.take(&answer);
+    w.handle_response(&answer);
     harness.now += 500;
     let commands = harness.heartbeat(&mut w);
     assert!(commands.iter().any(|o| matches!(o, Command::Reap { .. })));
@@ -41,8 +41,8 @@
 #[test]
 fn delayed_commit_of_deposed_leader_fails_its_precondition() {
     let (mut harness, mut w, id) = one_running_task();
-    w.end("req-000001/0", ExitCause::Done);
-    let report = w.report();
+    w.end_task("req-000001/0", ExitCause::Done);
+    let report = w.heartbeat();
     harness.cluster.handle_heartbeat(&report, harness.now);
     let late = harness.cluster.next_commit(harness.now).expect("the end");
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, 9_000);
@@ -59,8 +59,8 @@
 fn lost_commit_response_is_resolved_by_reading_keys() {
     for applied in [true, false] {
         let (mut harness, mut w, id) = one_running_task();
-        w.end("req-000001/0", ExitCause::Done);
-        let report = w.report();
+        w.end_task("req-000001/0", ExitCause::Done);
+        let report = w.heartbeat();
         harness.cluster.handle_heartbeat(&report, harness.now);
         let commit = harness.cluster.next_commit(harness.now).expect("the end");
         let late = commit.transaction.clone();
@@ -80,7 +80,7 @@
 #[test]
 fn resubmission_of_finished_job_fails_its_precondition() {
     let (mut harness, mut w, id) = one_running_task();
-    w.end("req-000001/0", ExitCause::Done);
+    w.end_task("req-000001/0", ExitCause::Done);
     harness.run_rounds(&mut [&mut w]);
     let again = Transaction {
         preconditions: vec![
@@ -107,7 +107,7 @@
     // Several times the load of a job wave: thousands of machines, and jobs that all finish at once.
     for n in 0..6_000 {
         let name = format!("m-{n:06}");
-        harness.cluster.handle_heartbeat(&small_worker(&name, "a").report(), 0);
+        harness.cluster.handle_heartbeat(&small_worker(&name, "a").heartbeat(), 0);
     }
     for n in 0..3_000 {
         let id = harness.submit(job(&format!("req-{n:06}"), "array", 1));
@@ -150,7 +150,7 @@
         harness.cluster.committed(commit, result, harness.now);
         late
     };
-    harness.cluster.handle_heartbeat(&one.report(), harness.now);
+    harness.cluster.handle_heartbeat(&one.heartbeat(), harness.now);
     let old_roster = unanswered(&mut harness);
     harness.commit_pending();
     harness.heartbeat(&mut two);
@@ -183,9 +183,9 @@
         assert_eq!(marks(&harness), before);
     }
     // A transaction whose precondition fails reads the newer version and continues.
-    let done = one.live().first().cloned();
+    let done = one.unfinished_tasks().first().cloned();
     if let Some(task) = done {
-        one.end(&task, ExitCause::Done);
+        one.end_task(&task, ExitCause::Done);
     }
     harness.run_rounds(&mut [&mut one, &mut two]);
     assert!(!harness.cluster.leadership_lost());
--- a/crates/controller/tests/cluster_state/direct_dispatch.rs
+++ b/crates/controller/tests/cluster_state/direct_dispatch.rs
@@ -21,16 +21,16 @@
     let mut harness = LeaderHarness::start();
     let mut w = small_worker("m-1", "a");
     let commands = dispatched_task(&mut harness, &mut w);
-    let report = w.commands(&commands).expect("carried out");
+    let report = w.handle_direct_commands(&commands).expect("carried out");
     harness.cluster.direct_start_sent(
         "m-1",
         commands.fencing_token,
         Delivery::Executed(report),
         harness.now,
     );
-    assert_eq!(w.live(), ["req-000001/0"]);
+    assert_eq!(w.unfinished_tasks(), ["req-000001/0"]);
     harness.run_rounds(&mut [&mut w]);
-    assert_eq!(w.started.len(), 1);
+    assert_eq!(w.started_attempts.len(), 1);
     assert_eq!(harness.job_state(&JobId::parse("req-000001").expect("an id")), JobState::Running);
 }
 
@@ -39,9 +39,9 @@
     let mut harness = LeaderHarness::start();
     let mut w = small_worker("m-1", "a");
     let commands = dispatched_task(&mut harness, &mut w);
-    let report = w.commands(&commands).expect("carried out");
+    let report = w.handle_direct_commands(&commands).expect("carried out");
     // The task ends, and its heartbeat arrives before the response to the command is read.
-    w.end("req-000001/0", ExitCause::Done);
+    w.end_task("req-000001/0", ExitCause::Done);
     harness.run_rounds(&mut [&mut w]);
     harness.cluster.direct_start_sent(
         "m-1",
@@ -50,10 +50,14 @@
         harness.now,
     );
     harness.run_rounds(&mut [&mut w]);
-    assert_eq!(w.live().len() + w.report().tasks.len(), 0, "done, and forgotten by the worker");
+    assert_eq!(
+        w.unfinished_tasks().len() + w.heartbeat().tasks.len(),
+        0,
+        "done, and forgotten by the worker"
+    );
     // After `reap` the worker would start the attempt again: only its higher fencing token prevents this.
-    assert_eq!(w.commands(&commands), None);
-    assert_eq!(w.started.len(), 1);
+    assert_eq!(w.handle_direct_commands(&commands), None);
+    assert_eq!(w.started_attempts.len(), 1);
 }
 
 #[test]
@@ -69,16 +73,20 @@
         harness.now,
     );
     harness.run_rounds(&mut [&mut other]);
-    assert_eq!(other.started, [], "it may still start on m-1");
+    assert_eq!(other.started_attempts, [], "it may still start on m-1");
     // The next response raises the fencing token of m-1, and the heartbeat after it proves that.
     harness.heartbeat(&mut w);
-    assert!(w.token > commands.fencing_token);
+    assert!(w.fencing_token > commands.fencing_token);
     harness.run_rounds(&mut [&mut other]);
-    assert_eq!(other.started, [], "the worker had not seen the higher token when it reported");
+    assert_eq!(
+        other.started_attempts,
+        [],
+        "the worker had not seen the higher token when it reported"
+    );
     harness.now += 5_000;
     harness.run_rounds(&mut [&mut w]);
-    assert_eq!(w.commands(&commands), None, "the late command is refused");
-    assert_eq!(w.started.len() + other.started.len(), 1);
+    assert_eq!(w.handle_direct_commands(&commands), None, "the late command is refused");
+    assert_eq!(w.started_attempts.len() + other.started_attempts.len(), 1);
 }
 
 #[test]
@@ -94,7 +102,7 @@
     );
     harness.run_rounds(&mut [&mut other]);
     assert_eq!(
-        other.live(),
+        other.unfinished_tasks(),
         ["req-000001/0"],
         "a machine that can't be reached keeps nobody waiting"
     );
@@ -107,8 +115,8 @@
     let commands = dispatched_task(&mut harness, &mut w);
     // The worker sends a heartbeat just before the command arrives; it is received after the command's
     // response.
-    let late = w.report();
-    let report = w.commands(&commands).expect("carried out");
+    let late = w.heartbeat();
+    let report = w.handle_direct_commands(&commands).expect("carried out");
     harness.cluster.direct_start_sent(
         "m-1",
         commands.fencing_token,
@@ -117,9 +125,9 @@
     );
     let answer =
         harness.cluster.handle_heartbeat(&late, harness.now).expect("the worker waits for it");
-    w.take(&answer);
+    w.handle_response(&answer);
     harness.run_rounds(&mut [&mut w]);
-    assert_eq!(w.started.len(), 1, "the task that the report lacks is still there");
+    assert_eq!(w.started_attempts.len(), 1, "the task that the report lacks is still there");
     assert_eq!(
         harness.cluster.handle_heartbeat(&late, harness.now),
         None,
@@ -136,19 +144,19 @@
     harness.advance(1_000);
     // The start is in a delayed response; meanwhile a directly dispatched command is answered with a
     // heartbeat that lacks the task.
-    let report = w.report();
+    let report = w.heartbeat();
     let answer = harness.cluster.handle_heartbeat(&report, harness.now).expect("an answer");
     assert_eq!(answer.commands.len(), 1);
-    let between = w.report();
+    let between = w.heartbeat();
     harness.cluster.direct_start_sent("m-1", 1, Delivery::Executed(between), harness.now);
     for _ in 0..6 {
         harness.heartbeat(&mut other);
         harness.advance(800);
     }
-    assert_eq!(other.started, [], "the answer may still arrive");
-    w.take(&answer);
+    assert_eq!(other.started_attempts, [], "the answer may still arrive");
+    w.handle_response(&answer);
     harness.run_rounds(&mut [&mut w, &mut other]);
-    assert_eq!((w.started.len(), other.started.len()), (1, 0));
+    assert_eq!((w.started_attempts.len(), other.started_attempts.len()), (1, 0));
 }
 
 #[test]
@@ -158,9 +166,9 @@
     let commands = dispatched_task(&mut harness, &mut w);
     // A duplicate of the command is executed; then the worker takes a response with a higher fencing token,
     // and rejects the command itself.
-    w.commands(&commands).expect("carried out");
-    w.token += 1;
-    assert_eq!(w.commands(&commands), None);
+    w.handle_direct_commands(&commands).expect("carried out");
+    w.fencing_token += 1;
+    assert_eq!(w.handle_direct_commands(&commands), None);
     harness.cluster.direct_start_sent(
         "m-1",
         commands.fencing_token,
@@ -168,7 +176,7 @@
         harness.now,
     );
     harness.run_rounds(&mut [&mut other]);
-    assert_eq!(other.started, [], "it runs on m-1");
+    assert_eq!(other.started_attempts, [], "it runs on m-1");
     harness.run_rounds(&mut [&mut w, &mut other]);
-    assert_eq!((w.live().len(), other.started.len()), (1, 0));
+    assert_eq!((w.unfinished_tasks().len(), other.started_attempts.len()), (1, 0));
 }
--- a/crates/controller/tests/cluster_state/failure_attribution.rs
+++ b/crates/controller/tests/cluster_state/failure_attribution.rs
@@ -12,13 +12,13 @@
     harness.submit(job("req-000001", "array", 1));
     for _ in 0..6 {
         harness.run_rounds(&mut [&mut w]);
-        w.end("req-000001/0", ExitCause::Error);
+        w.end_task("req-000001/0", ExitCause::Error);
         harness.now += 31_000 / 4;
         harness.run_rounds(&mut [&mut w]);
     }
     let fleet = harness.cluster.autoscaling_round(harness.now);
     assert!(!fleet.iter().any(|a| matches!(a, ScalingAction::ScaleIn(_))));
-    assert!(w.started.len() >= 2);
+    assert!(w.started_attempts.len() >= 2);
     let status = match harness.cluster.status(&JobId::parse("req-000001").expect("an id")) {
         JobLookup::Known(status) => status,
         other => panic!("{other:?}"),
@@ -41,9 +41,9 @@
     for _ in 0..120 {
         for w in &mut machines {
             harness.heartbeat(w);
-            let running = w.live();
+            let running = w.unfinished_tasks();
             for task in &running {
-                w.end(task, ExitCause::Error);
+                w.end_task(task, ExitCause::Error);
             }
             tries.extend(running.into_iter().map(|_| harness.now));
         }
@@ -76,16 +76,16 @@
     for _ in 0..60 {
         for w in [&mut good, &mut more] {
             harness.heartbeat(w);
-            let running = w.live();
+            let running = w.unfinished_tasks();
             for task in &running {
                 done += 1;
-                w.end(task, ExitCause::Done);
+                w.end_task(task, ExitCause::Done);
             }
         }
         harness.heartbeat(&mut bad);
-        let running = bad.live();
+        let running = bad.unfinished_tasks();
         for task in &running {
-            bad.end(task, ExitCause::Error);
+            bad.end_task(task, ExitCause::Error);
         }
         harness.advance(500);
         if done == 6 {
--- a/crates/controller/tests/cluster_state/gangs.rs
+++ b/crates/controller/tests/cluster_state/gangs.rs
@@ -9,20 +9,20 @@
     let (mut one, mut two) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     harness.submit(job("req-000001", "group", 2));
     harness.run_rounds(&mut [&mut one, &mut two]);
-    assert_eq!((one.live().len(), two.live().len()), (1, 1));
-    let first = one.started[0].1;
-    assert_eq!(first, two.started[0].1, "they share the attempt");
-    let refused = two.live()[0].clone();
-    two.end(&refused, ExitCause::InsufficientResources);
+    assert_eq!((one.unfinished_tasks().len(), two.unfinished_tasks().len()), (1, 1));
+    let first = one.started_attempts[0].1;
+    assert_eq!(first, two.started_attempts[0].1, "they share the attempt");
+    let refused = two.unfinished_tasks()[0].clone();
+    two.end_task(&refused, ExitCause::InsufficientResources);
     harness.heartbeat(&mut two);
     harness.advance(500);
-    assert_eq!(two.started.len(), 1, "not while the other task is still there");
+    assert_eq!(two.started_attempts.len(), 1, "not while the other task is still there");
     harness.heartbeat(&mut one);
-    assert_eq!(one.live().len(), 0, "the rest of the attempt is stopped");
+    assert_eq!(one.unfinished_tasks().len(), 0, "the rest of the attempt is stopped");
     harness.now += 4_000;
     harness.run_rounds(&mut [&mut one, &mut two]);
-    assert_eq!((one.live().len(), two.live().len()), (1, 1));
-    assert_ne!(one.started[1].1, first, "attempt numbers are never used twice");
+    assert_eq!((one.unfinished_tasks().len(), two.unfinished_tasks().len()), (1, 1));
+    assert_ne!(one.started_attempts[1].1, first, "attempt numbers are never used twice");
 }
 
 #[test]
@@ -32,10 +32,10 @@
     harness.submit(job("req-000001", "group", 2));
     harness.run_rounds(&mut [&mut one, &mut two]);
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, 9_000);
-    two.expire();
+    two.expire_lease();
     next.run_rounds(&mut [&mut one, &mut two]);
     next.run_rounds(&mut [&mut one, &mut two]);
-    assert_eq!((one.live().len(), two.live().len()), (1, 1));
-    assert_eq!(one.started.last().map(|s| s.1), two.started.last().map(|s| s.1));
-    assert_eq!(one.started.len(), 2);
+    assert_eq!((one.unfinished_tasks().len(), two.unfinished_tasks().len()), (1, 1));
+    assert_eq!(one.started_attempts.last().map(|s| s.1), two.started_attempts.last().map(|s| s.1));
+    assert_eq!(one.started_attempts.len(), 2);
 }
--- a/crates/controller/tests/cluster_state/heartbeats.rs
+++ b/crates/controller/tests/cluster_state/heartbeats.rs
@@ -27,16 +27,16 @@
     let mut w = small_worker("m-1", "a");
     harness.submit(job("req-000001", "array", 1));
     harness.heartbeat(&mut w);
-    let early = w.report();
+    let early = w.heartbeat();
     harness.run_rounds(&mut [&mut w]);
-    assert_eq!(w.live().len(), 1);
+    assert_eq!(w.unfinished_tasks().len(), 1);
     assert_eq!(
         harness.cluster.handle_heartbeat(&early, harness.now),
         None,
         "held back by the network"
     );
     harness.run_rounds(&mut [&mut w]);
-    assert_eq!(w.started.len(), 1);
+    assert_eq!(w.started_attempts.len(), 1);
 }
 
 #[test]
@@ -46,15 +46,15 @@
     harness.submit(job("req-000001", "array", 1));
     harness.heartbeat(&mut w);
     harness.advance(500);
-    let report = w.report();
+    let report = w.heartbeat();
     let lost = harness.cluster.handle_heartbeat(&report, harness.now).expect("an answer");
     assert!(matches!(lost.commands[..], [Command::Run { .. }]));
     harness.now += 4_000;
     harness.heartbeat(&mut w);
-    assert_eq!(w.started.len(), 1);
+    assert_eq!(w.started_attempts.len(), 1);
     let before = harness.now;
     harness.run_rounds(&mut [&mut w]);
-    assert_eq!(w.started.len(), 1, "since {before} it is known to be there");
+    assert_eq!(w.started_attempts.len(), 1, "since {before} it is known to be there");
 }
 
 #[test]
@@ -63,33 +63,33 @@
     let (mut w, mut other) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.submit(job("req-000001", "array", 1));
     harness.run_rounds(&mut [&mut w]);
-    let copy = w.report();
+    let copy = w.heartbeat();
     harness.cluster.handle_heartbeat(&copy, harness.now);
     // After the worker began its next incarnation.
-    w.expire();
+    w.expire_lease();
     harness.now += worker_lease_expiry_ms(&test_config().platform) + 1_000;
     harness.run_rounds(&mut [&mut other]);
     harness.heartbeat(&mut w);
     let before = harness.cluster.status(&JobId::parse("req-000001").expect("an id"));
     assert_eq!(harness.cluster.handle_heartbeat(&copy, harness.now), None, "an older session");
     assert_eq!(harness.cluster.status(&JobId::parse("req-000001").expect("an id")), before);
-    assert_eq!(other.live(), ["req-000001/0"]);
+    assert_eq!(other.unfinished_tasks(), ["req-000001/0"]);
     // After the machine was deleted.
-    let copy = w.report();
+    let copy = w.heartbeat();
     harness.cluster.handle_heartbeat(&copy, harness.now);
     harness.cluster.scale_in_finished(&["m-1".into()], harness.now);
     let machines = harness.cluster.machine_count();
     assert_eq!(harness.cluster.handle_heartbeat(&copy, harness.now + 60_000), None, "it is gone");
     assert_eq!(harness.cluster.machine_count(), machines);
     // After a failover: it carries the old fencing token and reconciles no machine.
-    let copy = other.report();
+    let copy = other.heartbeat();
     harness.cluster.handle_heartbeat(&copy, harness.now);
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now);
     let mut third = small_worker("m-3", "a");
     next.cluster.handle_heartbeat(&copy, next.now);
     next.run_rounds(&mut [&mut third]);
     assert!(!next.cluster.reconciled(next.now));
-    assert_eq!(third.started, [], "the task is still on m-2");
+    assert_eq!(third.started_attempts, [], "the task is still on m-2");
 }
 
 /// A controller that was partitioned from its workers alone kept the leadership lease for 24 s of an ops day:
--- a/crates/controller/tests/cluster_state/leases.rs
+++ b/crates/controller/tests/cluster_state/leases.rs
@@ -11,20 +11,24 @@
     let (mut w, mut other) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.submit(job("req-000001", "array", 1));
     harness.run_rounds(&mut [&mut w]);
-    assert_eq!(w.live().len(), 1);
-    let held_back = w.report();
+    assert_eq!(w.unfinished_tasks().len(), 1);
+    let held_back = w.heartbeat();
     for _ in 0..30 {
         harness.heartbeat(&mut other);
         harness.advance(600);
     }
-    assert_eq!(other.live(), ["req-000001/0"], "the unreachable machine's lease is over");
+    assert_eq!(
+        other.unfinished_tasks(),
+        ["req-000001/0"],
+        "the unreachable machine's lease is over"
+    );
     // The heartbeat arrives minutes late and still names the task.
     assert_eq!(harness.cluster.handle_heartbeat(&held_back, harness.now), None);
     harness.run_rounds(&mut [&mut other]);
-    assert_eq!(other.live(), ["req-000001/0"]);
-    w.expire();
+    assert_eq!(other.unfinished_tasks(), ["req-000001/0"]);
+    w.expire_lease();
     harness.run_rounds(&mut [&mut w, &mut other]);
-    assert_eq!(w.live().len(), 0);
+    assert_eq!(w.unfinished_tasks().len(), 0);
 }
 
 #[test]
@@ -34,27 +38,35 @@
     harness.run_rounds(&mut [&mut reachable]);
     harness.submit(job("req-000001", "group", 2));
     harness.run_rounds(&mut [&mut one_way, &mut reachable]);
-    assert_eq!((one_way.live().len(), reachable.live().len()), (1, 1), "the gang runs on both");
+    assert_eq!(
+        (one_way.unfinished_tasks().len(), reachable.unfinished_tasks().len()),
+        (1, 1),
+        "the gang runs on both"
+    );
     // From here on no response reaches m-1, although its heartbeats arrive. Its task of the gang ends.
     let partitioned_at = harness.now;
-    one_way.end("req-000001/0", ExitCause::GangMemberLost);
-    one_way.end("req-000001/1", ExitCause::GangMemberLost);
-    reachable.end("req-000001/0", ExitCause::GangMemberLost);
-    reachable.end("req-000001/1", ExitCause::GangMemberLost);
+    one_way.end_task("req-000001/0", ExitCause::GangMemberLost);
+    one_way.end_task("req-000001/1", ExitCause::GangMemberLost);
+    reachable.end_task("req-000001/0", ExitCause::GangMemberLost);
+    reachable.end_task("req-000001/1", ExitCause::GangMemberLost);
     let mut third = small_worker("m-3", "a");
     for _ in 0..5 {
         harness.now += 500;
-        let report = one_way.report();
+        let report = one_way.heartbeat();
         harness.cluster.handle_heartbeat(&report, harness.now);
         harness.commit_pending();
         harness.run_rounds(&mut [&mut reachable, &mut third]);
     }
-    assert_eq!((reachable.live().len(), third.live().len()), (1, 1), "the gang runs elsewhere");
+    assert_eq!(
+        (reachable.unfinished_tasks().len(), third.unfinished_tasks().len()),
+        (1, 1),
+        "the gang runs elsewhere"
+    );
     // Its lease is counted from the last response that it may have received, not from its heartbeats.
     let mut deleted = Vec::new();
     while harness.now < partitioned_at + worker_lease_expiry_ms(&test_config().platform) + 6_000 {
         harness.now += 1_000;
-        let report = one_way.report();
+        let report = one_way.heartbeat();
         harness.cluster.handle_heartbeat(&report, harness.now);
         harness.commit_pending();
         harness.run_rounds(&mut [&mut reachable, &mut third]);
@@ -70,19 +82,19 @@
     let (mut one_way, mut reachable) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.submit(job("req-000001", "array", 1));
     harness.run_rounds(&mut [&mut one_way]);
-    assert_eq!(one_way.live().len(), 1);
+    assert_eq!(one_way.unfinished_tasks().len(), 1);
     let heard_at = harness.now;
     let id = JobId::parse("req-000001").expect("an id");
     // Its user cancels the job; nothing reaches m-1.
     assert_eq!(harness.cluster.cancel(&id), CancelOutcome::Pending);
     harness.commit_pending();
     while harness.now < heard_at + 20_000 {
-        let report = one_way.report();
+        let report = one_way.heartbeat();
         harness.cluster.handle_heartbeat(&report, harness.now);
         harness.advance(1_000);
         harness.run_rounds(&mut [&mut reachable]);
     }
-    assert_eq!(reachable.started, []);
+    assert_eq!(reachable.started_attempts, []);
     assert_eq!(harness.stored_final_state(&id).as_deref(), Some("withdrawn"));
 }
 
@@ -119,10 +131,10 @@
     harness.submit(job("req-000001", "array", 2));
     harness.run_rounds(&mut [&mut w]);
     let mut next = LeaderHarness::lead(harness.store.clone(), 5_000, 20_000);
-    w.expire();
+    w.expire_lease();
     next.now = 30_000;
     let probe = DirectCommands { fencing_token: 5_000, incarnation: 2, commands: vec![] };
-    let report = w.commands(&probe);
+    let report = w.handle_direct_commands(&probe);
     next.cluster.state_probed("m-1", report, next.now);
     next.now += 500;
     next.advance(0);
@@ -146,27 +158,27 @@
     let (mut w, mut reachable) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.submit(job("req-000001", "array", 1));
     harness.run_rounds(&mut [&mut w]);
-    let task = w.live()[0].clone();
+    let task = w.unfinished_tasks()[0].clone();
     harness.run_rounds(&mut [&mut reachable]);
     harness.submit(job("req-000002", "array", 1));
     harness.run_rounds(&mut [&mut reachable]);
     let heard = harness.now;
     // A lost response whose receipt a later heartbeat would have shown.
     harness.submit(job("req-000003", "array", 1));
-    w.end(&task, ExitCause::Error);
+    w.end_task(&task, ExitCause::Error);
     harness.now += 2_000;
-    let report = w.report();
+    let report = w.heartbeat();
     let answer = harness.cluster.handle_heartbeat(&report, harness.now).expect("an answer");
     assert!(!answer.commands.is_empty(), "it may forget the task that failed");
     harness.now += 8_000;
     let kept = harness.now;
     harness.cluster.worker_lease_extended("m-1", kept);
     harness.now += 4_000;
-    let report = w.report();
+    let report = w.heartbeat();
     harness.cluster.handle_heartbeat(&report, harness.now);
     let lease = worker_lease_expiry_ms(&test_config().platform);
     assert!(heard + 2_000 + lease < kept + lease - 500);
-    let mut late = w.report();
+    let mut late = w.heartbeat();
     late.sequence += 1;
     assert!(
         harness.cluster.handle_heartbeat(&late, kept + lease - 500).is_some(),
--- a/crates/controller/tests/cluster_state/machine_registry.rs
+++ b/crates/controller/tests/cluster_state/machine_registry.rs
@@ -11,10 +11,10 @@
     let mut harness = LeaderHarness::start();
     let mut w = small_worker("m-1", "a");
     harness.submit(job("req-000001", "array", 1));
-    let report = w.report();
+    let report = w.heartbeat();
     let answer = harness.cluster.handle_heartbeat(&report, harness.now).expect("an answer");
     assert_eq!(answer.commands, [], "a crash now must not hide a started task");
-    w.take(&answer);
+    w.handle_response(&answer);
     harness.commit_pending();
     assert!(harness.is_registered("m-1"));
     harness.now += 500;
@@ -33,17 +33,17 @@
     let (mut reachable, mut gone) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     harness.submit(job("req-000001", "array", 2));
     harness.run_rounds(&mut [&mut reachable, &mut gone]);
-    let lost = gone.live()[0].clone();
+    let lost = gone.unfinished_tasks()[0].clone();
     // The cloud deletes m-2 while the leader crashes. It had been up for long, so the first list without it
     // proves its deletion.
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, 100_000);
-    reachable.end(&reachable.live()[0].clone(), ExitCause::Done);
+    reachable.end_task(&reachable.unfinished_tasks()[0].clone(), ExitCause::Done);
     next.run_rounds(&mut [&mut reachable]);
     assert!(!next.cluster.reconciled(next.now));
     let entry = listed_machine("m-1", MachineState::Running, 100.0);
     next.cluster.machines_listed(&[entry], next.now, next.now);
     next.run_rounds(&mut [&mut reachable]);
-    assert_eq!(reachable.live(), [lost]);
+    assert_eq!(reachable.unfinished_tasks(), [lost]);
 }
 
 #[test]
@@ -54,7 +54,7 @@
     let mut young = small_worker("m-9", "a");
     harness.submit(job("req-000001", "array", 1));
     harness.run_rounds(&mut [&mut young]);
-    assert_eq!(young.live().len(), 1);
+    assert_eq!(young.unfinished_tasks().len(), 1);
     // The leader changes at once; the first list does not contain the machine yet.
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + 2_000);
     next.cluster.machines_listed(&[], next.now, next.now);
@@ -74,13 +74,13 @@
     let (mut cold, mut warm) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.submit(job("req-000001", "array", 1));
     harness.run_rounds(&mut [&mut warm]);
-    warm.end("req-000001/0", ExitCause::Done);
+    warm.end_task("req-000001/0", ExitCause::Done);
     harness.run_rounds(&mut [&mut cold, &mut warm]);
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, 9_000);
     next.run_rounds(&mut [&mut cold, &mut warm]);
     next.submit(job("req-000002", "array", 1));
     next.run_rounds(&mut [&mut cold, &mut warm]);
-    assert_eq!((cold.started.len(), warm.live().len()), (0, 1));
+    assert_eq!((cold.started_attempts.len(), warm.unfinished_tasks().len()), (0, 1));
 }
 
 #[test]
--- a/crates/controller/tests/cluster_state/reconciliation.rs
+++ b/crates/controller/tests/cluster_state/reconciliation.rs
@@ -10,8 +10,8 @@
     let (mut reachable, mut partitioned) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     harness.submit(job("req-000001", "array", 2));
     harness.run_rounds(&mut [&mut reachable, &mut partitioned]);
-    assert_eq!((reachable.live().len(), partitioned.live().len()), (1, 1));
-    let lost = partitioned.live()[0].clone();
+    assert_eq!((reachable.unfinished_tasks().len(), partitioned.unfinished_tasks().len()), (1, 1));
+    let lost = partitioned.unfinished_tasks()[0].clone();
     // The old leader is partitioned together with m-2. A new one is elected at 30 s.
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, 30_000);
     let fresh = next.submit(job("req-000002", "array", 1));
@@ -20,21 +20,22 @@
         next.heartbeat(&mut reachable);
         next.heartbeat(&mut idle);
         next.advance(600);
-        let twice = reachable.live().contains(&lost) || idle.live().contains(&lost);
+        let twice =
+            reachable.unfinished_tasks().contains(&lost) || idle.unfinished_tasks().contains(&lost);
         let over = next.now >= 30_000 + worker_lease_expiry_ms(&test_config().platform);
         assert!(!twice || over, "{lost} started at {} while m-2 may have it", next.now);
     }
     assert!(
-        idle.started.iter().any(|(t, _)| t.starts_with(fresh.as_str())),
+        idle.started_attempts.iter().any(|(t, _)| t.starts_with(fresh.as_str())),
         "a job that nobody can have started does not wait"
     );
-    idle.end("req-000002/0", ExitCause::Done);
+    idle.end_task("req-000002/0", ExitCause::Done);
     for _ in 0..20 {
         next.heartbeat(&mut reachable);
         next.heartbeat(&mut idle);
         next.advance(600);
     }
-    assert!(idle.live().contains(&lost), "after the lease it runs again");
+    assert!(idle.unfinished_tasks().contains(&lost), "after the lease it runs again");
 }
 
 #[test]
@@ -46,17 +47,17 @@
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, 10_000);
     assert!(!next.cluster.reconciled(next.now));
     next.heartbeat(&mut w);
-    assert_eq!(w.token, 2, "the token rises with the term");
+    assert_eq!(w.fencing_token, 2, "the token rises with the term");
     next.heartbeat(&mut w);
     assert!(next.cluster.reconciled(next.now));
     next.run_rounds(&mut [&mut w]);
-    assert_eq!(w.live(), ["req-000001/0"], "what runs is left alone");
-    assert_eq!(w.started.len(), 1);
+    assert_eq!(w.unfinished_tasks(), ["req-000001/0"], "what runs is left alone");
+    assert_eq!(w.started_attempts.len(), 1);
     // The deposed leader's response carries the lower fencing token and is dropped.
-    let report = w.report();
+    let report = w.heartbeat();
     let answer =
         harness.cluster.handle_heartbeat(&report, harness.now + 1).expect("it does not know yet");
-    assert!(!w.take(&answer));
+    assert!(!w.handle_response(&answer));
 }
 
 #[test]
@@ -65,10 +66,10 @@
     let (mut partitioned, mut reachable) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.heartbeat(&mut partitioned);
     // This heartbeat is delayed by the network; the start is in the response to the next one.
-    let held_back = partitioned.report();
+    let held_back = partitioned.heartbeat();
     harness.submit(job("req-000001", "array", 1));
     harness.run_rounds(&mut [&mut partitioned]);
-    assert_eq!(partitioned.live(), ["req-000001/0"]);
+    assert_eq!(partitioned.unfinished_tasks(), ["req-000001/0"]);
     // A new leader receives the delayed heartbeat first. It names no task, but proves nothing: only a
     // heartbeat with the new fencing token was certainly sent after the failover.
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, 9_000);
@@ -78,7 +79,11 @@
         next.heartbeat(&mut reachable);
         next.advance(1_000);
     }
-    assert_eq!(reachable.started, [], "the task still runs on the machine that is cut off");
+    assert_eq!(
+        reachable.started_attempts,
+        [],
+        "the task still runs on the machine that is cut off"
+    );
 }
 
 #[test]
@@ -89,7 +94,7 @@
     spec.team = "tight".into();
     harness.submit(spec.clone());
     harness.run_rounds(&mut [&mut one]);
-    assert_eq!(one.live().len(), 1);
+    assert_eq!(one.unfinished_tasks().len(), 1);
     // m-1 becomes unreachable together with the leader; 3 of the team's 4 CPUs may be in use there.
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, 9_000);
     spec.id = JobId::parse("req-000002").expect("an id");
@@ -98,7 +103,7 @@
         next.heartbeat(&mut two);
         next.advance(1_000);
     }
-    assert_eq!(two.started.len(), 0);
+    assert_eq!(two.started_attempts.len(), 0);
 }
 
 /// Incidents inc-f021 and inc-e25c: each leader is killed after about 11 s, sixteen times in a row, and
@@ -117,8 +122,8 @@
                 // Each task takes a few seconds; heartbeats that a killed leader never received reach the
                 // next one.
                 if harness.now.is_multiple_of(2_000) {
-                    for task in w.live() {
-                        assert!(w.end(&task, ExitCause::Done));
+                    for task in w.unfinished_tasks() {
+                        assert!(w.end_task(&task, ExitCause::Done));
                     }
                 }
             }
@@ -128,10 +133,10 @@
         harness = LeaderHarness::lead(harness.store.clone(), next, harness.now + 200);
     }
     harness.run_rounds(&mut [&mut one, &mut two]);
-    let so_far = (&one.started, &two.started);
+    let so_far = (&one.started_attempts, &two.started_attempts);
     assert_eq!(harness.stored_final_state(&id).as_deref(), Some("done"), "{so_far:?}");
     let mut started: Vec<&String> =
-        one.started.iter().chain(&two.started).map(|(task, _)| task).collect();
+        one.started_attempts.iter().chain(&two.started_attempts).map(|(task, _)| task).collect();
     assert_eq!(started.len(), 16, "no task was started twice");
     started.sort();
     started.dedup();
@@ -147,8 +152,8 @@
     // One task fills a machine; the third one waits.
     harness.submit(job("req-000001", "array", 3));
     harness.run_rounds(&mut [&mut one, &mut two]);
-    assert_eq!(one.live().len() + two.live().len(), 2);
-    one.end(&one.live()[0].clone(), ExitCause::Done);
+    assert_eq!(one.unfinished_tasks().len() + two.unfinished_tasks().len(), 2);
+    one.end_task(&one.unfinished_tasks()[0].clone(), ExitCause::Done);
 
     let mut next = LeaderHarness::lead(harness.store.clone(), 5_000, 20_000);
     let list = ["m-1", "m-2"].map(|m| ListedMachine {
@@ -165,23 +170,26 @@
     assert!(next.cluster.take_state_probes(next.now).is_empty(), "once each");
 
     // A heartbeat without the new fencing token may be older than the failover.
-    next.cluster.state_probed("m-1", Some(one.report()), next.now);
+    next.cluster.state_probed("m-1", Some(one.heartbeat()), next.now);
     next.cluster.state_probed("m-2", None, next.now);
     assert!(!next.cluster.reconciled(next.now));
 
     let late =
-        harness.cluster.handle_heartbeat(&one.report(), harness.now + 1_000).expect("an answer");
+        harness.cluster.handle_heartbeat(&one.heartbeat(), harness.now + 1_000).expect("an answer");
     let mut next = LeaderHarness::lead(next.store.clone(), 9_000, 30_000);
     next.cluster.machines_listed(&list, next.now, next.now);
     next.now += 1_500;
     assert_eq!(next.cluster.take_state_probes(next.now).len(), 2);
     let probe = DirectCommands { fencing_token: 9_000, incarnation: 1, commands: vec![] };
     for (name, w) in [("m-1", &mut one), ("m-2", &mut two)] {
-        let report = w.commands(&probe);
+        let report = w.handle_direct_commands(&probe);
         next.cluster.state_probed(name, report, next.now);
     }
     assert!(next.cluster.reconciled(next.now), "both have named everything");
-    assert!(!one.take(&late), "what an earlier leader answered, the worker refuses from then on");
+    assert!(
+        !one.handle_response(&late),
+        "what an earlier leader answered, the worker refuses from then on"
+    );
     // The queued task starts at once, on the machine whose task has completed.
     next.advance(500);
     let starts = next.cluster.take_direct_starts(next.now);
--- a/crates/controller/tests/cluster_state/runtime_estimates.rs
+++ b/crates/controller/tests/cluster_state/runtime_estimates.rs
@@ -11,16 +11,16 @@
     let (mut good, mut slow) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.submit(job("req-000001", "array", 7));
     harness.run_rounds(&mut [&mut good, &mut slow]);
-    let stuck = slow.live()[0].clone();
+    let stuck = slow.unfinished_tasks()[0].clone();
     for _ in 0..40 {
         harness.run_rounds(&mut [&mut good, &mut slow]);
-        if let Some(task) = good.live().first().cloned() {
-            good.end(&task, ExitCause::Done);
+        if let Some(task) = good.unfinished_tasks().first().cloned() {
+            good.end_task(&task, ExitCause::Done);
         }
     }
-    assert!(good.started.iter().any(|(t, _)| *t == stuck), "after five times the mean");
-    assert_eq!(slow.live().len(), 0);
-    assert_eq!(slow.started.len(), 1, "the machine takes nothing more");
+    assert!(good.started_attempts.iter().any(|(t, _)| *t == stuck), "after five times the mean");
+    assert_eq!(slow.unfinished_tasks().len(), 0);
+    assert_eq!(slow.started_attempts.len(), 1, "the machine takes nothing more");
     // A task that runs long on every machine is moved once, not repeatedly.
     let mut harness = LeaderHarness::start();
     let (mut one, mut two) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
@@ -28,12 +28,15 @@
     for _ in 0..80 {
         harness.run_rounds(&mut [&mut one, &mut two]);
         for worker in [&mut one, &mut two] {
-            if let Some(task) = worker.live().first().filter(|t| !t.ends_with("/0")).cloned() {
-                worker.end(&task, ExitCause::Done);
+            if let Some(task) =
+                worker.unfinished_tasks().first().filter(|t| !t.ends_with("/0")).cloned()
+            {
+                worker.end_task(&task, ExitCause::Done);
             }
         }
     }
-    let long = |w: &ScriptedWorker| w.started.iter().filter(|(t, _)| t.ends_with("/0")).count();
+    let long =
+        |w: &ScriptedWorker| w.started_attempts.iter().filter(|(t, _)| t.ends_with("/0")).count();
     assert_eq!(long(&one) + long(&two), 2);
 }
 
@@ -47,20 +50,20 @@
         for _ in 0..10 {
             harness.run_rounds(&mut [&mut w]);
         }
-        assert!(w.end(&format!("req-000001/{n}"), ExitCause::Done));
+        assert!(w.end_task(&format!("req-000001/{n}"), ExitCause::Done));
         harness.heartbeat(&mut w);
     }
     harness.run_rounds(&mut [&mut w]);
-    assert_eq!(w.live(), ["req-000001/4"]);
-    w.notice(30.0);
+    assert_eq!(w.unfinished_tasks(), ["req-000001/4"]);
+    w.set_interruption_notice(30.0);
     harness.run_rounds(&mut [&mut w]);
-    assert_eq!(w.live(), ["req-000001/4"], "it can end in time");
-    w.notice(8.0);
+    assert_eq!(w.unfinished_tasks(), ["req-000001/4"], "it can end in time");
+    w.set_interruption_notice(8.0);
     harness.run_rounds(&mut [&mut w]);
-    assert_eq!(w.live(), [] as [&str; 0]);
+    assert_eq!(w.unfinished_tasks(), [] as [&str; 0]);
     let mut other = small_worker("m-2", "a");
     harness.run_rounds(&mut [&mut other]);
-    assert_eq!(other.live(), ["req-000001/4"]);
+    assert_eq!(other.unfinished_tasks(), ["req-000001/4"]);
 }
 
 #[test]
@@ -75,12 +78,16 @@
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + 1_000);
     next.run_rounds_all(&mut workers);
     for worker in &mut workers[..5] {
-        let task = worker.live()[0].clone();
-        worker.end(&task, ExitCause::Done);
+        let task = worker.unfinished_tasks()[0].clone();
+        worker.end_task(&task, ExitCause::Done);
     }
     for _ in 0..10 {
         next.run_rounds_all(&mut workers);
     }
-    assert_eq!(workers[5].live().len(), 1, "the sixth is no longer than the others were");
-    assert_eq!(workers.iter().map(|w| w.started.len()).sum::<usize>(), 6);
+    assert_eq!(
+        workers[5].unfinished_tasks().len(),
+        1,
+        "the sixth is no longer than the others were"
+    );
+    assert_eq!(workers.iter().map(|w| w.started_attempts.len()).sum::<usize>(), 6);
 }
--- a/crates/controller/tests/cluster_state/start_watermarks.rs
+++ b/crates/controller/tests/cluster_state/start_watermarks.rs
@@ -14,14 +14,19 @@
     harness.run_rounds(&mut [&mut reachable, &mut partitioned]);
     let queued = harness.submit(job("req-000002", "group", 1));
     // The leader is partitioned together with m-2; the task on m-1 completes.
-    let held: u32 =
-        partitioned.live()[0].rsplit('/').next().expect("a number").parse().expect("a number");
+    let held: u32 = partitioned.unfinished_tasks()[0]
+        .rsplit('/')
+        .next()
+        .expect("a number")
+        .parse()
+        .expect("a number");
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, 30_000);
-    reachable.end(&reachable.live()[0].clone(), ExitCause::Done);
+    reachable.end_task(&reachable.unfinished_tasks()[0].clone(), ExitCause::Done);
     let mut idle = small_worker("m-3", "a");
     next.run_rounds(&mut [&mut reachable, &mut idle]);
     assert!(!next.cluster.reconciled(next.now), "m-2 may still run {held}");
-    let fresh: Vec<String> = reachable.live().into_iter().chain(idle.live()).collect();
+    let fresh: Vec<String> =
+        reachable.unfinished_tasks().into_iter().chain(idle.unfinished_tasks()).collect();
     assert_eq!(fresh.len(), 2, "both machines have work: {fresh:?}");
     assert!(fresh.contains(&format!("{queued}/0")), "a gang of which nothing was started");
     let of_array = fresh.iter().find(|t| t.starts_with("req-000001/")).expect("an array's task");
@@ -55,13 +60,13 @@
     let mut next = lead(&mut store, 2, false, 30_000);
     let mut idle = small_worker("m-3", "a");
     next.run_rounds(&mut [&mut idle]);
-    assert_eq!(idle.started, [], "any task may be on m-2");
+    assert_eq!(idle.started_attempts, [], "any task may be on m-2");
     // The leader after that one reads this from the state service.
     let mut store = next.store.clone();
     let mut third = lead(&mut store, 3, true, 33_000);
     let mut idle = small_worker("m-4", "a");
     third.run_rounds(&mut [&mut idle]);
-    assert_eq!(idle.started, []);
+    assert_eq!(idle.started_attempts, []);
 }
 
 /// Thousands of one-task jobs arrive within a minute or two: a record for each used up the write budget that
@@ -76,7 +81,7 @@
         harness.submit(job(&format!("req-{n:06}"), "array", 1));
     }
     harness.run_rounds(&mut [&mut w]);
-    let begun: Vec<String> = w.live();
+    let begun: Vec<String> = w.unfinished_tasks();
     assert_eq!(begun.len(), 1, "a task fills the machine");
     let marks = harness.store.list("m/");
     assert_eq!(marks.len(), 1, "{marks:?}");
@@ -88,14 +93,14 @@
         next.heartbeat(&mut other);
         next.advance(500);
     }
-    assert_eq!(other.live().len(), 1, "something that no leader has started");
-    assert_ne!(other.live(), begun);
+    assert_eq!(other.unfinished_tasks().len(), 1, "something that no leader has started");
+    assert_ne!(other.unfinished_tasks(), begun);
     // The record is deleted when all of its jobs have finished.
     let mut harness = LeaderHarness::lead(harness.store.clone(), 9_000, 40_000);
     for _ in 0..300 {
         harness.heartbeat(&mut w);
-        for task in w.live() {
-            w.end(&task, ExitCause::Done);
+        for task in w.unfinished_tasks() {
+            w.end_task(&task, ExitCause::Done);
         }
         harness.heartbeat(&mut w);
         harness.advance(300);
@@ -121,5 +126,5 @@
         next.heartbeat(&mut other);
         next.advance(500);
     }
-    assert_eq!(other.live().len(), 0, "it runs on a machine that is not heard");
+    assert_eq!(other.unfinished_tasks().len(), 0, "it runs on a machine that is not heard");
 }
--- a/crates/controller/tests/cluster_state/support.rs
+++ b/crates/controller/tests/cluster_state/support.rs
@@ -10,7 +10,7 @@
     let mut workers: Vec<ScriptedWorker> = names.iter().map(|n| small_worker(n, "a")).collect();
     harness.submit(job("req-000001", "array", count as u32));
     harness.run_rounds_all(&mut workers);
-    assert!(workers.iter().all(|w| w.live().len() == 1));
+    assert!(workers.iter().all(|w| w.unfinished_tasks().len() == 1));
     (harness, workers)
 }
 
--- a/crates/controller/tests/cluster_state/unreachable_machines.rs
+++ b/crates/controller/tests/cluster_state/unreachable_machines.rs
@@ -10,15 +10,19 @@
 fn single_unreachable_machine_is_deleted_and_task_moves_before_lease_expiry() {
     let (mut harness, mut workers) = busy_zone(5);
     let unreachable = workers.remove(0);
-    let lost = unreachable.live()[0].clone();
+    let lost = unreachable.unfinished_tasks()[0].clone();
     let names = deleted_machines(&mut harness, &mut workers, 12_000);
     assert_eq!(names, ["m-1"], "its lease of 14 s still runs");
     let mut idle = small_worker("m-9", "a");
     harness.run_rounds(&mut [&mut idle]);
-    assert_eq!(idle.live(), [] as [&str; 0], "not before the cloud has confirmed the deletion");
+    assert_eq!(
+        idle.unfinished_tasks(),
+        [] as [&str; 0],
+        "not before the cloud has confirmed the deletion"
+    );
     harness.cluster.scale_in_finished(&names, harness.now);
     harness.run_rounds(&mut [&mut idle]);
-    assert_eq!(idle.live(), [lost]);
+    assert_eq!(idle.unfinished_tasks(), [lost]);
 }
 
 #[test]
@@ -66,7 +70,7 @@
     let entries: Vec<ListedMachine> = a
         .iter_mut()
         .chain(b.iter_mut())
-        .map(|w| w.report())
+        .map(|w| w.heartbeat())
         .map(|r| ListedMachine {
             zone: r.zone,
             ..listed_machine(&r.machine, MachineState::Running, 60.0)
@@ -116,7 +120,7 @@
     }
     assert!(!rented.is_empty());
     assert!(rented.iter().all(|zone| zone == "a"), "{rented:?}");
-    b.iter_mut().for_each(ScriptedWorker::expire);
+    b.iter_mut().for_each(ScriptedWorker::expire_lease);
     harness.run_rounds_all(&mut b);
-    assert!(b.iter().all(|w| w.live().len() == 1), "back, they get work at once");
+    assert!(b.iter().all(|w| w.unfinished_tasks().len() == 1), "back, they get work at once");
 }
--- a/crates/controller/tests/concurrent_faults.rs
+++ b/crates/controller/tests/concurrent_faults.rs
@@ -28,17 +28,17 @@
     let mut partitioned = small_worker("m-1", "a");
     bound_job(&mut harness, true, false, 300);
     harness.run_rounds(&mut [&mut partitioned]);
-    assert_eq!(partitioned.live().len(), 1, "its zone is a from now on");
+    assert_eq!(partitioned.unfinished_tasks().len(), 1, "its zone is a from now on");
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, 30_000);
     let mut other = small_worker("m-2", "b");
     next.run_rounds(&mut [&mut other]);
-    assert_eq!(other.started, [], "the job may be in zone a");
+    assert_eq!(other.started_attempts, [], "the job may be in zone a");
     let lease = worker_lease_expiry_ms(&test_config().platform);
     while next.now < 30_000 + lease {
         next.run_rounds(&mut [&mut other]);
     }
     next.run_rounds(&mut [&mut other]);
-    assert_eq!(other.live().len(), 1, "what was there is gone for sure");
+    assert_eq!(other.unfinished_tasks().len(), 1, "what was there is gone for sure");
 }
 
 #[test]
@@ -51,11 +51,15 @@
     let mut all: Vec<&mut ScriptedWorker> = partitioned.iter_mut().collect();
     all.push(&mut far);
     harness.run_rounds(&mut all);
-    assert_eq!(partitioned.iter().map(|w| w.live().len()).sum::<usize>(), 20, "half of it");
+    assert_eq!(
+        partitioned.iter().map(|w| w.unfinished_tasks().len()).sum::<usize>(),
+        20,
+        "half of it"
+    );
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, 30_000);
     let mut fresh = small_worker("m-100", "a");
     next.run_rounds(&mut [&mut far, &mut fresh]);
-    assert_eq!(fresh.started, [], "half of the job may be in zone a");
+    assert_eq!(fresh.started_attempts, [], "half of the job may be in zone a");
 }
 
 /// The counterpart of the first test: without constraints, tasks above the watermark start at once.
@@ -68,7 +72,7 @@
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, 30_000);
     let mut other = small_worker("m-2", "b");
     next.run_rounds(&mut [&mut other]);
-    assert_eq!(other.live().len(), 1);
+    assert_eq!(other.unfinished_tasks().len(), 1);
 }
 
 /// An unreadable watermark record does not tell what was started; it was read as if nothing had been. Found
@@ -85,10 +89,10 @@
     let mut next = LeaderHarness::lead(store, 2, 30_000);
     let mut other = small_worker("m-2", "b");
     next.run_rounds(&mut [&mut other]);
-    assert_eq!(other.started, [], "any of its tasks may be on m-1");
-    partitioned.end(&partitioned.live()[0].clone(), ExitCause::Done);
+    assert_eq!(other.started_attempts, [], "any of its tasks may be on m-1");
+    partitioned.end_task(&partitioned.unfinished_tasks()[0].clone(), ExitCause::Done);
     next.run_rounds(&mut [&mut other, &mut partitioned]);
-    assert!(!other.started.is_empty(), "all machines have reported");
+    assert!(!other.started_attempts.is_empty(), "all machines have reported");
 }
 
 /// No record is deleted of a job whose own record is unreadable.
@@ -149,7 +153,7 @@
     harness.run_rounds(&mut [&mut worker]);
     assert_eq!(harness.cluster.cancel(&id), CancelOutcome::LeasesOutstanding);
     // The worker is partitioned; the user repeats the request.
-    let report = worker.report();
+    let report = worker.heartbeat();
     for _ in 0..5 {
         harness.advance(1_000);
         assert_eq!(harness.cluster.cancel(&id), CancelOutcome::LeasesOutstanding);
@@ -161,7 +165,7 @@
         .expect("the leader answers")
         .commands;
     assert!(matches!(stops.as_slice(), [Command::Kill { .. }]), "{stops:?}");
-    worker.end(&worker.live()[0].clone(), ExitCause::Stopped);
+    worker.end_task(&worker.unfinished_tasks()[0].clone(), ExitCause::Stopped);
     harness.heartbeat(&mut worker);
     harness.advance(100);
     assert_eq!(harness.stored_final_state(&id).as_deref(), Some("withdrawn"));
@@ -178,14 +182,14 @@
     let mut harness = LeaderHarness::start();
     let (mut left, mut right) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     harness.submit(job("req-000001", "array", 1));
-    let older = left.report();
+    let older = left.heartbeat();
     harness.run_rounds(&mut [&mut left]);
-    assert_eq!(left.live().len(), 1);
-    let (old, empty) = (left.report(), right.report());
+    assert_eq!(left.unfinished_tasks().len(), 1);
+    let (old, empty) = (left.heartbeat(), right.heartbeat());
     // The task is refused there and runs elsewhere.
-    left.end(&left.live()[0].clone(), ExitCause::InsufficientResources);
+    left.end_task(&left.unfinished_tasks()[0].clone(), ExitCause::InsufficientResources);
     harness.run_rounds(&mut [&mut left, &mut right]);
-    while right.live().is_empty() {
+    while right.unfinished_tasks().is_empty() {
         harness.run_rounds(&mut [&mut left, &mut right]);
     }
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + 6_000);
@@ -195,14 +199,14 @@
     next.cluster.handle_heartbeat(&empty, next.now);
     for _ in 0..4 {
         next.run_rounds(&mut [&mut idle]);
-        assert_eq!(idle.started, [], "it runs on m-2, which was not heard yet");
+        assert_eq!(idle.started_attempts, [], "it runs on m-2, which was not heard yet");
     }
     next.cluster.handle_heartbeat(&old, next.now);
     next.run_rounds(&mut [&mut idle]);
-    assert_eq!(idle.started, []);
+    assert_eq!(idle.started_attempts, []);
     next.run_rounds(&mut [&mut left, &mut right, &mut idle]);
     next.run_rounds(&mut [&mut left, &mut right, &mut idle]);
-    let live: usize = [&left, &right, &idle].iter().map(|w| w.live().len()).sum();
+    let live: usize = [&left, &right, &idle].iter().map(|w| w.unfinished_tasks().len()).sum();
     assert_eq!(live, 1, "one machine has it");
     // The duplicate again, after newer heartbeats: it changes no state.
     assert_eq!(next.cluster.handle_heartbeat(&old, next.now), None);
@@ -212,13 +216,13 @@
 #[test]
 fn delayed_heartbeat_after_new_leader_acted_changes_no_state() {
     let (harness, mut worker, _) = one_running_task();
-    worker.end(&worker.live()[0].clone(), ExitCause::Error);
-    let held_back = worker.report();
+    worker.end_task(&worker.unfinished_tasks()[0].clone(), ExitCause::Error);
+    let held_back = worker.heartbeat();
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + 6_000);
     // The state probe makes the worker report its tasks under the new fencing token.
     let probe =
-        DirectCommands { fencing_token: 2, incarnation: worker.session(), commands: vec![] };
-    let told = worker.commands(&probe).expect("a higher token");
+        DirectCommands { fencing_token: 2, incarnation: worker.incarnation(), commands: vec![] };
+    let told = worker.handle_direct_commands(&probe).expect("a higher token");
     next.cluster.machines_listed(
         &[listed_machine("m-1", MachineState::Running, 60.0)],
         next.now,
@@ -227,10 +231,10 @@
     next.cluster.state_probed("m-1", Some(told), next.now);
     next.run_rounds(&mut [&mut worker]);
     next.now += 60_000;
-    while worker.live().is_empty() {
+    while worker.unfinished_tasks().is_empty() {
         next.run_rounds(&mut [&mut worker]);
     }
-    let before = worker.started.len();
+    let before = worker.started_attempts.len();
     assert_eq!(
         next.cluster.handle_heartbeat(&held_back, next.now),
         None,
@@ -239,7 +243,7 @@
     for _ in 0..5 {
         next.run_rounds(&mut [&mut worker]);
     }
-    assert_eq!((worker.live().len(), worker.started.len()), (1, before));
+    assert_eq!((worker.unfinished_tasks().len(), worker.started_attempts.len()), (1, before));
 }
 
 /// New machines boot within two seconds while commits lag, and the leader ends: no task starts on a machine
@@ -250,14 +254,14 @@
     let (mut first, mut quick) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.submit(job("req-000001", "array", 300));
     harness.run_rounds(&mut [&mut first]);
-    assert_eq!(first.live().len(), 1, "the store knows that tasks may be started");
+    assert_eq!(first.unfinished_tasks().len(), 1, "the store knows that tasks may be started");
     // The commits of the new machine's entry have no response; they arrive late, after the end of the leader.
     let mut lost = Vec::new();
     for _ in 0..6 {
-        let report = quick.report();
+        let report = quick.heartbeat();
         let answer =
             harness.cluster.handle_heartbeat(&report, harness.now).expect("the leader answers");
-        assert!(quick.take(&answer));
+        assert!(quick.handle_response(&answer));
         harness.now += 500;
         harness.cluster.scheduling_round(harness.now);
         assert_eq!(harness.cluster.take_direct_starts(harness.now), [], "nor straight");
@@ -268,7 +272,7 @@
         }
     }
     assert!(!lost.is_empty());
-    assert_eq!(quick.started, [], "the next leader would not know of it");
+    assert_eq!(quick.started_attempts, [], "the next leader would not know of it");
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now);
     for transaction in &lost {
         assert!(next.store.commit(transaction).is_err(), "the old leader's writes fail by now");
@@ -278,7 +282,7 @@
     let mut other = small_worker("m-3", "b");
     next.run_rounds(&mut [&mut first, &mut other]);
     assert!(next.cluster.reconciled(next.now));
-    assert_eq!(other.live().len(), 1);
+    assert_eq!(other.unfinished_tasks().len(), 1);
 }
 
 /// A team is at its quota when the leader changes, a machine with one of its tasks is unreachable, and the
@@ -295,7 +299,7 @@
     let (mut partitioned, mut reachable) = (small_worker("m-1", "b"), small_worker("m-2", "a"));
     let id = harness.submit(tight("req-000001"));
     harness.run_rounds(&mut [&mut partitioned]);
-    assert_eq!(partitioned.live().len(), 1, "three of four CPUs");
+    assert_eq!(partitioned.unfinished_tasks().len(), 1, "three of four CPUs");
     harness.submit(tight("req-000002"));
     // Cancelled before or after the failover.
     for (case, at) in ["before", "after"].iter().zip([40_000, 80_000]) {
@@ -314,14 +318,14 @@
         let mut reachable = reachable.clone();
         while harness.now < over {
             harness.run_rounds(&mut [&mut reachable]);
-            assert_eq!(reachable.started, [], "{case}: m-1 may still run it");
+            assert_eq!(reachable.started_attempts, [], "{case}: m-1 may still run it");
         }
         for _ in 0..5 {
             harness.run_rounds(&mut [&mut reachable]);
         }
-        assert_eq!(reachable.live().len(), 1, "{case}: it is gone for sure");
+        assert_eq!(reachable.unfinished_tasks().len(), 1, "{case}: it is gone for sure");
     }
-    reachable.expire();
+    reachable.expire_lease();
 }
 
 /// Tasks of a small job complete far apart under different leaders: a completed task is not started again.
@@ -334,15 +338,15 @@
     harness.run_rounds_all(&mut workers);
     for term in 2..=4 {
         let n = term as usize - 2;
-        let task = workers[n].live()[0].clone();
-        workers[n].end(&task, ExitCause::Done);
+        let task = workers[n].unfinished_tasks()[0].clone();
+        workers[n].end_task(&task, ExitCause::Done);
         harness.run_rounds_all(&mut workers);
         let over = harness.stored_final_state(&id);
         assert_eq!(over.is_some(), term == 4, "done with the last one only");
         harness = LeaderHarness::lead(harness.store.clone(), term, harness.now + 6_000);
     }
     assert_eq!(harness.stored_final_state(&id).as_deref(), Some("done"));
-    let started: usize = workers.iter().map(|w| w.started.len()).sum();
+    let started: usize = workers.iter().map(|w| w.started_attempts.len()).sum();
     assert_eq!(started, 3, "none ran a second time");
 }
 
@@ -354,8 +358,8 @@
         (1..=3).map(|n| small_worker(&format!("m-{n}"), "a")).collect();
     let id = harness.submit(job("req-000001", "array", 3));
     harness.run_rounds_all(&mut workers);
-    let old: Vec<_> = workers.iter_mut().map(ScriptedWorker::report).collect();
-    workers.iter_mut().for_each(ScriptedWorker::expire);
+    let old: Vec<_> = workers.iter_mut().map(ScriptedWorker::heartbeat).collect();
+    workers.iter_mut().for_each(ScriptedWorker::expire_lease);
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + 30_000);
     // Duplicated heartbeats from before the outage arrive first.
     for report in &old {
@@ -364,11 +368,12 @@
     for _ in 0..4 {
         next.run_rounds_all(&mut workers);
     }
-    assert!(workers.iter().all(|w| w.live().len() == 1), "each has a task again");
-    let attempts: std::collections::BTreeSet<_> = workers.iter().flat_map(|w| &w.started).collect();
+    assert!(workers.iter().all(|w| w.unfinished_tasks().len() == 1), "each has a task again");
+    let attempts: std::collections::BTreeSet<_> =
+        workers.iter().flat_map(|w| &w.started_attempts).collect();
     assert_eq!(attempts.len(), 6, "no attempt number was used twice");
     for w in &mut workers {
-        w.end(&w.live()[0].clone(), ExitCause::Done);
+        w.end_task(&w.unfinished_tasks()[0].clone(), ExitCause::Done);
     }
     next.run_rounds_all(&mut workers);
     assert_eq!(next.stored_final_state(&id).as_deref(), Some("done"));
--- a/crates/controller/tests/controller_actor.rs
+++ b/crates/controller/tests/controller_actor.rs
@@ -147,11 +147,11 @@
         let address = server.start().await.expect("a free port");
         let mut one = start("one", &address, &[], true).await;
         let id = accepted(&mut one).await;
-        server.refuse(true);
+        server.begin_outage();
         let verdict = within(one.api_service.cancel(&id, Origin::Client)).await;
         assert!(matches!(verdict, RequestOutcome::Unavailable(_)), "{verdict:?}");
-        assert!(server.with(|store| store.get(&final_state_key(&id))).is_none());
-        server.refuse(false);
+        assert!(server.with_store(|store| store.get(&final_state_key(&id))).is_none());
+        server.end_outage();
         // The decision stayed in the queue; whoever asks again learns the outcome.
         let told = within(async {
             loop {
@@ -227,7 +227,7 @@
             RequestOutcome::NotFound
         );
         // While the state service is away for all, nobody knows.
-        server.refuse(true);
+        server.begin_outage();
         let verdict = within(one.api_service.status(&absent, Origin::Client)).await;
         assert!(matches!(verdict, RequestOutcome::Unavailable(_)), "{verdict:?}");
     };
--- a/crates/controller/tests/daemons.rs
+++ b/crates/controller/tests/daemons.rs
@@ -23,7 +23,7 @@
 fn running(harness: &mut LeaderHarness, worker: &mut ScriptedWorker) -> JobId {
     let id = harness.submit(daemon("req-000001", 1));
     harness.run_rounds(&mut [&mut *worker]);
-    assert_eq!(worker.live(), ["req-000001/0"]);
+    assert_eq!(worker.unfinished_tasks(), ["req-000001/0"]);
     id
 }
 
@@ -49,12 +49,12 @@
         let mut worker = small_worker("m-1", "a");
         let id = running(&mut harness, &mut worker);
         run_for(&mut harness, &mut worker, constants::REPLICA_STEADY_MS);
-        worker.end("req-000001/0", cause);
+        worker.end_task("req-000001/0", cause);
         for _ in 0..4 {
             harness.run_rounds(&mut [&mut worker]);
         }
-        assert_eq!(worker.live(), ["req-000001/0"], "after {cause:?}");
-        assert_eq!(worker.report().tasks.len(), 1, "the earlier attempt is removed");
+        assert_eq!(worker.unfinished_tasks(), ["req-000001/0"], "after {cause:?}");
+        assert_eq!(worker.heartbeat().tasks.len(), 1, "the earlier attempt is removed");
         assert_eq!(harness.job_state(&id), JobState::Running);
         assert_eq!(harness.store.list("p/"), [], "an end is no result");
     }
@@ -68,14 +68,14 @@
     let before = harness.store.revision();
     for _ in 0..50 {
         run_for(&mut harness, &mut worker, constants::REPLICA_STEADY_MS);
-        worker.end("req-000001/0", ExitCause::Done);
+        worker.end_task("req-000001/0", ExitCause::Done);
         for _ in 0..2 {
             harness.heartbeat(&mut worker);
             harness.advance(500);
         }
     }
     harness.run_rounds(&mut [&mut worker]);
-    assert!(worker.started.len() > 40);
+    assert!(worker.started_attempts.len() > 40);
     assert_eq!(
         harness.store.revision(),
         before,
@@ -84,7 +84,7 @@
     harness.cluster.cancel(&id);
     harness.run_rounds(&mut [&mut worker]);
     assert_eq!(harness.stored_final_state(&id).as_deref(), Some("withdrawn"));
-    assert_eq!(worker.live(), [""; 0]);
+    assert_eq!(worker.unfinished_tasks(), [""; 0]);
     let left: Vec<String> = harness.store.list("").into_iter().map(|kv| kv.key).collect();
     assert!(!left.iter().any(|key| key.starts_with("j/") || key.starts_with("p/")), "{left:?}");
 }
@@ -95,22 +95,23 @@
         let mut harness = LeaderHarness::start();
         let (mut one, mut two) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
         harness.submit(daemon("req-000001", 3));
-        let starts_within = |harness: &mut LeaderHarness,
-                             workers: &mut [&mut ScriptedWorker; 2],
-                             ms: u64| {
-            let started = |w: &[&mut ScriptedWorker; 2]| w[0].started.len() + w[1].started.len();
-            let (before, until) = (started(workers), harness.now + ms);
-            while harness.now < until {
-                for worker in workers.iter_mut() {
-                    for task in worker.live() {
-                        worker.end(&task, cause);
+        let starts_within =
+            |harness: &mut LeaderHarness, workers: &mut [&mut ScriptedWorker; 2], ms: u64| {
+                let started = |w: &[&mut ScriptedWorker; 2]| {
+                    w[0].started_attempts.len() + w[1].started_attempts.len()
+                };
+                let (before, until) = (started(workers), harness.now + ms);
+                while harness.now < until {
+                    for worker in workers.iter_mut() {
+                        for task in worker.unfinished_tasks() {
+                            worker.end_task(&task, cause);
+                        }
+                        harness.heartbeat(worker);
                     }
-                    harness.heartbeat(worker);
+                    harness.advance(500);
                 }
-                harness.advance(500);
-            }
-            started(workers) - before
-        };
+                started(workers) - before
+            };
         let mut workers = [&mut one, &mut two];
         starts_within(&mut harness, &mut workers, 60_000);
         let later = starts_within(&mut harness, &mut workers, 60_000);
@@ -124,11 +125,15 @@
     let (mut one, mut two) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     harness.submit(daemon("req-000001", 6));
     harness.run_rounds(&mut [&mut one, &mut two]);
-    assert_eq!(one.live().len() + two.live().len(), 6);
-    let failing = one.live()[0].clone();
-    one.end(&failing, ExitCause::Error);
+    assert_eq!(one.unfinished_tasks().len() + two.unfinished_tasks().len(), 6);
+    let failing = one.unfinished_tasks()[0].clone();
+    one.end_task(&failing, ExitCause::Error);
     harness.run_rounds(&mut [&mut one, &mut two]);
-    assert_eq!(one.live().len() + two.live().len(), 6, "it runs elsewhere at once");
+    assert_eq!(
+        one.unfinished_tasks().len() + two.unfinished_tasks().len(),
+        6,
+        "it runs elsewhere at once"
+    );
 }
 
 #[test]
@@ -141,13 +146,13 @@
     while harness.now < over - 1_000 {
         harness.heartbeat(&mut other);
         harness.advance(500);
-        assert_eq!(other.live(), [""; 0], "m-1 may still run it at {}", harness.now);
+        assert_eq!(other.unfinished_tasks(), [""; 0], "m-1 may still run it at {}", harness.now);
     }
     for _ in 0..10 {
         harness.heartbeat(&mut other);
         harness.advance(500);
     }
-    assert_eq!(other.live(), ["req-000001/0"]);
+    assert_eq!(other.unfinished_tasks(), ["req-000001/0"]);
 }
 
 #[test]
@@ -155,15 +160,18 @@
     let mut harness = LeaderHarness::start();
     let (mut leaving, mut other) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     running(&mut harness, &mut leaving);
-    leaving.notice(60.0);
+    leaving.set_interruption_notice(60.0);
     for _ in 0..12 {
         for worker in [&mut leaving, &mut other] {
             harness.heartbeat(worker);
         }
         harness.advance(500);
-        assert!(leaving.live().len() + other.live().len() <= 1, "on two machines");
+        assert!(
+            leaving.unfinished_tasks().len() + other.unfinished_tasks().len() <= 1,
+            "on two machines"
+        );
     }
-    assert_eq!(other.live(), ["req-000001/0"]);
+    assert_eq!(other.unfinished_tasks(), ["req-000001/0"]);
 }
 
 #[test]
@@ -172,12 +180,12 @@
     let (mut one, mut two) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     let id = harness.submit(daemon("req-000001", 6));
     harness.run_rounds(&mut [&mut one, &mut two]);
-    let (before_one, before_two) = (one.live(), two.live());
+    let (before_one, before_two) = (one.unfinished_tasks(), two.unfinished_tasks());
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, 30_000);
     next.run_rounds(&mut [&mut one, &mut two]);
-    assert_eq!((one.live(), two.live()), (before_one, before_two));
+    assert_eq!((one.unfinished_tasks(), two.unfinished_tasks()), (before_one, before_two));
     assert_eq!(next.job_state(&id), JobState::Running);
-    assert_eq!(one.started.len() + two.started.len(), 6);
+    assert_eq!(one.started_attempts.len() + two.started_attempts.len(), 6);
 }
 
 #[test]
@@ -187,11 +195,11 @@
     let filling = JobSpec { cpus: 1.0, ..job("req-000002", "array", 4) };
     harness.submit(filling);
     harness.run_rounds(&mut [&mut worker]);
-    assert_eq!(worker.live().len(), 4, "the machine is full");
+    assert_eq!(worker.unfinished_tasks().len(), 4, "the machine is full");
     harness.submit(daemon("req-000001", 2));
     harness.run_rounds(&mut [&mut worker]);
-    let replicas = worker.live().iter().filter(|t| t.starts_with("req-000001")).count();
-    assert_eq!((replicas, worker.live().len()), (2, 4));
+    let replicas = worker.unfinished_tasks().iter().filter(|t| t.starts_with("req-000001")).count();
+    assert_eq!((replicas, worker.unfinished_tasks().len()), (2, 4));
 }
 
 #[test]
@@ -199,13 +207,13 @@
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
     let id = running(&mut harness, &mut worker);
-    worker.end("req-000001/0", ExitCause::Done);
+    worker.end_task("req-000001/0", ExitCause::Done);
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, 60_000);
     let commands = next.heartbeat(&mut worker);
     assert!(commands.iter().any(|o| matches!(o, Command::Reap { .. })), "{commands:?}");
     for _ in 0..4 {
         next.run_rounds(&mut [&mut worker]);
     }
-    assert_eq!(worker.live(), ["req-000001/0"]);
+    assert_eq!(worker.unfinished_tasks(), ["req-000001/0"]);
     assert_eq!(next.job_state(&id), JobState::Running);
 }
--- a/crates/controller/tests/fleet_size.rs
+++ b/crates/controller/tests/fleet_size.rs
@@ -74,10 +74,10 @@
     /// Every worker sends one heartbeat, and all queued operations are committed.
     fn report_all(&mut self) {
         for n in 0..self.workers.len() {
-            let report = self.workers[n].report();
+            let report = self.workers[n].heartbeat();
             let answer = self.harness.cluster.handle_heartbeat(&report, self.harness.now);
             if let Some(answer) = answer {
-                self.workers[n].take(&answer);
+                self.workers[n].handle_response(&answer);
             }
             if n % 100 == 0 {
                 self.harness.now += 40;
@@ -91,13 +91,13 @@
     }
 
     fn running(&self) -> usize {
-        self.workers.iter().map(|w| w.live().len()).sum()
+        self.workers.iter().map(|w| w.unfinished_tasks().len()).sum()
     }
 
     /// No task is on two machines.
     fn check_tasks(&self) {
         let mut seen = BTreeSet::new();
-        for task in self.workers.iter().flat_map(ScriptedWorker::live) {
+        for task in self.workers.iter().flat_map(ScriptedWorker::unfinished_tasks) {
             assert!(seen.insert(task.clone()), "{task} is on two machines");
         }
     }
@@ -124,8 +124,8 @@
 
     // Tasks end during a failover; the new leader reads all machines from the state service.
     for n in (0..MACHINES).step_by(10) {
-        let task = fleet.workers[n].live().remove(0);
-        fleet.workers[n].end(&task, ExitCause::Done);
+        let task = fleet.workers[n].unfinished_tasks().remove(0);
+        fleet.workers[n].end_task(&task, ExitCause::Done);
     }
     let now = fleet.harness.now + 6_000;
     let store = std::mem::take(&mut fleet.harness.store);
@@ -148,6 +148,6 @@
     }
     fleet.check_tasks();
     assert_eq!(fleet.running(), MACHINES, "what ended made room for what was left");
-    let done: usize = fleet.workers.iter().map(|w| w.started.len()).sum();
+    let done: usize = fleet.workers.iter().map(|w| w.started_attempts.len()).sum();
     assert_eq!(done, MACHINES + MACHINES / 10, "each task was started once");
 }
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -114,11 +114,11 @@
 
     /// One heartbeat of a worker and its response; the commands in it.
     pub fn heartbeat(&mut self, worker: &mut ScriptedWorker) -> Vec<Command> {
-        let report = worker.report();
+        let report = worker.heartbeat();
         let answer = self.cluster.handle_heartbeat(&report, self.now);
         let commands = answer.as_ref().map(|a| a.commands.clone()).unwrap_or_default();
         if let Some(answer) = answer {
-            worker.take(&answer);
+            worker.handle_response(&answer);
         }
         self.commit_pending();
         commands
--- a/crates/controller/tests/http_routes.rs
+++ b/crates/controller/tests/http_routes.rs
@@ -119,7 +119,7 @@
 async fn store_unavailable_sets_longer_retry_after_for_status_than_for_submission() {
     let server = StoreServer::default();
     let api = api(&server.start().await.expect("a free port"));
-    server.refuse(true);
+    server.begin_outage();
     for (method, path, body, back) in [
         ("GET", "/api/jobs/req-000412", "", BACK_TO_ASK),
         ("POST", "/api/jobs", JOB, BACK),
--- a/crates/controller/tests/leadership.rs
+++ b/crates/controller/tests/leadership.rs
@@ -57,7 +57,7 @@
     two.view.wait_for(|v| v.leader.as_deref() == Some("one")).await.expect("the actor lives");
     assert_eq!(two.view.borrow().own_term, None, "one leader at a time");
     // The lease ends, as it does when it is not extended in time.
-    server.end(first.lease_id);
+    server.expire_lease(first.lease_id);
     let second = tokio::select! {
         m = leads(&mut two) => m,
         m = async { one.view.wait_for(|v| v.own_term.as_ref().is_some_and(|m| m.term > 1)).await
@@ -70,14 +70,14 @@
         preconditions: vec![first.precondition],
         operations: vec![Operation::put("f/req-000001", serde_json::json!("late"))],
     };
-    assert!(server.with(|store| store.commit(&late)).is_err());
+    assert!(server.with_store(|store| store.commit(&late)).is_err());
 }
 
 #[tokio::test]
 async fn restarted_controller_revokes_lease_of_previous_process() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
-    let lease_id = server.grant();
+    let lease_id = server.grant_lease();
     let record = LeaderRecord { controller_name: "one".into(), term: 4, nonce: 1 };
     let before = Transaction {
         preconditions: vec![],
@@ -90,10 +90,10 @@
             Operation::put(LEADER_TERM_KEY, serde_json::json!(4)),
         ],
     };
-    server.with(|store| store.commit(&before)).expect("applied");
+    server.with_store(|store| store.commit(&before)).expect("applied");
     let mut one = start("one", &address);
     assert_eq!(leads(&mut one).await.term, 5);
-    assert!(!server.end(lease_id), "the old lease is over");
+    assert!(!server.expire_lease(lease_id), "the old lease is over");
 }
 
 #[tokio::test]
@@ -102,10 +102,10 @@
     let address = server.start().await.expect("a free port");
     let mut one = start("one", &address);
     let first = leads(&mut one).await;
-    server.refuse(true);
+    server.begin_outage();
     // Several extensions fail; the lease itself lasts, as every lease does during an outage.
-    server.refused(3).await;
-    server.refuse(false);
+    server.wait_for_refused_requests(3).await;
+    server.end_outage();
     let two = start("two", &address);
     let mut view = two.view.clone();
     view.wait_for(|v| v.leader.as_deref() == Some("one")).await.expect("the actor lives");
@@ -122,14 +122,14 @@
     let first = leads(&mut one).await;
     let mut two = start("two", &address);
     two.view.wait_for(|v| v.leader.as_deref() == Some("one")).await.expect("the actor lives");
-    server.mute_watches();
+    server.suppress_watch_events();
     two.suspicion.notify_one();
     tokio::time::sleep(std::time::Duration::from_millis(200)).await;
     assert_eq!(two.view.borrow().own_term, None, "the lease runs, so it leads");
     assert_eq!(one.view.borrow().own_term, Some(first.clone()));
     // Its process has ended, and nobody extends the lease; the muted watch delivers no event.
     one.leadership.abort();
-    server.end(first.lease_id);
+    server.expire_lease(first.lease_id);
     two.suspicion.notify_one();
     let limit = std::time::Duration::from_millis(hookway_constants::WATCH_WAIT_MS);
     let second = tokio::time::timeout(limit, leads(&mut two)).await.expect("before the watch ends");
--- a/crates/controller/tests/simulation/dispatch.rs
+++ b/crates/controller/tests/simulation/dispatch.rs
@@ -51,7 +51,9 @@
             }) else {
                 continue;
             };
-            if let Some(m) = self.machines.iter().position(|m| m.worker.live().contains(&task.0)) {
+            if let Some(m) =
+                self.machines.iter().position(|m| m.worker.unfinished_tasks().contains(&task.0))
+            {
                 messages.push((m, commands, false));
             }
         }
--- a/crates/controller/tests/simulation/gangs.rs
+++ b/crates/controller/tests/simulation/gangs.rs
@@ -82,7 +82,7 @@
         let since = self.machines[m].since.get(task).copied().unwrap_or(now);
         let name = |index: u32| format!("{}/{index}", spec.id);
         let state = |index: u32| {
-            let on = |w: &ScriptedWorker| w.state_of(&name(index), attempt);
+            let on = |w: &ScriptedWorker| w.task_state(&name(index), attempt);
             self.machines.iter().filter(|m| !m.dead).find_map(|m| on(&m.worker))
         };
         match reported.state {
@@ -94,13 +94,13 @@
                 if (0..spec.tasks).all(ready) {
                     self.start_gang(spec, attempt);
                 } else if now >= since + GANG_WAIT {
-                    self.machines[m].worker.end(task, ExitCause::GangIncomplete);
+                    self.machines[m].worker.end_task(task, ExitCause::GangIncomplete);
                 }
             }
             TaskState::Running => {
                 let gone = |index: u32| state(index).is_none() && !self.done.contains(&name(index));
                 if now >= since + GANG_PEER && (0..spec.tasks).any(gone) {
-                    self.machines[m].worker.end(task, ExitCause::GangMemberLost);
+                    self.machines[m].worker.end_task(task, ExitCause::GangMemberLost);
                 }
             }
             _ => {}
@@ -112,7 +112,7 @@
         for machine in self.machines.iter_mut().filter(|m| !m.dead) {
             for index in 0..spec.tasks {
                 let task = format!("{}/{index}", spec.id);
-                if machine.worker.state_of(&task, attempt).is_some() {
+                if machine.worker.task_state(&task, attempt).is_some() {
                     machine.worker.set_task_state(&task, TaskState::Running);
                     machine.since.insert(task, now);
                 }
--- a/crates/controller/tests/simulation/machines.rs
+++ b/crates/controller/tests/simulation/machines.rs
@@ -74,7 +74,7 @@
         let (now, lease) = (self.now, self.lease_ms());
         let machine = &mut self.machines[m];
         if now > machine.lease_from + lease {
-            machine.worker.expire();
+            machine.worker.expire_lease();
             machine.lease_from = now;
             machine.in_flight = None;
             machine.since.clear();
@@ -104,8 +104,8 @@
         machine.in_flight = None;
         match reply {
             Reply::Answer(answer) => {
-                let before = machine.worker.started.len();
-                if machine.worker.take(&answer) {
+                let before = machine.worker.started_attempts.len();
+                if machine.worker.handle_response(&answer) {
                     machine.lease_from = sent;
                     if !answer.commands.is_empty() {
                         machine.next_report = machine.next_report.min(now + 500);
@@ -144,8 +144,8 @@
         }
         self.expire(m);
         let machine = &mut self.machines[m];
-        let before = machine.worker.started.len();
-        let report = machine.worker.commands(&commands);
+        let before = machine.worker.started_attempts.len();
+        let report = machine.worker.handle_direct_commands(&commands);
         let name = machine.name.clone();
         self.check_starts(m, before);
         if term > 0 {
@@ -166,26 +166,29 @@
         self.expire(m);
         let machine = &mut self.machines[m];
         // The probe is repeated under the incarnation that its refusal names.
-        let session = machine.worker.session();
+        let session = machine.worker.incarnation();
         let probe = DirectCommands { fencing_token: term, incarnation: session, commands: vec![] };
-        let report = machine.worker.commands(&probe);
+        let report = machine.worker.handle_direct_commands(&probe);
         let name = machine.name.clone();
         self.send(|| Message::ProbeResult(n, term, name.clone(), report.clone()));
     }
 
     /// Checks the invariants at each start.
     fn check_starts(&mut self, m: usize, before: usize) {
-        let started = self.machines[m].worker.started[before..].to_vec();
+        let started = self.machines[m].worker.started_attempts[before..].to_vec();
         for (task, attempt) in started {
             self.counts.starts += 1;
-            let earlier = &self.machines[m].worker.started[..before];
+            let earlier = &self.machines[m].worker.started_attempts[..before];
             let again = earlier.iter().any(|(t, a)| *t == task && *a == attempt);
             assert!(!again, "{task} attempt {attempt} starts a second time on m-{}", m + 1);
             for (other, machine) in self.machines.iter().enumerate() {
-                let twice = other != m && !machine.dead && machine.worker.live().contains(&task);
+                let twice = other != m
+                    && !machine.dead
+                    && machine.worker.unfinished_tasks().contains(&task);
                 assert!(!twice, "{task} starts on m-{} while on m-{}", m + 1, other + 1);
             }
-            let same = self.machines[m].worker.live().iter().filter(|t| **t == task).count();
+            let same =
+                self.machines[m].worker.unfinished_tasks().iter().filter(|t| **t == task).count();
             assert!(same <= 1, "{task} is on one machine twice");
             self.check_bounds(m, &task);
             let replica =
@@ -204,7 +207,9 @@
         let mut live: Vec<(String, String)> = Vec::new();
         for machine in self.machines.iter().filter(|m| !m.dead) {
             let zone = machine.worker.zone();
-            live.extend(machine.worker.live().into_iter().map(|t| (t, zone.to_owned())));
+            live.extend(
+                machine.worker.unfinished_tasks().into_iter().map(|t| (t, zone.to_owned())),
+            );
         }
         let of_job = |t: &str| t.split_once('/').is_some_and(|(j, _)| j == id);
         if spec.one_zone || spec.spread {
@@ -273,7 +278,7 @@
             machine.controller = (machine.controller + 1) % CONTROLLERS.len();
         }
         if machine.in_flight.is_none() && now >= machine.next_report {
-            let report = machine.worker.report();
+            let report = machine.worker.heartbeat();
             machine.in_flight = Some((report.sequence, now));
             machine.next_report = now + HEARTBEAT_EVERY;
             let (controller, outbound_lost) =
@@ -308,7 +313,7 @@
         let now = self.now;
         // Tasks run for a few seconds, a few for much longer than the time limits of controllers, and all
         // tasks of some jobs for longer than the cancellation limit.
-        for task in self.machines[m].worker.live() {
+        for task in self.machines[m].worker.unfinished_tasks() {
             let (id, _) = task.split_once('/').expect("a task");
             let long = self.long(id);
             let machine = &mut self.machines[m];
@@ -318,7 +323,7 @@
             let fails_once = transient_failure && since + 2_000 == now;
             if fails || fails_once {
                 self.counts.errors += 1;
-                machine.worker.end(&task, ExitCause::Error);
+                machine.worker.end_task(&task, ExitCause::Error);
                 machine.next_report = machine.next_report.min(now + 100);
                 continue;
             }
@@ -331,11 +336,11 @@
                 true => 25_000,
                 false => 6_000,
             };
-            let runs = machine.worker.runs(&task);
+            let runs = machine.worker.is_running(&task);
             if !runs || now < since + takes || daemon && now >= FAULTS_END_AT {
                 continue;
             }
-            machine.worker.end(&task, ExitCause::Done);
+            machine.worker.end_task(&task, ExitCause::Done);
             machine.next_report = machine.next_report.min(now + 100);
             let (id, _) = task.split_once('/').expect("a task");
             let gang = self.jobs.iter().find(|j| j.id.as_str() == id && j.is_gang());
@@ -352,7 +357,8 @@
         if !(REPLICAS_AT - REPLICA_MOVES_WITHIN..=REPLICAS_AT).contains(&self.now) {
             return;
         }
-        let live = self.machines.iter().filter(|m| !m.dead).flat_map(|m| m.worker.live());
+        let live =
+            self.machines.iter().filter(|m| !m.dead).flat_map(|m| m.worker.unfinished_tasks());
         self.replicas_seen.extend(live);
         if self.now < REPLICAS_AT {
             return;
@@ -380,7 +386,8 @@
                 continue;
             };
             for machine in self.machines.iter().filter(|m| !m.dead) {
-                let there = machine.worker.live().iter().any(|t| t.starts_with(id.as_str()));
+                let there =
+                    machine.worker.unfinished_tasks().iter().any(|t| t.starts_with(id.as_str()));
                 assert!(!there, "{id} was withdrawn at {at} and is on {}", machine.name);
             }
         }
--- a/crates/controller/tests/simulation/mod.rs
+++ b/crates/controller/tests/simulation/mod.rs
@@ -228,7 +228,7 @@
         self.now > FAULTS_END_AT
             && self.now.is_multiple_of(5_000)
             && self.jobs.iter().all(|j| self.has_final_state(&j.id))
-            && self.machines.iter().all(|m| m.dead || m.worker.live().is_empty())
+            && self.machines.iter().all(|m| m.dead || m.worker.unfinished_tasks().is_empty())
     }
 
     /// The final state, to investigate a failure.
@@ -238,7 +238,8 @@
         let mut text = format!("{spec:?}\ndone: {}", self.done.iter().filter(of_job).count());
         for machine in self.machines.iter().filter(|m| !m.dead) {
             let zone = machine.worker.zone();
-            text += &format!("\n{} in {zone}: {:?}", machine.name, machine.worker.live());
+            text +=
+                &format!("\n{} in {zone}: {:?}", machine.name, machine.worker.unfinished_tasks());
         }
         for (controller, (label, zone)) in self.controllers.iter().zip(CONTROLLERS) {
             let leader = controller
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -35,8 +35,8 @@
         let worker = workers.iter_mut().find(|w| w.name() == name);
         let token = harness.cluster.term();
         let report = worker.and_then(|w| {
-            let session = w.session();
-            w.commands(&hookway_wire::DirectCommands {
+            let session = w.incarnation();
+            w.handle_direct_commands(&hookway_wire::DirectCommands {
                 fencing_token: token,
                 incarnation: session,
                 commands: vec![],
@@ -72,13 +72,13 @@
     for worker in &mut workers[..2] {
         harness.heartbeat(worker);
     }
-    assert_eq!(workers.iter().filter(|w| !w.live().is_empty()).count(), 2);
+    assert_eq!(workers.iter().filter(|w| !w.unfinished_tasks().is_empty()).count(), 2);
     let copy = copy_of(&mut harness.cluster);
     (harness, workers, copy, id)
 }
 
 fn attempts(workers: &[ScriptedWorker]) -> Vec<u64> {
-    workers.iter().flat_map(|w| &w.started).map(|(_, attempt)| *attempt).collect()
+    workers.iter().flat_map(|w| &w.started_attempts).map(|(_, attempt)| *attempt).collect()
 }
 
 #[test]
@@ -93,7 +93,7 @@
     assert_eq!(attempts.len(), 4, "the rest was started, and nothing twice: {attempts:?}");
     assert!(attempts.iter().all(|a| *a == attempts[0]), "{attempts:?}");
     for worker in &mut workers {
-        worker.set_state(TaskState::Running);
+        worker.set_all_task_states(TaskState::Running);
     }
     run_rounds(&mut harness, &mut workers);
     assert_eq!(harness.job_state(&id), JobState::Running);
@@ -116,12 +116,12 @@
     let (mut harness, mut workers, _, _) = partially_placed_gang();
     run_rounds(&mut harness, &mut workers);
     for worker in &mut workers {
-        worker.set_state(TaskState::Running);
+        worker.set_all_task_states(TaskState::Running);
     }
     run_rounds(&mut harness, &mut workers);
     let copy = copy_of(&mut harness.cluster);
-    let task = workers[3].live().remove(0);
-    workers[3].end(&task, ExitCause::Error);
+    let task = workers[3].unfinished_tasks().remove(0);
+    workers[3].end_task(&task, ExitCause::Error);
     fail_over(&mut harness, &copy);
     run_rounds(&mut harness, &mut workers);
     run_rounds(&mut harness, &mut workers);
@@ -139,10 +139,13 @@
         harness.cluster.scale_in_finished(&[gone.to_owned()], harness.now);
     }
     run_rounds(&mut harness, &mut workers);
-    assert_eq!(workers[0].live().len(), 1, "the rest may find room yet");
+    assert_eq!(workers[0].unfinished_tasks().len(), 1, "the rest may find room yet");
     harness.advance(constants::GANG_RESUME_LIMIT_MS);
     run_rounds(&mut harness, &mut workers);
-    assert!(workers.iter().all(|w| w.live().is_empty()), "stopped, so that it can begin anew");
+    assert!(
+        workers.iter().all(|w| w.unfinished_tasks().is_empty()),
+        "stopped, so that it can begin anew"
+    );
 }
 
 /// The stream is a hint: a start that it lacks may have been sent nevertheless.
@@ -162,8 +165,8 @@
     let mut heard: Vec<ScriptedWorker> = workers.drain(..2).collect();
     run_rounds(&mut harness, &mut heard);
     assert!(!harness.cluster.reconciled(harness.now));
-    let lost = heard[0].live().remove(0);
-    heard[0].end(&lost, ExitCause::Stopped);
+    let lost = heard[0].unfinished_tasks().remove(0);
+    heard[0].end_task(&lost, ExitCause::Stopped);
     run_rounds(&mut harness, &mut heard);
     assert_eq!(attempts(&heard).len(), 2, "what may be on the unreachable machine is not started");
     run_rounds(&mut harness, &mut workers);
@@ -192,13 +195,13 @@
     fail_over(&mut harness, &copy);
     let mut idle = vec![small_worker("m-2", "a")];
     run_rounds(&mut harness, &mut idle);
-    assert!(idle[0].started.is_empty(), "m-1 may run it");
+    assert!(idle[0].started_attempts.is_empty(), "m-1 may run it");
     let lease_over_at = harness.now + worker_lease_expiry_ms(&test_config().platform);
     while harness.now < lease_over_at {
         run_rounds(&mut harness, &mut idle);
     }
     run_rounds(&mut harness, &mut idle);
-    assert_eq!(idle[0].started.len(), 1, "its lease is surely over");
+    assert_eq!(idle[0].started_attempts.len(), 1, "its lease is surely over");
 }
 
 #[test]
@@ -256,7 +259,7 @@
     assert_eq!(asked.len(), 2);
     let probe =
         hookway_wire::DirectCommands { fencing_token: term, incarnation: 1, commands: vec![] };
-    let other = workers[1].commands(&probe);
+    let other = workers[1].handle_direct_commands(&probe);
     harness.cluster.state_probed("m-1", other, harness.now);
     assert!(!harness.cluster.reconciled(harness.now));
 }
@@ -269,8 +272,8 @@
     let id = harness.submit(job("req-000001", "array", 3));
     run_rounds(&mut harness, &mut workers);
     for worker in &mut workers {
-        let task = worker.live().remove(0);
-        worker.end(&task, ExitCause::Error);
+        let task = worker.unfinished_tasks().remove(0);
+        worker.end_task(&task, ExitCause::Error);
     }
     run_rounds(&mut harness, &mut workers);
     let copy = copy_of(&mut harness.cluster);
@@ -296,12 +299,12 @@
     copy.apply(Entry::Job { id: "req-000001".into(), hints }).expect("it fits");
     fail_over(&mut harness, &copy);
     run_rounds(&mut harness, &mut workers);
-    assert!(workers[0].live().is_empty(), "it pauses");
+    assert!(workers[0].unfinished_tasks().is_empty(), "it pauses");
     for _ in 0..constants::FAILURE_BACKOFF_MAX_MS / 2_000 + 5 {
         harness.now += 1_500;
         run_rounds(&mut harness, &mut workers);
     }
-    assert_eq!(workers[0].live().len(), 1);
+    assert_eq!(workers[0].unfinished_tasks().len(), 1);
 }
 
 #[test]
@@ -318,7 +321,7 @@
     assert_eq!(stages, [Stage::Sent, Stage::Sent, Stage::Planned, Stage::Planned]);
     run_rounds(&mut harness, &mut workers);
     for worker in &mut workers {
-        worker.set_state(TaskState::Running);
+        worker.set_all_task_states(TaskState::Running);
     }
     run_rounds(&mut harness, &mut workers);
     harness.cluster.publish(&mut publisher);
@@ -329,8 +332,8 @@
     );
     assert!(publisher.state().jobs.contains_key(id.as_str()));
     for worker in &mut workers {
-        let task = worker.live().remove(0);
-        worker.end(&task, ExitCause::Done);
+        let task = worker.unfinished_tasks().remove(0);
+        worker.end_task(&task, ExitCause::Done);
     }
     run_rounds(&mut harness, &mut workers);
     harness.cluster.scale_in_finished(&["m-4".to_owned()], harness.now);
@@ -418,7 +421,7 @@
         harness.heartbeat(worker);
     }
     let copy = copy_of(&mut harness.cluster);
-    let holds = |w: &ScriptedWorker| !w.live().is_empty();
+    let holds = |w: &ScriptedWorker| !w.unfinished_tasks().is_empty();
     let unreachable = workers.iter().position(holds).expect("a task of the gang");
     let unreachable = workers.remove(unreachable);
     fail_over(&mut harness, &copy);
--- a/crates/controller/tests/store_keys.rs
+++ b/crates/controller/tests/store_keys.rs
@@ -94,7 +94,7 @@
     let leads = view.wait_for(|v| v.own_term.is_some());
     let mandate = tokio::time::timeout(Duration::from_secs(10), leads).await.expect("in time");
     let mandate = mandate.expect("the actor lives").own_term.clone().expect("just seen");
-    let pairs = server.with(|store| store.list(""));
+    let pairs = server.with_store(|store| store.list(""));
     let keys: Vec<(&str, Option<u64>)> =
         pairs.iter().map(|kv| (kv.key.as_str(), kv.lease_id)).collect();
     let lease = Some(mandate.lease_id);
@@ -116,8 +116,8 @@
     harness.submit(job("req-000002", "group", 1));
     harness.run_rounds(&mut [&mut one, &mut two]);
     for worker in [&mut one, &mut two] {
-        for task in worker.live() {
-            worker.end(&task, ExitCause::Done);
+        for task in worker.unfinished_tasks() {
+            worker.end_task(&task, ExitCause::Done);
         }
     }
     harness.run_rounds(&mut [&mut one, &mut two]);
--- a/crates/hookway/tests/standby.rs
+++ b/crates/hookway/tests/standby.rs
@@ -1,11 +1,14 @@
-//! Real controller processes on loopback, killed and frozen again and again, against stand-ins for the state service,
-//! the cloud and the workers. Every start is checked; in CI no time is asserted, but for limits that only tell a test
-//! that would wait for ever. `HOOKWAY_TAKEOVERS=100` plays more of them and prints how long they took, and
-//! `HOOKWAY_STANDBY=off` does so without standbys, for comparison.
+//! Failovers of controller processes on loopback that are killed or paused, with test doubles of the state service,
+//! the cloud and the workers. Every task start is checked. No duration is asserted, except for timeouts of waits.
+//!
+//! `HOOKWAY_TAKEOVERS=100` sets the number of failovers, whose durations are printed; `HOOKWAY_STANDBY=off` runs them
+//! without warm standbys, for comparison.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_clients::{ApiClient, HttpClient};
-use hookway_testkit::{Fleet, HistoryEvent, StoreServer, TaskEvent};
+use hookway_testkit::{
+    ControllerAddress, Fleet, FleetConfig, HistoryEvent, StoreServer, TaskEvent,
+};
 use hookway_wire::{JobId, JobSpec, JobState, ReplicationStatus};
 use hyper::Method;
 use nix::sys::signal::{Signal, kill};
@@ -15,23 +18,34 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-const LIMIT: Duration = Duration::from_secs(60);
-const REPORT_EVERY: Duration = Duration::from_secs(1);
+/// Longest wait for a condition.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval at which a condition is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of a user's request to one controller.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of a request for the replication status.
+const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
+/// Number of failovers unless `HOOKWAY_TAKEOVERS` sets it.
+const DEFAULT_FAILOVERS: usize = 4;
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 const WORKER_LEASE: Duration = Duration::from_secs(14);
+/// Run time of each task.
 const RUN_TIME: Duration = Duration::from_secs(1);
 const MACHINES: usize = 6;
-/// What an ended leader had sent arrives within this.
-const IN_FLIGHT: Duration = Duration::from_millis(500);
+/// Longest delay of commands that a killed or paused leader has sent.
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 
-/// An address that was free a moment ago.
+/// A loopback address whose port is currently free.
 fn free_address() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     listener.local_addr().expect("bound").to_string()
 }
 
-/// A controller's process, and what it takes to start it again.
+/// A controller process that can be restarted.
 struct Controller {
     name: String,
+    /// Address of its API.
     api: String,
     settings: PathBuf,
     process: Child,
@@ -44,14 +58,14 @@
     }
 }
 
-/// Whether controllers follow the leader.
-fn standbys() -> bool {
+/// Whether controllers are warm standbys that follow the leader.
+fn has_warm_standbys() -> bool {
     std::env::var("HOOKWAY_STANDBY").as_deref() != Ok("off")
 }
 
-/// Starts a process; it goes on in the log of the one before it.
-fn spawn(settings: &Path) -> Child {
-    let operator = if standbys() {
+/// Starts a controller process, which appends to the log of the previous one.
+fn spawn_controller(settings: &Path) -> Child {
+    let operator = if has_warm_standbys() {
         PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/standby.ini"))
     } else {
         settings.with_extension("ini")
@@ -69,24 +83,24 @@
         kill(Pid::from_raw(id), signal).expect("its own process");
     }
 
-    fn end(&mut self) {
+    fn kill(&mut self) {
         self.process.kill().expect("its own process");
         self.process.wait().expect("its own process");
     }
 
-    fn start_again(&mut self) {
-        self.process = spawn(&self.settings);
+    fn restart(&mut self) {
+        self.process = spawn_controller(&self.settings);
     }
 
-    async fn replication(&self) -> Option<ReplicationStatus> {
-        let limit = Duration::from_millis(300);
+    async fn replication_status(&self) -> Option<ReplicationStatus> {
         let http = HttpClient::new(&self.api);
-        let (_, body) = http.exchange(Method::GET, "/replication", None, limit).await.ok()?;
+        let (_, body) =
+            http.exchange(Method::GET, "/replication", None, STATUS_TIMEOUT).await.ok()?;
         serde_json::from_slice(&body).ok()
     }
 }
 
-/// Three controllers and everything around them.
+/// Three controllers with the state service, the cloud and the workers.
 struct Cluster {
     controllers: Vec<Controller>,
     fleet: Fleet,
@@ -96,7 +110,7 @@
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        // What the processes wrote is for whoever looks into a failure.
+        // After a failure the logs of the processes are kept for its analysis.
         if !std::thread::panicking() {
             let _ = std::fs::remove_dir_all(&self.folder);
         }
@@ -106,43 +120,51 @@
 impl Cluster {
     async fn start(name: &str) -> Self {
         let store = StoreServer::default();
-        store.let_leases_run_out();
+        store.expire_leases_by_clock();
         let state = store.start().await.expect("a free port");
         let folder = std::env::temp_dir().join(format!("hookway-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let names = ["worker-0", "worker-1", "worker-2"];
         let apis: Vec<String> = names.iter().map(|_| free_address()).collect();
         let peers: Vec<String> = names.iter().map(|_| free_address()).collect();
-        let reporting: Vec<(String, String)> =
-            names.iter().zip(&apis).map(|(n, a)| ((*n).to_owned(), a.clone())).collect();
-        let fleet = Fleet::start(MACHINES, &reporting, (REPORT_EVERY, WORKER_LEASE), RUN_TIME)
-            .await
-            .expect("free ports");
+        let address = |(name, api): (&&str, &String)| ControllerAddress {
+            name: (*name).to_owned(),
+            address: api.clone(),
+        };
+        let addresses: Vec<ControllerAddress> = names.iter().zip(&apis).map(address).collect();
+        let config = FleetConfig {
+            machines: MACHINES,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
+            worker_lease: WORKER_LEASE,
+            run_time: RUN_TIME,
+        };
+        let fleet = Fleet::start(config, &addresses).await.expect("free ports");
         let cloud = fleet.start_cloud().await.expect("a free port");
         let mut controllers = Vec::new();
         for (n, name) in names.iter().enumerate() {
             let settings = folder.join(format!("{name}.toml"));
-            let text = settings_of(n, &names, &apis, &peers, &cloud, &state);
+            let text = platform_settings(n, &names, &apis, &peers, &cloud, &state);
             std::fs::write(&settings, text).expect("a file");
-            let cold = "[replication]\nstandby = off\nleader_lease_s = 4.3\n";
-            std::fs::write(settings.with_extension("ini"), cold).expect("a file");
-            let process = spawn(&settings);
+            let without_standby = "[replication]\nstandby = off\nleader_lease_s = 4.3\n";
+            std::fs::write(settings.with_extension("ini"), without_standby).expect("a file");
+            let process = spawn_controller(&settings);
             let (name, api) = ((*name).to_owned(), apis[n].clone());
             controllers.push(Controller { name, api, settings, process });
         }
         Self { controllers, fleet, folder, _store: store }
     }
 
-    /// The controller that is active and answers.
+    /// Waits for an active leader and returns its index.
     async fn leader(&self) -> usize {
         self.leader_other_than(None).await
     }
 
+    /// Waits for an active leader other than this one and returns its index.
     async fn leader_other_than(&self, other: Option<usize>) -> usize {
         wait_for("a leader", async || {
             for (n, controller) in self.controllers.iter().enumerate() {
-                let told = controller.replication().await;
-                if Some(n) != other && told.is_some_and(|t| t.phase == "active") {
+                let status = controller.replication_status().await;
+                if Some(n) != other && status.is_some_and(|status| status.phase == "active") {
                     return Some(n);
                 }
             }
@@ -151,21 +173,22 @@
         .await
     }
 
-    /// A standby whose copy has so many tasks, or more.
+    /// Waits until a standby has a usable copy with at least `tasks` tasks.
     async fn wait_for_copy(&self, leader: usize, tasks: usize) {
         self.wait_for_copies(leader, tasks, 1).await;
     }
 
-    /// Waits until so many controllers that don't lead have a usable copy with so many tasks.
+    /// Waits until `copies` standbys have a usable copy with at least `tasks` tasks.
     async fn wait_for_copies(&self, leader: usize, tasks: usize, copies: usize) {
-        if !standbys() {
+        if !has_warm_standbys() {
             return;
         }
         wait_for("a copy", async || {
             let mut usable = 0;
             for (n, controller) in self.controllers.iter().enumerate() {
-                let status = controller.replication().await.filter(|_| n != leader);
-                let has_copy = status.is_some_and(|s| s.copy == "usable" && s.tasks >= tasks);
+                let status = controller.replication_status().await.filter(|_| n != leader);
+                let has_copy =
+                    status.is_some_and(|status| status.copy == "usable" && status.tasks >= tasks);
                 usable += usize::from(has_copy);
             }
             (usable >= copies).then_some(())
@@ -173,7 +196,7 @@
         .await;
     }
 
-    /// Submits a job at whichever controller takes it.
+    /// Submits a job to the first controller that accepts it.
     async fn submit(&self, number: usize, kind: &str, tasks: u32) -> JobId {
         let text = format!(
             r#"{{"NameId":"req-{number:06}","Lane":"train","Owner":"team","Shape":"{kind}",
@@ -183,13 +206,12 @@
         );
         let spec = JobSpec::parse(text.as_bytes()).expect("a sound job");
         let id = spec.id.clone();
-        self.fleet.expect(spec);
+        self.fleet.register_job(spec);
         wait_for("an acceptance", async || {
             for controller in &self.controllers {
-                let limit = Duration::from_secs(2);
                 let api = ApiClient::new(&controller.api);
-                let asked = api.submit(text.clone().into_bytes());
-                if let Ok(Ok(_)) = tokio::time::timeout(limit, asked).await {
+                let request = api.submit(text.clone().into_bytes());
+                if let Ok(Ok(_)) = tokio::time::timeout(REQUEST_TIMEOUT, request).await {
                     return Some(());
                 }
             }
@@ -202,11 +224,10 @@
     async fn wait_until_done(&self, id: &JobId) {
         wait_for("the end of a job", async || {
             for controller in &self.controllers {
-                let limit = Duration::from_secs(2);
                 let api = ApiClient::new(&controller.api);
-                let asked = api.status(id);
-                if let Ok(Ok(told)) = tokio::time::timeout(limit, asked).await {
-                    return (told.state == JobState::Done).then_some(());
+                let request = api.status(id);
+                if let Ok(Ok(status)) = tokio::time::timeout(REQUEST_TIMEOUT, request).await {
+                    return (status.state == JobState::Done).then_some(());
                 }
             }
             None
@@ -214,30 +235,43 @@
         .await;
     }
 
-    /// When the first task was started after a moment.
+    /// Waits until the previous leader follows the next one.
+    async fn wait_until_following(&self, previous: usize, next: usize) {
+        wait_for("the old controller to follow", async || {
+            let status = self.controllers[previous].replication_status().await?;
+            let follows = status.phase == "following" || next == previous;
+            (follows && (status.copy == "usable" || !has_warm_standbys())).then_some(())
+        })
+        .await;
+    }
+
+    /// Waits for the first task start after `moment` and returns its time.
     async fn first_start_after(&self, moment: Instant) -> Instant {
         wait_for("a start", async || {
             let history = self.fleet.history();
-            let start = |e: &&HistoryEvent| e.event == TaskEvent::Start && e.at > moment;
-            history.iter().find(start).map(|e| e.at)
+            let is_later_start =
+                |entry: &&HistoryEvent| entry.event == TaskEvent::Start && entry.at > moment;
+            history.iter().find(is_later_start).map(|entry| entry.at)
         })
         .await
     }
 
-    fn check(&self) {
-        let broken = self.fleet.broken();
-        assert!(broken.is_empty(), "{broken:?}");
+    /// Checks that no task ran on two machines and no attempt started twice.
+    fn assert_no_violations(&self) {
+        let violations = self.fleet.violations();
+        assert!(violations.is_empty(), "{violations:?}");
     }
 }
 
-fn print_quantiles(what: &str, times: &mut [Duration]) {
-    times.sort();
-    let at = |share: f64| times[((times.len() - 1) as f64 * share).round() as usize].as_millis();
-    let (half, most, last) = (at(0.5), at(0.9), at(1.0));
-    println!("{what}: p50 {half} ms, p90 {most} ms, longest {last} ms of {}", times.len());
+fn print_quantiles(name: &str, durations: &mut [Duration]) {
+    durations.sort();
+    let last = (durations.len() - 1) as f64;
+    let quantile = |share: f64| durations[(last * share).round() as usize].as_millis();
+    let (p50, p90, longest) = (quantile(0.5), quantile(0.9), quantile(1.0));
+    println!("{name}: p50 {p50} ms, p90 {p90} ms, longest {longest} ms of {}", durations.len());
 }
 
-fn settings_of(
+fn platform_settings(
     n: usize,
     names: &[&str],
     apis: &[String],
@@ -262,20 +296,20 @@
          [settings.workers]\nreport_s = {}\nlease_s = {}\ngang_wait_s = 35.0\ngang_peer_s = 4.0\n\
          cancel_s = 44.0\n[settings.state]\nrps = 500.0\nwrite_rps = 200.0\nvalue_kb = 8.0\n\
          txn_ops = 8\n[settings.cloud]\nrps = 50.0\nlist_lag_s = 1.0\n",
-        REPORT_EVERY.as_secs_f64(),
+        HEARTBEAT_INTERVAL.as_secs_f64(),
         WORKER_LEASE.as_secs_f64(),
     )
 }
 
-/// Asks again and again until there is an answer.
-async fn wait_for<T>(what: &str, ask: impl AsyncFn() -> Option<T>) -> T {
-    let begun = Instant::now();
+/// Polls until there is a result.
+async fn wait_for<T>(what: &str, poll: impl AsyncFn() -> Option<T>) -> T {
+    let started_at = Instant::now();
     loop {
-        if let Some(found) = ask().await {
+        if let Some(found) = poll().await {
             return found;
         }
-        assert!(begun.elapsed() < LIMIT, "{what} did not come");
-        tokio::time::sleep(Duration::from_millis(20)).await;
+        assert!(started_at.elapsed() < WAIT_TIMEOUT, "{what} did not come");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -284,79 +318,74 @@
 async fn standby_completes_partially_placed_gang_after_leader_is_killed() {
     let mut cluster = Cluster::start("gang").await;
     let leader = cluster.leader().await;
-    // Every machine has run something, so the leader and its followers know them all.
+    // Every machine has run a task, so the leader and the standbys know all of them.
     let first = cluster.submit(1, "array", MACHINES as u32).await;
     cluster.wait_until_done(&first).await;
-    // Half of the machines are partitioned from the controllers for a while.
-    let silent = MACHINES / 2..MACHINES;
-    cluster.fleet.mute(silent.clone(), true);
+    let partitioned = MACHINES / 2..MACHINES;
+    cluster.fleet.partition(partitioned.clone());
     let gang = cluster.submit(2, "group", MACHINES as u32).await;
     let before = wait_for("half of the gang", async || {
-        let started = cluster.fleet.started(gang.as_str());
+        let started = cluster.fleet.started_attempts(gang.as_str());
         (started.len() == MACHINES / 2).then_some(started)
     })
     .await;
-    // Either of the others may be elected, so both must know the attempt.
-    let followers = cluster.controllers.len() - 1;
-    cluster.wait_for_copies(leader, MACHINES, followers).await;
-    cluster.controllers[leader].end();
-    cluster.fleet.mute(silent, false);
+    // Either standby may be elected, so both must have the attempt.
+    let standbys = cluster.controllers.len() - 1;
+    cluster.wait_for_copies(leader, MACHINES, standbys).await;
+    cluster.controllers[leader].kill();
+    cluster.fleet.heal(partitioned);
     let next = cluster.leader_other_than(Some(leader)).await;
     cluster.wait_until_done(&gang).await;
-    let started = cluster.fleet.started(gang.as_str());
+    let started = cluster.fleet.started_attempts(gang.as_str());
     assert_eq!(started.len(), MACHINES, "each task once: {started:?}");
     assert!(started.iter().all(|(_, attempt)| *attempt == before[0].1), "{started:?}");
-    cluster.check();
-    cluster.controllers[leader].start_again();
+    cluster.assert_no_violations();
+    cluster.controllers[leader].restart();
     cluster.wait_for_copy(next, 0).await;
 }
 
-/// Controllers that are killed, or frozen until after the failover, while jobs run.
+/// The leader is killed, or paused until after the failover, while jobs run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn repeated_leader_kills_and_freezes_run_no_task_twice() {
-    let takeovers: usize =
-        std::env::var("HOOKWAY_TAKEOVERS").ok().and_then(|n| n.parse().ok()).unwrap_or(4);
+    let failovers: usize = std::env::var("HOOKWAY_TAKEOVERS")
+        .ok()
+        .and_then(|count| count.parse().ok())
+        .unwrap_or(DEFAULT_FAILOVERS);
     let mut cluster = Cluster::start("takeovers").await;
-    let (mut times, mut starts) = (Vec::new(), Vec::new());
-    for n in 0..takeovers {
+    let (mut elections, mut first_starts) = (Vec::new(), Vec::new());
+    for n in 0..failovers {
         let leader = cluster.leader().await;
         let array = cluster.submit(2 * n + 10, "array", 9).await;
         let gang = cluster.submit(2 * n + 11, "group", 4).await;
         cluster.wait_for_copy(leader, 1).await;
-        let frozen = n % 2 == 1;
-        let begun = Instant::now();
-        if frozen {
+        let paused = n % 2 == 1;
+        let failed_at = Instant::now();
+        if paused {
             cluster.controllers[leader].signal(Signal::SIGSTOP);
         } else {
-            cluster.controllers[leader].end();
+            cluster.controllers[leader].kill();
         }
         let next = cluster.leader_other_than(Some(leader)).await;
-        times.push(begun.elapsed());
-        starts.push(cluster.first_start_after(begun + IN_FLIGHT).await - begun);
-        if frozen && n % 4 == 3 {
-            // It wakes long after: everything that it had under way is stale.
+        elections.push(failed_at.elapsed());
+        let first_start = cluster.first_start_after(failed_at + IN_FLIGHT_TIME).await;
+        first_starts.push(first_start - failed_at);
+        if paused && n % 4 == 3 {
+            // The process resumes so late that all its pending requests are stale.
             cluster.wait_until_done(&array).await;
         }
-        if frozen {
+        if paused {
             cluster.controllers[leader].signal(Signal::SIGCONT);
         } else {
-            cluster.controllers[leader].start_again();
+            cluster.controllers[leader].restart();
         }
         cluster.wait_until_done(&array).await;
         cluster.wait_until_done(&gang).await;
-        // The old one follows.
-        let old = &cluster.controllers[leader];
-        wait_for("the old controller to follow", async || {
-            let told = old.replication().await?;
-            let follows = told.phase == "following" || next == leader;
-            (follows && (told.copy == "usable" || !standbys())).then_some(())
-        })
-        .await;
-        cluster.check();
+        cluster.wait_until_following(leader, next).await;
+        cluster.assert_no_violations();
     }
-    print_quantiles("to the next leader", &mut times);
-    print_quantiles("to its first start", &mut starts);
+    print_quantiles("to the next leader", &mut elections);
+    print_quantiles("to its first start", &mut first_starts);
     for controller in &cluster.controllers {
-        println!("{}: {:?}", controller.name, controller.replication().await);
+        println!("{}: {:?}", controller.name, controller.replication_status().await);
     }
 }
--- /dev/null
+++ b/crates/testkit/src/fleet/heartbeats.rs
@@ -0,0 +1,110 @@
+//! The heartbeats of a fleet's workers.
+
+use super::{ControllerAddress, Fleet, FleetConfig};
+use hookway_clients::HttpClient;
+use hookway_wire::{HeartbeatRedirect, HeartbeatResponse};
+use hyper::{Method, StatusCode};
+use std::time::{Duration, Instant};
+
+/// Time after which a worker gives up on a heartbeat (given by the protocol).
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
+/// Delay of the next heartbeat after one without usable response.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Longest interval to the next heartbeat after a response that changed something.
+const PROMPT_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which a worker checks whether a heartbeat is due.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// An encoded heartbeat.
+struct EncodedHeartbeat {
+    body: Vec<u8>,
+    sent_at: Instant,
+}
+
+impl Fleet {
+    /// Sends the heartbeats of a machine to the leader, until the test ends.
+    pub(super) async fn send_heartbeats(
+        self,
+        machine: usize,
+        controllers: Vec<ControllerAddress>,
+        config: FleetConfig,
+    ) {
+        let clients: Vec<HttpClient> =
+            controllers.iter().map(|controller| HttpClient::new(&controller.address)).collect();
+        let mut target = machine % controllers.len();
+        let mut next_at = Instant::now();
+        loop {
+            tokio::time::sleep(POLL_INTERVAL).await;
+            let heartbeat = self.next_heartbeat(machine, next_at, config.worker_lease);
+            let Some(EncodedHeartbeat { body, sent_at }) = heartbeat else { continue };
+            let request =
+                clients[target].exchange(Method::POST, "/checkin", Some(body), HEARTBEAT_TIMEOUT);
+            let response = request.await;
+            next_at = Instant::now() + RETRY_DELAY;
+            match response {
+                Ok((StatusCode::OK, body)) if !self.lock().machines[machine].partitioned => {
+                    let changed = serde_json::from_slice::<HeartbeatResponse>(&body)
+                        .is_ok_and(|response| self.handle_response(machine, &response, sent_at));
+                    let interval = config.heartbeat_interval;
+                    next_at =
+                        sent_at + if changed { interval.min(PROMPT_INTERVAL) } else { interval };
+                }
+                Ok((StatusCode::MISDIRECTED_REQUEST, body)) => {
+                    let leader = redirect_target(&controllers, &body);
+                    match leader.filter(|leader| *leader != target) {
+                        Some(leader) => (target, next_at) = (leader, Instant::now()),
+                        None => target = (target + 1) % controllers.len(),
+                    }
+                }
+                _ => target = (target + 1) % controllers.len(),
+            }
+        }
+    }
+
+    /// The heartbeat of a machine, if one is due; advances its tasks before.
+    fn next_heartbeat(
+        &self,
+        machine: usize,
+        next_at: Instant,
+        lease: Duration,
+    ) -> Option<EncodedHeartbeat> {
+        let mut state = self.lock();
+        let now = Instant::now();
+        if state.machines[machine].deleted {
+            return None;
+        }
+        state.expire_lease(machine, now, lease);
+        let changed = state.advance_tasks(machine, now);
+        let machine = &mut state.machines[machine];
+        if machine.partitioned || now < next_at && !changed {
+            return None;
+        }
+        let heartbeat = machine.worker.heartbeat();
+        let body = serde_json::to_vec(&heartbeat).ok()?;
+        Some(EncodedHeartbeat { body, sent_at: now })
+    }
+
+    /// Handles the response to a heartbeat. Returns whether it had a higher fencing token or commands.
+    fn handle_response(
+        &self,
+        machine: usize,
+        response: &HeartbeatResponse,
+        sent_at: Instant,
+    ) -> bool {
+        let mut state = self.lock();
+        let worker = &mut state.machines[machine].worker;
+        let checked = worker.started_attempts.len();
+        let is_new_leader = response.fencing_token > worker.fencing_token;
+        if worker.handle_response(response) {
+            state.machines[machine].lease_started_at = sent_at;
+        }
+        state.check_starts(machine, checked);
+        is_new_leader || !response.commands.is_empty()
+    }
+}
+
+/// Index of the controller that a redirect names, if it is known.
+fn redirect_target(controllers: &[ControllerAddress], body: &[u8]) -> Option<usize> {
+    let leader = serde_json::from_slice::<HeartbeatRedirect>(body).ok()?.leader?;
+    controllers.iter().position(|controller| controller.name == leader)
+}
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,16 +1,17 @@
-//! Stand-ins for tests of hookway, written to the published protocol: a state service in memory, also
-//! over HTTP on loopback, a worker that does as it is told, and a fleet of such workers with their cloud over HTTP.
-//! None but the fleet, and a state service that is told to let leases run out, reads a clock.
+//! Test doubles for tests of hookway, written to the published protocol: a state service in memory and over HTTP on
+//! loopback, a scripted worker, and a fleet of such workers with their cloud over HTTP.
+//!
+//! Only [`Fleet`] and [`StoreServer::expire_leases_by_clock`] depend on the real clock.
 
 mod fleet;
-mod serve;
-mod server;
+mod loopback;
 mod settings;
 mod store;
+mod store_server;
 mod worker;
 
-pub use fleet::{Fleet, HistoryEvent, TaskEvent};
-pub use server::StoreServer;
+pub use fleet::{ControllerAddress, Fleet, FleetConfig, HistoryEvent, TaskEvent};
 pub use settings::{SETTINGS, machine_types};
 pub use store::MemoryStore;
+pub use store_server::StoreServer;
 pub use worker::ScriptedWorker;
--- a/crates/testkit/src/serve.rs
+++ b/crates/testkit/src/loopback.rs
@@ -1,14 +1,14 @@
-//! Serving on loopback, for stand-ins.
+//! HTTP servers on loopback.
 
 use salvo::conn::TcpListener;
 use salvo::prelude::*;
 
-/// Serves on a free port until the test ends; the address.
+/// Serves on a free port until the test ends, and returns the address.
 pub(crate) async fn serve(router: Router) -> std::io::Result<String> {
     let acceptor = TcpListener::new("127.0.0.1:0")
         .try_bind()
         .await
-        .map_err(|e| std::io::Error::other(e.to_string()))?;
+        .map_err(|error| std::io::Error::other(error.to_string()))?;
     let address = acceptor.local_addr()?.to_string();
     tokio::spawn(async move { Server::new(acceptor).serve(router).await });
     Ok(address)
--- a/crates/testkit/src/settings.rs
+++ b/crates/testkit/src/settings.rs
@@ -1,7 +1,9 @@
+//! Settings and machine types of a small deployment.
+
 use hookway_wire::MachineType;
 
-/// Settings of a small deployment as the platform hands them over, with a field that no version
-/// knows. Nothing listens at the addresses.
+/// Platform settings of a small deployment, with a field that no version knows. No process listens at the
+/// addresses.
 pub const SETTINGS: &str = r#"
 label = "worker-0"
 domain = "a"
@@ -46,7 +48,7 @@
 list_lag_s = 4.0
 "#;
 
-/// The machine types of that deployment: one, small.
+/// The machine types of that deployment: a single small one.
 pub fn machine_types() -> Vec<MachineType> {
     vec![MachineType {
         name: "small".into(),
--- /dev/null
+++ b/crates/testkit/src/store_server.rs
@@ -0,0 +1,174 @@
+//! A state service over HTTP on loopback, with outages and other faults.
+
+mod http;
+
+use crate::MemoryStore;
+use crate::loopback::serve;
+use hookway_wire::{Operation, Transaction};
+use http::{Endpoint, EndpointHandler};
+use salvo::prelude::*;
+use std::collections::HashMap;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::{Duration, Instant};
+use tokio::sync::Notify;
+
+/// Interval at which expired leases are removed.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Time to live of a lease that is granted without a request: longer than any test.
+const LONG_TTL: Duration = Duration::from_secs(3_600);
+
+/// A lease of the state service.
+#[derive(Debug)]
+struct Lease {
+    ttl: Duration,
+    /// When the lease expires unless it is extended.
+    expires_at: Instant,
+}
+
+/// The state and the faults of the service.
+#[derive(Debug, Default)]
+struct ServerState {
+    store: MemoryStore,
+    leases: HashMap<u64, Lease>,
+    /// Id of the last granted lease.
+    last_lease_id: u64,
+    /// Whether all requests are refused, as in an outage.
+    outage: bool,
+    /// Number of requests refused in outages.
+    refused_requests: usize,
+    /// Whether watches return no events, as if their connections had failed unnoticed.
+    watches_suppressed: bool,
+    /// Largest accepted value in bytes; `None` for no limit.
+    max_value_bytes: Option<usize>,
+}
+
+impl ServerState {
+    /// Whether a transaction writes a value above the limit.
+    fn is_too_large(&self, transaction: &Transaction) -> bool {
+        let Some(limit) = self.max_value_bytes else { return false };
+        transaction.operations.iter().any(|operation| match operation {
+            Operation::Put { value, .. } => value.to_string().len() > limit,
+            Operation::Delete { .. } => false,
+        })
+    }
+}
+
+/// A state service over HTTP on loopback. Leases last until the test expires them, or by the clock after
+/// [`StoreServer::expire_leases_by_clock`].
+#[derive(Debug, Clone, Default)]
+pub struct StoreServer {
+    state: Arc<Mutex<ServerState>>,
+    changed: Arc<Notify>,
+}
+
+impl StoreServer {
+    /// Starts the service and returns its address.
+    ///
+    /// # Errors
+    ///
+    /// An I/O error if no port is free.
+    pub async fn start(&self) -> std::io::Result<String> {
+        let handler = |endpoint| EndpointHandler { server: self.clone(), endpoint };
+        let router = Router::new()
+            .push(Router::with_path("keys").get(handler(Endpoint::List)))
+            .push(Router::with_path("keys/{**key}").get(handler(Endpoint::Get)))
+            .push(Router::with_path("commit").post(handler(Endpoint::Commit)))
+            .push(Router::with_path("grants").post(handler(Endpoint::GrantLease)))
+            .push(Router::with_path("grants/{id}").delete(handler(Endpoint::ReleaseLease)))
+            .push(Router::with_path("grants/{id}/extend").post(handler(Endpoint::ExtendLease)))
+            .push(Router::with_path("watch").get(handler(Endpoint::Watch)));
+        serve(router).await
+    }
+
+    fn lock(&self) -> MutexGuard<'_, ServerState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Reads or changes the keys, and wakes all watches.
+    pub fn with_store<T>(&self, access: impl FnOnce(&mut MemoryStore) -> T) -> T {
+        let result = access(&mut self.lock().store);
+        self.changed.notify_waiters();
+        result
+    }
+
+    /// From now on leases expire by the clock.
+    pub fn expire_leases_by_clock(&self) {
+        let server = self.clone();
+        tokio::spawn(async move {
+            loop {
+                tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
+                for lease_id in server.expired_leases(Instant::now()) {
+                    server.expire_lease(lease_id);
+                }
+            }
+        });
+    }
+
+    fn expired_leases(&self, now: Instant) -> Vec<u64> {
+        let state = self.lock();
+        let expired = state.leases.iter().filter(|(_, lease)| now >= lease.expires_at);
+        expired.map(|(lease_id, _)| *lease_id).collect()
+    }
+
+    /// Grants a lease without a request, and returns its id.
+    pub fn grant_lease(&self) -> u64 {
+        self.grant_lease_for(LONG_TTL)
+    }
+
+    fn grant_lease_for(&self, ttl: Duration) -> u64 {
+        let mut state = self.lock();
+        state.last_lease_id += 1;
+        let lease_id = state.last_lease_id;
+        state.leases.insert(lease_id, Lease { ttl, expires_at: Instant::now() + ttl });
+        lease_id
+    }
+
+    /// Extends a lease; `false` if it does not exist.
+    fn extend_lease(&self, lease_id: u64) -> bool {
+        let mut state = self.lock();
+        let Some(lease) = state.leases.get_mut(&lease_id) else { return false };
+        lease.expires_at = Instant::now() + lease.ttl;
+        true
+    }
+
+    /// Ends a lease as if it had expired, and deletes its keys; `false` if it does not exist.
+    pub fn expire_lease(&self, lease_id: u64) -> bool {
+        let mut state = self.lock();
+        let existed = state.leases.remove(&lease_id).is_some();
+        state.store.expire_lease(lease_id);
+        drop(state);
+        self.changed.notify_waiters();
+        existed
+    }
+
+    /// Waits until this number of requests has been refused in outages.
+    pub async fn wait_for_refused_requests(&self, count: usize) {
+        loop {
+            let changed = self.changed.notified();
+            if self.lock().refused_requests >= count {
+                return;
+            }
+            changed.await;
+        }
+    }
+
+    /// From now on rejects values above this size in bytes.
+    pub fn limit_value_bytes(&self, max_bytes: usize) {
+        self.lock().max_value_bytes = Some(max_bytes);
+    }
+
+    /// From now on watches return no events.
+    pub fn suppress_watch_events(&self) {
+        self.lock().watches_suppressed = true;
+    }
+
+    /// Begins an outage: all requests are refused.
+    pub fn begin_outage(&self) {
+        self.lock().outage = true;
+    }
+
+    /// Ends an outage.
+    pub fn end_outage(&self) {
+        self.lock().outage = false;
+    }
+}
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -1,24 +1,26 @@
+//! A worker under the control of a test.
+
 use hookway_wire::{
     Command, DirectCommands, ExitCause, Heartbeat, HeartbeatResponse, TaskState, TaskStatus,
 };
 
-/// A worker that carries out commands as the protocol says, and whose tasks change state when the
-/// test says so. It counts what must never happen.
+/// A worker that executes commands as the protocol demands. Its tasks change their state when the test says so.
 #[derive(Debug, Clone)]
 pub struct ScriptedWorker {
-    report: Heartbeat,
-    /// Highest token seen.
-    pub token: u64,
-    /// Starts that were carried out, as task and attempt.
-    pub started: Vec<(String, u64)>,
-    /// What a task's state is right after its start.
+    /// The next heartbeat, with the tasks on the machine.
+    state: Heartbeat,
+    /// Highest fencing token received.
+    pub fencing_token: u64,
+    /// Tasks and attempts that were started, oldest first.
+    pub started_attempts: Vec<(String, u64)>,
+    /// State of a task after its start.
     pub first_state: TaskState,
 }
 
 impl ScriptedWorker {
-    /// A new worker.
+    /// Creates a worker of an on-demand machine, in its first incarnation.
     pub fn new(machine: &str, machine_type: &str, zone: &str) -> Self {
-        let report = Heartbeat {
+        let state = Heartbeat {
             machine: machine.into(),
             addr: "127.0.0.1:9000".into(),
             machine_type: machine_type.into(),
@@ -30,53 +32,53 @@
             interruption_notice_s: None,
             tasks: vec![],
         };
-        Self { report, token: 0, started: vec![], first_state: TaskState::Running }
+        Self { state, fencing_token: 0, started_attempts: vec![], first_state: TaskState::Running }
     }
 
-    /// Its machine.
+    /// Name of the machine.
     pub fn name(&self) -> &str {
-        &self.report.machine
+        &self.state.machine
     }
 
-    /// Where it says that it listens.
+    /// Sets the address (`host:port`) that heartbeats give.
     pub fn set_address(&mut self, address: &str) {
-        address.clone_into(&mut self.report.addr);
+        address.clone_into(&mut self.state.addr);
     }
 
-    /// Its zone.
+    /// Name of the zone.
     pub fn zone(&self) -> &str {
-        &self.report.zone
+        &self.state.zone
     }
 
-    /// Its session.
-    pub fn session(&self) -> u64 {
-        self.report.incarnation
+    /// The current incarnation.
+    pub fn incarnation(&self) -> u64 {
+        self.state.incarnation
     }
 
-    /// Its next report.
-    pub fn report(&mut self) -> Heartbeat {
-        self.report.sequence += 1;
-        self.report.fencing_token = self.token;
-        self.report.clone()
+    /// Returns the next heartbeat.
+    pub fn heartbeat(&mut self) -> Heartbeat {
+        self.state.sequence += 1;
+        self.state.fencing_token = self.fencing_token;
+        self.state.clone()
     }
 
-    /// The cloud announces that it takes the machine.
-    pub fn notice(&mut self, seconds: f64) {
-        self.report.interruption_notice_s = Some(seconds);
+    /// From now on heartbeats carry an interruption notice: the cloud reclaims the machine in `seconds`.
+    pub fn set_interruption_notice(&mut self, seconds: f64) {
+        self.state.interruption_notice_s = Some(seconds);
     }
 
-    /// Takes an answer; `false` if it had to be dropped for its token.
-    pub fn take(&mut self, answer: &HeartbeatResponse) -> bool {
-        if answer.fencing_token < self.token {
+    /// Handles a response to a heartbeat; `false` if it was discarded for a lower fencing token.
+    pub fn handle_response(&mut self, response: &HeartbeatResponse) -> bool {
+        if response.fencing_token < self.fencing_token {
             return false;
         }
-        self.token = answer.fencing_token;
-        for order in &answer.commands {
-            match order {
+        self.fencing_token = response.fencing_token;
+        for command in &response.commands {
+            match command {
                 Command::Run { task, attempt } => {
                     if self.find(task, *attempt).is_none() {
-                        self.started.push((task.clone(), *attempt));
-                        self.report.tasks.push(TaskStatus {
+                        self.started_attempts.push((task.clone(), *attempt));
+                        self.state.tasks.push(TaskStatus {
                             task: task.clone(),
                             attempt: *attempt,
                             state: self.first_state,
@@ -86,15 +88,17 @@
                     }
                 }
                 Command::Kill { task, attempt, .. } => {
-                    if let Some(i) = self.find(task, *attempt)
-                        && self.report.tasks[i].state != TaskState::Ended
+                    if let Some(index) = self.find(task, *attempt)
+                        && self.state.tasks[index].state != TaskState::Ended
                     {
-                        self.end_at(i, ExitCause::Stopped);
+                        self.end_at(index, ExitCause::Stopped);
                     }
                 }
                 Command::Reap { task, attempt } => {
-                    self.report.tasks.retain(|p| {
-                        !(p.task == *task && p.attempt == *attempt && p.state == TaskState::Ended)
+                    self.state.tasks.retain(|status| {
+                        status.task != *task
+                            || status.attempt != *attempt
+                            || status.state != TaskState::Ended
                     });
                 }
             }
@@ -102,81 +106,91 @@
         true
     }
 
-    /// Commands come straight to it. The report after them, or `None` if it refuses them.
-    pub fn commands(&mut self, commands: &DirectCommands) -> Option<Heartbeat> {
-        if commands.incarnation != self.report.incarnation || commands.fencing_token < self.token {
+    /// Handles direct commands. Returns the heartbeat after them; `None` if they were refused for their
+    /// incarnation or fencing token.
+    pub fn handle_direct_commands(&mut self, commands: &DirectCommands) -> Option<Heartbeat> {
+        if commands.incarnation != self.state.incarnation
+            || commands.fencing_token < self.fencing_token
+        {
             return None;
         }
-        self.take(&HeartbeatResponse {
+        self.handle_response(&HeartbeatResponse {
             fencing_token: commands.fencing_token,
             commands: commands.commands.clone(),
         });
-        Some(self.report())
+        Some(self.heartbeat())
     }
 
     fn find(&self, task: &str, attempt: u64) -> Option<usize> {
-        self.report.tasks.iter().position(|p| p.task == task && p.attempt == attempt)
+        self.state.tasks.iter().position(|status| status.task == task && status.attempt == attempt)
     }
 
-    fn end_at(&mut self, i: usize, cause: ExitCause) {
-        self.report.tasks[i].state = TaskState::Ended;
-        self.report.tasks[i].cause = Some(cause);
+    fn end_at(&mut self, index: usize, cause: ExitCause) {
+        self.state.tasks[index].state = TaskState::Ended;
+        self.state.tasks[index].cause = Some(cause);
     }
 
-    /// What it would report of its tasks.
+    /// Status of all tasks on the machine.
     pub fn tasks(&self) -> &[TaskStatus] {
-        &self.report.tasks
+        &self.state.tasks
     }
 
-    /// The state of an attempt that is on the machine and has not ended.
-    pub fn state_of(&self, task: &str, attempt: u64) -> Option<TaskState> {
-        let found = &self.report.tasks[self.find(task, attempt)?];
+    /// State of an unfinished attempt on the machine.
+    pub fn task_state(&self, task: &str, attempt: u64) -> Option<TaskState> {
+        let found = &self.state.tasks[self.find(task, attempt)?];
         (found.state != TaskState::Ended).then_some(found.state)
     }
 
-    /// Whether some attempt of a task runs.
-    pub fn runs(&self, task: &str) -> bool {
-        self.report.tasks.iter().any(|t| t.task == task && t.state == TaskState::Running)
+    /// Whether an attempt of a task is running.
+    pub fn is_running(&self, task: &str) -> bool {
+        self.state
+            .tasks
+            .iter()
+            .any(|status| status.task == task && status.state == TaskState::Running)
     }
 
-    /// A task that has not ended is in this state.
+    /// Sets the state of an unfinished task.
     pub fn set_task_state(&mut self, task: &str, state: TaskState) {
-        let live = |t: &&mut TaskStatus| t.task == task && t.state != TaskState::Ended;
-        for task in self.report.tasks.iter_mut().filter(live) {
+        let is_unfinished =
+            |status: &&mut TaskStatus| status.task == task && status.state != TaskState::Ended;
+        for task in self.state.tasks.iter_mut().filter(is_unfinished) {
             task.state = state;
         }
     }
 
-    /// All tasks that have not ended are in this state.
-    pub fn set_state(&mut self, state: TaskState) {
-        for task in self.report.tasks.iter_mut().filter(|t| t.state != TaskState::Ended) {
+    /// Sets the state of all unfinished tasks.
+    pub fn set_all_task_states(&mut self, state: TaskState) {
+        for task in self.state.tasks.iter_mut().filter(|status| status.state != TaskState::Ended) {
             task.state = state;
         }
     }
 
-    /// A task ends; `false` if it is not there.
-    pub fn end(&mut self, task: &str, cause: ExitCause) -> bool {
-        let found =
-            self.report.tasks.iter().position(|p| p.task == task && p.state != TaskState::Ended);
-        if let Some(i) = found {
-            self.end_at(i, cause);
+    /// Ends an unfinished task; `false` if there is none on the machine.
+    pub fn end_task(&mut self, task: &str, cause: ExitCause) -> bool {
+        let found = self
+            .state
+            .tasks
+            .iter()
+            .position(|status| status.task == task && status.state != TaskState::Ended);
+        if let Some(index) = found {
+            self.end_at(index, cause);
         }
         found.is_some()
     }
 
-    /// The tasks that are on the machine and have not ended.
-    pub fn live(&self) -> Vec<String> {
-        self.report
+    /// Ids of the unfinished tasks on the machine.
+    pub fn unfinished_tasks(&self) -> Vec<String> {
+        self.state
             .tasks
             .iter()
-            .filter(|p| p.state != TaskState::Ended)
-            .map(|p| p.task.clone())
+            .filter(|status| status.state != TaskState::Ended)
+            .map(|status| status.task.clone())
             .collect()
     }
 
-    /// Its lease runs out: it kills and forgets everything.
-    pub fn expire(&mut self) {
-        self.report.tasks.clear();
-        self.report.incarnation += 1;
+    /// Expires the lease: removes all tasks and begins the next incarnation.
+    pub fn expire_lease(&mut self) {
+        self.state.tasks.clear();
+        self.state.incarnation += 1;
     }
 }
