--- a/crates/clients/src/http.rs
+++ b/crates/clients/src/http.rs
@@ -27,10 +27,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
     /// There was no response before the timeout. The request may have been executed, or may be later.
-    #[error("no response before the timeout")]
+    #[error("no answer in time")]
     Timeout,
     /// No connection was established, so the request was not sent.
-    #[error("no connection to {address}: {reason}")]
+    #[error("no connection: {reason}")]
     NotSent {
         /// Address of the server.
         address: String,
@@ -38,7 +38,7 @@
         reason: String,
     },
     /// The connection failed after it was established. The request may have been executed.
-    #[error("connection to {address} failed: {reason}")]
+    #[error("connection failed: {reason}")]
     Connection {
         /// Address of the server.
         address: String,
@@ -46,7 +46,7 @@
         reason: String,
     },
     /// The request could not be built, so it was not sent.
-    #[error("invalid request to {address}: {reason}")]
+    #[error("bad request: {reason}")]
     InvalidRequest {
         /// Address of the server.
         address: String,
--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -30,25 +30,25 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// Not executed: the service has an outage, or rejects this controller's requests.
-    #[error("the state service is unavailable")]
+    #[error("the state service is not available")]
     Unavailable,
     /// Not executed: above the rate limit of the service, or of this client ([`StoreClient::with_queue_limit`]).
-    #[error("the rate limit of the state service is reached")]
+    #[error("the state service is asked too often")]
     TooMany,
     /// The outcome is unknown: the request may have been executed, or may be later.
-    #[error("no response from the state service: {0}")]
+    #[error("no answer from the state service: {0}")]
     Unknown(HttpError),
     /// The lease has expired or was released.
-    #[error("the lease does not exist")]
+    #[error("the lease has ended")]
     NoLease,
     /// The changes that the watch asked for are compacted.
-    #[error("the watched revision is compacted")]
+    #[error("the revision is too old")]
     TooOld,
     /// Not executed: the request is invalid or too large. The response body, shortened.
-    #[error("rejected by the state service: {0}")]
+    #[error("refused by the state service: {0}")]
     Rejected(String),
     /// The response has an unexpected HTTP status or body: the status and the reason.
-    #[error("unexpected response of the state service (status {0}): {1}")]
+    #[error("unexpected answer {0}: {1}")]
     Unexpected(u16, String),
 }
 
--- a/crates/controller/tests/api/submissions.rs
+++ b/crates/controller/tests/api/submissions.rs
@@ -89,7 +89,7 @@
     let record = JobRecord { spec, accepted_at_ms: 1, has_start_watermark: true };
     let value = serde_json::to_value(record).expect("a record");
     let key = job_key(&JobId::parse("req-000412").expect("an id"));
-    server.with(|store| store.put(&key, value));
+    server.with_store(|store| store.put(&key, value));
     assert_eq!(post(&api, "/api/jobs", &long).await.0, StatusCode::OK);
 }
 
@@ -108,7 +108,7 @@
     ));
     let long = |id: &str| JOB.replace("img-07", &"x".repeat(4_000)).replace("req-000412", id);
     assert_eq!(post(&api, "/api/jobs", &long("req-000412")).await.0, StatusCode::CREATED);
-    server.limit_values(2_048);
+    server.limit_value_bytes(2_048);
     let (status, text, _) = post(&api, "/api/jobs", &long("req-000413")).await;
     assert_eq!(status, StatusCode::BAD_REQUEST, "{text}");
     assert!(reason(&text).contains("too long"), "{text}");
