--- a/crates/controller/src/cluster_state/start_watermark.rs
+++ b/crates/controller/src/cluster_state/start_watermark.rs
@@ -112,3 +112,6 @@
         self.shared_record = Some(number);
     }
 }
+
+#[cfg(test)]
+mod tests;
