--- a/crates/clients/src/api.rs
+++ b/crates/clients/src/api.rs
@@ -18,7 +18,7 @@
     #[error("{0}: {1}")]
     Refused(u16, String),
     /// The body of the response is not a job status.
-    #[error("invalid response: {0}")]
+    #[error("unreadable answer: {0}")]
     InvalidResponse(String),
 }
 
