--- a/crates/controller/tests/controller_actor.rs
+++ b/crates/controller/tests/controller_actor.rs
@@ -42,6 +42,7 @@
 }
 
 /// Starts a controller; `campaigns`: it seeks the leadership.
+#[expect(clippy::too_many_lines, reason = "one scripted controller, set up in order")]
 async fn start(
     label: &str,
     store: &str,
--- a/crates/controller/tests/simulation/controllers.rs
+++ b/crates/controller/tests/simulation/controllers.rs
@@ -297,6 +297,7 @@
     }
 
     /// One step of a leader. `false`: it steps down.
+    #[expect(clippy::too_many_lines, reason = "the steps of one simulated event, in order")]
     fn run_leader(&mut self, n: usize, leader: &mut Leader) -> bool {
         let now = self.now;
         if now >= leader.valid_until {
--- a/crates/controller/tests/simulation/dispatch.rs
+++ b/crates/controller/tests/simulation/dispatch.rs
@@ -32,6 +32,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "the steps of one simulated event, in order")]
     pub(super) fn send_commands(&mut self, n: usize, leader: &mut Leader) {
         let (now, term) = (self.now, leader.term);
         let mut messages: Vec<(usize, DirectCommands, bool)> = Vec::new();
--- a/crates/controller/tests/simulation/machines.rs
+++ b/crates/controller/tests/simulation/machines.rs
@@ -250,6 +250,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "the steps of one simulated event, in order")]
     pub(super) fn run_machine(&mut self, m: usize) {
         let now = self.now;
         if self.machines[m].dead {
--- a/crates/controller/tests/simulation/messages.rs
+++ b/crates/controller/tests/simulation/messages.rs
@@ -49,6 +49,7 @@
 }
 
 impl Simulation {
+    #[expect(clippy::too_many_lines, reason = "one short arm for each kind of message")]
     pub(super) fn deliver(&mut self, message: Message) {
         let now = self.now;
         tracing::debug!("{now}: {message:?}");
--- a/crates/controller/tests/simulation/users.rs
+++ b/crates/controller/tests/simulation/users.rs
@@ -19,6 +19,7 @@
 }
 
 impl Simulation {
+    #[expect(clippy::too_many_lines, reason = "the steps of one simulated event, in order")]
     pub(super) fn submit(&mut self) {
         let most = if self.scenario.is_some() { 14 } else { 40 };
         if self.jobs.len() >= most || !self.chance(30) {
