--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -120,7 +120,7 @@
     frame("pinned-answer-no-entries", &PeerResponse::Followed(Some(answer)));
 }
 
-/// A leader's picture with a task at each stage and two jobs.
+/// A leader's cluster state with a task at each stage and two jobs.
 fn publisher_with_cluster_state() -> Publisher {
     let mut publisher = Publisher::new(4_097);
     let task = |task, attempt, stage| TaskView { task, attempt, stage };
--- a/crates/controller/tests/http_routes.rs
+++ b/crates/controller/tests/http_routes.rs
@@ -37,7 +37,7 @@
     let client = || StoreClient::new(store, 2_000.0);
     let stores = StoreClients { submissions: client(), queries: client() };
     let peers = Peers::new(HashMap::new());
-    let desk = ApiService::new(ApiServiceConfig {
+    let api = ApiService::new(ApiServiceConfig {
         platform: settings.platform,
         stores,
         peers: Arc::new(peers),
@@ -46,7 +46,7 @@
         machine_types: types,
         final_states: Arc::default(),
     });
-    service(Arc::new(desk))
+    service(Arc::new(api))
 }
 
 /// The status, `Retry-After` and the body.
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -107,7 +107,7 @@
     run_rounds(&mut harness, &mut workers);
     run_rounds(&mut harness, &mut workers);
     let attempts = attempts(&workers);
-    assert_eq!(attempts.len(), 6, "two in vain: {attempts:?}");
+    assert_eq!(attempts.len(), 6, "two without success: {attempts:?}");
     assert_ne!(attempts.first(), attempts.last());
 }
 
--- a/crates/policy/src/autoscaling/tests.rs
+++ b/crates/policy/src/autoscaling/tests.rs
@@ -43,7 +43,7 @@
     assert_eq!(plan_scaling(&whole, &offers).scale_out, []);
 }
 
-/// An array that is bound to one zone uses what it gets there; machines elsewhere would be rented in vain.
+/// An array that is bound to one zone uses what it gets there; machines elsewhere would be added without use.
 #[test]
 fn one_zone_array_does_not_scale_out_in_second_zone() {
     let offers = [1].map(|zone| MachineOffer { machine_type: 0, zone, spot: false, price: 1.0 });
