--- a/crates/policy/src/autoscaling.rs
+++ b/crates/policy/src/autoscaling.rs
@@ -136,9 +136,8 @@
     /// would seem to fit where it never will, and nothing would be added for it.
     fn tasks_allowed_per_zone(&self, job_index: usize, tasks: u32) -> Vec<u32> {
         let job = &self.cluster.jobs[job_index];
-        let placed = |zone: usize| job.placed_per_zone.get(zone).copied().unwrap_or(0);
         let mut allowed: Vec<u32> = (0..self.zone_count)
-            .map(|zone| job.max_tasks_per_zone.saturating_sub(placed(zone)))
+            .map(|zone| job.max_tasks_per_zone.saturating_sub(job.placed_in(zone)))
             .collect();
         if !job.one_zone || job.tasks <= 1 {
             return allowed;
@@ -148,7 +147,7 @@
         let enough = if job.gang { tasks } else { tasks.div_ceil(4) };
         let best = (0..self.zone_count).max_by_key(|zone| {
             let capacity = self.capacity_in_zone(job_index, *zone).min(tasks);
-            (placed(*zone), capacity >= enough, self.has_offer(job, *zone), capacity)
+            (job.placed_in(*zone), capacity >= enough, self.has_offer(job, *zone), capacity)
         });
         for (zone, allowed) in allowed.iter_mut().enumerate() {
             if Some(zone) != best {
@@ -167,8 +166,7 @@
     }
 
     fn has_offer(&self, job: &JobView, zone: usize) -> bool {
-        let in_zone = self.offers.iter().filter(|offer| offer.zone == zone);
-        in_zone.into_iter().any(|offer| allows_offer(job, offer))
+        self.offers.iter().any(|offer| offer.zone == zone && allows_offer(job, offer))
     }
 
     /// Lays out tasks over machines that are up or booting.
@@ -328,9 +326,7 @@
 
 fn may_use(cluster: &ClusterSnapshot, job_index: usize, machine: &MachineView) -> bool {
     (machine.schedulable || machine.booting)
-        && machine.reserved_for.is_none_or(|reserved| reserved == job_index)
-        && !machine.excluded_by.contains(&job_index)
-        && cluster.jobs[job_index].allows(machine.machine_type, machine.zone, machine.spot)
+        && machine.eligible_for(job_index, &cluster.jobs[job_index])
 }
 
 /// Time until a machine added now could run the job's first task, s.
--- a/crates/policy/src/preemption/deadlines.rs
+++ b/crates/policy/src/preemption/deadlines.rs
@@ -2,7 +2,7 @@
 
 use super::{Preemption, Victim};
 use crate::scheduling_queue::{has_no_objective, is_late, min_tasks_or_estimate};
-use crate::{ClusterSnapshot, MachineView, PlacedTaskView, Resources};
+use crate::{ClusterSnapshot, PlacedTaskView, Resources};
 use hookway_constants as constants;
 
 /// Resources of the machines, and the backfill that could be stopped there.
@@ -57,7 +57,7 @@
         let mut free = Vec::with_capacity(cluster.machines.len());
         let mut stoppable = Vec::with_capacity(cluster.machines.len());
         for machine in &cluster.machines {
-            free.push(free_after_terminations(machine));
+            free.push(machine.free_after_terminations());
             let usable = machine.schedulable && !machine.booting && machine.reserved_for.is_none();
             let tasks = machine.placed_tasks.iter();
             let tasks = tasks
@@ -108,11 +108,3 @@
         preemption
     }
 }
-
-fn free_after_terminations(machine: &MachineView) -> Resources {
-    let mut free = machine.free;
-    for task in machine.placed_tasks.iter().filter(|task| task.terminating) {
-        free.add(&task.request);
-    }
-    free
-}
--- a/crates/policy/src/preemption/victims.rs
+++ b/crates/policy/src/preemption/victims.rs
@@ -60,10 +60,7 @@
 ) -> Option<MachineVictims> {
     let job = &cluster.jobs[job_index];
     let request = job.request.times(tasks);
-    let mut free = machine.free;
-    for task in machine.placed_tasks.iter().filter(|task| task.terminating) {
-        free.add(&task.request);
-    }
+    let mut free = machine.free_after_terminations();
     let mut candidates: Vec<(f64, &PlacedTaskView)> = machine
         .placed_tasks
         .iter()
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -154,6 +154,15 @@
         self.price / self.total.cpus.max(SMALLEST_DIVISOR)
     }
 
+    /// What is free once the tasks that are being stopped are gone.
+    pub(crate) fn free_after_terminations(&self) -> Resources {
+        let mut free = self.free;
+        for task in self.placed_tasks.iter().filter(|task| task.terminating) {
+            free.add(&task.request);
+        }
+        free
+    }
+
     /// Whether the machine may take tasks of a job, as far as reservations, exclusions and the job's own constraints
     /// go.
     pub(crate) fn eligible_for(&self, job_index: usize, job: &JobView) -> bool {
