--- a/crates/clients/src/cloud.rs
+++ b/crates/clients/src/cloud.rs
@@ -10,7 +10,6 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::sync::Arc;
-use std::time::Duration;
 
 /// The text by which a 503 response says that the cloud has no machines left, rather than an outage.
 const NO_CAPACITY: &str = "no capacity";
@@ -61,7 +60,7 @@
         body: Option<Vec<u8>>,
     ) -> Result<(StatusCode, bytes::Bytes), CloudError> {
         self.rate_limiter.acquire(1.0).await;
-        let timeout = Duration::from_millis(constants::CLOUD_TIMEOUT_MS);
+        let timeout = constants::CLOUD_TIMEOUT;
         let (status, body) =
             self.http.exchange(method, path, body, timeout).await.map_err(CloudError::Unknown)?;
         if status == StatusCode::TOO_MANY_REQUESTS {
--- a/crates/clients/src/http.rs
+++ b/crates/clients/src/http.rs
@@ -65,7 +65,7 @@
 impl HttpClient {
     /// Creates a client of `address` (`host:port`) with the default pool.
     pub fn new(address: &str) -> Self {
-        let idle_timeout = Duration::from_millis(constants::CLIENT_IDLE_MS);
+        let idle_timeout = constants::CLIENT_IDLE;
         Self::with_pool(address, MAX_IDLE_CONNECTIONS, idle_timeout)
     }
 
@@ -74,7 +74,7 @@
     pub fn with_pool(address: &str, max_idle: usize, idle_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(Duration::from_millis(constants::CONNECT_TIMEOUT_MS)));
+        connector.set_connect_timeout(Some(constants::CONNECT_TIMEOUT));
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(idle_timeout)
--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -3,6 +3,7 @@
 use crate::http::{body_contains, quoted_body};
 use crate::{HttpClient, HttpError, RateLimiter};
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use hookway_wire::{
     CommitResponse, KeyPage, KeyValue, LeaseGrant, LeaseGrantRequest, Transaction, WatchResponse,
 };
@@ -135,7 +136,7 @@
         self.acquire().await?;
         let path = format!("/keys/{}", utf8_percent_encode(key, ENCODED_CHARACTERS));
         let (status, body) =
-            self.call(Method::GET, &path, None, constants::STORE_TIMEOUT_MS).await?;
+            self.call(Method::GET, &path, None, whole_millis(constants::STORE_TIMEOUT)).await?;
         match status {
             StatusCode::OK => Self::decode(status, &body).map(Some),
             StatusCode::NOT_FOUND => Ok(None),
@@ -163,7 +164,7 @@
                 ));
             }
             path.push_str(&format!("&Most={LIST_PAGE_KEYS}"));
-            let timeout_ms = constants::STORE_TIMEOUT_MS * LIST_TIMEOUT_FACTOR;
+            let timeout_ms = whole_millis(constants::STORE_TIMEOUT) * LIST_TIMEOUT_FACTOR;
             let (status, body) = self.call(Method::GET, &path, None, timeout_ms).await?;
             if status != StatusCode::OK {
                 return Err(Self::unexpected(status, &body));
@@ -187,8 +188,9 @@
     pub async fn commit(&self, transaction: &Transaction) -> Result<CommitOutcome, StoreError> {
         self.acquire().await?;
         let body = Self::encode(transaction)?;
-        let (status, body) =
-            self.call(Method::POST, "/commit", Some(body), constants::STORE_TIMEOUT_MS).await?;
+        let (status, body) = self
+            .call(Method::POST, "/commit", Some(body), whole_millis(constants::STORE_TIMEOUT))
+            .await?;
         match status {
             StatusCode::OK => {
                 let response: CommitResponse = Self::decode(status, &body)?;
@@ -214,8 +216,9 @@
     pub async fn grant(&self, ttl_ms: u64) -> Result<u64, StoreError> {
         self.acquire().await?;
         let body = Self::encode(&LeaseGrantRequest { ttl_ms })?;
-        let (status, body) =
-            self.call(Method::POST, "/grants", Some(body), constants::STORE_TIMEOUT_MS).await?;
+        let (status, body) = self
+            .call(Method::POST, "/grants", Some(body), whole_millis(constants::STORE_TIMEOUT))
+            .await?;
         match status {
             StatusCode::OK | StatusCode::CREATED => {
                 Self::decode::<LeaseGrant>(status, &body).map(|grant| grant.lease_id)
@@ -234,7 +237,12 @@
         let _ = self.rate_limiter.acquire_now(1.0);
         let path = format!("/grants/{lease_id}/extend");
         let (status, body) = self
-            .call(Method::POST, &path, Some(b"{}".to_vec()), constants::EXTEND_TIMEOUT_MS)
+            .call(
+                Method::POST,
+                &path,
+                Some(b"{}".to_vec()),
+                whole_millis(constants::EXTEND_TIMEOUT),
+            )
             .await?;
         match status {
             status if status.is_success() => Ok(()),
@@ -251,7 +259,9 @@
     /// [`StoreError::Unknown`]; other statuses count as success.
     pub async fn release(&self, lease_id: u64) -> Result<(), StoreError> {
         let path = format!("/grants/{lease_id}");
-        self.call(Method::DELETE, &path, None, constants::STORE_TIMEOUT_MS).await.map(|_| ())
+        self.call(Method::DELETE, &path, None, whole_millis(constants::STORE_TIMEOUT))
+            .await
+            .map(|_| ())
     }
 
     /// Waits up to `wait_ms` milliseconds for changes of keys with a prefix after the revision `after`.
@@ -270,7 +280,7 @@
             "/watch?Prefix={}&After={after}&WaitMs={wait_ms}",
             utf8_percent_encode(prefix, ENCODED_CHARACTERS)
         );
-        let timeout_ms = wait_ms + constants::WATCH_GRACE_MS;
+        let timeout_ms = wait_ms + whole_millis(constants::WATCH_GRACE);
         let (status, body) = self.call(Method::GET, &path, None, timeout_ms).await?;
         match status {
             StatusCode::OK => Self::decode(status, &body),
--- a/crates/clients/src/worker.rs
+++ b/crates/clients/src/worker.rs
@@ -6,7 +6,6 @@
 use hookway_wire::{DirectCommands, Heartbeat};
 use hyper::{Method, StatusCode};
 use std::sync::Arc;
-use std::time::Duration;
 use tokio::sync::Semaphore;
 
 /// Path of the workers' API that takes commands.
@@ -45,7 +44,7 @@
 
 impl Default for WorkerClient {
     fn default() -> Self {
-        let idle_timeout = Duration::from_millis(constants::WORKER_IDLE_MS);
+        let idle_timeout = constants::WORKER_IDLE;
         let stop_permits = Arc::new(Semaphore::new(constants::MAX_DIRECT_STOPS));
         Self {
             http: HttpClient::with_pool(NO_ADDRESS, MAX_IDLE_CONNECTIONS, idle_timeout),
@@ -58,7 +57,7 @@
     /// Sends commands that only stop tasks, with bounded concurrency. Commands that would wait too long for
     /// a permit are not sent: the response to the worker's next heartbeat repeats them.
     pub async fn stop(&self, address: &str, commands: &DirectCommands) {
-        let queue_limit = Duration::from_millis(constants::DIRECT_STOP_QUEUE_LIMIT_MS);
+        let queue_limit = constants::DIRECT_STOP_QUEUE_LIMIT;
         if let Ok(Ok(_permit)) =
             tokio::time::timeout(queue_limit, self.stop_permits.acquire()).await
         {
@@ -92,7 +91,7 @@
         address: &str,
         body: Vec<u8>,
     ) -> Result<(StatusCode, Bytes), HttpError> {
-        let timeout = Duration::from_millis(constants::WORKER_TIMEOUT_MS);
+        let timeout = constants::WORKER_TIMEOUT;
         let http = self.http.with_address(address);
         http.exchange(Method::POST, COMMANDS_PATH, Some(body), timeout).await
     }
--- a/crates/constants/src/api.rs
+++ b/crates/constants/src/api.rs
@@ -1,27 +1,29 @@
 //! The HTTP API, connections, concurrency limits, and links between controllers.
 
+use std::time::Duration;
+
 /// Maximum size of a request body, bytes (protocol).
 pub const BODY_LIMIT: usize = 64 * 1024;
-/// Time limit for responding to a submission, ms. Users wait 5 s.
-pub const SUBMIT_LIMIT_MS: u64 = 3_500;
-/// Time limit for responding to a status request, ms. Users wait 2 s.
-pub const STATUS_LIMIT_MS: u64 = 1_500;
+/// Time limit for responding to a submission. Users wait 5 s.
+pub const SUBMIT_LIMIT: Duration = Duration::from_millis(3_500);
+/// Time limit for responding to a status request. Users wait 2 s.
+pub const STATUS_LIMIT: Duration = Duration::from_millis(1_500);
 /// Value of `Retry-After`, s.
 pub const RETRY_AFTER_S: u32 = 1;
 /// Value of `Retry-After` for status requests, s: sooner than users would ask again, and after
 /// most failovers.
 pub const STATUS_RETRY_AFTER_S: u32 = 3;
-/// Time limit of one exchange with another controller, ms.
-pub const PEER_TIMEOUT_MS: u64 = 600;
+/// Time limit of one exchange with another controller.
+pub const PEER_TIMEOUT: Duration = Duration::from_millis(600);
 /// Maximum size of a message between controllers, bytes: a submission and its envelope.
 pub const PEER_FRAME_LIMIT: usize = 80 * 1024;
 /// Idle connections kept to each other controller.
 pub const PEER_IDLE: usize = 4;
-/// How long an idle connection to the store, the cloud or a controller is kept, ms.
-pub const CLIENT_IDLE_MS: u64 = 10_000;
+/// How long an idle connection to the store, the cloud or a controller is kept.
+pub const CLIENT_IDLE: Duration = Duration::from_millis(10_000);
 /// How long the circuit breaker of a controller, or of the store, stays open after a request
-/// without a response, ms; then one request probes it.
-pub const CIRCUIT_BREAKER_OPEN_MS: u64 = 1_000;
+/// without a response; then one request probes it.
+pub const CIRCUIT_BREAKER_OPEN: Duration = Duration::from_millis(1_000);
 /// Share of the socket limit for inbound connections. The rest is for the store, the cloud, other
 /// controllers and workers.
 pub const INBOUND_SOCKET_SHARE: f64 = 0.85;
@@ -30,20 +32,20 @@
 pub const CONNECTION_IDLE_HEARTBEATS: f64 = 2.5;
 /// Minimum of that time, s. Users ask about every 5 s.
 pub const CONNECTION_IDLE_MIN_S: f64 = 15.0;
-/// A connection with traffic within this time is not closed to make room for another, ms: its
+/// A connection with traffic within this time is not closed to make room for another: its
 /// request may be in progress.
-pub const CONNECTION_BUSY_MS: u64 = 2_000;
+pub const CONNECTION_BUSY: Duration = Duration::from_millis(2_000);
 /// When the connection table is full, one connection in this many is closed at a time.
 pub const CONNECTION_CLOSE_DIVISOR: usize = 64;
-/// Interval at which a full connection table is checked again, ms.
-pub const CONNECTION_TABLE_RETRY_MS: u64 = 20;
+/// Interval at which a full connection table is checked again.
+pub const CONNECTION_TABLE_RETRY: Duration = Duration::from_millis(20);
 /// Share of the socket limit that requests in progress may use.
 pub const CONCURRENCY_SOCKET_SHARE: f64 = 0.25;
 /// Minimum of the adaptive concurrency limit, requests.
 pub const MIN_CONCURRENCY: usize = 8;
-/// Latency above which the adaptive concurrency limit shrinks, ms. Well below the 2 s that users
+/// Latency above which the adaptive concurrency limit shrinks. Well below the 2 s that users
 /// wait.
-pub const CONCURRENCY_LATENCY_TARGET_MS: u64 = 400;
+pub const CONCURRENCY_LATENCY_TARGET: Duration = Duration::from_millis(400);
 /// Jobs whose final state a controller keeps in memory.
 pub const FINAL_STATE_CACHE_SIZE: usize = 4_096;
 /// Messages that may queue for an actor.
--- a/crates/constants/src/failures.rs
+++ b/crates/constants/src/failures.rs
@@ -1,5 +1,7 @@
 //! Failure attribution: failing jobs, slow and faulty machines.
 
+use std::time::Duration;
+
 /// Sum of failure weights from which a machine counts as faulty. Each job that failed there since
 /// a task last completed there weighs 1 if it runs elsewhere.
 pub const FAULTY_MACHINE_WEIGHT: f64 = 2.0;
@@ -12,11 +14,11 @@
 pub const GANG_MAX_FAILURES: u32 = 3;
 /// Consecutive failures after which a job with completed tasks backs off.
 pub const PROVEN_JOB_MAX_FAILURES: u32 = 3;
-/// A daemon's replica that ran for this long, ms, worked: its end causes no backoff.
-pub const REPLICA_STEADY_MS: u64 = 30_000;
-/// Failures of a daemon's replicas are forgotten after this long without another, ms: it has no
+/// A daemon's replica that ran for this long, worked: its end causes no backoff.
+pub const REPLICA_STEADY: Duration = Duration::from_millis(30_000);
+/// Failures of a daemon's replicas are forgotten after this long without another: it has no
 /// completed tasks that speak for it. Above the longest backoff with its jitter.
-pub const REPLICA_FAILURE_MEMORY_MS: u64 = 120_000;
+pub const REPLICA_FAILURE_MEMORY: Duration = Duration::from_millis(120_000);
 /// Finished tasks from which the mean run time of a job is reliable enough to judge a machine by
 /// it.
 pub const RELIABLE_MEAN_TASKS: u32 = 4;
@@ -28,10 +30,10 @@
 /// A task that has run for this many times the mean of its job is restarted elsewhere: finishing
 /// it where it is would most likely take longer.
 pub const STUCK_TASK_RATIO: f64 = 5.0;
-/// First backoff after a failed task of a job, ms; doubled for each further failure.
-pub const FAILURE_BACKOFF_MS: u64 = 1_000;
-/// Longest backoff, ms.
-pub const FAILURE_BACKOFF_MAX_MS: u64 = 45_000;
+/// First backoff after a failed task of a job; doubled for each further failure.
+pub const FAILURE_BACKOFF: Duration = Duration::from_millis(1_000);
+/// Longest backoff.
+pub const FAILURE_BACKOFF_MAX: Duration = Duration::from_millis(45_000);
 /// Maximum consecutive failures that a new leader takes over from its standby copy: backoff grows
 /// no further.
 pub const MAX_RESUMED_FAILURES: u32 = 16;
--- a/crates/constants/src/preemption.rs
+++ b/crates/constants/src/preemption.rs
@@ -1,7 +1,9 @@
 //! Preemption and reservations for gangs.
 
-/// How long a job waits for resources to free up before it preempts others, ms.
-pub const PREEMPT_AFTER_MS: u64 = 200;
+use std::time::Duration;
+
+/// How long a job waits for resources to free up before it preempts others.
+pub const PREEMPT_AFTER: Duration = Duration::from_millis(200);
 /// Time until a stop has taken effect and the resources are free, s: one and a half heartbeat
 /// intervals.
 pub const PREEMPTION_DELAY_S: f64 = 3.0;
@@ -14,14 +16,14 @@
 pub const BACKFILL_MIN_RUN_S: f64 = 20.0;
 /// And at least this many times the time for a checkpoint.
 pub const BACKFILL_MIN_CHECKPOINTS: f64 = 5.0;
-/// Machines are reserved for a gang that has waited this long, ms: long enough for tasks to end by
+/// Machines are reserved for a gang that has waited this long: long enough for tasks to end by
 /// themselves, short against the patience of users.
-pub const GANG_RESERVATION_DELAY_MS: u64 = 5_000;
+pub const GANG_RESERVATION_DELAY: Duration = Duration::from_millis(5_000);
 /// Nothing is reserved any more for a gang that has waited this long and that no machines up or
-/// booting could hold, ms. Above most boot times; below the 90 s in which users expect other jobs
+/// booting could hold. Above most boot times; below the 90 s in which users expect other jobs
 /// of its team to start.
-pub const GANG_RESERVATION_LIMIT_MS: u64 = 60_000;
-/// How long a new leader tries to complete a gang that an earlier one had started in part, ms,
+pub const GANG_RESERVATION_LIMIT: Duration = Duration::from_millis(60_000);
+/// How long a new leader tries to complete a gang that an earlier one had started in part,
 /// from the end of reconciliation. Beyond it the gang is restarted: its waiting tasks would give
 /// up.
-pub const GANG_RESUME_LIMIT_MS: u64 = 5_000;
+pub const GANG_RESUME_LIMIT: Duration = Duration::from_millis(5_000);
--- a/crates/constants/src/replication.rs
+++ b/crates/constants/src/replication.rs
@@ -1,15 +1,17 @@
 //! Warm standbys: the replication log, images, digests, and failure detection.
 
+use std::time::Duration;
+
 /// Whether controllers keep a standby copy of the leader's cluster state unless operators say
 /// otherwise.
 pub const STANDBY_DEFAULT: bool = true;
-/// Interval between two requests of a standby to the leader, ms. The lag of its copy.
-pub const FOLLOW_INTERVAL_MS: u64 = 200;
-/// Interval at which the leader compares its whole cluster state with what it has published, ms;
+/// Interval between two requests of a standby to the leader. The lag of its copy.
+pub const FOLLOW_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which the leader compares its whole cluster state with what it has published;
 /// in between it publishes only what changed.
-pub const FULL_PUBLISH_INTERVAL_MS: u64 = 10_000;
-/// Interval at which a standby checks in the store whether a silent leader still leads, ms.
-pub const LEADER_CHECK_INTERVAL_MS: u64 = 1_000;
+pub const FULL_PUBLISH_INTERVAL: Duration = Duration::from_millis(10_000);
+/// Interval at which a standby checks in the store whether a silent leader still leads.
+pub const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Maximum entries of the replication log: some seconds of the largest fleets. A standby that is
 /// further behind gets an image, which costs less than as many entries.
 pub const REPLICATION_LOG_ENTRIES: usize = 16_384;
@@ -19,15 +21,15 @@
 /// Maximum size of an image, bytes: some 200 per machine with its tasks, so enough for 100,000
 /// machines.
 pub const REPLICATION_IMAGE_LIMIT: usize = 32 * 1024 * 1024;
-/// How long a leader serves the pieces of one image before it makes a new one, ms.
-pub const REPLICATION_IMAGE_LIFETIME_MS: u64 = 5_000;
+/// How long a leader serves the pieces of one image before it makes a new one.
+pub const REPLICATION_IMAGE_LIFETIME: Duration = Duration::from_millis(5_000);
 /// Ranges of names for digests. One range is hashed at a time, so that no round of the leader
 /// waits for all.
 pub const REPLICATION_DIGEST_RANGES: u32 = 16;
-/// Interval between two digests, ms: all ranges are compared within 16 s.
-pub const REPLICATION_DIGEST_INTERVAL_MS: u64 = 1_000;
-/// A copy whose leader was last heard longer ago than this is not used, ms.
-pub const REPLICATION_STALE_MS: u64 = 60_000;
+/// Interval between two digests: all ranges are compared within 16 s.
+pub const REPLICATION_DIGEST_INTERVAL: Duration = Duration::from_millis(1_000);
+/// A copy whose leader was last heard longer ago than this is not used.
+pub const REPLICATION_STALE: Duration = Duration::from_millis(60_000);
 /// Maximum names in the log line about differences that a copy had.
 pub const REPLICATION_MAX_NAMED_DIFFERENCES: usize = 8;
 /// Intervals between signs of life that the failure detector remembers.
@@ -36,7 +38,7 @@
 pub const DETECTOR_MIN_SAMPLES: usize = 8;
 /// Standard deviations above the mean interval from which a silence is suspicious.
 pub const DETECTOR_DEVIATIONS: f64 = 6.0;
-/// Minimum silence that is suspicious, ms: a lost packet is retransmitted within it.
-pub const DETECTOR_MIN_SILENCE_MS: u64 = 1_000;
-/// Longest duration that histograms distinguish, ms.
-pub const MAX_RECORDED_DURATION_MS: u64 = 3_600_000;
+/// Minimum silence that is suspicious: a lost packet is retransmitted within it.
+pub const DETECTOR_MIN_SILENCE: Duration = Duration::from_millis(1_000);
+/// Longest duration that histograms distinguish.
+pub const MAX_RECORDED_DURATION: Duration = Duration::from_millis(3_600_000);
--- a/crates/constants/src/scheduling.rs
+++ b/crates/constants/src/scheduling.rs
@@ -1,12 +1,14 @@
 //! Scheduling rounds, the order of the queue, and where tasks are placed.
 
-/// Interval between scheduling rounds, ms.
-pub const SCHEDULING_INTERVAL_MS: u64 = 250;
-/// A heartbeat triggers a scheduling round unless one took place within this time, ms. Bounds
+use std::time::Duration;
+
+/// Interval between scheduling rounds.
+pub const SCHEDULING_INTERVAL: Duration = Duration::from_millis(250);
+/// A heartbeat triggers a scheduling round unless one took place within this time. Bounds
 /// processor time when many workers report at once.
-pub const HEARTBEAT_ROUND_INTERVAL_MS: u64 = 40;
-/// Maximum interval between rounds for lack of processor time, ms.
-pub const MAX_ROUND_INTERVAL_MS: u64 = 2_000;
+pub const HEARTBEAT_ROUND_INTERVAL: Duration = Duration::from_millis(40);
+/// Maximum interval between rounds for lack of processor time.
+pub const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(2_000);
 /// Cost of a scheduling round per machine, microseconds of a core (measured on this code, rounded
 /// up).
 pub const ROUND_COST_PER_MACHINE_US: f64 = 3.0;
--- a/crates/constants/src/store.rs
+++ b/crates/constants/src/store.rs
@@ -1,17 +1,19 @@
 //! The consensus-backed key-value store: time limits, request budgets, record sizes.
 
-/// Time limit of a request to the store, ms. Most take less than 10 ms, some a few hundred.
-pub const STORE_TIMEOUT_MS: u64 = 1_200;
-/// Time limit of an extension of the leadership lease, ms. A connection that died unnoticed must
+use std::time::Duration;
+
+/// Time limit of a request to the store. Most take less than 10 ms, some a few hundred.
+pub const STORE_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Time limit of an extension of the leadership lease. A connection that died unnoticed must
 /// leave time for retries within one lease.
-pub const EXTEND_TIMEOUT_MS: u64 = 800;
-/// How long a watch waits on the server, ms. Bounds how long a connection that died unnoticed
+pub const EXTEND_TIMEOUT: Duration = Duration::from_millis(800);
+/// How long a watch waits on the server. Bounds how long a connection that died unnoticed
 /// hides new jobs or a lost leader.
-pub const WATCH_WAIT_MS: u64 = 5_000;
-/// Added to the waiting time of a watch before the client gives up, ms.
-pub const WATCH_GRACE_MS: u64 = 2_000;
-/// Delay before a failed watch is opened again, ms.
-pub const WATCH_RETRY_MS: u64 = 400;
+pub const WATCH_WAIT: Duration = Duration::from_millis(5_000);
+/// Added to the waiting time of a watch before the client gives up.
+pub const WATCH_GRACE: Duration = Duration::from_millis(2_000);
+/// Delay before a failed watch is opened again.
+pub const WATCH_RETRY: Duration = Duration::from_millis(400);
 /// Share of the store's write rate that the leader may use. The rest is for submissions, which any
 /// controller writes.
 pub const LEADER_WRITE_SHARE: f64 = 0.7;
@@ -32,14 +34,14 @@
 /// Share of the store's request rate for leader election, which must not queue behind other
 /// requests.
 pub const LEADERSHIP_REQUEST_SHARE: f64 = 0.1;
-/// How long a submission may queue for the request budget, ms. Beyond it the client is told at
+/// How long a submission may queue for the request budget. Beyond it the client is told at
 /// once when to retry.
-pub const SUBMISSION_QUEUE_LIMIT_MS: u64 = 300;
+pub const SUBMISSION_QUEUE_LIMIT: Duration = Duration::from_millis(300);
 /// Operations in the transaction that ends a job: its final state is written, its record deleted.
 pub const JOB_COMPLETION_OPERATIONS: usize = 2;
-/// Delay before a record that the store rejected on its own is retried, ms: nothing tells when it
+/// Delay before a record that the store rejected on its own is retried: nothing tells when it
 /// would be accepted, and nothing else waits for it.
-pub const REJECTED_RETRY_MS: u64 = 5_000;
+pub const REJECTED_RETRY: Duration = Duration::from_millis(5_000);
 /// Number of steps in which the start watermark of a job rises to its task count. More steps let a
 /// new leader start more of the job before reconciliation, and cost a write each.
 pub const START_WATERMARK_STEPS: u32 = 4;
--- a/crates/controller/src/actor/dispatch.rs
+++ b/crates/controller/src/actor/dispatch.rs
@@ -9,6 +9,7 @@
 use crate::leadership::pause;
 use hookway_clients::{CloudClient, CloudError, Delivery, ScaleOutOutcome};
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use hookway_wire::ScaleOutRequest;
 
 /// Delay before a failed request to the cloud is retried, ms.
@@ -42,7 +43,7 @@
         now: u64,
     ) {
         // Every heartbeat dispatches, and most machines with planned starts wait for a commit.
-        let interval_ms = constants::DIRECT_DISPATCH_INTERVAL_MS;
+        let interval_ms = whole_millis(constants::DIRECT_DISPATCH_INTERVAL);
         if !take_due(&mut timers.last_direct_dispatch_at, interval_ms, now) {
             return;
         }
@@ -114,7 +115,7 @@
 ) -> ClusterEvent {
     loop {
         if !authority.holds() {
-            pause(constants::LEADER_RETRY_MS).await;
+            pause(whole_millis(constants::LEADER_RETRY)).await;
             continue;
         }
         match cloud.scale_out(&request).await {
--- a/crates/controller/src/actor/mod.rs
+++ b/crates/controller/src/actor/mod.rs
@@ -27,7 +27,6 @@
 use hookway_constants as constants;
 use hookway_wire::MachineType;
 use std::sync::Arc;
-use std::time::Duration;
 use term::ActiveTerm;
 use tokio::sync::{Notify, mpsc, watch};
 
@@ -118,7 +117,7 @@
         let mut active =
             ActiveTerm::new(leader_term, &self.config.lease, self.config.clock, events);
         self.spawn_state_load(&mut active);
-        let mut timer = tokio::time::interval(Duration::from_millis(constants::TICK_MS));
+        let mut timer = tokio::time::interval(constants::TICK);
         timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
--- a/crates/controller/src/actor/store_io.rs
+++ b/crates/controller/src/actor/store_io.rs
@@ -11,6 +11,7 @@
 };
 use hookway_clients::{CommitOutcome, StoreClient, StoreError};
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use hookway_wire::WatchEvent;
 use std::convert::Infallible;
 use tokio::sync::mpsc;
@@ -30,7 +31,7 @@
                     }
                     Err(error) => {
                         tracing::debug!(%error, "reading the cluster state failed");
-                        pause(constants::LEADER_RETRY_MS).await;
+                        pause(whole_millis(constants::LEADER_RETRY)).await;
                     }
                 }
             }
@@ -71,7 +72,7 @@
     mut revision: u64,
 ) -> Result<Infallible, TermEnded> {
     loop {
-        match store.watch(JOBS_PREFIX, revision, constants::WATCH_WAIT_MS).await {
+        match store.watch(JOBS_PREFIX, revision, whole_millis(constants::WATCH_WAIT)).await {
             Ok(response) => {
                 revision = revision.max(response.revision);
                 for event in response.events {
@@ -91,13 +92,13 @@
                     }
                     Err(error) => {
                         tracing::debug!(%error, "reading all jobs failed");
-                        pause(constants::WATCH_RETRY_MS).await;
+                        pause(whole_millis(constants::WATCH_RETRY)).await;
                     }
                 }
             }
             Err(error) => {
                 tracing::debug!(%error, "watching for jobs failed");
-                pause(constants::WATCH_RETRY_MS).await;
+                pause(whole_millis(constants::WATCH_RETRY)).await;
             }
         }
     }
@@ -155,7 +156,7 @@
                 if !matches!(error, StoreError::TooMany) {
                     unavailable();
                 }
-                pause(constants::LEADER_RETRY_MS).await;
+                pause(whole_millis(constants::LEADER_RETRY)).await;
             }
         }
     }
--- a/crates/controller/src/actor/term.rs
+++ b/crates/controller/src/actor/term.rs
@@ -8,6 +8,7 @@
 use crate::records::FinalRecord;
 use hookway_constants as constants;
 use hookway_replication::{FollowAnswer, FollowRequest, Publisher};
+use hookway_time::whole_millis;
 use hookway_wire::JobId;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -160,8 +161,9 @@
         now: u64,
     ) -> Option<FollowAnswer> {
         // Standbys ask one after the other: one comparison of the cluster state serves them all.
-        if take_due(&mut self.last_published_at, constants::FOLLOW_INTERVAL_MS / 2, now) {
-            let interval_ms = constants::FULL_PUBLISH_INTERVAL_MS;
+        if take_due(&mut self.last_published_at, whole_millis(constants::FOLLOW_INTERVAL) / 2, now)
+        {
+            let interval_ms = whole_millis(constants::FULL_PUBLISH_INTERVAL);
             if take_due(&mut self.last_full_publish_at, interval_ms, now) {
                 cluster.publish_all(&mut self.publisher);
             } else {
--- a/crates/controller/src/actor/timer.rs
+++ b/crates/controller/src/actor/timer.rs
@@ -5,12 +5,13 @@
 use super::{ControllerActor, MachineTypes};
 use crate::cluster_state::ClusterState;
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 
 /// Interval between log lines with a summary of the cluster state, ms.
 const SUMMARY_INTERVAL_MS: u64 = 10_000;
 
 impl ControllerActor {
-    /// Carries out what is due. Called every `TICK_MS`, later if the actor is busy.
+    /// Carries out what is due. Called every `TICK`, later if the actor is busy.
     pub(super) fn tick(&mut self, active: &mut ActiveTerm) {
         let now = self.config.clock.now();
         debug_assert!(active.cluster.is_none() || self.config.standby.may_decide(active.term()));
@@ -48,7 +49,7 @@
     fn step_down_if_isolated(&mut self, cluster: &ClusterState, now: u64) -> bool {
         let allowed = self
             .stepped_down_at
-            .is_none_or(|last_at| now >= last_at + constants::STEP_DOWN_INTERVAL_MS);
+            .is_none_or(|last_at| now >= last_at + whole_millis(constants::STEP_DOWN_INTERVAL));
         let steps_down = cluster.all_workers_silent(now) && allowed;
         if steps_down {
             tracing::info!(term = cluster.term(), "stepping down: no worker sends heartbeats");
@@ -75,7 +76,8 @@
         timers: &mut TermTimers,
         now: u64,
     ) {
-        let interval_ms = constants::AUTOSCALING_INTERVAL_MS.max(2 * cluster.round_interval_ms());
+        let interval_ms =
+            whole_millis(constants::AUTOSCALING_INTERVAL).max(2 * cluster.round_interval_ms());
         if take_due(&mut timers.last_autoscaling_at, interval_ms, now) {
             for action in cluster.autoscaling_round(now) {
                 self.spawn_scaling_action(tasks, action);
@@ -92,9 +94,9 @@
         timers: &mut TermTimers,
         now: u64,
     ) {
-        let shortest_ms = constants::CLOUD_LIST_INTERVAL_MS;
-        let interval_ms =
-            shortest_ms + constants::CLOUD_LIST_PER_MACHINE_MS * cluster.machine_count() as u64;
+        let shortest_ms = whole_millis(constants::CLOUD_LIST_INTERVAL);
+        let interval_ms = shortest_ms
+            + whole_millis(constants::CLOUD_LIST_PER_MACHINE) * cluster.machine_count() as u64;
         let due = |interval_ms| {
             timers.last_machine_list_at.is_none_or(|last_at| now >= last_at + interval_ms)
         };
@@ -133,7 +135,7 @@
         }
         return false;
     }
-    let process_paused = now >= active.timers.last_tick_at + constants::PROCESS_PAUSE_MS;
+    let process_paused = now >= active.timers.last_tick_at + whole_millis(constants::PROCESS_PAUSE);
     active.timers.last_tick_at = now;
     if process_paused || active.suspended {
         cluster.resumed(now);
@@ -146,7 +148,7 @@
 }
 
 fn run_scheduling_round(cluster: &mut ClusterState, timers: &mut TermTimers, now: u64) {
-    let interval_ms = cluster.round_interval_ms().max(constants::SCHEDULING_INTERVAL_MS);
+    let interval_ms = cluster.round_interval_ms().max(whole_millis(constants::SCHEDULING_INTERVAL));
     if take_due(&mut timers.last_scheduling_at, interval_ms, now) {
         cluster.scheduling_round(now);
     }
--- a/crates/controller/src/api/job_reader.rs
+++ b/crates/controller/src/api/job_reader.rs
@@ -5,6 +5,7 @@
 use crate::records::{FinalRecord, final_state_key, job_key};
 use hookway_clients::{HttpError, StoreClient, StoreError};
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use hookway_wire::JobId;
 use std::sync::Mutex;
 
@@ -52,7 +53,7 @@
         return Ok(StoredJob::Active { key: pair.key, value: pair.value });
     }
     // Half of the answer is useless, so the second read waits for its turn in the request rate.
-    let store = store.clone().with_queue_limit(constants::STATUS_LIMIT_MS);
+    let store = store.clone().with_queue_limit(whole_millis(constants::STATUS_LIMIT));
     let Some(pair) = store.get(&final_state_key(job)).await? else {
         return Ok(StoredJob::Absent);
     };
--- a/crates/controller/src/api/mod.rs
+++ b/crates/controller/src/api/mod.rs
@@ -19,6 +19,7 @@
 use crate::settings::PlatformSettings;
 use hookway_clients::{StoreClient, StoreError};
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use hookway_wire::{Heartbeat, JobId, JobState, ReplicationStatus};
 use job_reader::JobReader;
 use std::sync::Arc;
@@ -159,7 +160,12 @@
         // The rate limits are shared: another controller would send the same requests.
         if origin == Origin::Client && !matches!(store_error, StoreError::TooMany) {
             for peer in self.config.peers.names() {
-                match self.config.peers.ask(&peer, &request, constants::PEER_TIMEOUT_MS).await {
+                match self
+                    .config
+                    .peers
+                    .ask(&peer, &request, whole_millis(constants::PEER_TIMEOUT))
+                    .await
+                {
                     Ok(RequestOutcome::Known(snapshot)) => return self.known(snapshot),
                     Ok(RequestOutcome::Unavailable(reason)) => {
                         tracing::debug!(peer, reason, "controller can't decide a request");
--- a/crates/controller/src/circuit_breaker.rs
+++ b/crates/controller/src/circuit_breaker.rs
@@ -1,11 +1,10 @@
 //! Circuit breakers, so that users need not wait for a service that does not respond.
 
 use hookway_constants as constants;
-use std::time::Duration;
 use tokio::time::Instant;
 
 /// The circuit breaker of a service. It opens when a request fails, and lets one request through
-/// every `CIRCUIT_BREAKER_OPEN_MS` until one succeeds.
+/// every `CIRCUIT_BREAKER_OPEN` until one succeeds.
 #[derive(Debug, Default)]
 pub(crate) struct CircuitBreaker {
     /// When the last request failed or was let through; `None`: closed.
@@ -21,8 +20,7 @@
     /// Whether a request may be sent.
     pub(crate) fn allows_request(&mut self) -> bool {
         let Some(opened_at) = self.opened_at.as_mut() else { return true };
-        let probes =
-            opened_at.elapsed() >= Duration::from_millis(constants::CIRCUIT_BREAKER_OPEN_MS);
+        let probes = opened_at.elapsed() >= constants::CIRCUIT_BREAKER_OPEN;
         if probes {
             *opened_at = Instant::now();
         }
--- a/crates/controller/src/cluster_state/class_history.rs
+++ b/crates/controller/src/cluster_state/class_history.rs
@@ -3,6 +3,7 @@
 use crate::records::ClassRecord;
 use hookway_constants as constants;
 use hookway_policy::Resources;
+use hookway_time::whole_millis;
 use hookway_wire::JobSpec;
 use std::collections::{HashSet, VecDeque};
 
@@ -77,7 +78,7 @@
     /// Records the number of machines needed at `now` (ms), and drops what is too old.
     pub fn record_demand(&mut self, machines: usize, now: u64) {
         self.demand.push_back(Demand { at_ms: now, machines });
-        let window_ms = constants::DEMAND_WINDOW_MS;
+        let window_ms = whole_millis(constants::DEMAND_WINDOW);
         while self.demand.front().is_some_and(|demand| now > demand.at_ms + window_ms) {
             self.demand.pop_front();
         }
--- a/crates/controller/src/cluster_state/command_dispatch.rs
+++ b/crates/controller/src/cluster_state/command_dispatch.rs
@@ -2,6 +2,7 @@
 
 use super::{ClusterState, Machine, PlacedTask, TaskPhase};
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use hookway_wire::{Command, DirectCommands, ExitCause};
 
 /// Maximum number of commands in one message, so that its only line stays far below 64 KiB.
@@ -17,7 +18,8 @@
             return Some(0.0);
         }
         if let Some(order) = placed.stop {
-            let patience_ms = (job.spec.checkpoint_s * 1000.0) as u64 + constants::STOP_TIMEOUT_MS;
+            let patience_ms =
+                (job.spec.checkpoint_s * 1000.0) as u64 + whole_millis(constants::STOP_TIMEOUT);
             let overdue = now.saturating_sub(order.decided_at) > patience_ms;
             return Some(if overdue { 0.0 } else { order.grace_s });
         }
--- a/crates/controller/src/cluster_state/commits.rs
+++ b/crates/controller/src/cluster_state/commits.rs
@@ -5,6 +5,7 @@
     CommitItem, CommitResult, DelayedItem, PendingCommit, RereadKey, is_leader_record,
 };
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use hookway_wire::Operation;
 
 impl ClusterState {
@@ -51,7 +52,7 @@
         match result {
             CommitResult::Applied(revision) => self.commit_applied(commit, revision),
             CommitResult::NotApplied => {
-                self.commit_queue.backoff_until = now + constants::LEADER_RETRY_MS;
+                self.commit_queue.backoff_until = now + whole_millis(constants::LEADER_RETRY);
                 for item in commit.items {
                     self.final_not_applied(&item);
                     self.requeue(item);
@@ -111,7 +112,7 @@
     /// The state service rejected a transaction for its size. It is tried again in smaller parts; an
     /// item that is rejected by itself is delayed, so that it holds up nothing else.
     fn commit_rejected(&mut self, commit: PendingCommit, now: u64) {
-        self.commit_queue.backoff_until = now + constants::LEADER_RETRY_MS;
+        self.commit_queue.backoff_until = now + whole_millis(constants::LEADER_RETRY);
         let operations = commit.transaction.operations.len();
         self.commit_queue.max_operations =
             (operations / 2).max(constants::JOB_COMPLETION_OPERATIONS);
@@ -119,7 +120,7 @@
         for item in commit.items {
             self.final_not_applied(&item);
             if alone {
-                let retry_at = now + constants::REJECTED_RETRY_MS;
+                let retry_at = now + whole_millis(constants::REJECTED_RETRY);
                 self.commit_queue.rejected.push_back(DelayedItem { retry_at, item });
             } else {
                 self.requeue(item);
--- a/crates/controller/src/cluster_state/direct_dispatch.rs
+++ b/crates/controller/src/cluster_state/direct_dispatch.rs
@@ -4,6 +4,7 @@
 use super::{ClusterState, Machine, MessageVersion, TaskPhase};
 use hookway_clients::Delivery;
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use hookway_wire::{DirectCommands, Heartbeat};
 use std::collections::BTreeSet;
 
@@ -124,13 +125,13 @@
             // heartbeat with a higher fencing token.
             Delivery::Refused => {}
             Delivery::NotSent => {
-                machine.backoff_until = now + constants::UNREACHABLE_BACKOFF_MS;
+                machine.backoff_until = now + whole_millis(constants::UNREACHABLE_BACKOFF);
                 self.direct_start_not_sent(name, fencing_token);
                 tracing::debug!(machine = %name, "worker unreachable");
                 self.cancel_planned_starts(name, now);
             }
             Delivery::Indeterminate => {
-                machine.backoff_until = now + constants::UNREACHABLE_BACKOFF_MS;
+                machine.backoff_until = now + whole_millis(constants::UNREACHABLE_BACKOFF);
                 self.cancel_planned_starts(name, now);
             }
         }
--- a/crates/controller/src/cluster_state/failure_attribution.rs
+++ b/crates/controller/src/cluster_state/failure_attribution.rs
@@ -7,6 +7,7 @@
 
 use super::{ClusterState, CordonReason, Job, JobKey};
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 
 impl Job {
     /// Whether it fails wherever it is tried: no task has completed, and no more of them run than there
@@ -51,7 +52,7 @@
             return;
         }
         if self.spec.is_daemon()
-            && now >= self.last_failure_at + constants::REPLICA_FAILURE_MEMORY_MS
+            && now >= self.last_failure_at + whole_millis(constants::REPLICA_FAILURE_MEMORY)
         {
             self.consecutive_failures = 0;
         }
@@ -61,8 +62,9 @@
         if proven && self.consecutive_failures < constants::PROVEN_JOB_MAX_FAILURES {
             return;
         }
-        let backoff_ms = constants::FAILURE_BACKOFF_MS << (self.consecutive_failures - 1).min(10);
-        let backoff_ms = backoff_ms.min(constants::FAILURE_BACKOFF_MAX_MS);
+        let backoff_ms =
+            whole_millis(constants::FAILURE_BACKOFF) << (self.consecutive_failures - 1).min(10);
+        let backoff_ms = backoff_ms.min(whole_millis(constants::FAILURE_BACKOFF_MAX));
         // Jobs that were submitted together with the same fault shall not all be tried together.
         let spread = |sum: u64, byte: u8| sum.wrapping_mul(31).wrapping_add(u64::from(byte));
         let spread = self.id.as_str().bytes().fold(u64::from(self.consecutive_failures), spread);
@@ -86,7 +88,7 @@
         now: u64,
     ) {
         let ran_ms = running_since.map_or(0, |since| now.saturating_sub(since));
-        if ran_ms < constants::REPLICA_STEADY_MS {
+        if ran_ms < whole_millis(constants::REPLICA_STEADY) {
             self.record_failure(machine, placed_at, now);
         }
     }
@@ -100,7 +102,7 @@
         if !self.jobs.values().any(failed) {
             return;
         }
-        let steady = |since: &u64| now >= since + constants::REPLICA_STEADY_MS;
+        let steady = |since: &u64| now >= since + whole_millis(constants::REPLICA_STEADY);
         for placed in self.machines.values().flat_map(|machine| &machine.placed_tasks) {
             let Some(job) = placed.job.and_then(|key| self.jobs.get_mut(&key)) else { continue };
             if failed(job) && placed.running_since.as_ref().is_some_and(steady) {
@@ -121,7 +123,7 @@
         }
         if proven {
             machine.backoff_until =
-                machine.backoff_until.max(now + constants::REJECTED_START_BACKOFF_MS);
+                machine.backoff_until.max(now + whole_millis(constants::REJECTED_START_BACKOFF));
         }
         let weights = machine.failed_jobs.iter().filter_map(|key| self.jobs.get(key));
         let total_weight: f64 = weights.map(Job::failure_weight).sum();
--- a/crates/controller/src/cluster_state/gang_repair.rs
+++ b/crates/controller/src/cluster_state/gang_repair.rs
@@ -2,6 +2,7 @@
 
 use super::{ClusterState, Job, JobKey, TaskPlacement};
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use std::collections::HashSet;
 
 impl ClusterState {
@@ -18,7 +19,10 @@
                 && (reconciled || !job.inherited);
             job.completing = partial
                 && completable.contains(key)
-                && now < *job.resume_deadline.get_or_insert(now + constants::GANG_RESUME_LIMIT_MS);
+                && now
+                    < *job
+                        .resume_deadline
+                        .get_or_insert(now + whole_millis(constants::GANG_RESUME_LIMIT));
             if partial && !job.completing {
                 self.stops_due |= !job.broken;
                 job.broken = true;
--- a/crates/controller/src/cluster_state/heartbeat.rs
+++ b/crates/controller/src/cluster_state/heartbeat.rs
@@ -4,6 +4,7 @@
 use super::task_removal::TaskRemoval;
 use super::{ClusterState, CordonReason, ExpectedHeartbeat, Machine, MessageVersion, TaskAttempt};
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use hookway_wire::{Command, Heartbeat, HeartbeatResponse};
 
 /// What an accepted heartbeat is, compared with what its machine has sent before.
@@ -154,7 +155,7 @@
         self.mark_unpublished(name);
         let machine = self.machines.get_mut(name)?;
         machine.heartbeat_expected_by =
-            if commands.is_empty() { 0 } else { now + constants::PROMPT_HEARTBEAT_MS };
+            if commands.is_empty() { 0 } else { now + whole_millis(constants::PROMPT_HEARTBEAT) };
         let fencing_token = self.term + machine.token_offset;
         let mut expected = ExpectedHeartbeat {
             fencing_token: (fencing_token > heartbeat.fencing_token).then_some(fencing_token),
--- a/crates/controller/src/cluster_state/heartbeat_timing.rs
+++ b/crates/controller/src/cluster_state/heartbeat_timing.rs
@@ -2,6 +2,7 @@
 
 use super::{ClusterState, Machine, worker_lease_expiry_ms};
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 
 impl ClusterState {
     /// Interval between the regular heartbeats of a worker, ms.
@@ -16,7 +17,7 @@
 
     /// Time after a response by which a worker surely sends its next heartbeat, ms.
     pub(super) fn heartbeat_timeout_ms(&self) -> u64 {
-        self.max_heartbeat_interval_ms() + constants::PROMPT_HEARTBEAT_MS
+        self.max_heartbeat_interval_ms() + whole_millis(constants::PROMPT_HEARTBEAT)
     }
 
     /// Whether some worker with tasks has missed its heartbeat while its lease may still be valid.
@@ -57,7 +58,8 @@
     /// long before the election that it must be up.
     fn surely_up_but_silent(&self, name: &str, machine: &Machine) -> bool {
         let booted = |listed_at: i64| {
-            listed_at + (constants::BOOT_CERTAIN_MS as i64) < self.clocks.elected_at() as i64
+            listed_at + (whole_millis(constants::BOOT_CERTAIN) as i64)
+                < self.clocks.elected_at() as i64
         };
         !machine.has_reported
             && machine.first_listed_at.is_some_and(booted)
@@ -67,7 +69,7 @@
     /// Silence of all workers that counts, before any heartbeat has arrived, ms.
     fn silence_limit_ms(&self) -> u64 {
         ((self.heartbeat_interval_ms() * constants::WORKER_SILENCE_INTERVALS) as u64)
-            .max(constants::WORKER_SILENCE_MIN_MS)
+            .max(whole_millis(constants::WORKER_SILENCE_MIN))
     }
 
     /// Silence that counts once heartbeats have arrived, with so many workers expected, ms. Of hundreds
@@ -77,6 +79,6 @@
         let share = (constants::WORKER_SILENCE_FLEET_SIZE / f64::from(expected.max(1))).min(1.0);
         let intervals_ms = self.heartbeat_interval_ms() * constants::WORKER_SILENCE_INTERVALS;
         ((intervals_ms * share) as u64)
-            .clamp(constants::WORKER_SILENCE_LARGE_FLEET_MS, self.silence_limit_ms())
+            .clamp(whole_millis(constants::WORKER_SILENCE_LARGE_FLEET), self.silence_limit_ms())
     }
 }
--- a/crates/controller/src/cluster_state/leases.rs
+++ b/crates/controller/src/cluster_state/leases.rs
@@ -4,19 +4,21 @@
 use crate::settings::PlatformSettings;
 use crate::shard_lease::{ShardLease, ShardLeaseRenewal};
 use hookway_constants as constants;
+use hookway_time::{millis_f64, whole_millis};
 use hookway_wire::JobState;
 
 /// Maximum length of a shard lease, ms: as configured, but so short that it and a worker's lease end
 /// within the time for a cancellation.
 pub fn max_shard_lease_ms(config: &ControllerConfig) -> u64 {
     let workers = &config.platform.workers;
-    let limit_ms = (workers.cancel_s - workers.lease_s) * 1000.0 - constants::CANCEL_MARGIN_MS;
+    let limit_ms =
+        (workers.cancel_s - workers.lease_s) * 1000.0 - millis_f64(constants::CANCEL_MARGIN);
     config.operator.shard_lease_ms.min(limit_ms.max(0.0) as u64)
 }
 
 /// Whether the lease of a worker that nobody answers any more ends within the time for a cancellation.
 pub fn leases_expire_within_cancellation(platform: &PlatformSettings) -> bool {
-    let lease_ms = worker_lease_expiry_ms(platform) as f64 + constants::CANCEL_MARGIN_MS;
+    let lease_ms = worker_lease_expiry_ms(platform) as f64 + millis_f64(constants::CANCEL_MARGIN);
     lease_ms <= platform.workers.cancel_s * 1000.0
 }
 
@@ -24,7 +26,7 @@
 /// controller could have answered it, it has killed its tasks.
 pub fn worker_lease_expiry_ms(platform: &PlatformSettings) -> u64 {
     (platform.workers.lease_s * 1000.0 * (1.0 + constants::CLOCK_DRIFT)).ceil() as u64
-        + constants::WORKER_LEASE_MARGIN_MS
+        + whole_millis(constants::WORKER_LEASE_MARGIN)
 }
 
 impl ClusterState {
--- a/crates/controller/src/cluster_state/machine.rs
+++ b/crates/controller/src/cluster_state/machine.rs
@@ -4,6 +4,7 @@
 use super::placed_task::{EndedTask, ExpectedHeartbeat, PlacedTask};
 use super::state_probe::StateProbe;
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use hookway_wire::Heartbeat;
 
 /// Why a machine is cordoned: it takes no new task and is scaled in once it is empty.
@@ -185,8 +186,8 @@
     /// Whether its worker should be probed at `now` (ms): it has sent no heartbeat, or one before it
     /// had seen this leader's fencing token, and the next one is not expected at once.
     pub fn needs_state_probe(&self, now: u64) -> bool {
-        let heartbeat_expected =
-            self.has_reported && now < self.last_response_at + constants::PROMPT_HEARTBEAT_MS;
+        let heartbeat_expected = self.has_reported
+            && now < self.last_response_at + whole_millis(constants::PROMPT_HEARTBEAT);
         self.state_probe.due(now)
             && !heartbeat_expected
             && !self.address.is_empty()
--- a/crates/controller/src/cluster_state/scale_in.rs
+++ b/crates/controller/src/cluster_state/scale_in.rs
@@ -2,6 +2,7 @@
 
 use super::{ClusterState, CordonReason, Machine, worker_lease_expiry_ms};
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use hookway_wire::MachineType;
 use std::collections::{HashMap, HashSet};
 
@@ -82,9 +83,9 @@
     fn is_silent(&self, machine: &Machine) -> bool {
         let silent_since = machine.last_response_at.max(self.resumed_at);
         let delay_ms = if self.is_partitioned(machine) {
-            constants::PARTITION_SCALE_IN_DELAY_MS
+            whole_millis(constants::PARTITION_SCALE_IN_DELAY)
         } else {
-            constants::SILENT_SCALE_IN_DELAY_MS
+            whole_millis(constants::SILENT_SCALE_IN_DELAY)
         };
         (machine.has_reported || machine.registered)
             && self.now >= silent_since + self.lease_ms + delay_ms
@@ -95,8 +96,8 @@
     fn boot_timed_out(&self, machine: &Machine) -> bool {
         let machine_type = self.machine_types.iter().find(|t| t.name == machine.machine_type);
         let boot_ms = machine_type.map_or(UNKNOWN_TYPE_BOOT_MS, |t| t.boot_s * 1000.0);
-        let timeout_ms =
-            (boot_ms * constants::BOOT_TIMEOUT_FACTOR) as u64 + constants::BOOT_TIMEOUT_MARGIN_MS;
+        let timeout_ms = (boot_ms * constants::BOOT_TIMEOUT_FACTOR) as u64
+            + whole_millis(constants::BOOT_TIMEOUT_MARGIN);
         !machine.has_reported
             && !machine.registered
             && self.now >= machine.created_at + timeout_ms
@@ -113,7 +114,8 @@
         partitioned: &HashSet<String>,
     ) -> Vec<String> {
         self.record_demand(now);
-        let patience_ms = self.max_heartbeat_interval_ms() + constants::UNRECONCILED_SCALE_IN_MS;
+        let patience_ms =
+            self.max_heartbeat_interval_ms() + whole_millis(constants::UNRECONCILED_SCALE_IN);
         let context = ScaleInContext {
             now,
             resumed_at: self.clocks.resumed_at,
@@ -155,7 +157,7 @@
             self.reconciliation.last_answered_at + worker_lease_expiry_ms(&self.config.platform);
         let worthwhile = !self.reconciled(now)
             && inherited_waits
-            && now + constants::UNRECONCILED_SCALE_IN_MIN_GAIN_MS < leases_expire_at;
+            && now + whole_millis(constants::UNRECONCILED_SCALE_IN_MIN_GAIN) < leases_expire_at;
         if !worthwhile {
             return HashSet::new();
         }
--- a/crates/controller/src/cluster_state/scale_out.rs
+++ b/crates/controller/src/cluster_state/scale_out.rs
@@ -3,6 +3,7 @@
 use super::{ClusterState, Machine};
 use hookway_constants as constants;
 use hookway_policy::{MachineOffer, MachineView, Resources, ScalingPlan};
+use hookway_time::whole_millis;
 use hookway_wire::ScaleOutRequest;
 use std::collections::{HashMap, HashSet};
 
@@ -155,7 +156,7 @@
             request = %pending.request_id, added, requested = pending.count, "scale out finished"
         );
         if added < pending.count as usize {
-            let until_ms = now + constants::UNAVAILABLE_CAPACITY_MS;
+            let until_ms = now + whole_millis(constants::UNAVAILABLE_CAPACITY);
             self.scale_outs.unavailable_until_ms.insert(pending.pool, until_ms);
         }
         for name in machines.unwrap_or_default() {
--- a/crates/controller/src/cluster_state/scheduling_round.rs
+++ b/crates/controller/src/cluster_state/scheduling_round.rs
@@ -4,6 +4,7 @@
 use super::{ClusterState, GangReservation, JobKey};
 use hookway_constants as constants;
 use hookway_policy::{QueueEntry, QuotaReservation, Victim, min_tasks, place, preempt};
+use hookway_time::whole_millis;
 use std::collections::HashSet;
 
 /// Tasks of a job that the last round found no room for.
@@ -41,8 +42,10 @@
             constants::ROUND_COST_PER_MACHINE_US + waiting_jobs * constants::ROUND_COST_PER_PAIR_US;
         let cost_ms = machines * per_machine_us / 1000.0;
         let share = self.config.platform.machine_limits.core_share * constants::ROUND_CORE_SHARE;
-        ((cost_ms / share.max(0.001)) as u64)
-            .clamp(constants::HEARTBEAT_ROUND_INTERVAL_MS, constants::MAX_ROUND_INTERVAL_MS)
+        ((cost_ms / share.max(0.001)) as u64).clamp(
+            whole_millis(constants::HEARTBEAT_ROUND_INTERVAL),
+            whole_millis(constants::MAX_ROUND_INTERVAL),
+        )
     }
 
     /// One scheduling round at `now` (ms).
@@ -109,7 +112,7 @@
 
     /// Stops tasks of lower priority for jobs without room, and reserves their machines.
     fn preempt_for_unplaced_tasks(&mut self, snapshot: &SchedulingSnapshot, now: u64) {
-        let until_ms = now + constants::STOP_TIMEOUT_MS;
+        let until_ms = now + whole_millis(constants::STOP_TIMEOUT);
         for preemption in preempt(&snapshot.cluster) {
             let job = snapshot.job_keys[preemption.job];
             for machine in &preemption.machines {
--- a/crates/controller/src/cluster_state/standby_feed.rs
+++ b/crates/controller/src/cluster_state/standby_feed.rs
@@ -8,6 +8,7 @@
 use crate::networks::Networks;
 use hookway_constants as constants;
 use hookway_replication::{JobHints, MachineView, Publisher, ReplicatedState, Stage, TaskView};
+use hookway_time::whole_millis;
 use hookway_wire::{JobId, TaskState};
 
 /// What a new leader took from its replicated state.
@@ -140,7 +141,7 @@
                 taken.gangs += 1;
             }
             if hints.errors > 0 && job.consecutive_failures == 0 {
-                let latest = now + constants::FAILURE_BACKOFF_MAX_MS;
+                let latest = now + whole_millis(constants::FAILURE_BACKOFF_MAX);
                 job.consecutive_failures = hints.errors.min(constants::MAX_RESUMED_FAILURES);
                 job.last_failure_at =
                     self.clocks.elected.monotonic_at_wall(hints.failed_at).min(now);
--- a/crates/controller/src/cluster_state/state_probe.rs
+++ b/crates/controller/src/cluster_state/state_probe.rs
@@ -3,6 +3,7 @@
 use super::heartbeat_tasks::MessageKind;
 use super::{ClusterState, MessageVersion};
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use hookway_wire::Heartbeat;
 
 /// The state probes of all machines.
@@ -17,7 +18,7 @@
 impl StateProbes {
     /// No probes yet, of a leader that was elected at `elected_at` (ms).
     pub fn new(elected_at: u64) -> Self {
-        Self { in_flight: 0, start_at: elected_at + constants::STATE_PROBE_DELAY_MS }
+        Self { in_flight: 0, start_at: elected_at + whole_millis(constants::STATE_PROBE_DELAY) }
     }
 
     /// A probe has ended.
@@ -44,7 +45,7 @@
 
     /// Whether another probe may be sent at `now` (ms).
     pub fn due(&self, now: u64) -> bool {
-        let retry_due = |sent_at: u64| now >= sent_at + constants::STATE_PROBE_RETRY_MS;
+        let retry_due = |sent_at: u64| now >= sent_at + whole_millis(constants::STATE_PROBE_RETRY);
         !self.in_flight && self.last_sent_at.is_none_or(retry_due)
     }
 
--- a/crates/controller/src/cluster_state/task_end.rs
+++ b/crates/controller/src/cluster_state/task_end.rs
@@ -2,6 +2,7 @@
 
 use super::{ClusterState, CordonReason, Job, JobKey, PlacedTask};
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use hookway_wire::ExitCause;
 
 impl ClusterState {
@@ -69,9 +70,11 @@
                 job.replica_completed(name, placed.running_since, placed.placed_at, now);
             }
             ExitCause::InsufficientResources | ExitCause::AttemptConflict => {
-                machine.backoff_until = now + constants::REJECTED_START_BACKOFF_MS;
+                machine.backoff_until = now + whole_millis(constants::REJECTED_START_BACKOFF);
+            }
+            ExitCause::UnknownJob => {
+                job.backoff_until = now + whole_millis(constants::FAILURE_BACKOFF)
             }
-            ExitCause::UnknownJob => job.backoff_until = now + constants::FAILURE_BACKOFF_MS,
             _ => {}
         }
     }
--- a/crates/controller/src/concurrency_limiter.rs
+++ b/crates/controller/src/concurrency_limiter.rs
@@ -8,7 +8,7 @@
 const DECREASE_FACTOR: f64 = 0.95;
 /// How much the limit grows in the course of as many fast responses as it admits requests.
 const INCREASE: f64 = 1.0;
-const LATENCY_TARGET: Duration = Duration::from_millis(constants::CONCURRENCY_LATENCY_TARGET_MS);
+const LATENCY_TARGET: Duration = constants::CONCURRENCY_LATENCY_TARGET;
 
 /// Additive increase while responses are fast, multiplicative decrease while they are slow, between
 /// `MIN_CONCURRENCY` and a maximum.
--- a/crates/controller/src/connection_table.rs
+++ b/crates/controller/src/connection_table.rs
@@ -6,6 +6,7 @@
 //! the state service, the cloud, the other controllers and direct commands to workers.
 
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use salvo::async_trait;
 use salvo::conn::ConnCtrl;
 use salvo::fuse::{ArcConnObserver, ConnObserver, FuseAction, FuseConfig, FuseInfo, FusePolicy};
@@ -59,7 +60,7 @@
     async fn decide(&self, _: &FuseInfo) -> FuseAction {
         while self.open_connections() >= self.table.max_connections {
             self.table.close_idle(self.table.now_ms());
-            tokio::time::sleep(Duration::from_millis(constants::CONNECTION_TABLE_RETRY_MS)).await;
+            tokio::time::sleep(constants::CONNECTION_TABLE_RETRY).await;
         }
         FuseAction::Accept(self.config)
     }
@@ -106,7 +107,7 @@
         let mut idle: Vec<(u64, u64)> = open
             .iter()
             .map(|(id, connection)| (connection.last_traffic_ms.load(Ordering::Relaxed), *id))
-            .filter(|(last_ms, _)| last_ms + constants::CONNECTION_BUSY_MS <= now_ms)
+            .filter(|(last_ms, _)| last_ms + whole_millis(constants::CONNECTION_BUSY) <= now_ms)
             .collect();
         idle.sort_unstable();
         let batch = self.max_connections.div_ceil(constants::CONNECTION_CLOSE_DIVISOR);
--- a/crates/controller/src/connection_table/tests.rs
+++ b/crates/controller/src/connection_table/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use hookway_time::whole_millis;
 use salvo::fuse::TransProto;
 
 fn info() -> FuseInfo {
@@ -24,14 +25,14 @@
         let open = connections.table.open.lock().unwrap();
         open[&n].last_traffic_ms.store(n * 10_000, Ordering::Relaxed);
     }
-    connections.table.close_idle(30_000 + constants::CONNECTION_BUSY_MS - 1);
+    connections.table.close_idle(30_000 + whole_millis(constants::CONNECTION_BUSY) - 1);
     let closed: Vec<bool> = held.iter().map(|(ctrl, _)| ctrl.is_aborted()).collect();
     assert_eq!(closed, [true, false, false, false]);
     assert_eq!(connections.open_connections(), 4, "its socket is held until its stream is dropped");
     held.remove(0);
     assert_eq!(connections.open_connections(), 3);
     assert!(matches!(connections.decide(&info()).await, FuseAction::Accept(_)));
-    connections.table.close_idle(10_000 + constants::CONNECTION_BUSY_MS - 1);
+    connections.table.close_idle(10_000 + whole_millis(constants::CONNECTION_BUSY) - 1);
     assert!(held.iter().all(|(ctrl, _)| !ctrl.is_aborted()), "busy ones stay");
 }
 
--- a/crates/controller/src/http.rs
+++ b/crates/controller/src/http.rs
@@ -5,6 +5,7 @@
 use crate::concurrency_limiter::ConcurrencyLimiter;
 use crate::request_outcome::RequestOutcome;
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use hookway_wire::{ErrorBody, Heartbeat, HeartbeatRedirect, JobId, JobStatus};
 use salvo::http::{HeaderValue, StatusCode};
 use salvo::prelude::*;
@@ -41,8 +42,8 @@
     /// The time limit for the response.
     fn time_limit(self) -> Duration {
         Duration::from_millis(match self {
-            Self::Status => constants::STATUS_LIMIT_MS,
-            Self::Submit | Self::Cancel => constants::SUBMIT_LIMIT_MS,
+            Self::Status => whole_millis(constants::STATUS_LIMIT),
+            Self::Submit | Self::Cancel => whole_millis(constants::SUBMIT_LIMIT),
         })
     }
 
@@ -171,7 +172,7 @@
 #[async_trait]
 impl Handler for ReplicationHandler {
     async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let limit = Duration::from_millis(constants::STATUS_LIMIT_MS);
+        let limit = constants::STATUS_LIMIT;
         match tokio::time::timeout(limit, self.0.replication_status()).await {
             Ok(Some(status)) => res.render(Json(status)),
             _ => render_unavailable(res, "no answer in time", constants::RETRY_AFTER_S),
--- a/crates/controller/src/leader_sync.rs
+++ b/crates/controller/src/leader_sync.rs
@@ -6,6 +6,7 @@
 use crate::leadership::{LeadershipView, pause};
 use crate::peers::Peers;
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use std::sync::Arc;
 use tokio::sync::watch;
 
@@ -27,7 +28,7 @@
     /// until the process ends.
     pub async fn renew_shard_lease(self) {
         loop {
-            pause(constants::SHARD_LEASE_RENEWAL_INTERVAL_MS).await;
+            pause(whole_millis(constants::SHARD_LEASE_RENEWAL_INTERVAL)).await;
             let Some(leader) = self.other_leader() else { continue };
             let prepare = ControllerRequest::PrepareShardLeaseRenewal;
             let Some(PreparedRenewal { renewal, sent_at }) = self.controller.request(prepare).await
@@ -48,7 +49,7 @@
     /// publishes its cluster state. Runs until the process ends.
     pub async fn follow_leader(self) {
         loop {
-            pause(constants::FOLLOW_INTERVAL_MS).await;
+            pause(whole_millis(constants::FOLLOW_INTERVAL)).await;
             let prepare = ControllerRequest::PrepareFollow;
             let Some(request) = self.controller.request(prepare).await else { continue };
             // The responses to shard lease renewals tell the leader's version.
--- a/crates/controller/src/leadership/election.rs
+++ b/crates/controller/src/leadership/election.rs
@@ -8,6 +8,7 @@
 };
 use hookway_clients::{CommitOutcome, StoreClient, StoreError};
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use hookway_wire::{Operation, Precondition, Transaction, WatchEvent};
 use rand::RngExt;
 use std::sync::Arc;
@@ -99,7 +100,7 @@
                 }
                 Err(error) => {
                     tracing::debug!(%error, "reading the leader key failed");
-                    pause(constants::LEADER_RETRY_MS).await;
+                    pause(whole_millis(constants::LEADER_RETRY)).await;
                 }
             }
         }
@@ -122,7 +123,7 @@
                 // that has ended. Its requests in flight carry its precondition and fail.
                 tracing::info!(lease_id, "revoking the lease of the previous process");
                 if self.config.store.release(lease_id).await.is_err() {
-                    pause(constants::LEADER_RETRY_MS).await;
+                    pause(whole_millis(constants::LEADER_RETRY)).await;
                 }
             }
             return;
@@ -137,7 +138,7 @@
 
     /// The delay before this controller campaigns, ms. Random, so that not all campaign at once.
     fn election_delay_ms(&self) -> u64 {
-        let jitter_ms = rand::rng().random_range(0..=constants::ELECTION_JITTER_MS);
+        let jitter_ms = rand::rng().random_range(0..=whole_millis(constants::ELECTION_JITTER));
         if self.config.has_warm_copy.load(Ordering::Relaxed) {
             jitter_ms / constants::WARM_STANDBY_JITTER_DIVISOR
         } else {
@@ -195,7 +196,11 @@
     /// is suspected.
     async fn watch_leader(&self, mut revision: u64) {
         loop {
-            let watch = self.config.store.watch(LEADER_PREFIX, revision, constants::WATCH_WAIT_MS);
+            let watch = self.config.store.watch(
+                LEADER_PREFIX,
+                revision,
+                whole_millis(constants::WATCH_WAIT),
+            );
             let watched = tokio::select! {
                 watched = watch => watched,
                 () = self.config.leader_suspected.notified() => return,
@@ -214,7 +219,7 @@
                 }
                 Err(error) => {
                     tracing::debug!(%error, "watching the leader key failed");
-                    return pause(constants::WATCH_RETRY_MS).await;
+                    return pause(whole_millis(constants::WATCH_RETRY)).await;
                 }
             }
         }
@@ -228,7 +233,7 @@
             Ok(lease_id) => lease_id,
             Err(error) => {
                 tracing::debug!(%error, "requesting a leadership lease failed");
-                return pause(constants::LEADER_RETRY_MS).await;
+                return pause(whole_millis(constants::LEADER_RETRY)).await;
             }
         };
         let record = LeaderRecord {
@@ -249,7 +254,7 @@
             // Whether it was applied is unknown; the next reading of the leader key shows it by the nonce.
             Err(error) => {
                 tracing::debug!(%error, term = record.term, "campaigning failed");
-                pause(constants::LEADER_RETRY_MS).await;
+                pause(whole_millis(constants::LEADER_RETRY)).await;
             }
         }
     }
@@ -265,7 +270,8 @@
             leader_term: Some(term),
             own_term: Some(leader_term),
         });
-        let first_extension_ms = expires_at.map_or(0, |_| constants::LEADER_EXTEND_INTERVAL_MS);
+        let first_extension_ms =
+            expires_at.map_or(0, |_| whole_millis(constants::LEADER_EXTEND_INTERVAL));
         let end = self.extend_until_lost(term, lease_id, first_extension_ms).await;
         self.config.lease.revoke(term);
         tracing::info!(term, reason = ?end, "leadership lost");
@@ -273,7 +279,7 @@
         let _ = self.config.store.release(lease_id).await;
         if end == TermEnd::Resigned {
             // Another controller is to win the next term.
-            pause(constants::STEP_DOWN_PAUSE_MS).await;
+            pause(whole_millis(constants::STEP_DOWN_PAUSE)).await;
         }
     }
 
@@ -288,12 +294,12 @@
             match self.config.store.extend(lease_id).await {
                 Ok(()) => {
                     self.config.lease.set(term, lease_expiry(sent_at, self.config.lease_ms));
-                    delay_ms = constants::LEADER_EXTEND_INTERVAL_MS;
+                    delay_ms = whole_millis(constants::LEADER_EXTEND_INTERVAL);
                 }
                 Err(StoreError::NoLease) => return TermEnd::LeaseExpired,
                 Err(error) => {
                     tracing::debug!(%error, term, "extending the leadership lease failed");
-                    delay_ms = constants::LEADER_RETRY_MS;
+                    delay_ms = whole_millis(constants::LEADER_RETRY);
                 }
             }
         }
--- a/crates/controller/src/leadership/lease.rs
+++ b/crates/controller/src/leadership/lease.rs
@@ -2,6 +2,7 @@
 
 use crate::clock_drift::earliest_expiry;
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use std::sync::Mutex;
 
 /// The term that this controller leads, and a lower bound on the expiry of its lease.
@@ -51,7 +52,7 @@
 /// The earliest expiry (ms) of a lease of length `ttl_ms` whose request was sent at `sent_at`
 /// (ms), less clock drift and a safety margin.
 pub fn lease_expiry(sent_at: u64, ttl_ms: u64) -> u64 {
-    earliest_expiry(sent_at, ttl_ms).saturating_sub(constants::LEADER_MARGIN_MS)
+    earliest_expiry(sent_at, ttl_ms).saturating_sub(whole_millis(constants::LEADER_MARGIN))
 }
 
 #[cfg(test)]
--- a/crates/controller/src/peers/client.rs
+++ b/crates/controller/src/peers/client.rs
@@ -10,6 +10,7 @@
 use crate::shard_lease::{ShardLease, ShardLeaseRenewal};
 use hookway_constants as constants;
 use hookway_replication::{FollowAnswer, FollowRequest};
+use hookway_time::whole_millis;
 use std::collections::HashMap;
 use std::sync::Mutex;
 use std::time::Duration;
@@ -62,7 +63,7 @@
     pub async fn announce_finished(&self, name: &str, job: JobSnapshot) {
         let id = job.id.clone();
         let request = PeerRequest::JobFinished(job);
-        if let Err(error) = self.ask(name, &request, constants::PEER_TIMEOUT_MS).await {
+        if let Err(error) = self.ask(name, &request, whole_millis(constants::PEER_TIMEOUT)).await {
             tracing::debug!(job = %id, peer = name, %error, "announcing a finished job failed");
         }
     }
@@ -74,7 +75,7 @@
         renewal: ShardLeaseRenewal,
     ) -> Result<ShardLease, PeerError> {
         let request = PeerRequest::RenewShardLease(renewal);
-        match self.exchange(name, &request, constants::PEER_TIMEOUT_MS).await? {
+        match self.exchange(name, &request, whole_millis(constants::PEER_TIMEOUT)).await? {
             PeerResponse::ShardLease(Some(lease)) => Ok(lease),
             PeerResponse::ShardLease(None) => Err(PeerError::NotLeading),
             PeerResponse::Outcome(_) | PeerResponse::Followed(_) => Err(PeerError::Mismatch),
@@ -88,7 +89,7 @@
         request: FollowRequest,
     ) -> Result<FollowAnswer, PeerError> {
         let request = PeerRequest::Follow(request);
-        match self.exchange(name, &request, constants::PEER_TIMEOUT_MS).await? {
+        match self.exchange(name, &request, whole_millis(constants::PEER_TIMEOUT)).await? {
             PeerResponse::Followed(Some(answer)) => Ok(answer),
             PeerResponse::Followed(None) => Err(PeerError::NotLeading),
             PeerResponse::Outcome(_) | PeerResponse::ShardLease(_) => Err(PeerError::Mismatch),
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -16,6 +16,7 @@
 use crate::standby::{Standby, StandbyMode, StandbySignals};
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use salvo::Listener;
 use salvo::conn::tcp::TcpAcceptor;
 use salvo::prelude::{Server, TcpListener};
@@ -188,7 +189,7 @@
         let stores = StoreClients {
             submissions: self
                 .store_client(constants::SUBMISSION_REQUEST_SHARE)
-                .with_queue_limit(constants::SUBMISSION_QUEUE_LIMIT_MS),
+                .with_queue_limit(whole_millis(constants::SUBMISSION_QUEUE_LIMIT)),
             queries: self.store_client(constants::STATUS_REQUEST_SHARE).with_queue_limit(0),
         };
         ApiService::new(ApiServiceConfig {
@@ -262,11 +263,11 @@
         let delay_ms = match cloud.machine_types().await {
             Ok(machine_types) => {
                 let _ = sender.send(Some(Arc::new(machine_types)));
-                constants::MACHINE_TYPES_INTERVAL_MS
+                whole_millis(constants::MACHINE_TYPES_INTERVAL)
             }
             Err(error) => {
                 tracing::debug!(%error, "reading the machine types failed");
-                constants::MACHINE_TYPES_RETRY_MS
+                whole_millis(constants::MACHINE_TYPES_RETRY)
             }
         };
         tokio::time::sleep(Duration::from_millis(delay_ms)).await;
--- a/crates/controller/src/settings/operator.rs
+++ b/crates/controller/src/settings/operator.rs
@@ -3,6 +3,7 @@
 use super::{ConfigError, SettingError};
 use crate::networks::Networks;
 use hookway_constants as constants;
+use hookway_time::{millis_f64, whole_millis};
 use std::ops::RangeInclusive;
 use std::path::Path;
 
@@ -28,7 +29,7 @@
         Self {
             idle_return_ms: None,
             max_machines: usize::MAX,
-            shard_lease_ms: constants::SHARD_LEASE_MS,
+            shard_lease_ms: whole_millis(constants::SHARD_LEASE),
             replication: ReplicationSettings::default(),
         }
     }
@@ -97,7 +98,7 @@
     fn default() -> Self {
         Self {
             standby: constants::STANDBY_DEFAULT,
-            leader_lease_ms: constants::LEADER_TTL_MS,
+            leader_lease_ms: whole_millis(constants::LEADER_TTL),
             controller_networks: Networks::default(),
             worker_networks: Networks::default(),
         }
@@ -135,10 +136,10 @@
 
 /// Parses the length of the leadership lease in s; returns it in ms.
 fn parse_leader_lease(value: &str, name: String) -> Result<u64, SettingError> {
-    let (min_ms, max_ms) = constants::LEADER_TTL_RANGE_MS.into_inner();
+    let (min, max) = constants::LEADER_TTL_RANGE.into_inner();
     let lease_ms = value.parse().unwrap_or(f64::NAN) * 1_000.0;
-    if !(min_ms as f64..=max_ms as f64).contains(&lease_ms) {
-        let (min_s, max_s) = (min_ms / 1_000, max_ms / 1_000);
+    if !(millis_f64(min)..=millis_f64(max)).contains(&lease_ms) {
+        let (min_s, max_s) = (min.as_secs(), max.as_secs());
         return Err(SettingError::OutOfRange { name, min_s, max_s });
     }
     Ok(lease_ms as u64)
--- a/crates/controller/tests/controller_actor.rs
+++ b/crates/controller/tests/controller_actor.rs
@@ -19,6 +19,7 @@
 use hookway_controller::shard_lease::ShardLessee;
 use hookway_controller::standby::{Standby, StandbyMode, StandbySignals};
 use hookway_testkit::{SETTINGS, StoreServer, machine_types};
+use hookway_time::whole_millis;
 use hookway_wire::{JobId, JobState};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -104,7 +105,7 @@
             view: view_tx,
             leadership_lost: doubt,
             leader_suspected: signals.leader_suspected,
-            lease_ms: hookway_constants::LEADER_TTL_MS,
+            lease_ms: whole_millis(hookway_constants::LEADER_TTL),
             has_warm_copy: signals.has_warm_copy,
         });
         tokio::spawn(leadership.run());
--- a/crates/controller/tests/daemons.rs
+++ b/crates/controller/tests/daemons.rs
@@ -7,6 +7,7 @@
 use hookway_constants as constants;
 use hookway_controller::cluster_state::worker_lease_expiry_ms;
 use hookway_testkit::ScriptedWorker;
+use hookway_time::whole_millis;
 use hookway_wire::{Command, ExitCause, JobId, JobSpec, JobState, Priority};
 
 /// Replicas of one CPU, of the highest priority.
@@ -48,7 +49,7 @@
         let mut harness = LeaderHarness::start();
         let mut worker = small_worker("m-1", "a");
         let id = running(&mut harness, &mut worker);
-        run_for(&mut harness, &mut worker, constants::REPLICA_STEADY_MS);
+        run_for(&mut harness, &mut worker, whole_millis(constants::REPLICA_STEADY));
         worker.end_task("req-000001/0", cause);
         for _ in 0..4 {
             harness.run_rounds(&mut [&mut worker]);
@@ -67,7 +68,7 @@
     let id = running(&mut harness, &mut worker);
     let before = harness.store.revision();
     for _ in 0..50 {
-        run_for(&mut harness, &mut worker, constants::REPLICA_STEADY_MS);
+        run_for(&mut harness, &mut worker, whole_millis(constants::REPLICA_STEADY));
         worker.end_task("req-000001/0", ExitCause::Done);
         for _ in 0..2 {
             harness.heartbeat(&mut worker);
--- a/crates/controller/tests/leadership.rs
+++ b/crates/controller/tests/leadership.rs
@@ -8,6 +8,7 @@
 };
 use hookway_controller::records::{LEADER_KEY, LEADER_TERM_KEY, LeaderRecord};
 use hookway_testkit::StoreServer;
+use hookway_time::whole_millis;
 use hookway_wire::{Operation, Transaction};
 use std::sync::Arc;
 use tokio::sync::{Notify, watch};
@@ -33,7 +34,7 @@
         view: view_tx,
         leadership_lost: Arc::new(Notify::new()),
         leader_suspected: suspicion.clone(),
-        lease_ms: hookway_constants::LEADER_TTL_MS,
+        lease_ms: whole_millis(hookway_constants::LEADER_TTL),
         has_warm_copy: Arc::default(),
     });
     let leadership = tokio::spawn(leadership.run());
@@ -131,7 +132,7 @@
     one.leadership.abort();
     server.expire_lease(first.lease_id);
     two.suspicion.notify_one();
-    let limit = std::time::Duration::from_millis(hookway_constants::WATCH_WAIT_MS);
+    let limit = hookway_constants::WATCH_WAIT;
     let second = tokio::time::timeout(limit, leads(&mut two)).await.expect("before the watch ends");
     assert!(second.term > first.term);
     assert_eq!(two.view.borrow().leader_term, Some(second.term));
--- a/crates/controller/tests/simulation/commits.rs
+++ b/crates/controller/tests/simulation/commits.rs
@@ -5,6 +5,7 @@
 use super::messages::Message;
 use hookway_constants as constants;
 use hookway_controller::cluster_state::{CommitResult, PendingCommit};
+use hookway_time::whole_millis;
 use hookway_wire::{JobState, Operation, Transaction};
 
 impl Simulation {
@@ -72,7 +73,8 @@
             return;
         }
         if !self.store_answers(n) {
-            return self.at(now + constants::LEADER_RETRY_MS, Message::Reread(n, term, commit));
+            return self
+                .at(now + whole_millis(constants::LEADER_RETRY), Message::Reread(n, term, commit));
         }
         let read = commit.keys().into_iter().map(|k| (k.clone(), self.store.get(&k))).collect();
         if let Some(leader) = self.controllers[n].leading(term) {
--- a/crates/controller/tests/simulation/controllers.rs
+++ b/crates/controller/tests/simulation/controllers.rs
@@ -10,6 +10,7 @@
 use hookway_controller::shard_lease::ShardLessee;
 use hookway_replication::{Follower, Publisher};
 use hookway_testkit::{SETTINGS, machine_types};
+use hookway_time::whole_millis;
 use hookway_wire::{JobId, ListedMachine, MachineState, Precondition};
 use rand::RngExt;
 use std::collections::BTreeSet;
@@ -188,7 +189,7 @@
         }
         let controller = &self.controllers[n];
         if let Some(leader) = controller.seen.filter(|l| *l != n)
-            && self.now.is_multiple_of(constants::SHARD_LEASE_RENEWAL_INTERVAL_MS)
+            && self.now.is_multiple_of(whole_millis(constants::SHARD_LEASE_RENEWAL_INTERVAL))
         {
             let at = self.now - controller.begun;
             let renewal = controller.holding.renewal(at);
@@ -206,15 +207,15 @@
             return;
         }
         if !answers {
-            leader.next_extend = now + constants::LEADER_RETRY_MS;
+            leader.next_extend = now + whole_millis(constants::LEADER_RETRY);
             return;
         }
-        leader.next_extend = now + constants::LEADER_EXTEND_INTERVAL_MS;
+        leader.next_extend = now + whole_millis(constants::LEADER_EXTEND_INTERVAL);
         match self.lead.as_mut().filter(|l| l.term == leader.term) {
             Some(lead) => {
-                lead.until = now + constants::LEADER_TTL_MS;
+                lead.until = now + whole_millis(constants::LEADER_TTL);
                 self.counts.resumed_terms += usize::from(now >= leader.valid_until);
-                leader.valid_until = lease_expiry(now, constants::LEADER_TTL_MS);
+                leader.valid_until = lease_expiry(now, whole_millis(constants::LEADER_TTL));
             }
             None => {
                 self.controllers[n].leader = None;
@@ -252,7 +253,11 @@
         self.next_term += constants::TOKENS_PER_TERM;
         self.counts.terms += 1;
         let stamp = self.store.put(LEADER_KEY, serde_json::json!({ "term": term }));
-        self.lead = Some(StoredLead { controller: n, term, until: now + constants::LEADER_TTL_MS });
+        self.lead = Some(StoredLead {
+            controller: n,
+            term,
+            until: now + whole_millis(constants::LEADER_TTL),
+        });
         let loaded = LoadedState {
             jobs: self.store.list("j/"),
             progress: self.store.list("p/"),
@@ -273,8 +278,8 @@
             cluster,
             term,
             publisher: Publisher::new(term),
-            valid_until: lease_expiry(now, constants::LEADER_TTL_MS),
-            next_extend: now + constants::LEADER_EXTEND_INTERVAL_MS,
+            valid_until: lease_expiry(now, whole_millis(constants::LEADER_TTL)),
+            next_extend: now + whole_millis(constants::LEADER_EXTEND_INTERVAL),
             paused: false,
             asked: BTreeSet::new(),
         };
@@ -319,12 +324,13 @@
                 at,
             );
         }
-        let again =
-            controller.deserted_at.is_none_or(|at| now >= at + constants::STEP_DOWN_INTERVAL_MS);
+        let again = controller
+            .deserted_at
+            .is_none_or(|at| now >= at + whole_millis(constants::STEP_DOWN_INTERVAL));
         let lost = leader.cluster.all_workers_silent(now) && again;
         if lost || leader.cluster.leadership_lost() {
             controller.deserted_at = if lost { Some(now) } else { controller.deserted_at };
-            controller.no_campaign_until = now + constants::STEP_DOWN_PAUSE_MS;
+            controller.no_campaign_until = now + whole_millis(constants::STEP_DOWN_PAUSE);
             controller.seen = None;
             if self.store_answers(n) && self.lead.as_ref().is_some_and(|l| l.term == leader.term) {
                 self.end_lead();
--- a/crates/controller/tests/simulation/dispatch.rs
+++ b/crates/controller/tests/simulation/dispatch.rs
@@ -7,6 +7,7 @@
 use hookway_clients::Delivery;
 use hookway_constants as constants;
 use hookway_controller::cluster_state::ScalingAction;
+use hookway_time::whole_millis;
 use hookway_wire::{Command, DirectCommands};
 
 impl Simulation {
@@ -86,7 +87,7 @@
             self.send(|| Message::StateProbe(n, term, index(&machine) - 1));
             // The sender's time limit, whatever is received.
             self.at(
-                now + constants::WORKER_TIMEOUT_MS,
+                now + whole_millis(constants::WORKER_TIMEOUT),
                 Message::ProbeResult(n, term, machine, None),
             );
         }
--- a/crates/controller/tests/simulation/leases.rs
+++ b/crates/controller/tests/simulation/leases.rs
@@ -4,6 +4,7 @@
 use super::messages::{Message, Reply};
 use hookway_constants as constants;
 use hookway_controller::shard_lease::{ShardLease, ShardLeaseRenewal};
+use hookway_time::whole_millis;
 use hookway_wire::Heartbeat;
 
 impl Simulation {
@@ -74,7 +75,7 @@
         let controller = &mut self.controllers[n];
         let here = self.now - controller.begun;
         // A connection ends with its process, and a response after the time limit is not taken.
-        let in_time = here < sent + constants::PEER_TIMEOUT_MS;
+        let in_time = here < sent + whole_millis(constants::PEER_TIMEOUT);
         let observed = self.now >= controller.responses_lost_until;
         if linked && observed && controller.nonce == nonce && in_time && controller.leader.is_none()
         {
--- a/crates/controller/tests/simulation/mod.rs
+++ b/crates/controller/tests/simulation/mod.rs
@@ -23,6 +23,7 @@
 use controllers::{Controller, Version};
 pub use counts::EventCounts;
 use hookway_testkit::MemoryStore;
+use hookway_time::whole_millis;
 use hookway_wire::{JobId, JobSpec, Transaction};
 use machines::Machine;
 use messages::{Message, Reply};
@@ -177,7 +178,7 @@
         if self.outage_until > 0 && now < self.outage_until + STEP {
             // After an outage every lease gets its full duration again.
             if let Some(lead) = &mut self.lead {
-                lead.until = now + hookway_constants::LEADER_TTL_MS;
+                lead.until = now + whole_millis(hookway_constants::LEADER_TTL);
             }
         }
         if self.lead.as_ref().is_some_and(|l| now >= l.until) {
--- a/crates/controller/tests/simulation/standbys.rs
+++ b/crates/controller/tests/simulation/standbys.rs
@@ -5,6 +5,7 @@
 use hookway_constants as constants;
 use hookway_controller::networks::Networks;
 use hookway_replication::{FollowAnswer, FollowRequest, Publisher};
+use hookway_time::whole_millis;
 use rand::RngExt;
 
 /// Interval at which a leader's published entries are compared with its cluster state, ms.
@@ -17,7 +18,7 @@
         let controller = &self.controllers[n];
         let Some(leader) = controller.seen.filter(|l| *l != n) else { return };
         let both = [n, leader].iter().all(|c| self.controllers[*c].version == Version::New);
-        if !both || !self.now.is_multiple_of(constants::FOLLOW_INTERVAL_MS) {
+        if !both || !self.now.is_multiple_of(whole_millis(constants::FOLLOW_INTERVAL)) {
             return;
         }
         let (nonce, request) = (controller.nonce, controller.follower.request());
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -10,6 +10,7 @@
 use hookway_controller::networks::Networks;
 use hookway_replication::{Entry, JobHints, PlacedTask, Publisher, ReplicatedState, Stage};
 use hookway_testkit::ScriptedWorker;
+use hookway_time::whole_millis;
 use hookway_wire::{ExitCause, JobId, JobState, ListedMachine, MachineState, TaskState};
 
 const SECOND_TERM: u64 = 1 + constants::TOKENS_PER_TERM;
@@ -140,7 +141,7 @@
     }
     run_rounds(&mut harness, &mut workers);
     assert_eq!(workers[0].unfinished_tasks().len(), 1, "the rest may find room yet");
-    harness.advance(constants::GANG_RESUME_LIMIT_MS);
+    harness.advance(whole_millis(constants::GANG_RESUME_LIMIT));
     run_rounds(&mut harness, &mut workers);
     assert!(
         workers.iter().all(|w| w.unfinished_tasks().is_empty()),
@@ -300,7 +301,7 @@
     fail_over(&mut harness, &copy);
     run_rounds(&mut harness, &mut workers);
     assert!(workers[0].unfinished_tasks().is_empty(), "it pauses");
-    for _ in 0..constants::FAILURE_BACKOFF_MAX_MS / 2_000 + 5 {
+    for _ in 0..whole_millis(constants::FAILURE_BACKOFF_MAX) / 2_000 + 5 {
         harness.now += 1_500;
         run_rounds(&mut harness, &mut workers);
     }
@@ -359,7 +360,7 @@
         "their reports may be from before the failover"
     );
     assert!(harness.cluster.take_state_probes(harness.now).is_empty(), "they report again at once");
-    harness.now += constants::PROMPT_HEARTBEAT_MS;
+    harness.now += whole_millis(constants::PROMPT_HEARTBEAT);
     assert_eq!(answer_probes(&mut harness, &mut workers), 2);
     assert!(harness.cluster.reconciled(harness.now));
 }
@@ -400,8 +401,8 @@
     };
     assert_eq!(deleted, ["m-8"]);
     let after = harness.now - begun;
-    let asked =
-        u64::from(constants::MAX_UNANSWERED_STATE_PROBES - 1) * constants::STATE_PROBE_RETRY_MS;
+    let asked = u64::from(constants::MAX_UNANSWERED_STATE_PROBES - 1)
+        * whole_millis(constants::STATE_PROBE_RETRY);
     assert!((asked..asked + 1_500).contains(&after), "{after} ms");
     assert!(!harness.cluster.reconciled(harness.now), "only the cloud's answer proves it");
     harness.cluster.scale_in_finished(&deleted, harness.now);
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -9,6 +9,7 @@
 use crate::{ClusterSnapshot, JobView, MachineView, QueueEntry, Resources, scheduling_queue};
 use cost::machines_by_cost;
 use hookway_constants as constants;
+use hookway_time::millis_f64;
 use reservation::reserve_machines;
 
 /// Tasks of a job that are to start.
@@ -105,12 +106,12 @@
     fn reserve_for_gang(&mut self, job_index: usize) {
         let job = &self.cluster.jobs[job_index];
         let waited_ms = (self.cluster.now - job.waiting_since) * 1000.0;
-        let over_limit = waited_ms >= constants::GANG_RESERVATION_LIMIT_MS as f64;
+        let over_limit = waited_ms >= millis_f64(constants::GANG_RESERVATION_LIMIT);
         if over_limit && !could_ever_hold(self.cluster, job_index) {
             return;
         }
         let within_quota = self.reserve_quota(job_index);
-        let waited_long_enough = waited_ms >= constants::GANG_RESERVATION_DELAY_MS as f64;
+        let waited_long_enough = waited_ms >= millis_f64(constants::GANG_RESERVATION_DELAY);
         if within_quota && !self.has_machine_reservation && waited_long_enough {
             self.has_machine_reservation = reserve_machines(self.cluster, job_index);
         }
--- a/crates/policy/src/preemption.rs
+++ b/crates/policy/src/preemption.rs
@@ -9,6 +9,7 @@
 use crate::{ClusterSnapshot, JobView, TeamView};
 use deadlines::preempt_for_deadlines;
 use hookway_constants as constants;
+use hookway_time::millis_f64;
 use quota::preempt_for_quota;
 use search::{ImageLocality, PricedPreemption, find_preemption};
 
@@ -103,7 +104,7 @@
     job.startable > 0
         && !job.crash_looping
         && not_started
-        && waited_s >= constants::PREEMPT_AFTER_MS as f64 / 1000.0
+        && waited_s >= millis_f64(constants::PREEMPT_AFTER) / 1000.0
         && cluster.machines.iter().all(|machine| machine.reserved_for != Some(index))
 }
 
--- a/crates/replication/src/detector.rs
+++ b/crates/replication/src/detector.rs
@@ -1,6 +1,7 @@
 //! Failure detection by the measured intervals between the leader's messages.
 
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use std::collections::VecDeque;
 
 /// Suspects a leader that is silent for much longer than the usual interval between its messages. A suspicion is
@@ -46,7 +47,7 @@
             self.intervals_ms.iter().map(|interval| (*interval as f64 - mean).powi(2)).sum::<f64>();
         let deviation = (squared_deviations / count).sqrt();
         let limit = mean + constants::DETECTOR_DEVIATIONS * deviation;
-        Some((limit as u64).max(constants::DETECTOR_MIN_SILENCE_MS))
+        Some((limit as u64).max(whole_millis(constants::DETECTOR_MIN_SILENCE)))
     }
 
     /// Whether the leader is suspected at `now_ms`.
--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -8,6 +8,7 @@
 use crate::position::Position;
 use crate::state::{ApplyError, ReplicatedState};
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 
 /// Why a response was rejected. A response of another term, or one that does not continue the copy, is ignored;
 /// after any other error the copy is not trusted any more, and the follower requests an image.
@@ -314,7 +315,7 @@
             return Err(UnusableCopy::NotEarlier(position.term));
         }
         let age_ms = self.last_response_ms.map_or(u64::MAX, |at| now_ms.saturating_sub(at));
-        if age_ms > constants::REPLICATION_STALE_MS {
+        if age_ms > whole_millis(constants::REPLICATION_STALE) {
             return Err(UnusableCopy::Stale(age_ms));
         }
         Ok(&self.state)
--- a/crates/replication/src/metrics.rs
+++ b/crates/replication/src/metrics.rs
@@ -2,6 +2,7 @@
 
 use hdrhistogram::Histogram;
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 
 /// Histogram of durations in ms. Durations below 1 ms are counted as 1 ms.
 #[derive(Debug, Clone, Default)]
@@ -13,7 +14,10 @@
         let Some(ms) = ms else { return };
         let histogram = match self.0.take() {
             Some(histogram) => Some(histogram),
-            None => Histogram::new_with_bounds(1, constants::MAX_RECORDED_DURATION_MS, 2).ok(),
+            None => {
+                Histogram::new_with_bounds(1, whole_millis(constants::MAX_RECORDED_DURATION), 2)
+                    .ok()
+            }
         };
         self.0 = histogram.map(|mut histogram| {
             histogram.saturating_record(ms.max(1));
--- a/crates/replication/src/promotion.rs
+++ b/crates/replication/src/promotion.rs
@@ -2,6 +2,7 @@
 
 use crate::metrics::FailoverMetrics;
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 
 /// Phase of a controller between standby and leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -181,7 +182,7 @@
     /// Whether the leadership record may be read once more: an earlier read may have come just before the lease
     /// expired.
     fn may_read_leader_again(&self, now_ms: u64) -> bool {
-        let interval_over = |at: u64| now_ms >= at + constants::LEADER_CHECK_INTERVAL_MS;
+        let interval_over = |at: u64| now_ms >= at + whole_millis(constants::LEADER_CHECK_INTERVAL);
         self.suspected_at_ms.is_none_or(interval_over)
     }
 
--- a/crates/replication/src/publisher.rs
+++ b/crates/replication/src/publisher.rs
@@ -8,6 +8,7 @@
 use crate::position::Position;
 use crate::state::{JobHints, PlacedTask, ReplicatedState, Stage};
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use std::collections::BTreeMap;
 
 /// The current state of a task on a machine.
@@ -200,7 +201,7 @@
     /// The digest of the next range, if the follower has received none for the digest interval.
     fn next_digest(&mut self, follower: &str, now_ms: u64) -> Option<RangeDigest> {
         let schedule = self.digests.entry(follower.to_owned()).or_default();
-        if now_ms < schedule.last_sent_ms + constants::REPLICATION_DIGEST_INTERVAL_MS {
+        if now_ms < schedule.last_sent_ms + whole_millis(constants::REPLICATION_DIGEST_INTERVAL) {
             return None;
         }
         let digest = RangeDigest::of(&self.state, schedule.next_range);
@@ -220,7 +221,7 @@
     fn first_chunk(&mut self, now_ms: u64) -> Result<ImageChunk, ImageError> {
         let log = &self.log;
         let is_young = |image: &Image| {
-            now_ms < image.made_at_ms + constants::REPLICATION_IMAGE_LIFETIME_MS
+            now_ms < image.made_at_ms + whole_millis(constants::REPLICATION_IMAGE_LIFETIME)
                 && log.covers(image.position)
         };
         let image = match self.image.take().filter(is_young) {
--- a/crates/replication/tests/following.rs
+++ b/crates/replication/tests/following.rs
@@ -8,6 +8,7 @@
     Entry, FollowAnswer, FollowBody, FollowError, FollowOutcome, FollowRequest, FollowerProgress,
     JobHints, MachineView, Position, Publisher, RangeDigest, Stage, UnusableCopy,
 };
+use hookway_time::whole_millis;
 use support::{TERM, catch_up, exchange, follower, leader, machine, running};
 
 fn entries(end: u64, after: u64, entries: Vec<Entry>) -> FollowAnswer {
@@ -137,8 +138,11 @@
     publisher.publish_machine(machine("m-0"), [].into_iter());
     let mut now = 0;
     let found = loop {
-        now += constants::REPLICATION_DIGEST_INTERVAL_MS;
-        assert!(now <= 17 * constants::REPLICATION_DIGEST_INTERVAL_MS, "all ranges were compared");
+        now += whole_millis(constants::REPLICATION_DIGEST_INTERVAL);
+        assert!(
+            now <= 17 * whole_millis(constants::REPLICATION_DIGEST_INTERVAL),
+            "all ranges were compared"
+        );
         match exchange(&mut follower, &mut publisher, now) {
             Ok(_) => {}
             Err(error) => break error,
@@ -183,10 +187,10 @@
     catch_up(&mut follower, &mut publisher, 1_000);
     assert!(follower.usable(TERM + 1, 9_000).is_ok());
     assert_eq!(follower.usable(TERM, 9_000), Err(UnusableCopy::NotEarlier(TERM)));
-    let late = 1_001 + constants::REPLICATION_STALE_MS;
+    let late = 1_001 + whole_millis(constants::REPLICATION_STALE);
     assert_eq!(
         follower.usable(TERM + 1, late),
-        Err(UnusableCopy::Stale(constants::REPLICATION_STALE_MS + 1))
+        Err(UnusableCopy::Stale(whole_millis(constants::REPLICATION_STALE) + 1))
     );
 }
 
--- /dev/null
+++ b/crates/time/src/span.rs
@@ -0,0 +1,13 @@
+//! Conversions of spans to milliseconds.
+
+use std::time::Duration;
+
+/// The whole milliseconds of a span; `u64::MAX` if there are more.
+pub fn whole_millis(span: Duration) -> u64 {
+    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+}
+
+/// A span in milliseconds, for estimates in floating point.
+pub fn millis_f64(span: Duration) -> f64 {
+    whole_millis(span) as f64
+}
