--- a/crates/hookway/tests/standby.rs
+++ b/crates/hookway/tests/standby.rs
@@ -7,13 +7,12 @@
 
 use hookway_clients::{ApiClient, HttpClient};
 use hookway_testkit::{
-    ControllerAddress, Fleet, FleetConfig, HistoryEvent, StoreServer, TaskEvent,
+    ControllerAddress, Fleet, FleetConfig, HistoryEvent, ReservedAddress, StoreServer, TaskEvent,
 };
 use hookway_wire::{JobId, JobSpec, JobState, ReplicationStatus};
 use hyper::Method;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
-use std::net::TcpListener;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
@@ -36,12 +35,6 @@
 /// Longest delay of commands that a killed or paused leader has sent.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 
-/// A loopback address whose port is currently free.
-fn free_address() -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    listener.local_addr().expect("bound").to_string()
-}
-
 /// A controller process that can be restarted.
 struct Controller {
     name: String,
@@ -105,13 +98,16 @@
     controllers: Vec<Controller>,
     fleet: Fleet,
     folder: PathBuf,
+    _addresses: Vec<ReservedAddress>,
     _store: StoreServer,
 }
 
 impl Drop for Cluster {
     fn drop(&mut self) {
         // After a failure the logs of the processes are kept for its analysis.
-        if !std::thread::panicking() {
+        if std::thread::panicking() {
+            self.print_last_log_lines();
+        } else {
             let _ = std::fs::remove_dir_all(&self.folder);
         }
     }
@@ -125,8 +121,12 @@
         let folder = std::env::temp_dir().join(format!("hookway-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let names = ["worker-0", "worker-1", "worker-2"];
-        let apis: Vec<String> = names.iter().map(|_| free_address()).collect();
-        let peers: Vec<String> = names.iter().map(|_| free_address()).collect();
+        let reserved: Vec<ReservedAddress> = (0..2 * names.len())
+            .map(|_| ReservedAddress::reserve().expect("a free port"))
+            .collect();
+        let address_text = |reserved: &ReservedAddress| reserved.address().to_string();
+        let mut apis: Vec<String> = reserved.iter().map(address_text).collect();
+        let peers = apis.split_off(names.len());
         let address = |(name, api): (&&str, &String)| ControllerAddress {
             name: (*name).to_owned(),
             address: api.clone(),
@@ -151,7 +151,7 @@
             let (name, api) = ((*name).to_owned(), apis[n].clone());
             controllers.push(Controller { name, api, settings, process });
         }
-        Self { controllers, fleet, folder, _store: store }
+        Self { controllers, fleet, folder, _addresses: reserved, _store: store }
     }
 
     /// Waits for an active leader and returns its index.
@@ -175,27 +175,55 @@
 
     /// Waits until a standby has a usable copy with at least `tasks` tasks.
     async fn wait_for_copy(&self, leader: usize, tasks: usize) {
-        self.wait_for_copies(leader, tasks, 1).await;
-    }
-
-    /// Waits until `copies` standbys have a usable copy with at least `tasks` tasks.
-    async fn wait_for_copies(&self, leader: usize, tasks: usize, copies: usize) {
         if !has_warm_standbys() {
             return;
         }
         wait_for("a copy", async || {
-            let mut usable = 0;
             for (n, controller) in self.controllers.iter().enumerate() {
                 let status = controller.replication_status().await.filter(|_| n != leader);
-                let has_copy =
-                    status.is_some_and(|status| status.copy == "usable" && status.tasks >= tasks);
-                usable += usize::from(has_copy);
+                if status.is_some_and(|status| has_copy(&status, tasks)) {
+                    return Some(());
+                }
             }
-            (usable >= copies).then_some(())
+            None
         })
         .await;
     }
 
+    /// Waits until every controller but the leader has a usable copy with at least `tasks` tasks, and returns the
+    /// index of the leader.
+    async fn leader_followed_by_all(&self, tasks: usize) -> usize {
+        if !has_warm_standbys() {
+            return self.leader().await;
+        }
+        wait_for("a leader that all others follow", async || {
+            let mut leader = None;
+            for (n, controller) in self.controllers.iter().enumerate() {
+                let status = controller.replication_status().await?;
+                if status.phase == "active" {
+                    leader = Some(n);
+                } else if !has_copy(&status, tasks) {
+                    return None;
+                }
+            }
+            leader
+        })
+        .await
+    }
+
+    /// Prints how the log of each controller ends.
+    fn print_last_log_lines(&self) {
+        for controller in &self.controllers {
+            let log = std::fs::read_to_string(controller.settings.with_extension("log"));
+            let text = log.unwrap_or_else(|error| error.to_string());
+            println!(
+                "last log line of {}: {}",
+                controller.name,
+                text.lines().last().unwrap_or("none")
+            );
+        }
+    }
+
     /// Submits a job to the first controller that accepts it.
     async fn submit(&self, number: usize, kind: &str, tasks: u32) -> JobId {
         let text = format!(
@@ -301,6 +329,11 @@
     )
 }
 
+/// Whether a controller has a usable copy with at least `tasks` tasks.
+fn has_copy(status: &ReplicationStatus, tasks: usize) -> bool {
+    status.copy == "usable" && status.tasks >= tasks
+}
+
 /// Polls until there is a result.
 async fn wait_for<T>(what: &str, poll: impl AsyncFn() -> Option<T>) -> T {
     let started_at = Instant::now();
@@ -317,7 +350,6 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn standby_completes_partially_placed_gang_after_leader_is_killed() {
     let mut cluster = Cluster::start("gang").await;
-    let leader = cluster.leader().await;
     // Every machine has run a task, so the leader and the standbys know all of them.
     let first = cluster.submit(1, "array", MACHINES as u32).await;
     cluster.wait_until_done(&first).await;
@@ -330,8 +362,7 @@
     })
     .await;
     // Either standby may be elected, so both must have the attempt.
-    let standbys = cluster.controllers.len() - 1;
-    cluster.wait_for_copies(leader, MACHINES, standbys).await;
+    let leader = cluster.leader_followed_by_all(MACHINES).await;
     cluster.controllers[leader].kill();
     cluster.fleet.heal(partitioned);
     let next = cluster.leader_other_than(Some(leader)).await;
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -5,12 +5,14 @@
 
 mod fleet;
 mod loopback;
+mod reserved_address;
 mod settings;
 mod store;
 mod store_server;
 mod worker;
 
 pub use fleet::{ControllerAddress, Fleet, FleetConfig, HistoryEvent, TaskEvent};
+pub use reserved_address::ReservedAddress;
 pub use settings::{SETTINGS, machine_types};
 pub use store::MemoryStore;
 pub use store_server::StoreServer;
