--- /dev/null
+++ b/crates/hookway/tests/loopback_cluster/controller.rs
@@ -0,0 +1,85 @@
+//! A controller process.
+
+use hookway_clients::HttpClient;
+use hookway_wire::ReplicationStatus;
+use hyper::Method;
+use nix::sys::signal::{Signal, kill};
+use nix::unistd::Pid;
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+use std::time::Duration;
+
+/// Timeout of a request for the replication status.
+const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// A controller process that can be restarted.
+pub struct Controller {
+    pub name: String,
+    /// Address of its API.
+    pub api: String,
+    settings: PathBuf,
+    process: Child,
+}
+
+impl Drop for Controller {
+    fn drop(&mut self) {
+        let _ = self.process.kill();
+        let _ = self.process.wait();
+    }
+}
+
+/// Whether controllers are warm standbys that follow the leader.
+pub fn has_warm_standbys() -> bool {
+    std::env::var("HOOKWAY_STANDBY").as_deref() != Ok("off")
+}
+
+/// Starts a controller process, which appends to the log of the previous one.
+fn spawn_controller(settings: &Path) -> Child {
+    let operator = if has_warm_standbys() {
+        PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/standby.ini"))
+    } else {
+        settings.with_extension("ini")
+    };
+    let log = settings.with_extension("log");
+    let log = std::fs::File::options().create(true).append(true).open(log).expect("a log file");
+    let mut command = Command::new(env!("CARGO_BIN_EXE_hookway"));
+    command.arg("--config").arg(settings).arg("--operator").arg(operator);
+    command.env("LOG_LEVEL", "debug").stderr(Stdio::from(log)).spawn().expect("it starts")
+}
+
+impl Controller {
+    /// Starts the process with a settings file, beside which its log is written.
+    pub fn start(name: &str, api: &str, settings: PathBuf) -> Self {
+        let process = spawn_controller(&settings);
+        Self { name: name.to_owned(), api: api.to_owned(), settings, process }
+    }
+
+    /// How the log of the process ends.
+    pub fn last_log_line(&self) -> String {
+        match std::fs::read_to_string(self.settings.with_extension("log")) {
+            Ok(log) => log.lines().last().unwrap_or("nothing logged").to_owned(),
+            Err(error) => error.to_string(),
+        }
+    }
+
+    pub fn signal(&self, signal: Signal) {
+        let id = i32::try_from(self.process.id()).expect("a process id");
+        kill(Pid::from_raw(id), signal).expect("its own process");
+    }
+
+    pub fn kill(&mut self) {
+        self.process.kill().expect("its own process");
+        self.process.wait().expect("its own process");
+    }
+
+    pub fn restart(&mut self) {
+        self.process = spawn_controller(&self.settings);
+    }
+
+    pub async fn replication_status(&self) -> Option<ReplicationStatus> {
+        let http = HttpClient::new(&self.api);
+        let (_, body) =
+            http.exchange(Method::GET, "/replication", None, STATUS_TIMEOUT).await.ok()?;
+        serde_json::from_slice(&body).ok()
+    }
+}
--- /dev/null
+++ b/crates/hookway/tests/loopback_cluster/mod.rs
@@ -0,0 +1,264 @@
+//! Three controller processes on loopback, with test doubles of the state service, the cloud and the workers.
+#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+
+mod controller;
+
+pub use controller::Controller;
+
+use controller::has_warm_standbys;
+use hookway_clients::ApiClient;
+use hookway_testkit::{
+    ControllerAddress, Fleet, FleetConfig, HistoryEvent, ReservedAddress, StoreServer, TaskEvent,
+};
+use hookway_wire::{JobId, JobSpec, JobState, ReplicationStatus};
+use std::path::PathBuf;
+use std::time::{Duration, Instant};
+
+/// Longest wait for a condition.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval at which a condition is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of a user's request to one controller.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+const WORKER_LEASE: Duration = Duration::from_secs(14);
+/// Run time of each task.
+const RUN_TIME: Duration = Duration::from_secs(1);
+pub const MACHINES: usize = 6;
+
+/// Three controllers with the state service, the cloud and the workers.
+pub struct Cluster {
+    pub controllers: Vec<Controller>,
+    pub fleet: Fleet,
+    folder: PathBuf,
+    _addresses: Vec<ReservedAddress>,
+    _store: StoreServer,
+}
+
+impl Drop for Cluster {
+    fn drop(&mut self) {
+        // After a failure the logs of the processes are kept for its analysis.
+        if std::thread::panicking() {
+            self.print_last_log_lines();
+        } else {
+            let _ = std::fs::remove_dir_all(&self.folder);
+        }
+    }
+}
+
+impl Cluster {
+    pub async fn start(name: &str) -> Self {
+        let store = StoreServer::default();
+        store.expire_leases_by_clock();
+        let state = store.start().await.expect("a free port");
+        let folder = std::env::temp_dir().join(format!("hookway-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&folder).expect("a folder");
+        let names = ["worker-0", "worker-1", "worker-2"];
+        let reserved: Vec<ReservedAddress> = (0..2 * names.len())
+            .map(|_| ReservedAddress::reserve().expect("a free port"))
+            .collect();
+        let address_text = |reserved: &ReservedAddress| reserved.address().to_string();
+        let mut apis: Vec<String> = reserved.iter().map(address_text).collect();
+        let peers = apis.split_off(names.len());
+        let address = |(name, api): (&&str, &String)| ControllerAddress {
+            name: (*name).to_owned(),
+            address: api.clone(),
+        };
+        let addresses: Vec<ControllerAddress> = names.iter().zip(&apis).map(address).collect();
+        let config = FleetConfig {
+            machines: MACHINES,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
+            worker_lease: WORKER_LEASE,
+            run_time: RUN_TIME,
+        };
+        let fleet = Fleet::start(config, &addresses).await.expect("free ports");
+        let cloud = fleet.start_cloud().await.expect("a free port");
+        let mut controllers = Vec::new();
+        for (n, name) in names.iter().enumerate() {
+            let settings = folder.join(format!("{name}.toml"));
+            let text = platform_settings(n, &names, &apis, &peers, &cloud, &state);
+            std::fs::write(&settings, text).expect("a file");
+            let without_standby = "[replication]\nstandby = off\nleader_lease_s = 4.3\n";
+            std::fs::write(settings.with_extension("ini"), without_standby).expect("a file");
+            controllers.push(Controller::start(name, &apis[n], settings));
+        }
+        Self { controllers, fleet, folder, _addresses: reserved, _store: store }
+    }
+
+    /// Waits for an active leader and returns its index.
+    pub async fn leader(&self) -> usize {
+        self.leader_other_than(None).await
+    }
+
+    /// Waits for an active leader other than this one and returns its index.
+    pub async fn leader_other_than(&self, other: Option<usize>) -> usize {
+        wait_for("a leader", async || {
+            for (n, controller) in self.controllers.iter().enumerate() {
+                let status = controller.replication_status().await;
+                if Some(n) != other && status.is_some_and(|status| status.phase == "active") {
+                    return Some(n);
+                }
+            }
+            None
+        })
+        .await
+    }
+
+    /// Waits until a standby has a usable copy with at least `tasks` tasks.
+    pub async fn wait_for_copy(&self, leader: usize, tasks: usize) {
+        if !has_warm_standbys() {
+            return;
+        }
+        wait_for("a copy", async || {
+            for (n, controller) in self.controllers.iter().enumerate() {
+                let status = controller.replication_status().await.filter(|_| n != leader);
+                if status.is_some_and(|status| has_copy(&status, tasks)) {
+                    return Some(());
+                }
+            }
+            None
+        })
+        .await;
+    }
+
+    /// Waits until every controller but the leader has a usable copy with at least `tasks` tasks, and returns the
+    /// index of the leader.
+    pub async fn leader_followed_by_all(&self, tasks: usize) -> usize {
+        if !has_warm_standbys() {
+            return self.leader().await;
+        }
+        wait_for("a leader that all others follow", async || {
+            let mut leader = None;
+            for (n, controller) in self.controllers.iter().enumerate() {
+                let status = controller.replication_status().await?;
+                if status.phase == "active" {
+                    leader = Some(n);
+                } else if !has_copy(&status, tasks) {
+                    return None;
+                }
+            }
+            leader
+        })
+        .await
+    }
+
+    /// Prints how the log of each controller ends.
+    fn print_last_log_lines(&self) {
+        for controller in &self.controllers {
+            println!("last log line of {}: {}", controller.name, controller.last_log_line());
+        }
+    }
+
+    /// Submits a job to the first controller that accepts it.
+    pub async fn submit(&self, number: usize, kind: &str, tasks: u32) -> JobId {
+        let text = format!(
+            r#"{{"NameId":"req-{number:06}","Lane":"train","Owner":"team","Shape":"{kind}",
+            "Rank":"normal","Pieces":{tasks},"Vcpus":3.0,"Gpus":0,"RamGb":1,"Bundle":"img",
+            "ImageGb":0.1,"Together":false,"Spread":false,"Loaners":true,"GuessS":2,
+            "SnapshotEveryS":0,"SnapshotS":0}}"#
+        );
+        let spec = JobSpec::parse(text.as_bytes()).expect("a sound job");
+        let id = spec.id.clone();
+        self.fleet.register_job(spec);
+        wait_for("an acceptance", async || {
+            for controller in &self.controllers {
+                let api = ApiClient::new(&controller.api);
+                let request = api.submit(text.clone().into_bytes());
+                if let Ok(Ok(_)) = tokio::time::timeout(REQUEST_TIMEOUT, request).await {
+                    return Some(());
+                }
+            }
+            None
+        })
+        .await;
+        id
+    }
+
+    pub async fn wait_until_done(&self, id: &JobId) {
+        wait_for("the end of a job", async || {
+            for controller in &self.controllers {
+                let api = ApiClient::new(&controller.api);
+                let request = api.status(id);
+                if let Ok(Ok(status)) = tokio::time::timeout(REQUEST_TIMEOUT, request).await {
+                    return (status.state == JobState::Done).then_some(());
+                }
+            }
+            None
+        })
+        .await;
+    }
+
+    /// Waits until the previous leader follows the next one.
+    pub async fn wait_until_following(&self, previous: usize, next: usize) {
+        wait_for("the old controller to follow", async || {
+            let status = self.controllers[previous].replication_status().await?;
+            let follows = status.phase == "following" || next == previous;
+            (follows && (status.copy == "usable" || !has_warm_standbys())).then_some(())
+        })
+        .await;
+    }
+
+    /// Waits for the first task start after `moment` and returns its time.
+    pub async fn first_start_after(&self, moment: Instant) -> Instant {
+        wait_for("a start", async || {
+            let history = self.fleet.history();
+            let is_later_start =
+                |entry: &&HistoryEvent| entry.event == TaskEvent::Start && entry.at > moment;
+            history.iter().find(is_later_start).map(|entry| entry.at)
+        })
+        .await
+    }
+
+    /// Checks that no task ran on two machines and no attempt started twice.
+    pub fn assert_no_violations(&self) {
+        let violations = self.fleet.violations();
+        assert!(violations.is_empty(), "{violations:?}");
+    }
+}
+
+fn platform_settings(
+    n: usize,
+    names: &[&str],
+    apis: &[String],
+    peers: &[String],
+    cloud: &str,
+    state: &str,
+) -> String {
+    let zones = ["a", "b", "a"];
+    let mut text = format!(
+        "label = \"{}\"\ndomain = \"{}\"\napi_addr = \"{}\"\npeer_bind = \"{}\"\n",
+        names[n], zones[n], apis[n], peers[n]
+    );
+    for other in (0..names.len()).filter(|other| *other != n) {
+        text += &format!(
+            "[[siblings]]\nlabel = \"{}\"\ndomain = \"{}\"\naddress = \"{}\"\n",
+            names[other], zones[other], peers[other]
+        );
+    }
+    text + &format!(
+        "[outside]\ncloud = \"{cloud}\"\nstate = \"{state}\"\n\
+         [settings]\nzones = [\"a\", \"b\"]\n[[settings.teams]]\nname = \"team\"\n\
+         [settings.workers]\nreport_s = {}\nlease_s = {}\ngang_wait_s = 35.0\ngang_peer_s = 4.0\n\
+         cancel_s = 44.0\n[settings.state]\nrps = 500.0\nwrite_rps = 200.0\nvalue_kb = 8.0\n\
+         txn_ops = 8\n[settings.cloud]\nrps = 50.0\nlist_lag_s = 1.0\n",
+        HEARTBEAT_INTERVAL.as_secs_f64(),
+        WORKER_LEASE.as_secs_f64(),
+    )
+}
+
+/// Whether a controller has a usable copy with at least `tasks` tasks.
+fn has_copy(status: &ReplicationStatus, tasks: usize) -> bool {
+    status.copy == "usable" && status.tasks >= tasks
+}
+
+/// Polls until there is a result.
+pub async fn wait_for<T>(what: &str, poll: impl AsyncFn() -> Option<T>) -> T {
+    let started_at = Instant::now();
+    loop {
+        if let Some(found) = poll().await {
+            return found;
+        }
+        assert!(started_at.elapsed() < WAIT_TIMEOUT, "{what} did not come");
+        tokio::time::sleep(POLL_INTERVAL).await;
+    }
+}
