--- a/crates/controller/src/actor/dispatch.rs
+++ b/crates/controller/src/actor/dispatch.rs
@@ -6,14 +6,15 @@
 use super::store_io::commit_and_reread;
 use super::term::{ActiveTerm, Authority, TermTasks, TermTimers, take_due};
 use crate::cluster_state::{ClusterState, ScalingAction};
-use crate::leadership::pause;
 use hookway_clients::{CloudClient, CloudError, Delivery, ScaleOutOutcome};
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::MonotonicTime;
 use hookway_wire::ScaleOutRequest;
+use std::time::Duration;
+use tokio::time::sleep;
 
-/// Delay before a failed request to the cloud is retried, ms.
-const CLOUD_RETRY_MS: u64 = 1_000;
+/// Delay before a failed request to the cloud is retried.
+const CLOUD_RETRY: Duration = Duration::from_secs(1);
 
 impl ControllerActor {
     /// Sends the direct commands and the transaction that are due.
@@ -28,8 +29,13 @@
         self.send_next_commit(cluster, tasks, now);
     }
 
-    fn send_direct_stops(&self, cluster: &mut ClusterState, tasks: &mut TermTasks, now: u64) {
-        for (address, commands) in cluster.take_direct_stops(now) {
+    fn send_direct_stops(
+        &self,
+        cluster: &mut ClusterState,
+        tasks: &mut TermTasks,
+        now: MonotonicTime,
+    ) {
+        for (address, commands) in cluster.take_direct_stops(now.as_millis()) {
             let workers = self.config.workers.clone();
             tasks.spawn(async move { workers.stop(&address, &commands).await });
         }
@@ -40,16 +46,16 @@
         cluster: &mut ClusterState,
         tasks: &mut TermTasks,
         timers: &mut TermTimers,
-        now: u64,
+        now: MonotonicTime,
     ) {
         // Every heartbeat dispatches, and most machines with planned starts wait for a commit.
-        let interval_ms = whole_millis(constants::DIRECT_DISPATCH_INTERVAL);
-        if !take_due(&mut timers.last_direct_dispatch_at, interval_ms, now) {
+        let interval = constants::DIRECT_DISPATCH_INTERVAL;
+        if !take_due(&mut timers.last_direct_dispatch_at, interval, now) {
             return;
         }
-        let starts = cluster.take_direct_starts(now);
+        let starts = cluster.take_direct_starts(now.as_millis());
         if !starts.is_empty() {
-            self.config.standby.start_dispatched(now);
+            self.config.standby.start_dispatched(now.as_millis());
         }
         for (machine, address, commands) in starts {
             let (workers, authority) = (self.config.workers.clone(), tasks.authority.clone());
@@ -66,8 +72,13 @@
         }
     }
 
-    fn send_next_commit(&self, cluster: &mut ClusterState, tasks: &mut TermTasks, now: u64) {
-        let Some(commit) = cluster.next_commit(now) else { return };
+    fn send_next_commit(
+        &self,
+        cluster: &mut ClusterState,
+        tasks: &mut TermTasks,
+        now: MonotonicTime,
+    ) {
+        let Some(commit) = cluster.next_commit(now.as_millis()) else { return };
         let (store, events) = (self.config.store.clone(), tasks.events.clone());
         tasks.spawn_event(async move {
             let unavailable = || drop(events.try_send(ControllerEvent::StoreUnavailable));
@@ -77,13 +88,13 @@
     }
 
     /// Requests the tasks of machines whose workers have not sent a heartbeat to this leader yet.
-    pub(super) fn send_state_probes(&self, active: &mut ActiveTerm, now: u64) {
+    pub(super) fn send_state_probes(&self, active: &mut ActiveTerm, now: MonotonicTime) {
         if !active.tasks.authority.holds_at(now) {
             return;
         }
         let ActiveTerm { cluster: Some(cluster), tasks, .. } = active else { return };
         let term = tasks.term();
-        for (machine, address) in cluster.take_state_probes(now) {
+        for (machine, address) in cluster.take_state_probes(now.as_millis()) {
             let workers = self.config.workers.clone();
             tasks.spawn_event(async move {
                 let heartbeat = workers.probe_state(&address, term).await;
@@ -115,7 +126,7 @@
 ) -> ClusterEvent {
     loop {
         if !authority.holds() {
-            pause(whole_millis(constants::LEADER_RETRY)).await;
+            sleep(constants::LEADER_RETRY).await;
             continue;
         }
         match cloud.scale_out(&request).await {
@@ -127,7 +138,7 @@
             }
             Err(error) => {
                 tracing::debug!(request = request.request_id, term, %error, "scale-out failed");
-                pause(CLOUD_RETRY_MS).await;
+                sleep(CLOUD_RETRY).await;
             }
         }
     }
@@ -139,7 +150,7 @@
         false
     } else if let Err(error) = cloud.delete(&machines).await {
         tracing::debug!(?machines, %error, "scale-in failed");
-        pause(CLOUD_RETRY_MS).await;
+        sleep(CLOUD_RETRY).await;
         false
     } else {
         true
--- a/crates/controller/src/actor/events.rs
+++ b/crates/controller/src/actor/events.rs
@@ -4,6 +4,7 @@
 use super::messages::{ClusterEvent, ControllerEvent};
 use super::term::ActiveTerm;
 use crate::cluster_state::{ClusterState, LoadedState, Timestamp};
+use hookway_time::MonotonicTime;
 
 impl ControllerActor {
     pub(super) fn handle_event(&mut self, active: &mut ActiveTerm, event: ControllerEvent) {
@@ -26,35 +27,35 @@
         event: ClusterEvent,
         at: Timestamp,
     ) {
-        let now = at.monotonic;
+        let now = MonotonicTime::from_millis(at.monotonic);
         let Some(cluster) = &mut active.cluster else { return };
         match event {
             ClusterEvent::JobAdded { key, value } => cluster.add_job(&key, value, at, false),
             ClusterEvent::CommitFinished { commit, result } => {
-                cluster.committed(commit, result, now);
+                cluster.committed(commit, result, now.as_millis());
                 self.finish_jobs(active);
                 self.dispatch(active);
             }
             ClusterEvent::ScaleOutFinished { request, machines } => {
-                cluster.scale_out_finished(&request, machines, now);
+                cluster.scale_out_finished(&request, machines, now.as_millis());
                 // Capacity that was refused is requested elsewhere at the next tick.
-                active.timers.last_autoscaling_at = 0;
+                active.timers.last_autoscaling_at = MonotonicTime::ZERO;
             }
             ClusterEvent::ScaleInFinished { machines, deleted: true } => {
-                cluster.scale_in_finished(&machines, now);
+                cluster.scale_in_finished(&machines, now.as_millis());
             }
             ClusterEvent::ScaleInFinished { machines, deleted: false } => {
                 cluster.scale_in_failed(&machines);
             }
             ClusterEvent::DirectStartSent { machine, fencing_token, delivery } => {
-                cluster.direct_start_sent(&machine, fencing_token, delivery, now);
+                cluster.direct_start_sent(&machine, fencing_token, delivery, now.as_millis());
             }
             ClusterEvent::MachinesListed { machines, requested_at } => {
-                cluster.machines_listed(&machines, requested_at, now);
+                cluster.machines_listed(&machines, requested_at.as_millis(), now.as_millis());
                 self.send_state_probes(active, now);
             }
             ClusterEvent::StateProbed { machine, heartbeat } => {
-                cluster.state_probed(&machine, heartbeat, now);
+                cluster.state_probed(&machine, heartbeat, now.as_millis());
                 self.send_state_probes(active, now);
             }
         }
@@ -81,19 +82,19 @@
             state,
             at,
         );
-        self.warm_start(&mut cluster, at.monotonic);
+        self.warm_start(&mut cluster, MonotonicTime::from_millis(at.monotonic));
         tracing::info!(term, cluster = %cluster.summary(at.monotonic), "cluster state loaded");
         active.cluster = Some(cluster);
         self.spawn_job_watch(active, revision);
     }
 
     /// Completes the cluster state from this controller's copy of the previous leader's.
-    fn warm_start(&self, cluster: &mut ClusterState, now: u64) {
+    fn warm_start(&self, cluster: &mut ClusterState, now: MonotonicTime) {
         let term = cluster.term();
-        match self.config.standby.copy(term, now) {
+        match self.config.standby.copy(term, now.as_millis()) {
             Ok(copy) => {
                 let networks = &self.config.cluster.operator.replication.worker_networks;
-                let recovered = cluster.warm_start(copy, networks, now);
+                let recovered = cluster.warm_start(copy, networks, now.as_millis());
                 tracing::info!(term, %recovered, "warm start");
             }
             Err(reason) => tracing::info!(term, %reason, "cold start"),
--- a/crates/controller/src/actor/messages.rs
+++ b/crates/controller/src/actor/messages.rs
@@ -4,6 +4,7 @@
 use crate::shard_lease::{ShardLease, ShardLeaseRenewal};
 use hookway_clients::Delivery;
 use hookway_replication::{FollowAnswer, FollowRequest};
+use hookway_time::MonotonicTime;
 use hookway_wire::{
     Heartbeat, HeartbeatResponse, JobId, ListedMachine, ReplicationStatus, ScaleOutRequest,
 };
@@ -63,7 +64,7 @@
         /// The lease.
         lease: ShardLease,
         /// When the renewal was sent, see [`PreparedRenewal`].
-        sent_at: u64,
+        sent_at: MonotonicTime,
     },
     /// A standby requests the replication entries that its copy lacks.
     Follow {
@@ -86,8 +87,8 @@
 pub struct PreparedRenewal {
     /// The renewal.
     pub renewal: ShardLeaseRenewal,
-    /// The time on the monotonic clock of this controller, ms.
-    pub sent_at: u64,
+    /// The time on the monotonic clock of this controller.
+    pub sent_at: MonotonicTime,
 }
 
 /// The reply to a heartbeat.
@@ -123,19 +124,40 @@
 /// An event for the cluster state.
 pub(super) enum ClusterEvent {
     /// A job was accepted.
-    JobAdded { key: String, value: serde_json::Value },
+    JobAdded {
+        key: String,
+        value: serde_json::Value,
+    },
     /// A transaction has been applied or has failed.
-    CommitFinished { commit: PendingCommit, result: CommitResult },
+    CommitFinished {
+        commit: PendingCommit,
+        result: CommitResult,
+    },
     /// `machines`: `None` if the cloud had no capacity or rejected the request.
-    ScaleOutFinished { request: ScaleOutRequest, machines: Option<Vec<String>> },
+    ScaleOutFinished {
+        request: ScaleOutRequest,
+        machines: Option<Vec<String>>,
+    },
     /// `deleted`: whether the cloud confirmed the deletion.
-    ScaleInFinished { machines: Vec<String>, deleted: bool },
-    /// `requested_at`: monotonic clock, ms.
-    MachinesListed { machines: Vec<ListedMachine>, requested_at: u64 },
+    ScaleInFinished {
+        machines: Vec<String>,
+        deleted: bool,
+    },
+    MachinesListed {
+        machines: Vec<ListedMachine>,
+        requested_at: MonotonicTime,
+    },
     /// Commands were sent to a machine outside of its heartbeats.
-    DirectStartSent { machine: String, fencing_token: u64, delivery: Delivery },
+    DirectStartSent {
+        machine: String,
+        fencing_token: u64,
+        delivery: Delivery,
+    },
     /// `heartbeat`: `None` if the worker did not answer.
-    StateProbed { machine: String, heartbeat: Option<Heartbeat> },
+    StateProbed {
+        machine: String,
+        heartbeat: Option<Heartbeat>,
+    },
 }
 
 impl From<ClusterEvent> for ControllerEvent {
--- a/crates/controller/src/actor/requests.rs
+++ b/crates/controller/src/actor/requests.rs
@@ -3,8 +3,8 @@
 use super::ControllerActor;
 use super::messages::{ControllerRequest, HeartbeatReply, PreparedRenewal, Reply};
 use super::term::ActiveTerm;
-use crate::cluster_state::{CancelOutcome, Timestamp};
-use crate::leadership::wall_clock_ms;
+use crate::cluster_state::CancelOutcome;
+use hookway_time::MonotonicTime;
 use hookway_wire::{Command, Heartbeat, HeartbeatResponse, ReplicationStatus};
 
 impl ControllerActor {
@@ -29,9 +29,11 @@
             }
             ControllerRequest::Follow { reply, .. } => drop(reply.send(None)),
             ControllerRequest::PrepareFollow(reply) => {
-                let _ = reply.send(self.config.standby.next_request(now));
+                let _ = reply.send(self.config.standby.next_request(now.as_millis()));
+            }
+            ControllerRequest::Followed(answer) => {
+                self.config.standby.followed(answer, now.as_millis())
             }
-            ControllerRequest::Followed(answer) => self.config.standby.followed(answer, now),
             ControllerRequest::ReplicationStatus(reply) => self.replication_status(reply, now),
         }
     }
@@ -46,9 +48,9 @@
         match request {
             ControllerRequest::Heartbeat { heartbeat, reply } => {
                 let valid_until = self.config.clock.instant_at(active.tasks.authority.expires_at());
-                let response = cluster.handle_heartbeat(&heartbeat, now);
+                let response = cluster.handle_heartbeat(&heartbeat, now.as_millis());
                 if response.as_ref().is_some_and(starts_a_task) {
-                    self.config.standby.start_dispatched(now);
+                    self.config.standby.start_dispatched(now.as_millis());
                 }
                 let _ = reply.send(response.map_or(HeartbeatReply::Unavailable, |response| {
                     HeartbeatReply::Respond { response, valid_until }
@@ -67,13 +69,13 @@
             },
             ControllerRequest::AdoptJob { read_in_term, key, value, reply } => {
                 if read_in_term == Some(active.leader_term.term) {
-                    let at = Timestamp { monotonic: now, wall: wall_clock_ms() };
+                    let at = self.config.clock.timestamp();
                     cluster.add_job(&key, value, at, false);
                 }
                 let _ = reply.send(Some(()));
             }
             ControllerRequest::RenewShardLease { renewal, reply } => {
-                let _ = reply.send(cluster.renew_shard_lease(&renewal, now));
+                let _ = reply.send(cluster.renew_shard_lease(&renewal, now.as_millis()));
             }
             ControllerRequest::Follow { request, reply } => {
                 let _ = reply.send(active.publication.answer(cluster, &request, now));
@@ -92,7 +94,7 @@
         &mut self,
         active: &mut ActiveTerm,
         request: ControllerRequest,
-        now: u64,
+        now: MonotonicTime,
     ) {
         match request {
             ControllerRequest::Heartbeat { heartbeat, reply } => {
@@ -100,7 +102,7 @@
                 if extension.is_some()
                     && let Some(cluster) = &mut active.cluster
                 {
-                    cluster.worker_lease_extended(&heartbeat.machine, now);
+                    cluster.worker_lease_extended(&heartbeat.machine, now.as_millis());
                 }
                 let _ = reply.send(extension.unwrap_or(HeartbeatReply::Unavailable));
             }
@@ -112,7 +114,7 @@
     }
 
     /// The reply that sends a worker to the leader, if that is another controller and reachable.
-    fn redirect(&self, now: u64) -> HeartbeatReply {
+    fn redirect(&self, now: MonotonicTime) -> HeartbeatReply {
         let reachable = self.config.shard_lessee.leader_reachable(now);
         let leader = self.config.view.borrow().leader.clone().filter(|_| reachable);
         let own_name = &self.config.cluster.controller_name;
@@ -120,7 +122,11 @@
     }
 
     /// The reply of this controller as the lessee of a shard, if it may and should give one.
-    fn extend_worker_lease(&mut self, heartbeat: &Heartbeat, now: u64) -> Option<HeartbeatReply> {
+    fn extend_worker_lease(
+        &mut self,
+        heartbeat: &Heartbeat,
+        now: MonotonicTime,
+    ) -> Option<HeartbeatReply> {
         let final_states = &self.config.final_states;
         let job_finished = |job: &_| final_states.contains(job);
         let extension =
@@ -131,8 +137,8 @@
         })
     }
 
-    fn replication_status(&self, reply: Reply<ReplicationStatus>, now: u64) {
-        let _ = reply.send(Some(self.config.standby.status(now)));
+    fn replication_status(&self, reply: Reply<ReplicationStatus>, now: MonotonicTime) {
+        let _ = reply.send(Some(self.config.standby.status(now.as_millis())));
     }
 }
 
--- a/crates/controller/src/actor/store_io.rs
+++ b/crates/controller/src/actor/store_io.rs
@@ -4,7 +4,6 @@
 use super::messages::{ClusterEvent, ControllerEvent};
 use super::term::ActiveTerm;
 use crate::cluster_state::{CommitResult, LoadedState, PendingCommit, RereadKey};
-use crate::leadership::pause;
 use crate::records::{
     CLASSES_KEY, JOBS_PREFIX, LEGACY_IMAGES_PREFIX, PROGRESS_PREFIX, REGISTRY_PREFIX,
     SCHEDULING_PREFIX,
@@ -15,6 +14,7 @@
 use hookway_wire::WatchEvent;
 use std::convert::Infallible;
 use tokio::sync::mpsc;
+use tokio::time::sleep;
 
 impl ControllerActor {
     /// Reads the records that a new leader needs, and retries until this succeeds.
@@ -31,7 +31,7 @@
                     }
                     Err(error) => {
                         tracing::debug!(%error, "reading the cluster state failed");
-                        pause(whole_millis(constants::LEADER_RETRY)).await;
+                        sleep(constants::LEADER_RETRY).await;
                     }
                 }
             }
@@ -92,13 +92,13 @@
                     }
                     Err(error) => {
                         tracing::debug!(%error, "reading all jobs failed");
-                        pause(whole_millis(constants::WATCH_RETRY)).await;
+                        sleep(constants::WATCH_RETRY).await;
                     }
                 }
             }
             Err(error) => {
                 tracing::debug!(%error, "watching for jobs failed");
-                pause(whole_millis(constants::WATCH_RETRY)).await;
+                sleep(constants::WATCH_RETRY).await;
             }
         }
     }
@@ -156,7 +156,7 @@
                 if !matches!(error, StoreError::TooMany) {
                     unavailable();
                 }
-                pause(whole_millis(constants::LEADER_RETRY)).await;
+                sleep(constants::LEADER_RETRY).await;
             }
         }
     }
--- a/crates/controller/src/actor/term.rs
+++ b/crates/controller/src/actor/term.rs
@@ -8,10 +8,11 @@
 use crate::records::FinalRecord;
 use hookway_constants as constants;
 use hookway_replication::{FollowAnswer, FollowRequest, Publisher};
-use hookway_time::whole_millis;
+use hookway_time::MonotonicTime;
 use hookway_wire::JobId;
 use std::collections::HashMap;
 use std::sync::Arc;
+use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
@@ -56,7 +57,7 @@
     }
 
     /// Whether this controller may decide as the leader of this term at `now`.
-    pub(super) fn may_decide(&self, now: u64) -> bool {
+    pub(super) fn may_decide(&self, now: MonotonicTime) -> bool {
         self.tasks.authority.holds_at(now) && !self.suspended
     }
 }
@@ -77,13 +78,12 @@
         self.holds_at(self.clock.now())
     }
 
-    /// `now`: monotonic clock, ms.
-    pub(super) fn holds_at(&self, now: u64) -> bool {
+    pub(super) fn holds_at(&self, now: MonotonicTime) -> bool {
         self.lease.holds(self.term, now)
     }
 
-    /// When it expires (monotonic clock, ms), as far as is known now.
-    pub(super) fn expires_at(&self) -> u64 {
+    /// When it expires, as far as is known now.
+    pub(super) fn expires_at(&self) -> MonotonicTime {
         self.lease.expires_at(self.term)
     }
 }
@@ -119,21 +119,25 @@
     }
 }
 
-/// When the duties of a leader were last carried out (monotonic clock, ms); 0: not in this term.
+/// When the duties of a leader were last carried out; zero: not in this term.
 #[derive(Debug, Default)]
 pub(super) struct TermTimers {
-    pub(super) last_tick_at: u64,
-    pub(super) last_scheduling_at: u64,
-    pub(super) last_autoscaling_at: u64,
+    pub(super) last_tick_at: MonotonicTime,
+    pub(super) last_scheduling_at: MonotonicTime,
+    pub(super) last_autoscaling_at: MonotonicTime,
     /// When the machine list was last requested; `None`: not in this term.
-    pub(super) last_machine_list_at: Option<u64>,
-    pub(super) last_summary_at: u64,
-    pub(super) last_direct_dispatch_at: u64,
+    pub(super) last_machine_list_at: Option<MonotonicTime>,
+    pub(super) last_summary_at: MonotonicTime,
+    pub(super) last_direct_dispatch_at: MonotonicTime,
 }
 
-/// Whether `interval_ms` has passed since `last_at`. If so, `last_at` becomes `now`.
-pub(super) fn take_due(last_at: &mut u64, interval_ms: u64, now: u64) -> bool {
-    let due = now >= *last_at + interval_ms;
+/// Whether `interval` has passed since `last_at`. If so, `last_at` becomes `now`.
+pub(super) fn take_due(
+    last_at: &mut MonotonicTime,
+    interval: Duration,
+    now: MonotonicTime,
+) -> bool {
+    let due = now >= *last_at + interval;
     if due {
         *last_at = now;
     }
@@ -143,14 +147,18 @@
 /// The replication log that standbys follow.
 pub(super) struct Publication {
     publisher: Publisher,
-    last_published_at: u64,
-    last_full_publish_at: u64,
+    last_published_at: MonotonicTime,
+    last_full_publish_at: MonotonicTime,
 }
 
 impl Publication {
     fn new(term: u64) -> Self {
         let publisher = Publisher::new(term);
-        Self { publisher, last_published_at: 0, last_full_publish_at: 0 }
+        Self {
+            publisher,
+            last_published_at: MonotonicTime::ZERO,
+            last_full_publish_at: MonotonicTime::ZERO,
+        }
     }
 
     /// Answers a standby; `None` if its request is invalid.
@@ -158,19 +166,18 @@
         &mut self,
         cluster: &mut ClusterState,
         request: &FollowRequest,
-        now: u64,
+        now: MonotonicTime,
     ) -> Option<FollowAnswer> {
         // Standbys ask one after the other: one comparison of the cluster state serves them all.
-        if take_due(&mut self.last_published_at, whole_millis(constants::FOLLOW_INTERVAL) / 2, now)
-        {
-            let interval_ms = whole_millis(constants::FULL_PUBLISH_INTERVAL);
-            if take_due(&mut self.last_full_publish_at, interval_ms, now) {
+        if take_due(&mut self.last_published_at, constants::FOLLOW_INTERVAL / 2, now) {
+            let full_interval = constants::FULL_PUBLISH_INTERVAL;
+            if take_due(&mut self.last_full_publish_at, full_interval, now) {
                 cluster.publish_all(&mut self.publisher);
             } else {
                 cluster.publish(&mut self.publisher);
             }
         }
-        let answer = self.publisher.answer(request, now);
+        let answer = self.publisher.answer(request, now.as_millis());
         if let Err(error) = &answer {
             tracing::error!(standby = request.follower, %error, "answering a standby failed");
         }
--- a/crates/controller/src/actor/timer.rs
+++ b/crates/controller/src/actor/timer.rs
@@ -5,10 +5,11 @@
 use super::{ControllerActor, MachineTypes};
 use crate::cluster_state::ClusterState;
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::MonotonicTime;
+use std::time::Duration;
 
-/// Interval between log lines with a summary of the cluster state, ms.
-const SUMMARY_INTERVAL_MS: u64 = 10_000;
+/// Interval between log lines with a summary of the cluster state.
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 
 impl ControllerActor {
     /// Carries out what is due. Called every `TICK`, later if the actor is busy.
@@ -36,21 +37,21 @@
     }
 
     /// Extends the lease of the leader's own shard, unless the cluster state forbids it at `now`.
-    fn lease_own_shard(&mut self, cluster: &ClusterState, now: u64) {
-        let lease_ms = cluster.shard_lease_ms(now);
-        if lease_ms > 0 {
+    fn lease_own_shard(&mut self, cluster: &ClusterState, now: MonotonicTime) {
+        let lease_length = Duration::from_millis(cluster.shard_lease_ms(now.as_millis()));
+        if !lease_length.is_zero() {
             let zones = cluster.own_shard();
-            self.config.shard_lessee.hold_as_leader(cluster.term(), zones, lease_ms, now);
+            self.config.shard_lessee.hold_as_leader(cluster.term(), zones, lease_length, now);
         }
     }
 
     /// Gives up the leadership if no worker sends heartbeats any more: this controller may be
     /// partitioned from the workers. Not too often, since the workers may be the cause.
-    fn step_down_if_isolated(&mut self, cluster: &ClusterState, now: u64) -> bool {
+    fn step_down_if_isolated(&mut self, cluster: &ClusterState, now: MonotonicTime) -> bool {
         let allowed = self
             .stepped_down_at
-            .is_none_or(|last_at| now >= last_at + whole_millis(constants::STEP_DOWN_INTERVAL));
-        let steps_down = cluster.all_workers_silent(now) && allowed;
+            .is_none_or(|last_at| now >= last_at + constants::STEP_DOWN_INTERVAL);
+        let steps_down = cluster.all_workers_silent(now.as_millis()) && allowed;
         if steps_down {
             tracing::info!(term = cluster.term(), "stepping down: no worker sends heartbeats");
             self.stepped_down_at = Some(now);
@@ -74,12 +75,12 @@
         cluster: &mut ClusterState,
         tasks: &mut TermTasks,
         timers: &mut TermTimers,
-        now: u64,
+        now: MonotonicTime,
     ) {
-        let interval_ms =
-            whole_millis(constants::AUTOSCALING_INTERVAL).max(2 * cluster.round_interval_ms());
-        if take_due(&mut timers.last_autoscaling_at, interval_ms, now) {
-            for action in cluster.autoscaling_round(now) {
+        let interval = constants::AUTOSCALING_INTERVAL
+            .max(2 * Duration::from_millis(cluster.round_interval_ms()));
+        if take_due(&mut timers.last_autoscaling_at, interval, now) {
+            for action in cluster.autoscaling_round(now.as_millis()) {
                 self.spawn_scaling_action(tasks, action);
             }
         }
@@ -92,16 +93,15 @@
         cluster: &ClusterState,
         tasks: &mut TermTasks,
         timers: &mut TermTimers,
-        now: u64,
+        now: MonotonicTime,
     ) {
-        let shortest_ms = whole_millis(constants::CLOUD_LIST_INTERVAL);
-        let interval_ms = shortest_ms
-            + whole_millis(constants::CLOUD_LIST_PER_MACHINE) * cluster.machine_count() as u64;
-        let due = |interval_ms| {
-            timers.last_machine_list_at.is_none_or(|last_at| now >= last_at + interval_ms)
-        };
-        let wanted_sooner = due(shortest_ms) && cluster.any_heartbeat_overdue(now);
-        if !(due(interval_ms) || wanted_sooner) {
+        let shortest = constants::CLOUD_LIST_INTERVAL;
+        let machine_count = u32::try_from(cluster.machine_count()).unwrap_or(u32::MAX);
+        let interval = shortest + constants::CLOUD_LIST_PER_MACHINE * machine_count;
+        let due =
+            |interval| timers.last_machine_list_at.is_none_or(|last_at| now >= last_at + interval);
+        let wanted_sooner = due(shortest) && cluster.any_heartbeat_overdue(now.as_millis());
+        if !(due(interval) || wanted_sooner) {
             return;
         }
         timers.last_machine_list_at = Some(now);
@@ -125,7 +125,7 @@
 ///
 /// After a suspension, or a pause of the process, the cluster state restarts its heartbeat timeouts:
 /// workers may have sent heartbeats that could not be received.
-fn suspend_or_resume(active: &mut ActiveTerm, now: u64) -> bool {
+fn suspend_or_resume(active: &mut ActiveTerm, now: MonotonicTime) -> bool {
     let (term, lease_holds) = (active.term(), active.tasks.authority.holds_at(now));
     let Some(cluster) = &mut active.cluster else { return false };
     if !lease_holds {
@@ -135,10 +135,10 @@
         }
         return false;
     }
-    let process_paused = now >= active.timers.last_tick_at + whole_millis(constants::PROCESS_PAUSE);
+    let process_paused = now >= active.timers.last_tick_at + constants::PROCESS_PAUSE;
     active.timers.last_tick_at = now;
     if process_paused || active.suspended {
-        cluster.resumed(now);
+        cluster.resumed(now.as_millis());
     }
     if active.suspended {
         tracing::info!(term, "leadership lease holds again, decisions resumed");
@@ -147,15 +147,16 @@
     true
 }
 
-fn run_scheduling_round(cluster: &mut ClusterState, timers: &mut TermTimers, now: u64) {
-    let interval_ms = cluster.round_interval_ms().max(whole_millis(constants::SCHEDULING_INTERVAL));
-    if take_due(&mut timers.last_scheduling_at, interval_ms, now) {
-        cluster.scheduling_round(now);
+fn run_scheduling_round(cluster: &mut ClusterState, timers: &mut TermTimers, now: MonotonicTime) {
+    let interval =
+        Duration::from_millis(cluster.round_interval_ms()).max(constants::SCHEDULING_INTERVAL);
+    if take_due(&mut timers.last_scheduling_at, interval, now) {
+        cluster.scheduling_round(now.as_millis());
     }
 }
 
-fn log_summary(cluster: &ClusterState, timers: &mut TermTimers, now: u64) {
-    if take_due(&mut timers.last_summary_at, SUMMARY_INTERVAL_MS, now) {
-        tracing::info!(term = cluster.term(), cluster = %cluster.summary(now), "cluster summary");
+fn log_summary(cluster: &ClusterState, timers: &mut TermTimers, now: MonotonicTime) {
+    if take_due(&mut timers.last_summary_at, SUMMARY_INTERVAL, now) {
+        tracing::info!(term = cluster.term(), cluster = %cluster.summary(now.as_millis()), "cluster summary");
     }
 }
--- a/crates/controller/src/api/submission.rs
+++ b/crates/controller/src/api/submission.rs
@@ -5,7 +5,7 @@
 use super::job_reader::StoredJob;
 use super::{ApiService, Origin};
 use crate::job_snapshot::JobSnapshot;
-use crate::leadership::wall_clock_ms;
+use crate::leadership::wall_clock;
 use crate::peers::PeerRequest;
 use crate::records::{JobRecord, final_state_key, fits_value_limit, job_key};
 use crate::request_outcome::RequestOutcome;
@@ -42,7 +42,11 @@
                 .reject_unless_accepted(&job, UNPROCESSABLE, reason.to_string(), origin)
                 .await;
         }
-        let record = JobRecord { spec, accepted_at_ms: wall_clock_ms(), has_start_watermark: true };
+        let record = JobRecord {
+            spec,
+            accepted_at_ms: wall_clock().as_unix_millis(),
+            has_start_watermark: true,
+        };
         let Ok(value) = serde_json::to_value(&record) else {
             return RequestOutcome::unavailable("internal");
         };
--- a/crates/controller/src/cluster_state/lease_expiry.rs
+++ b/crates/controller/src/cluster_state/lease_expiry.rs
@@ -2,6 +2,8 @@
 
 use super::task_removal::TaskRemoval;
 use super::{ClusterState, worker_lease_expiry_ms};
+use hookway_time::MonotonicTime;
+use std::time::Duration;
 
 impl ClusterState {
     /// Time passes until `now` (ms): tasks on machines whose lease has surely expired are removed, and
@@ -31,7 +33,12 @@
         let lease_ms = worker_lease_expiry_ms(&self.config.platform);
         let Some(machine) = self.machines.get_mut(name) else { return false };
         let (zone, answered_at) = (&machine.zone, machine.last_response_at);
-        if !self.shard_lessor.worker_lease_expired(zone, answered_at, lease_ms, now) {
+        if !self.shard_lessor.worker_lease_expired(
+            zone,
+            MonotonicTime::from_millis(answered_at),
+            Duration::from_millis(lease_ms),
+            MonotonicTime::from_millis(now),
+        ) {
             return false;
         }
         if machine.is_live() {
--- a/crates/controller/src/cluster_state/leases.rs
+++ b/crates/controller/src/cluster_state/leases.rs
@@ -4,8 +4,9 @@
 use crate::settings::PlatformSettings;
 use crate::shard_lease::{ShardLease, ShardLeaseRenewal};
 use hookway_constants as constants;
-use hookway_time::{millis_f64, whole_millis};
+use hookway_time::{MonotonicTime, millis_f64, whole_millis};
 use hookway_wire::JobState;
+use std::time::Duration;
 
 /// Maximum length of a shard lease, ms: as configured, but so short that it and a worker's lease end
 /// within the time for a cancellation.
@@ -37,7 +38,12 @@
         now: u64,
     ) -> Option<ShardLease> {
         let lease_ms = self.shard_lease_ms(now);
-        self.shard_lessor.renew(self.term, renewal, lease_ms, now)
+        self.shard_lessor.renew(
+            self.term,
+            renewal,
+            Duration::from_millis(lease_ms),
+            MonotonicTime::from_millis(now),
+        )
     }
 
     /// Length of a shard lease given at `now` (ms), ms.
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -74,6 +74,7 @@
 use commit_queue::CommitQueue;
 use direct_dispatch::DirectDispatch;
 use hookway_constants as constants;
+use hookway_time::MonotonicTime;
 use hookway_wire::{JobId, MachineType, Precondition};
 use image_numbers::ImageNumbers;
 use job::{Job, JobKey, TaskPlacement};
@@ -85,6 +86,7 @@
 use scheduling_round::LastRound;
 use state_probe::StateProbes;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
+use std::time::Duration;
 
 /// What does not change while a controller leads.
 #[derive(Debug, Clone)]
@@ -166,8 +168,8 @@
                 &config.zone,
                 &config.peers,
                 &config.platform.zones,
-                max_shard_lease_ms(&config),
-                at.monotonic,
+                Duration::from_millis(max_shard_lease_ms(&config)),
+                MonotonicTime::from_millis(at.monotonic),
             ),
             commit_queue: CommitQueue::new(&config.platform, leader_precondition, at.monotonic),
             completed_jobs: Vec::new(),
--- a/crates/controller/src/cluster_state/reconciliation.rs
+++ b/crates/controller/src/cluster_state/reconciliation.rs
@@ -1,7 +1,9 @@
 //! Reconciliation after a failover: when every task that an earlier leader may have started is known.
 
 use super::{ClusterState, worker_lease_expiry_ms};
+use hookway_time::MonotonicTime;
 use std::collections::BTreeSet;
+use std::time::Duration;
 
 /// The machines that a new leader has yet to reconcile.
 #[derive(Debug)]
@@ -44,6 +46,11 @@
         let lease_ms = worker_lease_expiry_ms(&self.config.platform);
         let last_answered_at = self.reconciliation.last_answered_at;
         // Their zones are not known, so those of all lessees count.
-        self.shard_lessor.worker_lease_expired("", last_answered_at, lease_ms, now)
+        self.shard_lessor.worker_lease_expired(
+            "",
+            MonotonicTime::from_millis(last_answered_at),
+            Duration::from_millis(lease_ms),
+            MonotonicTime::from_millis(now),
+        )
     }
 }
--- a/crates/controller/src/leadership/clock.rs
+++ b/crates/controller/src/leadership/clock.rs
@@ -1,7 +1,8 @@
 //! The clocks of this process.
 
 use crate::cluster_state::Timestamp;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use hookway_time::{MonotonicTime, WallTime, whole_millis};
+use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
 /// The monotonic clock of this process, together with the wall clock.
@@ -17,29 +18,24 @@
 }
 
 impl Clock {
-    /// Reads the monotonic clock: milliseconds since this clock was created.
-    pub fn now(&self) -> u64 {
-        u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX)
+    /// Reads the monotonic clock.
+    pub fn now(&self) -> MonotonicTime {
+        MonotonicTime::from_millis(whole_millis(self.started_at.elapsed()))
     }
 
-    /// The moment at which this clock reads `at`, ms; the present if that is past.
-    pub fn instant_at(&self, at: u64) -> Instant {
-        Instant::now() + Duration::from_millis(at.saturating_sub(self.now()))
+    /// The instant at which this clock reads `at`; the present if that is past.
+    pub fn instant_at(&self, at: MonotonicTime) -> Instant {
+        Instant::now() + at.saturating_duration_since(self.now())
     }
 
     /// Reads both clocks.
     pub fn timestamp(&self) -> Timestamp {
-        Timestamp { monotonic: self.now(), wall: wall_clock_ms() }
+        Timestamp { monotonic: self.now().as_millis(), wall: wall_clock().as_unix_millis() }
     }
 }
 
-/// Reads the wall clock: milliseconds since the Unix epoch, 0 if it is set before the epoch.
-pub fn wall_clock_ms() -> u64 {
+/// Reads the wall clock; the Unix epoch if it is set before that.
+pub fn wall_clock() -> WallTime {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
-}
-
-/// Waits for `duration_ms`.
-pub(crate) async fn pause(duration_ms: u64) {
-    tokio::time::sleep(Duration::from_millis(duration_ms)).await;
+    WallTime::from_unix_millis(whole_millis(since_epoch))
 }
--- a/crates/controller/src/leadership/election.rs
+++ b/crates/controller/src/leadership/election.rs
@@ -1,6 +1,6 @@
 //! The actor that campaigns for leadership, extends the leadership lease and detects its loss.
 
-use super::clock::{Clock, pause};
+use super::clock::Clock;
 use super::lease::{LeadershipLease, lease_expiry};
 use super::term::{LeaderTerm, LeadershipView};
 use crate::records::{
@@ -8,12 +8,14 @@
 };
 use hookway_clients::{CommitOutcome, StoreClient, StoreError};
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, whole_millis};
 use hookway_wire::{Operation, Precondition, Transaction, WatchEvent};
 use rand::RngExt;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Duration;
 use tokio::sync::{Notify, watch};
+use tokio::time::sleep;
 
 /// What the election actor needs, and shares with the rest of the controller.
 #[derive(Debug)]
@@ -33,8 +35,8 @@
     /// Notified when the leader has been silent for unusually long. The actor then reads the
     /// leader key at once, because a watch whose connection broke unnoticed delivers no event.
     pub leader_suspected: Arc<Notify>,
-    /// Length of the leadership lease, ms.
-    pub lease_ms: u64,
+    /// Length of the leadership lease.
+    pub lease_length: Duration,
     /// Whether this controller has a usable copy of the cluster state. It then campaigns before
     /// the controllers without one.
     pub has_warm_copy: Arc<AtomicBool>,
@@ -95,12 +97,12 @@
                 Ok(LeaderState::Elected(leader)) => self.leader_found(leader).await,
                 Ok(LeaderState::Vacant(vacancy)) => {
                     self.publish_vacancy();
-                    pause(self.election_delay_ms()).await;
+                    sleep(self.election_delay()).await;
                     self.campaign(&vacancy).await;
                 }
                 Err(error) => {
                     tracing::debug!(%error, "reading the leader key failed");
-                    pause(whole_millis(constants::LEADER_RETRY)).await;
+                    sleep(constants::LEADER_RETRY).await;
                 }
             }
         }
@@ -123,7 +125,7 @@
                 // that has ended. Its requests in flight carry its precondition and fail.
                 tracing::info!(lease_id, "revoking the lease of the previous process");
                 if self.config.store.release(lease_id).await.is_err() {
-                    pause(whole_millis(constants::LEADER_RETRY)).await;
+                    sleep(constants::LEADER_RETRY).await;
                 }
             }
             return;
@@ -136,13 +138,13 @@
         self.watch_leader(leader.read_at_revision).await;
     }
 
-    /// The delay before this controller campaigns, ms. Random, so that not all campaign at once.
-    fn election_delay_ms(&self) -> u64 {
+    /// The delay before this controller campaigns. Random, so that not all campaign at once.
+    fn election_delay(&self) -> Duration {
         let jitter_ms = rand::rng().random_range(0..=whole_millis(constants::ELECTION_JITTER));
         if self.config.has_warm_copy.load(Ordering::Relaxed) {
-            jitter_ms / constants::WARM_STANDBY_JITTER_DIVISOR
+            Duration::from_millis(jitter_ms / constants::WARM_STANDBY_JITTER_DIVISOR)
         } else {
-            jitter_ms
+            Duration::from_millis(jitter_ms)
         }
     }
 
@@ -219,7 +221,7 @@
                 }
                 Err(error) => {
                     tracing::debug!(%error, "watching the leader key failed");
-                    return pause(whole_millis(constants::WATCH_RETRY)).await;
+                    return sleep(constants::WATCH_RETRY).await;
                 }
             }
         }
@@ -229,11 +231,11 @@
     async fn campaign(&self, vacancy: &Vacancy) {
         let store = &self.config.store;
         let sent_at = self.config.clock.now();
-        let lease_id = match store.grant(self.config.lease_ms).await {
+        let lease_id = match store.grant(whole_millis(self.config.lease_length)).await {
             Ok(lease_id) => lease_id,
             Err(error) => {
                 tracing::debug!(%error, "requesting a leadership lease failed");
-                return pause(whole_millis(constants::LEADER_RETRY)).await;
+                return sleep(constants::LEADER_RETRY).await;
             }
         };
         let record = LeaderRecord {
@@ -244,7 +246,7 @@
         let Ok(value) = serde_json::to_value(&record) else { return };
         match store.commit(&election_transaction(vacancy, value, lease_id)).await {
             Ok(CommitOutcome::Applied(revision)) => {
-                let expires_at = lease_expiry(sent_at, self.config.lease_ms);
+                let expires_at = lease_expiry(sent_at, self.config.lease_length);
                 let term = new_term(&record, revision, lease_id, vacancy.has_start_watermarks);
                 self.lead(term, Some(expires_at)).await;
             }
@@ -254,52 +256,52 @@
             // Whether it was applied is unknown; the next reading of the leader key shows it by the nonce.
             Err(error) => {
                 tracing::debug!(%error, term = record.term, "campaigning failed");
-                pause(whole_millis(constants::LEADER_RETRY)).await;
+                sleep(constants::LEADER_RETRY).await;
             }
         }
     }
 
-    /// Leads `term` until its lease is lost. `expires_at`: the expiry of its lease (monotonic
-    /// clock, ms); `None`: unknown, so the lease is extended at once.
-    async fn lead(&self, leader_term: LeaderTerm, expires_at: Option<u64>) {
+    /// Leads `term` until its lease is lost. `expires_at`: the expiry of its lease;
+    /// `None`: unknown, so the lease is extended at once.
+    async fn lead(&self, leader_term: LeaderTerm, expires_at: Option<MonotonicTime>) {
         let LeaderTerm { term, lease_id, .. } = leader_term;
         tracing::info!(term, "elected leader");
-        self.config.lease.set(term, expires_at.unwrap_or(0));
+        self.config.lease.set(term, expires_at.unwrap_or(MonotonicTime::ZERO));
         self.publish(LeadershipView {
             leader: Some(self.config.controller_name.clone()),
             leader_term: Some(term),
             own_term: Some(leader_term),
         });
-        let first_extension_ms =
-            expires_at.map_or(0, |_| whole_millis(constants::LEADER_EXTEND_INTERVAL));
-        let end = self.extend_until_lost(term, lease_id, first_extension_ms).await;
+        let first_extension =
+            expires_at.map_or(Duration::ZERO, |_| constants::LEADER_EXTEND_INTERVAL);
+        let end = self.extend_until_lost(term, lease_id, first_extension).await;
         self.config.lease.revoke(term);
         tracing::info!(term, reason = ?end, "leadership lost");
         self.publish(LeadershipView::default());
         let _ = self.config.store.release(lease_id).await;
         if end == TermEnd::Resigned {
             // Another controller is to win the next term.
-            pause(whole_millis(constants::STEP_DOWN_PAUSE)).await;
+            sleep(constants::STEP_DOWN_PAUSE).await;
         }
     }
 
-    /// Extends the lease of `term` again and again, first after `delay_ms`, until it is lost.
-    async fn extend_until_lost(&self, term: u64, lease_id: u64, mut delay_ms: u64) -> TermEnd {
+    /// Extends the lease of `term` again and again, first after `delay`, until it is lost.
+    async fn extend_until_lost(&self, term: u64, lease_id: u64, mut delay: Duration) -> TermEnd {
         loop {
             tokio::select! {
-                () = pause(delay_ms) => {}
+                () = sleep(delay) => {}
                 () = self.config.leadership_lost.notified() => return TermEnd::Resigned,
             }
             let sent_at = self.config.clock.now();
             match self.config.store.extend(lease_id).await {
                 Ok(()) => {
-                    self.config.lease.set(term, lease_expiry(sent_at, self.config.lease_ms));
-                    delay_ms = whole_millis(constants::LEADER_EXTEND_INTERVAL);
+                    self.config.lease.set(term, lease_expiry(sent_at, self.config.lease_length));
+                    delay = constants::LEADER_EXTEND_INTERVAL;
                 }
                 Err(StoreError::NoLease) => return TermEnd::LeaseExpired,
                 Err(error) => {
                     tracing::debug!(%error, term, "extending the leadership lease failed");
-                    delay_ms = whole_millis(constants::LEADER_RETRY);
+                    delay = constants::LEADER_RETRY;
                 }
             }
         }
--- a/crates/controller/src/leadership/lease/tests.rs
+++ b/crates/controller/src/leadership/lease/tests.rs
@@ -1,12 +1,17 @@
 use super::*;
 
+/// A reading of the clock, ms.
+fn at(millis: u64) -> MonotonicTime {
+    MonotonicTime::from_millis(millis)
+}
+
 #[test]
 fn leadership_lease_counts_from_before_the_request() {
     let lease = LeadershipLease::default();
-    assert!(!lease.holds(1, 0));
-    lease.set(1, lease_expiry(1_000, 5_000));
-    assert!(lease.holds(1, 5_600));
-    assert!(!lease.holds(1, 5_700), "drift and margin are taken off");
+    assert!(!lease.holds(1, at(0)));
+    lease.set(1, lease_expiry(at(1_000), Duration::from_secs(5)));
+    assert!(lease.holds(1, at(5_600)));
+    assert!(!lease.holds(1, at(5_700)), "drift and margin are taken off");
 }
 
 /// The lease is extended on another thread than the cluster state is on: while a round of an old term still
@@ -14,9 +19,9 @@
 #[test]
 fn lease_of_later_term_does_not_authorize_earlier_term() {
     let lease = LeadershipLease::default();
-    lease.set(1, 5_000);
+    lease.set(1, at(5_000));
     lease.revoke(1);
-    lease.set(9, 20_000);
-    assert!(!lease.holds(1, 4_000), "another controller may have led meanwhile");
-    assert!(lease.holds(9, 4_000));
+    lease.set(9, at(20_000));
+    assert!(!lease.holds(1, at(4_000)), "another controller may have led meanwhile");
+    assert!(lease.holds(9, at(4_000)));
 }
--- a/crates/controller/src/leadership/mod.rs
+++ b/crates/controller/src/leadership/mod.rs
@@ -14,8 +14,7 @@
 mod lease;
 mod term;
 
-pub(crate) use clock::pause;
-pub use clock::{Clock, wall_clock_ms};
+pub use clock::{Clock, wall_clock};
 pub use election::{Leadership, LeadershipConfig};
 pub use lease::{LeadershipLease, lease_expiry};
 pub use term::{LeaderTerm, LeadershipView};
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -12,7 +12,7 @@
 use crate::leadership::{Clock, Leadership, LeadershipConfig, LeadershipLease, LeadershipView};
 use crate::peers::{self, Peers};
 use crate::settings::{OperatorSettings, PeerController, PlatformSettings, Settings};
-use crate::shard_lease::{ShardLessee, leader_timeout_ms};
+use crate::shard_lease::{ShardLessee, leader_timeout};
 use crate::standby::{Standby, StandbyMode, StandbySignals};
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
 use hookway_constants as constants;
@@ -149,7 +149,7 @@
             view,
             leadership_lost: self.leadership_lost.clone(),
             leader_suspected: self.standby_signals.leader_suspected.clone(),
-            lease_ms: self.operator.replication.leader_lease_ms,
+            lease_length: Duration::from_millis(self.operator.replication.leader_lease_ms),
             has_warm_copy: self.standby_signals.has_warm_copy.clone(),
         })
     }
@@ -158,7 +158,7 @@
         let settings = &self.settings;
         let name = &settings.controller_name;
         let workers = &settings.platform.workers;
-        let leader_timeout_ms = leader_timeout_ms(workers.heartbeat_interval_s, workers.lease_s);
+        let leader_timeout = leader_timeout(workers.heartbeat_interval_s, workers.lease_s);
         let warm = self.operator.replication.standby;
         let standby_mode = if warm { StandbyMode::Warm } else { StandbyMode::Cold };
         let peer_zone = |peer: &PeerController| (peer.name.clone(), peer.zone.clone());
@@ -180,7 +180,7 @@
             machine_types: self.machine_types.clone(),
             requests,
             final_states: self.final_states.clone(),
-            shard_lessee: ShardLessee::new(name, rand::random(), leader_timeout_ms),
+            shard_lessee: ShardLessee::new(name, rand::random(), leader_timeout),
             standby: Standby::new(name, standby_mode, self.standby_signals.clone()),
         })
     }
--- a/crates/controller/src/shard_lease/lessor.rs
+++ b/crates/controller/src/shard_lease/lessor.rs
@@ -3,25 +3,27 @@
 
 use super::messages::{ShardLease, ShardLeaseRenewal};
 use crate::clock_drift::{latest_expiry, latest_past};
+use hookway_time::{MonotonicTime, whole_millis};
 use std::collections::BTreeMap;
+use std::time::Duration;
 
-/// What the leader knows about another controller. Times in ms on the leader's monotonic clock.
+/// What the leader knows about another controller. All times are of the leader's monotonic clock.
 #[derive(Debug, Default)]
 struct LesseeState {
     zone: String,
     /// The process that acknowledged a lease of this term.
     process_nonce: Option<u64>,
     /// The latest expiry of its lease, of this term or an earlier one.
-    lease_expires_at: u64,
+    lease_expires_at: MonotonicTime,
     /// Up to this time its extensions of worker leases are known from its renewals.
-    accounted_until: u64,
+    accounted_until: MonotonicTime,
     /// The latest of the extensions that are known; none followed until `accounted_until`.
-    last_extension_at: u64,
+    last_extension_at: MonotonicTime,
 }
 
 impl LesseeState {
     /// A controller that may have a lease of an earlier leader until `lease_expires_at`.
-    fn of_earlier_term(zone: String, lease_expires_at: u64) -> Self {
+    fn of_earlier_term(zone: String, lease_expires_at: MonotonicTime) -> Self {
         Self { zone, lease_expires_at, ..Self::default() }
     }
 
@@ -32,13 +34,14 @@
 
     /// Accounts for what a renewal states. Returns whether it was proven to come from the running
     /// process after it dropped the leases of earlier terms; only then a lease may be granted.
-    fn account_for(&mut self, renewal: &ShardLeaseRenewal, term: u64, now: u64) -> bool {
+    fn account_for(&mut self, renewal: &ShardLeaseRenewal, term: u64, now: MonotonicTime) -> bool {
         // Renewals can arrive late, and after the end of their process. Only one that acknowledges
         // a lease of this term was certainly sent in it, by the process that runs now.
         let acknowledged = renewal
             .acknowledged
-            .filter(|lease| lease.term == term && lease.granted_at_ms <= now)
-            .map(|lease| lease.granted_at_ms);
+            .filter(|lease| lease.term == term)
+            .map(|lease| MonotonicTime::from_millis(lease.granted_at_ms))
+            .filter(|granted_at| *granted_at <= now);
         let Some(granted_at) = acknowledged else { return false };
         let other_process = self.process_nonce != Some(renewal.process_nonce);
         // A late renewal of an earlier process: the running one has acknowledged a later lease.
@@ -46,16 +49,17 @@
             return false;
         }
         if let Some(age_ms) = renewal.extended_ago_ms {
-            self.last_extension_at = self.last_extension_at.max(latest_past(now, age_ms));
+            let extended_at = latest_past(now, Duration::from_millis(age_ms));
+            self.last_extension_at = self.last_extension_at.max(extended_at);
         }
         if other_process {
             // This process has dropped the leases of other terms. The previous process of this name
             // had ended when this one started.
-            let started_at = latest_past(now, renewal.uptime_ms);
+            let started_at = latest_past(now, Duration::from_millis(renewal.uptime_ms));
             self.last_extension_at =
                 self.last_extension_at.max(self.lease_expires_at.min(started_at));
             self.process_nonce = Some(renewal.process_nonce);
-            self.lease_expires_at = 0;
+            self.lease_expires_at = MonotonicTime::ZERO;
         }
         self.accounted_until = self.accounted_until.max(granted_at);
         true
@@ -74,15 +78,15 @@
 impl ShardLessor {
     /// Creates the record of a leader that was elected at `elected_at` at the latest, with these
     /// other controllers (name and zone). Earlier leaders granted their leases, of at most
-    /// `lease_ms`, before that time.
+    /// `lease_length`, before that time.
     pub fn new(
         own_zone: &str,
         controllers: &[(String, String)],
         zones: &[String],
-        lease_ms: u64,
-        elected_at: u64,
+        lease_length: Duration,
+        elected_at: MonotonicTime,
     ) -> Self {
-        let expires_at = latest_expiry(elected_at, lease_ms);
+        let expires_at = latest_expiry(elected_at, lease_length);
         let lessee = |(name, zone): &(String, String)| {
             (name.clone(), LesseeState::of_earlier_term(zone.clone(), expires_at))
         };
@@ -93,14 +97,13 @@
         }
     }
 
-    /// Handles a renewal; `None` if it comes from an unknown controller. `lease_ms`, the length of a
-    /// lease, is at most the length that this record was created with.
+    /// Handles a renewal; `None` if it comes from an unknown controller. `lease_length` is at most the length that this record was created with.
     pub fn renew(
         &mut self,
         term: u64,
         renewal: &ShardLeaseRenewal,
-        lease_ms: u64,
-        now: u64,
+        lease_length: Duration,
+        now: MonotonicTime,
     ) -> Option<ShardLease> {
         let zone = self.lessees.get(&renewal.controller)?.zone.clone();
         // A shard has one lessee at a time, and the shard of the leader's own zone is the leader's.
@@ -108,17 +111,19 @@
             && self.zones.contains(&zone)
             && !self.leased_to_other(&zone, &renewal.controller, now);
         let lessee = self.lessees.get_mut(&renewal.controller)?;
-        let mut lease = ShardLease { term, granted_at_ms: now, zones: vec![], lease_ms: 0 };
-        if lessee.account_for(renewal, term, now) && leasable && lease_ms > 0 {
-            lease.lease_ms = lease_ms;
+        let mut lease =
+            ShardLease { term, granted_at_ms: now.as_millis(), zones: vec![], lease_ms: 0 };
+        if lessee.account_for(renewal, term, now) && leasable && !lease_length.is_zero() {
+            lease.lease_ms = whole_millis(lease_length);
             lease.zones.push(zone);
-            lessee.lease_expires_at = lessee.lease_expires_at.max(latest_expiry(now, lease_ms));
+            let expires_at = latest_expiry(now, lease_length);
+            lessee.lease_expires_at = lessee.lease_expires_at.max(expires_at);
         }
         Some(lease)
     }
 
     /// Whether a controller other than `controller` may have the shard of `zone` at `now`.
-    fn leased_to_other(&self, zone: &str, controller: &str, now: u64) -> bool {
+    fn leased_to_other(&self, zone: &str, controller: &str, now: MonotonicTime) -> bool {
         self.lessees.iter().any(|(name, lessee)| {
             name != controller
                 && lessee.process_nonce.is_some()
@@ -138,21 +143,21 @@
     }
 
     /// Whether the lease of a worker has certainly expired at `now`: no controller extended it for
-    /// `worker_lease_ms`. The leader last answered the worker at `last_response_at`. `zone` is
+    /// `worker_lease`. The leader last answered the worker at `last_response_at`. `zone` is
     /// empty if it is unknown.
     pub fn worker_lease_expired(
         &self,
         zone: &str,
-        last_response_at: u64,
-        worker_lease_ms: u64,
-        now: u64,
+        last_response_at: MonotonicTime,
+        worker_lease: Duration,
+        now: MonotonicTime,
     ) -> bool {
         let zone_has_controller = self.own_zone == zone || self.has_lessee(zone);
         // The shard of a zone without a controller was leased by earlier leaders, to any of them.
         let may_have_shard = |lessee: &&LesseeState| !zone_has_controller || lessee.zone == zone;
         let mut last_extension_at = last_response_at;
         let mut accounted_until = now;
-        let mut open_until = 0;
+        let mut open_until = MonotonicTime::ZERO;
         for lessee in self.lessees.values().filter(may_have_shard) {
             last_extension_at = last_extension_at.max(lessee.last_extension_at);
             if lessee.may_extend() {
@@ -162,7 +167,7 @@
         }
         // Either no extension came in time while all lessees were accounted for, or the worker lease
         // ended after the latest expiry of every shard lease.
-        last_extension_at + worker_lease_ms <= accounted_until
-            || last_extension_at.max(open_until) + worker_lease_ms <= now
+        last_extension_at + worker_lease <= accounted_until
+            || last_extension_at.max(open_until) + worker_lease <= now
     }
 }
--- a/crates/controller/src/shard_lease/mod.rs
+++ b/crates/controller/src/shard_lease/mod.rs
@@ -12,13 +12,14 @@
 //! worker. [`ShardLessor`] computes this from what lessees state in each renewal and, for silent
 //! ones, from the latest expiry of their leases. docs/safety.md has the proof.
 //!
-//! All times are milliseconds on the monotonic clock of the controller that uses them.
+//! All times are of the monotonic clock of the controller that uses them; only the messages between
+//! controllers carry plain milliseconds.
 
 mod lessee;
 mod lessor;
 mod messages;
 
-pub use lessee::{ShardLessee, WorkerLeaseExtension, leader_timeout_ms};
+pub use lessee::{ShardLessee, WorkerLeaseExtension, leader_timeout};
 pub use lessor::ShardLessor;
 pub use messages::{ShardLease, ShardLeaseAcknowledgement, ShardLeaseRenewal};
 
--- a/crates/controller/tests/controller_actor.rs
+++ b/crates/controller/tests/controller_actor.rs
@@ -19,7 +19,6 @@
 use hookway_controller::shard_lease::ShardLessee;
 use hookway_controller::standby::{Standby, StandbyMode, StandbySignals};
 use hookway_testkit::{SETTINGS, StoreServer, machine_types};
-use hookway_time::whole_millis;
 use hookway_wire::{JobId, JobState};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -89,7 +88,7 @@
         machine_types: machine_types_rx,
         requests: asks,
         final_states,
-        shard_lessee: ShardLessee::new(label, 1, 1_000),
+        shard_lessee: ShardLessee::new(label, 1, Duration::from_secs(1)),
         standby: Standby::new(label, StandbyMode::Warm, signals.clone()),
     });
     tokio::task::spawn_local(async move {
@@ -105,7 +104,7 @@
             view: view_tx,
             leadership_lost: doubt,
             leader_suspected: signals.leader_suspected,
-            lease_ms: whole_millis(hookway_constants::LEADER_TTL),
+            lease_length: hookway_constants::LEADER_TTL,
             has_warm_copy: signals.has_warm_copy,
         });
         tokio::spawn(leadership.run());
--- a/crates/controller/tests/leadership.rs
+++ b/crates/controller/tests/leadership.rs
@@ -8,7 +8,6 @@
 };
 use hookway_controller::records::{LEADER_KEY, LEADER_TERM_KEY, LeaderRecord};
 use hookway_testkit::StoreServer;
-use hookway_time::whole_millis;
 use hookway_wire::{Operation, Transaction};
 use std::sync::Arc;
 use tokio::sync::{Notify, watch};
@@ -34,7 +33,7 @@
         view: view_tx,
         leadership_lost: Arc::new(Notify::new()),
         leader_suspected: suspicion.clone(),
-        lease_ms: whole_millis(hookway_constants::LEADER_TTL),
+        lease_length: hookway_constants::LEADER_TTL,
         has_warm_copy: Arc::default(),
     });
     let leadership = tokio::spawn(leadership.run());
--- a/crates/controller/tests/simulation/controllers.rs
+++ b/crates/controller/tests/simulation/controllers.rs
@@ -10,10 +10,11 @@
 use hookway_controller::shard_lease::ShardLessee;
 use hookway_replication::{Follower, Publisher};
 use hookway_testkit::{SETTINGS, machine_types};
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, whole_millis};
 use hookway_wire::{JobId, ListedMachine, MachineState, Precondition};
 use rand::RngExt;
 use std::collections::BTreeSet;
+use std::time::Duration;
 
 /// After this long without the leader a shard lessee answers workers itself, ms.
 const LESSEE_TIMEOUT: u64 = 4_000;
@@ -88,7 +89,11 @@
             operator: OperatorSettings::default(),
         };
         Self {
-            holding: ShardLessee::new(CONTROLLERS[n].0, nonce, LESSEE_TIMEOUT),
+            holding: ShardLessee::new(
+                CONTROLLERS[n].0,
+                nonce,
+                Duration::from_millis(LESSEE_TIMEOUT),
+            ),
             config,
             version,
             follower: Follower::new(CONTROLLERS[n].0),
@@ -192,7 +197,7 @@
             && self.now.is_multiple_of(whole_millis(constants::SHARD_LEASE_RENEWAL_INTERVAL))
         {
             let at = self.now - controller.begun;
-            let renewal = controller.holding.renewal(at);
+            let renewal = controller.holding.renewal(MonotonicTime::from_millis(at));
             self.send(|| Message::LeaseRenewal(n, leader, renewal.clone(), at));
         }
         self.follow(n);
@@ -215,7 +220,9 @@
             Some(lead) => {
                 lead.until = now + whole_millis(constants::LEADER_TTL);
                 self.counts.resumed_terms += usize::from(now >= leader.valid_until);
-                leader.valid_until = lease_expiry(now, whole_millis(constants::LEADER_TTL));
+                leader.valid_until =
+                    lease_expiry(MonotonicTime::from_millis(now), constants::LEADER_TTL)
+                        .as_millis();
             }
             None => {
                 self.controllers[n].leader = None;
@@ -278,7 +285,8 @@
             cluster,
             term,
             publisher: Publisher::new(term),
-            valid_until: lease_expiry(now, whole_millis(constants::LEADER_TTL)),
+            valid_until: lease_expiry(MonotonicTime::from_millis(now), constants::LEADER_TTL)
+                .as_millis(),
             next_extend: now + whole_millis(constants::LEADER_EXTEND_INTERVAL),
             paused: false,
             asked: BTreeSet::new(),
@@ -320,8 +328,8 @@
             controller.holding.hold_as_leader(
                 leader.term,
                 leader.cluster.own_shard(),
-                lease_ms,
-                at,
+                Duration::from_millis(lease_ms),
+                MonotonicTime::from_millis(at),
             );
         }
         let again = controller
--- a/crates/controller/tests/simulation/leases.rs
+++ b/crates/controller/tests/simulation/leases.rs
@@ -4,7 +4,7 @@
 use super::messages::{Message, Reply};
 use hookway_constants as constants;
 use hookway_controller::shard_lease::{ShardLease, ShardLeaseRenewal};
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, whole_millis};
 use hookway_wire::Heartbeat;
 
 impl Simulation {
@@ -22,10 +22,11 @@
                 .map_or(Reply::Unavailable, Reply::Answer),
             leader => {
                 let over = &controller.over;
-                let kept =
-                    controller.holding.extend_worker_lease(report, now - controller.begun, |id| {
-                        over.contains(id)
-                    });
+                let kept = controller.holding.extend_worker_lease(
+                    report,
+                    MonotonicTime::from_millis(now - controller.begun),
+                    |id| over.contains(id),
+                );
                 match (kept, leader) {
                     (Some(kept), leader) => {
                         if let Some(leader) = leader {
@@ -37,7 +38,9 @@
                     }
                     (None, Some(_)) => Reply::Unavailable,
                     (None, None) => {
-                        let in_touch = controller.holding.leader_reachable(now - controller.begun);
+                        let in_touch = controller
+                            .holding
+                            .leader_reachable(MonotonicTime::from_millis(now - controller.begun));
                         Reply::Redirect(controller.seen.filter(|l| *l != n && in_touch))
                     }
                 }
@@ -79,7 +82,11 @@
         let observed = self.now >= controller.responses_lost_until;
         if linked && observed && controller.nonce == nonce && in_time && controller.leader.is_none()
         {
-            controller.holding.lease_granted(lease, sent, here);
+            controller.holding.lease_granted(
+                lease,
+                MonotonicTime::from_millis(sent),
+                MonotonicTime::from_millis(here),
+            );
         }
     }
 }
