--- a/crates/constants/src/replication.rs
+++ b/crates/constants/src/replication.rs
@@ -17,11 +17,11 @@
 pub const REPLICATION_LOG_ENTRIES: usize = 16_384;
 /// Bytes of entries, or of an image, in one message between controllers: well below
 /// [`PEER_FRAME_LIMIT`](crate::PEER_FRAME_LIMIT).
-pub const REPLICATION_PIECE_BYTES: usize = 32 * 1024;
+pub const REPLICATION_CHUNK_BYTES: usize = 32 * 1024;
 /// Maximum size of an image, bytes: some 200 per machine with its tasks, so enough for 100,000
 /// machines.
 pub const REPLICATION_IMAGE_LIMIT: usize = 32 * 1024 * 1024;
-/// How long a leader serves the pieces of one image before it makes a new one.
+/// How long a leader serves the chunks of one image before it makes a new one.
 pub const REPLICATION_IMAGE_LIFETIME: Duration = Duration::from_millis(5_000);
 /// Ranges of names for digests. One range is hashed at a time, so that no round of the leader
 /// waits for all.
--- a/crates/controller/src/actor/messages.rs
+++ b/crates/controller/src/actor/messages.rs
@@ -3,7 +3,7 @@
 use crate::cluster_state::{CancelOutcome, CommitResult, JobLookup, LoadedState, PendingCommit};
 use crate::shard_lease::{ShardLease, ShardLeaseRenewal};
 use hookway_clients::Delivery;
-use hookway_replication::{FollowAnswer, FollowRequest};
+use hookway_replication::{FollowRequest, FollowResponse};
 use hookway_wire::{
     Heartbeat, HeartbeatResponse, JobId, ListedMachine, ReplicationStatus, ScaleOutRequest,
 };
@@ -70,13 +70,13 @@
         /// The request.
         request: FollowRequest,
         /// Receives the entries.
-        reply: Reply<FollowAnswer>,
+        reply: Reply<FollowResponse>,
     },
     /// Prepare the next replication request of this controller. `None` in the reply: it leads, or
     /// keeps no copy.
     PrepareFollow(Reply<FollowRequest>),
     /// The leader's response to a replication request of this controller.
-    Followed(FollowAnswer),
+    Followed(FollowResponse),
     /// The state of replication.
     ReplicationStatus(Reply<ReplicationStatus>),
 }
--- a/crates/controller/src/actor/requests.rs
+++ b/crates/controller/src/actor/requests.rs
@@ -31,7 +31,7 @@
             ControllerRequest::PrepareFollow(reply) => {
                 let _ = reply.send(self.config.standby.next_request(now));
             }
-            ControllerRequest::Followed(answer) => self.config.standby.followed(answer, now),
+            ControllerRequest::Followed(answer) => self.config.standby.handle_response(answer, now),
             ControllerRequest::ReplicationStatus(reply) => self.replication_status(reply, now),
         }
     }
--- a/crates/controller/src/actor/term.rs
+++ b/crates/controller/src/actor/term.rs
@@ -7,7 +7,7 @@
 use crate::leadership::{Clock, LeaderTerm, LeadershipLease};
 use crate::records::FinalRecord;
 use hookway_constants as constants;
-use hookway_replication::{FollowAnswer, FollowRequest, Publisher};
+use hookway_replication::{FollowRequest, FollowResponse, Publisher};
 use hookway_time::whole_millis;
 use hookway_wire::JobId;
 use std::collections::HashMap;
@@ -159,7 +159,7 @@
         cluster: &mut ClusterState,
         request: &FollowRequest,
         now: u64,
-    ) -> Option<FollowAnswer> {
+    ) -> Option<FollowResponse> {
         // Standbys ask one after the other: one comparison of the cluster state serves them all.
         if take_due(&mut self.last_published_at, whole_millis(constants::FOLLOW_INTERVAL) / 2, now)
         {
@@ -170,7 +170,7 @@
                 cluster.publish(&mut self.publisher);
             }
         }
-        let answer = self.publisher.answer(request, now);
+        let answer = self.publisher.respond(request, now);
         if let Err(error) = &answer {
             tracing::error!(standby = request.follower, %error, "answering a standby failed");
         }
--- a/crates/controller/src/api/peer_requests.rs
+++ b/crates/controller/src/api/peer_requests.rs
@@ -4,7 +4,7 @@
 use crate::actor::ControllerRequest;
 use crate::peers::{PeerHandler, PeerRequest, PeerResponse};
 use crate::request_outcome::RequestOutcome;
-use hookway_replication::{FollowAnswer, FollowRequest};
+use hookway_replication::{FollowRequest, FollowResponse};
 use hookway_wire::JobId;
 
 impl PeerHandler for ApiService {
@@ -34,7 +34,7 @@
 
 impl ApiService {
     /// The replication entries that a standby lacks; `None` if it is not one of the controllers.
-    async fn replication_entries(&self, request: FollowRequest) -> Option<FollowAnswer> {
+    async fn replication_entries(&self, request: FollowRequest) -> Option<FollowResponse> {
         if !self.config.peers.knows(&request.follower) {
             tracing::error!(
                 standby = request.follower,
--- a/crates/controller/src/peers/client.rs
+++ b/crates/controller/src/peers/client.rs
@@ -9,7 +9,7 @@
 use crate::request_outcome::RequestOutcome;
 use crate::shard_lease::{ShardLease, ShardLeaseRenewal};
 use hookway_constants as constants;
-use hookway_replication::{FollowAnswer, FollowRequest};
+use hookway_replication::{FollowRequest, FollowResponse};
 use hookway_time::whole_millis;
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -87,10 +87,10 @@
         &self,
         name: &str,
         request: FollowRequest,
-    ) -> Result<FollowAnswer, PeerError> {
+    ) -> Result<FollowResponse, PeerError> {
         let request = PeerRequest::Follow(request);
         match self.exchange(name, &request, whole_millis(constants::PEER_TIMEOUT)).await? {
-            PeerResponse::Followed(Some(answer)) => Ok(answer),
+            PeerResponse::Followed(Some(response)) => Ok(response),
             PeerResponse::Followed(None) => Err(PeerError::NotLeading),
             PeerResponse::Outcome(_) | PeerResponse::ShardLease(_) => Err(PeerError::Mismatch),
         }
--- a/crates/controller/src/peers/messages.rs
+++ b/crates/controller/src/peers/messages.rs
@@ -3,7 +3,7 @@
 use crate::job_snapshot::JobSnapshot;
 use crate::request_outcome::RequestOutcome;
 use crate::shard_lease::{ShardLease, ShardLeaseRenewal};
-use hookway_replication::{FollowAnswer, FollowRequest};
+use hookway_replication::{FollowRequest, FollowResponse};
 use serde::{Deserialize, Serialize};
 
 /// A request to another controller. It answers from its own knowledge and never passes it on.
@@ -31,5 +31,5 @@
     /// To a renewal; `None`: the controller does not lead.
     ShardLease(Option<ShardLease>),
     /// To a standby; `None`: the controller does not lead, or the standby is unknown.
-    Followed(Option<FollowAnswer>),
+    Followed(Option<FollowResponse>),
 }
--- a/crates/controller/src/standby.rs
+++ b/crates/controller/src/standby.rs
@@ -5,7 +5,7 @@
 
 use crate::leadership::LeadershipView;
 use hookway_replication::{
-    DurationHistogram, Event, FailureDetector, FollowAnswer, FollowOutcome, FollowRequest,
+    DurationHistogram, Event, FailureDetector, FollowOutcome, FollowRequest, FollowResponse,
     Follower, Phase, Promotion, ReplicatedState, Step, UnusableCopy,
 };
 use hookway_wire::{DurationStatus, FailoverStatus, ReplicationStatus};
@@ -99,8 +99,8 @@
     }
 
     /// Handles the leader's response to a request.
-    pub fn followed(&mut self, answer: FollowAnswer, now: u64) {
-        match self.follower.handle_answer(answer, now) {
+    pub fn handle_response(&mut self, response: FollowResponse, now: u64) {
+        match self.follower.handle_response(response, now) {
             Ok(progress) => {
                 self.detector.record_message(now);
                 self.handle(Event::LeaderResponded, now);
--- a/crates/controller/tests/api/support.rs
+++ b/crates/controller/tests/api/support.rs
@@ -8,7 +8,7 @@
 use hookway_controller::leadership::LeadershipView;
 use hookway_controller::peers::Peers;
 use hookway_controller::settings::Settings;
-use hookway_replication::{FollowAnswer, FollowBody, Position};
+use hookway_replication::{FollowResponse, FollowResponseBody, Position};
 use hookway_testkit::SETTINGS;
 use hookway_wire::{
     ErrorBody, HeartbeatResponse, JobId, JobState, JobStatus, MachineType, ReplicationStatus,
@@ -104,8 +104,9 @@
             ControllerRequest::PrepareShardLeaseRenewal(reply) => drop(reply.send(None)),
             ControllerRequest::Follow { reply, .. } => {
                 let end = Position { term: 7, index: 0 };
-                let body = FollowBody::Entries { after: end, entries: vec![], digest: None };
-                let _ = reply.send(self.leads().then_some(FollowAnswer { end, body }));
+                let body =
+                    FollowResponseBody::Entries { after: end, entries: vec![], digest: None };
+                let _ = reply.send(self.leads().then_some(FollowResponse { end, body }));
             }
             ControllerRequest::PrepareFollow(reply) => drop(reply.send(None)),
             ControllerRequest::ReplicationStatus(reply) => {
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -17,8 +17,8 @@
 use hookway_controller::shard_lease::{ShardLease, ShardLeaseAcknowledgement, ShardLeaseRenewal};
 use hookway_policy::Resources;
 use hookway_replication::{
-    Entry, FollowAnswer, FollowBody, FollowRequest, FollowerProgress, ImageChunk, JobHints,
-    PlacedTask, Position, RangeDigest, Stage,
+    Entry, FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress, ImageChunk,
+    JobHints, PlacedTask, Position, RangeDigest, Stage,
 };
 use hookway_wire::{
     Command, CommitResponse, DirectCommands, ErrorBody, ExitCause, Heartbeat, HeartbeatRedirect,
@@ -175,8 +175,8 @@
         Entry::JobRemoved { id: "req-000412".into() },
     ];
     let digest = Some(RangeDigest { range: 3, digest: 77 });
-    let body = FollowBody::Entries { after: at(300), entries, digest };
-    frame("answer-entries", &PeerResponse::Followed(Some(FollowAnswer { end: at(400), body })));
+    let body = FollowResponseBody::Entries { after: at(300), entries, digest };
+    frame("answer-entries", &PeerResponse::Followed(Some(FollowResponse { end: at(400), body })));
     let chunk = ImageChunk {
         position: at(300),
         index: 1,
@@ -184,8 +184,8 @@
         image_digest: 8,
         bytes: vec![1, 2],
     };
-    let body = FollowBody::ImageChunk(chunk);
-    frame("answer-piece", &PeerResponse::Followed(Some(FollowAnswer { end: at(400), body })));
+    let body = FollowResponseBody::ImageChunk(chunk);
+    frame("answer-piece", &PeerResponse::Followed(Some(FollowResponse { end: at(400), body })));
     frame("answer-follows-not", &PeerResponse::Followed(None));
 }
 
--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -15,8 +15,8 @@
 use hookway_controller::standby::{Standby, StandbyMode, StandbySignals};
 use hookway_policy::Resources;
 use hookway_replication::{
-    Entry, FollowAnswer, FollowBody, FollowRequest, FollowerProgress, JobHints, MachineView,
-    PlacedTask, Position, Publisher, RangeDigest, ReplicatedState, Stage, TaskView,
+    Entry, FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress, JobHints,
+    MachineView, PlacedTask, Position, Publisher, RangeDigest, ReplicatedState, Stage, TaskView,
 };
 use hookway_wire::{
     Command, CommitResponse, DurationStatus, ExitCause, FailoverStatus, Heartbeat,
@@ -112,11 +112,11 @@
         entry(Stage::Running),
         Entry::Job { id: "req-000412".into(), hints },
     ];
-    let body = FollowBody::Entries { after: at(0), entries, digest: None };
-    let answer = FollowAnswer { end: at(5), body };
+    let body = FollowResponseBody::Entries { after: at(0), entries, digest: None };
+    let answer = FollowResponse { end: at(5), body };
     frame("pinned-answer-entries", &PeerResponse::Followed(Some(answer)));
-    let body = FollowBody::Entries { after: at(5), entries: vec![], digest: None };
-    let answer = FollowAnswer { end: at(5), body };
+    let body = FollowResponseBody::Entries { after: at(5), entries: vec![], digest: None };
+    let answer = FollowResponse { end: at(5), body };
     frame("pinned-answer-no-entries", &PeerResponse::Followed(Some(answer)));
 }
 
@@ -150,7 +150,7 @@
 fn state_image_matches_pinned_bytes_and_digest() {
     let mut publisher = publisher_with_cluster_state();
     let request = FollowRequest { follower: "worker-1".into(), progress: FollowerProgress::Empty };
-    let answer = publisher.answer(&request, 0).expect("an image");
+    let answer = publisher.respond(&request, 0).expect("an image");
     frame("pinned-answer-image", &PeerResponse::Followed(Some(answer)));
     frame("pinned-image-state", publisher.state());
     frame("pinned-image-empty-state", &ReplicatedState::default());
@@ -398,7 +398,7 @@
     let mut publisher = publisher_with_cluster_state();
     for now in (0..10_000).step_by(200) {
         let request = standby.next_request(now).expect("it follows");
-        standby.followed(publisher.answer(&request, now).expect("an answer"), now);
+        standby.handle_response(publisher.respond(&request, now).expect("an answer"), now);
     }
     assert_eq!(said(&standby, 10_000), words("following", "usable"));
     standby.next_request(20_000);
--- a/crates/controller/tests/simulation/messages.rs
+++ b/crates/controller/tests/simulation/messages.rs
@@ -5,7 +5,7 @@
 use hookway_clients::Delivery;
 use hookway_controller::cluster_state::PendingCommit;
 use hookway_controller::shard_lease::{ShardLease, ShardLeaseRenewal};
-use hookway_replication::{FollowAnswer, FollowRequest};
+use hookway_replication::{FollowRequest, FollowResponse};
 use hookway_wire::{DirectCommands, Heartbeat, HeartbeatResponse, JobId, Transaction};
 
 /// A message under way. Controllers and machines are indices into their lists.
@@ -22,7 +22,7 @@
     /// Sender, receiver, the sending process, position of its copy.
     Follow(usize, usize, u64, FollowRequest),
     /// Receiver, sender, the receiving process, the entries that its copy lacks.
-    Followed(usize, usize, u64, FollowAnswer),
+    Followed(usize, usize, u64, FollowResponse),
     /// A controller tells another that a job has finished.
     JobFinished(usize, usize, JobId),
     /// Controller, its term (0: it waits for no response), machine.
--- a/crates/controller/tests/simulation/standbys.rs
+++ b/crates/controller/tests/simulation/standbys.rs
@@ -4,7 +4,7 @@
 use super::{Message, Simulation};
 use hookway_constants as constants;
 use hookway_controller::networks::Networks;
-use hookway_replication::{FollowAnswer, FollowRequest, Publisher};
+use hookway_replication::{FollowRequest, FollowResponse, Publisher};
 use hookway_time::whole_millis;
 use rand::RngExt;
 
@@ -38,7 +38,7 @@
         }
         let Some(leader) = &mut self.controllers[n].leader else { return };
         leader.cluster.publish(&mut leader.publisher);
-        let answer = leader.publisher.answer(ask, now).expect("a small state");
+        let answer = leader.publisher.respond(ask, now).expect("a small state");
         self.send(|| Message::Followed(from, n, nonce, answer.clone()));
     }
 
@@ -48,7 +48,7 @@
         n: usize,
         from: usize,
         nonce: u64,
-        answer: FollowAnswer,
+        answer: FollowResponse,
     ) {
         let now = self.now;
         let linked = self.peers_linked(from, n);
@@ -59,7 +59,7 @@
         if !observed || controller.leader.is_some() {
             return;
         }
-        let refused = controller.follower.handle_answer(answer, now).is_err();
+        let refused = controller.follower.handle_response(answer, now).is_err();
         self.counts.refused_answers += usize::from(refused);
     }
 
--- a/crates/replication/examples/embedded.rs
+++ b/crates/replication/examples/embedded.rs
@@ -27,8 +27,8 @@
         publisher.publish_machine(machine, tasks.into_iter());
         // The program has to transport these two messages.
         let request = follower.request();
-        let answer = publisher.answer(&request, now)?;
-        follower.handle_answer(answer, now)?;
+        let response = publisher.respond(&request, now)?;
+        follower.handle_response(response, now)?;
         detector.record_message(now);
         promotion.handle(Event::LeaderResponded, now)?;
     }
--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -3,7 +3,7 @@
 use crate::digest::RangeDigest;
 use crate::entry::Entry;
 use crate::image::{ImageAssembly, ImageChunk, ImageError};
-use crate::message::{FollowAnswer, FollowBody, FollowRequest, FollowerProgress};
+use crate::message::{FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress};
 use crate::metrics::FollowerMetrics;
 use crate::position::Position;
 use crate::state::{ApplyError, ReplicatedState};
@@ -71,9 +71,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FollowOutcome {
     /// This number of new entries was applied; 0 if the response is delayed or duplicated.
-    Applied(usize),
+    EntriesApplied(usize),
     /// A chunk of an image was stored.
-    ImageChunk,
+    ImageChunkStored,
     /// The last chunk of an image was received, and the image replaced the copy.
     ImageApplied {
         /// If the previous copy had diverged: the first machines and jobs that were wrong in it.
@@ -163,12 +163,12 @@
     /// # Errors
     ///
     /// A [`FollowError`]; see there for its effect on the copy.
-    pub fn handle_answer(
+    pub fn handle_response(
         &mut self,
-        answer: FollowAnswer,
+        response: FollowResponse,
         now_ms: u64,
     ) -> Result<FollowOutcome, FollowError> {
-        let end = answer.end;
+        let end = response.end;
         let (found, known) = (end.term, self.term);
         if found < known {
             return Err(FollowError::OldTerm { found, known });
@@ -177,11 +177,11 @@
             return Err(FollowError::FutureTerm { found, known });
         }
         self.last_response_ms = Some(now_ms);
-        let outcome = match answer.body {
-            FollowBody::Entries { after, entries, digest } => {
+        let outcome = match response.body {
+            FollowResponseBody::Entries { after, entries, digest } => {
                 self.apply_entries(end, after, entries, digest)
             }
-            FollowBody::ImageChunk(chunk) => self.add_image_chunk(end, chunk),
+            FollowResponseBody::ImageChunk(chunk) => self.add_image_chunk(end, chunk),
         };
         match &outcome {
             Ok(_) => self.metrics.record_lag(self.lag_entries(end), now_ms),
@@ -224,7 +224,7 @@
             return Err(FollowError::Inconsistent { last, end });
         }
         if last.index < position.index {
-            return Ok(FollowOutcome::Applied(0));
+            return Ok(FollowOutcome::EntriesApplied(0));
         }
         let applied = usize::try_from(applied).unwrap_or(usize::MAX);
         for (previous_index, entry) in (after.index..).zip(entries).skip(applied) {
@@ -237,7 +237,7 @@
         {
             return Err(FollowError::Diverged { range: expected.range, position: last });
         }
-        Ok(FollowOutcome::Applied(count.saturating_sub(applied)))
+        Ok(FollowOutcome::EntriesApplied(count.saturating_sub(applied)))
     }
 
     fn add_image_chunk(
@@ -250,7 +250,7 @@
             return Err(FollowError::Inconsistent { last: position, end });
         }
         if self.is_duplicate(&chunk) {
-            return Ok(FollowOutcome::Applied(0));
+            return Ok(FollowOutcome::EntriesApplied(0));
         }
         // The first chunk of another image: the leader could not continue the previous one.
         let mut assembly = match self.assembly.take().filter(|assembly| assembly.matches(&chunk)) {
@@ -259,7 +259,7 @@
         };
         let Some(state) = assembly.add(chunk)? else {
             self.assembly = Some(assembly);
-            return Ok(FollowOutcome::ImageChunk);
+            return Ok(FollowOutcome::ImageChunkStored);
         };
         let same_term = self.position.is_some_and(|p| p.term == position.term);
         let differing = if self.diverged && same_term {
--- a/crates/replication/src/image.rs
+++ b/crates/replication/src/image.rs
@@ -84,7 +84,7 @@
 
     /// Returns a chunk; `None` after the last one.
     pub fn chunk(&self, index: u32) -> Option<ImageChunk> {
-        let bytes = self.bytes.chunks(constants::REPLICATION_PIECE_BYTES).nth(index as usize)?;
+        let bytes = self.bytes.chunks(constants::REPLICATION_CHUNK_BYTES).nth(index as usize)?;
         Some(ImageChunk {
             position: self.position,
             index,
@@ -145,7 +145,7 @@
         }
         let length = chunk.bytes.len();
         let missing = self.image_bytes - self.bytes.len() as u64;
-        let fits = length <= constants::REPLICATION_PIECE_BYTES && length as u64 <= missing;
+        let fits = length <= constants::REPLICATION_CHUNK_BYTES && length as u64 <= missing;
         if length == 0 || !fits {
             return Err(ImageError::ChunkLength(length));
         }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -28,7 +28,7 @@
 pub use follower::{FollowError, FollowOutcome, Follower, UnusableCopy};
 pub use image::{ImageChunk, ImageError};
 pub use log::ReplicationLog;
-pub use message::{FollowAnswer, FollowBody, FollowRequest, FollowerProgress};
+pub use message::{FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress};
 pub use metrics::{DurationHistogram, FailoverMetrics, FollowerMetrics};
 pub use position::Position;
 pub use promotion::{Event, Phase, Promotion, Step, TransitionError};
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -37,7 +37,7 @@
 ///
 /// The order of the variants and of their fields is a wire format: new ones are added at the end.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum FollowBody {
+pub enum FollowResponseBody {
     /// The entries after a position, limited by the size of a message.
     Entries {
         /// Position before the first of the entries.
@@ -53,9 +53,9 @@
 
 /// The leader's response to a [`FollowRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FollowAnswer {
+pub struct FollowResponse {
     /// End of the leader's log. Its term is the leader's term.
     pub end: Position,
     /// The entries or the chunk that the follower needs next.
-    pub body: FollowBody,
+    pub body: FollowResponseBody,
 }
--- a/crates/replication/src/publisher.rs
+++ b/crates/replication/src/publisher.rs
@@ -4,7 +4,7 @@
 use crate::entry::Entry;
 use crate::image::{Image, ImageChunk, ImageError};
 use crate::log::ReplicationLog;
-use crate::message::{FollowAnswer, FollowBody, FollowRequest, FollowerProgress};
+use crate::message::{FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress};
 use crate::position::Position;
 use crate::state::{JobHints, PlacedTask, ReplicatedState, Stage};
 use hookway_constants as constants;
@@ -151,16 +151,16 @@
     /// # Errors
     ///
     /// An [`ImageError`] if the state is too large for an image.
-    pub fn answer(
+    pub fn respond(
         &mut self,
         request: &FollowRequest,
         now_ms: u64,
-    ) -> Result<FollowAnswer, ImageError> {
+    ) -> Result<FollowResponse, ImageError> {
         let end = self.log.end();
         if let FollowerProgress::Through(after) = request.progress
             && let Some(body) = self.entries_after(&request.follower, after, now_ms)
         {
-            return Ok(FollowAnswer { end, body });
+            return Ok(FollowResponse { end, body });
         }
         let next_chunk = match request.progress {
             FollowerProgress::ReceivingImage { position, next_chunk } => {
@@ -172,8 +172,8 @@
             Some(chunk) => chunk,
             None => self.first_chunk(now_ms)?,
         };
-        let body = FollowBody::ImageChunk(chunk);
-        Ok(FollowAnswer { end, body })
+        let body = FollowResponseBody::ImageChunk(chunk);
+        Ok(FollowResponse { end, body })
     }
 
     /// The entries after a position, limited by the size of a message; `None` if the log does not have them.
@@ -182,12 +182,12 @@
         follower: &str,
         after: Position,
         now_ms: u64,
-    ) -> Option<FollowBody> {
+    ) -> Option<FollowResponseBody> {
         let mut bytes = 0;
         let mut entries = Vec::new();
         for entry in self.log.after(after)? {
             bytes += max_encoded_bytes(entry);
-            if bytes > constants::REPLICATION_PIECE_BYTES && !entries.is_empty() {
+            if bytes > constants::REPLICATION_CHUNK_BYTES && !entries.is_empty() {
                 break;
             }
             entries.push(entry.clone());
@@ -195,7 +195,7 @@
         // The digest is of the state at the end of the log, so only a follower that gets there can compare it.
         let is_complete = after.index + entries.len() as u64 == self.log.end().index;
         let digest = if is_complete { self.next_digest(follower, now_ms) } else { None };
-        Some(FollowBody::Entries { after, entries, digest })
+        Some(FollowResponseBody::Entries { after, entries, digest })
     }
 
     /// The digest of the next range, if the follower has received none for the digest interval.
--- a/crates/replication/tests/following.rs
+++ b/crates/replication/tests/following.rs
@@ -5,16 +5,16 @@
 
 use hookway_constants as constants;
 use hookway_replication::{
-    Entry, FollowAnswer, FollowBody, FollowError, FollowOutcome, FollowRequest, FollowerProgress,
-    JobHints, MachineView, Position, Publisher, RangeDigest, Stage, UnusableCopy,
+    Entry, FollowError, FollowOutcome, FollowRequest, FollowResponse, FollowResponseBody,
+    FollowerProgress, JobHints, MachineView, Position, Publisher, RangeDigest, Stage, UnusableCopy,
 };
 use hookway_time::whole_millis;
 use support::{TERM, catch_up, exchange, follower, leader, machine, running};
 
-fn entries(end: u64, after: u64, entries: Vec<Entry>) -> FollowAnswer {
+fn entries(end: u64, after: u64, entries: Vec<Entry>) -> FollowResponse {
     let at = |index| Position { term: TERM, index };
-    let body = FollowBody::Entries { after: at(after), entries, digest: None };
-    FollowAnswer { end: at(end), body }
+    let body = FollowResponseBody::Entries { after: at(after), entries, digest: None };
+    FollowResponse { end: at(end), body }
 }
 
 #[test]
@@ -49,7 +49,8 @@
         let name = format!("m-{n}");
         publisher.publish_machine(machine(&name), [].into_iter());
     }
-    let Ok(FollowOutcome::Applied(first)) = exchange(&mut follower, &mut publisher, 0) else {
+    let Ok(FollowOutcome::EntriesApplied(first)) = exchange(&mut follower, &mut publisher, 0)
+    else {
         panic!("entries");
     };
     assert!(first > 100 && first < 1_999, "{first}");
@@ -66,25 +67,25 @@
     let mut follower = follower();
     catch_up(&mut follower, &mut publisher, 0);
     publisher.publish_machine(machine("m-9"), [].into_iter());
-    let answer = publisher.answer(&follower.request(), 0).expect("an answer");
-    assert_eq!(follower.handle_answer(answer.clone(), 0), Ok(FollowOutcome::Applied(1)));
-    assert_eq!(follower.handle_answer(answer.clone(), 0), Ok(FollowOutcome::Applied(0)));
-    // The next answer is lost; the one after it brings what both had.
+    let response = publisher.respond(&follower.request(), 0).expect("a response");
+    assert_eq!(follower.handle_response(response.clone(), 0), Ok(FollowOutcome::EntriesApplied(1)));
+    assert_eq!(follower.handle_response(response.clone(), 0), Ok(FollowOutcome::EntriesApplied(0)));
+    // The next response is lost; the one after it brings what both had.
     publisher.publish_machine(machine("m-8"), [].into_iter());
-    let lost = publisher.answer(&follower.request(), 0).expect("an answer");
+    let lost = publisher.respond(&follower.request(), 0).expect("a response");
     publisher.publish_machine(machine("m-7"), [].into_iter());
-    assert_eq!(exchange(&mut follower, &mut publisher, 0), Ok(FollowOutcome::Applied(2)));
-    // What was lost comes late; and an answer that begins where the follower once was goes beyond it.
-    assert_eq!(follower.handle_answer(lost, 0), Ok(FollowOutcome::Applied(0)));
+    assert_eq!(exchange(&mut follower, &mut publisher, 0), Ok(FollowOutcome::EntriesApplied(2)));
+    // What was lost comes late; and a response that begins where the follower once was goes beyond it.
+    assert_eq!(follower.handle_response(lost, 0), Ok(FollowOutcome::EntriesApplied(0)));
     publisher.remove_machine("m-7");
-    let progress = FollowerProgress::Through(answer.end);
+    let progress = FollowerProgress::Through(response.end);
     let from = FollowRequest { follower: "worker-1".into(), progress };
-    let overlapping = publisher.answer(&from, 0).expect("an answer");
-    assert_eq!(follower.handle_answer(overlapping, 0), Ok(FollowOutcome::Applied(1)));
+    let overlapping = publisher.respond(&from, 0).expect("a response");
+    assert_eq!(follower.handle_response(overlapping, 0), Ok(FollowOutcome::EntriesApplied(1)));
     assert_eq!(follower.state(), publisher.state());
     // Entries that begin beyond the copy: it asks again from where it is.
     let end = publisher.end().index;
-    let beyond = follower.handle_answer(entries(end + 9, end + 8, vec![]), 0);
+    let beyond = follower.handle_response(entries(end + 9, end + 8, vec![]), 0);
     assert!(matches!(beyond, Err(FollowError::Gap { .. })), "{beyond:?}");
     catch_up(&mut follower, &mut publisher, 0);
     assert_eq!((follower.metrics().images, follower.metrics().resyncs), (1, 0));
@@ -100,9 +101,9 @@
     follower.observe_term(2 * TERM);
     // The old leader wakes and goes on publishing.
     old.publish_machine(machine("m-0"), [running("req-000001/5", 77)].into_iter());
-    let late = old.answer(&follower.request(), 10).expect("an answer");
+    let late = old.respond(&follower.request(), 10).expect("a response");
     assert_eq!(
-        follower.handle_answer(late, 10),
+        follower.handle_response(late, 10),
         Err(FollowError::OldTerm { found: TERM, known: 2 * TERM })
     );
     assert_eq!(follower.state().machines["m-0"].stage("req-000001/5", 77), None);
@@ -117,8 +118,8 @@
     catch_up(&mut follower, &mut publisher, 0);
     let mut future = Publisher::new(u64::MAX);
     future.publish_machine(machine("m-8"), [].into_iter());
-    let answer = future.answer(&follower.request(), 0).expect("an answer");
-    let refused = follower.handle_answer(answer, 0);
+    let response = future.respond(&follower.request(), 0).expect("a response");
+    let refused = follower.handle_response(response, 0);
     assert_eq!(refused, Err(FollowError::FutureTerm { found: u64::MAX, known: TERM }));
     publisher.publish_machine(machine("m-9"), [].into_iter());
     catch_up(&mut follower, &mut publisher, 0);
@@ -134,7 +135,7 @@
     let wrong =
         Entry::Machine { name: "m-7".into(), address: "127.0.0.1:1".into(), incarnation: 5 };
     let at = publisher.end().index;
-    follower.handle_answer(entries(at + 1, at, vec![wrong]), 0).expect("nothing tells yet");
+    follower.handle_response(entries(at + 1, at, vec![wrong]), 0).expect("nothing tells yet");
     publisher.publish_machine(machine("m-0"), [].into_iter());
     let mut now = 0;
     let found = loop {
@@ -150,7 +151,7 @@
     };
     assert!(matches!(found, FollowError::Diverged { .. }), "{found:?}");
     assert_eq!(follower.usable(TERM + 1, now), Err(UnusableCopy::Diverged), "never led from");
-    let replaced = exchange(&mut follower, &mut publisher, now).expect("an image of one piece");
+    let replaced = exchange(&mut follower, &mut publisher, now).expect("an image of one chunk");
     let FollowOutcome::ImageApplied { differing } = replaced else { panic!("{replaced:?}") };
     assert!(differing.contains(&"m-7".to_owned()), "{differing:?}");
     catch_up(&mut follower, &mut publisher, now);
@@ -169,11 +170,11 @@
         // More entries than the log's end allows.
         entries(end, end, vec![gone("m-0")]),
     ];
-    for answer in odd {
+    for response in odd {
         let mut follower = follower();
         catch_up(&mut follower, &mut publisher, 0);
-        let refused = follower.handle_answer(answer.clone(), 0);
-        assert!(refused.is_err(), "{answer:?}: {refused:?}");
+        let refused = follower.handle_response(response.clone(), 0);
+        assert!(refused.is_err(), "{response:?}: {refused:?}");
         assert!(follower.usable(TERM + 1, 0).is_err());
         catch_up(&mut follower, &mut publisher, 0);
     }
--- a/crates/replication/tests/images.rs
+++ b/crates/replication/tests/images.rs
@@ -5,8 +5,8 @@
 
 use hookway_constants as constants;
 use hookway_replication::{
-    Entry, FollowAnswer, FollowBody, FollowError, FollowOutcome, FollowerProgress, ImageChunk,
-    ImageError, JobHints, Position, Publisher,
+    Entry, FollowError, FollowOutcome, FollowResponse, FollowResponseBody, FollowerProgress,
+    ImageChunk, ImageError, JobHints, Position, Publisher,
 };
 use support::{TERM, catch_up, exchange, follower, leader, machine, running};
 
@@ -22,13 +22,13 @@
     }
     let before = follower.metrics().images;
     let mut chunks = 0;
-    while exchange(&mut follower, &mut publisher, 100) == Ok(FollowOutcome::ImageChunk) {
+    while exchange(&mut follower, &mut publisher, 100) == Ok(FollowOutcome::ImageChunkStored) {
         chunks += 1;
         // The leader publishes more changes during the transfer.
         let name = format!("late-{chunks}");
         publisher.publish_machine(machine(&name), [].into_iter());
     }
-    assert!(chunks > 3, "{chunks} pieces");
+    assert!(chunks > 3, "{chunks} chunks");
     assert_eq!(follower.metrics().images, before + 1);
     assert!(follower.position() < Some(publisher.end()), "the image is older than the log's end");
     catch_up(&mut follower, &mut publisher, 100);
@@ -38,11 +38,11 @@
 fn image_transfer_behind_log_restarts() {
     let mut publisher = leader(2_000);
     let mut follower = follower();
-    assert_eq!(exchange(&mut follower, &mut publisher, 0), Ok(FollowOutcome::ImageChunk));
+    assert_eq!(exchange(&mut follower, &mut publisher, 0), Ok(FollowOutcome::ImageChunkStored));
     for n in 0..=constants::REPLICATION_LOG_ENTRIES {
         publisher.publish_machine(machine("m-0"), [running("req-000001/7", n as u64)].into_iter());
     }
-    assert_eq!(exchange(&mut follower, &mut publisher, 0), Ok(FollowOutcome::ImageChunk));
+    assert_eq!(exchange(&mut follower, &mut publisher, 0), Ok(FollowOutcome::ImageChunkStored));
     catch_up(&mut follower, &mut publisher, 0);
 }
 
@@ -51,30 +51,30 @@
     let end = Position { term: TERM, index: u64::MAX };
     let mut follower = follower();
     // The image of an empty state, said to be made there.
-    let FollowBody::ImageChunk(chunk) =
-        leader(0).answer(&follower.request(), 0).expect("an answer").body
+    let FollowResponseBody::ImageChunk(chunk) =
+        leader(0).respond(&follower.request(), 0).expect("a response").body
     else {
         panic!("an image");
     };
-    let body = FollowBody::ImageChunk(ImageChunk { position: end, ..chunk });
-    follower.handle_answer(FollowAnswer { end, body }, 0).expect("nothing tells yet");
+    let body = FollowResponseBody::ImageChunk(ImageChunk { position: end, ..chunk });
+    follower.handle_response(FollowResponse { end, body }, 0).expect("nothing tells yet");
     let entries = vec![Entry::Job { id: "req-1".into(), hints: JobHints::default() }];
-    let body = FollowBody::Entries { after: end, entries, digest: None };
-    let refused = follower.handle_answer(FollowAnswer { end, body }, 0);
+    let body = FollowResponseBody::Entries { after: end, entries, digest: None };
+    let refused = follower.handle_response(FollowResponse { end, body }, 0);
     assert!(matches!(refused, Err(FollowError::Inconsistent { .. })), "{refused:?}");
 }
 
 #[test]
-fn duplicated_or_delayed_image_pieces_change_no_state() {
+fn duplicated_or_delayed_image_chunks_change_no_state() {
     let mut publisher = leader(3_000);
     let mut follower = follower();
-    let first = publisher.answer(&follower.request(), 0).expect("an answer");
-    assert_eq!(follower.handle_answer(first.clone(), 0), Ok(FollowOutcome::ImageChunk));
-    assert_eq!(follower.handle_answer(first.clone(), 0), Ok(FollowOutcome::Applied(0)));
+    let first = publisher.respond(&follower.request(), 0).expect("a response");
+    assert_eq!(follower.handle_response(first.clone(), 0), Ok(FollowOutcome::ImageChunkStored));
+    assert_eq!(follower.handle_response(first.clone(), 0), Ok(FollowOutcome::EntriesApplied(0)));
     catch_up(&mut follower, &mut publisher, 0);
     assert_eq!(
-        follower.handle_answer(first, 0),
-        Ok(FollowOutcome::Applied(0)),
+        follower.handle_response(first, 0),
+        Ok(FollowOutcome::EntriesApplied(0)),
         "of the image that it has"
     );
     assert_eq!((follower.metrics().images, follower.metrics().resyncs), (1, 0));
@@ -107,7 +107,7 @@
         (with(&|p| p.bytes.clear()), |e| {
             matches!(e, FollowError::Image(ImageError::ChunkLength(0)))
         }),
-        (with(&|p| p.bytes.resize(constants::REPLICATION_PIECE_BYTES + 1, 0)), |e| {
+        (with(&|p| p.bytes.resize(constants::REPLICATION_CHUNK_BYTES + 1, 0)), |e| {
             matches!(e, FollowError::Image(ImageError::ChunkLength(_)))
         }),
         (with(&|p| p.position.index += 1_000), |e| matches!(e, FollowError::Inconsistent { .. })),
@@ -116,14 +116,14 @@
 }
 
 #[test]
-fn invalid_image_pieces_are_rejected_with_named_error() {
+fn invalid_image_chunks_are_rejected_with_named_error() {
     let mut publisher = leader(2);
-    let answer = publisher.answer(&follower().request(), 0).expect("an answer");
-    let FollowBody::ImageChunk(sound) = answer.body else { panic!("an image") };
+    let response = publisher.respond(&follower().request(), 0).expect("a response");
+    let FollowResponseBody::ImageChunk(sound) = response.body else { panic!("an image") };
     for (chunk, expected) in invalid_chunks(&sound) {
         let mut follower = follower();
-        let odd = FollowAnswer { end: answer.end, body: FollowBody::ImageChunk(chunk) };
-        let refused = follower.handle_answer(odd, 0).expect_err("refused");
+        let odd = FollowResponse { end: response.end, body: FollowResponseBody::ImageChunk(chunk) };
+        let refused = follower.handle_response(odd, 0).expect_err("refused");
         assert!(expected(&refused), "{refused:?}");
         assert!(follower.state().machines.is_empty());
         catch_up(&mut follower, &mut publisher, 0);
@@ -137,8 +137,8 @@
     let digest = xxhash_rust::xxh3::xxh3_64(&bytes);
     let position = Position { term: TERM, index: 0 };
     let chunk = ImageChunk { position, index: 0, image_bytes: 64, image_digest: digest, bytes };
-    let answer = FollowAnswer { end: position, body: FollowBody::ImageChunk(chunk) };
-    let refused = follower().handle_answer(answer, 0);
+    let response = FollowResponse { end: position, body: FollowResponseBody::ImageChunk(chunk) };
+    let refused = follower().handle_response(response, 0);
     assert!(matches!(refused, Err(FollowError::Image(ImageError::Undecodable(_)))), "{refused:?}");
 }
 
@@ -153,7 +153,7 @@
         new.publish_machine(machine(&name), [].into_iter());
     }
     follower.observe_term(2 * TERM);
-    assert_eq!(exchange(&mut follower, &mut new, 10), Ok(FollowOutcome::ImageChunk));
+    assert_eq!(exchange(&mut follower, &mut new, 10), Ok(FollowOutcome::ImageChunkStored));
     // The new leader crashes during its image transfer: the next one has the copy of the leader before.
     let usable = follower.usable(3 * TERM, 20).expect("the older copy");
     assert_eq!(usable.machines.len(), 3);
@@ -161,6 +161,6 @@
     assert_eq!(
         follower.request().progress,
         FollowerProgress::Through(old.end()),
-        "pieces of it are dropped"
+        "chunks of it are dropped"
     );
 }
--- a/crates/replication/tests/support/mod.rs
+++ b/crates/replication/tests/support/mod.rs
@@ -30,14 +30,14 @@
     follower
 }
 
-/// One question and its answer.
+/// One request and its response.
 pub fn exchange(
     follower: &mut Follower,
     publisher: &mut Publisher,
     now: u64,
 ) -> Result<FollowOutcome, FollowError> {
-    let answer = publisher.answer(&follower.request(), now).expect("an answer");
-    follower.handle_answer(answer, now)
+    let response = publisher.respond(&follower.request(), now).expect("a response");
+    follower.handle_response(response, now)
 }
 
 /// Asks until the follower has everything.
