--- a/crates/controller/src/cluster_state/standby_feed.rs
+++ b/crates/controller/src/cluster_state/standby_feed.rs
@@ -7,7 +7,9 @@
 use super::{ClusterState, Job, Machine, TaskPhase};
 use crate::networks::Networks;
 use hookway_constants as constants;
-use hookway_replication::{JobHints, MachineView, Publisher, ReplicatedState, Stage, TaskView};
+use hookway_replication::{
+    MachineView, Publisher, ReplicatedJob, ReplicatedState, Stage, TaskView,
+};
 use hookway_time::whole_millis;
 use hookway_wire::{JobId, TaskState};
 
@@ -88,32 +90,34 @@
     fn publish_jobs(&self, publisher: &mut Publisher) {
         let mut shown = 0;
         for job in self.jobs.values() {
-            if let Some(hints) = self.replicated_hints(job) {
+            if let Some(replicated) = self.replicated_job(job) {
                 shown += 1;
-                publisher.publish_job(job.id.as_str(), hints);
+                publisher.publish_job(job.id.as_str(), replicated);
             }
         }
         publisher.retain_jobs(shown, |id| {
             let job = JobId::parse(id).and_then(|id| self.jobs.by_id(&id));
-            job.is_some_and(|job| self.replicated_hints(job).is_some())
+            job.is_some_and(|job| self.replicated_job(job).is_some())
         });
     }
 
     /// What the next leader should know of a job beside its records, if anything.
-    fn replicated_hints(&self, job: &Job) -> Option<JobHints> {
+    fn replicated_job(&self, job: &Job) -> Option<ReplicatedJob> {
         let attempt =
             job.gang_attempt.filter(|_| job.spec.is_gang() && job.is_active() && !job.broken);
         if attempt.is_none() && job.consecutive_failures == 0 {
             return None;
         }
-        let mut hints = JobHints { attempt, ..JobHints::default() };
+        let mut replicated = ReplicatedJob { gang_attempt: attempt, ..ReplicatedJob::default() };
         if job.consecutive_failures > 0 {
-            hints.errors = job.consecutive_failures;
-            hints.failed_at = self.clocks.elected.wall_at_monotonic(job.last_failure_at);
-            hints.paused_until = self.clocks.elected.wall_at_monotonic(job.backoff_until);
-            hints.failed_on = job.failed_machines.iter().cloned().collect();
+            replicated.consecutive_failures = job.consecutive_failures;
+            replicated.last_failure_unix_ms =
+                self.clocks.elected.wall_at_monotonic(job.last_failure_at);
+            replicated.backoff_until_unix_ms =
+                self.clocks.elected.wall_at_monotonic(job.backoff_until);
+            replicated.failed_machines = job.failed_machines.iter().cloned().collect();
         }
-        Some(hints)
+        Some(replicated)
     }
 
     /// Takes from the replicated state of an earlier leader what helps and can't harm. The records of the
@@ -133,21 +137,25 @@
                 taken.addresses += 1;
             }
         }
-        for (id, hints) in &copy.jobs {
+        for (id, replicated) in &copy.jobs {
             let job = JobId::parse(id).and_then(|id| self.jobs.by_id_mut(&id));
             let Some(job) = job else { continue };
-            if job.spec.is_gang() && hints.attempt.is_some() {
-                job.resumed_attempt = hints.attempt;
+            if job.spec.is_gang() && replicated.gang_attempt.is_some() {
+                job.resumed_attempt = replicated.gang_attempt;
                 taken.gangs += 1;
             }
-            if hints.errors > 0 && job.consecutive_failures == 0 {
+            if replicated.consecutive_failures > 0 && job.consecutive_failures == 0 {
                 let latest = now + whole_millis(constants::FAILURE_BACKOFF_MAX);
-                job.consecutive_failures = hints.errors.min(constants::MAX_RESUMED_FAILURES);
+                job.consecutive_failures =
+                    replicated.consecutive_failures.min(constants::MAX_RESUMED_FAILURES);
                 job.last_failure_at =
-                    self.clocks.elected.monotonic_at_wall(hints.failed_at).min(now);
-                job.backoff_until =
-                    self.clocks.elected.monotonic_at_wall(hints.paused_until).min(latest);
-                let kept = hints.failed_on.iter().take(constants::MAX_FAILED_MACHINES);
+                    self.clocks.elected.monotonic_at_wall(replicated.last_failure_unix_ms).min(now);
+                job.backoff_until = self
+                    .clocks
+                    .elected
+                    .monotonic_at_wall(replicated.backoff_until_unix_ms)
+                    .min(latest);
+                let kept = replicated.failed_machines.iter().take(constants::MAX_FAILED_MACHINES);
                 job.failed_machines = kept.cloned().collect();
                 taken.failing_jobs += 1;
             }
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -18,7 +18,7 @@
 use hookway_policy::Resources;
 use hookway_replication::{
     Entry, FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress, ImageChunk,
-    JobHints, PlacedTask, Position, RangeDigest, Stage,
+    PlacedTask, Position, RangeDigest, ReplicatedJob, Stage,
 };
 use hookway_wire::{
     Command, CommitResponse, DirectCommands, ErrorBody, ExitCause, Heartbeat, HeartbeatRedirect,
@@ -157,12 +157,12 @@
         "ask-follow-pieces",
         &ask(FollowerProgress::ReceivingImage { position: at(300), next_chunk: 2 }),
     );
-    let hints = JobHints {
-        attempt: Some(9),
-        errors: 2,
-        failed_at: 1_000,
-        paused_until: 5_000,
-        failed_on: vec!["m-000231".into()],
+    let job = ReplicatedJob {
+        gang_attempt: Some(9),
+        consecutive_failures: 2,
+        last_failure_unix_ms: 1_000,
+        backoff_until_unix_ms: 5_000,
+        failed_machines: vec!["m-000231".into()],
     };
     let task = PlacedTask { task: "req-000412/3".into(), attempt: 9, stage: Stage::Running };
     let machine = || "m-000231".to_owned();
@@ -171,7 +171,7 @@
         Entry::MachineRemoved { name: machine() },
         Entry::Task { machine: machine(), task },
         Entry::TaskRemoved { machine: machine(), task: "req-000412/3".into(), attempt: 9 },
-        Entry::Job { id: "req-000412".into(), hints },
+        Entry::Job { id: "req-000412".into(), job },
         Entry::JobRemoved { id: "req-000412".into() },
     ];
     let digest = Some(RangeDigest { range: 3, digest: 77 });
--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -15,8 +15,8 @@
 use hookway_controller::standby::{Standby, StandbyMode, StandbySignals};
 use hookway_policy::Resources;
 use hookway_replication::{
-    Entry, FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress, JobHints,
-    MachineView, PlacedTask, Position, Publisher, RangeDigest, ReplicatedState, Stage, TaskView,
+    Entry, FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress, MachineView,
+    PlacedTask, Position, Publisher, RangeDigest, ReplicatedJob, ReplicatedState, Stage, TaskView,
 };
 use hookway_wire::{
     Command, CommitResponse, DurationStatus, ExitCause, FailoverStatus, Heartbeat,
@@ -104,13 +104,16 @@
         machine: "m-000231".into(),
         task: PlacedTask { task: "req-000412/3".into(), attempt: u64::MAX, stage },
     };
-    let hints = JobHints { failed_on: vec!["m-1".into(), "m-2".into()], ..JobHints::default() };
+    let job = ReplicatedJob {
+        failed_machines: vec!["m-1".into(), "m-2".into()],
+        ..ReplicatedJob::default()
+    };
     let entries = vec![
         entry(Stage::Planned),
         entry(Stage::Sent),
         entry(Stage::Accepted),
         entry(Stage::Running),
-        Entry::Job { id: "req-000412".into(), hints },
+        Entry::Job { id: "req-000412".into(), job },
     ];
     let body = FollowResponseBody::Entries { after: at(0), entries, digest: None };
     let answer = FollowResponse { end: at(5), body };
@@ -134,15 +137,18 @@
     publisher.publish_machine(view, tasks.into_iter());
     let view = MachineView { name: "m-000232", address: "10.1.0.233:9000", incarnation: 1 };
     publisher.publish_machine(view, std::iter::empty());
-    let hints = JobHints {
-        attempt: Some(9),
-        errors: 2,
-        failed_at: 1_764_654_219_000,
-        paused_until: 1_764_654_224_000,
-        failed_on: vec!["m-000231".into(), "m-000232".into()],
+    let job = ReplicatedJob {
+        gang_attempt: Some(9),
+        consecutive_failures: 2,
+        last_failure_unix_ms: 1_764_654_219_000,
+        backoff_until_unix_ms: 1_764_654_224_000,
+        failed_machines: vec!["m-000231".into(), "m-000232".into()],
     };
-    publisher.publish_job("req-000412", hints);
-    publisher.publish_job("req-000413", JobHints { errors: 1, ..JobHints::default() });
+    publisher.publish_job("req-000412", job);
+    publisher.publish_job(
+        "req-000413",
+        ReplicatedJob { consecutive_failures: 1, ..ReplicatedJob::default() },
+    );
     publisher
 }
 
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -8,7 +8,7 @@
 use hookway_constants as constants;
 use hookway_controller::cluster_state::{ClusterState, WarmStart, worker_lease_expiry_ms};
 use hookway_controller::networks::Networks;
-use hookway_replication::{Entry, JobHints, PlacedTask, Publisher, ReplicatedState, Stage};
+use hookway_replication::{Entry, PlacedTask, Publisher, ReplicatedJob, ReplicatedState, Stage};
 use hookway_testkit::ScriptedWorker;
 use hookway_time::whole_millis;
 use hookway_wire::{ExitCause, JobId, JobState, ListedMachine, MachineState, TaskState};
@@ -218,9 +218,9 @@
         Entry::Task { machine: ghost(), task },
         Entry::Job {
             id: "req-000009".into(),
-            hints: JobHints { errors: 9, ..JobHints::default() },
+            job: ReplicatedJob { consecutive_failures: 9, ..ReplicatedJob::default() },
         },
-        Entry::Job { id: "no id".into(), hints: JobHints::default() },
+        Entry::Job { id: "no id".into(), job: ReplicatedJob::default() },
     ] {
         copy.apply(entry).expect("it fits");
     }
@@ -278,7 +278,7 @@
     }
     run_rounds(&mut harness, &mut workers);
     let copy = copy_of(&mut harness.cluster);
-    assert!(copy.jobs[id.as_str()].errors > 0);
+    assert!(copy.jobs[id.as_str()].consecutive_failures > 0);
     let before = attempts(&workers).len();
     let taken = fail_over(&mut harness, &copy);
     assert_eq!(taken.failing_jobs, 1);
@@ -295,9 +295,13 @@
     run_rounds(&mut harness, &mut workers);
     harness.submit(job("req-000001", "array", 1));
     harness.commit_pending();
-    let hints = JobHints { errors: u32::MAX, paused_until: u64::MAX, ..JobHints::default() };
+    let job = ReplicatedJob {
+        consecutive_failures: u32::MAX,
+        backoff_until_unix_ms: u64::MAX,
+        ..ReplicatedJob::default()
+    };
     let mut copy = ReplicatedState::default();
-    copy.apply(Entry::Job { id: "req-000001".into(), hints }).expect("it fits");
+    copy.apply(Entry::Job { id: "req-000001".into(), job }).expect("it fits");
     fail_over(&mut harness, &copy);
     run_rounds(&mut harness, &mut workers);
     assert!(workers[0].unfinished_tasks().is_empty(), "it pauses");
--- a/crates/replication/src/digest.rs
+++ b/crates/replication/src/digest.rs
@@ -31,13 +31,13 @@
                 hash.update(&[task.stage as u8]);
             }
         }
-        for (id, hints) in state.jobs.iter().filter(|(id, _)| range_of(id) == range) {
+        for (id, job) in state.jobs.iter().filter(|(id, _)| range_of(id) == range) {
             hash_text(&mut hash, id);
-            hash.update(&hints.attempt.unwrap_or_default().to_le_bytes());
-            hash.update(&hints.errors.to_le_bytes());
-            hash.update(&hints.failed_at.to_le_bytes());
-            hash.update(&hints.paused_until.to_le_bytes());
-            hints.failed_on.iter().for_each(|machine| hash_text(&mut hash, machine));
+            hash.update(&job.gang_attempt.unwrap_or_default().to_le_bytes());
+            hash.update(&job.consecutive_failures.to_le_bytes());
+            hash.update(&job.last_failure_unix_ms.to_le_bytes());
+            hash.update(&job.backoff_until_unix_ms.to_le_bytes());
+            job.failed_machines.iter().for_each(|machine| hash_text(&mut hash, machine));
         }
         Some(Self { range, digest: hash.digest() })
     }
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -1,11 +1,12 @@
 //! Entries of the replication log.
 
-use crate::state::{JobHints, PlacedTask};
+use crate::state::{PlacedTask, ReplicatedJob};
 use serde::{Deserialize, Serialize};
 
 /// A change of the leader's cluster state. Entries are idempotent: each one holds the value after the change.
 ///
-/// The order of the variants and of their fields is a wire format: new ones are added at the end.
+/// The order of the variants and of their fields is a wire format: new variants are added at the end, and existing
+/// ones keep their fields.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
     /// A machine was added, or the address or incarnation of its worker changed.
@@ -43,7 +44,7 @@
         /// Id of the job.
         id: String,
         /// The state after the change.
-        hints: JobHints,
+        job: ReplicatedJob,
     },
     /// A job ended.
     JobRemoved {
--- a/crates/replication/src/image.rs
+++ b/crates/replication/src/image.rs
@@ -38,7 +38,7 @@
 
 /// A chunk of a state image.
 ///
-/// The order of the fields is a wire format: new ones are added at the end.
+/// The fields and their order are a wire format, which never changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ImageChunk {
     /// Position of the log at which the image was made.
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -33,4 +33,4 @@
 pub use position::Position;
 pub use promotion::{Event, Phase, Promotion, Step, TransitionError};
 pub use publisher::{MachineView, Publisher, TaskView};
-pub use state::{ApplyError, JobHints, MachineState, PlacedTask, ReplicatedState, Stage};
+pub use state::{ApplyError, PlacedTask, ReplicatedJob, ReplicatedMachine, ReplicatedState, Stage};
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -8,7 +8,8 @@
 
 /// How much of the leader's state a follower has.
 ///
-/// The order of the variants and of their fields is a wire format: new ones are added at the end.
+/// The order of the variants and of their fields is a wire format: new variants are added at the end, and existing
+/// ones keep their fields.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FollowerProgress {
     /// No valid copy.
@@ -35,7 +36,8 @@
 
 /// The part of the leader's state in a response.
 ///
-/// The order of the variants and of their fields is a wire format: new ones are added at the end.
+/// The order of the variants and of their fields is a wire format: new variants are added at the end, and existing
+/// ones keep their fields.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FollowResponseBody {
     /// The entries after a position, limited by the size of a message.
--- a/crates/replication/src/publisher.rs
+++ b/crates/replication/src/publisher.rs
@@ -6,7 +6,7 @@
 use crate::log::ReplicationLog;
 use crate::message::{FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress};
 use crate::position::Position;
-use crate::state::{JobHints, PlacedTask, ReplicatedState, Stage};
+use crate::state::{PlacedTask, ReplicatedJob, ReplicatedState, Stage};
 use hookway_constants as constants;
 use hookway_time::whole_millis;
 use std::collections::BTreeMap;
@@ -126,9 +126,9 @@
     }
 
     /// Publishes the state of a job that no record holds.
-    pub fn publish_job(&mut self, id: &str, hints: JobHints) {
-        if self.state.jobs.get(id) != Some(&hints) {
-            self.append(Entry::Job { id: id.to_owned(), hints });
+    pub fn publish_job(&mut self, id: &str, job: ReplicatedJob) {
+        if self.state.jobs.get(id) != Some(&job) {
+            self.append(Entry::Job { id: id.to_owned(), job });
         }
     }
 
@@ -269,8 +269,8 @@
         Entry::MachineRemoved { name } => name.len(),
         Entry::Task { machine, task } => machine.len() + task.task.len(),
         Entry::TaskRemoved { machine, task, .. } => machine.len() + task.len(),
-        Entry::Job { id, hints } => {
-            let machines = hints.failed_on.iter().map(|machine| machine.len() + 1);
+        Entry::Job { id, job } => {
+            let machines = job.failed_machines.iter().map(|machine| machine.len() + 1);
             FIXED_BYTES + id.len() + machines.sum::<usize>()
         }
         Entry::JobRemoved { id } => id.len(),
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -36,7 +36,7 @@
 
 /// A machine with the tasks on it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MachineState {
+pub struct ReplicatedMachine {
     /// Address (`host:port`) of its worker.
     pub address: String,
     /// Incarnation of its worker.
@@ -45,7 +45,7 @@
     tasks: Vec<PlacedTask>,
 }
 
-impl MachineState {
+impl ReplicatedMachine {
     /// Tasks on the machine, sorted by task and attempt.
     pub fn tasks(&self) -> &[PlacedTask] {
         &self.tasks
@@ -76,19 +76,22 @@
     }
 }
 
-/// State of a job that no record holds. Times are wall-clock times in ms.
+/// The state of a job that no record holds.
+///
+/// The fields and their order are a wire format, which never changes. Times are Unix time by the leader's wall
+/// clock, since the monotonic clocks of two controllers can't be compared.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JobHints {
+pub struct ReplicatedJob {
     /// Attempt that all tasks of a gang share.
-    pub attempt: Option<u64>,
+    pub gang_attempt: Option<u64>,
     /// Number of consecutive attempts that ended with an error.
-    pub errors: u32,
-    /// Time of the last of these errors.
-    pub failed_at: u64,
-    /// Time before which no task of the job is started.
-    pub paused_until: u64,
+    pub consecutive_failures: u32,
+    /// Time of the last of these errors, in ms.
+    pub last_failure_unix_ms: u64,
+    /// Time before which no task of the job is started, in ms.
+    pub backoff_until_unix_ms: u64,
     /// Names of the machines on which tasks of the job failed last.
-    pub failed_on: Vec<String>,
+    pub failed_machines: Vec<String>,
 }
 
 /// Why an entry cannot be applied: it changes something that the copy does not have.
@@ -114,13 +117,13 @@
 
 /// The replicated part of a leader's cluster state: machines, their tasks, and jobs.
 ///
-/// The order of the fields is a wire format.
+/// The fields and their order are a wire format, which never changes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedState {
     /// Machines by name.
-    pub machines: BTreeMap<String, MachineState>,
+    pub machines: BTreeMap<String, ReplicatedMachine>,
     /// Job states by job id.
-    pub jobs: BTreeMap<String, JobHints>,
+    pub jobs: BTreeMap<String, ReplicatedJob>,
 }
 
 impl ReplicatedState {
@@ -151,8 +154,8 @@
                     return Err(ApplyError::UnknownTask { machine, task, attempt });
                 }
             }
-            Entry::Job { id, hints } => {
-                self.jobs.insert(id, hints);
+            Entry::Job { id, job } => {
+                self.jobs.insert(id, job);
             }
             Entry::JobRemoved { id } => {
                 self.jobs.remove(&id).ok_or(ApplyError::UnknownJob(id))?;
--- a/crates/replication/tests/following.rs
+++ b/crates/replication/tests/following.rs
@@ -6,7 +6,8 @@
 use hookway_constants as constants;
 use hookway_replication::{
     Entry, FollowError, FollowOutcome, FollowRequest, FollowResponse, FollowResponseBody,
-    FollowerProgress, JobHints, MachineView, Position, Publisher, RangeDigest, Stage, UnusableCopy,
+    FollowerProgress, MachineView, Position, Publisher, RangeDigest, ReplicatedJob, Stage,
+    UnusableCopy,
 };
 use hookway_time::whole_millis;
 use support::{TERM, catch_up, exchange, follower, leader, machine, running};
@@ -26,14 +27,17 @@
     publisher.publish_machine(moved, [running("req-000001/0", 9)].into_iter());
     publisher.publish_machine(machine("m-1"), [].into_iter());
     publisher.retain_machines(|name| name != "m-2");
-    publisher.publish_job("req-000001", JobHints { errors: 2, ..JobHints::default() });
-    publisher.publish_job("req-000002", JobHints::default());
+    publisher.publish_job(
+        "req-000001",
+        ReplicatedJob { consecutive_failures: 2, ..ReplicatedJob::default() },
+    );
+    publisher.publish_job("req-000002", ReplicatedJob::default());
     publisher.retain_jobs(1, |id| id == "req-000001");
     catch_up(&mut follower, &mut publisher, 200);
     assert_eq!(follower.metrics().images, 1, "the log was enough");
     assert_eq!(follower.state().machines.len(), 2);
     assert_eq!(follower.state().machines["m-0"].stage("req-000001/0", 9), Some(Stage::Running));
-    assert_eq!(follower.state().jobs["req-000001"].errors, 2);
+    assert_eq!(follower.state().jobs["req-000001"].consecutive_failures, 2);
     // Nothing has changed, so there is nothing to say.
     let end = publisher.end();
     publisher.publish_machine(moved, [running("req-000001/0", 9)].into_iter());
@@ -218,17 +222,26 @@
         machine: "m-0".into(),
         task: hookway_replication::PlacedTask { task: "req-000001/0".into(), attempt: 0, stage },
     };
-    let job = |hints| Entry::Job { id: "req-000001".into(), hints };
+    let job = |job| Entry::Job { id: "req-000001".into(), job };
     assert_ne!(apply(machine("127.0.0.1:1", 1)), before);
     assert_ne!(apply(machine("127.0.0.1:9000", 2)), before);
     assert_ne!(apply(task(Stage::Sent)), before);
     assert_eq!(apply(task(Stage::Running)), before);
-    let plain = apply(job(JobHints::default()));
+    let plain = apply(job(ReplicatedJob::default()));
     assert_ne!(plain, before);
-    assert_ne!(apply(job(JobHints { errors: 1, ..JobHints::default() })), plain);
-    assert_ne!(apply(job(JobHints { attempt: Some(1), ..JobHints::default() })), plain);
     assert_ne!(
-        apply(job(JobHints { failed_on: vec!["m-0".into()], ..JobHints::default() })),
+        apply(job(ReplicatedJob { consecutive_failures: 1, ..ReplicatedJob::default() })),
+        plain
+    );
+    assert_ne!(
+        apply(job(ReplicatedJob { gang_attempt: Some(1), ..ReplicatedJob::default() })),
+        plain
+    );
+    assert_ne!(
+        apply(job(ReplicatedJob {
+            failed_machines: vec!["m-0".into()],
+            ..ReplicatedJob::default()
+        })),
         plain
     );
     assert_eq!(RangeDigest::of(&state, constants::REPLICATION_DIGEST_RANGES), None);
--- a/crates/replication/tests/images.rs
+++ b/crates/replication/tests/images.rs
@@ -6,7 +6,7 @@
 use hookway_constants as constants;
 use hookway_replication::{
     Entry, FollowError, FollowOutcome, FollowResponse, FollowResponseBody, FollowerProgress,
-    ImageChunk, ImageError, JobHints, Position, Publisher,
+    ImageChunk, ImageError, Position, Publisher, ReplicatedJob,
 };
 use support::{TERM, catch_up, exchange, follower, leader, machine, running};
 
@@ -58,7 +58,7 @@
     };
     let body = FollowResponseBody::ImageChunk(ImageChunk { position: end, ..chunk });
     follower.handle_response(FollowResponse { end, body }, 0).expect("nothing tells yet");
-    let entries = vec![Entry::Job { id: "req-1".into(), hints: JobHints::default() }];
+    let entries = vec![Entry::Job { id: "req-1".into(), job: ReplicatedJob::default() }];
     let body = FollowResponseBody::Entries { after: end, entries, digest: None };
     let refused = follower.handle_response(FollowResponse { end, body }, 0);
     assert!(matches!(refused, Err(FollowError::Inconsistent { .. })), "{refused:?}");
