--- a/crates/controller/src/actor/dispatch.rs
+++ b/crates/controller/src/actor/dispatch.rs
@@ -9,7 +9,7 @@
 use crate::leadership::pause;
 use hookway_clients::{CloudClient, CloudError, Delivery, ScaleOutOutcome};
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, whole_millis};
 use hookway_wire::ScaleOutRequest;
 
 /// Delay before a failed request to the cloud is retried, ms.
@@ -49,7 +49,7 @@
         }
         let starts = cluster.take_direct_starts(now);
         if !starts.is_empty() {
-            self.config.standby.start_dispatched(now);
+            self.config.standby.start_dispatched(MonotonicTime::from_millis(now));
         }
         for (machine, address, commands) in starts {
             let (workers, authority) = (self.config.workers.clone(), tasks.authority.clone());
--- a/crates/controller/src/actor/events.rs
+++ b/crates/controller/src/actor/events.rs
@@ -4,6 +4,7 @@
 use super::messages::{ClusterEvent, ControllerEvent};
 use super::term::ActiveTerm;
 use crate::cluster_state::{ClusterState, LoadedState, Timestamp};
+use hookway_time::MonotonicTime;
 
 impl ControllerActor {
     pub(super) fn handle_event(&mut self, active: &mut ActiveTerm, event: ControllerEvent) {
@@ -69,7 +70,7 @@
         at: Timestamp,
     ) {
         let term = active.term();
-        if !self.config.standby.records_read(term, at.monotonic) {
+        if !self.config.standby.records_read(term, MonotonicTime::from_millis(at.monotonic)) {
             return;
         }
         let machine_types = self.config.machine_types.borrow().as_ref().map(|types| types.to_vec());
@@ -90,7 +91,7 @@
     /// Completes the cluster state from this controller's copy of the previous leader's.
     fn warm_start(&self, cluster: &mut ClusterState, now: u64) {
         let term = cluster.term();
-        match self.config.standby.copy(term, now) {
+        match self.config.standby.copy(term, MonotonicTime::from_millis(now)) {
             Ok(copy) => {
                 let networks = &self.config.cluster.operator.replication.worker_networks;
                 let recovered = cluster.warm_start(copy, networks, now);
--- a/crates/controller/src/actor/mod.rs
+++ b/crates/controller/src/actor/mod.rs
@@ -25,6 +25,7 @@
 use crate::standby::Standby;
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
 use hookway_constants as constants;
+use hookway_time::MonotonicTime;
 use hookway_wire::MachineType;
 use std::sync::Arc;
 use term::ActiveTerm;
@@ -82,7 +83,9 @@
     pub async fn run(mut self) {
         loop {
             let view = self.config.view.borrow_and_update().clone();
-            self.config.standby.view_changed(&view, self.config.clock.now());
+            self.config
+                .standby
+                .view_changed(&view, MonotonicTime::from_millis(self.config.clock.now()));
             match view.own_term {
                 Some(leader_term) => self.lead(leader_term).await,
                 None => {
@@ -100,14 +103,18 @@
 
     /// Leads until the term ends; gives the leadership back if a later term is known already.
     async fn lead(&mut self, leader_term: LeaderTerm) {
-        if !self.config.standby.elected(leader_term.term, self.config.clock.now()) {
+        if !self
+            .config
+            .standby
+            .elected(leader_term.term, MonotonicTime::from_millis(self.config.clock.now()))
+        {
             self.config.leadership_lost.notify_one();
             // Until the election actor has released the leadership.
             let _ = self.config.view.changed().await;
             return;
         }
         self.lead_term(leader_term).await;
-        self.config.standby.deposed(self.config.clock.now());
+        self.config.standby.deposed(MonotonicTime::from_millis(self.config.clock.now()));
     }
 
     /// The loop of a leader. Returns when the term has ended or a channel is closed.
--- a/crates/controller/src/actor/requests.rs
+++ b/crates/controller/src/actor/requests.rs
@@ -5,6 +5,7 @@
 use super::term::ActiveTerm;
 use crate::cluster_state::{CancelOutcome, Timestamp};
 use crate::leadership::wall_clock_ms;
+use hookway_time::MonotonicTime;
 use hookway_wire::{Command, Heartbeat, HeartbeatResponse, ReplicationStatus};
 
 impl ControllerActor {
@@ -29,9 +30,12 @@
             }
             ControllerRequest::Follow { reply, .. } => drop(reply.send(None)),
             ControllerRequest::PrepareFollow(reply) => {
-                let _ = reply.send(self.config.standby.next_request(now));
+                let _ =
+                    reply.send(self.config.standby.next_request(MonotonicTime::from_millis(now)));
+            }
+            ControllerRequest::Followed(answer) => {
+                self.config.standby.handle_response(answer, MonotonicTime::from_millis(now))
             }
-            ControllerRequest::Followed(answer) => self.config.standby.handle_response(answer, now),
             ControllerRequest::ReplicationStatus(reply) => self.replication_status(reply, now),
         }
     }
@@ -48,7 +52,7 @@
                 let valid_until = self.config.clock.instant_at(active.tasks.authority.expires_at());
                 let response = cluster.handle_heartbeat(&heartbeat, now);
                 if response.as_ref().is_some_and(starts_a_task) {
-                    self.config.standby.start_dispatched(now);
+                    self.config.standby.start_dispatched(MonotonicTime::from_millis(now));
                 }
                 let _ = reply.send(response.map_or(HeartbeatReply::Unavailable, |response| {
                     HeartbeatReply::Respond { response, valid_until }
@@ -132,7 +136,7 @@
     }
 
     fn replication_status(&self, reply: Reply<ReplicationStatus>, now: u64) {
-        let _ = reply.send(Some(self.config.standby.status(now)));
+        let _ = reply.send(Some(self.config.standby.status(MonotonicTime::from_millis(now))));
     }
 }
 
--- a/crates/controller/src/actor/term.rs
+++ b/crates/controller/src/actor/term.rs
@@ -8,7 +8,7 @@
 use crate::records::FinalRecord;
 use hookway_constants as constants;
 use hookway_replication::{FollowRequest, FollowResponse, Publisher};
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, whole_millis};
 use hookway_wire::JobId;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -170,7 +170,7 @@
                 cluster.publish(&mut self.publisher);
             }
         }
-        let answer = self.publisher.respond(request, now);
+        let answer = self.publisher.respond(request, MonotonicTime::from_millis(now));
         if let Err(error) = &answer {
             tracing::error!(standby = request.follower, %error, "answering a standby failed");
         }
--- a/crates/controller/src/standby.rs
+++ b/crates/controller/src/standby.rs
@@ -1,13 +1,12 @@
 //! A controller as a warm standby: its copy of the leader's cluster state, the detection of a silent
 //! leader, and the steps of a failover to this controller. Owned by the controller actor.
-//!
-//! Times are milliseconds on the monotonic clock of this controller.
 
 use crate::leadership::LeadershipView;
 use hookway_replication::{
     DurationHistogram, Event, FailureDetector, FollowOutcome, FollowRequest, FollowResponse,
     Follower, Phase, Promotion, ReplicatedState, Step, UnusableCopy,
 };
+use hookway_time::{MonotonicTime, whole_millis};
 use hookway_wire::{DurationStatus, FailoverStatus, ReplicationStatus};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -66,7 +65,7 @@
     }
 
     /// Handles a change of the leadership.
-    pub fn view_changed(&mut self, view: &LeadershipView, now: u64) {
+    pub fn view_changed(&mut self, view: &LeadershipView, now: MonotonicTime) {
         if view.own_term.is_some() {
             return;
         }
@@ -87,7 +86,7 @@
 
     /// The next request to the leader; `None` if this controller does not follow. Also checks
     /// whether the leader is suspected to have failed.
-    pub fn next_request(&mut self, now: u64) -> Option<FollowRequest> {
+    pub fn next_request(&mut self, now: MonotonicTime) -> Option<FollowRequest> {
         if self.mode == StandbyMode::Cold {
             return None;
         }
@@ -99,7 +98,7 @@
     }
 
     /// Handles the leader's response to a request.
-    pub fn handle_response(&mut self, response: FollowResponse, now: u64) {
+    pub fn handle_response(&mut self, response: FollowResponse, now: MonotonicTime) {
         match self.follower.handle_response(response, now) {
             Ok(progress) => {
                 self.detector.record_message(now);
@@ -125,13 +124,13 @@
 
     /// The state service has recorded this controller as the leader of `term`. Returns `false` if it
     /// must not lead, because a later term is known.
-    pub fn elected(&mut self, term: u64, now: u64) -> bool {
+    pub fn elected(&mut self, term: u64, now: MonotonicTime) -> bool {
         self.advance(Event::Elected { term }, now) == Some(Step::ReadRecords)
     }
 
     /// The records have been read, by a read that began in `term`. Returns `false` if the term has
     /// ended since.
-    pub fn records_read(&mut self, term: u64, now: u64) -> bool {
+    pub fn records_read(&mut self, term: u64, now: MonotonicTime) -> bool {
         self.advance(Event::RecordsRead { term }, now) == Some(Step::Lead)
     }
 
@@ -141,7 +140,7 @@
     }
 
     /// A command that starts a task was dispatched. The first one of a term ends the failover.
-    pub fn start_dispatched(&mut self, now: u64) {
+    pub fn start_dispatched(&mut self, now: MonotonicTime) {
         let completed_before = self.promotion.metrics().whole.count();
         self.handle(Event::Dispatched, now);
         let times = self.promotion.metrics();
@@ -152,14 +151,14 @@
     }
 
     /// This controller does not lead any more.
-    pub fn deposed(&mut self, now: u64) {
+    pub fn deposed(&mut self, now: MonotonicTime) {
         self.handle(Event::Deposed, now);
         self.detector.reset();
         self.followed_leader = None;
     }
 
     /// The copy of an earlier leader's cluster state, for the leader of `term`.
-    pub fn copy(&self, term: u64, now: u64) -> Result<&ReplicatedState, UnusableCopy> {
+    pub fn copy(&self, term: u64, now: MonotonicTime) -> Result<&ReplicatedState, UnusableCopy> {
         if self.mode == StandbyMode::Cold {
             return Err(UnusableCopy::Empty);
         }
@@ -167,12 +166,12 @@
     }
 
     /// The copy, for the leader of any later term.
-    fn usable_copy(&self, now: u64) -> Result<&ReplicatedState, UnusableCopy> {
+    fn usable_copy(&self, now: MonotonicTime) -> Result<&ReplicatedState, UnusableCopy> {
         self.copy(u64::MAX, now)
     }
 
     /// Advances the failover, and notifies the election actor if the leader is suspected.
-    fn handle(&mut self, event: Event, now: u64) {
+    fn handle(&mut self, event: Event, now: MonotonicTime) {
         if self.advance(event, now) == Some(Step::ReadLeader) {
             tracing::info!("leader suspected, reading the leader key");
             self.signals.leader_suspected.notify_one();
@@ -180,7 +179,7 @@
     }
 
     /// Advances the failover; `None` if the event is invalid in its present step.
-    fn advance(&mut self, event: Event, now: u64) -> Option<Step> {
+    fn advance(&mut self, event: Event, now: MonotonicTime) -> Option<Step> {
         match self.promotion.handle(event, now) {
             Ok(step) => Some(step),
             Err(error) => {
@@ -191,7 +190,7 @@
     }
 
     /// The state of replication, for operators.
-    pub fn status(&self, now: u64) -> ReplicationStatus {
+    pub fn status(&self, now: MonotonicTime) -> ReplicationStatus {
         let metrics = self.follower.metrics();
         let times = self.promotion.metrics();
         let position = self.follower.position();
@@ -206,7 +205,7 @@
             machines: state.machines.len(),
             tasks: state.task_count(),
             lag_entries: metrics.lag_entries,
-            lag_ms: metrics.lag_ms(now),
+            lag_ms: whole_millis(metrics.current_lag(now)),
             lag: duration_status(&metrics.lag),
             images: metrics.images,
             resyncs: metrics.resyncs,
@@ -234,8 +233,8 @@
 fn duration_status(times: &DurationHistogram) -> DurationStatus {
     DurationStatus {
         count: times.count(),
-        p50_ms: times.quantile(0.5),
-        p99_ms: times.quantile(0.99),
-        longest_ms: times.quantile(1.0),
+        p50_ms: whole_millis(times.quantile(0.5)),
+        p99_ms: whole_millis(times.quantile(0.99)),
+        longest_ms: whole_millis(times.quantile(1.0)),
     }
 }
--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -18,6 +18,7 @@
     Entry, FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress, MachineView,
     PlacedTask, Position, Publisher, RangeDigest, ReplicatedJob, ReplicatedState, Stage, TaskView,
 };
+use hookway_time::MonotonicTime;
 use hookway_wire::{
     Command, CommitResponse, DurationStatus, ExitCause, FailoverStatus, Heartbeat,
     HeartbeatResponse, JobKind, JobSpec, JobState, JobStatus, KeyPage, KeyValue, ListedMachine,
@@ -156,7 +157,7 @@
 fn state_image_matches_pinned_bytes_and_digest() {
     let mut publisher = publisher_with_cluster_state();
     let request = FollowRequest { follower: "worker-1".into(), progress: FollowerProgress::Empty };
-    let answer = publisher.respond(&request, 0).expect("an image");
+    let answer = publisher.respond(&request, MonotonicTime::ZERO).expect("an image");
     frame("pinned-answer-image", &PeerResponse::Followed(Some(answer)));
     frame("pinned-image-state", publisher.state());
     frame("pinned-image-empty-state", &ReplicatedState::default());
@@ -397,22 +398,23 @@
         let status = standby.status(now);
         (status.phase, status.copy)
     };
+    let at = MonotonicTime::from_millis;
     let words = |phase: &str, copy: &str| (phase.to_owned(), copy.to_owned());
-    assert_eq!(said(&standby, 0), words("following", "no copy"));
+    assert_eq!(said(&standby, at(0)), words("following", "no copy"));
     let (leader, leader_term) = (Some("worker-1".to_owned()), Some(4_097));
-    standby.view_changed(&LeadershipView { leader, leader_term, own_term: None }, 0);
+    standby.view_changed(&LeadershipView { leader, leader_term, own_term: None }, at(0));
     let mut publisher = publisher_with_cluster_state();
-    for now in (0..10_000).step_by(200) {
+    for now in (0..10_000).step_by(200).map(at) {
         let request = standby.next_request(now).expect("it follows");
         standby.handle_response(publisher.respond(&request, now).expect("an answer"), now);
     }
-    assert_eq!(said(&standby, 10_000), words("following", "usable"));
-    standby.next_request(20_000);
-    assert_eq!(standby.status(20_000).phase, "suspecting");
-    standby.view_changed(&LeadershipView::default(), 20_000);
-    assert_eq!(standby.status(20_000).phase, "fencing");
-    assert!(standby.elected(8_193, 20_000));
-    assert_eq!(standby.status(20_000).phase, "catching up");
-    assert!(standby.records_read(8_193, 20_000));
-    assert_eq!(standby.status(20_000).phase, "active");
+    assert_eq!(said(&standby, at(10_000)), words("following", "usable"));
+    standby.next_request(at(20_000));
+    assert_eq!(standby.status(at(20_000)).phase, "suspecting");
+    standby.view_changed(&LeadershipView::default(), at(20_000));
+    assert_eq!(standby.status(at(20_000)).phase, "fencing");
+    assert!(standby.elected(8_193, at(20_000)));
+    assert_eq!(standby.status(at(20_000)).phase, "catching up");
+    assert!(standby.records_read(8_193, at(20_000)));
+    assert_eq!(standby.status(at(20_000)).phase, "active");
 }
--- a/crates/controller/tests/simulation/standbys.rs
+++ b/crates/controller/tests/simulation/standbys.rs
@@ -5,7 +5,7 @@
 use hookway_constants as constants;
 use hookway_controller::networks::Networks;
 use hookway_replication::{FollowRequest, FollowResponse, Publisher};
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, whole_millis};
 use rand::RngExt;
 
 /// Interval at which a leader's published entries are compared with its cluster state, ms.
@@ -38,7 +38,8 @@
         }
         let Some(leader) = &mut self.controllers[n].leader else { return };
         leader.cluster.publish(&mut leader.publisher);
-        let answer = leader.publisher.respond(ask, now).expect("a small state");
+        let answer =
+            leader.publisher.respond(ask, MonotonicTime::from_millis(now)).expect("a small state");
         self.send(|| Message::Followed(from, n, nonce, answer.clone()));
     }
 
@@ -59,7 +60,8 @@
         if !observed || controller.leader.is_some() {
             return;
         }
-        let refused = controller.follower.handle_response(answer, now).is_err();
+        let refused =
+            controller.follower.handle_response(answer, MonotonicTime::from_millis(now)).is_err();
         self.counts.refused_answers += usize::from(refused);
     }
 
@@ -74,14 +76,21 @@
 
     /// Mean number of steps until a controller campaigns when nobody leads: fewer with a usable copy.
     pub(super) fn election_steps(&self, n: usize) -> u32 {
-        let warm = self.controllers[n].follower.usable(u64::MAX, self.now).is_ok();
+        let warm = self.controllers[n]
+            .follower
+            .usable(u64::MAX, MonotonicTime::from_millis(self.now))
+            .is_ok();
         if warm { 2 } else { 8 }
     }
 
     /// A new leader takes what its copy has.
     pub(super) fn warm_start(&mut self, n: usize, leader: &mut Leader) {
         let controller = &self.controllers[n];
-        let Ok(copy) = controller.follower.usable(leader.term, self.now) else { return };
+        let Ok(copy) =
+            controller.follower.usable(leader.term, MonotonicTime::from_millis(self.now))
+        else {
+            return;
+        };
         self.counts.warm_starts += 1;
         leader.cluster.warm_start(copy, &Networks::default(), self.now);
     }
--- a/crates/replication/examples/embedded.rs
+++ b/crates/replication/examples/embedded.rs
@@ -6,6 +6,8 @@
 use hookway_replication::{
     Event, FailureDetector, Follower, MachineView, Promotion, Publisher, Stage, Step, TaskView,
 };
+use hookway_time::MonotonicTime;
+use std::time::Duration;
 
 const OLD_TERM: u64 = 1;
 const NEW_TERM: u64 = 2;
@@ -18,9 +20,9 @@
     let mut detector = FailureDetector::default();
     let mut promotion = Promotion::default();
 
-    let mut now = 0;
+    let mut now = MonotonicTime::ZERO;
     for round in 0..20_u64 {
-        now += 200;
+        now += Duration::from_millis(200);
         let task = format!("render/{round}");
         let machine = MachineView { name: "box-1", address: "127.0.0.1:9000", incarnation: 1 };
         let tasks = [TaskView { task: &task, attempt: round, stage: Stage::Running }];
@@ -32,21 +34,29 @@
         detector.record_message(now);
         promotion.handle(Event::LeaderResponded, now)?;
     }
-    println!("at {now} ms the copy has {} tasks", follower.state().task_count());
+    println!("at {} ms the copy has {} tasks", now.as_millis(), follower.state().task_count());
 
     while !detector.suspects(now) {
-        now += 100;
+        now += Duration::from_millis(100);
     }
     assert_eq!(promotion.handle(Event::LeaderSilent, now)?, Step::ReadLeader);
-    println!("at {now} ms the leader is suspected, so the leadership record has to be read");
+    println!(
+        "at {} ms the leader is suspected, so the leadership record has to be read",
+        now.as_millis()
+    );
 
-    now += 3_000;
+    now += Duration::from_millis(3_000);
     promotion.handle(Event::LeaseExpired, now)?;
-    assert_eq!(promotion.handle(Event::Elected { term: NEW_TERM }, now + 20)?, Step::ReadRecords);
+    now += Duration::from_millis(20);
+    assert_eq!(promotion.handle(Event::Elected { term: NEW_TERM }, now)?, Step::ReadRecords);
     assert!(!promotion.may_dispatch(NEW_TERM), "the records have not been read yet");
-    assert_eq!(promotion.handle(Event::RecordsRead { term: NEW_TERM }, now + 40)?, Step::Lead);
-    let copy = follower.usable(NEW_TERM, now + 40)?;
-    println!("at {} ms the standby is the leader of term {NEW_TERM}; its copy names:", now + 40);
+    now += Duration::from_millis(20);
+    assert_eq!(promotion.handle(Event::RecordsRead { term: NEW_TERM }, now)?, Step::Lead);
+    let copy = follower.usable(NEW_TERM, now)?;
+    println!(
+        "at {} ms the standby is the leader of term {NEW_TERM}; its copy names:",
+        now.as_millis()
+    );
     for (name, machine) in &copy.machines {
         println!("  {name} at {}: {:?}", machine.address, machine.tasks());
     }
--- a/crates/replication/src/detector.rs
+++ b/crates/replication/src/detector.rs
@@ -1,28 +1,33 @@
 //! Failure detection by the measured intervals between the leader's messages.
 
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, millis_f64};
 use std::collections::VecDeque;
+use std::time::Duration;
 
 /// Suspects a leader that is silent for much longer than the usual interval between its messages. A suspicion is
-/// no proof of failure: a paused or partitioned leader is silent as well. All times are in ms on the caller's
-/// monotonic clock.
+/// no proof of failure: a paused or partitioned leader is silent as well.
 #[derive(Debug, Default)]
 pub struct FailureDetector {
-    intervals_ms: VecDeque<u64>,
-    last_message_ms: Option<u64>,
+    /// The newest intervals between two messages; the oldest comes first.
+    intervals: VecDeque<Duration>,
+    last_message_at: Option<MonotonicTime>,
 }
 
 impl FailureDetector {
-    /// Records a message of the leader at `now_ms`.
-    pub fn record_message(&mut self, now_ms: u64) {
-        if let Some(last) = self.last_message_ms {
-            if self.intervals_ms.len() >= constants::DETECTOR_WINDOW {
-                self.intervals_ms.pop_front();
-            }
-            self.intervals_ms.push_back(now_ms.saturating_sub(last));
+    /// Records a message of the leader at `now`.
+    pub fn record_message(&mut self, now: MonotonicTime) {
+        if let Some(last) = self.last_message_at {
+            self.record_interval(now.saturating_duration_since(last));
         }
-        self.last_message_ms = Some(now_ms);
+        self.last_message_at = Some(now);
+    }
+
+    fn record_interval(&mut self, interval: Duration) {
+        if self.intervals.len() >= constants::DETECTOR_WINDOW {
+            self.intervals.pop_front();
+        }
+        self.intervals.push_back(interval);
     }
 
     /// Discards all measurements, because the leader has changed.
@@ -30,29 +35,29 @@
         *self = Self::default();
     }
 
-    /// Time of the last message, in ms; `None` before the first.
-    pub fn last_message_ms(&self) -> Option<u64> {
-        self.last_message_ms
+    /// Time of the last message; `None` before the first.
+    pub fn last_message_at(&self) -> Option<MonotonicTime> {
+        self.last_message_at
     }
 
-    /// Longest silence without suspicion, in ms: the mean of the intervals plus several standard deviations.
-    /// `None` until enough intervals have been measured.
-    pub fn silence_limit_ms(&self) -> Option<u64> {
-        if self.intervals_ms.len() < constants::DETECTOR_MIN_SAMPLES {
+    /// Longest silence without suspicion: the mean of the intervals plus several standard deviations. `None` until
+    /// enough intervals have been measured.
+    pub fn silence_limit(&self) -> Option<Duration> {
+        if self.intervals.len() < constants::DETECTOR_MIN_SAMPLES {
             return None;
         }
-        let count = self.intervals_ms.len() as f64;
-        let mean = self.intervals_ms.iter().sum::<u64>() as f64 / count;
-        let squared_deviations =
-            self.intervals_ms.iter().map(|interval| (*interval as f64 - mean).powi(2)).sum::<f64>();
-        let deviation = (squared_deviations / count).sqrt();
-        let limit = mean + constants::DETECTOR_DEVIATIONS * deviation;
-        Some((limit as u64).max(whole_millis(constants::DETECTOR_MIN_SILENCE)))
+        let count = self.intervals.len() as f64;
+        let mean_ms = millis_f64(self.intervals.iter().sum()) / count;
+        let squared_deviations: f64 =
+            self.intervals.iter().map(|interval| (millis_f64(*interval) - mean_ms).powi(2)).sum();
+        let deviation_ms = (squared_deviations / count).sqrt();
+        let limit_ms = mean_ms + constants::DETECTOR_DEVIATIONS * deviation_ms;
+        Some(Duration::from_millis(limit_ms as u64).max(constants::DETECTOR_MIN_SILENCE))
     }
 
-    /// Whether the leader is suspected at `now_ms`.
-    pub fn suspects(&self, now_ms: u64) -> bool {
-        let silence_ms = self.last_message_ms.map(|last| now_ms.saturating_sub(last));
-        silence_ms.zip(self.silence_limit_ms()).is_some_and(|(silence, limit)| silence > limit)
+    /// Whether the leader is suspected at `now`.
+    pub fn suspects(&self, now: MonotonicTime) -> bool {
+        let silence = self.last_message_at.map(|last| now.saturating_duration_since(last));
+        silence.zip(self.silence_limit()).is_some_and(|(silence, limit)| silence > limit)
     }
 }
--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -8,7 +8,8 @@
 use crate::position::Position;
 use crate::state::{ApplyError, ReplicatedState};
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, whole_millis};
+use std::time::Duration;
 
 /// Why a response was rejected. A response of another term, or one that does not continue the copy, is ignored;
 /// after any other error the copy is not trusted any more, and the follower requests an image.
@@ -100,12 +101,12 @@
     /// The copy differs from the leader's state.
     #[error("the copy has diverged")]
     Diverged,
-    /// The leader's last response is too old: its age in ms.
-    #[error("the copy is {0} ms old")]
-    Stale(u64),
+    /// The leader's last response is too old: its age.
+    #[error("the copy is {} ms old", whole_millis(*.0))]
+    Stale(Duration),
 }
 
-/// A standby's copy of the leader's cluster state. Times are in ms on the caller's monotonic clock.
+/// A standby's copy of the leader's cluster state.
 #[derive(Debug)]
 pub struct Follower {
     name: String,
@@ -117,7 +118,7 @@
     /// The copy is known to be wrong. It is kept to name the differences once an image has been received.
     diverged: bool,
     /// Time of the leader's last response.
-    last_response_ms: Option<u64>,
+    last_response_at: Option<MonotonicTime>,
     metrics: FollowerMetrics,
 }
 
@@ -131,7 +132,7 @@
             assembly: None,
             term: 0,
             diverged: false,
-            last_response_ms: None,
+            last_response_at: None,
             metrics: FollowerMetrics::default(),
         }
     }
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Applies the leader's response at `now_ms`.
+    /// Applies the leader's response at `now`.
     ///
     /// # Errors
     ///
@@ -166,7 +167,7 @@
     pub fn handle_response(
         &mut self,
         response: FollowResponse,
-        now_ms: u64,
+        now: MonotonicTime,
     ) -> Result<FollowOutcome, FollowError> {
         let end = response.end;
         let (found, known) = (end.term, self.term);
@@ -176,7 +177,7 @@
         if found > known {
             return Err(FollowError::FutureTerm { found, known });
         }
-        self.last_response_ms = Some(now_ms);
+        self.last_response_at = Some(now);
         let outcome = match response.body {
             FollowResponseBody::Entries { after, entries, digest } => {
                 self.apply_entries(end, after, entries, digest)
@@ -184,7 +185,7 @@
             FollowResponseBody::ImageChunk(chunk) => self.add_image_chunk(end, chunk),
         };
         match &outcome {
-            Ok(_) => self.metrics.record_lag(self.lag_entries(end), now_ms),
+            Ok(_) => self.metrics.record_lag(self.lag_entries(end), now),
             Err(error) if error.keeps_copy() => {}
             Err(_) => {
                 self.metrics.resyncs += 1;
@@ -306,7 +307,7 @@
     /// # Errors
     ///
     /// An [`UnusableCopy`] that says why the copy cannot be used.
-    pub fn usable(&self, term: u64, now_ms: u64) -> Result<&ReplicatedState, UnusableCopy> {
+    pub fn usable(&self, term: u64, now: MonotonicTime) -> Result<&ReplicatedState, UnusableCopy> {
         let position = self.position.ok_or(UnusableCopy::Empty)?;
         if self.diverged {
             return Err(UnusableCopy::Diverged);
@@ -314,9 +315,10 @@
         if position.term >= term {
             return Err(UnusableCopy::NotEarlier(position.term));
         }
-        let age_ms = self.last_response_ms.map_or(u64::MAX, |at| now_ms.saturating_sub(at));
-        if age_ms > whole_millis(constants::REPLICATION_STALE) {
-            return Err(UnusableCopy::Stale(age_ms));
+        let age =
+            self.last_response_at.map_or(Duration::MAX, |at| now.saturating_duration_since(at));
+        if age > constants::REPLICATION_STALE {
+            return Err(UnusableCopy::Stale(age));
         }
         Ok(&self.state)
     }
--- a/crates/replication/src/image.rs
+++ b/crates/replication/src/image.rs
@@ -4,6 +4,7 @@
 use crate::position::Position;
 use crate::state::ReplicatedState;
 use hookway_constants as constants;
+use hookway_time::MonotonicTime;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -57,8 +58,8 @@
 #[derive(Debug)]
 pub(crate) struct Image {
     pub position: Position,
-    /// When the image was made, in ms on the caller's clock.
-    pub made_at_ms: u64,
+    /// When the image was made.
+    pub made_at: MonotonicTime,
     digest: u64,
     bytes: Vec<u8>,
 }
@@ -72,14 +73,14 @@
     pub fn new(
         state: &ReplicatedState,
         position: Position,
-        now_ms: u64,
+        now: MonotonicTime,
     ) -> Result<Self, ImageError> {
         let bytes = bincode::serde::encode_to_vec(state, codec())
             .map_err(|error| ImageError::Undecodable(error.to_string()))?;
         if bytes.len() > constants::REPLICATION_IMAGE_LIMIT {
             return Err(ImageError::TooLarge(bytes.len() as u64));
         }
-        Ok(Self { position, made_at_ms: now_ms, digest: xxh3_64(&bytes), bytes })
+        Ok(Self { position, made_at: now, digest: xxh3_64(&bytes), bytes })
     }
 
     /// Returns a chunk; `None` after the last one.
--- a/crates/replication/src/promotion.rs
+++ b/crates/replication/src/promotion.rs
@@ -1,8 +1,8 @@
 //! The state machine of a failover. Each transition needs its proof, and no phase can be skipped.
 
-use crate::metrics::FailoverMetrics;
+use crate::metrics::{CompletedFailover, FailoverMetrics};
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::MonotonicTime;
 
 /// Phase of a controller between standby and leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -79,31 +79,34 @@
     Stop,
 }
 
-/// The state machine of a failover. All times are in ms on the caller's monotonic clock.
+/// The state machine of a failover.
 #[derive(Debug)]
 pub struct Promotion {
     phase: Phase,
     /// Latest term that this controller was elected for or has observed.
     term: u64,
-    /// Time of the leader's last response.
-    leader_responded_at_ms: Option<u64>,
-    suspected_at_ms: Option<u64>,
-    lease_expired_at_ms: Option<u64>,
-    elected_at_ms: Option<u64>,
-    records_read_at_ms: Option<u64>,
+    times: FailoverTimes,
     metrics: FailoverMetrics,
 }
 
+/// Times of the failover in progress, for its metrics.
+#[derive(Debug, Default)]
+struct FailoverTimes {
+    /// Time of the leader's last response.
+    leader_responded_at: Option<MonotonicTime>,
+    /// When the suspicion last led to a read of the leadership record.
+    suspected_at: Option<MonotonicTime>,
+    lease_expired_at: Option<MonotonicTime>,
+    elected_at: Option<MonotonicTime>,
+    records_read_at: Option<MonotonicTime>,
+}
+
 impl Default for Promotion {
     fn default() -> Self {
         Self {
             phase: Phase::Following,
             term: 0,
-            leader_responded_at_ms: None,
-            suspected_at_ms: None,
-            lease_expired_at_ms: None,
-            elected_at_ms: None,
-            records_read_at_ms: None,
+            times: FailoverTimes::default(),
             metrics: FailoverMetrics::default(),
         }
     }
@@ -130,104 +133,118 @@
         self.term = self.term.max(term);
     }
 
-    /// Handles an event at `now_ms`, and returns what the caller has to do.
+    /// Handles an event at `now`, and returns what the caller has to do. Events that mean nothing in the current
+    /// phase are ignored.
     ///
     /// # Errors
     ///
     /// A [`TransitionError`] if the event is of a wrong term.
-    pub fn handle(&mut self, event: Event, now_ms: u64) -> Result<Step, TransitionError> {
-        match event {
-            Event::LeaderResponded => {
-                self.leader_responded_at_ms = Some(now_ms);
-                if self.phase == Phase::Suspecting {
-                    self.return_to_following();
-                }
-                Ok(Step::NoAction)
-            }
-            Event::LeaderSilent if self.phase == Phase::Following => {
-                self.phase = Phase::Suspecting;
-                self.suspected_at_ms = Some(now_ms);
-                Ok(Step::ReadLeader)
-            }
-            Event::LeaderSilent
-                if self.phase == Phase::Suspecting && self.may_read_leader_again(now_ms) =>
-            {
-                self.suspected_at_ms = Some(now_ms);
-                Ok(Step::ReadLeader)
-            }
-            Event::LeaseExpired if matches!(self.phase, Phase::Following | Phase::Suspecting) => {
-                self.phase = Phase::Fencing;
-                self.lease_expired_at_ms = Some(now_ms);
-                Ok(Step::NoAction)
-            }
-            Event::OtherLeader if matches!(self.phase, Phase::Suspecting | Phase::Fencing) => {
-                self.return_to_following();
-                Ok(Step::NoAction)
-            }
-            Event::Elected { term } => self.elected(term, now_ms),
-            Event::RecordsRead { term } => self.records_read(term, now_ms),
-            Event::Dispatched => {
-                self.dispatched(now_ms);
-                Ok(Step::NoAction)
-            }
-            Event::Deposed => {
-                let was_elected = matches!(self.phase, Phase::CatchingUp(_) | Phase::Active(_));
-                self.return_to_following();
-                Ok(if was_elected { Step::Stop } else { Step::NoAction })
-            }
-            Event::LeaderSilent | Event::LeaseExpired | Event::OtherLeader => Ok(Step::NoAction),
+    pub fn handle(&mut self, event: Event, now: MonotonicTime) -> Result<Step, TransitionError> {
+        let action = match event {
+            Event::LeaderResponded => self.leader_responded(now),
+            Event::LeaderSilent => self.leader_silent(now),
+            Event::LeaseExpired => self.lease_expired(now),
+            Event::OtherLeader => self.other_leader(),
+            Event::Elected { term } => self.elected(term, now)?,
+            Event::RecordsRead { term } => self.records_read(term, now)?,
+            Event::Dispatched => self.dispatched(now),
+            Event::Deposed => self.deposed(),
+        };
+        Ok(action)
+    }
+
+    fn leader_responded(&mut self, now: MonotonicTime) -> Step {
+        self.times.leader_responded_at = Some(now);
+        if self.phase == Phase::Suspecting {
+            self.return_to_following();
+        }
+        Step::NoAction
+    }
+
+    fn leader_silent(&mut self, now: MonotonicTime) -> Step {
+        let must_read_leader = match self.phase {
+            Phase::Following => true,
+            Phase::Suspecting => self.may_read_leader_again(now),
+            Phase::Fencing | Phase::CatchingUp(_) | Phase::Active(_) => false,
+        };
+        if !must_read_leader {
+            return Step::NoAction;
         }
+        self.phase = Phase::Suspecting;
+        self.times.suspected_at = Some(now);
+        Step::ReadLeader
     }
 
     /// Whether the leadership record may be read once more: an earlier read may have come just before the lease
     /// expired.
-    fn may_read_leader_again(&self, now_ms: u64) -> bool {
-        let interval_over = |at: u64| now_ms >= at + whole_millis(constants::LEADER_CHECK_INTERVAL);
-        self.suspected_at_ms.is_none_or(interval_over)
+    fn may_read_leader_again(&self, now: MonotonicTime) -> bool {
+        let interval_over = |last_read| now >= last_read + constants::LEADER_CHECK_INTERVAL;
+        self.times.suspected_at.is_none_or(interval_over)
+    }
+
+    fn lease_expired(&mut self, now: MonotonicTime) -> Step {
+        if matches!(self.phase, Phase::Following | Phase::Suspecting) {
+            self.phase = Phase::Fencing;
+            self.times.lease_expired_at = Some(now);
+        }
+        Step::NoAction
+    }
+
+    fn other_leader(&mut self) -> Step {
+        if matches!(self.phase, Phase::Suspecting | Phase::Fencing) {
+            self.return_to_following();
+        }
+        Step::NoAction
     }
 
     fn return_to_following(&mut self) {
         self.phase = Phase::Following;
-        (self.suspected_at_ms, self.lease_expired_at_ms) = (None, None);
-        (self.elected_at_ms, self.records_read_at_ms) = (None, None);
+        let leader_responded_at = self.times.leader_responded_at;
+        self.times = FailoverTimes { leader_responded_at, ..FailoverTimes::default() };
     }
 
-    fn elected(&mut self, term: u64, now_ms: u64) -> Result<Step, TransitionError> {
+    fn elected(&mut self, term: u64, now: MonotonicTime) -> Result<Step, TransitionError> {
         if term <= self.term {
             return Err(TransitionError::OldTerm { found: term, known: self.term });
         }
         self.term = term;
         self.phase = Phase::CatchingUp(term);
-        self.elected_at_ms = Some(now_ms);
+        self.times.elected_at = Some(now);
         Ok(Step::ReadRecords)
     }
 
-    fn records_read(&mut self, term: u64, now_ms: u64) -> Result<Step, TransitionError> {
+    fn records_read(&mut self, term: u64, now: MonotonicTime) -> Result<Step, TransitionError> {
         if self.phase != Phase::CatchingUp(term) {
             return Err(TransitionError::OldRecords(term));
         }
         self.phase = Phase::Active(term);
-        self.records_read_at_ms = Some(now_ms);
+        self.times.records_read_at = Some(now);
         Ok(Step::Lead)
     }
 
-    fn dispatched(&mut self, now_ms: u64) {
-        let Phase::Active(_) = self.phase else { return };
-        let (Some(elected), Some(read)) =
-            (self.elected_at_ms.take(), self.records_read_at_ms.take())
-        else {
-            return;
-        };
-        let since = |from: Option<u64>, to: u64| from.map(|from| to.saturating_sub(from));
-        self.metrics.detection.record(since(
-            self.leader_responded_at_ms,
-            self.lease_expired_at_ms.unwrap_or(elected),
-        ));
-        self.metrics.election.record(since(self.lease_expired_at_ms, elected));
-        self.metrics.catching_up.record(Some(read.saturating_sub(elected)));
-        self.metrics.first_dispatch.record(Some(now_ms.saturating_sub(read)));
-        self.metrics.whole.record(since(self.leader_responded_at_ms, now_ms));
-        (self.suspected_at_ms, self.lease_expired_at_ms, self.leader_responded_at_ms) =
-            (None, None, None);
+    fn deposed(&mut self) -> Step {
+        let was_elected = matches!(self.phase, Phase::CatchingUp(_) | Phase::Active(_));
+        self.return_to_following();
+        if was_elected { Step::Stop } else { Step::NoAction }
+    }
+
+    /// Completes the failover with its first dispatch. Later ones find no times of a failover.
+    fn dispatched(&mut self, now: MonotonicTime) -> Step {
+        if let Some(failover) = self.failover_completed_at(now) {
+            self.metrics.record(&failover);
+            self.times = FailoverTimes::default();
+        }
+        Step::NoAction
+    }
+
+    fn failover_completed_at(&self, now: MonotonicTime) -> Option<CompletedFailover> {
+        let Phase::Active(_) = self.phase else { return None };
+        Some(CompletedFailover {
+            leader_responded_at: self.times.leader_responded_at,
+            lease_expired_at: self.times.lease_expired_at,
+            elected_at: self.times.elected_at?,
+            records_read_at: self.times.records_read_at?,
+            dispatched_at: now,
+        })
     }
 }
--- a/crates/replication/src/publisher.rs
+++ b/crates/replication/src/publisher.rs
@@ -8,7 +8,7 @@
 use crate::position::Position;
 use crate::state::{PlacedTask, ReplicatedJob, ReplicatedState, Stage};
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::MonotonicTime;
 use std::collections::BTreeMap;
 
 /// The current state of a task on a machine.
@@ -35,7 +35,7 @@
 
 /// Publishes changes of the leader's cluster state. The leader may publish a machine or job as often as it likes:
 /// only differences from the last published state become entries. Publishing everything periodically bounds the
-/// time for which a change can be missed. Times are in ms on the caller's monotonic clock.
+/// time for which a change can be missed.
 #[derive(Debug)]
 pub struct Publisher {
     /// The published state: that of a follower that has applied the whole log.
@@ -51,7 +51,7 @@
 #[derive(Debug, Default)]
 struct DigestSchedule {
     next_range: u32,
-    last_sent_ms: u64,
+    last_sent_at: MonotonicTime,
 }
 
 impl Publisher {
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Responds to a follower at `now_ms`: with entries if the log has all that are missing, else with a chunk of an
+    /// Responds to a follower at `now`: with entries if the log has all that are missing, else with a chunk of an
     /// image.
     ///
     /// # Errors
@@ -154,11 +154,11 @@
     pub fn respond(
         &mut self,
         request: &FollowRequest,
-        now_ms: u64,
+        now: MonotonicTime,
     ) -> Result<FollowResponse, ImageError> {
         let end = self.log.end();
         if let FollowerProgress::Through(after) = request.progress
-            && let Some(body) = self.entries_after(&request.follower, after, now_ms)
+            && let Some(body) = self.entries_after(&request.follower, after, now)
         {
             return Ok(FollowResponse { end, body });
         }
@@ -170,7 +170,7 @@
         };
         let chunk = match next_chunk {
             Some(chunk) => chunk,
-            None => self.first_chunk(now_ms)?,
+            None => self.first_chunk(now)?,
         };
         let body = FollowResponseBody::ImageChunk(chunk);
         Ok(FollowResponse { end, body })
@@ -181,7 +181,7 @@
         &mut self,
         follower: &str,
         after: Position,
-        now_ms: u64,
+        now: MonotonicTime,
     ) -> Option<FollowResponseBody> {
         let mut bytes = 0;
         let mut entries = Vec::new();
@@ -194,18 +194,18 @@
         }
         // The digest is of the state at the end of the log, so only a follower that gets there can compare it.
         let is_complete = after.index + entries.len() as u64 == self.log.end().index;
-        let digest = if is_complete { self.next_digest(follower, now_ms) } else { None };
+        let digest = if is_complete { self.next_digest(follower, now) } else { None };
         Some(FollowResponseBody::Entries { after, entries, digest })
     }
 
     /// The digest of the next range, if the follower has received none for the digest interval.
-    fn next_digest(&mut self, follower: &str, now_ms: u64) -> Option<RangeDigest> {
+    fn next_digest(&mut self, follower: &str, now: MonotonicTime) -> Option<RangeDigest> {
         let schedule = self.digests.entry(follower.to_owned()).or_default();
-        if now_ms < schedule.last_sent_ms + whole_millis(constants::REPLICATION_DIGEST_INTERVAL) {
+        if now < schedule.last_sent_at + constants::REPLICATION_DIGEST_INTERVAL {
             return None;
         }
         let digest = RangeDigest::of(&self.state, schedule.next_range);
-        schedule.last_sent_ms = now_ms;
+        schedule.last_sent_at = now;
         schedule.next_range = (schedule.next_range + 1) % constants::REPLICATION_DIGEST_RANGES;
         digest
     }
@@ -218,15 +218,15 @@
     }
 
     /// The first chunk of an image that the log continues: the current image while it is young, else a new one.
-    fn first_chunk(&mut self, now_ms: u64) -> Result<ImageChunk, ImageError> {
+    fn first_chunk(&mut self, now: MonotonicTime) -> Result<ImageChunk, ImageError> {
         let log = &self.log;
         let is_young = |image: &Image| {
-            now_ms < image.made_at_ms + whole_millis(constants::REPLICATION_IMAGE_LIFETIME)
+            now < image.made_at + constants::REPLICATION_IMAGE_LIFETIME
                 && log.covers(image.position)
         };
         let image = match self.image.take().filter(is_young) {
             Some(image) => image,
-            None => Image::new(&self.state, self.log.end(), now_ms)?,
+            None => Image::new(&self.state, self.log.end(), now)?,
         };
         let first = image.chunk(0);
         self.image = Some(image);
--- a/crates/replication/tests/following.rs
+++ b/crates/replication/tests/following.rs
@@ -9,20 +9,20 @@
     FollowerProgress, MachineView, Position, Publisher, RangeDigest, ReplicatedJob, Stage,
     UnusableCopy,
 };
-use hookway_time::whole_millis;
-use support::{TERM, catch_up, exchange, follower, leader, machine, running};
+use std::time::Duration;
+use support::{TERM, at, catch_up, exchange, follower, leader, machine, running};
 
 fn entries(end: u64, after: u64, entries: Vec<Entry>) -> FollowResponse {
-    let at = |index| Position { term: TERM, index };
-    let body = FollowResponseBody::Entries { after: at(after), entries, digest: None };
-    FollowResponse { end: at(end), body }
+    let position = |index| Position { term: TERM, index };
+    let body = FollowResponseBody::Entries { after: position(after), entries, digest: None };
+    FollowResponse { end: position(end), body }
 }
 
 #[test]
 fn follower_applies_every_entry_in_leader_order() {
     let mut publisher = leader(3);
     let mut follower = follower();
-    catch_up(&mut follower, &mut publisher, 0);
+    catch_up(&mut follower, &mut publisher, at(0));
     let moved = MachineView { address: "127.0.0.1:9009", incarnation: 2, ..machine("m-0") };
     publisher.publish_machine(moved, [running("req-000001/0", 9)].into_iter());
     publisher.publish_machine(machine("m-1"), [].into_iter());
@@ -33,7 +33,7 @@
     );
     publisher.publish_job("req-000002", ReplicatedJob::default());
     publisher.retain_jobs(1, |id| id == "req-000001");
-    catch_up(&mut follower, &mut publisher, 200);
+    catch_up(&mut follower, &mut publisher, at(200));
     assert_eq!(follower.metrics().images, 1, "the log was enough");
     assert_eq!(follower.state().machines.len(), 2);
     assert_eq!(follower.state().machines["m-0"].stage("req-000001/0", 9), Some(Stage::Running));
@@ -48,50 +48,62 @@
 fn entries_beyond_message_limit_follow_in_next_message() {
     let mut publisher = leader(1);
     let mut follower = follower();
-    catch_up(&mut follower, &mut publisher, 0);
+    catch_up(&mut follower, &mut publisher, at(0));
     for n in 0..2_000 {
         let name = format!("m-{n}");
         publisher.publish_machine(machine(&name), [].into_iter());
     }
-    let Ok(FollowOutcome::EntriesApplied(first)) = exchange(&mut follower, &mut publisher, 0)
+    let Ok(FollowOutcome::EntriesApplied(first)) = exchange(&mut follower, &mut publisher, at(0))
     else {
         panic!("entries");
     };
     assert!(first > 100 && first < 1_999, "{first}");
     assert!(follower.metrics().lag_entries > 0);
-    catch_up(&mut follower, &mut publisher, 300);
+    catch_up(&mut follower, &mut publisher, at(300));
     assert_eq!(follower.metrics().lag_entries, 0);
     assert_eq!(follower.metrics().lag.count(), 1);
-    assert!(follower.metrics().lag.quantile(1.0).abs_diff(300) < 5);
+    assert!(
+        follower.metrics().lag.quantile(1.0).abs_diff(Duration::from_millis(300))
+            < Duration::from_millis(5)
+    );
 }
 
 #[test]
 fn delayed_duplicated_or_lost_responses_cause_no_image_transfer() {
     let mut publisher = leader(2);
     let mut follower = follower();
-    catch_up(&mut follower, &mut publisher, 0);
+    catch_up(&mut follower, &mut publisher, at(0));
     publisher.publish_machine(machine("m-9"), [].into_iter());
-    let response = publisher.respond(&follower.request(), 0).expect("a response");
-    assert_eq!(follower.handle_response(response.clone(), 0), Ok(FollowOutcome::EntriesApplied(1)));
-    assert_eq!(follower.handle_response(response.clone(), 0), Ok(FollowOutcome::EntriesApplied(0)));
+    let response = publisher.respond(&follower.request(), at(0)).expect("a response");
+    assert_eq!(
+        follower.handle_response(response.clone(), at(0)),
+        Ok(FollowOutcome::EntriesApplied(1))
+    );
+    assert_eq!(
+        follower.handle_response(response.clone(), at(0)),
+        Ok(FollowOutcome::EntriesApplied(0))
+    );
     // The next response is lost; the one after it brings what both had.
     publisher.publish_machine(machine("m-8"), [].into_iter());
-    let lost = publisher.respond(&follower.request(), 0).expect("a response");
+    let lost = publisher.respond(&follower.request(), at(0)).expect("a response");
     publisher.publish_machine(machine("m-7"), [].into_iter());
-    assert_eq!(exchange(&mut follower, &mut publisher, 0), Ok(FollowOutcome::EntriesApplied(2)));
+    assert_eq!(
+        exchange(&mut follower, &mut publisher, at(0)),
+        Ok(FollowOutcome::EntriesApplied(2))
+    );
     // What was lost comes late; and a response that begins where the follower once was goes beyond it.
-    assert_eq!(follower.handle_response(lost, 0), Ok(FollowOutcome::EntriesApplied(0)));
+    assert_eq!(follower.handle_response(lost, at(0)), Ok(FollowOutcome::EntriesApplied(0)));
     publisher.remove_machine("m-7");
     let progress = FollowerProgress::Through(response.end);
     let from = FollowRequest { follower: "worker-1".into(), progress };
-    let overlapping = publisher.respond(&from, 0).expect("a response");
-    assert_eq!(follower.handle_response(overlapping, 0), Ok(FollowOutcome::EntriesApplied(1)));
+    let overlapping = publisher.respond(&from, at(0)).expect("a response");
+    assert_eq!(follower.handle_response(overlapping, at(0)), Ok(FollowOutcome::EntriesApplied(1)));
     assert_eq!(follower.state(), publisher.state());
     // Entries that begin beyond the copy: it asks again from where it is.
     let end = publisher.end().index;
-    let beyond = follower.handle_response(entries(end + 9, end + 8, vec![]), 0);
+    let beyond = follower.handle_response(entries(end + 9, end + 8, vec![]), at(0));
     assert!(matches!(beyond, Err(FollowError::Gap { .. })), "{beyond:?}");
-    catch_up(&mut follower, &mut publisher, 0);
+    catch_up(&mut follower, &mut publisher, at(0));
     assert_eq!((follower.metrics().images, follower.metrics().resyncs), (1, 0));
 }
 
@@ -99,19 +111,19 @@
 fn entries_of_deposed_leader_are_rejected_without_state_change() {
     let mut old = leader(2);
     let mut follower = follower();
-    catch_up(&mut follower, &mut old, 0);
+    catch_up(&mut follower, &mut old, at(0));
     let mut new = Publisher::new(2 * TERM);
     new.publish_machine(machine("m-0"), [].into_iter());
     follower.observe_term(2 * TERM);
     // The old leader wakes and goes on publishing.
     old.publish_machine(machine("m-0"), [running("req-000001/5", 77)].into_iter());
-    let late = old.respond(&follower.request(), 10).expect("a response");
+    let late = old.respond(&follower.request(), at(10)).expect("a response");
     assert_eq!(
-        follower.handle_response(late, 10),
+        follower.handle_response(late, at(10)),
         Err(FollowError::OldTerm { found: TERM, known: 2 * TERM })
     );
     assert_eq!(follower.state().machines["m-0"].stage("req-000001/5", 77), None);
-    catch_up(&mut follower, &mut new, 20);
+    catch_up(&mut follower, &mut new, at(20));
     assert_eq!(follower.state().machines.len(), 1);
 }
 
@@ -119,14 +131,14 @@
 fn term_unknown_to_state_service_is_rejected_and_discarded() {
     let mut publisher = leader(1);
     let mut follower = follower();
-    catch_up(&mut follower, &mut publisher, 0);
+    catch_up(&mut follower, &mut publisher, at(0));
     let mut future = Publisher::new(u64::MAX);
     future.publish_machine(machine("m-8"), [].into_iter());
-    let response = future.respond(&follower.request(), 0).expect("a response");
-    let refused = follower.handle_response(response, 0);
+    let response = future.respond(&follower.request(), at(0)).expect("a response");
+    let refused = follower.handle_response(response, at(0));
     assert_eq!(refused, Err(FollowError::FutureTerm { found: u64::MAX, known: TERM }));
     publisher.publish_machine(machine("m-9"), [].into_iter());
-    catch_up(&mut follower, &mut publisher, 0);
+    catch_up(&mut follower, &mut publisher, at(0));
     assert_eq!(follower.metrics().images, 1, "it did not lose its place");
 }
 
@@ -134,18 +146,18 @@
 fn diverged_copy_is_detected_reported_and_replaced() {
     let mut publisher = leader(40);
     let mut follower = follower();
-    catch_up(&mut follower, &mut publisher, 0);
+    catch_up(&mut follower, &mut publisher, at(0));
     // An entry that the leader never wrote slips into the copy.
     let wrong =
         Entry::Machine { name: "m-7".into(), address: "127.0.0.1:1".into(), incarnation: 5 };
-    let at = publisher.end().index;
-    follower.handle_response(entries(at + 1, at, vec![wrong]), 0).expect("nothing tells yet");
+    let end = publisher.end().index;
+    follower.handle_response(entries(end + 1, end, vec![wrong]), at(0)).expect("nothing tells yet");
     publisher.publish_machine(machine("m-0"), [].into_iter());
-    let mut now = 0;
+    let mut now = at(0);
     let found = loop {
-        now += whole_millis(constants::REPLICATION_DIGEST_INTERVAL);
+        now += constants::REPLICATION_DIGEST_INTERVAL;
         assert!(
-            now <= 17 * whole_millis(constants::REPLICATION_DIGEST_INTERVAL),
+            now <= at(0) + 17 * constants::REPLICATION_DIGEST_INTERVAL,
             "all ranges were compared"
         );
         match exchange(&mut follower, &mut publisher, now) {
@@ -176,11 +188,11 @@
     ];
     for response in odd {
         let mut follower = follower();
-        catch_up(&mut follower, &mut publisher, 0);
-        let refused = follower.handle_response(response.clone(), 0);
+        catch_up(&mut follower, &mut publisher, at(0));
+        let refused = follower.handle_response(response.clone(), at(0));
         assert!(refused.is_err(), "{response:?}: {refused:?}");
-        assert!(follower.usable(TERM + 1, 0).is_err());
-        catch_up(&mut follower, &mut publisher, 0);
+        assert!(follower.usable(TERM + 1, at(0)).is_err());
+        catch_up(&mut follower, &mut publisher, at(0));
     }
 }
 
@@ -188,17 +200,39 @@
 fn copy_is_usable_only_for_later_term_and_while_fresh() {
     let mut publisher = leader(2);
     let mut follower = follower();
-    assert_eq!(follower.usable(TERM + 1, 0), Err(UnusableCopy::Empty), "restarted a moment ago");
-    catch_up(&mut follower, &mut publisher, 1_000);
-    assert!(follower.usable(TERM + 1, 9_000).is_ok());
-    assert_eq!(follower.usable(TERM, 9_000), Err(UnusableCopy::NotEarlier(TERM)));
-    let late = 1_001 + whole_millis(constants::REPLICATION_STALE);
+    assert_eq!(
+        follower.usable(TERM + 1, at(0)),
+        Err(UnusableCopy::Empty),
+        "restarted a moment ago"
+    );
+    catch_up(&mut follower, &mut publisher, at(1_000));
+    assert!(follower.usable(TERM + 1, at(9_000)).is_ok());
+    assert_eq!(follower.usable(TERM, at(9_000)), Err(UnusableCopy::NotEarlier(TERM)));
+    let late = at(1_001) + constants::REPLICATION_STALE;
     assert_eq!(
         follower.usable(TERM + 1, late),
-        Err(UnusableCopy::Stale(whole_millis(constants::REPLICATION_STALE) + 1))
+        Err(UnusableCopy::Stale(constants::REPLICATION_STALE + Duration::from_millis(1)))
     );
 }
 
+#[test]
+fn reasons_against_copy_have_the_texts_that_operators_see() {
+    let texts = [
+        UnusableCopy::Empty,
+        UnusableCopy::NotEarlier(TERM),
+        UnusableCopy::Diverged,
+        UnusableCopy::Stale(Duration::from_millis(60_001)),
+    ]
+    .map(|reason| reason.to_string());
+    let expected = [
+        "no copy",
+        "the copy is of term 4097, which is not earlier",
+        "the copy has diverged",
+        "the copy is 60001 ms old",
+    ];
+    assert_eq!(texts, expected);
+}
+
 #[test]
 fn digest_differs_for_every_field() {
     let state = leader(1).state().clone();
--- a/crates/replication/tests/support/mod.rs
+++ b/crates/replication/tests/support/mod.rs
@@ -3,9 +3,15 @@
 use hookway_replication::{
     FollowError, FollowOutcome, Follower, MachineView, Publisher, Stage, TaskView,
 };
+use hookway_time::MonotonicTime;
 
 pub const TERM: u64 = 4_097;
 
+/// A reading of the clock.
+pub fn at(millis: u64) -> MonotonicTime {
+    MonotonicTime::from_millis(millis)
+}
+
 pub fn machine(name: &str) -> MachineView<'_> {
     MachineView { name, address: "127.0.0.1:9000", incarnation: 1 }
 }
@@ -34,14 +40,14 @@
 pub fn exchange(
     follower: &mut Follower,
     publisher: &mut Publisher,
-    now: u64,
+    now: MonotonicTime,
 ) -> Result<FollowOutcome, FollowError> {
     let response = publisher.respond(&follower.request(), now).expect("a response");
     follower.handle_response(response, now)
 }
 
 /// Asks until the follower has everything.
-pub fn catch_up(follower: &mut Follower, publisher: &mut Publisher, now: u64) {
+pub fn catch_up(follower: &mut Follower, publisher: &mut Publisher, now: MonotonicTime) {
     for _ in 0..1_000 {
         exchange(follower, publisher, now).expect("taken");
         if follower.position() == Some(publisher.end()) {
