--- a/crates/controller/src/standby.rs
+++ b/crates/controller/src/standby.rs
@@ -3,8 +3,8 @@
 
 use crate::leadership::LeadershipView;
 use hookway_replication::{
-    DurationHistogram, Event, FailureDetector, FollowOutcome, FollowRequest, FollowResponse,
-    Follower, Phase, Promotion, ReplicatedState, Step, UnusableCopy,
+    Action, DurationHistogram, Event, FailoverMetrics, FailureDetector, FollowOutcome,
+    FollowRequest, FollowResponse, Follower, Phase, Promotion, ReplicatedState, UnusableCopy,
 };
 use hookway_time::{MonotonicTime, whole_millis};
 use hookway_wire::{DurationStatus, FailoverStatus, ReplicationStatus};
@@ -40,6 +40,7 @@
     /// The steps of a failover, which apply in both modes.
     promotion: Promotion,
     signals: StandbySignals,
+    /// `None` before the first leader, and while this controller leads.
     followed_leader: Option<FollowedLeader>,
 }
 
@@ -64,28 +65,37 @@
         }
     }
 
-    /// Handles a change of the leadership.
+    /// Handles a change of the leadership. This controller's own terms come by [`elected`](Self::elected) and
+    /// [`deposed`](Self::deposed).
     pub fn view_changed(&mut self, view: &LeadershipView, now: MonotonicTime) {
         if view.own_term.is_some() {
             return;
         }
-        let leader = view.leader.clone().zip(view.leader_term);
-        let other = leader.filter(|(name, _)| *name != self.controller_name);
-        let Some((name, term)) = other else {
-            return self.handle(Event::LeaseExpired, now);
-        };
-        self.promotion.observe_term(term);
-        self.follower.observe_term(term);
+        match self.other_leader(view) {
+            Some(leader) => self.follow(leader, now),
+            None => self.handle(Event::LeaseExpired, now),
+        }
+    }
+
+    /// The leader, if it is another controller.
+    fn other_leader(&self, view: &LeadershipView) -> Option<FollowedLeader> {
+        let name = view.leader.clone().filter(|name| *name != self.controller_name)?;
+        Some(FollowedLeader { name, term: view.leader_term? })
+    }
+
+    fn follow(&mut self, leader: FollowedLeader, now: MonotonicTime) {
+        self.promotion.observe_term(leader.term);
+        self.follower.observe_term(leader.term);
         self.handle(Event::OtherLeader, now);
-        let leader = Some(FollowedLeader { name, term });
-        if self.followed_leader != leader {
+        if self.followed_leader.as_ref() != Some(&leader) {
+            // The intervals between another leader's responses are not known yet.
             self.detector.reset();
-            self.followed_leader = leader;
+            self.followed_leader = Some(leader);
         }
     }
 
-    /// The next request to the leader; `None` if this controller does not follow. Also checks
-    /// whether the leader is suspected to have failed.
+    /// The next request to the leader; `None` if this controller does not follow. It is called periodically, so it
+    /// also checks how long the leader has been silent.
     pub fn next_request(&mut self, now: MonotonicTime) -> Option<FollowRequest> {
         if self.mode == StandbyMode::Cold {
             return None;
@@ -100,17 +110,18 @@
     /// Handles the leader's response to a request.
     pub fn handle_response(&mut self, response: FollowResponse, now: MonotonicTime) {
         match self.follower.handle_response(response, now) {
-            Ok(progress) => {
+            Ok(outcome) => {
                 self.detector.record_message(now);
                 self.handle(Event::LeaderResponded, now);
-                self.log_progress(&progress);
+                self.log_outcome(&outcome);
             }
             Err(error) => tracing::info!(%error, "replication interrupted, fetching an image"),
         }
     }
 
-    fn log_progress(&self, progress: &FollowOutcome) {
-        let FollowOutcome::ImageApplied { differing } = progress else { return };
+    /// Logs images only: entries come several times a second.
+    fn log_outcome(&self, outcome: &FollowOutcome) {
+        let FollowOutcome::ImageApplied { differing } = outcome else { return };
         let state = self.follower.state();
         tracing::info!(
             machines = state.machines.len(),
@@ -125,13 +136,13 @@
     /// The state service has recorded this controller as the leader of `term`. Returns `false` if it
     /// must not lead, because a later term is known.
     pub fn elected(&mut self, term: u64, now: MonotonicTime) -> bool {
-        self.advance(Event::Elected { term }, now) == Some(Step::ReadRecords)
+        self.advance(Event::Elected { term }, now) == Some(Action::ReadRecords)
     }
 
     /// The records have been read, by a read that began in `term`. Returns `false` if the term has
     /// ended since.
     pub fn records_read(&mut self, term: u64, now: MonotonicTime) -> bool {
-        self.advance(Event::RecordsRead { term }, now) == Some(Step::Lead)
+        self.advance(Event::RecordsRead { term }, now) == Some(Action::Lead)
     }
 
     /// Whether the failover has reached the step in which the leader of `term` decides.
@@ -143,9 +154,8 @@
     pub fn start_dispatched(&mut self, now: MonotonicTime) {
         let completed_before = self.promotion.metrics().whole.count();
         self.handle(Event::Dispatched, now);
-        let times = self.promotion.metrics();
-        if times.whole.count() > completed_before {
-            let duration = &times.whole;
+        let duration = &self.promotion.metrics().whole;
+        if duration.count() > completed_before {
             tracing::info!(%duration, "failover complete: first task start dispatched");
         }
     }
@@ -158,11 +168,15 @@
     }
 
     /// The copy of an earlier leader's cluster state, for the leader of `term`.
+    ///
+    /// # Errors
+    ///
+    /// An [`UnusableCopy`] that says why there is none; [`UnusableCopy::Empty`] in a controller that keeps no copy.
     pub fn copy(&self, term: u64, now: MonotonicTime) -> Result<&ReplicatedState, UnusableCopy> {
         if self.mode == StandbyMode::Cold {
             return Err(UnusableCopy::Empty);
         }
-        self.follower.usable(term, now)
+        self.follower.usable_copy(term, now)
     }
 
     /// The copy, for the leader of any later term.
@@ -172,16 +186,16 @@
 
     /// Advances the failover, and notifies the election actor if the leader is suspected.
     fn handle(&mut self, event: Event, now: MonotonicTime) {
-        if self.advance(event, now) == Some(Step::ReadLeader) {
+        if self.advance(event, now) == Some(Action::ReadLeader) {
             tracing::info!("leader suspected, reading the leader key");
             self.signals.leader_suspected.notify_one();
         }
     }
 
-    /// Advances the failover; `None` if the event is invalid in its present step.
-    fn advance(&mut self, event: Event, now: MonotonicTime) -> Option<Step> {
+    /// Advances the failover; `None` if the event is of a wrong term.
+    fn advance(&mut self, event: Event, now: MonotonicTime) -> Option<Action> {
         match self.promotion.handle(event, now) {
-            Ok(step) => Some(step),
+            Ok(action) => Some(action),
             Err(error) => {
                 tracing::error!(?event, %error, "invalid failover event");
                 None
@@ -192,14 +206,16 @@
     /// The state of replication, for operators.
     pub fn status(&self, now: MonotonicTime) -> ReplicationStatus {
         let metrics = self.follower.metrics();
-        let times = self.promotion.metrics();
         let position = self.follower.position();
         let state = self.follower.state();
-        let copy = self.usable_copy(now);
+        let copy = match self.usable_copy(now) {
+            Ok(_) => "usable".to_owned(),
+            Err(reason) => reason.to_string(),
+        };
         ReplicationStatus {
             phase: phase_name(self.promotion.phase()).to_owned(),
             leader: self.followed_leader.as_ref().map(|leader| leader.name.clone()),
-            copy: copy.err().map_or("usable".to_owned(), |reason| reason.to_string()),
+            copy,
             term: position.map(|position| position.term),
             index: position.map(|position| position.index),
             machines: state.machines.len(),
@@ -209,13 +225,7 @@
             lag: duration_status(&metrics.lag),
             images: metrics.images,
             resyncs: metrics.resyncs,
-            failover: FailoverStatus {
-                detection: duration_status(&times.detection),
-                election: duration_status(&times.election),
-                catching_up: duration_status(&times.catching_up),
-                first_start: duration_status(&times.first_dispatch),
-                whole: duration_status(&times.whole),
-            },
+            failover: failover_status(self.promotion.metrics()),
         }
     }
 }
@@ -230,11 +240,22 @@
     }
 }
 
-fn duration_status(times: &DurationHistogram) -> DurationStatus {
+fn failover_status(metrics: &FailoverMetrics) -> FailoverStatus {
+    FailoverStatus {
+        detection: duration_status(&metrics.detection),
+        election: duration_status(&metrics.election),
+        catching_up: duration_status(&metrics.catching_up),
+        first_start: duration_status(&metrics.first_dispatch),
+        whole: duration_status(&metrics.whole),
+    }
+}
+
+fn duration_status(durations: &DurationHistogram) -> DurationStatus {
+    let quantile_ms = |quantile| whole_millis(durations.quantile(quantile));
     DurationStatus {
-        count: times.count(),
-        p50_ms: whole_millis(times.quantile(0.5)),
-        p99_ms: whole_millis(times.quantile(0.99)),
-        longest_ms: whole_millis(times.quantile(1.0)),
+        count: durations.count(),
+        p50_ms: quantile_ms(0.5),
+        p99_ms: quantile_ms(0.99),
+        longest_ms: quantile_ms(1.0),
     }
 }
--- a/crates/controller/tests/simulation/standbys.rs
+++ b/crates/controller/tests/simulation/standbys.rs
@@ -78,7 +78,7 @@
     pub(super) fn election_steps(&self, n: usize) -> u32 {
         let warm = self.controllers[n]
             .follower
-            .usable(u64::MAX, MonotonicTime::from_millis(self.now))
+            .usable_copy(u64::MAX, MonotonicTime::from_millis(self.now))
             .is_ok();
         if warm { 2 } else { 8 }
     }
@@ -87,7 +87,7 @@
     pub(super) fn warm_start(&mut self, n: usize, leader: &mut Leader) {
         let controller = &self.controllers[n];
         let Ok(copy) =
-            controller.follower.usable(leader.term, MonotonicTime::from_millis(self.now))
+            controller.follower.usable_copy(leader.term, MonotonicTime::from_millis(self.now))
         else {
             return;
         };
--- a/crates/replication/examples/embedded.rs
+++ b/crates/replication/examples/embedded.rs
@@ -4,7 +4,7 @@
 //!     cargo run -p hookway-replication --example embedded
 
 use hookway_replication::{
-    Event, FailureDetector, Follower, MachineView, Promotion, Publisher, Stage, Step, TaskView,
+    Action, Event, FailureDetector, Follower, MachineView, Promotion, Publisher, Stage, TaskView,
 };
 use hookway_time::MonotonicTime;
 use std::time::Duration;
@@ -39,7 +39,7 @@
     while !detector.suspects(now) {
         now += Duration::from_millis(100);
     }
-    assert_eq!(promotion.handle(Event::LeaderSilent, now)?, Step::ReadLeader);
+    assert_eq!(promotion.handle(Event::LeaderSilent, now)?, Action::ReadLeader);
     println!(
         "at {} ms the leader is suspected, so the leadership record has to be read",
         now.as_millis()
@@ -48,11 +48,11 @@
     now += Duration::from_millis(3_000);
     promotion.handle(Event::LeaseExpired, now)?;
     now += Duration::from_millis(20);
-    assert_eq!(promotion.handle(Event::Elected { term: NEW_TERM }, now)?, Step::ReadRecords);
+    assert_eq!(promotion.handle(Event::Elected { term: NEW_TERM }, now)?, Action::ReadRecords);
     assert!(!promotion.may_dispatch(NEW_TERM), "the records have not been read yet");
     now += Duration::from_millis(20);
-    assert_eq!(promotion.handle(Event::RecordsRead { term: NEW_TERM }, now)?, Step::Lead);
-    let copy = follower.usable(NEW_TERM, now)?;
+    assert_eq!(promotion.handle(Event::RecordsRead { term: NEW_TERM }, now)?, Action::Lead);
+    let copy = follower.usable_copy(NEW_TERM, now)?;
     println!(
         "at {} ms the standby is the leader of term {NEW_TERM}; its copy names:",
         now.as_millis()
--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -9,6 +9,7 @@
 use crate::state::{ApplyError, ReplicatedState};
 use hookway_constants as constants;
 use hookway_time::{MonotonicTime, whole_millis};
+use std::cmp::Ordering;
 use std::time::Duration;
 
 /// Why a response was rejected. A response of another term, or one that does not continue the copy, is ignored;
@@ -32,26 +33,26 @@
         known: u64,
     },
     /// The entries do not continue the copy.
-    #[error("entries after {found}, but the copy is at {expected:?}")]
+    #[error("entries after {found}, but {}", describe_copy(expected))]
     Gap {
-        /// Position of the copy.
+        /// Position of the copy; `None` without a copy.
         expected: Option<Position>,
         /// Position before the first entry.
         found: Position,
     },
     /// The response is inconsistent: its content is after the end of the log that it names, or of another term.
-    #[error("entries up to {last}, but the log ends at {end}")]
+    #[error("content up to {last}, but the log ends at {end}")]
     Inconsistent {
-        /// Position of the last entry.
+        /// Position of the last entry, or of the image.
         last: Position,
         /// End of the log.
         end: Position,
     },
     /// An entry cannot be applied to the copy.
-    #[error("entry {index}: {source}")]
+    #[error("entry {position}: {source}")]
     Entry {
-        /// Index of the entry in the log.
-        index: u64,
+        /// Position of the entry.
+        position: Position,
         /// Reason.
         source: ApplyError,
     },
@@ -64,8 +65,27 @@
         position: Position,
     },
     /// A chunk of an image is invalid.
-    #[error("image: {0}")]
-    Image(#[from] ImageError),
+    #[error("image of {position}: {source}")]
+    Image {
+        /// Position of the log at which the image was made.
+        position: Position,
+        /// Reason.
+        source: ImageError,
+    },
+}
+
+impl FollowError {
+    /// Whether the copy is still valid: the response says nothing about it.
+    fn keeps_copy(&self) -> bool {
+        matches!(self, Self::OldTerm { .. } | Self::FutureTerm { .. } | Self::Gap { .. })
+    }
+}
+
+fn describe_copy(position: &Option<Position>) -> String {
+    match position {
+        Some(position) => format!("the copy is at {position}"),
+        None => "there is no copy".to_owned(),
+    }
 }
 
 /// The effect of a response on the copy.
@@ -82,13 +102,6 @@
     },
 }
 
-impl FollowError {
-    /// Whether the copy is still valid: the response says nothing about it.
-    fn keeps_copy(&self) -> bool {
-        matches!(self, Self::OldTerm { .. } | Self::FutureTerm { .. } | Self::Gap { .. })
-    }
-}
-
 /// Why a new leader cannot use a copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum UnusableCopy {
@@ -111,10 +124,12 @@
 pub struct Follower {
     name: String,
     state: ReplicatedState,
+    /// Position of the copy; `None` without a copy.
     position: Option<Position>,
+    /// The image that is being received, if any.
     assembly: Option<ImageAssembly>,
     /// Term of the leader according to the state service.
-    term: u64,
+    leader_term: u64,
     /// The copy is known to be wrong. It is kept to name the differences once an image has been received.
     diverged: bool,
     /// Time of the leader's last response.
@@ -130,7 +145,7 @@
             state: ReplicatedState::default(),
             position: None,
             assembly: None,
-            term: 0,
+            leader_term: 0,
             diverged: false,
             last_response_at: None,
             metrics: FollowerMetrics::default(),
@@ -153,8 +168,8 @@
     /// Records the term of the leader according to the state service. Responses of other terms are rejected from
     /// now on.
     pub fn observe_term(&mut self, term: u64) {
-        if term != self.term {
-            self.term = term;
+        if term != self.leader_term {
+            self.leader_term = term;
             self.assembly = None;
         }
     }
@@ -170,13 +185,7 @@
         now: MonotonicTime,
     ) -> Result<FollowOutcome, FollowError> {
         let end = response.end;
-        let (found, known) = (end.term, self.term);
-        if found < known {
-            return Err(FollowError::OldTerm { found, known });
-        }
-        if found > known {
-            return Err(FollowError::FutureTerm { found, known });
-        }
+        self.check_term(end.term)?;
         self.last_response_at = Some(now);
         let outcome = match response.body {
             FollowResponseBody::Entries { after, entries, digest } => {
@@ -187,18 +196,36 @@
         match &outcome {
             Ok(_) => self.metrics.record_lag(self.lag_entries(end), now),
             Err(error) if error.keeps_copy() => {}
-            Err(_) => {
-                self.metrics.resyncs += 1;
-                self.assembly = None;
-                self.diverged = true;
-            }
+            Err(_) => self.distrust_copy(),
         }
         outcome
     }
 
+    /// Checks that a response is of the leader's term according to the state service.
+    fn check_term(&self, found: u64) -> Result<(), FollowError> {
+        let known = self.leader_term;
+        match found.cmp(&known) {
+            Ordering::Less => Err(FollowError::OldTerm { found, known }),
+            Ordering::Equal => Ok(()),
+            Ordering::Greater => Err(FollowError::FutureTerm { found, known }),
+        }
+    }
+
+    /// Makes the follower request an image.
+    fn distrust_copy(&mut self) {
+        self.metrics.resyncs += 1;
+        self.assembly = None;
+        self.diverged = true;
+    }
+
+    /// Position of the copy if it can be continued in this term.
+    fn position_in(&self, term: u64) -> Option<Position> {
+        self.position.filter(|position| position.term == term && !self.diverged)
+    }
+
     /// Number of entries that the copy is behind the end of the log.
     fn lag_entries(&self, end: Position) -> u64 {
-        match self.position.filter(|p| p.term == end.term && !self.diverged) {
+        match self.position_in(end.term) {
             Some(position) => end.index.saturating_sub(position.index),
             None => end.index,
         }
@@ -211,34 +238,42 @@
         entries: Vec<Entry>,
         digest: Option<RangeDigest>,
     ) -> Result<FollowOutcome, FollowError> {
-        let gap = FollowError::Gap { expected: self.position, found: after };
-        let Some(position) = self.position.filter(|p| p.term == after.term && !self.diverged)
-        else {
-            return Err(gap);
-        };
-        // A delayed or duplicated response begins with entries that were applied before.
-        let applied = position.index.checked_sub(after.index).ok_or(gap)?;
-        let count = entries.len();
-        let last_index = after.index.checked_add(count as u64);
-        let last = Position { index: last_index.unwrap_or(u64::MAX), ..after };
-        if last_index.is_none() || after.term != end.term || last.index > end.index {
-            return Err(FollowError::Inconsistent { last, end });
-        }
-        if last.index < position.index {
+        let applied_before = self.applied_after(after)?;
+        let last = last_position(after, entries.len(), end)?;
+        let Some(new_entries) = entries.len().checked_sub(applied_before) else {
+            // A delayed response: its digest is of an older state than the copy's.
             return Ok(FollowOutcome::EntriesApplied(0));
-        }
-        let applied = usize::try_from(applied).unwrap_or(usize::MAX);
-        for (previous_index, entry) in (after.index..).zip(entries).skip(applied) {
-            let index = previous_index + 1;
-            self.state.apply(entry).map_err(|source| FollowError::Entry { index, source })?;
+        };
+        for (previous_index, entry) in (after.index..).zip(entries).skip(applied_before) {
+            let position = Position { index: previous_index + 1, ..after };
+            self.state.apply(entry).map_err(|source| FollowError::Entry { position, source })?;
         }
         self.position = Some(last);
-        if let Some(expected) = digest
-            && RangeDigest::of(&self.state, expected.range) != Some(expected)
-        {
-            return Err(FollowError::Diverged { range: expected.range, position: last });
+        self.compare_digest(digest, last)?;
+        Ok(FollowOutcome::EntriesApplied(new_entries))
+    }
+
+    /// Number of entries after this position that have been applied: a delayed or duplicated response begins with
+    /// them.
+    fn applied_after(&self, after: Position) -> Result<usize, FollowError> {
+        self.position_in(after.term)
+            .and_then(|position| position.index.checked_sub(after.index))
+            .map(|applied| usize::try_from(applied).unwrap_or(usize::MAX))
+            .ok_or(FollowError::Gap { expected: self.position, found: after })
+    }
+
+    /// Compares the copy, which is at this position, with the leader's digest of one range.
+    fn compare_digest(
+        &self,
+        digest: Option<RangeDigest>,
+        position: Position,
+    ) -> Result<(), FollowError> {
+        match digest {
+            Some(leaders) if RangeDigest::of(&self.state, leaders.range) != Some(leaders) => {
+                Err(FollowError::Diverged { range: leaders.range, position })
+            }
+            _ => Ok(()),
         }
-        Ok(FollowOutcome::EntriesApplied(count.saturating_sub(applied)))
     }
 
     fn add_image_chunk(
@@ -253,21 +288,10 @@
         if self.is_duplicate(&chunk) {
             return Ok(FollowOutcome::EntriesApplied(0));
         }
-        // The first chunk of another image: the leader could not continue the previous one.
-        let mut assembly = match self.assembly.take().filter(|assembly| assembly.matches(&chunk)) {
-            Some(assembly) => assembly,
-            None => ImageAssembly::begin(&chunk)?,
-        };
-        let Some(state) = assembly.add(chunk)? else {
-            self.assembly = Some(assembly);
-            return Ok(FollowOutcome::ImageChunkStored);
-        };
-        let same_term = self.position.is_some_and(|p| p.term == position.term);
-        let differing = if self.diverged && same_term {
-            self.state.differing(&state, constants::REPLICATION_MAX_NAMED_DIFFERENCES)
-        } else {
-            Vec::new()
-        };
+        let received =
+            self.assemble(chunk).map_err(|source| FollowError::Image { position, source })?;
+        let Some(state) = received else { return Ok(FollowOutcome::ImageChunkStored) };
+        let differing = self.differing_from(&state, position);
         self.state = state;
         self.position = Some(position);
         self.diverged = false;
@@ -281,12 +305,36 @@
             Some(assembly) => assembly.matches(chunk) && chunk.index < assembly.next_chunk,
             None => {
                 let image = chunk.position;
-                let covers = |copy: Position| copy.term == image.term && copy >= image;
-                !self.diverged && self.position.is_some_and(covers)
+                self.position_in(image.term).is_some_and(|copy| copy >= image)
             }
         }
     }
 
+    /// Adds a chunk to the image that is being received. Returns the state once the image is complete.
+    fn assemble(&mut self, chunk: ImageChunk) -> Result<Option<ReplicatedState>, ImageError> {
+        let current = self.assembly.take().filter(|assembly| assembly.matches(&chunk));
+        let mut assembly = match current {
+            Some(assembly) => assembly,
+            // The first chunk of another image: the leader could not continue the previous one.
+            None => ImageAssembly::begin(&chunk)?,
+        };
+        let state = assembly.add(chunk)?;
+        if state.is_none() {
+            self.assembly = Some(assembly);
+        }
+        Ok(state)
+    }
+
+    /// The first machines and jobs that were wrong in a diverged copy, by an image of the same term. Images of other
+    /// terms differ for good reasons as well.
+    fn differing_from(&self, image: &ReplicatedState, position: Position) -> Vec<String> {
+        let same_term = self.position.is_some_and(|copy| copy.term == position.term);
+        if !self.diverged || !same_term {
+            return Vec::new();
+        }
+        self.state.differing(image, constants::REPLICATION_MAX_NAMED_DIFFERENCES)
+    }
+
     /// Position of the copy; `None` without a copy.
     pub fn position(&self) -> Option<Position> {
         self.position
@@ -307,7 +355,11 @@
     /// # Errors
     ///
     /// An [`UnusableCopy`] that says why the copy cannot be used.
-    pub fn usable(&self, term: u64, now: MonotonicTime) -> Result<&ReplicatedState, UnusableCopy> {
+    pub fn usable_copy(
+        &self,
+        term: u64,
+        now: MonotonicTime,
+    ) -> Result<&ReplicatedState, UnusableCopy> {
         let position = self.position.ok_or(UnusableCopy::Empty)?;
         if self.diverged {
             return Err(UnusableCopy::Diverged);
@@ -323,3 +375,13 @@
         Ok(&self.state)
     }
 }
+
+/// Position of the last of `count` entries after a position, if the log can have them.
+fn last_position(after: Position, count: usize, end: Position) -> Result<Position, FollowError> {
+    let last_index = after.index.checked_add(count as u64);
+    let last = Position { index: last_index.unwrap_or(u64::MAX), ..after };
+    if last_index.is_none() || after.term != end.term || last.index > end.index {
+        return Err(FollowError::Inconsistent { last, end });
+    }
+    Ok(last)
+}
--- a/crates/replication/src/image.rs
+++ b/crates/replication/src/image.rs
@@ -12,10 +12,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ImageError {
     /// The image is larger than the limit: its size in bytes.
-    #[error("an image of {0} bytes")]
+    #[error("the image has {0} bytes, above the limit of {limit}", limit = constants::REPLICATION_IMAGE_LIMIT)]
     TooLarge(u64),
     /// A chunk is not the next one.
-    #[error("chunk {found} of an image instead of chunk {expected}")]
+    #[error("chunk {found} of the image instead of chunk {expected}")]
     OutOfOrder {
         /// Index of the next chunk.
         expected: u32,
@@ -23,20 +23,19 @@
         found: u32,
     },
     /// A chunk is empty, above the size limit, or exceeds the image: its size in bytes.
-    #[error("an image chunk of {0} bytes")]
+    #[error("a chunk of {0} bytes is empty, above the limit or beyond the end of the image")]
     ChunkLength(usize),
     /// The digest of the received bytes differs from that of the image.
     #[error("the digest of the image does not match")]
     DigestMismatch,
-    /// The state cannot be encoded, or the bytes cannot be decoded: the reason.
-    #[error("the image cannot be encoded or decoded: {0}")]
+    /// The state cannot be encoded: the reason.
+    #[error("the state cannot be encoded: {0}")]
+    Unencodable(String),
+    /// The received bytes are not a state: the reason.
+    #[error("the image cannot be decoded: {0}")]
     Undecodable(String),
 }
 
-fn codec() -> impl bincode::config::Config {
-    bincode::config::standard().with_limit::<{ constants::REPLICATION_IMAGE_LIMIT }>()
-}
-
 /// A chunk of a state image.
 ///
 /// The fields and their order are a wire format, which never changes.
@@ -69,18 +68,15 @@
     ///
     /// # Errors
     ///
-    /// [`ImageError::TooLarge`] above the size limit, [`ImageError::Undecodable`] if it cannot be encoded.
+    /// [`ImageError::TooLarge`] above the size limit, [`ImageError::Unencodable`] if it cannot be encoded.
     pub fn new(
         state: &ReplicatedState,
         position: Position,
         now: MonotonicTime,
     ) -> Result<Self, ImageError> {
-        let bytes = bincode::serde::encode_to_vec(state, codec())
-            .map_err(|error| ImageError::Undecodable(error.to_string()))?;
-        if bytes.len() > constants::REPLICATION_IMAGE_LIMIT {
-            return Err(ImageError::TooLarge(bytes.len() as u64));
-        }
-        Ok(Self { position, made_at: now, digest: xxh3_64(&bytes), bytes })
+        let bytes = encode(state)?;
+        let digest = xxh3_64(&bytes);
+        Ok(Self { position, made_at: now, digest, bytes })
     }
 
     /// Returns a chunk; `None` after the last one.
@@ -140,29 +136,57 @@
     ///
     /// Any [`ImageError`]; the assembly must then be discarded.
     pub fn add(&mut self, chunk: ImageChunk) -> Result<Option<ReplicatedState>, ImageError> {
-        if chunk.index != self.next_chunk {
-            let (expected, found) = (self.next_chunk, chunk.index);
-            return Err(ImageError::OutOfOrder { expected, found });
-        }
-        let length = chunk.bytes.len();
-        let missing = self.image_bytes - self.bytes.len() as u64;
-        let fits = length <= constants::REPLICATION_CHUNK_BYTES && length as u64 <= missing;
-        if length == 0 || !fits {
-            return Err(ImageError::ChunkLength(length));
-        }
+        self.check_next(&chunk)?;
         self.bytes.extend(chunk.bytes);
         self.next_chunk += 1;
-        if (self.bytes.len() as u64) < self.image_bytes {
+        if self.missing_bytes() > 0 {
             return Ok(None);
         }
         if xxh3_64(&self.bytes) != self.image_digest {
             return Err(ImageError::DigestMismatch);
         }
-        let (state, decoded_bytes) = bincode::serde::decode_from_slice(&self.bytes, codec())
-            .map_err(|error| ImageError::Undecodable(error.to_string()))?;
-        if decoded_bytes != self.bytes.len() {
-            return Err(ImageError::Undecodable("trailing bytes after the state".into()));
+        decode(&self.bytes).map(Some)
+    }
+
+    /// Checks that a chunk is the next one, and that its size is possible.
+    fn check_next(&self, chunk: &ImageChunk) -> Result<(), ImageError> {
+        if chunk.index != self.next_chunk {
+            return Err(ImageError::OutOfOrder { expected: self.next_chunk, found: chunk.index });
+        }
+        let length = chunk.bytes.len();
+        let is_too_long = length > constants::REPLICATION_CHUNK_BYTES;
+        if length == 0 || is_too_long || length as u64 > self.missing_bytes() {
+            return Err(ImageError::ChunkLength(length));
         }
-        Ok(Some(state))
+        Ok(())
+    }
+
+    /// Number of bytes that have not been received.
+    fn missing_bytes(&self) -> u64 {
+        self.image_bytes - self.bytes.len() as u64
+    }
+}
+
+/// Encodes a state, up to the size limit.
+fn encode(state: &ReplicatedState) -> Result<Vec<u8>, ImageError> {
+    let bytes = bincode::serde::encode_to_vec(state, codec())
+        .map_err(|error| ImageError::Unencodable(error.to_string()))?;
+    if bytes.len() > constants::REPLICATION_IMAGE_LIMIT {
+        return Err(ImageError::TooLarge(bytes.len() as u64));
     }
+    Ok(bytes)
+}
+
+fn decode(bytes: &[u8]) -> Result<ReplicatedState, ImageError> {
+    let (state, decoded_bytes) = bincode::serde::decode_from_slice(bytes, codec())
+        .map_err(|error| ImageError::Undecodable(error.to_string()))?;
+    if decoded_bytes != bytes.len() {
+        return Err(ImageError::Undecodable("trailing bytes after the state".into()));
+    }
+    Ok(state)
+}
+
+/// The codec of images. Its limit keeps forged lengths from allocating more memory than an image can need.
+fn codec() -> impl bincode::config::Config {
+    bincode::config::standard().with_limit::<{ constants::REPLICATION_IMAGE_LIMIT }>()
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -31,6 +31,6 @@
 pub use message::{FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress};
 pub use metrics::{DurationHistogram, FailoverMetrics, FollowerMetrics};
 pub use position::Position;
-pub use promotion::{Event, Phase, Promotion, Step, TransitionError};
+pub use promotion::{Action, Event, Phase, Promotion, TransitionError};
 pub use publisher::{MachineView, Publisher, TaskView};
 pub use state::{ApplyError, PlacedTask, ReplicatedJob, ReplicatedMachine, ReplicatedState, Stage};
--- a/crates/replication/src/log.rs
+++ b/crates/replication/src/log.rs
@@ -48,8 +48,10 @@
 
     /// Returns the entries after a position; `None` if the log does not have all of them.
     pub fn after(&self, after: Position) -> Option<impl Iterator<Item = &Entry>> {
-        let skip =
-            self.covers(after).then(|| (after.index - self.last_dropped_index()) as usize)?;
-        Some(self.entries.iter().skip(skip))
+        if !self.covers(after) {
+            return None;
+        }
+        let known_entries = after.index - self.last_dropped_index();
+        Some(self.entries.iter().skip(known_entries as usize))
     }
 }
--- a/crates/replication/src/promotion.rs
+++ b/crates/replication/src/promotion.rs
@@ -66,9 +66,9 @@
 
 /// What the caller has to do after an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum Action {
     /// Nothing.
-    NoAction,
+    None,
     /// Read the leadership record in the state service now.
     ReadLeader,
     /// Read the records of earlier leaders.
@@ -139,7 +139,7 @@
     /// # Errors
     ///
     /// A [`TransitionError`] if the event is of a wrong term.
-    pub fn handle(&mut self, event: Event, now: MonotonicTime) -> Result<Step, TransitionError> {
+    pub fn handle(&mut self, event: Event, now: MonotonicTime) -> Result<Action, TransitionError> {
         let action = match event {
             Event::LeaderResponded => self.leader_responded(now),
             Event::LeaderSilent => self.leader_silent(now),
@@ -153,26 +153,26 @@
         Ok(action)
     }
 
-    fn leader_responded(&mut self, now: MonotonicTime) -> Step {
+    fn leader_responded(&mut self, now: MonotonicTime) -> Action {
         self.times.leader_responded_at = Some(now);
         if self.phase == Phase::Suspecting {
             self.return_to_following();
         }
-        Step::NoAction
+        Action::None
     }
 
-    fn leader_silent(&mut self, now: MonotonicTime) -> Step {
+    fn leader_silent(&mut self, now: MonotonicTime) -> Action {
         let must_read_leader = match self.phase {
             Phase::Following => true,
             Phase::Suspecting => self.may_read_leader_again(now),
             Phase::Fencing | Phase::CatchingUp(_) | Phase::Active(_) => false,
         };
         if !must_read_leader {
-            return Step::NoAction;
+            return Action::None;
         }
         self.phase = Phase::Suspecting;
         self.times.suspected_at = Some(now);
-        Step::ReadLeader
+        Action::ReadLeader
     }
 
     /// Whether the leadership record may be read once more: an earlier read may have come just before the lease
@@ -182,19 +182,19 @@
         self.times.suspected_at.is_none_or(interval_over)
     }
 
-    fn lease_expired(&mut self, now: MonotonicTime) -> Step {
+    fn lease_expired(&mut self, now: MonotonicTime) -> Action {
         if matches!(self.phase, Phase::Following | Phase::Suspecting) {
             self.phase = Phase::Fencing;
             self.times.lease_expired_at = Some(now);
         }
-        Step::NoAction
+        Action::None
     }
 
-    fn other_leader(&mut self) -> Step {
+    fn other_leader(&mut self) -> Action {
         if matches!(self.phase, Phase::Suspecting | Phase::Fencing) {
             self.return_to_following();
         }
-        Step::NoAction
+        Action::None
     }
 
     fn return_to_following(&mut self) {
@@ -203,38 +203,38 @@
         self.times = FailoverTimes { leader_responded_at, ..FailoverTimes::default() };
     }
 
-    fn elected(&mut self, term: u64, now: MonotonicTime) -> Result<Step, TransitionError> {
+    fn elected(&mut self, term: u64, now: MonotonicTime) -> Result<Action, TransitionError> {
         if term <= self.term {
             return Err(TransitionError::OldTerm { found: term, known: self.term });
         }
         self.term = term;
         self.phase = Phase::CatchingUp(term);
         self.times.elected_at = Some(now);
-        Ok(Step::ReadRecords)
+        Ok(Action::ReadRecords)
     }
 
-    fn records_read(&mut self, term: u64, now: MonotonicTime) -> Result<Step, TransitionError> {
+    fn records_read(&mut self, term: u64, now: MonotonicTime) -> Result<Action, TransitionError> {
         if self.phase != Phase::CatchingUp(term) {
             return Err(TransitionError::OldRecords(term));
         }
         self.phase = Phase::Active(term);
         self.times.records_read_at = Some(now);
-        Ok(Step::Lead)
+        Ok(Action::Lead)
     }
 
-    fn deposed(&mut self) -> Step {
+    fn deposed(&mut self) -> Action {
         let was_elected = matches!(self.phase, Phase::CatchingUp(_) | Phase::Active(_));
         self.return_to_following();
-        if was_elected { Step::Stop } else { Step::NoAction }
+        if was_elected { Action::Stop } else { Action::None }
     }
 
     /// Completes the failover with its first dispatch. Later ones find no times of a failover.
-    fn dispatched(&mut self, now: MonotonicTime) -> Step {
+    fn dispatched(&mut self, now: MonotonicTime) -> Action {
         if let Some(failover) = self.failover_completed_at(now) {
             self.metrics.record(&failover);
             self.times = FailoverTimes::default();
         }
-        Step::NoAction
+        Action::None
     }
 
     fn failover_completed_at(&self, now: MonotonicTime) -> Option<CompletedFailover> {
--- a/crates/replication/src/publisher.rs
+++ b/crates/replication/src/publisher.rs
@@ -6,7 +6,7 @@
 use crate::log::ReplicationLog;
 use crate::message::{FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress};
 use crate::position::Position;
-use crate::state::{PlacedTask, ReplicatedJob, ReplicatedState, Stage};
+use crate::state::{PlacedTask, ReplicatedJob, ReplicatedMachine, ReplicatedState, Stage};
 use hookway_constants as constants;
 use hookway_time::MonotonicTime;
 use std::collections::BTreeMap;
@@ -50,7 +50,9 @@
 /// Progress of the comparison of digests with one follower.
 #[derive(Debug, Default)]
 struct DigestSchedule {
+    /// Index of the range that is compared next.
     next_range: u32,
+    /// When the last digest was sent; the clock's start before the first.
     last_sent_at: MonotonicTime,
 }
 
@@ -88,8 +90,13 @@
         view: MachineView<'_>,
         tasks: impl Iterator<Item = TaskView<'a>> + Clone,
     ) {
-        let known = self.state.machines.get(view.name);
-        let is_published = known.is_some_and(|machine| {
+        self.publish_worker(view);
+        self.publish_tasks(view.name, tasks);
+    }
+
+    fn publish_worker(&mut self, view: MachineView<'_>) {
+        let published = self.state.machines.get(view.name);
+        let is_published = published.is_some_and(|machine| {
             machine.address == view.address && machine.incarnation == view.incarnation
         });
         if !is_published {
@@ -99,14 +106,22 @@
                 incarnation: view.incarnation,
             });
         }
-        let Some(known) = self.state.machines.get(view.name) else { return };
-        let unchanged =
-            |task: TaskView<'_>| known.stage(task.task, task.attempt) == Some(task.stage);
-        let count = tasks.clone().count();
-        if count == known.tasks().len() && tasks.clone().all(unchanged) {
+    }
+
+    fn publish_tasks<'a>(
+        &mut self,
+        machine: &str,
+        tasks: impl Iterator<Item = TaskView<'a>> + Clone,
+    ) {
+        let Some(published) = self.state.machines.get(machine) else { return };
+        let is_published =
+            |task: TaskView<'_>| published.stage(task.task, task.attempt) == Some(task.stage);
+        // Most machines have not changed: no entries are built for them.
+        let same_count = tasks.clone().count() == published.tasks().len();
+        if same_count && tasks.clone().all(is_published) {
             return;
         }
-        for entry in task_entries(view.name, known.tasks(), tasks) {
+        for entry in task_entries(machine, published, tasks) {
             self.append(entry);
         }
     }
@@ -156,24 +171,23 @@
         request: &FollowRequest,
         now: MonotonicTime,
     ) -> Result<FollowResponse, ImageError> {
-        let end = self.log.end();
-        if let FollowerProgress::Through(after) = request.progress
-            && let Some(body) = self.entries_after(&request.follower, after, now)
-        {
-            return Ok(FollowResponse { end, body });
-        }
-        let next_chunk = match request.progress {
-            FollowerProgress::ReceivingImage { position, next_chunk } => {
-                self.chunk_of_current_image(position, next_chunk)
-            }
-            FollowerProgress::Empty | FollowerProgress::Through(_) => None,
+        let body = match self.missing_entries(request, now) {
+            Some(entries) => entries,
+            None => FollowResponseBody::ImageChunk(self.image_chunk(request.progress, now)?),
         };
-        let chunk = match next_chunk {
-            Some(chunk) => chunk,
-            None => self.first_chunk(now)?,
-        };
-        let body = FollowResponseBody::ImageChunk(chunk);
-        Ok(FollowResponse { end, body })
+        Ok(FollowResponse { end: self.log.end(), body })
+    }
+
+    /// The entries that a follower lacks; `None` if it needs an image.
+    fn missing_entries(
+        &mut self,
+        request: &FollowRequest,
+        now: MonotonicTime,
+    ) -> Option<FollowResponseBody> {
+        match request.progress {
+            FollowerProgress::Through(after) => self.entries_after(&request.follower, after, now),
+            FollowerProgress::Empty | FollowerProgress::ReceivingImage { .. } => None,
+        }
     }
 
     /// The entries after a position, limited by the size of a message; `None` if the log does not have them.
@@ -210,6 +224,24 @@
         digest
     }
 
+    /// The chunk of an image that a follower needs next.
+    fn image_chunk(
+        &mut self,
+        progress: FollowerProgress,
+        now: MonotonicTime,
+    ) -> Result<ImageChunk, ImageError> {
+        let next_chunk = match progress {
+            FollowerProgress::ReceivingImage { position, next_chunk } => {
+                self.chunk_of_current_image(position, next_chunk)
+            }
+            FollowerProgress::Empty | FollowerProgress::Through(_) => None,
+        };
+        match next_chunk {
+            Some(chunk) => Ok(chunk),
+            None => self.first_chunk(now),
+        }
+    }
+
     /// A chunk of the current image; `None` if the image is of another position, the log does not continue it any
     /// more, or there is no such chunk.
     fn chunk_of_current_image(&self, position: Position, index: u32) -> Option<ImageChunk> {
@@ -228,36 +260,34 @@
             Some(image) => image,
             None => Image::new(&self.state, self.log.end(), now)?,
         };
-        let first = image.chunk(0);
-        self.image = Some(image);
-        first.ok_or(ImageError::ChunkLength(0))
+        // An encoded state is never empty, so there is a first chunk.
+        self.image.insert(image).chunk(0).ok_or(ImageError::ChunkLength(0))
     }
 }
 
 /// Entries that turn the published tasks of a machine into the current ones. Removals come first.
 fn task_entries<'a>(
     machine: &str,
-    published: &[PlacedTask],
+    published: &ReplicatedMachine,
     current: impl Iterator<Item = TaskView<'a>> + Clone,
 ) -> Vec<Entry> {
-    let exists = |old: &PlacedTask| {
+    let is_current = |old: &PlacedTask| {
         current.clone().any(|new| new.attempt == old.attempt && new.task == old.task)
     };
-    let removed = published.iter().filter(|old| !exists(old)).map(|old| Entry::TaskRemoved {
+    let removed = published.tasks().iter().filter(|old| !is_current(old));
+    let removals = removed.map(|old| Entry::TaskRemoved {
         machine: machine.to_owned(),
         task: old.task.clone(),
         attempt: old.attempt,
     });
-    let is_published = |new: &TaskView<'_>| {
-        published
-            .iter()
-            .any(|old| old.attempt == new.attempt && old.task == new.task && old.stage == new.stage)
-    };
-    let changed = current.clone().filter(|new| !is_published(new)).map(|new| Entry::Task {
+    let is_published =
+        |new: &TaskView<'_>| published.stage(new.task, new.attempt) == Some(new.stage);
+    let changed = current.clone().filter(|new| !is_published(new));
+    let changes = changed.map(|new| Entry::Task {
         machine: machine.to_owned(),
         task: PlacedTask { task: new.task.to_owned(), attempt: new.attempt, stage: new.stage },
     });
-    removed.chain(changed).collect()
+    removals.chain(changes).collect()
 }
 
 /// Upper estimate of the encoded size of an entry, in bytes.
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -29,6 +29,7 @@
 }
 
 impl PlacedTask {
+    /// By what the tasks of a machine are sorted.
     fn key(&self) -> (&str, u64) {
         (&self.task, self.attempt)
     }
@@ -53,24 +54,27 @@
 
     /// Stage of a task; `None` if this attempt is not on the machine.
     pub fn stage(&self, task: &str, attempt: u64) -> Option<Stage> {
-        self.search(task, attempt).ok().map(|i| self.tasks[i].stage)
+        self.search(task, attempt).ok().map(|index| self.tasks[index].stage)
     }
 
+    /// Index of a task, or the index at which it would be inserted.
     fn search(&self, task: &str, attempt: u64) -> Result<usize, usize> {
         self.tasks.binary_search_by(|placed| placed.key().cmp(&(task, attempt)))
     }
 
+    /// Adds a task, or replaces its stage.
     fn put(&mut self, task: PlacedTask) {
         match self.search(&task.task, task.attempt) {
-            Ok(i) => self.tasks[i] = task,
-            Err(i) => self.tasks.insert(i, task),
+            Ok(index) => self.tasks[index] = task,
+            Err(index) => self.tasks.insert(index, task),
         }
     }
 
+    /// Removes a task. Returns `false` if this attempt is not on the machine.
     fn remove(&mut self, task: &str, attempt: u64) -> bool {
         let found = self.search(task, attempt);
-        if let Ok(i) = found {
-            self.tasks.remove(i);
+        if let Ok(index) = found {
+            self.tasks.remove(index);
         }
         found.is_ok()
     }
@@ -142,15 +146,9 @@
             Entry::MachineRemoved { name } => {
                 self.machines.remove(&name).ok_or(ApplyError::UnknownMachine(name))?;
             }
-            Entry::Task { machine, task } => match self.machines.get_mut(&machine) {
-                Some(found) => found.put(task),
-                None => return Err(ApplyError::UnknownMachine(machine)),
-            },
+            Entry::Task { machine, task } => self.machine_mut(&machine)?.put(task),
             Entry::TaskRemoved { machine, task, attempt } => {
-                let Some(found) = self.machines.get_mut(&machine) else {
-                    return Err(ApplyError::UnknownMachine(machine));
-                };
-                if !found.remove(&task, attempt) {
+                if !self.machine_mut(&machine)?.remove(&task, attempt) {
                     return Err(ApplyError::UnknownTask { machine, task, attempt });
                 }
             }
@@ -164,6 +162,10 @@
         Ok(())
     }
 
+    fn machine_mut(&mut self, name: &str) -> Result<&mut ReplicatedMachine, ApplyError> {
+        self.machines.get_mut(name).ok_or_else(|| ApplyError::UnknownMachine(name.to_owned()))
+    }
+
     /// Number of tasks on all machines.
     pub fn task_count(&self) -> usize {
         self.machines.values().map(|machine| machine.tasks.len()).sum()
@@ -179,10 +181,10 @@
 
 /// Keys whose values differ, or that are only in one of the maps.
 fn differing_keys<'a, V: PartialEq>(
-    one: &'a BTreeMap<String, V>,
-    other: &'a BTreeMap<String, V>,
+    left: &'a BTreeMap<String, V>,
+    right: &'a BTreeMap<String, V>,
 ) -> impl Iterator<Item = &'a String> {
-    let changed = one.iter().filter(|(key, value)| other.get(*key) != Some(*value));
-    let added = other.keys().filter(|key| !one.contains_key(*key));
-    changed.map(|(key, _)| key).chain(added)
+    let changed = left.iter().filter(|(key, value)| right.get(*key) != Some(*value));
+    let only_right = right.keys().filter(|key| !left.contains_key(*key));
+    changed.map(|(key, _)| key).chain(only_right)
 }
--- a/crates/replication/tests/following.rs
+++ b/crates/replication/tests/following.rs
@@ -166,7 +166,7 @@
         }
     };
     assert!(matches!(found, FollowError::Diverged { .. }), "{found:?}");
-    assert_eq!(follower.usable(TERM + 1, now), Err(UnusableCopy::Diverged), "never led from");
+    assert_eq!(follower.usable_copy(TERM + 1, now), Err(UnusableCopy::Diverged), "never led from");
     let replaced = exchange(&mut follower, &mut publisher, now).expect("an image of one chunk");
     let FollowOutcome::ImageApplied { differing } = replaced else { panic!("{replaced:?}") };
     assert!(differing.contains(&"m-7".to_owned()), "{differing:?}");
@@ -191,7 +191,7 @@
         catch_up(&mut follower, &mut publisher, at(0));
         let refused = follower.handle_response(response.clone(), at(0));
         assert!(refused.is_err(), "{response:?}: {refused:?}");
-        assert!(follower.usable(TERM + 1, at(0)).is_err());
+        assert!(follower.usable_copy(TERM + 1, at(0)).is_err());
         catch_up(&mut follower, &mut publisher, at(0));
     }
 }
@@ -201,16 +201,16 @@
     let mut publisher = leader(2);
     let mut follower = follower();
     assert_eq!(
-        follower.usable(TERM + 1, at(0)),
+        follower.usable_copy(TERM + 1, at(0)),
         Err(UnusableCopy::Empty),
         "restarted a moment ago"
     );
     catch_up(&mut follower, &mut publisher, at(1_000));
-    assert!(follower.usable(TERM + 1, at(9_000)).is_ok());
-    assert_eq!(follower.usable(TERM, at(9_000)), Err(UnusableCopy::NotEarlier(TERM)));
+    assert!(follower.usable_copy(TERM + 1, at(9_000)).is_ok());
+    assert_eq!(follower.usable_copy(TERM, at(9_000)), Err(UnusableCopy::NotEarlier(TERM)));
     let late = at(1_001) + constants::REPLICATION_STALE;
     assert_eq!(
-        follower.usable(TERM + 1, late),
+        follower.usable_copy(TERM + 1, late),
         Err(UnusableCopy::Stale(constants::REPLICATION_STALE + Duration::from_millis(1)))
     );
 }
--- a/crates/replication/tests/images.rs
+++ b/crates/replication/tests/images.rs
@@ -95,26 +95,33 @@
         chunk
     };
     vec![
-        (with(&|p| p.bytes[3] ^= 1), |e| {
-            matches!(e, FollowError::Image(ImageError::DigestMismatch))
+        (with(&|chunk| chunk.bytes[3] ^= 1), |error| {
+            matches!(error, FollowError::Image { source: ImageError::DigestMismatch, .. })
         }),
-        (with(&|p| p.image_digest ^= 1), |e| {
-            matches!(e, FollowError::Image(ImageError::DigestMismatch))
+        (with(&|chunk| chunk.image_digest ^= 1), |error| {
+            matches!(error, FollowError::Image { source: ImageError::DigestMismatch, .. })
         }),
-        (with(&|p| p.index = 4), |e| {
-            matches!(e, FollowError::Image(ImageError::OutOfOrder { expected: 0, found: 4 }))
+        (with(&|chunk| chunk.index = 4), |error| {
+            matches!(
+                error,
+                FollowError::Image { source: ImageError::OutOfOrder { expected: 0, found: 4 }, .. }
+            )
         }),
-        (with(&|p| p.image_bytes = u64::MAX), |e| {
-            matches!(e, FollowError::Image(ImageError::TooLarge(u64::MAX)))
+        (with(&|chunk| chunk.image_bytes = u64::MAX), |error| {
+            matches!(error, FollowError::Image { source: ImageError::TooLarge(u64::MAX), .. })
         }),
-        (with(&|p| p.bytes.clear()), |e| {
-            matches!(e, FollowError::Image(ImageError::ChunkLength(0)))
+        (with(&|chunk| chunk.bytes.clear()), |error| {
+            matches!(error, FollowError::Image { source: ImageError::ChunkLength(0), .. })
         }),
-        (with(&|p| p.bytes.resize(constants::REPLICATION_CHUNK_BYTES + 1, 0)), |e| {
-            matches!(e, FollowError::Image(ImageError::ChunkLength(_)))
+        (with(&|chunk| chunk.bytes.resize(constants::REPLICATION_CHUNK_BYTES + 1, 0)), |error| {
+            matches!(error, FollowError::Image { source: ImageError::ChunkLength(_), .. })
+        }),
+        (with(&|chunk| chunk.position.index += 1_000), |error| {
+            matches!(error, FollowError::Inconsistent { .. })
+        }),
+        (with(&|chunk| chunk.position.term += 1), |error| {
+            matches!(error, FollowError::Inconsistent { .. })
         }),
-        (with(&|p| p.position.index += 1_000), |e| matches!(e, FollowError::Inconsistent { .. })),
-        (with(&|p| p.position.term += 1), |e| matches!(e, FollowError::Inconsistent { .. })),
     ]
 }
 
@@ -142,7 +149,10 @@
     let chunk = ImageChunk { position, index: 0, image_bytes: 64, image_digest: digest, bytes };
     let response = FollowResponse { end: position, body: FollowResponseBody::ImageChunk(chunk) };
     let refused = follower().handle_response(response, at(0));
-    assert!(matches!(refused, Err(FollowError::Image(ImageError::Undecodable(_)))), "{refused:?}");
+    assert!(
+        matches!(refused, Err(FollowError::Image { source: ImageError::Undecodable(_), .. })),
+        "{refused:?}"
+    );
 }
 
 #[test]
@@ -158,7 +168,7 @@
     follower.observe_term(2 * TERM);
     assert_eq!(exchange(&mut follower, &mut new, at(10)), Ok(FollowOutcome::ImageChunkStored));
     // The new leader crashes during its image transfer: the next one has the copy of the leader before.
-    let usable = follower.usable(3 * TERM, at(20)).expect("the older copy");
+    let usable = follower.usable_copy(3 * TERM, at(20)).expect("the older copy");
     assert_eq!(usable.machines.len(), 3);
     follower.observe_term(3 * TERM);
     assert_eq!(
--- a/crates/replication/tests/promotion.rs
+++ b/crates/replication/tests/promotion.rs
@@ -1,7 +1,7 @@
 //! The phases of a failover: none without its proof.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
-use hookway_replication::{Event, FailureDetector, Phase, Promotion, Step, TransitionError};
+use hookway_replication::{Action, Event, FailureDetector, Phase, Promotion, TransitionError};
 use hookway_time::MonotonicTime;
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     let mut promotion = Promotion::default();
     promotion.handle(Event::LeaderResponded, at(1_000)).expect("allowed");
     promotion.handle(Event::LeaseExpired, at(6_000)).expect("allowed");
-    assert_eq!(promotion.handle(Event::Elected { term }, at(6_100)), Ok(Step::ReadRecords));
+    assert_eq!(promotion.handle(Event::Elected { term }, at(6_100)), Ok(Action::ReadRecords));
     promotion
 }
 
@@ -27,13 +27,13 @@
 fn failover_passes_every_phase_and_records_durations() {
     let mut promotion = Promotion::default();
     promotion.handle(Event::LeaderResponded, at(1_000)).expect("allowed");
-    assert_eq!(promotion.handle(Event::LeaderSilent, at(2_500)), Ok(Step::ReadLeader));
+    assert_eq!(promotion.handle(Event::LeaderSilent, at(2_500)), Ok(Action::ReadLeader));
     assert_eq!(promotion.phase(), Phase::Suspecting);
     promotion.handle(Event::LeaseExpired, at(5_000)).expect("allowed");
     assert_eq!(promotion.phase(), Phase::Fencing);
-    assert_eq!(promotion.handle(Event::Elected { term: 9 }, at(5_100)), Ok(Step::ReadRecords));
+    assert_eq!(promotion.handle(Event::Elected { term: 9 }, at(5_100)), Ok(Action::ReadRecords));
     assert!(!promotion.may_dispatch(9), "nothing was read yet");
-    assert_eq!(promotion.handle(Event::RecordsRead { term: 9 }, at(5_200)), Ok(Step::Lead));
+    assert_eq!(promotion.handle(Event::RecordsRead { term: 9 }, at(5_200)), Ok(Action::Lead));
     assert!(promotion.may_dispatch(9) && !promotion.may_dispatch(8));
     promotion.handle(Event::Dispatched, at(5_250)).expect("allowed");
     promotion.handle(Event::Dispatched, at(9_999)).expect("allowed");
@@ -50,10 +50,10 @@
     promotion.handle(Event::LeaderSilent, at(100)).expect("allowed");
     assert_eq!(
         promotion.handle(Event::LeaderSilent, at(200)),
-        Ok(Step::NoAction),
+        Ok(Action::None),
         "it has just looked"
     );
-    assert_eq!(promotion.handle(Event::LeaderSilent, at(1_100)), Ok(Step::ReadLeader));
+    assert_eq!(promotion.handle(Event::LeaderSilent, at(1_100)), Ok(Action::ReadLeader));
     assert!(!promotion.may_dispatch(0));
     promotion.handle(Event::LeaderResponded, at(1_300)).expect("allowed");
     assert_eq!(promotion.phase(), Phase::Following);
@@ -83,7 +83,7 @@
     );
     assert!(!promotion.may_dispatch(4));
     // Deposed while reading: what comes back late makes nobody a leader.
-    assert_eq!(promotion.handle(Event::Deposed, at(6_300)), Ok(Step::Stop));
+    assert_eq!(promotion.handle(Event::Deposed, at(6_300)), Ok(Action::Stop));
     assert_eq!(
         promotion.handle(Event::RecordsRead { term: 4 }, at(6_400)),
         Err(TransitionError::OldRecords(4))
@@ -101,7 +101,7 @@
         assert_eq!(refused, Err(TransitionError::OldTerm { found: old, known: 20 }));
         assert!(!promotion.may_dispatch(old));
     }
-    assert_eq!(promotion.handle(Event::Elected { term: 21 }, at(8_000)), Ok(Step::ReadRecords));
+    assert_eq!(promotion.handle(Event::Elected { term: 21 }, at(8_000)), Ok(Action::ReadRecords));
 }
 
 #[test]
@@ -114,10 +114,10 @@
     promotion.handle(Event::OtherLeader, at(6_260)).expect("allowed");
     promotion.handle(Event::LeaseExpired, at(6_270)).expect("allowed");
     assert!(promotion.may_dispatch(4));
-    assert_eq!(promotion.handle(Event::Deposed, at(6_300)), Ok(Step::Stop));
+    assert_eq!(promotion.handle(Event::Deposed, at(6_300)), Ok(Action::Stop));
     assert!(!promotion.may_dispatch(4));
     assert_eq!(promotion.phase(), Phase::Following);
-    assert_eq!(promotion.handle(Event::Deposed, at(6_301)), Ok(Step::NoAction));
+    assert_eq!(promotion.handle(Event::Deposed, at(6_301)), Ok(Action::None));
 }
 
 #[test]
