--- a/crates/constants/src/replication.rs
+++ b/crates/constants/src/replication.rs
@@ -15,7 +15,7 @@
 /// Maximum entries of the replication log: some seconds of the largest fleets. A standby that is
 /// further behind gets an image, which costs less than as many entries.
 pub const REPLICATION_LOG_ENTRIES: usize = 16_384;
-/// Bytes of entries, or of an image, in one message between controllers: well below
+/// Maximum bytes of entries, or of a chunk of an image, in one message between controllers: well below
 /// [`PEER_FRAME_LIMIT`](crate::PEER_FRAME_LIMIT).
 pub const REPLICATION_CHUNK_BYTES: usize = 32 * 1024;
 /// Maximum size of an image, bytes: some 200 per machine with its tasks, so enough for 100,000
