--- a/crates/controller/src/actor/dispatch.rs
+++ b/crates/controller/src/actor/dispatch.rs
@@ -55,7 +55,7 @@
         }
         let starts = cluster.take_direct_starts(now.as_millis());
         if !starts.is_empty() {
-            self.config.standby.start_dispatched(now.as_millis());
+            self.config.standby.start_dispatched(now);
         }
         for (machine, address, commands) in starts {
             let (workers, authority) = (self.config.workers.clone(), tasks.authority.clone());
--- a/crates/controller/src/actor/mod.rs
+++ b/crates/controller/src/actor/mod.rs
@@ -83,7 +83,7 @@
     pub async fn run(mut self) {
         loop {
             let view = self.config.view.borrow_and_update().clone();
-            self.config.standby.view_changed(&view, self.config.clock.now().as_millis());
+            self.config.standby.view_changed(&view, self.config.clock.now());
             match view.own_term {
                 Some(leader_term) => self.lead(leader_term).await,
                 None => {
@@ -101,14 +101,14 @@
 
     /// Leads until the term ends; gives the leadership back if a later term is known already.
     async fn lead(&mut self, leader_term: LeaderTerm) {
-        if !self.config.standby.elected(leader_term.term, self.config.clock.now().as_millis()) {
+        if !self.config.standby.elected(leader_term.term, self.config.clock.now()) {
             self.config.leadership_lost.notify_one();
             // Until the election actor has released the leadership.
             let _ = self.config.view.changed().await;
             return;
         }
         self.lead_term(leader_term).await;
-        self.config.standby.deposed(self.config.clock.now().as_millis());
+        self.config.standby.deposed(self.config.clock.now());
     }
 
     /// The loop of a leader. Returns when the term has ended or a channel is closed.
--- a/crates/controller/src/actor/requests.rs
+++ b/crates/controller/src/actor/requests.rs
@@ -29,11 +29,9 @@
             }
             ControllerRequest::Follow { reply, .. } => drop(reply.send(None)),
             ControllerRequest::PrepareFollow(reply) => {
-                let _ = reply.send(self.config.standby.next_request(now.as_millis()));
-            }
-            ControllerRequest::Followed(answer) => {
-                self.config.standby.followed(answer, now.as_millis())
+                let _ = reply.send(self.config.standby.next_request(now));
             }
+            ControllerRequest::Followed(answer) => self.config.standby.handle_response(answer, now),
             ControllerRequest::ReplicationStatus(reply) => self.replication_status(reply, now),
         }
     }
@@ -50,7 +48,7 @@
                 let valid_until = self.config.clock.instant_at(active.tasks.authority.expires_at());
                 let response = cluster.handle_heartbeat(&heartbeat, now.as_millis());
                 if response.as_ref().is_some_and(starts_a_task) {
-                    self.config.standby.start_dispatched(now.as_millis());
+                    self.config.standby.start_dispatched(now);
                 }
                 let _ = reply.send(response.map_or(HeartbeatReply::Unavailable, |response| {
                     HeartbeatReply::Respond { response, valid_until }
@@ -138,7 +136,7 @@
     }
 
     fn replication_status(&self, reply: Reply<ReplicationStatus>, now: MonotonicTime) {
-        let _ = reply.send(Some(self.config.standby.status(now.as_millis())));
+        let _ = reply.send(Some(self.config.standby.status(now)));
     }
 }
 
--- a/crates/controller/src/actor/term.rs
+++ b/crates/controller/src/actor/term.rs
@@ -7,7 +7,7 @@
 use crate::leadership::{Clock, LeaderTerm, LeadershipLease};
 use crate::records::FinalRecord;
 use hookway_constants as constants;
-use hookway_replication::{FollowAnswer, FollowRequest, Publisher};
+use hookway_replication::{FollowRequest, FollowResponse, Publisher};
 use hookway_time::MonotonicTime;
 use hookway_wire::JobId;
 use std::collections::HashMap;
@@ -167,7 +167,7 @@
         cluster: &mut ClusterState,
         request: &FollowRequest,
         now: MonotonicTime,
-    ) -> Option<FollowAnswer> {
+    ) -> Option<FollowResponse> {
         // Standbys ask one after the other: one comparison of the cluster state serves them all.
         if take_due(&mut self.last_published_at, constants::FOLLOW_INTERVAL / 2, now) {
             let full_interval = constants::FULL_PUBLISH_INTERVAL;
@@ -177,7 +177,7 @@
                 cluster.publish(&mut self.publisher);
             }
         }
-        let answer = self.publisher.answer(request, now.as_millis());
+        let answer = self.publisher.respond(request, now);
         if let Err(error) = &answer {
             tracing::error!(standby = request.follower, %error, "answering a standby failed");
         }
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -17,8 +17,8 @@
 use hookway_controller::shard_lease::{ShardLease, ShardLeaseAcknowledgement, ShardLeaseRenewal};
 use hookway_policy::Resources;
 use hookway_replication::{
-    Entry, FollowAnswer, FollowBody, FollowRequest, FollowerProgress, ImageChunk, JobHints,
-    PlacedTask, Position, RangeDigest, Stage,
+    Entry, FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress, ImageChunk,
+    PlacedTask, Position, RangeDigest, ReplicatedJob, Stage,
 };
 use hookway_wire::{
     Command, CommitResponse, DirectCommands, ErrorBody, ExitCause, Heartbeat, HeartbeatRedirect,
@@ -157,12 +157,12 @@
         "ask-follow-pieces",
         &ask(FollowerProgress::ReceivingImage { position: at(300), next_chunk: 2 }),
     );
-    let hints = JobHints {
-        attempt: Some(9),
-        errors: 2,
-        failed_at: 1_000,
-        paused_until: 5_000,
-        failed_on: vec!["m-000231".into()],
+    let job = ReplicatedJob {
+        gang_attempt: Some(9),
+        consecutive_failures: 2,
+        last_failure_unix_ms: 1_000,
+        backoff_until_unix_ms: 5_000,
+        failed_machines: vec!["m-000231".into()],
     };
     let task = PlacedTask { task: "req-000412/3".into(), attempt: 9, stage: Stage::Running };
     let machine = || "m-000231".to_owned();
@@ -171,12 +171,12 @@
         Entry::MachineRemoved { name: machine() },
         Entry::Task { machine: machine(), task },
         Entry::TaskRemoved { machine: machine(), task: "req-000412/3".into(), attempt: 9 },
-        Entry::Job { id: "req-000412".into(), hints },
+        Entry::Job { id: "req-000412".into(), job },
         Entry::JobRemoved { id: "req-000412".into() },
     ];
     let digest = Some(RangeDigest { range: 3, digest: 77 });
-    let body = FollowBody::Entries { after: at(300), entries, digest };
-    frame("answer-entries", &PeerResponse::Followed(Some(FollowAnswer { end: at(400), body })));
+    let body = FollowResponseBody::Entries { after: at(300), entries, digest };
+    frame("answer-entries", &PeerResponse::Followed(Some(FollowResponse { end: at(400), body })));
     let chunk = ImageChunk {
         position: at(300),
         index: 1,
@@ -184,8 +184,8 @@
         image_digest: 8,
         bytes: vec![1, 2],
     };
-    let body = FollowBody::ImageChunk(chunk);
-    frame("answer-piece", &PeerResponse::Followed(Some(FollowAnswer { end: at(400), body })));
+    let body = FollowResponseBody::ImageChunk(chunk);
+    frame("answer-piece", &PeerResponse::Followed(Some(FollowResponse { end: at(400), body })));
     frame("answer-follows-not", &PeerResponse::Followed(None));
 }
 
--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -15,9 +15,10 @@
 use hookway_controller::standby::{Standby, StandbyMode, StandbySignals};
 use hookway_policy::Resources;
 use hookway_replication::{
-    Entry, FollowAnswer, FollowBody, FollowRequest, FollowerProgress, JobHints, MachineView,
-    PlacedTask, Position, Publisher, RangeDigest, ReplicatedState, Stage, TaskView,
+    Entry, FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress, MachineView,
+    PlacedTask, Position, Publisher, RangeDigest, ReplicatedJob, ReplicatedState, Stage, TaskView,
 };
+use hookway_time::MonotonicTime;
 use hookway_wire::{
     Command, CommitResponse, DurationStatus, ExitCause, FailoverStatus, Heartbeat,
     HeartbeatResponse, JobKind, JobSpec, JobState, JobStatus, KeyPage, KeyValue, ListedMachine,
@@ -104,19 +105,22 @@
         machine: "m-000231".into(),
         task: PlacedTask { task: "req-000412/3".into(), attempt: u64::MAX, stage },
     };
-    let hints = JobHints { failed_on: vec!["m-1".into(), "m-2".into()], ..JobHints::default() };
+    let job = ReplicatedJob {
+        failed_machines: vec!["m-1".into(), "m-2".into()],
+        ..ReplicatedJob::default()
+    };
     let entries = vec![
         entry(Stage::Planned),
         entry(Stage::Sent),
         entry(Stage::Accepted),
         entry(Stage::Running),
-        Entry::Job { id: "req-000412".into(), hints },
+        Entry::Job { id: "req-000412".into(), job },
     ];
-    let body = FollowBody::Entries { after: at(0), entries, digest: None };
-    let answer = FollowAnswer { end: at(5), body };
+    let body = FollowResponseBody::Entries { after: at(0), entries, digest: None };
+    let answer = FollowResponse { end: at(5), body };
     frame("pinned-answer-entries", &PeerResponse::Followed(Some(answer)));
-    let body = FollowBody::Entries { after: at(5), entries: vec![], digest: None };
-    let answer = FollowAnswer { end: at(5), body };
+    let body = FollowResponseBody::Entries { after: at(5), entries: vec![], digest: None };
+    let answer = FollowResponse { end: at(5), body };
     frame("pinned-answer-no-entries", &PeerResponse::Followed(Some(answer)));
 }
 
@@ -134,15 +138,18 @@
     publisher.publish_machine(view, tasks.into_iter());
     let view = MachineView { name: "m-000232", address: "10.1.0.233:9000", incarnation: 1 };
     publisher.publish_machine(view, std::iter::empty());
-    let hints = JobHints {
-        attempt: Some(9),
-        errors: 2,
-        failed_at: 1_764_654_219_000,
-        paused_until: 1_764_654_224_000,
-        failed_on: vec!["m-000231".into(), "m-000232".into()],
+    let job = ReplicatedJob {
+        gang_attempt: Some(9),
+        consecutive_failures: 2,
+        last_failure_unix_ms: 1_764_654_219_000,
+        backoff_until_unix_ms: 1_764_654_224_000,
+        failed_machines: vec!["m-000231".into(), "m-000232".into()],
     };
-    publisher.publish_job("req-000412", hints);
-    publisher.publish_job("req-000413", JobHints { errors: 1, ..JobHints::default() });
+    publisher.publish_job("req-000412", job);
+    publisher.publish_job(
+        "req-000413",
+        ReplicatedJob { consecutive_failures: 1, ..ReplicatedJob::default() },
+    );
     publisher
 }
 
@@ -150,7 +157,7 @@
 fn state_image_matches_pinned_bytes_and_digest() {
     let mut publisher = publisher_with_cluster_state();
     let request = FollowRequest { follower: "worker-1".into(), progress: FollowerProgress::Empty };
-    let answer = publisher.answer(&request, 0).expect("an image");
+    let answer = publisher.respond(&request, MonotonicTime::ZERO).expect("an image");
     frame("pinned-answer-image", &PeerResponse::Followed(Some(answer)));
     frame("pinned-image-state", publisher.state());
     frame("pinned-image-empty-state", &ReplicatedState::default());
@@ -391,22 +398,23 @@
         let status = standby.status(now);
         (status.phase, status.copy)
     };
+    let at = MonotonicTime::from_millis;
     let words = |phase: &str, copy: &str| (phase.to_owned(), copy.to_owned());
-    assert_eq!(said(&standby, 0), words("following", "no copy"));
+    assert_eq!(said(&standby, at(0)), words("following", "no copy"));
     let (leader, leader_term) = (Some("worker-1".to_owned()), Some(4_097));
-    standby.view_changed(&LeadershipView { leader, leader_term, own_term: None }, 0);
+    standby.view_changed(&LeadershipView { leader, leader_term, own_term: None }, at(0));
     let mut publisher = publisher_with_cluster_state();
-    for now in (0..10_000).step_by(200) {
+    for now in (0..10_000).step_by(200).map(at) {
         let request = standby.next_request(now).expect("it follows");
-        standby.followed(publisher.answer(&request, now).expect("an answer"), now);
+        standby.handle_response(publisher.respond(&request, now).expect("an answer"), now);
     }
-    assert_eq!(said(&standby, 10_000), words("following", "usable"));
-    standby.next_request(20_000);
-    assert_eq!(standby.status(20_000).phase, "suspecting");
-    standby.view_changed(&LeadershipView::default(), 20_000);
-    assert_eq!(standby.status(20_000).phase, "fencing");
-    assert!(standby.elected(8_193, 20_000));
-    assert_eq!(standby.status(20_000).phase, "catching up");
-    assert!(standby.records_read(8_193, 20_000));
-    assert_eq!(standby.status(20_000).phase, "active");
+    assert_eq!(said(&standby, at(10_000)), words("following", "usable"));
+    standby.next_request(at(20_000));
+    assert_eq!(standby.status(at(20_000)).phase, "suspecting");
+    standby.view_changed(&LeadershipView::default(), at(20_000));
+    assert_eq!(standby.status(at(20_000)).phase, "fencing");
+    assert!(standby.elected(8_193, at(20_000)));
+    assert_eq!(standby.status(at(20_000)).phase, "catching up");
+    assert!(standby.records_read(8_193, at(20_000)));
+    assert_eq!(standby.status(at(20_000)).phase, "active");
 }
--- a/crates/replication/src/publisher.rs
+++ b/crates/replication/src/publisher.rs
@@ -4,11 +4,11 @@
 use crate::entry::Entry;
 use crate::image::{Image, ImageChunk, ImageError};
 use crate::log::ReplicationLog;
-use crate::message::{FollowAnswer, FollowBody, FollowRequest, FollowerProgress};
+use crate::message::{FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress};
 use crate::position::Position;
-use crate::state::{JobHints, PlacedTask, ReplicatedState, Stage};
+use crate::state::{PlacedTask, ReplicatedJob, ReplicatedMachine, ReplicatedState, Stage};
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::MonotonicTime;
 use std::collections::BTreeMap;
 
 /// The current state of a task on a machine.
@@ -35,7 +35,7 @@
 
 /// Publishes changes of the leader's cluster state. The leader may publish a machine or job as often as it likes:
 /// only differences from the last published state become entries. Publishing everything periodically bounds the
-/// time for which a change can be missed. Times are in ms on the caller's monotonic clock.
+/// time for which a change can be missed.
 #[derive(Debug)]
 pub struct Publisher {
     /// The published state: that of a follower that has applied the whole log.
@@ -50,8 +50,10 @@
 /// Progress of the comparison of digests with one follower.
 #[derive(Debug, Default)]
 struct DigestSchedule {
+    /// Index of the range that is compared next.
     next_range: u32,
-    last_sent_ms: u64,
+    /// When the last digest was sent; the clock's start before the first.
+    last_sent_at: MonotonicTime,
 }
 
 impl Publisher {
@@ -88,8 +90,13 @@
         view: MachineView<'_>,
         tasks: impl Iterator<Item = TaskView<'a>> + Clone,
     ) {
-        let known = self.state.machines.get(view.name);
-        let is_published = known.is_some_and(|machine| {
+        self.publish_worker(view);
+        self.publish_tasks(view.name, tasks);
+    }
+
+    fn publish_worker(&mut self, view: MachineView<'_>) {
+        let published = self.state.machines.get(view.name);
+        let is_published = published.is_some_and(|machine| {
             machine.address == view.address && machine.incarnation == view.incarnation
         });
         if !is_published {
@@ -99,14 +106,22 @@
                 incarnation: view.incarnation,
             });
         }
-        let Some(known) = self.state.machines.get(view.name) else { return };
-        let unchanged =
-            |task: TaskView<'_>| known.stage(task.task, task.attempt) == Some(task.stage);
-        let count = tasks.clone().count();
-        if count == known.tasks().len() && tasks.clone().all(unchanged) {
+    }
+
+    fn publish_tasks<'a>(
+        &mut self,
+        machine: &str,
+        tasks: impl Iterator<Item = TaskView<'a>> + Clone,
+    ) {
+        let Some(published) = self.state.machines.get(machine) else { return };
+        let is_published =
+            |task: TaskView<'_>| published.stage(task.task, task.attempt) == Some(task.stage);
+        // Most machines have not changed: no entries are built for them.
+        let same_count = tasks.clone().count() == published.tasks().len();
+        if same_count && tasks.clone().all(is_published) {
             return;
         }
-        for entry in task_entries(view.name, known.tasks(), tasks) {
+        for entry in task_entries(machine, published, tasks) {
             self.append(entry);
         }
     }
@@ -126,9 +141,9 @@
     }
 
     /// Publishes the state of a job that no record holds.
-    pub fn publish_job(&mut self, id: &str, hints: JobHints) {
-        if self.state.jobs.get(id) != Some(&hints) {
-            self.append(Entry::Job { id: id.to_owned(), hints });
+    pub fn publish_job(&mut self, id: &str, job: ReplicatedJob) {
+        if self.state.jobs.get(id) != Some(&job) {
+            self.append(Entry::Job { id: id.to_owned(), job });
         }
     }
 
@@ -145,35 +160,34 @@
         }
     }
 
-    /// Responds to a follower at `now_ms`: with entries if the log has all that are missing, else with a chunk of an
+    /// Responds to a follower at `now`: with entries if the log has all that are missing, else with a chunk of an
     /// image.
     ///
     /// # Errors
     ///
     /// An [`ImageError`] if the state is too large for an image.
-    pub fn answer(
+    pub fn respond(
         &mut self,
         request: &FollowRequest,
-        now_ms: u64,
-    ) -> Result<FollowAnswer, ImageError> {
-        let end = self.log.end();
-        if let FollowerProgress::Through(after) = request.progress
-            && let Some(body) = self.entries_after(&request.follower, after, now_ms)
-        {
-            return Ok(FollowAnswer { end, body });
-        }
-        let next_chunk = match request.progress {
-            FollowerProgress::ReceivingImage { position, next_chunk } => {
-                self.chunk_of_current_image(position, next_chunk)
-            }
-            FollowerProgress::Empty | FollowerProgress::Through(_) => None,
-        };
-        let chunk = match next_chunk {
-            Some(chunk) => chunk,
-            None => self.first_chunk(now_ms)?,
+        now: MonotonicTime,
+    ) -> Result<FollowResponse, ImageError> {
+        let body = match self.missing_entries(request, now) {
+            Some(entries) => entries,
+            None => FollowResponseBody::ImageChunk(self.image_chunk(request.progress, now)?),
         };
-        let body = FollowBody::ImageChunk(chunk);
-        Ok(FollowAnswer { end, body })
+        Ok(FollowResponse { end: self.log.end(), body })
+    }
+
+    /// The entries that a follower lacks; `None` if it needs an image.
+    fn missing_entries(
+        &mut self,
+        request: &FollowRequest,
+        now: MonotonicTime,
+    ) -> Option<FollowResponseBody> {
+        match request.progress {
+            FollowerProgress::Through(after) => self.entries_after(&request.follower, after, now),
+            FollowerProgress::Empty | FollowerProgress::ReceivingImage { .. } => None,
+        }
     }
 
     /// The entries after a position, limited by the size of a message; `None` if the log does not have them.
@@ -181,35 +195,53 @@
         &mut self,
         follower: &str,
         after: Position,
-        now_ms: u64,
-    ) -> Option<FollowBody> {
+        now: MonotonicTime,
+    ) -> Option<FollowResponseBody> {
         let mut bytes = 0;
         let mut entries = Vec::new();
         for entry in self.log.after(after)? {
             bytes += max_encoded_bytes(entry);
-            if bytes > constants::REPLICATION_PIECE_BYTES && !entries.is_empty() {
+            if bytes > constants::REPLICATION_CHUNK_BYTES && !entries.is_empty() {
                 break;
             }
             entries.push(entry.clone());
         }
         // The digest is of the state at the end of the log, so only a follower that gets there can compare it.
         let is_complete = after.index + entries.len() as u64 == self.log.end().index;
-        let digest = if is_complete { self.next_digest(follower, now_ms) } else { None };
-        Some(FollowBody::Entries { after, entries, digest })
+        let digest = if is_complete { self.next_digest(follower, now) } else { None };
+        Some(FollowResponseBody::Entries { after, entries, digest })
     }
 
     /// The digest of the next range, if the follower has received none for the digest interval.
-    fn next_digest(&mut self, follower: &str, now_ms: u64) -> Option<RangeDigest> {
+    fn next_digest(&mut self, follower: &str, now: MonotonicTime) -> Option<RangeDigest> {
         let schedule = self.digests.entry(follower.to_owned()).or_default();
-        if now_ms < schedule.last_sent_ms + whole_millis(constants::REPLICATION_DIGEST_INTERVAL) {
+        if now < schedule.last_sent_at + constants::REPLICATION_DIGEST_INTERVAL {
             return None;
         }
         let digest = RangeDigest::of(&self.state, schedule.next_range);
-        schedule.last_sent_ms = now_ms;
+        schedule.last_sent_at = now;
         schedule.next_range = (schedule.next_range + 1) % constants::REPLICATION_DIGEST_RANGES;
         digest
     }
 
+    /// The chunk of an image that a follower needs next.
+    fn image_chunk(
+        &mut self,
+        progress: FollowerProgress,
+        now: MonotonicTime,
+    ) -> Result<ImageChunk, ImageError> {
+        let next_chunk = match progress {
+            FollowerProgress::ReceivingImage { position, next_chunk } => {
+                self.chunk_of_current_image(position, next_chunk)
+            }
+            FollowerProgress::Empty | FollowerProgress::Through(_) => None,
+        };
+        match next_chunk {
+            Some(chunk) => Ok(chunk),
+            None => self.first_chunk(now),
+        }
+    }
+
     /// A chunk of the current image; `None` if the image is of another position, the log does not continue it any
     /// more, or there is no such chunk.
     fn chunk_of_current_image(&self, position: Position, index: u32) -> Option<ImageChunk> {
@@ -218,46 +250,44 @@
     }
 
     /// The first chunk of an image that the log continues: the current image while it is young, else a new one.
-    fn first_chunk(&mut self, now_ms: u64) -> Result<ImageChunk, ImageError> {
+    fn first_chunk(&mut self, now: MonotonicTime) -> Result<ImageChunk, ImageError> {
         let log = &self.log;
         let is_young = |image: &Image| {
-            now_ms < image.made_at_ms + whole_millis(constants::REPLICATION_IMAGE_LIFETIME)
+            now < image.made_at + constants::REPLICATION_IMAGE_LIFETIME
                 && log.covers(image.position)
         };
         let image = match self.image.take().filter(is_young) {
             Some(image) => image,
-            None => Image::new(&self.state, self.log.end(), now_ms)?,
+            None => Image::new(&self.state, self.log.end(), now)?,
         };
-        let first = image.chunk(0);
-        self.image = Some(image);
-        first.ok_or(ImageError::ChunkLength(0))
+        // An encoded state is never empty, so there is a first chunk.
+        self.image.insert(image).chunk(0).ok_or(ImageError::ChunkLength(0))
     }
 }
 
 /// Entries that turn the published tasks of a machine into the current ones. Removals come first.
 fn task_entries<'a>(
     machine: &str,
-    published: &[PlacedTask],
+    published: &ReplicatedMachine,
     current: impl Iterator<Item = TaskView<'a>> + Clone,
 ) -> Vec<Entry> {
-    let exists = |old: &PlacedTask| {
+    let is_current = |old: &PlacedTask| {
         current.clone().any(|new| new.attempt == old.attempt && new.task == old.task)
     };
-    let removed = published.iter().filter(|old| !exists(old)).map(|old| Entry::TaskRemoved {
+    let removed = published.tasks().iter().filter(|old| !is_current(old));
+    let removals = removed.map(|old| Entry::TaskRemoved {
         machine: machine.to_owned(),
         task: old.task.clone(),
         attempt: old.attempt,
     });
-    let is_published = |new: &TaskView<'_>| {
-        published
-            .iter()
-            .any(|old| old.attempt == new.attempt && old.task == new.task && old.stage == new.stage)
-    };
-    let changed = current.clone().filter(|new| !is_published(new)).map(|new| Entry::Task {
+    let is_published =
+        |new: &TaskView<'_>| published.stage(new.task, new.attempt) == Some(new.stage);
+    let changed = current.clone().filter(|new| !is_published(new));
+    let changes = changed.map(|new| Entry::Task {
         machine: machine.to_owned(),
         task: PlacedTask { task: new.task.to_owned(), attempt: new.attempt, stage: new.stage },
     });
-    removed.chain(changed).collect()
+    removals.chain(changes).collect()
 }
 
 /// Upper estimate of the encoded size of an entry, in bytes.
@@ -269,8 +299,8 @@
         Entry::MachineRemoved { name } => name.len(),
         Entry::Task { machine, task } => machine.len() + task.task.len(),
         Entry::TaskRemoved { machine, task, .. } => machine.len() + task.len(),
-        Entry::Job { id, hints } => {
-            let machines = hints.failed_on.iter().map(|machine| machine.len() + 1);
+        Entry::Job { id, job } => {
+            let machines = job.failed_machines.iter().map(|machine| machine.len() + 1);
             FIXED_BYTES + id.len() + machines.sum::<usize>()
         }
         Entry::JobRemoved { id } => id.len(),
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -29,6 +29,7 @@
 }
 
 impl PlacedTask {
+    /// By what the tasks of a machine are sorted.
     fn key(&self) -> (&str, u64) {
         (&self.task, self.attempt)
     }
@@ -36,7 +37,7 @@
 
 /// A machine with the tasks on it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MachineState {
+pub struct ReplicatedMachine {
     /// Address (`host:port`) of its worker.
     pub address: String,
     /// Incarnation of its worker.
@@ -45,7 +46,7 @@
     tasks: Vec<PlacedTask>,
 }
 
-impl MachineState {
+impl ReplicatedMachine {
     /// Tasks on the machine, sorted by task and attempt.
     pub fn tasks(&self) -> &[PlacedTask] {
         &self.tasks
@@ -53,42 +54,48 @@
 
     /// Stage of a task; `None` if this attempt is not on the machine.
     pub fn stage(&self, task: &str, attempt: u64) -> Option<Stage> {
-        self.search(task, attempt).ok().map(|i| self.tasks[i].stage)
+        self.search(task, attempt).ok().map(|index| self.tasks[index].stage)
     }
 
+    /// Index of a task, or the index at which it would be inserted.
     fn search(&self, task: &str, attempt: u64) -> Result<usize, usize> {
         self.tasks.binary_search_by(|placed| placed.key().cmp(&(task, attempt)))
     }
 
+    /// Adds a task, or replaces its stage.
     fn put(&mut self, task: PlacedTask) {
         match self.search(&task.task, task.attempt) {
-            Ok(i) => self.tasks[i] = task,
-            Err(i) => self.tasks.insert(i, task),
+            Ok(index) => self.tasks[index] = task,
+            Err(index) => self.tasks.insert(index, task),
         }
     }
 
+    /// Removes a task. Returns `false` if this attempt is not on the machine.
     fn remove(&mut self, task: &str, attempt: u64) -> bool {
         let found = self.search(task, attempt);
-        if let Ok(i) = found {
-            self.tasks.remove(i);
+        if let Ok(index) = found {
+            self.tasks.remove(index);
         }
         found.is_ok()
     }
 }
 
-/// State of a job that no record holds. Times are wall-clock times in ms.
+/// The state of a job that no record holds.
+///
+/// The fields and their order are a wire format, which never changes. Times are Unix time by the leader's wall
+/// clock, since the monotonic clocks of two controllers can't be compared.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JobHints {
+pub struct ReplicatedJob {
     /// Attempt that all tasks of a gang share.
-    pub attempt: Option<u64>,
+    pub gang_attempt: Option<u64>,
     /// Number of consecutive attempts that ended with an error.
-    pub errors: u32,
-    /// Time of the last of these errors.
-    pub failed_at: u64,
-    /// Time before which no task of the job is started.
-    pub paused_until: u64,
+    pub consecutive_failures: u32,
+    /// Time of the last of these errors, in ms.
+    pub last_failure_unix_ms: u64,
+    /// Time before which no task of the job is started, in ms.
+    pub backoff_until_unix_ms: u64,
     /// Names of the machines on which tasks of the job failed last.
-    pub failed_on: Vec<String>,
+    pub failed_machines: Vec<String>,
 }
 
 /// Why an entry cannot be applied: it changes something that the copy does not have.
@@ -114,13 +121,13 @@
 
 /// The replicated part of a leader's cluster state: machines, their tasks, and jobs.
 ///
-/// The order of the fields is a wire format.
+/// The fields and their order are a wire format, which never changes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedState {
     /// Machines by name.
-    pub machines: BTreeMap<String, MachineState>,
+    pub machines: BTreeMap<String, ReplicatedMachine>,
     /// Job states by job id.
-    pub jobs: BTreeMap<String, JobHints>,
+    pub jobs: BTreeMap<String, ReplicatedJob>,
 }
 
 impl ReplicatedState {
@@ -139,20 +146,14 @@
             Entry::MachineRemoved { name } => {
                 self.machines.remove(&name).ok_or(ApplyError::UnknownMachine(name))?;
             }
-            Entry::Task { machine, task } => match self.machines.get_mut(&machine) {
-                Some(found) => found.put(task),
-                None => return Err(ApplyError::UnknownMachine(machine)),
-            },
+            Entry::Task { machine, task } => self.machine_mut(&machine)?.put(task),
             Entry::TaskRemoved { machine, task, attempt } => {
-                let Some(found) = self.machines.get_mut(&machine) else {
-                    return Err(ApplyError::UnknownMachine(machine));
-                };
-                if !found.remove(&task, attempt) {
+                if !self.machine_mut(&machine)?.remove(&task, attempt) {
                     return Err(ApplyError::UnknownTask { machine, task, attempt });
                 }
             }
-            Entry::Job { id, hints } => {
-                self.jobs.insert(id, hints);
+            Entry::Job { id, job } => {
+                self.jobs.insert(id, job);
             }
             Entry::JobRemoved { id } => {
                 self.jobs.remove(&id).ok_or(ApplyError::UnknownJob(id))?;
@@ -161,6 +162,10 @@
         Ok(())
     }
 
+    fn machine_mut(&mut self, name: &str) -> Result<&mut ReplicatedMachine, ApplyError> {
+        self.machines.get_mut(name).ok_or_else(|| ApplyError::UnknownMachine(name.to_owned()))
+    }
+
     /// Number of tasks on all machines.
     pub fn task_count(&self) -> usize {
         self.machines.values().map(|machine| machine.tasks.len()).sum()
@@ -176,10 +181,10 @@
 
 /// Keys whose values differ, or that are only in one of the maps.
 fn differing_keys<'a, V: PartialEq>(
-    one: &'a BTreeMap<String, V>,
-    other: &'a BTreeMap<String, V>,
+    left: &'a BTreeMap<String, V>,
+    right: &'a BTreeMap<String, V>,
 ) -> impl Iterator<Item = &'a String> {
-    let changed = one.iter().filter(|(key, value)| other.get(*key) != Some(*value));
-    let added = other.keys().filter(|key| !one.contains_key(*key));
-    changed.map(|(key, _)| key).chain(added)
+    let changed = left.iter().filter(|(key, value)| right.get(*key) != Some(*value));
+    let only_right = right.keys().filter(|key| !left.contains_key(*key));
+    changed.map(|(key, _)| key).chain(only_right)
 }
