--- a/crates/clients/src/api.rs
+++ b/crates/clients/src/api.rs
@@ -1,6 +1,6 @@
 //! Client of hookway's API, for users.
 
-use crate::{HttpClient, HttpError};
+use crate::{HttpClient, HttpError, HttpResponse};
 use hookway_wire::{ErrorBody, JobId, JobStatus};
 use hyper::{Method, StatusCode};
 use std::time::Duration;
@@ -14,9 +14,14 @@
     /// There was no response.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The service rejected the request: the HTTP status and the reason.
-    #[error("{0}: {1}")]
-    Refused(u16, String),
+    /// The service rejected the request.
+    #[error("{status}: {reason}")]
+    Refused {
+        /// HTTP status of the response.
+        status: u16,
+        /// The reason that the service gives.
+        reason: String,
+    },
     /// The body of the response is not a job status.
     #[error("unreadable answer: {0}")]
     InvalidResponse(String),
@@ -40,7 +45,8 @@
         path: &str,
         body: Option<Vec<u8>>,
     ) -> Result<JobStatus, ApiError> {
-        let (status, body) = self.http.exchange(method, path, body, REQUEST_TIMEOUT).await?;
+        let HttpResponse { status, body } =
+            self.http.exchange(method, path, body, REQUEST_TIMEOUT).await?;
         if status == StatusCode::OK || status == StatusCode::CREATED {
             return serde_json::from_slice(&body)
                 .map_err(|error| ApiError::InvalidResponse(error.to_string()));
@@ -48,7 +54,7 @@
         let reason = serde_json::from_slice::<ErrorBody>(&body)
             .map(|body| body.error)
             .unwrap_or_else(|_| String::from_utf8_lossy(&body).into_owned());
-        Err(ApiError::Refused(status.as_u16(), reason))
+        Err(ApiError::Refused { status: status.as_u16(), reason })
     }
 
     /// Submits a job. `job` is the JSON of a [`JobSpec`](hookway_wire::JobSpec).
--- a/crates/clients/src/cloud.rs
+++ b/crates/clients/src/cloud.rs
@@ -1,7 +1,8 @@
 //! Client of the cloud: machine types, scale out, scale in and the machine list.
 
 use crate::http::{body_contains, quoted_body};
-use crate::{HttpClient, HttpError, RateLimiter};
+use crate::rate_limiter::PERMITS_PER_REQUEST;
+use crate::{HttpClient, HttpError, HttpResponse, RateLimiter};
 use hookway_constants as constants;
 use hookway_wire::{
     ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, ScaleOutRequest,
@@ -25,9 +26,14 @@
     /// The outcome is unknown: the request may have been executed, or may be later.
     #[error("no response from the cloud: {0}")]
     Unknown(HttpError),
-    /// The response has an unexpected HTTP status or body: the status and the reason.
-    #[error("unexpected response of the cloud (status {0}): {1}")]
-    Unexpected(u16, String),
+    /// The response has an unexpected HTTP status or body.
+    #[error("unexpected response of the cloud (status {status}): {reason}")]
+    Unexpected {
+        /// HTTP status of the response; 0 if the request could not be encoded.
+        status: u16,
+        /// The start of the body, or what is wrong with it.
+        reason: String,
+    },
 }
 
 /// The outcome of a scale-out request.
@@ -58,32 +64,39 @@
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
-    ) -> Result<(StatusCode, bytes::Bytes), CloudError> {
-        self.rate_limiter.acquire(1.0).await;
-        let timeout = constants::CLOUD_TIMEOUT;
-        let (status, body) =
-            self.http.exchange(method, path, body, timeout).await.map_err(CloudError::Unknown)?;
-        if status == StatusCode::TOO_MANY_REQUESTS {
-            return Err(CloudError::Unavailable(status.as_u16()));
+    ) -> Result<HttpResponse, CloudError> {
+        self.rate_limiter.acquire(PERMITS_PER_REQUEST).await;
+        let response = self
+            .http
+            .exchange(method, path, body, constants::CLOUD_TIMEOUT)
+            .await
+            .map_err(CloudError::Unknown)?;
+        if response.status == StatusCode::TOO_MANY_REQUESTS {
+            return Err(CloudError::Unavailable(response.status.as_u16()));
         }
-        Ok((status, body))
+        Ok(response)
     }
 
-    fn unexpected(status: StatusCode, body: &[u8]) -> CloudError {
-        match status {
-            StatusCode::SERVICE_UNAVAILABLE => CloudError::Unavailable(status.as_u16()),
-            _ => CloudError::Unexpected(status.as_u16(), quoted_body(body)),
+    /// The error for a response whose status is not one of those that the request may have.
+    fn unexpected(response: &HttpResponse) -> CloudError {
+        let status = response.status.as_u16();
+        if response.status == StatusCode::SERVICE_UNAVAILABLE {
+            CloudError::Unavailable(status)
+        } else {
+            CloudError::Unexpected { status, reason: quoted_body(&response.body) }
         }
     }
 
     fn encode<T: Serialize>(request: &T) -> Result<Vec<u8>, CloudError> {
         serde_json::to_vec(request)
-            .map_err(|error| CloudError::Unexpected(NOT_SENT, error.to_string()))
+            .map_err(|error| CloudError::Unexpected { status: NOT_SENT, reason: error.to_string() })
     }
 
-    fn decode<T: DeserializeOwned>(status: StatusCode, body: &[u8]) -> Result<T, CloudError> {
-        serde_json::from_slice(body)
-            .map_err(|error| CloudError::Unexpected(status.as_u16(), error.to_string()))
+    fn decode<T: DeserializeOwned>(response: &HttpResponse) -> Result<T, CloudError> {
+        serde_json::from_slice(&response.body).map_err(|error| CloudError::Unexpected {
+            status: response.status.as_u16(),
+            reason: error.to_string(),
+        })
     }
 
     /// Returns all machine types with their current prices.
@@ -92,11 +105,11 @@
     ///
     /// Any [`CloudError`].
     pub async fn machine_types(&self) -> Result<Vec<MachineType>, CloudError> {
-        let (status, body) = self.call(Method::GET, "/flavors", None).await?;
-        if status != StatusCode::OK {
-            return Err(Self::unexpected(status, &body));
+        let response = self.call(Method::GET, "/flavors", None).await?;
+        if response.status != StatusCode::OK {
+            return Err(Self::unexpected(&response));
         }
-        Self::decode::<MachineTypes>(status, &body).map(|types| types.machine_types)
+        Self::decode::<MachineTypes>(&response).map(|types| types.machine_types)
     }
 
     /// Creates machines.
@@ -110,14 +123,14 @@
         request: &ScaleOutRequest,
     ) -> Result<ScaleOutOutcome, CloudError> {
         let body = Self::encode(request)?;
-        let (status, body) = self.call(Method::POST, "/rentals", Some(body)).await?;
-        match status {
-            StatusCode::OK => Self::decode::<MachineNames>(status, &body)
+        let response = self.call(Method::POST, "/rentals", Some(body)).await?;
+        match response.status {
+            StatusCode::OK => Self::decode::<MachineNames>(&response)
                 .map(|names| ScaleOutOutcome::Created(names.machines)),
-            StatusCode::SERVICE_UNAVAILABLE if body_contains(&body, NO_CAPACITY) => {
+            StatusCode::SERVICE_UNAVAILABLE if body_contains(&response.body, NO_CAPACITY) => {
                 Ok(ScaleOutOutcome::NoCapacity)
             }
-            _ => Err(Self::unexpected(status, &body)),
+            _ => Err(Self::unexpected(&response)),
         }
     }
 
@@ -128,8 +141,8 @@
     /// Any [`CloudError`]. After [`CloudError::Unknown`] the same request may be repeated.
     pub async fn delete(&self, machines: &[String]) -> Result<(), CloudError> {
         let body = Self::encode(&MachineNames { machines: machines.to_vec() })?;
-        let (status, body) = self.call(Method::POST, "/rentals/delete", Some(body)).await?;
-        if status == StatusCode::OK { Ok(()) } else { Err(Self::unexpected(status, &body)) }
+        let response = self.call(Method::POST, "/rentals/delete", Some(body)).await?;
+        if response.status == StatusCode::OK { Ok(()) } else { Err(Self::unexpected(&response)) }
     }
 
     /// Returns all machines, read page by page.
@@ -140,15 +153,8 @@
     pub async fn machines(&self) -> Result<Vec<ListedMachine>, CloudError> {
         let mut all: Vec<ListedMachine> = Vec::new();
         loop {
-            let mut path = format!("/rentals?Most={}", constants::LIST_PAGE);
-            if let Some(last) = all.last() {
-                path.push_str(&format!("&After={}", last.id));
-            }
-            let (status, body) = self.call(Method::GET, &path, None).await?;
-            if status != StatusCode::OK {
-                return Err(Self::unexpected(status, &body));
-            }
-            let page: MachineList = Self::decode(status, &body)?;
+            let last_id = all.last().map(|machine| machine.id.as_str());
+            let page = self.machine_page(last_id).await?;
             let is_empty = page.machines.is_empty();
             all.extend(page.machines);
             if !page.has_next || is_empty {
@@ -156,4 +162,17 @@
             }
         }
     }
+
+    /// Reads the page of the machine list that follows the machine `after`; the first one if `None`.
+    async fn machine_page(&self, after: Option<&str>) -> Result<MachineList, CloudError> {
+        let mut path = format!("/rentals?Most={}", constants::LIST_PAGE);
+        if let Some(after) = after {
+            path.push_str(&format!("&After={after}"));
+        }
+        let response = self.call(Method::GET, &path, None).await?;
+        if response.status != StatusCode::OK {
+            return Err(Self::unexpected(&response));
+        }
+        Self::decode(&response)
+    }
 }
--- a/crates/clients/src/http.rs
+++ b/crates/clients/src/http.rs
@@ -28,7 +28,10 @@
 pub enum HttpError {
     /// There was no response before the timeout. The request may have been executed, or may be later.
     #[error("no answer in time")]
-    Timeout,
+    Timeout {
+        /// Address of the server.
+        address: String,
+    },
     /// No connection was established, so the request was not sent.
     #[error("no connection: {reason}")]
     NotSent {
@@ -55,6 +58,15 @@
     },
 }
 
+/// A response whose body was read completely.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct HttpResponse {
+    /// Status of the response.
+    pub status: StatusCode,
+    /// Body of the response.
+    pub body: Bytes,
+}
+
 /// An HTTP client of one address that keeps idle connections in a pool.
 #[derive(Debug, Clone)]
 pub struct HttpClient {
@@ -65,8 +77,7 @@
 impl HttpClient {
     /// Creates a client of `address` (`host:port`) with the default pool.
     pub fn new(address: &str) -> Self {
-        let idle_timeout = constants::CLIENT_IDLE;
-        Self::with_pool(address, MAX_IDLE_CONNECTIONS, idle_timeout)
+        Self::with_pool(address, MAX_IDLE_CONNECTIONS, constants::CLIENT_IDLE)
     }
 
     /// Creates a client that keeps at most `max_idle` idle connections to each address, each for at
@@ -88,7 +99,12 @@
         Self { address: address.to_owned(), client: self.client.clone() }
     }
 
-    /// Sends a request and returns the status and body of the response.
+    /// Address of the server (`host:port`).
+    pub fn address(&self) -> &str {
+        &self.address
+    }
+
+    /// Sends a request and reads the response.
     ///
     /// # Errors
     ///
@@ -100,34 +116,43 @@
         path: &str,
         body: Option<Vec<u8>>,
         timeout: Duration,
-    ) -> Result<(StatusCode, Bytes), HttpError> {
+    ) -> Result<HttpResponse, HttpError> {
+        let request = self.build_request(method, path, body)?;
+        tokio::time::timeout(timeout, self.send(request))
+            .await
+            .map_err(|_| HttpError::Timeout { address: self.address.clone() })?
+    }
+
+    fn build_request(
+        &self,
+        method: Method,
+        path: &str,
+        body: Option<Vec<u8>>,
+    ) -> Result<Request<Full<Bytes>>, HttpError> {
         let uri = format!("http://{}{path}", self.address);
         let mut request = Request::builder().method(method).uri(uri);
         if body.is_some() {
             request = request.header("content-type", "application/json");
         }
-        let request =
-            request.body(Full::new(Bytes::from(body.unwrap_or_default()))).map_err(|error| {
-                HttpError::InvalidRequest {
-                    address: self.address.clone(),
-                    reason: error.to_string(),
-                }
-            })?;
-        let exchange = async {
-            let response = self.client.request(request).await.map_err(|error| {
-                let (address, reason) = (self.address.clone(), error.to_string());
-                if error.is_connect() {
-                    HttpError::NotSent { address, reason }
-                } else {
-                    HttpError::Connection { address, reason }
-                }
-            })?;
-            let status = response.status();
-            let body = response.into_body().collect().await.map_err(|error| {
-                HttpError::Connection { address: self.address.clone(), reason: error.to_string() }
-            })?;
-            Ok((status, body.to_bytes()))
-        };
-        tokio::time::timeout(timeout, exchange).await.map_err(|_| HttpError::Timeout)?
+        request.body(Full::new(Bytes::from(body.unwrap_or_default()))).map_err(|error| {
+            HttpError::InvalidRequest { address: self.address.clone(), reason: error.to_string() }
+        })
+    }
+
+    async fn send(&self, request: Request<Full<Bytes>>) -> Result<HttpResponse, HttpError> {
+        let response = self.client.request(request).await.map_err(|error| {
+            let (address, reason) = (self.address.clone(), error.to_string());
+            if error.is_connect() {
+                HttpError::NotSent { address, reason }
+            } else {
+                HttpError::Connection { address, reason }
+            }
+        })?;
+        let status = response.status();
+        let body = response.into_body().collect().await.map_err(|error| HttpError::Connection {
+            address: self.address.clone(),
+            reason: error.to_string(),
+        })?;
+        Ok(HttpResponse { status, body: body.to_bytes() })
     }
 }
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -12,7 +12,7 @@
 
 pub use api::{ApiClient, ApiError};
 pub use cloud::{CloudClient, CloudError, ScaleOutOutcome};
-pub use http::{HttpClient, HttpError};
+pub use http::{HttpClient, HttpError, HttpResponse};
 pub use rate_limiter::RateLimiter;
-pub use store::{CommitOutcome, StoreClient, StoreError};
+pub use store::{CommitOutcome, Listing, StoreClient, StoreError};
 pub use worker::{Delivery, WorkerClient};
--- a/crates/clients/src/rate_limiter.rs
+++ b/crates/clients/src/rate_limiter.rs
@@ -9,6 +9,9 @@
 /// Smallest capacity of the bucket, in permits: a request of one permit must fit.
 const MIN_BURST_PERMITS: f64 = 1.0;
 
+/// Permits that a client acquires for each request.
+pub(crate) const PERMITS_PER_REQUEST: f64 = 1.0;
+
 /// A token bucket that refills at a constant rate and holds at most the permits of one second.
 #[derive(Debug)]
 pub struct RateLimiter {
@@ -23,12 +26,16 @@
     updated_at: Instant,
 }
 
+/// Permits that a full bucket holds: those of one second.
+fn bucket_capacity(permits_per_s: f64) -> f64 {
+    permits_per_s.max(MIN_BURST_PERMITS)
+}
+
 impl RateLimiter {
     /// Creates a limiter with a full bucket. Rates below 0.1 permits per second are raised to that.
     pub fn new(permits_per_s: f64) -> Self {
         let permits_per_s = permits_per_s.max(MIN_PERMITS_PER_S);
-        let permits = permits_per_s.max(MIN_BURST_PERMITS);
-        let bucket = Bucket { permits, updated_at: Instant::now() };
+        let bucket = Bucket { permits: bucket_capacity(permits_per_s), updated_at: Instant::now() };
         Self { permits_per_s, bucket: Mutex::new(bucket) }
     }
 
@@ -39,7 +46,7 @@
         let now = Instant::now();
         let elapsed_s = (now - bucket.updated_at).as_secs_f64();
         let refilled = bucket.permits + elapsed_s * self.permits_per_s;
-        bucket.permits = refilled.min(self.permits_per_s.max(MIN_BURST_PERMITS)) - permits;
+        bucket.permits = refilled.min(bucket_capacity(self.permits_per_s)) - permits;
         bucket.updated_at = now;
         if bucket.permits >= 0.0 {
             Duration::ZERO
--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -1,14 +1,15 @@
 //! Client of the state service: reads, transactions, leases and watches.
 
 use crate::http::{body_contains, quoted_body};
-use crate::{HttpClient, HttpError, RateLimiter};
+use crate::rate_limiter::PERMITS_PER_REQUEST;
+use crate::{HttpClient, HttpError, HttpResponse, RateLimiter};
 use hookway_constants as constants;
 use hookway_time::whole_millis;
 use hookway_wire::{
     CommitResponse, KeyPage, KeyValue, LeaseGrant, LeaseGrantRequest, Transaction, WatchResponse,
 };
 use hyper::{Method, StatusCode};
-use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, utf8_percent_encode};
+use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, PercentEncode, utf8_percent_encode};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::sync::Arc;
@@ -21,7 +22,9 @@
 /// Keys in a page of a range read.
 const LIST_PAGE_KEYS: u32 = 1_000;
 /// Timeout of a page of a range read, as a multiple of that of other requests: pages are large.
-const LIST_TIMEOUT_FACTOR: u64 = 2;
+const LIST_TIMEOUT_FACTOR: u32 = 2;
+/// Body of requests whose path says it all.
+const EMPTY_OBJECT: &[u8] = b"{}";
 /// The text by which a 400 response to a transaction says that a lease does not exist.
 const NO_SUCH_LEASE: &str = "no such lease";
 /// Status in errors about a request that could not be encoded, and so has no response.
@@ -48,9 +51,23 @@
     /// Not executed: the request is invalid or too large. The response body, shortened.
     #[error("refused by the state service: {0}")]
     Rejected(String),
-    /// The response has an unexpected HTTP status or body: the status and the reason.
-    #[error("unexpected answer {0}: {1}")]
-    Unexpected(u16, String),
+    /// The response has an unexpected HTTP status or body.
+    #[error("unexpected answer {status}: {reason}")]
+    Unexpected {
+        /// HTTP status of the response; 0 if the request could not be encoded.
+        status: u16,
+        /// The start of the body, or what is wrong with it.
+        reason: String,
+    },
+}
+
+/// All keys with a prefix.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Listing {
+    /// The key-value pairs, in the order of their keys.
+    pub pairs: Vec<KeyValue>,
+    /// Revision of the store at the first page, so that a watch from there misses no change.
+    pub revision: u64,
 }
 
 /// The outcome of a transaction that has a response.
@@ -80,18 +97,26 @@
 
     /// Returns the client with a limit on the time that a request waits for the rate limiter: above it
     /// the request fails at once with [`StoreError::TooMany`].
-    pub fn with_queue_limit(self, queue_limit_ms: u64) -> Self {
-        Self { queue_limit: Some(Duration::from_millis(queue_limit_ms)), ..self }
+    pub fn with_queue_limit(self, queue_limit: Duration) -> Self {
+        Self { queue_limit: Some(queue_limit), ..self }
+    }
+
+    /// Address of the state service (`host:port`).
+    pub fn address(&self) -> &str {
+        self.http.address()
     }
 
     /// Waits until the rate limiter admits a request.
     async fn acquire(&self) -> Result<(), StoreError> {
-        match self.queue_limit {
-            None => self.rate_limiter.acquire(1.0).await,
-            Some(limit) if self.rate_limiter.acquire_within(1.0, limit).await => {}
-            Some(_) => return Err(StoreError::TooMany),
+        let Some(limit) = self.queue_limit else {
+            self.rate_limiter.acquire(PERMITS_PER_REQUEST).await;
+            return Ok(());
+        };
+        if self.rate_limiter.acquire_within(PERMITS_PER_REQUEST, limit).await {
+            Ok(())
+        } else {
+            Err(StoreError::TooMany)
         }
-        Ok(())
     }
 
     async fn call(
@@ -99,32 +124,36 @@
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
-        timeout_ms: u64,
-    ) -> Result<(StatusCode, bytes::Bytes), StoreError> {
-        let timeout = Duration::from_millis(timeout_ms);
-        let (status, body) =
+        timeout: Duration,
+    ) -> Result<HttpResponse, StoreError> {
+        let response =
             self.http.exchange(method, path, body, timeout).await.map_err(StoreError::Unknown)?;
-        match status {
+        match response.status {
             StatusCode::SERVICE_UNAVAILABLE => Err(StoreError::Unavailable),
             StatusCode::TOO_MANY_REQUESTS => Err(StoreError::TooMany),
             StatusCode::GONE => Err(StoreError::TooOld),
-            _ => Ok((status, body)),
+            _ => Ok(response),
         }
     }
 
     fn encode<T: Serialize>(request: &T) -> Result<Vec<u8>, StoreError> {
         serde_json::to_vec(request)
-            .map_err(|error| StoreError::Unexpected(NOT_SENT, error.to_string()))
+            .map_err(|error| StoreError::Unexpected { status: NOT_SENT, reason: error.to_string() })
     }
 
-    fn decode<T: DeserializeOwned>(status: StatusCode, body: &[u8]) -> Result<T, StoreError> {
-        serde_json::from_slice(body).map_err(|error| {
-            StoreError::Unexpected(status.as_u16(), format!("{error}: {}", quoted_body(body)))
+    fn decode<T: DeserializeOwned>(response: &HttpResponse) -> Result<T, StoreError> {
+        serde_json::from_slice(&response.body).map_err(|error| StoreError::Unexpected {
+            status: response.status.as_u16(),
+            reason: format!("{error}: {}", quoted_body(&response.body)),
         })
     }
 
-    fn unexpected(status: StatusCode, body: &[u8]) -> StoreError {
-        StoreError::Unexpected(status.as_u16(), quoted_body(body))
+    /// The error for a response whose status is not one of those that the request may have.
+    fn unexpected(response: &HttpResponse) -> StoreError {
+        StoreError::Unexpected {
+            status: response.status.as_u16(),
+            reason: quoted_body(&response.body),
+        }
     }
 
     /// Reads a key; `None` if it does not exist.
@@ -134,51 +163,51 @@
     /// Any [`StoreError`] but those of leases and watches.
     pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, StoreError> {
         self.acquire().await?;
-        let path = format!("/keys/{}", utf8_percent_encode(key, ENCODED_CHARACTERS));
-        let (status, body) =
-            self.call(Method::GET, &path, None, whole_millis(constants::STORE_TIMEOUT)).await?;
-        match status {
-            StatusCode::OK => Self::decode(status, &body).map(Some),
+        let path = format!("/keys/{}", percent_encoded(key));
+        let response = self.call(Method::GET, &path, None, constants::STORE_TIMEOUT).await?;
+        match response.status {
+            StatusCode::OK => Self::decode(&response).map(Some),
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Err(Self::unexpected(status, &body)),
+            _ => Err(Self::unexpected(&response)),
         }
     }
 
-    /// Reads all keys with a prefix, page by page. The revision is that of the first page, so that a
-    /// watch from there misses no change.
+    /// Reads all keys with a prefix, page by page.
     ///
     /// # Errors
     ///
     /// Any [`StoreError`] but those of leases and watches; the pages that were read are discarded.
-    pub async fn list(&self, prefix: &str) -> Result<(Vec<KeyValue>, u64), StoreError> {
-        let mut all: Vec<KeyValue> = Vec::new();
+    pub async fn list(&self, prefix: &str) -> Result<Listing, StoreError> {
+        let mut pairs: Vec<KeyValue> = Vec::new();
         let mut first_revision = None;
         loop {
-            self.acquire().await?;
-            let mut path =
-                format!("/keys?Prefix={}", utf8_percent_encode(prefix, ENCODED_CHARACTERS));
-            if let Some(last) = all.last() {
-                path.push_str(&format!(
-                    "&After={}",
-                    utf8_percent_encode(&last.key, ENCODED_CHARACTERS)
-                ));
-            }
-            path.push_str(&format!("&Most={LIST_PAGE_KEYS}"));
-            let timeout_ms = whole_millis(constants::STORE_TIMEOUT) * LIST_TIMEOUT_FACTOR;
-            let (status, body) = self.call(Method::GET, &path, None, timeout_ms).await?;
-            if status != StatusCode::OK {
-                return Err(Self::unexpected(status, &body));
-            }
-            let page: KeyPage = Self::decode(status, &body)?;
+            let last_key = pairs.last().map(|pair| pair.key.as_str());
+            let page = self.list_page(prefix, last_key).await?;
             let revision = *first_revision.get_or_insert(page.revision);
             let is_empty = page.pairs.is_empty();
-            all.extend(page.pairs);
+            pairs.extend(page.pairs);
             if !page.has_next || is_empty {
-                return Ok((all, revision));
+                return Ok(Listing { pairs, revision });
             }
         }
     }
 
+    /// Reads the page of keys with a prefix that follows the key `after`; the first one if `None`.
+    async fn list_page(&self, prefix: &str, after: Option<&str>) -> Result<KeyPage, StoreError> {
+        self.acquire().await?;
+        let mut path = format!("/keys?Prefix={}", percent_encoded(prefix));
+        if let Some(after) = after {
+            path.push_str(&format!("&After={}", percent_encoded(after)));
+        }
+        path.push_str(&format!("&Most={LIST_PAGE_KEYS}"));
+        let timeout = constants::STORE_TIMEOUT * LIST_TIMEOUT_FACTOR;
+        let response = self.call(Method::GET, &path, None, timeout).await?;
+        if response.status != StatusCode::OK {
+            return Err(Self::unexpected(&response));
+        }
+        Self::decode(&response)
+    }
+
     /// Commits a transaction.
     ///
     /// # Errors
@@ -188,42 +217,36 @@
     pub async fn commit(&self, transaction: &Transaction) -> Result<CommitOutcome, StoreError> {
         self.acquire().await?;
         let body = Self::encode(transaction)?;
-        let (status, body) = self
-            .call(Method::POST, "/commit", Some(body), whole_millis(constants::STORE_TIMEOUT))
-            .await?;
-        match status {
-            StatusCode::OK => {
-                let response: CommitResponse = Self::decode(status, &body)?;
-                Ok(CommitOutcome::Applied(response.revision))
-            }
-            StatusCode::CONFLICT => {
-                let response: CommitResponse = Self::decode(status, &body)?;
-                Ok(CommitOutcome::PreconditionFailed(response.failed))
-            }
-            StatusCode::BAD_REQUEST if body_contains(&body, NO_SUCH_LEASE) => {
+        let response =
+            self.call(Method::POST, "/commit", Some(body), constants::STORE_TIMEOUT).await?;
+        match response.status {
+            StatusCode::OK => Self::decode::<CommitResponse>(&response)
+                .map(|commit| CommitOutcome::Applied(commit.revision)),
+            StatusCode::CONFLICT => Self::decode::<CommitResponse>(&response)
+                .map(|commit| CommitOutcome::PreconditionFailed(commit.failed)),
+            StatusCode::BAD_REQUEST if body_contains(&response.body, NO_SUCH_LEASE) => {
                 Err(StoreError::NoLease)
             }
-            StatusCode::BAD_REQUEST => Err(StoreError::Rejected(quoted_body(&body))),
-            _ => Err(Self::unexpected(status, &body)),
+            StatusCode::BAD_REQUEST => Err(StoreError::Rejected(quoted_body(&response.body))),
+            _ => Err(Self::unexpected(&response)),
         }
     }
 
-    /// Requests a lease of `ttl_ms` milliseconds and returns its id.
+    /// Requests a lease that expires `ttl` after its last extension, and returns its id.
     ///
     /// # Errors
     ///
     /// Any [`StoreError`]. After [`StoreError::Unknown`] a lease may exist that nobody extends; it expires.
-    pub async fn grant(&self, ttl_ms: u64) -> Result<u64, StoreError> {
+    pub async fn grant(&self, ttl: Duration) -> Result<u64, StoreError> {
         self.acquire().await?;
-        let body = Self::encode(&LeaseGrantRequest { ttl_ms })?;
-        let (status, body) = self
-            .call(Method::POST, "/grants", Some(body), whole_millis(constants::STORE_TIMEOUT))
-            .await?;
-        match status {
+        let body = Self::encode(&LeaseGrantRequest { ttl_ms: whole_millis(ttl) })?;
+        let response =
+            self.call(Method::POST, "/grants", Some(body), constants::STORE_TIMEOUT).await?;
+        match response.status {
             StatusCode::OK | StatusCode::CREATED => {
-                Self::decode::<LeaseGrant>(status, &body).map(|grant| grant.lease_id)
+                Self::decode::<LeaseGrant>(&response).map(|grant| grant.lease_id)
             }
-            _ => Err(Self::unexpected(status, &body)),
+            _ => Err(Self::unexpected(&response)),
         }
     }
 
@@ -234,20 +257,15 @@
     ///
     /// [`StoreError::NoLease`] if the lease does not exist, else any [`StoreError`].
     pub async fn extend(&self, lease_id: u64) -> Result<(), StoreError> {
-        let _ = self.rate_limiter.acquire_now(1.0);
+        let _ = self.rate_limiter.acquire_now(PERMITS_PER_REQUEST);
         let path = format!("/grants/{lease_id}/extend");
-        let (status, body) = self
-            .call(
-                Method::POST,
-                &path,
-                Some(b"{}".to_vec()),
-                whole_millis(constants::EXTEND_TIMEOUT),
-            )
-            .await?;
-        match status {
+        let body = EMPTY_OBJECT.to_vec();
+        let response =
+            self.call(Method::POST, &path, Some(body), constants::EXTEND_TIMEOUT).await?;
+        match response.status {
             status if status.is_success() => Ok(()),
             StatusCode::NOT_FOUND => Err(StoreError::NoLease),
-            _ => Err(Self::unexpected(status, &body)),
+            _ => Err(Self::unexpected(&response)),
         }
     }
 
@@ -259,12 +277,11 @@
     /// [`StoreError::Unknown`]; other statuses count as success.
     pub async fn release(&self, lease_id: u64) -> Result<(), StoreError> {
         let path = format!("/grants/{lease_id}");
-        self.call(Method::DELETE, &path, None, whole_millis(constants::STORE_TIMEOUT))
-            .await
-            .map(|_| ())
+        self.call(Method::DELETE, &path, None, constants::STORE_TIMEOUT).await?;
+        Ok(())
     }
 
-    /// Waits up to `wait_ms` milliseconds for changes of keys with a prefix after the revision `after`.
+    /// Waits up to `wait` for changes of keys with a prefix after the revision `after`.
     ///
     /// # Errors
     ///
@@ -273,18 +290,24 @@
         &self,
         prefix: &str,
         after: u64,
-        wait_ms: u64,
+        wait: Duration,
     ) -> Result<WatchResponse, StoreError> {
         self.acquire().await?;
         let path = format!(
-            "/watch?Prefix={}&After={after}&WaitMs={wait_ms}",
-            utf8_percent_encode(prefix, ENCODED_CHARACTERS)
+            "/watch?Prefix={}&After={after}&WaitMs={}",
+            percent_encoded(prefix),
+            whole_millis(wait)
         );
-        let timeout_ms = wait_ms + whole_millis(constants::WATCH_GRACE);
-        let (status, body) = self.call(Method::GET, &path, None, timeout_ms).await?;
-        match status {
-            StatusCode::OK => Self::decode(status, &body),
-            _ => Err(Self::unexpected(status, &body)),
+        let timeout = wait + constants::WATCH_GRACE;
+        let response = self.call(Method::GET, &path, None, timeout).await?;
+        match response.status {
+            StatusCode::OK => Self::decode(&response),
+            _ => Err(Self::unexpected(&response)),
         }
     }
 }
+
+/// A key or prefix as a URL spells it.
+fn percent_encoded(key: &str) -> PercentEncode<'_> {
+    utf8_percent_encode(key, ENCODED_CHARACTERS)
+}
--- a/crates/clients/src/worker.rs
+++ b/crates/clients/src/worker.rs
@@ -1,7 +1,6 @@
 //! Client of the workers, for commands that do not wait for a heartbeat.
 
-use crate::{HttpClient, HttpError};
-use bytes::Bytes;
+use crate::{HttpClient, HttpError, HttpResponse};
 use hookway_constants as constants;
 use hookway_wire::{DirectCommands, Heartbeat};
 use hyper::{Method, StatusCode};
@@ -44,11 +43,9 @@
 
 impl Default for WorkerClient {
     fn default() -> Self {
-        let idle_timeout = constants::WORKER_IDLE;
-        let stop_permits = Arc::new(Semaphore::new(constants::MAX_DIRECT_STOPS));
         Self {
-            http: HttpClient::with_pool(NO_ADDRESS, MAX_IDLE_CONNECTIONS, idle_timeout),
-            stop_permits,
+            http: HttpClient::with_pool(NO_ADDRESS, MAX_IDLE_CONNECTIONS, constants::WORKER_IDLE),
+            stop_permits: Arc::new(Semaphore::new(constants::MAX_DIRECT_STOPS)),
         }
     }
 }
@@ -73,9 +70,9 @@
         for _ in 0..PROBE_ATTEMPTS {
             let probe = DirectCommands { fencing_token, incarnation, commands: vec![] };
             let body = serde_json::to_vec(&probe).ok()?;
-            let (status, body) = self.post_commands(address, body).await.ok()?;
-            let heartbeat: Heartbeat = serde_json::from_slice(&body).ok()?;
-            match status {
+            let response = self.post_commands(address, body).await.ok()?;
+            let heartbeat: Heartbeat = serde_json::from_slice(&response.body).ok()?;
+            match response.status {
                 StatusCode::OK => return Some(heartbeat),
                 StatusCode::CONFLICT if heartbeat.incarnation != incarnation => {
                     incarnation = heartbeat.incarnation;
@@ -86,32 +83,16 @@
         None
     }
 
-    async fn post_commands(
-        &self,
-        address: &str,
-        body: Vec<u8>,
-    ) -> Result<(StatusCode, Bytes), HttpError> {
-        let timeout = constants::WORKER_TIMEOUT;
+    async fn post_commands(&self, address: &str, body: Vec<u8>) -> Result<HttpResponse, HttpError> {
         let http = self.http.with_address(address);
-        http.exchange(Method::POST, COMMANDS_PATH, Some(body), timeout).await
+        http.exchange(Method::POST, COMMANDS_PATH, Some(body), constants::WORKER_TIMEOUT).await
     }
 
     /// Sends commands to the worker at `address` (`host:port`).
     pub async fn send(&self, address: &str, commands: &DirectCommands) -> Delivery {
         let Ok(body) = serde_json::to_vec(commands) else { return Delivery::NotSent };
         match self.post_commands(address, body).await {
-            Ok((StatusCode::OK, body)) => match serde_json::from_slice(&body) {
-                Ok(heartbeat) => Delivery::Executed(heartbeat),
-                Err(error) => {
-                    tracing::error!(address, %error, "invalid heartbeat in response to commands");
-                    Delivery::Indeterminate
-                }
-            },
-            Ok((StatusCode::CONFLICT | StatusCode::BAD_REQUEST, _)) => Delivery::Refused,
-            Ok((status, _)) => {
-                tracing::debug!(address, %status, "unexpected response to commands");
-                Delivery::Indeterminate
-            }
+            Ok(response) => delivery_by_response(address, &response),
             Err(error) => {
                 tracing::debug!(address, %error, "commands without response");
                 if matches!(error, HttpError::NotSent { .. }) {
@@ -123,3 +104,21 @@
         }
     }
 }
+
+/// What a worker's response says about the commands that were sent to it.
+fn delivery_by_response(address: &str, response: &HttpResponse) -> Delivery {
+    match response.status {
+        StatusCode::OK => match serde_json::from_slice(&response.body) {
+            Ok(heartbeat) => Delivery::Executed(heartbeat),
+            Err(error) => {
+                tracing::error!(address, %error, "invalid heartbeat in response to commands");
+                Delivery::Indeterminate
+            }
+        },
+        StatusCode::CONFLICT | StatusCode::BAD_REQUEST => Delivery::Refused,
+        status => {
+            tracing::debug!(address, %status, "unexpected response to commands");
+            Delivery::Indeterminate
+        }
+    }
+}
--- a/crates/clients/tests/requests.rs
+++ b/crates/clients/tests/requests.rs
@@ -95,18 +95,19 @@
     let store = StoreClient::new(&address, FAST);
     assert_eq!(store.get("j/a b").await.expect("an answer").expect("a key").mod_revision, 4);
     assert_eq!(store.get("f/req-000412").await.expect("an answer"), None);
-    let (pairs, revision) = store.list("j/").await.expect("pages");
-    assert_eq!((pairs.len(), revision), (1, 9));
+    let listing = store.list("j/").await.expect("pages");
+    assert_eq!((listing.pairs.len(), listing.revision), (1, 9));
     let guards = vec![Precondition { key: "a/b".into(), mod_revision: 0 }];
     let apply = vec![Operation::put("a/b", 1.into()), Operation::delete("a/c")];
     let transaction = Transaction { preconditions: guards, operations: apply };
     assert_eq!(store.commit(&transaction).await.expect("an answer"), CommitOutcome::Applied(11));
     let refused = store.commit(&Transaction::default()).await.expect("an answer");
     assert_eq!(refused, CommitOutcome::PreconditionFailed(vec!["a/b".into()]));
-    assert_eq!(store.grant(5_000).await.expect("a lease"), 7);
+    assert_eq!(store.grant(Duration::from_millis(5_000)).await.expect("a lease"), 7);
     store.extend(7).await.expect("extended");
     store.release(7).await.expect("released");
-    assert_eq!(store.watch("lead/", 9, 1_000).await.expect("an answer").revision, 12);
+    let watched = store.watch("lead/", 9, Duration::from_millis(1_000)).await.expect("an answer");
+    assert_eq!(watched.revision, 12);
     assert_eq!(
         asked(served).await,
         [
@@ -140,10 +141,12 @@
     let nothing = Transaction::default();
     assert!(matches!(store.get("a").await, Err(StoreError::Unavailable)));
     assert!(matches!(store.get("a").await, Err(StoreError::TooMany)));
-    assert!(matches!(store.watch("a", 1, 1).await, Err(StoreError::TooOld)));
+    let watched = store.watch("a", 1, Duration::from_millis(1)).await;
+    assert!(matches!(watched, Err(StoreError::TooOld)));
     assert!(matches!(store.commit(&nothing).await, Err(StoreError::NoLease)));
     assert!(matches!(store.commit(&nothing).await, Err(StoreError::Rejected(_))));
-    assert!(matches!(store.commit(&nothing).await, Err(StoreError::Unexpected(418, _))));
+    let refused = store.commit(&nothing).await;
+    assert!(matches!(refused, Err(StoreError::Unexpected { status: 418, .. })));
     assert!(matches!(store.extend(7).await, Err(StoreError::NoLease)));
     asked(served).await;
 }
@@ -247,7 +250,10 @@
     let refused = api.status(&id).await.expect_err("refused").to_string();
     assert_eq!(refused, "404: no such job");
     let refused = api.status(&id).await;
-    assert!(matches!(&refused, Err(ApiError::Refused(500, why)) if why == "oops"), "{refused:?}");
+    assert!(
+        matches!(&refused, Err(ApiError::Refused { status: 500, reason }) if reason == "oops"),
+        "{refused:?}"
+    );
     assert_eq!(
         asked(served).await,
         [
--- a/crates/controller/src/actor/store_io.rs
+++ b/crates/controller/src/actor/store_io.rs
@@ -55,15 +55,17 @@
     store: &StoreClient,
     has_start_watermarks: bool,
 ) -> Result<(LoadedState, u64), StoreError> {
-    let (jobs, revision) = store.list(JOBS_PREFIX).await?;
-    let (progress, _) = store.list(PROGRESS_PREFIX).await?;
-    let (scheduling, _) = store.list(SCHEDULING_PREFIX).await?;
-    let (registry, _) = store.list(REGISTRY_PREFIX).await?;
-    let (images, _) = store.list(LEGACY_IMAGES_PREFIX).await?;
-    let classes = store.get(CLASSES_KEY).await?;
-    let state =
-        LoadedState { jobs, progress, scheduling, registry, images, classes, has_start_watermarks };
-    Ok((state, revision))
+    let jobs = store.list(JOBS_PREFIX).await?;
+    let state = LoadedState {
+        jobs: jobs.pairs,
+        progress: store.list(PROGRESS_PREFIX).await?.pairs,
+        scheduling: store.list(SCHEDULING_PREFIX).await?.pairs,
+        registry: store.list(REGISTRY_PREFIX).await?.pairs,
+        images: store.list(LEGACY_IMAGES_PREFIX).await?.pairs,
+        classes: store.get(CLASSES_KEY).await?,
+        has_start_watermarks,
+    };
+    Ok((state, jobs.revision))
 }
 
 async fn watch_jobs(
@@ -72,7 +74,7 @@
     mut revision: u64,
 ) -> Result<Infallible, TermEnded> {
     loop {
-        match store.watch(JOBS_PREFIX, revision, whole_millis(constants::WATCH_WAIT)).await {
+        match store.watch(JOBS_PREFIX, revision, constants::WATCH_WAIT).await {
             Ok(response) => {
                 revision = revision.max(response.revision);
                 for event in response.events {
@@ -84,9 +86,9 @@
             Err(StoreError::TooOld) => {
                 let _ = events.send(ControllerEvent::WatchTruncated).await;
                 match store.list(JOBS_PREFIX).await {
-                    Ok((jobs, read_at)) => {
-                        revision = read_at;
-                        for job in jobs {
+                    Ok(jobs) => {
+                        revision = jobs.revision;
+                        for job in jobs.pairs {
                             job_added(&events, job.key, job.value).await?;
                         }
                     }
--- a/crates/controller/src/api/job_reader.rs
+++ b/crates/controller/src/api/job_reader.rs
@@ -5,10 +5,12 @@
 use crate::records::{FinalRecord, final_state_key, job_key};
 use hookway_clients::{HttpError, StoreClient, StoreError};
 use hookway_constants as constants;
-use hookway_time::whole_millis;
 use hookway_wire::JobId;
 use std::sync::Mutex;
 
+/// HTTP status of the response that a record came with.
+const OK: u16 = 200;
+
 /// What the state service records about a job.
 pub(super) enum StoredJob {
     /// It was accepted and is not finished.
@@ -36,11 +38,12 @@
         if let Ok(mut breaker) = self.breaker.lock()
             && !breaker.allows_request()
         {
-            return Err(StoreError::Unknown(HttpError::Timeout));
+            let address = store.address().to_owned();
+            return Err(StoreError::Unknown(HttpError::Timeout { address }));
         }
         let stored = read_job(store, job).await;
         if let Ok(mut breaker) = self.breaker.lock() {
-            breaker.record(matches!(stored, Err(StoreError::Unknown(HttpError::Timeout))));
+            breaker.record(matches!(stored, Err(StoreError::Unknown(HttpError::Timeout { .. }))));
         }
         stored
     }
@@ -53,11 +56,11 @@
         return Ok(StoredJob::Active { key: pair.key, value: pair.value });
     }
     // Half of the answer is useless, so the second read waits for its turn in the request rate.
-    let store = store.clone().with_queue_limit(whole_millis(constants::STATUS_LIMIT));
+    let store = store.clone().with_queue_limit(constants::STATUS_LIMIT);
     let Some(pair) = store.get(&final_state_key(job)).await? else {
         return Ok(StoredJob::Absent);
     };
     let record: FinalRecord = serde_json::from_value(pair.value)
-        .map_err(|error| StoreError::Unexpected(200, error.to_string()))?;
+        .map_err(|error| StoreError::Unexpected { status: OK, reason: error.to_string() })?;
     Ok(StoredJob::Final(record.status(job).into()))
 }
--- a/crates/controller/src/leadership/election.rs
+++ b/crates/controller/src/leadership/election.rs
@@ -6,13 +6,14 @@
 use crate::records::{
     LEADER_KEY, LEADER_PREFIX, LEADER_TERM_KEY, LEADER_WATERMARKS_KEY, LeaderRecord,
 };
-use hookway_clients::{CommitOutcome, StoreClient, StoreError};
+use hookway_clients::{CommitOutcome, Listing, StoreClient, StoreError};
 use hookway_constants as constants;
 use hookway_time::whole_millis;
 use hookway_wire::{Operation, Precondition, Transaction, WatchEvent};
 use rand::RngExt;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Duration;
 use tokio::sync::{Notify, watch};
 
 /// What the election actor needs, and shares with the rest of the controller.
@@ -163,7 +164,7 @@
     /// Reads who leads or, if nobody does, what a campaign starts from.
     async fn read_leader(&self) -> Result<LeaderState, StoreError> {
         let store = &self.config.store;
-        let (pairs, revision) = store.list(LEADER_PREFIX).await?;
+        let Listing { pairs, revision } = store.list(LEADER_PREFIX).await?;
         let find = |key: &str| pairs.iter().find(|pair| pair.key == key);
         if let Some(pair) = find(LEADER_KEY)
             && let Ok(record) = serde_json::from_value::<LeaderRecord>(pair.value.clone())
@@ -196,11 +197,7 @@
     /// is suspected.
     async fn watch_leader(&self, mut revision: u64) {
         loop {
-            let watch = self.config.store.watch(
-                LEADER_PREFIX,
-                revision,
-                whole_millis(constants::WATCH_WAIT),
-            );
+            let watch = self.config.store.watch(LEADER_PREFIX, revision, constants::WATCH_WAIT);
             let watched = tokio::select! {
                 watched = watch => watched,
                 () = self.config.leader_suspected.notified() => return,
@@ -229,7 +226,7 @@
     async fn campaign(&self, vacancy: &Vacancy) {
         let store = &self.config.store;
         let sent_at = self.config.clock.now();
-        let lease_id = match store.grant(self.config.lease_ms).await {
+        let lease_id = match store.grant(Duration::from_millis(self.config.lease_ms)).await {
             Ok(lease_id) => lease_id,
             Err(error) => {
                 tracing::debug!(%error, "requesting a leadership lease failed");
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -16,7 +16,6 @@
 use crate::standby::{Standby, StandbyMode, StandbySignals};
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
 use hookway_constants as constants;
-use hookway_time::whole_millis;
 use salvo::Listener;
 use salvo::conn::tcp::TcpAcceptor;
 use salvo::prelude::{Server, TcpListener};
@@ -189,8 +188,10 @@
         let stores = StoreClients {
             submissions: self
                 .store_client(constants::SUBMISSION_REQUEST_SHARE)
-                .with_queue_limit(whole_millis(constants::SUBMISSION_QUEUE_LIMIT)),
-            queries: self.store_client(constants::STATUS_REQUEST_SHARE).with_queue_limit(0),
+                .with_queue_limit(constants::SUBMISSION_QUEUE_LIMIT),
+            queries: self
+                .store_client(constants::STATUS_REQUEST_SHARE)
+                .with_queue_limit(Duration::ZERO),
         };
         ApiService::new(ApiServiceConfig {
             platform: self.settings.platform.clone(),
@@ -260,16 +261,16 @@
 /// Reads the machine types and their prices periodically, until the process ends.
 async fn read_machine_types(cloud: CloudClient, sender: watch::Sender<MachineTypes>) {
     loop {
-        let delay_ms = match cloud.machine_types().await {
+        let delay = match cloud.machine_types().await {
             Ok(machine_types) => {
                 let _ = sender.send(Some(Arc::new(machine_types)));
-                whole_millis(constants::MACHINE_TYPES_INTERVAL)
+                constants::MACHINE_TYPES_INTERVAL
             }
             Err(error) => {
                 tracing::debug!(%error, "reading the machine types failed");
-                whole_millis(constants::MACHINE_TYPES_RETRY)
+                constants::MACHINE_TYPES_RETRY
             }
         };
-        tokio::time::sleep(Duration::from_millis(delay_ms)).await;
+        tokio::time::sleep(delay).await;
     }
 }
--- a/crates/controller/tests/api/support.rs
+++ b/crates/controller/tests/api/support.rs
@@ -172,7 +172,7 @@
     let submissions = StoreClient::new(store_at, 2000.0);
     // Nobody listens there.
     let peers = Peers::new(HashMap::from([("worker-1".into(), "127.0.0.1:1".into())]));
-    let queries = StoreClient::new(store_at, status_rate).with_queue_limit(0);
+    let queries = StoreClient::new(store_at, status_rate).with_queue_limit(Duration::ZERO);
     let stores = StoreClients { submissions, queries };
     let api_service = ApiService::new(ApiServiceConfig {
         platform: settings.platform,
--- a/crates/hookway/tests/standby.rs
+++ b/crates/hookway/tests/standby.rs
@@ -94,9 +94,9 @@
 
     async fn replication_status(&self) -> Option<ReplicationStatus> {
         let http = HttpClient::new(&self.api);
-        let (_, body) =
+        let response =
             http.exchange(Method::GET, "/replication", None, STATUS_TIMEOUT).await.ok()?;
-        serde_json::from_slice(&body).ok()
+        serde_json::from_slice(&response.body).ok()
     }
 }
 
--- a/crates/testkit/src/fleet/heartbeats.rs
+++ b/crates/testkit/src/fleet/heartbeats.rs
@@ -1,7 +1,7 @@
 //! The heartbeats of a fleet's workers.
 
 use super::{ControllerAddress, Fleet, FleetConfig};
-use hookway_clients::HttpClient;
+use hookway_clients::{HttpClient, HttpResponse};
 use hookway_wire::{HeartbeatRedirect, HeartbeatResponse};
 use hyper::{Method, StatusCode};
 use std::time::{Duration, Instant};
@@ -42,14 +42,16 @@
             let response = request.await;
             next_at = Instant::now() + RETRY_DELAY;
             match response {
-                Ok((StatusCode::OK, body)) if !self.lock().machines[machine].partitioned => {
+                Ok(HttpResponse { status: StatusCode::OK, body })
+                    if !self.lock().machines[machine].partitioned =>
+                {
                     let changed = serde_json::from_slice::<HeartbeatResponse>(&body)
                         .is_ok_and(|response| self.handle_response(machine, &response, sent_at));
                     let interval = config.heartbeat_interval;
                     next_at =
                         sent_at + if changed { interval.min(PROMPT_INTERVAL) } else { interval };
                 }
-                Ok((StatusCode::MISDIRECTED_REQUEST, body)) => {
+                Ok(HttpResponse { status: StatusCode::MISDIRECTED_REQUEST, body }) => {
                     let leader = redirect_target(&controllers, &body);
                     match leader.filter(|leader| *leader != target) {
                         Some(leader) => (target, next_at) = (leader, Instant::now()),
