--- a/crates/controller/src/api/cancellation.rs
+++ b/crates/controller/src/api/cancellation.rs
@@ -10,7 +10,6 @@
 use crate::request_outcome::RequestOutcome;
 use hookway_clients::{CommitOutcome, StoreError};
 use hookway_constants as constants;
-use hookway_time::whole_millis;
 use hookway_wire::{JobId, JobState, Operation, Precondition, Transaction};
 
 /// Maximum number of requests to the leader's actor: the second one follows the adoption of a job
@@ -29,8 +28,7 @@
         }
         let request = PeerRequest::Cancel(job.to_string());
         if origin == Origin::Client
-            && let Some(outcome) =
-                self.ask_leader(&request, whole_millis(constants::STATUS_LIMIT)).await
+            && let Some(outcome) = self.ask_leader(&request, constants::STATUS_LIMIT).await
         {
             return outcome;
         }
--- a/crates/controller/src/api/mod.rs
+++ b/crates/controller/src/api/mod.rs
@@ -19,10 +19,10 @@
 use crate::settings::PlatformSettings;
 use hookway_clients::{StoreClient, StoreError};
 use hookway_constants as constants;
-use hookway_time::whole_millis;
 use hookway_wire::{Heartbeat, JobId, JobState, ReplicationStatus};
 use job_reader::JobReader;
 use std::sync::Arc;
+use std::time::Duration;
 use tokio::sync::watch;
 
 /// The clients of the state service that the API uses.
@@ -136,9 +136,9 @@
     }
 
     /// Passes a request on to the leader. `None`: no leader is known, or it can't decide.
-    async fn ask_leader(&self, request: &PeerRequest, limit_ms: u64) -> Option<RequestOutcome> {
+    async fn ask_leader(&self, request: &PeerRequest, limit: Duration) -> Option<RequestOutcome> {
         let leader = self.leader()?;
-        match self.config.peers.ask(&leader, request, limit_ms).await {
+        match self.config.peers.ask(&leader, request, limit).await {
             Ok(RequestOutcome::Unavailable(_)) => None,
             Ok(RequestOutcome::Known(snapshot)) => Some(self.known(snapshot)),
             Ok(outcome) => Some(outcome),
@@ -158,25 +158,30 @@
         origin: Origin,
     ) -> RequestOutcome {
         // The rate limits are shared: another controller would send the same requests.
-        if origin == Origin::Client && !matches!(store_error, StoreError::TooMany) {
+        let others_may_decide = !matches!(store_error, StoreError::TooMany);
+        if origin == Origin::Client && others_may_decide {
             for peer in self.config.peers.names() {
-                match self
-                    .config
-                    .peers
-                    .ask(&peer, &request, whole_millis(constants::PEER_TIMEOUT))
-                    .await
-                {
-                    Ok(RequestOutcome::Known(snapshot)) => return self.known(snapshot),
-                    Ok(RequestOutcome::Unavailable(reason)) => {
-                        tracing::debug!(peer, reason, "controller can't decide a request");
-                    }
-                    Ok(outcome) => return outcome,
-                    Err(error) => {
-                        tracing::debug!(peer, %error, "request to another controller failed");
-                    }
+                if let Some(outcome) = self.ask_peer(&peer, &request).await {
+                    return outcome;
                 }
             }
         }
         RequestOutcome::Unavailable(store_error.to_string())
     }
+
+    /// Passes a request on to another controller. `None`: it can't decide, or did not respond.
+    async fn ask_peer(&self, peer: &str, request: &PeerRequest) -> Option<RequestOutcome> {
+        match self.config.peers.ask(peer, request, constants::PEER_TIMEOUT).await {
+            Ok(RequestOutcome::Known(snapshot)) => Some(self.known(snapshot)),
+            Ok(RequestOutcome::Unavailable(reason)) => {
+                tracing::debug!(peer, reason, "controller can't decide a request");
+                None
+            }
+            Ok(outcome) => Some(outcome),
+            Err(error) => {
+                tracing::debug!(peer, %error, "request to another controller failed");
+                None
+            }
+        }
+    }
 }
--- a/crates/controller/src/api/status.rs
+++ b/crates/controller/src/api/status.rs
@@ -7,7 +7,6 @@
 use crate::peers::PeerRequest;
 use crate::request_outcome::RequestOutcome;
 use hookway_constants as constants;
-use hookway_time::whole_millis;
 use hookway_wire::JobId;
 
 impl ApiService {
@@ -25,8 +24,7 @@
             Some(JobLookup::Known(status)) => return self.known(status.into()),
             None if origin == Origin::Client => {
                 let request = PeerRequest::Status(job.to_string());
-                let limit_ms = whole_millis(constants::PEER_TIMEOUT);
-                if let Some(outcome) = self.ask_leader(&request, limit_ms).await {
+                if let Some(outcome) = self.ask_leader(&request, constants::PEER_TIMEOUT).await {
                     return outcome;
                 }
             }
--- a/crates/controller/src/frame.rs
+++ b/crates/controller/src/frame.rs
@@ -22,6 +22,15 @@
 /// The version of this build.
 pub const CURRENT: FrameVersion = FrameVersion(2);
 
+/// A frame as it was read.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Frame<T> {
+    /// The message.
+    pub message: T,
+    /// The version of the build that sent it.
+    pub version: FrameVersion,
+}
+
 /// Why a frame can't be written or read.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
@@ -44,13 +53,13 @@
     Ok(frame)
 }
 
-/// Decodes a message, and the version of the build that sent it.
-pub fn decode<T: for<'de> Deserialize<'de>>(frame: &[u8]) -> Result<(T, FrameVersion), FrameError> {
+/// Decodes a frame.
+pub fn decode<T: for<'de> Deserialize<'de>>(frame: &[u8]) -> Result<Frame<T>, FrameError> {
     let (message, message_length) = bincode::serde::decode_from_slice(frame, config())?;
     let rest = frame.get(message_length..).unwrap_or_default();
     if rest.is_empty() {
-        return Ok((message, FrameVersion::default()));
+        return Ok(Frame { message, version: FrameVersion::default() });
     }
     let (version, _) = bincode::serde::decode_from_slice(rest, config())?;
-    Ok((message, version))
+    Ok(Frame { message, version })
 }
--- a/crates/controller/src/peers/connection.rs
+++ b/crates/controller/src/peers/connection.rs
@@ -1,31 +1,45 @@
 //! Reading and writing frames: a length in four bytes (big endian), then the frame.
 
-use super::PeerError;
-use crate::frame::{self, FrameVersion};
+use crate::frame::{self, Frame, FrameError};
 use hookway_constants as constants;
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
+/// Why a frame could not be sent or received.
+#[derive(Debug, thiserror::Error)]
+pub enum ConnectionError {
+    /// The connection failed.
+    #[error("connection: {0}")]
+    Io(#[from] std::io::Error),
+    /// The frame could not be encoded or decoded.
+    #[error("frame: {0}")]
+    Frame(#[from] FrameError),
+    /// The frame exceeds the maximum length.
+    #[error("a frame exceeds the maximum length")]
+    TooLong,
+}
+
+/// Sends a message.
 pub(super) async fn send<T: Serialize>(
     stream: &mut TcpStream,
     message: &T,
-) -> Result<(), PeerError> {
+) -> Result<(), ConnectionError> {
     let body = frame::encode(message)?;
-    let length = u32::try_from(body.len()).map_err(|_| PeerError::TooLong)?;
+    let length = u32::try_from(body.len()).map_err(|_| ConnectionError::TooLong)?;
     let mut bytes = length.to_be_bytes().to_vec();
     bytes.extend(body);
     stream.write_all(&bytes).await?;
     Ok(())
 }
 
-/// Receives a message, and the version of the build that sent it.
+/// Receives a message with the version of the build that sent it.
 pub(super) async fn receive<T: for<'de> Deserialize<'de>>(
     stream: &mut TcpStream,
-) -> Result<(T, FrameVersion), PeerError> {
+) -> Result<Frame<T>, ConnectionError> {
     let length = stream.read_u32().await? as usize;
     if length > constants::PEER_FRAME_LIMIT {
-        return Err(PeerError::TooLong);
+        return Err(ConnectionError::TooLong);
     }
     let mut body = vec![0; length];
     stream.read_exact(&mut body).await?;
--- a/crates/controller/src/peers/mod.rs
+++ b/crates/controller/src/peers/mod.rs
@@ -7,9 +7,11 @@
 mod connection;
 mod error;
 mod messages;
+mod peer;
 mod server;
 
 pub use client::Peers;
+pub use connection::ConnectionError;
 pub use error::PeerError;
 pub use messages::{PeerRequest, PeerResponse};
 pub use server::{PeerHandler, serve};
--- /dev/null
+++ b/crates/controller/src/peers/peer.rs
@@ -0,0 +1,112 @@
+//! The connections to one other controller, and what its responses tell about it.
+
+use super::PeerError;
+use super::connection::{ConnectionError, receive, send};
+use super::messages::{PeerRequest, PeerResponse};
+use crate::circuit_breaker::CircuitBreaker;
+use crate::frame::FrameVersion;
+use hookway_constants as constants;
+use std::sync::Mutex;
+use std::time::Duration;
+use tokio::net::TcpStream;
+
+/// The client of one other controller.
+#[derive(Debug)]
+pub(super) struct Peer {
+    name: String,
+    address: String,
+    idle_connections: Mutex<Vec<TcpStream>>,
+    breaker: Mutex<CircuitBreaker>,
+    /// The version in the last response.
+    version: Mutex<Option<FrameVersion>>,
+}
+
+impl Peer {
+    /// Creates the client of the controller `name` at `address`.
+    pub(super) fn new(name: String, address: String) -> Self {
+        Self {
+            name,
+            address,
+            idle_connections: Mutex::default(),
+            breaker: Mutex::default(),
+            version: Mutex::default(),
+        }
+    }
+
+    /// The address of the controller.
+    pub(super) fn address(&self) -> String {
+        self.address.clone()
+    }
+
+    /// The version in the last response; `None` before the first.
+    pub(super) fn version(&self) -> Option<FrameVersion> {
+        *self.version.lock().ok()?
+    }
+
+    /// Whether the circuit breaker lets a user's request through. All exchanges update it: a
+    /// controller that is back is noticed by the renewals of the shard lease.
+    pub(super) fn allows_request(&self) -> bool {
+        self.breaker.lock().map_or(true, |mut breaker| breaker.allows_request())
+    }
+
+    /// Sends a request and receives the response.
+    pub(super) async fn exchange(
+        &self,
+        request: &PeerRequest,
+        limit: Duration,
+    ) -> Result<PeerResponse, PeerError> {
+        let response = match tokio::time::timeout(limit, self.send(request)).await {
+            Ok(Ok(response)) => Ok(response),
+            Ok(Err(source)) => Err(PeerError::Connection { address: self.address(), source }),
+            Err(_) => Err(PeerError::Timeout { address: self.address() }),
+        };
+        if let Ok(mut breaker) = self.breaker.lock() {
+            breaker.record(response.is_err());
+        }
+        response
+    }
+
+    async fn send(&self, request: &PeerRequest) -> Result<PeerResponse, ConnectionError> {
+        // An idle connection may have failed meanwhile. Every request may be sent twice.
+        if let Some(mut stream) = self.take_idle()
+            && let Ok(response) = self.send_over(&mut stream, request).await
+        {
+            self.keep_idle(stream);
+            return Ok(response);
+        }
+        let mut stream = TcpStream::connect(&self.address).await?;
+        stream.set_nodelay(true)?;
+        let response = self.send_over(&mut stream, request).await?;
+        self.keep_idle(stream);
+        Ok(response)
+    }
+
+    async fn send_over(
+        &self,
+        stream: &mut TcpStream,
+        request: &PeerRequest,
+    ) -> Result<PeerResponse, ConnectionError> {
+        send(stream, request).await?;
+        let response = receive(stream).await?;
+        self.record_version(response.version);
+        Ok(response.message)
+    }
+
+    fn record_version(&self, version: FrameVersion) {
+        let Ok(mut last) = self.version.lock() else { return };
+        if last.replace(version) != Some(version) {
+            tracing::info!(peer = self.name, version = version.0, "frame version of a controller");
+        }
+    }
+
+    fn take_idle(&self) -> Option<TcpStream> {
+        self.idle_connections.lock().ok()?.pop()
+    }
+
+    fn keep_idle(&self, stream: TcpStream) {
+        let Ok(mut idle) = self.idle_connections.lock() else { return };
+        if idle.len() < constants::PEER_IDLE {
+            idle.push(stream);
+        }
+    }
+}
--- a/crates/controller/src/peers/server.rs
+++ b/crates/controller/src/peers/server.rs
@@ -36,8 +36,8 @@
 /// Answers the requests of one connection in their order, until it fails or is closed.
 async fn serve_connection<H: PeerHandler>(mut stream: TcpStream, handler: Arc<H>) {
     let _ = stream.set_nodelay(true);
-    while let Ok((request, _)) = receive::<PeerRequest>(&mut stream).await {
-        let response = handler.handle(request).await;
+    while let Ok(request) = receive::<PeerRequest>(&mut stream).await {
+        let response = handler.handle(request.message).await;
         if send(&mut stream, &response).await.is_err() {
             break;
         }
--- a/crates/controller/tests/api/circuit_breakers.rs
+++ b/crates/controller/tests/api/circuit_breakers.rs
@@ -17,14 +17,15 @@
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound").to_string();
     let peers = Peers::new(HashMap::from([("worker-1".into(), address)]));
-    let ask = PeerRequest::Status("req-000001".into());
-    assert!(matches!(peers.ask("worker-1", &ask, 600).await, Err(PeerError::Timeout)));
+    let request = PeerRequest::Status("req-000001".into());
+    let ask = || peers.ask("worker-1", &request, Duration::from_millis(600));
+    assert!(matches!(ask().await, Err(PeerError::Timeout { .. })));
     for _ in 0..20 {
-        assert!(matches!(peers.ask("worker-1", &ask, 600).await, Err(PeerError::CircuitOpen)));
+        assert!(matches!(ask().await, Err(PeerError::CircuitOpen { .. })));
     }
-    tokio::time::advance(std::time::Duration::from_millis(1_100)).await;
-    assert!(matches!(peers.ask("worker-1", &ask, 600).await, Err(PeerError::Timeout)), "one tries");
-    assert!(matches!(peers.ask("worker-1", &ask, 600).await, Err(PeerError::CircuitOpen)));
+    tokio::time::advance(Duration::from_millis(1_100)).await;
+    assert!(matches!(ask().await, Err(PeerError::Timeout { .. })), "one tries");
+    assert!(matches!(ask().await, Err(PeerError::CircuitOpen { .. })));
 }
 
 /// The same for a state service that does not respond to this controller: without this a request spent its whole
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -6,7 +6,7 @@
 mod formats_support;
 
 use formats_support::{fixture, frame, id, json, spec, status};
-use hookway_controller::frame::{self, CURRENT, FrameVersion};
+use hookway_controller::frame::{self, CURRENT, Frame, FrameVersion};
 use hookway_controller::job_snapshot::JobSnapshot;
 use hookway_controller::peers::{PeerRequest, PeerResponse};
 use hookway_controller::records::{
@@ -200,14 +200,15 @@
     let (read, _): (PeerRequest, usize) =
         bincode::serde::decode_from_slice(&bytes, config).expect("a frame");
     assert_eq!(read, ask);
-    assert_eq!(frame::decode::<PeerRequest>(&bytes).expect("a frame"), (ask.clone(), CURRENT));
+    let read = frame::decode::<PeerRequest>(&bytes).expect("a frame");
+    assert_eq!(read, Frame { message: ask.clone(), version: CURRENT });
     // A frame of production, and one of a later version that says more.
     let old = &bytes[..bytes.len() - 1];
-    let (read, version) = frame::decode::<PeerRequest>(old).expect("a frame");
-    assert_eq!((read, version), (ask.clone(), FrameVersion(0)));
+    let read = frame::decode::<PeerRequest>(old).expect("a frame");
+    assert_eq!(read, Frame { message: ask.clone(), version: FrameVersion(0) });
     let later = [old, &[9, 1, 2, 3]].concat();
-    let (read, version) = frame::decode::<PeerRequest>(&later).expect("a frame");
-    assert_eq!((read, version), (ask, FrameVersion(9)));
+    let read = frame::decode::<PeerRequest>(&later).expect("a frame");
+    assert_eq!(read, Frame { message: ask, version: FrameVersion(9) });
 }
 
 #[test]
--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -180,7 +180,8 @@
     });
     let peers = Peers::new([("worker-1".to_owned(), address)].into());
     let ask = PeerRequest::Status("req-000412".into());
-    let answer = peers.ask("worker-1", &ask, 5_000).await.expect("an answer");
+    let limit = Duration::from_millis(5_000);
+    let answer = peers.ask("worker-1", &ask, limit).await.expect("an answer");
     assert_eq!(answer, hookway_controller::request_outcome::RequestOutcome::NotFound);
     let (sent, _stream) = tokio::time::timeout(Duration::from_secs(5), served)
         .await
