--- a/crates/controller/src/connection_table.rs
+++ b/crates/controller/src/connection_table.rs
@@ -6,7 +6,7 @@
 //! the state service, the cloud, the other controllers and direct commands to workers.
 
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, whole_millis};
 use salvo::async_trait;
 use salvo::conn::ConnCtrl;
 use salvo::fuse::{ArcConnObserver, ConnObserver, FuseAction, FuseConfig, FuseInfo, FusePolicy};
@@ -59,7 +59,7 @@
     /// Delays a new connection while the table is full; never refuses it.
     async fn decide(&self, _: &FuseInfo) -> FuseAction {
         while self.open_connections() >= self.table.max_connections {
-            self.table.close_idle(self.table.now_ms());
+            self.table.close_idle(self.table.now());
             tokio::time::sleep(constants::CONNECTION_TABLE_RETRY).await;
         }
         FuseAction::Accept(self.config)
@@ -67,14 +67,14 @@
 
     fn observe(&self, _: &FuseInfo, ctrl: &ConnCtrl) -> Option<ArcConnObserver> {
         let id = self.table.next_id.fetch_add(1, Ordering::Relaxed);
-        let last_traffic_ms = Arc::new(AtomicU64::new(self.table.now_ms()));
+        let last_traffic = Arc::new(TrafficTime::new(self.table.now()));
         self.table.held_sockets.fetch_add(1, Ordering::Relaxed);
         if let Ok(mut open) = self.table.open.lock() {
             let connection =
-                OpenConnection { last_traffic_ms: last_traffic_ms.clone(), ctrl: ctrl.clone() };
+                OpenConnection { last_traffic: last_traffic.clone(), ctrl: ctrl.clone() };
             open.insert(id, connection);
         }
-        Some(Arc::new(ConnectionActivity { id, table: self.table.clone(), last_traffic_ms }))
+        Some(Arc::new(ConnectionActivity { id, table: self.table.clone(), last_traffic }))
     }
 }
 
@@ -89,25 +89,43 @@
 
 /// A connection that can be closed.
 struct OpenConnection {
-    /// See [`Connections::now_ms`].
-    last_traffic_ms: Arc<AtomicU64>,
+    last_traffic: Arc<TrafficTime>,
     ctrl: ConnCtrl,
 }
 
+/// When a connection last had traffic, by [`Connections::now`]. Atomic, since every read and write of
+/// every connection sets it.
+#[derive(Debug)]
+struct TrafficTime(AtomicU64);
+
+impl TrafficTime {
+    fn new(at: MonotonicTime) -> Self {
+        Self(AtomicU64::new(at.as_millis()))
+    }
+
+    fn set(&self, at: MonotonicTime) {
+        self.0.store(at.as_millis(), Ordering::Relaxed);
+    }
+
+    fn get(&self) -> MonotonicTime {
+        MonotonicTime::from_millis(self.0.load(Ordering::Relaxed))
+    }
+}
+
 impl Connections {
-    /// Milliseconds since the table was created.
-    fn now_ms(&self) -> u64 {
-        u64::try_from(self.created_at.elapsed().as_millis()).unwrap_or(u64::MAX)
+    /// The time since the table was created.
+    fn now(&self) -> MonotonicTime {
+        MonotonicTime::from_millis(whole_millis(self.created_at.elapsed()))
     }
 
     /// Closes the connections that have been idle longest, several at a time to make the scan of the
     /// whole table worthwhile.
-    fn close_idle(&self, now_ms: u64) {
+    fn close_idle(&self, now: MonotonicTime) {
         let Ok(mut open) = self.open.lock() else { return };
-        let mut idle: Vec<(u64, u64)> = open
+        let mut idle: Vec<(MonotonicTime, u64)> = open
             .iter()
-            .map(|(id, connection)| (connection.last_traffic_ms.load(Ordering::Relaxed), *id))
-            .filter(|(last_ms, _)| last_ms + whole_millis(constants::CONNECTION_BUSY) <= now_ms)
+            .map(|(id, connection)| (connection.last_traffic.get(), *id))
+            .filter(|(last_traffic, _)| *last_traffic + constants::CONNECTION_BUSY <= now)
             .collect();
         idle.sort_unstable();
         let batch = self.max_connections.div_ceil(constants::CONNECTION_CLOSE_DIVISOR);
@@ -123,12 +141,12 @@
 struct ConnectionActivity {
     id: u64,
     table: Arc<Connections>,
-    last_traffic_ms: Arc<AtomicU64>,
+    last_traffic: Arc<TrafficTime>,
 }
 
 impl ConnectionActivity {
     fn record_traffic(&self) {
-        self.last_traffic_ms.store(self.table.now_ms(), Ordering::Relaxed);
+        self.last_traffic.set(self.table.now());
     }
 }
 
--- a/crates/controller/src/connection_table/tests.rs
+++ b/crates/controller/src/connection_table/tests.rs
@@ -1,5 +1,4 @@
 use super::*;
-use hookway_time::whole_millis;
 use salvo::fuse::TransProto;
 
 fn info() -> FuseInfo {
@@ -23,16 +22,17 @@
         held.push((ctrl, observer));
         // The first one has been quiet longest, the last one is busy.
         let open = connections.table.open.lock().unwrap();
-        open[&n].last_traffic_ms.store(n * 10_000, Ordering::Relaxed);
+        open[&n].last_traffic.set(MonotonicTime::from_millis(n * 10_000));
     }
-    connections.table.close_idle(30_000 + whole_millis(constants::CONNECTION_BUSY) - 1);
+    let almost_busy = constants::CONNECTION_BUSY - Duration::from_millis(1);
+    connections.table.close_idle(MonotonicTime::from_millis(30_000) + almost_busy);
     let closed: Vec<bool> = held.iter().map(|(ctrl, _)| ctrl.is_aborted()).collect();
     assert_eq!(closed, [true, false, false, false]);
     assert_eq!(connections.open_connections(), 4, "its socket is held until its stream is dropped");
     held.remove(0);
     assert_eq!(connections.open_connections(), 3);
     assert!(matches!(connections.decide(&info()).await, FuseAction::Accept(_)));
-    connections.table.close_idle(10_000 + whole_millis(constants::CONNECTION_BUSY) - 1);
+    connections.table.close_idle(MonotonicTime::from_millis(10_000) + almost_busy);
     assert!(held.iter().all(|(ctrl, _)| !ctrl.is_aborted()), "busy ones stay");
 }
 
--- a/crates/controller/src/http.rs
+++ b/crates/controller/src/http.rs
@@ -5,7 +5,6 @@
 use crate::concurrency_limiter::ConcurrencyLimiter;
 use crate::request_outcome::RequestOutcome;
 use hookway_constants as constants;
-use hookway_time::whole_millis;
 use hookway_wire::{ErrorBody, Heartbeat, HeartbeatRedirect, JobId, JobStatus};
 use salvo::http::{HeaderValue, StatusCode};
 use salvo::prelude::*;
@@ -41,10 +40,10 @@
 impl UserRequest {
     /// The time limit for the response.
     fn time_limit(self) -> Duration {
-        Duration::from_millis(match self {
-            Self::Status => whole_millis(constants::STATUS_LIMIT),
-            Self::Submit | Self::Cancel => whole_millis(constants::SUBMIT_LIMIT),
-        })
+        match self {
+            Self::Status => constants::STATUS_LIMIT,
+            Self::Submit | Self::Cancel => constants::SUBMIT_LIMIT,
+        }
     }
 
     /// The value of `Retry-After`, s.
@@ -107,13 +106,7 @@
 impl UserHandler {
     async fn decide(&self, req: &mut Request) -> RequestOutcome {
         if self.request == UserRequest::Submit {
-            return match req.payload_with_max_size(constants::BODY_LIMIT).await {
-                Ok(body) => self.api.submit(body, Origin::Client).await,
-                Err(_) => RequestOutcome::Rejected {
-                    status: StatusCode::BAD_REQUEST.as_u16(),
-                    reason: "the body is over 64 KiB or broken".into(),
-                },
-            };
+            return self.submit(req).await;
         }
         let Some(job) = req.param::<String>("id").as_deref().and_then(JobId::parse) else {
             return RequestOutcome::NotFound;
@@ -124,6 +117,16 @@
             self.api.cancel(&job, Origin::Client).await
         }
     }
+
+    async fn submit(&self, req: &mut Request) -> RequestOutcome {
+        match req.payload_with_max_size(constants::BODY_LIMIT).await {
+            Ok(body) => self.api.submit(body, Origin::Client).await,
+            Err(_) => RequestOutcome::Rejected {
+                status: StatusCode::BAD_REQUEST.as_u16(),
+                reason: "the body is over 64 KiB or broken".into(),
+            },
+        }
+    }
 }
 
 struct HeartbeatHandler(Arc<ApiService>);
@@ -131,13 +134,7 @@
 #[async_trait]
 impl Handler for HeartbeatHandler {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let heartbeat = match req.payload_with_max_size(constants::BODY_LIMIT).await {
-            Ok(body) => {
-                serde_json::from_slice::<Heartbeat>(body).map_err(|error| error.to_string())
-            }
-            Err(error) => Err(error.to_string()),
-        };
-        let heartbeat = match heartbeat {
+        let heartbeat = match read_heartbeat(req).await {
             Ok(heartbeat) => heartbeat,
             Err(reason) => {
                 tracing::error!(reason, "invalid heartbeat");
@@ -160,6 +157,15 @@
     }
 }
 
+/// Reads the heartbeat in the body of a request; the reason if there is none.
+async fn read_heartbeat(req: &mut Request) -> Result<Heartbeat, String> {
+    let body = req
+        .payload_with_max_size(constants::BODY_LIMIT)
+        .await
+        .map_err(|error| error.to_string())?;
+    serde_json::from_slice(body).map_err(|error| error.to_string())
+}
+
 /// The health check.
 #[handler]
 async fn up(res: &mut Response) {
@@ -172,8 +178,7 @@
 #[async_trait]
 impl Handler for ReplicationHandler {
     async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let limit = constants::STATUS_LIMIT;
-        match tokio::time::timeout(limit, self.0.replication_status()).await {
+        match tokio::time::timeout(constants::STATUS_LIMIT, self.0.replication_status()).await {
             Ok(Some(status)) => res.render(Json(status)),
             _ => render_unavailable(res, "no answer in time", constants::RETRY_AFTER_S),
         }
--- a/crates/controller/src/leader_sync.rs
+++ b/crates/controller/src/leader_sync.rs
@@ -3,12 +3,12 @@
 
 use crate::actor::{ControllerHandle, ControllerRequest, PreparedRenewal};
 use crate::frame;
-use crate::leadership::{LeadershipView, pause};
+use crate::leadership::LeadershipView;
 use crate::peers::Peers;
 use hookway_constants as constants;
-use hookway_time::whole_millis;
 use std::sync::Arc;
 use tokio::sync::watch;
+use tokio::time::sleep;
 
 /// The periodic exchange of a controller with the leader.
 #[derive(Debug, Clone)]
@@ -28,7 +28,7 @@
     /// until the process ends.
     pub async fn renew_shard_lease(self) {
         loop {
-            pause(whole_millis(constants::SHARD_LEASE_RENEWAL_INTERVAL)).await;
+            sleep(constants::SHARD_LEASE_RENEWAL_INTERVAL).await;
             let Some(leader) = self.other_leader() else { continue };
             let prepare = ControllerRequest::PrepareShardLeaseRenewal;
             let Some(PreparedRenewal { renewal, sent_at }) = self.controller.request(prepare).await
@@ -49,7 +49,7 @@
     /// publishes its cluster state. Runs until the process ends.
     pub async fn follow_leader(self) {
         loop {
-            pause(whole_millis(constants::FOLLOW_INTERVAL)).await;
+            sleep(constants::FOLLOW_INTERVAL).await;
             let prepare = ControllerRequest::PrepareFollow;
             let Some(request) = self.controller.request(prepare).await else { continue };
             // The responses to shard lease renewals tell the leader's version.
