--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -66,7 +66,7 @@
 pub use summary::Summary;
 
 use crate::records::FinalRecord;
-use crate::settings::{OperatorSettings, PlatformSettings};
+use crate::settings::{OperatorSettings, PeerController, PlatformSettings};
 use crate::shard_lease::ShardLessor;
 use bounded_set::BoundedSet;
 use class_history::ClassHistory;
@@ -93,8 +93,8 @@
     pub controller_name: String,
     /// This controller's zone.
     pub zone: String,
-    /// The other controllers, with their zones.
-    pub peers: Vec<(String, String)>,
+    /// The other controllers.
+    pub peers: Vec<PeerController>,
     /// The platform's settings.
     pub platform: PlatformSettings,
     /// The operators' settings.
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -11,7 +11,7 @@
 use crate::leader_sync::LeaderSync;
 use crate::leadership::{Clock, Leadership, LeadershipConfig, LeadershipLease, LeadershipView};
 use crate::peers::{self, Peers};
-use crate::settings::{OperatorSettings, PeerController, PlatformSettings, Settings};
+use crate::settings::{OperatorSettings, PlatformSettings, Settings};
 use crate::shard_lease::{ShardLessee, leader_timeout_ms};
 use crate::standby::{Standby, StandbyMode, StandbySignals};
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
@@ -160,12 +160,11 @@
         let leader_timeout_ms = leader_timeout_ms(workers.heartbeat_interval_s, workers.lease_s);
         let warm = self.operator.replication.standby;
         let standby_mode = if warm { StandbyMode::Warm } else { StandbyMode::Cold };
-        let peer_zone = |peer: &PeerController| (peer.name.clone(), peer.zone.clone());
         ControllerActor::new(ControllerActorConfig {
             cluster: ControllerConfig {
                 controller_name: name.clone(),
                 zone: settings.zone.clone(),
-                peers: settings.peers.iter().map(peer_zone).collect(),
+                peers: settings.peers.clone(),
                 platform: settings.platform.clone(),
                 operator: self.operator.clone(),
             },
--- a/crates/controller/src/shard_lease/lessor.rs
+++ b/crates/controller/src/shard_lease/lessor.rs
@@ -3,6 +3,7 @@
 
 use super::messages::{ShardLease, ShardLeaseRenewal};
 use crate::clock_drift::{latest_expiry, latest_past};
+use crate::settings::PeerController;
 use std::collections::BTreeMap;
 
 /// What the leader knows about another controller. Times in ms on the leader's monotonic clock.
@@ -73,18 +74,19 @@
 
 impl ShardLessor {
     /// Creates the record of a leader that was elected at `elected_at` at the latest, with these
-    /// other controllers (name and zone). Earlier leaders granted their leases, of at most
+    /// other controllers. Earlier leaders granted their leases, of at most
     /// `lease_ms`, before that time.
     pub fn new(
         own_zone: &str,
-        controllers: &[(String, String)],
+        controllers: &[PeerController],
         zones: &[String],
         lease_ms: u64,
         elected_at: u64,
     ) -> Self {
         let expires_at = latest_expiry(elected_at, lease_ms);
-        let lessee = |(name, zone): &(String, String)| {
-            (name.clone(), LesseeState::of_earlier_term(zone.clone(), expires_at))
+        let lessee = |controller: &PeerController| {
+            let state = LesseeState::of_earlier_term(controller.zone.clone(), expires_at);
+            (controller.name.clone(), state)
         };
         Self {
             own_zone: own_zone.to_owned(),
--- a/crates/controller/src/shard_lease/tests.rs
+++ b/crates/controller/src/shard_lease/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::clock_drift::drift_ms;
+use crate::settings::PeerController;
 use hookway_constants as constants;
 use hookway_wire::{Command, Heartbeat, JobId, TaskState, TaskStatus};
 
@@ -7,7 +8,11 @@
 const WORKER: u64 = 22_000;
 
 fn lessor(won_at: u64) -> ShardLessor {
-    let siblings = [("one".to_owned(), "b".to_owned()), ("two".to_owned(), "c".to_owned())];
+    let siblings = [("one", "b"), ("two", "c")].map(|(name, zone)| PeerController {
+        name: name.to_owned(),
+        zone: zone.to_owned(),
+        address: String::new(),
+    });
     let zones = ["a", "b", "c", "d"].map(str::to_owned);
     ShardLessor::new("a", &siblings, &zones, LEASE, won_at)
 }
--- a/crates/controller/tests/controller_actor.rs
+++ b/crates/controller/tests/controller_actor.rs
@@ -15,7 +15,7 @@
 use hookway_controller::peers::{self, Peers};
 use hookway_controller::records::final_state_key;
 use hookway_controller::request_outcome::RequestOutcome;
-use hookway_controller::settings::{OperatorSettings, Settings};
+use hookway_controller::settings::{OperatorSettings, PeerController, Settings};
 use hookway_controller::shard_lease::ShardLessee;
 use hookway_controller::standby::{Standby, StandbyMode, StandbySignals};
 use hookway_testkit::{SETTINGS, StoreServer, machine_types};
@@ -42,6 +42,11 @@
     view: watch::Receiver<LeadershipView>,
 }
 
+/// The settings of another controller, in zone `b`.
+fn peer(name: &str, address: &str) -> PeerController {
+    PeerController { name: name.to_owned(), zone: "b".to_owned(), address: address.to_owned() }
+}
+
 /// Starts a controller; `campaigns`: it seeks the leadership.
 #[expect(clippy::too_many_lines, reason = "one scripted controller, set up in order")]
 async fn start(
@@ -75,7 +80,7 @@
         cluster: ControllerConfig {
             controller_name: label.into(),
             zone: "a".into(),
-            peers: siblings.iter().map(|(l, _)| ((*l).to_owned(), "b".to_owned())).collect(),
+            peers: siblings.iter().map(|(name, address)| peer(name, address)).collect(),
             platform: settings.platform,
             operator: OperatorSettings::default(),
         },
--- a/crates/controller/tests/simulation/controllers.rs
+++ b/crates/controller/tests/simulation/controllers.rs
@@ -6,7 +6,7 @@
 use hookway_controller::cluster_state::{ClusterState, ControllerConfig, LoadedState, Timestamp};
 use hookway_controller::leadership::lease_expiry;
 use hookway_controller::records::LEADER_KEY;
-use hookway_controller::settings::{OperatorSettings, Settings};
+use hookway_controller::settings::{OperatorSettings, PeerController, Settings};
 use hookway_controller::shard_lease::ShardLessee;
 use hookway_replication::{Follower, Publisher};
 use hookway_testkit::{SETTINGS, machine_types};
@@ -75,6 +75,11 @@
 const NEXT_LIMITS: &str =
     "\n[settings.state.next]\nvalue_kb = 0.25\ntxn_ops = 3\nwrite_rps = 20.0\n";
 
+/// The settings of another controller; messages reach it without an address.
+fn peer(name: &str, zone: &str) -> PeerController {
+    PeerController { name: name.to_owned(), zone: zone.to_owned(), address: String::new() }
+}
+
 impl Controller {
     pub fn new(n: usize, version: Version, nonce: u64, now: u64) -> Self {
         let siblings = CONTROLLERS.iter().enumerate().filter(|(other, _)| *other != n);
@@ -83,7 +88,7 @@
         let config = ControllerConfig {
             controller_name: CONTROLLERS[n].0.into(),
             zone: CONTROLLERS[n].1.into(),
-            peers: siblings.map(|(_, (l, z))| ((*l).to_owned(), (*z).to_owned())).collect(),
+            peers: siblings.map(|(_, (name, zone))| peer(name, zone)).collect(),
             platform: Settings::parse(&settings).expect("sound settings").platform,
             operator: OperatorSettings::default(),
         };
