--- a/crates/controller/src/cluster_state/snapshot.rs
+++ b/crates/controller/src/cluster_state/snapshot.rs
@@ -4,6 +4,7 @@
 use hookway_policy::{
     ClusterSnapshot, JobView, MachineView, PlacedTaskView, Quota, Resources, TeamView,
 };
+use hookway_wire::PurchaseOption;
 use std::collections::HashMap;
 
 /// A cluster snapshot for the policy, with what its indexes stand for.
@@ -185,7 +186,7 @@
             spot: machine.spot,
             total,
             free,
-            price: self.machine_types[machine_type].price(machine.spot),
+            price: self.machine_types[machine_type].price(PurchaseOption::from_spot(machine.spot)),
             images: machine.images.iter().map(|cached| cached.image).collect(),
             schedulable: machine.has_reported
                 && !closed
--- a/crates/controller/src/cluster_state/spare_machines.rs
+++ b/crates/controller/src/cluster_state/spare_machines.rs
@@ -4,7 +4,7 @@
 use super::class_history::ClassHistory;
 use super::{ClusterState, Job, Machine, worker_lease_expiry_ms};
 use hookway_policy::Resources;
-use hookway_wire::MachineType;
+use hookway_wire::{MachineType, PurchaseOption};
 use std::collections::HashSet;
 
 /// A class with an objective for its start.
@@ -68,7 +68,7 @@
             } else if self.is_spare_candidate(machine, machine_type, class, now) {
                 let images = &class.history.images;
                 let cached = machine.images.iter().filter(|c| images.contains(&c.image));
-                let price = machine_type.price(machine.spot);
+                let price = machine_type.price(PurchaseOption::from_spot(machine.spot));
                 candidates.push(Candidate { name, cached_images: cached.count(), price });
             }
         }
--- a/crates/policy/src/scheduling_queue.rs
+++ b/crates/policy/src/scheduling_queue.rs
@@ -4,6 +4,9 @@
 use crate::{JobView, min_tasks};
 use hookway_constants as constants;
 
+/// Least CPUs that a task counts with where their number is a divisor.
+const MIN_CPUS: f64 = 0.001;
+
 /// An entry of the scheduling queue: up to `tasks` tasks of a job are to be placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueEntry {
@@ -167,8 +170,12 @@
             .then(a.submitted.total_cmp(&b.submitted))
     }
 
-    fn push(&mut self, job: usize, tasks: u32, leftover: bool) {
-        self.queue.push(QueueEntry { job, tasks, leftover });
+    fn push(&mut self, job: usize, tasks: u32) {
+        self.queue.push(QueueEntry { job, tasks, leftover: false });
+    }
+
+    fn push_leftover_entry(&mut self, job: usize, tasks: u32) {
+        self.queue.push(QueueEntry { job, tasks, leftover: true });
     }
 
     /// One task of each array, and all of a gang or daemon, whose minimum that is.
@@ -176,7 +183,7 @@
         for &index in jobs {
             let job = &self.jobs[index];
             let tasks = if job.needs_all_tasks_at_once() { job.startable } else { 1 };
-            self.push(index, tasks, false);
+            self.push(index, tasks);
         }
     }
 
@@ -189,10 +196,11 @@
         for index in aged {
             let job = &self.jobs[index];
             cpus -= f64::from(job.placed) * job.request.cpus;
-            let tasks = (cpus / job.request.cpus.max(0.001)).max(0.0).min(f64::from(job.startable));
+            let tasks =
+                (cpus / job.request.cpus.max(MIN_CPUS)).max(0.0).min(f64::from(job.startable));
             if tasks >= 1.0 {
                 cpus -= tasks.floor() * job.request.cpus;
-                self.push(index, tasks as u32, false);
+                self.push(index, tasks as u32);
             }
         }
     }
@@ -211,7 +219,7 @@
             let minimum = if job.gang { job.unfinished } else { min_tasks(job, self.now) };
             let missing = minimum.saturating_sub(job.placed).min(job.startable);
             if missing > 0 {
-                self.push(index, missing, false);
+                self.push(index, missing);
             }
         }
     }
@@ -230,7 +238,7 @@
             feasible_first.then(work(*a).total_cmp(&work(*b)))
         });
         for index in arrays {
-            self.push(index, self.jobs[index].startable, true);
+            self.push_leftover_entry(index, self.jobs[index].startable);
         }
     }
 
@@ -241,17 +249,17 @@
             b.priority.cmp(&a.priority).then(a.submitted.total_cmp(&b.submitted))
         });
         for &index in jobs.iter().filter(|i| self.jobs[**i].has_never_run()) {
-            self.push(index, 1, true);
+            self.push_leftover_entry(index, 1);
         }
         for index in jobs {
-            self.push(index, self.jobs[index].startable, true);
+            self.push_leftover_entry(index, self.jobs[index].startable);
         }
     }
 
     /// Last: a job that failed wherever it was tried takes nothing from jobs that work.
     fn push_crash_looping(&mut self, jobs: Vec<usize>) {
         for index in jobs {
-            self.push(index, self.jobs[index].startable, false);
+            self.push(index, self.jobs[index].startable);
         }
     }
 }
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -2,6 +2,22 @@
 
 use serde::{Deserialize, Serialize};
 
+/// How a machine is bought.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum PurchaseOption {
+    /// At a fixed price, until it is deleted.
+    OnDemand,
+    /// At the current spot price, until the cloud reclaims it.
+    Spot,
+}
+
+impl PurchaseOption {
+    /// The option of a machine by the `spot` field of its messages.
+    pub fn from_spot(spot: bool) -> Self {
+        if spot { Self::Spot } else { Self::OnDemand }
+    }
+}
+
 /// A machine type that the cloud offers, with its capacity and prices.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
@@ -47,9 +63,12 @@
         if self.fetch_gb_per_s > 0.0 { image_gb / self.fetch_gb_per_s } else { 0.0 }
     }
 
-    /// Current price per hour, of a spot machine if `spot`, else of an on-demand machine.
-    pub fn price(&self, spot: bool) -> f64 {
-        if spot { self.spot_price.unwrap_or(self.price_per_hour) } else { self.price_per_hour }
+    /// Current price of a machine per hour.
+    pub fn price(&self, option: PurchaseOption) -> f64 {
+        match option {
+            PurchaseOption::OnDemand => self.price_per_hour,
+            PurchaseOption::Spot => self.spot_price.unwrap_or(self.price_per_hour),
+        }
     }
 }
 
@@ -144,3 +163,6 @@
     #[serde(default)]
     pub has_next: bool,
 }
+
+#[cfg(test)]
+mod tests;
