--- a/crates/controller/src/api/cancellation.rs
+++ b/crates/controller/src/api/cancellation.rs
@@ -67,6 +67,7 @@
         None
     }
 
+    /// Cancels a job by writing its final state, which fails if a leader is elected meanwhile.
     async fn cancel_without_leader(&self, job: &JobId) -> Result<RequestOutcome, StoreError> {
         // An earlier leader may have extended worker leases until a moment ago, so whether the tasks
         // have ended is unknown until those leases expire.
@@ -85,17 +86,7 @@
         let Ok(final_value) = serde_json::to_value(&record) else {
             return Ok(RequestOutcome::unavailable("internal"));
         };
-        let transaction = Transaction {
-            preconditions: vec![
-                Precondition { key: LEADER_KEY.into(), mod_revision: 0 },
-                Precondition { key: final_state_key(job), mod_revision: 0 },
-            ],
-            operations: vec![
-                Operation::put(final_state_key(job), final_value),
-                Operation::delete(job_key(job)),
-            ],
-        };
-        Ok(match store.commit(&transaction).await? {
+        Ok(match store.commit(&leaderless_cancellation_transaction(job, final_value)).await? {
             CommitOutcome::Applied(_) => self.announce_cancelled(record.status(job).into()),
             CommitOutcome::PreconditionFailed(_) => {
                 RequestOutcome::unavailable("the job's leader can't be reached")
@@ -113,3 +104,20 @@
         self.known(snapshot)
     }
 }
+
+/// The transaction that cancels a job while no leader is elected.
+fn leaderless_cancellation_transaction(
+    job: &JobId,
+    final_record: serde_json::Value,
+) -> Transaction {
+    Transaction {
+        preconditions: vec![
+            Precondition { key: LEADER_KEY.into(), mod_revision: 0 },
+            Precondition { key: final_state_key(job), mod_revision: 0 },
+        ],
+        operations: vec![
+            Operation::put(final_state_key(job), final_record),
+            Operation::delete(job_key(job)),
+        ],
+    }
+}
--- a/crates/controller/src/api/mod.rs
+++ b/crates/controller/src/api/mod.rs
@@ -25,6 +25,9 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
+/// Where a job's record has the name of its team.
+const TEAM_IN_RECORD: &str = "/spec/Owner";
+
 /// The clients of the state service that the API uses.
 #[derive(Debug, Clone)]
 pub struct StoreClients {
@@ -123,7 +126,7 @@
 
     /// The state of a job whose record is in the state service and that no leader schedules yet.
     fn queued_snapshot(&self, job: &JobId, record: &serde_json::Value) -> JobSnapshot {
-        let team = record.pointer("/spec/Owner").and_then(|team| team.as_str());
+        let team = record.pointer(TEAM_IN_RECORD).and_then(|team| team.as_str());
         JobSnapshot {
             id: job.clone(),
             state: JobState::Queued,
--- a/crates/controller/src/api/status.rs
+++ b/crates/controller/src/api/status.rs
@@ -20,15 +20,14 @@
         let look_up = |reply| ControllerRequest::Status { job: job.clone(), reply };
         let lookup = self.config.controller.request(look_up).await;
         let leads = lookup.is_some();
-        match lookup {
-            Some(JobLookup::Known(status)) => return self.known(status.into()),
-            None if origin == Origin::Client => {
-                let request = PeerRequest::Status(job.to_string());
-                if let Some(outcome) = self.ask_leader(&request, constants::PEER_TIMEOUT).await {
-                    return outcome;
-                }
+        if let Some(JobLookup::Known(status)) = lookup {
+            return self.known(status.into());
+        }
+        if !leads && origin == Origin::Client {
+            let request = PeerRequest::Status(job.to_string());
+            if let Some(outcome) = self.ask_leader(&request, constants::PEER_TIMEOUT).await {
+                return outcome;
             }
-            _ => {}
         }
         match self.job_reader.read(&self.config.stores.queries, job).await {
             Ok(StoredJob::Final(snapshot)) => self.known(snapshot),
--- a/crates/controller/src/api/submission.rs
+++ b/crates/controller/src/api/submission.rs
@@ -61,13 +61,7 @@
         origin: Origin,
     ) -> RequestOutcome {
         let job = &spec.id;
-        let transaction = Transaction {
-            preconditions: vec![
-                Precondition { key: job_key(job), mod_revision: 0 },
-                Precondition { key: final_state_key(job), mod_revision: 0 },
-            ],
-            operations: vec![Operation::put(job_key(job), value.clone())],
-        };
+        let transaction = acceptance_transaction(job, value.clone());
         let error = match self.config.stores.submissions.commit(&transaction).await {
             Ok(CommitOutcome::Applied(_)) => {
                 let team = Some(spec.team);
@@ -83,24 +77,29 @@
                 return self.reject_unless_accepted(job, BAD_REQUEST, reason, origin).await;
             }
             // Without a response the transaction may have been applied, or may be applied later.
-            Err(StoreError::Unknown(_)) => {
-                match self.job_reader.read(&self.config.stores.submissions, job).await {
-                    Ok(StoredJob::Active { .. }) => {
-                        return RequestOutcome::Accepted(self.queued_snapshot(job, &value));
-                    }
-                    Ok(StoredJob::Final(snapshot)) => return self.known(snapshot),
-                    Ok(StoredJob::Absent) => {
-                        return RequestOutcome::unavailable("the state service did not answer");
-                    }
-                    Err(error) => error,
-                }
-            }
+            Err(StoreError::Unknown(_)) => match self.outcome_by_record(job, &value).await {
+                Ok(outcome) => return outcome,
+                Err(error) => error,
+            },
             Err(error) => error,
         };
         // If both controllers write the record, one of the transactions fails by its preconditions.
         self.ask_other_controllers(PeerRequest::Submit(body.to_vec()), &error, origin).await
     }
 
+    /// The outcome of a submission whose transaction got no response, by what is stored now.
+    async fn outcome_by_record(
+        &self,
+        job: &JobId,
+        value: &serde_json::Value,
+    ) -> Result<RequestOutcome, StoreError> {
+        Ok(match self.job_reader.read(&self.config.stores.submissions, job).await? {
+            StoredJob::Active { .. } => RequestOutcome::Accepted(self.queued_snapshot(job, value)),
+            StoredJob::Final(snapshot) => self.known(snapshot),
+            StoredJob::Absent => RequestOutcome::unavailable("the state service did not answer"),
+        })
+    }
+
     /// Rejects a job, but not one that was accepted before: limits and machine types change.
     async fn reject_unless_accepted(
         &self,
@@ -116,3 +115,14 @@
         }
     }
 }
+
+/// The transaction that accepts a job, unless it is or was known.
+fn acceptance_transaction(job: &JobId, record: serde_json::Value) -> Transaction {
+    Transaction {
+        preconditions: vec![
+            Precondition { key: job_key(job), mod_revision: 0 },
+            Precondition { key: final_state_key(job), mod_revision: 0 },
+        ],
+        operations: vec![Operation::put(job_key(job), record)],
+    }
+}
--- a/crates/controller/src/concurrency_limiter.rs
+++ b/crates/controller/src/concurrency_limiter.rs
@@ -8,7 +8,6 @@
 const DECREASE_FACTOR: f64 = 0.95;
 /// How much the limit grows in the course of as many fast responses as it admits requests.
 const INCREASE: f64 = 1.0;
-const LATENCY_TARGET: Duration = constants::CONCURRENCY_LATENCY_TARGET;
 
 /// Additive increase while responses are fast, multiplicative decrease while they are slow, between
 /// `MIN_CONCURRENCY` and a maximum.
@@ -48,7 +47,7 @@
     /// Adapts the limit to the latency of a request.
     pub fn record_latency(&self, latency: Duration) {
         let Ok(mut state) = self.state.lock() else { return };
-        let adapted = if latency > LATENCY_TARGET {
+        let adapted = if latency > constants::CONCURRENCY_LATENCY_TARGET {
             state.limit * DECREASE_FACTOR
         } else {
             state.limit + INCREASE / state.limit.max(1.0)
--- a/crates/controller/src/settings/platform.rs
+++ b/crates/controller/src/settings/platform.rs
@@ -5,6 +5,11 @@
 use serde::Deserialize;
 use std::path::Path;
 
+/// Sockets of a machine whose limit is not given.
+const DEFAULT_MAX_SOCKETS: usize = 1000;
+/// Share of a core of a machine whose limit is not given.
+const DEFAULT_CORE_SHARE: f64 = 1.0;
+
 /// The platform's settings file.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
@@ -234,15 +239,15 @@
 }
 
 fn default_core_share() -> f64 {
-    1.0
+    DEFAULT_CORE_SHARE
 }
 
 fn default_max_sockets() -> usize {
-    1000
+    DEFAULT_MAX_SOCKETS
 }
 
 impl Default for MachineLimits {
     fn default() -> Self {
-        Self { max_sockets: default_max_sockets(), core_share: default_core_share() }
+        Self { max_sockets: DEFAULT_MAX_SOCKETS, core_share: DEFAULT_CORE_SHARE }
     }
 }
