--- a/crates/controller/src/api/status.rs
+++ b/crates/controller/src/api/status.rs
@@ -7,7 +7,6 @@
 use crate::peers::PeerRequest;
 use crate::request_outcome::RequestOutcome;
 use hookway_constants as constants;
-use hookway_time::whole_millis;
 use hookway_wire::JobId;
 
 impl ApiService {
@@ -21,16 +20,14 @@
         let look_up = |reply| ControllerRequest::Status { job: job.clone(), reply };
         let lookup = self.config.controller.request(look_up).await;
         let leads = lookup.is_some();
-        match lookup {
-            Some(JobLookup::Known(status)) => return self.known(status.into()),
-            None if origin == Origin::Client => {
-                let request = PeerRequest::Status(job.to_string());
-                let limit_ms = whole_millis(constants::PEER_TIMEOUT);
-                if let Some(outcome) = self.ask_leader(&request, limit_ms).await {
-                    return outcome;
-                }
+        if let Some(JobLookup::Known(status)) = lookup {
+            return self.known(status.into());
+        }
+        if !leads && origin == Origin::Client {
+            let request = PeerRequest::Status(job.to_string());
+            if let Some(outcome) = self.ask_leader(&request, constants::PEER_TIMEOUT).await {
+                return outcome;
             }
-            _ => {}
         }
         match self.job_reader.read(&self.config.stores.queries, job).await {
             Ok(StoredJob::Final(snapshot)) => self.known(snapshot),
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -11,12 +11,11 @@
 use crate::leader_sync::LeaderSync;
 use crate::leadership::{Clock, Leadership, LeadershipConfig, LeadershipLease, LeadershipView};
 use crate::peers::{self, Peers};
-use crate::settings::{OperatorSettings, PeerController, PlatformSettings, Settings};
+use crate::settings::{OperatorSettings, PlatformSettings, Settings};
 use crate::shard_lease::{ShardLessee, leader_timeout};
 use crate::standby::{Standby, StandbyMode, StandbySignals};
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
 use hookway_constants as constants;
-use hookway_time::whole_millis;
 use salvo::Listener;
 use salvo::conn::tcp::TcpAcceptor;
 use salvo::prelude::{Server, TcpListener};
@@ -161,12 +160,11 @@
         let leader_timeout = leader_timeout(workers.heartbeat_interval_s, workers.lease_s);
         let warm = self.operator.replication.standby;
         let standby_mode = if warm { StandbyMode::Warm } else { StandbyMode::Cold };
-        let peer_zone = |peer: &PeerController| (peer.name.clone(), peer.zone.clone());
         ControllerActor::new(ControllerActorConfig {
             cluster: ControllerConfig {
                 controller_name: name.clone(),
                 zone: settings.zone.clone(),
-                peers: settings.peers.iter().map(peer_zone).collect(),
+                peers: settings.peers.clone(),
                 platform: settings.platform.clone(),
                 operator: self.operator.clone(),
             },
@@ -189,8 +187,10 @@
         let stores = StoreClients {
             submissions: self
                 .store_client(constants::SUBMISSION_REQUEST_SHARE)
-                .with_queue_limit(whole_millis(constants::SUBMISSION_QUEUE_LIMIT)),
-            queries: self.store_client(constants::STATUS_REQUEST_SHARE).with_queue_limit(0),
+                .with_queue_limit(constants::SUBMISSION_QUEUE_LIMIT),
+            queries: self
+                .store_client(constants::STATUS_REQUEST_SHARE)
+                .with_queue_limit(Duration::ZERO),
         };
         ApiService::new(ApiServiceConfig {
             platform: self.settings.platform.clone(),
@@ -260,16 +260,16 @@
 /// Reads the machine types and their prices periodically, until the process ends.
 async fn read_machine_types(cloud: CloudClient, sender: watch::Sender<MachineTypes>) {
     loop {
-        let delay_ms = match cloud.machine_types().await {
+        let delay = match cloud.machine_types().await {
             Ok(machine_types) => {
                 let _ = sender.send(Some(Arc::new(machine_types)));
-                whole_millis(constants::MACHINE_TYPES_INTERVAL)
+                constants::MACHINE_TYPES_INTERVAL
             }
             Err(error) => {
                 tracing::debug!(%error, "reading the machine types failed");
-                whole_millis(constants::MACHINE_TYPES_RETRY)
+                constants::MACHINE_TYPES_RETRY
             }
         };
-        tokio::time::sleep(Duration::from_millis(delay_ms)).await;
+        tokio::time::sleep(delay).await;
     }
 }
--- a/crates/controller/src/shard_lease/lessor.rs
+++ b/crates/controller/src/shard_lease/lessor.rs
@@ -3,6 +3,7 @@
 
 use super::messages::{ShardLease, ShardLeaseRenewal};
 use crate::clock_drift::{latest_expiry, latest_past};
+use crate::settings::PeerController;
 use hookway_time::{MonotonicTime, whole_millis};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -77,18 +78,19 @@
 
 impl ShardLessor {
     /// Creates the record of a leader that was elected at `elected_at` at the latest, with these
-    /// other controllers (name and zone). Earlier leaders granted their leases, of at most
-    /// `lease_length`, before that time.
+    /// other controllers. Earlier leaders granted their leases, of at most `lease_length`, before
+    /// that time.
     pub fn new(
         own_zone: &str,
-        controllers: &[(String, String)],
+        controllers: &[PeerController],
         zones: &[String],
         lease_length: Duration,
         elected_at: MonotonicTime,
     ) -> Self {
         let expires_at = latest_expiry(elected_at, lease_length);
-        let lessee = |(name, zone): &(String, String)| {
-            (name.clone(), LesseeState::of_earlier_term(zone.clone(), expires_at))
+        let lessee = |controller: &PeerController| {
+            let state = LesseeState::of_earlier_term(controller.zone.clone(), expires_at);
+            (controller.name.clone(), state)
         };
         Self {
             own_zone: own_zone.to_owned(),
--- a/crates/controller/src/shard_lease/tests.rs
+++ b/crates/controller/src/shard_lease/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::clock_drift::drift;
+use crate::settings::PeerController;
 use hookway_constants as constants;
 use hookway_time::MonotonicTime;
 use hookway_wire::{Command, Heartbeat, JobId, TaskState, TaskStatus};
@@ -19,7 +20,11 @@
 }
 
 fn lessor(won_at: MonotonicTime) -> ShardLessor {
-    let siblings = [("one".to_owned(), "b".to_owned()), ("two".to_owned(), "c".to_owned())];
+    let siblings = [("one", "b"), ("two", "c")].map(|(name, zone)| PeerController {
+        name: name.to_owned(),
+        zone: zone.to_owned(),
+        address: String::new(),
+    });
     let zones = ["a", "b", "c", "d"].map(str::to_owned);
     ShardLessor::new("a", &siblings, &zones, LEASE, won_at)
 }
--- a/crates/hookway/tests/loopback_cluster/controller.rs
+++ b/crates/hookway/tests/loopback_cluster/controller.rs
@@ -78,8 +78,8 @@
 
     pub async fn replication_status(&self) -> Option<ReplicationStatus> {
         let http = HttpClient::new(&self.api);
-        let (_, body) =
+        let response =
             http.exchange(Method::GET, "/replication", None, STATUS_TIMEOUT).await.ok()?;
-        serde_json::from_slice(&body).ok()
+        serde_json::from_slice(&response.body).ok()
     }
 }
