--- a/crates/controller/tests/formats_support/mod.rs
+++ b/crates/controller/tests/formats_support/mod.rs
@@ -1,4 +1,5 @@
 //! Comparison of values with the fixtures that pin how they are written and read.
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use hookway_wire::{JobId, JobSpec, JobState, JobStatus};
 use serde::Serialize;
@@ -66,3 +67,14 @@
         notes: vec!["task 3 failed".into()],
     }
 }
+
+/// The JSON of the fixture is read as a value that would be written differently.
+pub fn read_only<T: DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
+    let read: T = serde_json::from_str(fixture(name)).expect("a value");
+    assert_eq!(&read, value, "{name} is read differently");
+}
+
+/// A job without anything that may be missing.
+pub fn bare_spec() -> JobSpec {
+    JobSpec { machine_types: None, zone: None, deadline_s: None, ..spec("array") }
+}
