--- a/crates/time/src/monotonic.rs
+++ b/crates/time/src/monotonic.rs
@@ -28,6 +28,11 @@
         self.millis
     }
 
+    /// The seconds since the creation of the clock, for estimates in floating point.
+    pub const fn as_seconds_f64(self) -> f64 {
+        self.millis as f64 / 1000.0
+    }
+
     /// The span since `earlier`; zero if that is later than `self`.
     pub const fn saturating_duration_since(self, earlier: Self) -> Duration {
         Duration::from_millis(self.millis.saturating_sub(earlier.millis))
--- a/crates/time/src/span.rs
+++ b/crates/time/src/span.rs
@@ -11,3 +11,11 @@
 pub fn millis_f64(span: Duration) -> f64 {
     whole_millis(span) as f64
 }
+
+/// A span in seconds, for estimates in floating point and for the log.
+///
+/// It is the quotient of the whole milliseconds, which [`Duration::as_secs_f64`] may miss by a rounding
+/// error.
+pub fn seconds_f64(span: Duration) -> f64 {
+    millis_f64(span) / 1000.0
+}
--- a/crates/time/tests/points_in_time.rs
+++ b/crates/time/tests/points_in_time.rs
@@ -1,6 +1,6 @@
 //! Points in time at their limits.
 
-use hookway_time::{MonotonicTime, WallTime, whole_millis};
+use hookway_time::{MonotonicTime, WallTime, seconds_f64, whole_millis};
 use std::time::Duration;
 
 #[test]
@@ -23,3 +23,13 @@
     assert_eq!(MonotonicTime::ZERO + span, MonotonicTime::from_millis(1));
     assert_eq!(whole_millis(Duration::MAX), u64::MAX);
 }
+
+#[test]
+fn seconds_are_the_quotient_of_whole_milliseconds() {
+    for millis in [0, 1, 999, 1_234, 4_103, 86_400_007] {
+        let seconds = millis as f64 / 1000.0;
+        assert_eq!(seconds_f64(Duration::from_millis(millis)), seconds);
+        assert_eq!(MonotonicTime::from_millis(millis).as_seconds_f64(), seconds);
+    }
+    assert_eq!(seconds_f64(Duration::from_micros(1_999)), 0.001);
+}
