--- a/crates/controller/src/actor/dispatch.rs
+++ b/crates/controller/src/actor/dispatch.rs
@@ -9,7 +9,7 @@
 use crate::leadership::pause;
 use hookway_clients::{CloudClient, CloudError, Delivery, ScaleOutOutcome};
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, whole_millis};
 use hookway_wire::ScaleOutRequest;
 
 /// Delay before a failed request to the cloud is retried, ms.
@@ -29,7 +29,7 @@
     }
 
     fn send_direct_stops(&self, cluster: &mut ClusterState, tasks: &mut TermTasks, now: u64) {
-        for (address, commands) in cluster.take_direct_stops(now) {
+        for (address, commands) in cluster.take_direct_stops(MonotonicTime::from_millis(now)) {
             let workers = self.config.workers.clone();
             tasks.spawn(async move { workers.stop(&address, &commands).await });
         }
@@ -47,7 +47,7 @@
         if !take_due(&mut timers.last_direct_dispatch_at, interval_ms, now) {
             return;
         }
-        let starts = cluster.take_direct_starts(now);
+        let starts = cluster.take_direct_starts(MonotonicTime::from_millis(now));
         if !starts.is_empty() {
             self.config.standby.start_dispatched(now);
         }
@@ -67,7 +67,7 @@
     }
 
     fn send_next_commit(&self, cluster: &mut ClusterState, tasks: &mut TermTasks, now: u64) {
-        let Some(commit) = cluster.next_commit(now) else { return };
+        let Some(commit) = cluster.next_commit(MonotonicTime::from_millis(now)) else { return };
         let (store, events) = (self.config.store.clone(), tasks.events.clone());
         tasks.spawn_event(async move {
             let unavailable = || drop(events.try_send(ControllerEvent::StoreUnavailable));
@@ -83,7 +83,7 @@
         }
         let ActiveTerm { cluster: Some(cluster), tasks, .. } = active else { return };
         let term = tasks.term();
-        for (machine, address) in cluster.take_state_probes(now) {
+        for (machine, address) in cluster.take_state_probes(MonotonicTime::from_millis(now)) {
             let workers = self.config.workers.clone();
             tasks.spawn_event(async move {
                 let heartbeat = workers.probe_state(&address, term).await;
--- a/crates/controller/src/actor/events.rs
+++ b/crates/controller/src/actor/events.rs
@@ -4,6 +4,7 @@
 use super::messages::{ClusterEvent, ControllerEvent};
 use super::term::ActiveTerm;
 use crate::cluster_state::{ClusterState, LoadedState, Timestamp};
+use hookway_time::MonotonicTime;
 
 impl ControllerActor {
     pub(super) fn handle_event(&mut self, active: &mut ActiveTerm, event: ControllerEvent) {
@@ -50,12 +51,13 @@
                 cluster.direct_start_sent(&machine, fencing_token, delivery, now);
             }
             ClusterEvent::MachinesListed { machines, requested_at } => {
+                let requested_at = MonotonicTime::from_millis(requested_at);
                 cluster.machines_listed(&machines, requested_at, now);
-                self.send_state_probes(active, now);
+                self.send_state_probes(active, now.as_millis());
             }
             ClusterEvent::StateProbed { machine, heartbeat } => {
                 cluster.state_probed(&machine, heartbeat, now);
-                self.send_state_probes(active, now);
+                self.send_state_probes(active, now.as_millis());
             }
         }
     }
@@ -69,7 +71,7 @@
         at: Timestamp,
     ) {
         let term = active.term();
-        if !self.config.standby.records_read(term, at.monotonic) {
+        if !self.config.standby.records_read(term, at.monotonic.as_millis()) {
             return;
         }
         let machine_types = self.config.machine_types.borrow().as_ref().map(|types| types.to_vec());
@@ -88,9 +90,9 @@
     }
 
     /// Completes the cluster state from this controller's copy of the previous leader's.
-    fn warm_start(&self, cluster: &mut ClusterState, now: u64) {
+    fn warm_start(&self, cluster: &mut ClusterState, now: MonotonicTime) {
         let term = cluster.term();
-        match self.config.standby.copy(term, now) {
+        match self.config.standby.copy(term, now.as_millis()) {
             Ok(copy) => {
                 let networks = &self.config.cluster.operator.replication.worker_networks;
                 let recovered = cluster.warm_start(copy, networks, now);
--- a/crates/controller/src/actor/requests.rs
+++ b/crates/controller/src/actor/requests.rs
@@ -5,6 +5,7 @@
 use super::term::ActiveTerm;
 use crate::cluster_state::{CancelOutcome, Timestamp};
 use crate::leadership::wall_clock_ms;
+use hookway_time::{MonotonicTime, WallTime};
 use hookway_wire::{Command, Heartbeat, HeartbeatResponse, ReplicationStatus};
 
 impl ControllerActor {
@@ -46,7 +47,8 @@
         match request {
             ControllerRequest::Heartbeat { heartbeat, reply } => {
                 let valid_until = self.config.clock.instant_at(active.tasks.authority.expires_at());
-                let response = cluster.handle_heartbeat(&heartbeat, now);
+                let response =
+                    cluster.handle_heartbeat(&heartbeat, MonotonicTime::from_millis(now));
                 if response.as_ref().is_some_and(starts_a_task) {
                     self.config.standby.start_dispatched(now);
                 }
@@ -67,13 +69,17 @@
             },
             ControllerRequest::AdoptJob { read_in_term, key, value, reply } => {
                 if read_in_term == Some(active.leader_term.term) {
-                    let at = Timestamp { monotonic: now, wall: wall_clock_ms() };
+                    let at = Timestamp {
+                        monotonic: MonotonicTime::from_millis(now),
+                        wall: WallTime::from_unix_millis(wall_clock_ms()),
+                    };
                     cluster.add_job(&key, value, at, false);
                 }
                 let _ = reply.send(Some(()));
             }
             ControllerRequest::RenewShardLease { renewal, reply } => {
-                let _ = reply.send(cluster.renew_shard_lease(&renewal, now));
+                let _ = reply
+                    .send(cluster.renew_shard_lease(&renewal, MonotonicTime::from_millis(now)));
             }
             ControllerRequest::Follow { request, reply } => {
                 let _ = reply.send(active.publication.answer(cluster, &request, now));
@@ -100,7 +106,8 @@
                 if extension.is_some()
                     && let Some(cluster) = &mut active.cluster
                 {
-                    cluster.worker_lease_extended(&heartbeat.machine, now);
+                    cluster
+                        .worker_lease_extended(&heartbeat.machine, MonotonicTime::from_millis(now));
                 }
                 let _ = reply.send(extension.unwrap_or(HeartbeatReply::Unavailable));
             }
--- a/crates/controller/src/actor/timer.rs
+++ b/crates/controller/src/actor/timer.rs
@@ -5,7 +5,7 @@
 use super::{ControllerActor, MachineTypes};
 use crate::cluster_state::ClusterState;
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, whole_millis};
 
 /// Interval between log lines with a summary of the cluster state, ms.
 const SUMMARY_INTERVAL_MS: u64 = 10_000;
@@ -37,7 +37,7 @@
 
     /// Extends the lease of the leader's own shard, unless the cluster state forbids it at `now`.
     fn lease_own_shard(&mut self, cluster: &ClusterState, now: u64) {
-        let lease_ms = cluster.shard_lease_ms(now);
+        let lease_ms = whole_millis(cluster.shard_lease(MonotonicTime::from_millis(now)));
         if lease_ms > 0 {
             let zones = cluster.own_shard();
             self.config.shard_lessee.hold_as_leader(cluster.term(), zones, lease_ms, now);
@@ -50,7 +50,7 @@
         let allowed = self
             .stepped_down_at
             .is_none_or(|last_at| now >= last_at + whole_millis(constants::STEP_DOWN_INTERVAL));
-        let steps_down = cluster.all_workers_silent(now) && allowed;
+        let steps_down = cluster.all_workers_silent(MonotonicTime::from_millis(now)) && allowed;
         if steps_down {
             tracing::info!(term = cluster.term(), "stepping down: no worker sends heartbeats");
             self.stepped_down_at = Some(now);
@@ -77,9 +77,9 @@
         now: u64,
     ) {
         let interval_ms =
-            whole_millis(constants::AUTOSCALING_INTERVAL).max(2 * cluster.round_interval_ms());
+            whole_millis(constants::AUTOSCALING_INTERVAL.max(2 * cluster.round_interval()));
         if take_due(&mut timers.last_autoscaling_at, interval_ms, now) {
-            for action in cluster.autoscaling_round(now) {
+            for action in cluster.autoscaling_round(MonotonicTime::from_millis(now)) {
                 self.spawn_scaling_action(tasks, action);
             }
         }
@@ -100,7 +100,8 @@
         let due = |interval_ms| {
             timers.last_machine_list_at.is_none_or(|last_at| now >= last_at + interval_ms)
         };
-        let wanted_sooner = due(shortest_ms) && cluster.any_heartbeat_overdue(now);
+        let wanted_sooner =
+            due(shortest_ms) && cluster.any_heartbeat_overdue(MonotonicTime::from_millis(now));
         if !(due(interval_ms) || wanted_sooner) {
             return;
         }
@@ -138,7 +139,7 @@
     let process_paused = now >= active.timers.last_tick_at + whole_millis(constants::PROCESS_PAUSE);
     active.timers.last_tick_at = now;
     if process_paused || active.suspended {
-        cluster.resumed(now);
+        cluster.resumed(MonotonicTime::from_millis(now));
     }
     if active.suspended {
         tracing::info!(term, "leadership lease holds again, decisions resumed");
@@ -148,14 +149,15 @@
 }
 
 fn run_scheduling_round(cluster: &mut ClusterState, timers: &mut TermTimers, now: u64) {
-    let interval_ms = cluster.round_interval_ms().max(whole_millis(constants::SCHEDULING_INTERVAL));
+    let interval_ms = whole_millis(cluster.round_interval().max(constants::SCHEDULING_INTERVAL));
     if take_due(&mut timers.last_scheduling_at, interval_ms, now) {
-        cluster.scheduling_round(now);
+        cluster.scheduling_round(MonotonicTime::from_millis(now));
     }
 }
 
 fn log_summary(cluster: &ClusterState, timers: &mut TermTimers, now: u64) {
     if take_due(&mut timers.last_summary_at, SUMMARY_INTERVAL_MS, now) {
-        tracing::info!(term = cluster.term(), cluster = %cluster.summary(now), "cluster summary");
+        let summary = cluster.summary(MonotonicTime::from_millis(now));
+        tracing::info!(term = cluster.term(), cluster = %summary, "cluster summary");
     }
 }
--- a/crates/controller/src/cluster_state/acknowledgement.rs
+++ b/crates/controller/src/cluster_state/acknowledgement.rs
@@ -2,6 +2,7 @@
 
 use super::{ClusterState, CordonReason};
 use hookway_constants as constants;
+use hookway_time::MonotonicTime;
 use hookway_wire::Heartbeat;
 
 impl ClusterState {
@@ -11,7 +12,12 @@
     /// without effect was not received and never will be: it extended no lease. A machine whose worker
     /// applies several consecutive responses not at all takes no new task and is cordoned; its tasks
     /// count until its lease has surely expired.
-    pub(super) fn check_acknowledgement(&mut self, name: &str, heartbeat: &Heartbeat, now: u64) {
+    pub(super) fn check_acknowledgement(
+        &mut self,
+        name: &str,
+        heartbeat: &Heartbeat,
+        now: MonotonicTime,
+    ) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let expected = std::mem::take(&mut machine.expected_heartbeat);
         let Some(acknowledged) = expected.acknowledged(heartbeat) else { return };
@@ -25,7 +31,7 @@
         }
         // All machines are counted only when one has missed a response.
         let few_affected = self.few_machines_miss_responses();
-        let backoff_until = now + self.max_heartbeat_interval_ms();
+        let backoff_until = now + self.max_heartbeat_interval();
         let Some(machine) = self.machines.get_mut(name) else { return };
         machine.unacknowledged_responses += 1;
         // Unless it was answered since, by this controller as a lessee while its leadership was
--- a/crates/controller/src/cluster_state/autoscaling.rs
+++ b/crates/controller/src/cluster_state/autoscaling.rs
@@ -4,6 +4,7 @@
 use super::ClusterState;
 use hookway_constants as constants;
 use hookway_policy::plan_scaling;
+use hookway_time::MonotonicTime;
 use hookway_wire::ScaleOutRequest;
 use std::collections::HashSet;
 
@@ -18,8 +19,8 @@
 }
 
 impl ClusterState {
-    /// One autoscaling round at `now` (ms).
-    pub fn autoscaling_round(&mut self, now: u64) -> Vec<ScalingAction> {
+    /// One autoscaling round at `now`.
+    pub fn autoscaling_round(&mut self, now: MonotonicTime) -> Vec<ScalingAction> {
         if self.machine_types.is_empty() {
             return Vec::new();
         }
--- a/crates/controller/src/cluster_state/class_history.rs
+++ b/crates/controller/src/cluster_state/class_history.rs
@@ -3,14 +3,14 @@
 use crate::records::ClassRecord;
 use hookway_constants as constants;
 use hookway_policy::Resources;
-use hookway_time::whole_millis;
+use hookway_time::MonotonicTime;
 use hookway_wire::JobSpec;
 use std::collections::{HashSet, VecDeque};
 
 /// Number of machines that a class needed at a time.
 #[derive(Debug, Clone, Copy)]
 struct Demand {
-    at_ms: u64,
+    at: MonotonicTime,
     machines: usize,
 }
 
@@ -75,11 +75,11 @@
         self.spot &= spec.spot;
     }
 
-    /// Records the number of machines needed at `now` (ms), and drops what is too old.
-    pub fn record_demand(&mut self, machines: usize, now: u64) {
-        self.demand.push_back(Demand { at_ms: now, machines });
-        let window_ms = whole_millis(constants::DEMAND_WINDOW);
-        while self.demand.front().is_some_and(|demand| now > demand.at_ms + window_ms) {
+    /// Records the number of machines needed at `now`, and drops what is too old.
+    pub fn record_demand(&mut self, machines: usize, now: MonotonicTime) {
+        self.demand.push_back(Demand { at: now, machines });
+        let is_old = |demand: &Demand| now > demand.at + constants::DEMAND_WINDOW;
+        while self.demand.front().is_some_and(is_old) {
             self.demand.pop_front();
         }
     }
--- a/crates/controller/src/cluster_state/clocks.rs
+++ b/crates/controller/src/cluster_state/clocks.rs
@@ -1,25 +1,32 @@
 //! The clocks that the cluster state is told: it reads none by itself.
 
 use super::ClusterState;
+use hookway_time::{MonotonicTime, WallTime};
 
-/// Two readings of the same moment: the steady clock and the time of day, both in ms.
+/// Readings of both clocks at the same moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timestamp {
-    /// Steady clock.
-    pub monotonic: u64,
-    /// Time of day.
-    pub wall: u64,
+    /// The monotonic clock.
+    pub monotonic: MonotonicTime,
+    /// The wall clock.
+    pub wall: WallTime,
 }
 
 impl Timestamp {
-    /// The time of day at a reading of the steady clock, ms.
-    pub(super) fn wall_at_monotonic(&self, monotonic: u64) -> u64 {
-        (self.wall + monotonic).saturating_sub(self.monotonic)
+    /// The reading of the wall clock at a reading of the monotonic clock; the Unix epoch if that
+    /// precedes it.
+    pub(super) fn wall_at_monotonic(&self, monotonic: MonotonicTime) -> WallTime {
+        let later_by = monotonic.saturating_duration_since(self.monotonic);
+        let earlier_by = self.monotonic.saturating_duration_since(monotonic);
+        (self.wall + later_by).saturating_sub(earlier_by)
     }
 
-    /// The reading of the steady clock at a time of day, ms.
-    pub(super) fn monotonic_at_wall(&self, wall: u64) -> u64 {
-        self.monotonic.saturating_add(wall).saturating_sub(self.wall)
+    /// The reading of the monotonic clock at a reading of the wall clock;
+    /// [`ZERO`](MonotonicTime::ZERO) if that precedes the creation of the clock.
+    pub(super) fn monotonic_at_wall(&self, wall: WallTime) -> MonotonicTime {
+        let later_by = wall.saturating_duration_since(self.wall);
+        let earlier_by = self.wall.saturating_duration_since(wall);
+        (self.monotonic + later_by).saturating_sub(earlier_by)
     }
 }
 
@@ -30,8 +37,8 @@
     pub elected: Timestamp,
     /// The newest reading of both clocks.
     pub latest: Timestamp,
-    /// When this leader could last not answer workers, ms: silence before that is not the workers'.
-    pub resumed_at: u64,
+    /// When this leader could last not answer workers: silence before that is not the workers'.
+    pub resumed_at: MonotonicTime,
 }
 
 impl LeaderClocks {
@@ -40,32 +47,32 @@
         Self { elected, latest: elected, resumed_at: elected.monotonic }
     }
 
-    /// When this leader was elected, ms.
-    pub fn elected_at(&self) -> u64 {
+    /// When this leader was elected.
+    pub fn elected_at(&self) -> MonotonicTime {
         self.elected.monotonic
     }
 
-    /// Since when this leader has been able to answer workers, ms.
-    pub fn answering_since(&self) -> u64 {
+    /// Since when this leader has been able to answer workers.
+    pub fn answering_since(&self) -> MonotonicTime {
         self.elected_at().max(self.resumed_at)
     }
 
-    /// The time of day at `now` (ms), by the newest reading of both clocks.
-    pub fn wall_at(&self, now: u64) -> u64 {
-        self.latest.wall + now.saturating_sub(self.latest.monotonic)
+    /// The reading of the wall clock at `now`, by the newest reading of both clocks.
+    pub fn wall_at(&self, now: MonotonicTime) -> WallTime {
+        self.latest.wall + now.saturating_duration_since(self.latest.monotonic)
     }
 }
 
 impl ClusterState {
-    /// Takes in a new reading of both clocks. The steady clock drifts from the time of day, so over a
+    /// Takes in a new reading of both clocks. The monotonic clock drifts from the wall clock, so over a
     /// long term the first reading would not do for times that other controllers read.
     pub fn set_time(&mut self, at: Timestamp) {
         self.clocks.latest = at;
     }
 
     /// The controller could not act as leader for a while, as its leadership lease was uncertain, and
-    /// can again since `now` (ms).
-    pub fn resumed(&mut self, now: u64) {
+    /// can again since `now`.
+    pub fn resumed(&mut self, now: MonotonicTime) {
         self.clocks.resumed_at = now;
     }
 }
--- a/crates/controller/src/cluster_state/command_dispatch.rs
+++ b/crates/controller/src/cluster_state/command_dispatch.rs
@@ -2,15 +2,16 @@
 
 use super::{ClusterState, Machine, PlacedTask, TaskPhase};
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::MonotonicTime;
 use hookway_wire::{Command, DirectCommands, ExitCause};
+use std::time::Duration;
 
 /// Maximum number of commands in one message, so that its only line stays far below 64 KiB.
 const MAX_COMMANDS: usize = 400;
 
 impl ClusterState {
     /// Time for a checkpoint, s, if a placed task must be stopped; `None` if it must not.
-    pub(super) fn stop_grace_s(&self, placed: &PlacedTask, now: u64) -> Option<f64> {
+    pub(super) fn stop_grace_s(&self, placed: &PlacedTask, now: MonotonicTime) -> Option<f64> {
         let job = placed.job.and_then(|key| self.jobs.get(&key));
         let Some(job) = job else { return Some(0.0) };
         // Nobody has any use for a checkpoint of these.
@@ -18,9 +19,9 @@
             return Some(0.0);
         }
         if let Some(order) = placed.stop {
-            let patience_ms =
-                (job.spec.checkpoint_s * 1000.0) as u64 + whole_millis(constants::STOP_TIMEOUT);
-            let overdue = now.saturating_sub(order.decided_at) > patience_ms;
+            let checkpoint = Duration::from_millis((job.spec.checkpoint_s * 1000.0) as u64);
+            let patience = checkpoint + constants::STOP_TIMEOUT;
+            let overdue = now.saturating_duration_since(order.decided_at) > patience;
             return Some(if overdue { 0.0 } else { order.grace_s });
         }
         let broken_gang =
@@ -40,8 +41,8 @@
         job.is_some_and(|job| job.orphaned.contains(&placed.index))
     }
 
-    /// The commands in the response to a machine's newest heartbeat, received at `now` (ms).
-    pub(super) fn commands_for(&mut self, name: &str, now: u64) -> Vec<Command> {
+    /// The commands in the response to a machine's newest heartbeat, received at `now`.
+    pub(super) fn commands_for(&mut self, name: &str, now: MonotonicTime) -> Vec<Command> {
         let Some(machine) = self.machines.get(name) else { return Vec::new() };
         let mut commands = self.reap_commands(machine);
         let draining = machine.is_draining();
@@ -99,7 +100,7 @@
 
     /// Stops that should not wait for the workers' heartbeats: address and commands. Each is handed
     /// out once; if it gets lost, the response to the next heartbeat has the same command.
-    pub fn take_direct_stops(&mut self, now: u64) -> Vec<(String, DirectCommands)> {
+    pub fn take_direct_stops(&mut self, now: MonotonicTime) -> Vec<(String, DirectCommands)> {
         if !std::mem::take(&mut self.stops_due) {
             return Vec::new();
         }
@@ -107,12 +108,16 @@
         names.into_iter().filter_map(|name| self.take_direct_stops_of(&name, now)).collect()
     }
 
-    fn take_direct_stops_of(&mut self, name: &str, now: u64) -> Option<(String, DirectCommands)> {
-        let timeout_ms = self.heartbeat_timeout_ms();
+    fn take_direct_stops_of(
+        &mut self,
+        name: &str,
+        now: MonotonicTime,
+    ) -> Option<(String, DirectCommands)> {
+        let timeout = self.heartbeat_timeout();
         let machine = self.machines.get(name)?;
         // A machine that has missed its heartbeat would only take a connection until the time limit.
         let answered_at = machine.last_response_at.max(self.clocks.resumed_at);
-        let silent = now >= answered_at + timeout_ms;
+        let silent = now >= answered_at + timeout;
         if !machine.has_reported || machine.address.is_empty() || silent {
             return None;
         }
--- a/crates/controller/src/cluster_state/commit_items.rs
+++ b/crates/controller/src/cluster_state/commit_items.rs
@@ -10,6 +10,7 @@
 };
 use hookway_constants as constants;
 use hookway_policy::min_tasks_need_rewrite;
+use hookway_time::{MonotonicTime, whole_millis};
 use std::collections::BTreeMap;
 
 impl ClusterState {
@@ -47,7 +48,7 @@
     }
 
     /// Registry records with hints for the next leader, within the budget for hints.
-    pub(super) fn add_registry_hints(&mut self, commit: &mut PendingCommit, now: u64) {
+    pub(super) fn add_registry_hints(&mut self, commit: &mut PendingCommit, now: MonotonicTime) {
         while commit.has_room_for(1) && self.commit_queue.hint_bucket.has_token(now) {
             let Some(number) = self.commit_queue.registry.next_stale() else { break };
             self.commit_queue.hint_bucket.take(1);
@@ -159,7 +160,11 @@
     }
 
     /// Scheduling records with hints for the next leader, within the budget for hints.
-    pub(super) fn add_scheduling_records(&mut self, commit: &mut PendingCommit, now: u64) {
+    pub(super) fn add_scheduling_records(
+        &mut self,
+        commit: &mut PendingCommit,
+        now: MonotonicTime,
+    ) {
         while commit.has_room_for(1) && self.commit_queue.hint_bucket.has_token(now) {
             let Some(key) = self.commit_queue.scheduling_records.pop_first() else { break };
             self.commit_queue.hint_bucket.take(1);
@@ -172,7 +177,7 @@
         let record = JobSchedulingRecord {
             min_tasks: job.min_tasks,
             run_time_count: job.run_time_count,
-            run_time_sum_ms: job.run_time_sum_ms,
+            run_time_sum_ms: whole_millis(job.run_time_sum),
             start_watermark: job.start_watermark.highest(),
         };
         let Ok(value) = serde_json::to_value(&record) else { return };
@@ -184,7 +189,7 @@
     }
 
     /// The record of all job classes, a hint for the next leader, when one of them has changed.
-    pub(super) fn add_classes(&mut self, commit: &mut PendingCommit, now: u64) {
+    pub(super) fn add_classes(&mut self, commit: &mut PendingCommit, now: MonotonicTime) {
         if !self.commit_queue.classes_changed
             || !commit.has_room_for(1)
             || !self.commit_queue.hint_bucket.has_token(now)
--- a/crates/controller/src/cluster_state/commit_queue.rs
+++ b/crates/controller/src/cluster_state/commit_queue.rs
@@ -10,6 +10,7 @@
 };
 use crate::settings::PlatformSettings;
 use hookway_constants as constants;
+use hookway_time::{MonotonicTime, WallTime};
 use hookway_wire::{KeyValue, Operation, Precondition, Transaction};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
@@ -52,15 +53,19 @@
     pub rejected: VecDeque<DelayedItem>,
     /// A transaction is in flight.
     pub commit_in_flight: bool,
-    /// No transaction is sent before this time, ms.
-    pub backoff_until: u64,
+    /// No transaction is sent before this time.
+    pub backoff_until: MonotonicTime,
     /// A transaction showed that this controller does not lead any more.
     pub leadership_lost: bool,
 }
 
 impl CommitQueue {
-    /// An empty queue of a leader that was elected at `now` (ms).
-    pub fn new(platform: &PlatformSettings, leader_precondition: Precondition, now: u64) -> Self {
+    /// An empty queue of a leader that was elected at `now`.
+    pub fn new(
+        platform: &PlatformSettings,
+        leader_precondition: Precondition,
+        now: MonotonicTime,
+    ) -> Self {
         let state = &platform.state;
         let bucket = |share: f64| TokenBucket::new(state.write_rps * share, now);
         Self {
@@ -80,7 +85,7 @@
             max_operations: state.txn_ops,
             rejected: VecDeque::new(),
             commit_in_flight: false,
-            backoff_until: 0,
+            backoff_until: MonotonicTime::ZERO,
             leadership_lost: false,
         }
     }
@@ -99,10 +104,10 @@
         self.stale_keys.push_back(key);
     }
 
-    /// Moves a registry entry of the older format to a record; `at_ms` is its time of day.
-    pub fn migrate_legacy_entry(&mut self, machine: &str, at_ms: u64) {
+    /// Moves a registry entry of the older format, of a machine registered at that time, to a record.
+    pub fn migrate_legacy_entry(&mut self, machine: &str, registered_at: WallTime) {
         self.legacy_registry_keys.insert(machine.to_owned(), registry_key(machine));
-        self.registry.register(machine, at_ms);
+        self.registry.register(machine, registered_at);
     }
 }
 
@@ -140,8 +145,8 @@
 /// An item that was rejected by itself.
 #[derive(Debug, Clone)]
 pub(super) struct DelayedItem {
-    /// When it is tried again, ms.
-    pub retry_at: u64,
+    /// When it is tried again.
+    pub retry_at: MonotonicTime,
     pub item: CommitItem,
 }
 
--- a/crates/controller/src/cluster_state/commits.rs
+++ b/crates/controller/src/cluster_state/commits.rs
@@ -5,7 +5,7 @@
     CommitItem, CommitResult, DelayedItem, PendingCommit, RereadKey, is_leader_record,
 };
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::MonotonicTime;
 use hookway_wire::Operation;
 
 impl ClusterState {
@@ -14,9 +14,9 @@
         self.commit_queue.leadership_lost
     }
 
-    /// The next transaction at `now` (ms), if something waits, the write budget allows it and none is
+    /// The next transaction at `now`, if something waits, the write budget allows it and none is
     /// in flight. Final records go first, since users wait for them; hints for the next leader last.
-    pub fn next_commit(&mut self, now: u64) -> Option<PendingCommit> {
+    pub fn next_commit(&mut self, now: MonotonicTime) -> Option<PendingCommit> {
         let queue = &mut self.commit_queue;
         if queue.commit_in_flight || queue.leadership_lost || now < queue.backoff_until {
             return None;
@@ -46,13 +46,13 @@
         Some(commit)
     }
 
-    /// Takes in the outcome of the transaction in flight, at `now` (ms).
-    pub fn committed(&mut self, commit: PendingCommit, result: CommitResult, now: u64) {
+    /// Takes in the outcome of the transaction in flight, at `now`.
+    pub fn committed(&mut self, commit: PendingCommit, result: CommitResult, now: MonotonicTime) {
         self.commit_queue.commit_in_flight = false;
         match result {
             CommitResult::Applied(revision) => self.commit_applied(commit, revision),
             CommitResult::NotApplied => {
-                self.commit_queue.backoff_until = now + whole_millis(constants::LEADER_RETRY);
+                self.commit_queue.backoff_until = now + constants::LEADER_RETRY;
                 for item in commit.items {
                     self.final_not_applied(&item);
                     self.requeue(item);
@@ -111,8 +111,8 @@
 
     /// The state service rejected a transaction for its size. It is tried again in smaller parts; an
     /// item that is rejected by itself is delayed, so that it holds up nothing else.
-    fn commit_rejected(&mut self, commit: PendingCommit, now: u64) {
-        self.commit_queue.backoff_until = now + whole_millis(constants::LEADER_RETRY);
+    fn commit_rejected(&mut self, commit: PendingCommit, now: MonotonicTime) {
+        self.commit_queue.backoff_until = now + constants::LEADER_RETRY;
         let operations = commit.transaction.operations.len();
         self.commit_queue.max_operations =
             (operations / 2).max(constants::JOB_COMPLETION_OPERATIONS);
@@ -120,7 +120,7 @@
         for item in commit.items {
             self.final_not_applied(&item);
             if alone {
-                let retry_at = now + whole_millis(constants::REJECTED_RETRY);
+                let retry_at = now + constants::REJECTED_RETRY;
                 self.commit_queue.rejected.push_back(DelayedItem { retry_at, item });
             } else {
                 self.requeue(item);
@@ -129,7 +129,7 @@
     }
 
     /// Requeues the items that were rejected by themselves long enough ago.
-    fn retry_rejected(&mut self, now: u64) {
+    fn retry_rejected(&mut self, now: MonotonicTime) {
         while self.commit_queue.rejected.front().is_some_and(|delayed| now >= delayed.retry_at)
             && let Some(delayed) = self.commit_queue.rejected.pop_front()
         {
--- a/crates/controller/src/cluster_state/completion.rs
+++ b/crates/controller/src/cluster_state/completion.rs
@@ -1,6 +1,7 @@
 //! The completion of a job: from the decision that it ends until the final record is durable.
 
 use crate::records::FinalRecord;
+use hookway_time::MonotonicTime;
 use hookway_wire::JobState;
 
 /// What a job is to end as.
@@ -9,7 +10,7 @@
     /// All of its tasks are completed.
     Done,
     /// Its user asked this leader to cancel it.
-    Cancelled { requested_at_ms: u64 },
+    Cancelled { requested_at: MonotonicTime },
 }
 
 /// The transaction with the final record.
@@ -27,7 +28,7 @@
 enum Phase {
     Active,
     Ending { intended: IntendedEnd, commit: FinalCommit },
-    Final { record: FinalRecord, cancel_requested_at_ms: Option<u64> },
+    Final { record: FinalRecord, cancel_requested_at: Option<MonotonicTime> },
 }
 
 /// How far the completion of a job has progressed: active, ending, or final.
@@ -79,14 +80,14 @@
         }
     }
 
-    /// When the user asked this leader to cancel the job, ms; `None` if nobody did, or another
+    /// When the user asked this leader to cancel the job; `None` if nobody did, or another
     /// controller decided the cancellation.
-    pub fn cancel_requested_at_ms(&self) -> Option<u64> {
+    pub fn cancel_requested_at(&self) -> Option<MonotonicTime> {
         match self.0 {
-            Phase::Ending { intended: IntendedEnd::Cancelled { requested_at_ms }, .. } => {
-                Some(requested_at_ms)
+            Phase::Ending { intended: IntendedEnd::Cancelled { requested_at }, .. } => {
+                Some(requested_at)
             }
-            Phase::Final { cancel_requested_at_ms, .. } => cancel_requested_at_ms,
+            Phase::Final { cancel_requested_at, .. } => cancel_requested_at,
             Phase::Active | Phase::Ending { .. } => None,
         }
     }
@@ -96,9 +97,9 @@
         self.begin_ending(IntendedEnd::Done)
     }
 
-    /// The user cancels the job at `now` (ms). `false`: some end is decided already, which stays.
-    pub fn request_cancel(&mut self, now: u64) -> bool {
-        self.begin_ending(IntendedEnd::Cancelled { requested_at_ms: now })
+    /// The user cancels the job at `now`. `false`: some end is decided already, which stays.
+    pub fn request_cancel(&mut self, now: MonotonicTime) -> bool {
+        self.begin_ending(IntendedEnd::Cancelled { requested_at: now })
     }
 
     fn begin_ending(&mut self, intended: IntendedEnd) -> bool {
@@ -142,8 +143,8 @@
         if self.is_final() {
             return false;
         }
-        let cancel_requested_at_ms = self.cancel_requested_at_ms();
-        self.0 = Phase::Final { record, cancel_requested_at_ms };
+        let cancel_requested_at = self.cancel_requested_at();
+        self.0 = Phase::Final { record, cancel_requested_at };
         true
     }
 }
--- a/crates/controller/src/cluster_state/completion/tests.rs
+++ b/crates/controller/src/cluster_state/completion/tests.rs
@@ -8,10 +8,10 @@
 fn first_decided_end_stays_until_another_one_is_durable() {
     let mut completion = Completion::active();
     assert!(completion.is_active() && completion.begin_commit().is_none());
-    assert!(completion.request_cancel(5));
-    assert!(!completion.finish() && !completion.request_cancel(9));
+    assert!(completion.request_cancel(MonotonicTime::from_millis(5)));
+    assert!(!completion.finish() && !completion.request_cancel(MonotonicTime::from_millis(9)));
     assert_eq!(completion.end_state(), Some(JobState::Cancelled));
-    assert_eq!(completion.cancel_requested_at_ms(), Some(5));
+    assert_eq!(completion.cancel_requested_at(), Some(MonotonicTime::from_millis(5)));
     assert!(completion.complete(final_record(JobState::Done)));
     assert!(!completion.complete(final_record(JobState::Cancelled)));
     assert_eq!(completion.end_state(), Some(JobState::Done));
@@ -40,5 +40,5 @@
     let mut completion = Completion::active();
     completion.complete(final_record(JobState::Cancelled));
     assert_eq!(completion.end_state(), Some(JobState::Cancelled));
-    assert_eq!(completion.cancel_requested_at_ms(), None);
+    assert_eq!(completion.cancel_requested_at(), None);
 }
--- a/crates/controller/src/cluster_state/direct_dispatch.rs
+++ b/crates/controller/src/cluster_state/direct_dispatch.rs
@@ -4,7 +4,7 @@
 use super::{ClusterState, Machine, MessageVersion, TaskPhase};
 use hookway_clients::Delivery;
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::MonotonicTime;
 use hookway_wire::{DirectCommands, Heartbeat};
 use std::collections::BTreeSet;
 
@@ -32,7 +32,10 @@
     /// Such a command may arrive late, or twice, and after `reap` a second arrival would start the
     /// task again. So the machine's fencing token rises with each: every later response, and with it
     /// every `reap`, carries a higher one, after which the worker refuses the command.
-    pub fn take_direct_starts(&mut self, now: u64) -> Vec<(String, String, DirectCommands)> {
+    pub fn take_direct_starts(
+        &mut self,
+        now: MonotonicTime,
+    ) -> Vec<(String, String, DirectCommands)> {
         let mut dispatches = Vec::new();
         let names = self.direct_dispatch.machines_with_planned_starts.clone();
         for name in names {
@@ -48,7 +51,11 @@
         dispatches
     }
 
-    fn take_direct_starts_of(&mut self, name: &str, now: u64) -> Option<(String, DirectCommands)> {
+    fn take_direct_starts_of(
+        &mut self,
+        name: &str,
+        now: MonotonicTime,
+    ) -> Option<(String, DirectCommands)> {
         let Some(machine) = self.machines.get(name) else {
             self.direct_dispatch.machines_with_planned_starts.remove(name);
             return None;
@@ -87,7 +94,7 @@
     }
 
     /// Selects planned starts, up to the number that one message may have.
-    fn select_starts(&self, machine: &Machine, now: u64) -> StartSelection {
+    fn select_starts(&self, machine: &Machine, now: MonotonicTime) -> StartSelection {
         let mut waits_for_watermark = false;
         let positions = machine
             .placed_tasks
@@ -107,13 +114,13 @@
         StartSelection { positions, waits_for_watermark }
     }
 
-    /// Takes in the outcome of starts dispatched to a worker under `fencing_token`, at `now` (ms).
+    /// Takes in the outcome of starts dispatched to a worker under `fencing_token`, at `now`.
     pub fn direct_start_sent(
         &mut self,
         name: &str,
         fencing_token: u64,
         delivery: Delivery,
-        now: u64,
+        now: MonotonicTime,
     ) {
         let in_flight = &mut self.direct_dispatch.in_flight;
         *in_flight = in_flight.saturating_sub(1);
@@ -125,13 +132,13 @@
             // heartbeat with a higher fencing token.
             Delivery::Refused => {}
             Delivery::NotSent => {
-                machine.backoff_until = now + whole_millis(constants::UNREACHABLE_BACKOFF);
+                machine.backoff_until = now + constants::UNREACHABLE_BACKOFF;
                 self.direct_start_not_sent(name, fencing_token);
                 tracing::debug!(machine = %name, "worker unreachable");
                 self.cancel_planned_starts(name, now);
             }
             Delivery::Indeterminate => {
-                machine.backoff_until = now + whole_millis(constants::UNREACHABLE_BACKOFF);
+                machine.backoff_until = now + constants::UNREACHABLE_BACKOFF;
                 self.cancel_planned_starts(name, now);
             }
         }
@@ -139,7 +146,7 @@
 
     /// The answer of a worker to direct commands. It counts only if it is of the incarnation that was
     /// addressed, and it extends no lease.
-    fn apply_direct_answer(&mut self, name: &str, heartbeat: &Heartbeat, now: u64) {
+    fn apply_direct_answer(&mut self, name: &str, heartbeat: &Heartbeat, now: MonotonicTime) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let version = MessageVersion::of(heartbeat);
         if heartbeat.machine == name
--- a/crates/controller/src/cluster_state/draining.rs
+++ b/crates/controller/src/cluster_state/draining.rs
@@ -2,6 +2,8 @@
 
 use super::{ClusterState, CordonReason, Job, Machine, PlacedTask};
 use hookway_constants as constants;
+use hookway_time::{MonotonicTime, millis_f64};
+use std::time::Duration;
 
 /// A task on a machine.
 struct TaskPosition {
@@ -14,7 +16,7 @@
     /// Drains cordoned machines and those with an interruption notice: tasks that can write a
     /// checkpoint are stopped in time, and tasks without any progress are moved. The other tasks run
     /// on, for they may finish first.
-    pub(super) fn drain_machines(&mut self, now: u64) {
+    pub(super) fn drain_machines(&mut self, now: MonotonicTime) {
         let mut to_stop = Vec::new();
         for (name, machine) in self.machines.iter().filter(|(_, m)| m.is_draining()) {
             for (index, placed) in machine.placed_tasks.iter().enumerate() {
@@ -29,16 +31,22 @@
     }
 
     /// Whether a task on a draining machine is stopped, to start elsewhere.
-    fn moves_when_drained(&self, machine: &Machine, placed: &PlacedTask, now: u64) -> bool {
+    fn moves_when_drained(
+        &self,
+        machine: &Machine,
+        placed: &PlacedTask,
+        now: MonotonicTime,
+    ) -> bool {
         let Some(job) = placed.job.and_then(|key| self.jobs.get(&key)) else { return false };
         // A task that can't finish before the machine is gone starts elsewhere the sooner.
-        let ran_ms = placed.running_since.map_or(0, |since| now.saturating_sub(since)) as f64;
-        let remaining_ms = machine.interruption_at.map(|at| at.saturating_sub(now) as f64);
+        let ran = placed
+            .running_since
+            .map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
+        let remaining = machine.interruption_at.map(|at| at.saturating_duration_since(now));
         let cannot_finish = !job.spec.is_gang()
-            && job
-                .reliable_mean_run_time_ms()
-                .zip(remaining_ms)
-                .is_some_and(|(mean_ms, remaining_ms)| mean_ms - ran_ms > remaining_ms);
+            && job.reliable_mean_run_time_ms().zip(remaining).is_some_and(
+                |(mean_ms, remaining)| mean_ms - millis_f64(ran) > millis_f64(remaining),
+            );
         // A replica of a daemon never finishes first.
         placed.phase.is_before_run()
             || job.spec.checkpoints()
@@ -48,7 +56,7 @@
 
     /// Restarts tasks that run many times longer than others of their job: their machine is most
     /// likely faulty, so it is cordoned, and they run elsewhere.
-    pub(super) fn restart_stuck_tasks(&mut self, now: u64) {
+    pub(super) fn restart_stuck_tasks(&mut self, now: MonotonicTime) {
         for task in self.stuck_tasks(now) {
             let Some(machine) = self.machines.get_mut(&task.machine) else { continue };
             let placed = &machine.placed_tasks[task.index];
@@ -66,7 +74,7 @@
         }
     }
 
-    fn stuck_tasks(&self, now: u64) -> Vec<TaskPosition> {
+    fn stuck_tasks(&self, now: MonotonicTime) -> Vec<TaskPosition> {
         let mut stuck = Vec::new();
         for (name, machine) in &self.machines {
             for (index, placed) in machine.placed_tasks.iter().enumerate() {
@@ -78,7 +86,7 @@
         stuck
     }
 
-    fn is_stuck(&self, placed: &PlacedTask, now: u64) -> bool {
+    fn is_stuck(&self, placed: &PlacedTask, now: MonotonicTime) -> bool {
         let (Some(since), None) = (placed.running_since, placed.stop) else { return false };
         let independent = |job: &&Job| !job.spec.is_gang() && !job.spec.is_daemon();
         let job = placed.job.and_then(|key| self.jobs.get(&key)).filter(independent);
@@ -87,7 +95,7 @@
         if job.restarted_tasks.contains(&placed.index) {
             return false;
         }
-        let ran_ms = now.saturating_sub(since) as f64;
+        let ran_ms = millis_f64(now.saturating_duration_since(since));
         let mean_ms = job.reliable_mean_run_time_ms();
         mean_ms.is_some_and(|mean_ms| ran_ms > mean_ms * constants::STUCK_TASK_RATIO)
     }
--- a/crates/controller/src/cluster_state/failure_attribution.rs
+++ b/crates/controller/src/cluster_state/failure_attribution.rs
@@ -7,7 +7,12 @@
 
 use super::{ClusterState, CordonReason, Job, JobKey};
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, whole_millis};
+use std::time::Duration;
+
+/// The backoff after failures is doubled at most this many times, so that no number of failures
+/// overflows it.
+const MAX_BACKOFF_DOUBLINGS: u32 = 10;
 
 impl Job {
     /// Whether it fails wherever it is tried: no task has completed, and no more of them run than there
@@ -39,9 +44,9 @@
         self.failed_machines.iter().rev().take(max_excluded).any(|machine| machine == name)
     }
 
-    /// A task of it, placed at `placed_at` (ms), has failed on a machine. Errors of tasks that were placed
+    /// A task of it, placed at `placed_at`, has failed on a machine. Errors of tasks that were placed
     /// before the last error count with that one: they are one try.
-    fn record_failure(&mut self, machine: &str, placed_at: u64, now: u64) {
+    fn record_failure(&mut self, machine: &str, placed_at: MonotonicTime, now: MonotonicTime) {
         if !self.failed_machines.iter().any(|failed| failed == machine) {
             if self.failed_machines.len() >= constants::MAX_FAILED_MACHINES {
                 self.failed_machines.pop_front();
@@ -51,8 +56,7 @@
         if self.consecutive_failures > 0 && placed_at <= self.last_failure_at {
             return;
         }
-        if self.spec.is_daemon()
-            && now >= self.last_failure_at + whole_millis(constants::REPLICA_FAILURE_MEMORY)
+        if self.spec.is_daemon() && now >= self.last_failure_at + constants::REPLICA_FAILURE_MEMORY
         {
             self.consecutive_failures = 0;
         }
@@ -62,19 +66,20 @@
         if proven && self.consecutive_failures < constants::PROVEN_JOB_MAX_FAILURES {
             return;
         }
-        let backoff_ms =
-            whole_millis(constants::FAILURE_BACKOFF) << (self.consecutive_failures - 1).min(10);
-        let backoff_ms = backoff_ms.min(whole_millis(constants::FAILURE_BACKOFF_MAX));
+        let doublings = (self.consecutive_failures - 1).min(MAX_BACKOFF_DOUBLINGS);
+        let backoff = constants::FAILURE_BACKOFF * (1 << doublings);
+        let backoff = backoff.min(constants::FAILURE_BACKOFF_MAX);
         // Jobs that were submitted together with the same fault shall not all be tried together.
         let spread = |sum: u64, byte: u8| sum.wrapping_mul(31).wrapping_add(u64::from(byte));
         let spread = self.id.as_str().bytes().fold(u64::from(self.consecutive_failures), spread);
-        let jitter_ms = backoff_ms / 4 * (spread % 100) / 100;
-        self.backoff_until = now + backoff_ms + jitter_ms;
+        let jitter = Duration::from_millis(whole_millis(backoff) / 4 * (spread % 100) / 100);
+        let delay = backoff + jitter;
+        self.backoff_until = now + delay;
         if self.is_crash_looping() {
             self.add_note(format!(
                 "failed on {} machines and ran on none; next try in {} s",
                 self.failed_machines.len(),
-                (backoff_ms + jitter_ms) / 1000
+                delay.as_secs()
             ));
         }
     }
@@ -83,12 +88,13 @@
     pub(super) fn replica_completed(
         &mut self,
         machine: &str,
-        running_since: Option<u64>,
-        placed_at: u64,
-        now: u64,
+        running_since: Option<MonotonicTime>,
+        placed_at: MonotonicTime,
+        now: MonotonicTime,
     ) {
-        let ran_ms = running_since.map_or(0, |since| now.saturating_sub(since));
-        if ran_ms < whole_millis(constants::REPLICA_STEADY) {
+        let ran =
+            running_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
+        if ran < constants::REPLICA_STEADY {
             self.record_failure(machine, placed_at, now);
         }
     }
@@ -97,12 +103,12 @@
 impl ClusterState {
     /// Forgets the failures of daemons with a replica that has run for a while: they have no completed tasks
     /// that would show that they work.
-    pub(super) fn reset_steady_daemons(&mut self, now: u64) {
+    pub(super) fn reset_steady_daemons(&mut self, now: MonotonicTime) {
         let failed = |job: &Job| job.spec.is_daemon() && job.consecutive_failures > 0;
         if !self.jobs.values().any(failed) {
             return;
         }
-        let steady = |since: &u64| now >= since + whole_millis(constants::REPLICA_STEADY);
+        let steady = |since: &MonotonicTime| now >= *since + constants::REPLICA_STEADY;
         for placed in self.machines.values().flat_map(|machine| &machine.placed_tasks) {
             let Some(job) = placed.job.and_then(|key| self.jobs.get_mut(&key)) else { continue };
             if failed(job) && placed.running_since.as_ref().is_some_and(steady) {
@@ -112,8 +118,14 @@
         }
     }
 
-    /// A task of job `key`, placed at `placed_at` (ms), has failed on a machine.
-    pub(super) fn attribute_failure(&mut self, name: &str, key: JobKey, placed_at: u64, now: u64) {
+    /// A task of job `key`, placed at `placed_at`, has failed on a machine.
+    pub(super) fn attribute_failure(
+        &mut self,
+        name: &str,
+        key: JobKey,
+        placed_at: MonotonicTime,
+        now: MonotonicTime,
+    ) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         job.record_failure(name, placed_at, now);
         let proven = job.failure_weight() >= 1.0;
@@ -123,7 +135,7 @@
         }
         if proven {
             machine.backoff_until =
-                machine.backoff_until.max(now + whole_millis(constants::REJECTED_START_BACKOFF));
+                machine.backoff_until.max(now + constants::REJECTED_START_BACKOFF);
         }
         let weights = machine.failed_jobs.iter().filter_map(|key| self.jobs.get(key));
         let total_weight: f64 = weights.map(Job::failure_weight).sum();
--- a/crates/controller/src/cluster_state/gang_repair.rs
+++ b/crates/controller/src/cluster_state/gang_repair.rs
@@ -2,13 +2,13 @@
 
 use super::{ClusterState, Job, JobKey, TaskPlacement};
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::MonotonicTime;
 use std::collections::HashSet;
 
 impl ClusterState {
     /// Stops a gang that lost a task. One of which only a part was found after a failover is stopped
     /// as well, unless that part still waits for the rest: then the rest is started.
-    pub(super) fn repair_gangs(&mut self, now: u64) {
+    pub(super) fn repair_gangs(&mut self, now: MonotonicTime) {
         let reconciled = self.reconciled(now);
         let completable = if reconciled { self.completable_gangs() } else { HashSet::new() };
         for (key, job) in self.jobs.iter_mut() {
@@ -19,10 +19,7 @@
                 && (reconciled || !job.inherited);
             job.completing = partial
                 && completable.contains(key)
-                && now
-                    < *job
-                        .resume_deadline
-                        .get_or_insert(now + whole_millis(constants::GANG_RESUME_LIMIT));
+                && now < *job.resume_deadline.get_or_insert(now + constants::GANG_RESUME_LIMIT);
             if partial && !job.completing {
                 self.stops_due |= !job.broken;
                 job.broken = true;
--- a/crates/controller/src/cluster_state/heartbeat.rs
+++ b/crates/controller/src/cluster_state/heartbeat.rs
@@ -4,7 +4,7 @@
 use super::task_removal::TaskRemoval;
 use super::{ClusterState, CordonReason, ExpectedHeartbeat, Machine, MessageVersion, TaskAttempt};
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, seconds_f64};
 use hookway_wire::{Command, Heartbeat, HeartbeatResponse};
 
 /// What an accepted heartbeat is, compared with what its machine has sent before.
@@ -17,12 +17,12 @@
 }
 
 impl ClusterState {
-    /// Handles a heartbeat received at `now` (ms). `None`: it must not be answered with status 200,
+    /// Handles a heartbeat received at `now`. `None`: it must not be answered with status 200,
     /// because it is old, or its incarnation or machine is surely gone.
     pub fn handle_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
-        now: u64,
+        now: MonotonicTime,
     ) -> Option<HeartbeatResponse> {
         let name = heartbeat.machine.as_str();
         if self.removed_machines.contains(name) {
@@ -53,7 +53,7 @@
     }
 
     /// Adds the machine if this leader does not know it.
-    fn add_if_unknown(&mut self, heartbeat: &Heartbeat, now: u64) {
+    fn add_if_unknown(&mut self, heartbeat: &Heartbeat, now: MonotonicTime) {
         if self.machines.contains_key(&heartbeat.machine) {
             return;
         }
@@ -87,7 +87,7 @@
     }
 
     /// Takes in that the machine is up, and its own properties. `None`: its lease has expired.
-    fn record_arrival(&mut self, heartbeat: &Heartbeat, now: u64) -> Option<Arrival> {
+    fn record_arrival(&mut self, heartbeat: &Heartbeat, now: MonotonicTime) -> Option<Arrival> {
         let name = &heartbeat.machine;
         let version = MessageVersion::of(heartbeat);
         let machine = self.machines.get_mut(name)?;
@@ -98,7 +98,7 @@
         let new_incarnation =
             machine.has_reported && version.incarnation > machine.newest_message.incarnation;
         if !machine.has_reported {
-            let age_s = (now - machine.created_at.min(now)) as f64 / 1e3;
+            let age_s = seconds_f64(now.saturating_duration_since(machine.created_at));
             tracing::info!(machine = %name, age_s, "machine up");
         }
         // The lease of an incarnation that was not known may have begun just now, whenever the machine
@@ -118,10 +118,10 @@
 
     /// Adds the machine to the registry. Not before its first heartbeat: until then it has no tasks,
     /// and the next leader need not wait for it.
-    fn register_if_new(&mut self, name: &str, now: u64) {
+    fn register_if_new(&mut self, name: &str, now: MonotonicTime) {
         if self.machines.get(name).is_some_and(|machine| !machine.registered) {
-            let at_ms = self.clocks.wall_at(now);
-            self.commit_queue.registry.register(name, at_ms);
+            let registered_at = self.clocks.wall_at(now);
+            self.commit_queue.registry.register(name, registered_at);
         }
     }
 
@@ -135,8 +135,8 @@
     }
 
     /// Fills the resources that the heartbeat shows as free, so that the response has the starts.
-    fn place_at_heartbeat(&mut self, name: &str, now: u64) {
-        if now >= self.last_round.at_ms + self.round_interval_ms() {
+    fn place_at_heartbeat(&mut self, name: &str, now: MonotonicTime) {
+        if now >= self.last_round.at + self.round_interval() {
             self.scheduling_round(now);
         } else {
             self.fill_machine(name, now);
@@ -147,15 +147,18 @@
     fn respond(
         &mut self,
         heartbeat: &Heartbeat,
-        responded_before: u64,
-        now: u64,
+        responded_before: MonotonicTime,
+        now: MonotonicTime,
     ) -> Option<HeartbeatResponse> {
         let name = heartbeat.machine.as_str();
         let commands = self.commands_for(name, now);
         self.mark_unpublished(name);
         let machine = self.machines.get_mut(name)?;
-        machine.heartbeat_expected_by =
-            if commands.is_empty() { 0 } else { now + whole_millis(constants::PROMPT_HEARTBEAT) };
+        machine.heartbeat_expected_by = if commands.is_empty() {
+            MonotonicTime::ZERO
+        } else {
+            now + constants::PROMPT_HEARTBEAT
+        };
         let fencing_token = self.term + machine.token_offset;
         let mut expected = ExpectedHeartbeat {
             fencing_token: (fencing_token > heartbeat.fencing_token).then_some(fencing_token),
--- a/crates/controller/src/cluster_state/heartbeat_tasks.rs
+++ b/crates/controller/src/cluster_state/heartbeat_tasks.rs
@@ -2,6 +2,7 @@
 
 use super::task_removal::TaskRemoval;
 use super::{CachedImage, ClusterState, EndedTask, PlacedTask, TaskPhase};
+use hookway_time::{MonotonicTime, seconds_f64};
 use hookway_wire::{ExitCause, Heartbeat, TaskId, TaskState, TaskStatus};
 
 /// What a message of a worker answers.
@@ -39,7 +40,7 @@
         &mut self,
         name: &str,
         heartbeat: &Heartbeat,
-        now: u64,
+        now: MonotonicTime,
         kind: MessageKind,
     ) {
         self.mark_unpublished(name);
@@ -109,7 +110,7 @@
     name: &str,
     before: Vec<PlacedTask>,
     heartbeat: &'a Heartbeat,
-    now: u64,
+    now: MonotonicTime,
     kind: MessageKind,
 ) -> TaskChanges<'a> {
     let mut changes = TaskChanges::default();
@@ -141,7 +142,7 @@
     name: &str,
     mut placed: PlacedTask,
     reported: &TaskStatus,
-    now: u64,
+    now: MonotonicTime,
     changes: &mut TaskChanges<'_>,
 ) {
     if reported.state == TaskState::Ended {
@@ -152,7 +153,7 @@
     }
     placed.phase = TaskPhase::Reported(reported.state);
     if reported.state == TaskState::Running && placed.running_since.is_none() {
-        let after_s = now.saturating_sub(placed.placed_at) as f64 / 1000.0;
+        let after_s = seconds_f64(now.saturating_duration_since(placed.placed_at));
         tracing::debug!(machine = %name, task = %placed.task, after_s, "task running");
         placed.running_since = Some(now);
     }
--- a/crates/controller/src/cluster_state/job.rs
+++ b/crates/controller/src/cluster_state/job.rs
@@ -8,8 +8,10 @@
 use crate::records::JobRecord;
 use hookway_constants as constants;
 use hookway_policy::Resources;
+use hookway_time::{MonotonicTime, WallTime, millis_f64, seconds_f64};
 use hookway_wire::{JobId, JobSpec};
 use std::collections::{BTreeSet, VecDeque};
+use std::time::Duration;
 
 /// Identifies a job within one leader's cluster state. Never used again within a term; ascending in
 /// the order in which the leader learned of the jobs.
@@ -62,11 +64,11 @@
     pub image: u32,
     /// Resources of one task.
     pub request: Resources,
-    /// When it was submitted, s on the steady clock (may lie before the clock's start).
+    /// When it was submitted, s on the monotonic clock (may lie before the clock's start).
     pub submitted_s: f64,
-    /// When it should be complete, s on the steady clock.
+    /// When it should be complete, s on the monotonic clock.
     pub deadline_s: Option<f64>,
-    /// When it should have started, s on the steady clock, tightest objective first.
+    /// When it should have started, s on the monotonic clock, tightest objective first.
     pub start_by_s: Vec<f64>,
     /// An earlier leader may have started some of it.
     pub inherited: bool,
@@ -86,36 +88,36 @@
     pub running: u32,
     /// `placed`, by zone index.
     pub placed_per_zone: Vec<u32>,
-    /// Sum of the known run times, ms.
-    pub run_time_sum_ms: u64,
+    /// Sum of the known run times.
+    pub run_time_sum: Duration,
     /// Number of the known run times.
     pub run_time_count: u32,
     /// Attempt number that all tasks of a gang share.
     pub gang_attempt: Option<u64>,
     /// Attempt of a gang that an earlier leader was starting, from the replicated state.
     pub resumed_attempt: Option<u64>,
-    /// Until then that attempt may be completed, ms; set once all machines are reconciled.
-    pub resume_deadline: Option<u64>,
+    /// Until then that attempt may be completed; set once all machines are reconciled.
+    pub resume_deadline: Option<MonotonicTime>,
     /// The tasks found of that attempt wait for the other ones, which may be started.
     pub completing: bool,
     /// The gang's attempt has lost a task or is being stopped: all of its tasks must be stopped.
     pub broken: bool,
     /// How far its completion has progressed.
     pub completion: Completion,
-    /// No task is started before this time, ms.
-    pub backoff_until: u64,
+    /// No task is started before this time.
+    pub backoff_until: MonotonicTime,
     /// Consecutive tries that ended with an error.
     pub consecutive_failures: u32,
-    /// When the last of those ended, ms.
-    pub last_failure_at: u64,
+    /// When the last of those ended.
+    pub last_failure_at: MonotonicTime,
     /// The machines that its tasks failed on last, oldest first.
     pub failed_machines: VecDeque<String>,
     /// Tasks that were restarted once for running far longer than others.
     pub restarted_tasks: BTreeSet<u32>,
     /// Why attempts ended, for the user.
     pub notes: VecDeque<String>,
-    /// Since when it has been waiting for resources, ms.
-    pub waiting_since: u64,
+    /// Since when it has been waiting for resources.
+    pub waiting_since: MonotonicTime,
     /// Minimum task count, as last computed.
     pub min_tasks: u32,
     /// Minimum task count that is durable.
@@ -133,8 +135,9 @@
         at: Timestamp,
     ) -> Self {
         let spec = record.spec;
-        let age_s = (at.wall as f64 - record.accepted_at_ms as f64).max(0.0) / 1000.0;
-        let submitted_s = at.monotonic as f64 / 1000.0 - age_s;
+        let accepted_at = WallTime::from_unix_millis(record.accepted_at_ms);
+        let age_s = seconds_f64(at.wall.saturating_duration_since(accepted_at));
+        let submitted_s = at.monotonic.as_seconds_f64() - age_s;
         let tasks = spec.tasks as usize;
         Self {
             id: spec.id.clone(),
@@ -153,7 +156,7 @@
             placed: 0,
             running: 0,
             placed_per_zone: vec![0; context.zones],
-            run_time_sum_ms: 0,
+            run_time_sum: Duration::ZERO,
             run_time_count: 0,
             gang_attempt: None,
             resumed_attempt: None,
@@ -161,9 +164,9 @@
             completing: false,
             broken: false,
             completion: Completion::active(),
-            backoff_until: 0,
+            backoff_until: MonotonicTime::ZERO,
             consecutive_failures: 0,
-            last_failure_at: 0,
+            last_failure_at: MonotonicTime::ZERO,
             failed_machines: VecDeque::new(),
             restarted_tasks: BTreeSet::new(),
             notes: VecDeque::new(),
@@ -259,7 +262,7 @@
     /// Mean of the known run times, ms.
     pub fn mean_run_time_ms(&self) -> Option<f64> {
         (self.run_time_count > 0)
-            .then(|| self.run_time_sum_ms as f64 / f64::from(self.run_time_count))
+            .then(|| millis_f64(self.run_time_sum) / f64::from(self.run_time_count))
     }
 
     /// Mean of the known run times, ms, once there are enough to judge a machine by it.
--- a/crates/controller/src/cluster_state/job_operations.rs
+++ b/crates/controller/src/cluster_state/job_operations.rs
@@ -2,6 +2,7 @@
 
 use super::{ClusterState, Job, JobKey, leases_expire_within_cancellation};
 use crate::records::FinalRecord;
+use hookway_time::MonotonicTime;
 use hookway_wire::{JobId, JobState, JobStatus};
 
 /// What the leader knows of the status of a job.
@@ -80,7 +81,7 @@
     /// Queues the final records of cancellations of which it is sure that all leases which may keep tasks
     /// alive end in time. As a rule these are all of them at once: shard leases end in time, and a worker's
     /// lease is shorter than a cancellation may take. Where it is not, the tasks must be gone first.
-    pub(super) fn queue_proven_cancellations(&mut self, now: u64) {
+    pub(super) fn queue_proven_cancellations(&mut self, now: MonotonicTime) {
         if self.unproven_cancellations.is_empty() {
             return;
         }
--- a/crates/controller/src/cluster_state/lease_expiry.rs
+++ b/crates/controller/src/cluster_state/lease_expiry.rs
@@ -1,25 +1,26 @@
 //! Expiry of workers' leases: the tasks of a worker whose lease has surely expired are gone.
 
 use super::task_removal::TaskRemoval;
-use super::{ClusterState, worker_lease_expiry_ms};
+use super::{ClusterState, worker_lease_expiry};
+use hookway_time::{MonotonicTime, whole_millis};
 
 impl ClusterState {
-    /// Time passes until `now` (ms): tasks on machines whose lease has surely expired are removed, and
+    /// Time passes until `now`: tasks on machines whose lease has surely expired are removed, and
     /// starts that wait for a silent machine are cancelled.
-    pub fn expire_leases(&mut self, now: u64) {
+    pub fn expire_leases(&mut self, now: MonotonicTime) {
         self.queue_proven_cancellations(now);
         if self.unreconciled_leases_expired(now) {
             self.commit_queue.registry.forget_unreadable();
         }
-        let start_timeout_ms = (self.config.platform.workers.heartbeat_interval_s * 2500.0) as u64;
+        let start_timeout = self.planned_start_timeout();
         let names: Vec<String> = self.machines.keys().cloned().collect();
         for name in names {
             if self.expire_lease_if_silent(&name, now) {
                 continue;
             }
             let Some(machine) = self.machines.get_mut(&name) else { continue };
-            machine.reserved_for_gang = machine.reserved_for_gang.filter(|r| now < r.until_ms);
-            if now >= machine.last_response_at + start_timeout_ms {
+            machine.reserved_for_gang = machine.reserved_for_gang.filter(|r| now < r.until);
+            if now >= machine.last_response_at + start_timeout {
                 self.cancel_planned_starts(&name, now);
             }
         }
@@ -27,11 +28,16 @@
 
     /// Whether the lease of a machine's worker has surely expired; then its tasks are removed, and its
     /// incarnation is over.
-    pub(super) fn expire_lease_if_silent(&mut self, name: &str, now: u64) -> bool {
-        let lease_ms = worker_lease_expiry_ms(&self.config.platform);
+    pub(super) fn expire_lease_if_silent(&mut self, name: &str, now: MonotonicTime) -> bool {
+        let lease = worker_lease_expiry(&self.config.platform);
         let Some(machine) = self.machines.get_mut(name) else { return false };
         let (zone, answered_at) = (&machine.zone, machine.last_response_at);
-        if !self.shard_lessor.worker_lease_expired(zone, answered_at, lease_ms, now) {
+        if !self.shard_lessor.worker_lease_expired(
+            zone,
+            answered_at.as_millis(),
+            whole_millis(lease),
+            now.as_millis(),
+        ) {
             return false;
         }
         if machine.is_live() {
--- a/crates/controller/src/cluster_state/leases.rs
+++ b/crates/controller/src/cluster_state/leases.rs
@@ -4,61 +4,63 @@
 use crate::settings::PlatformSettings;
 use crate::shard_lease::{ShardLease, ShardLeaseRenewal};
 use hookway_constants as constants;
-use hookway_time::{millis_f64, whole_millis};
+use hookway_time::{MonotonicTime, millis_f64, whole_millis};
 use hookway_wire::JobState;
+use std::time::Duration;
 
-/// Maximum length of a shard lease, ms: as configured, but so short that it and a worker's lease end
+/// Maximum length of a shard lease: as configured, but so short that it and a worker's lease end
 /// within the time for a cancellation.
-pub fn max_shard_lease_ms(config: &ControllerConfig) -> u64 {
+pub fn max_shard_lease(config: &ControllerConfig) -> Duration {
     let workers = &config.platform.workers;
     let limit_ms =
         (workers.cancel_s - workers.lease_s) * 1000.0 - millis_f64(constants::CANCEL_MARGIN);
-    config.operator.shard_lease_ms.min(limit_ms.max(0.0) as u64)
+    Duration::from_millis(config.operator.shard_lease_ms.min(limit_ms.max(0.0) as u64))
 }
 
 /// Whether the lease of a worker that nobody answers any more ends within the time for a cancellation.
 pub fn leases_expire_within_cancellation(platform: &PlatformSettings) -> bool {
-    let lease_ms = worker_lease_expiry_ms(platform) as f64 + millis_f64(constants::CANCEL_MARGIN);
-    lease_ms <= platform.workers.cancel_s * 1000.0
+    let lease = worker_lease_expiry(platform) + constants::CANCEL_MARGIN;
+    millis_f64(lease) <= platform.workers.cancel_s * 1000.0
 }
 
-/// A worker's lease with clock drift and margin, ms: so long after the last moment when any entitled
+/// A worker's lease with clock drift and margin: so long after the last moment when any entitled
 /// controller could have answered it, it has killed its tasks.
-pub fn worker_lease_expiry_ms(platform: &PlatformSettings) -> u64 {
-    (platform.workers.lease_s * 1000.0 * (1.0 + constants::CLOCK_DRIFT)).ceil() as u64
-        + whole_millis(constants::WORKER_LEASE_MARGIN)
+pub fn worker_lease_expiry(platform: &PlatformSettings) -> Duration {
+    let drifted_ms = platform.workers.lease_s * 1000.0 * (1.0 + constants::CLOCK_DRIFT);
+    Duration::from_millis(drifted_ms.ceil() as u64) + constants::WORKER_LEASE_MARGIN
 }
 
 impl ClusterState {
-    /// Another controller renews its shard lease at `now` (ms); `None` if it gets none.
+    /// Another controller renews its shard lease at `now`; `None` if it gets none.
     pub fn renew_shard_lease(
         &mut self,
         renewal: &ShardLeaseRenewal,
-        now: u64,
+        now: MonotonicTime,
     ) -> Option<ShardLease> {
-        let lease_ms = self.shard_lease_ms(now);
-        self.shard_lessor.renew(self.term, renewal, lease_ms, now)
+        let lease = self.shard_lease(now);
+        self.shard_lessor.renew(self.term, renewal, whole_millis(lease), now.as_millis())
     }
 
-    /// Length of a shard lease given at `now` (ms), ms.
+    /// Length of a shard lease given at `now`.
     ///
     /// Tasks of a cancelled job must be gone within the time for a cancellation, also where nobody can
     /// stop them and a lessee keeps their worker alive. So while such a task may be anywhere, a lease
     /// ends no later than one that was given when its user asked, before any controller was told:
     /// early enough for its worker's lease to follow. While a task of an unknown job may be anywhere,
     /// or of one whose cancellation another controller decided, no lease is given.
-    pub fn shard_lease_ms(&self, now: u64) -> u64 {
+    pub fn shard_lease(&self, now: MonotonicTime) -> Duration {
         if self.unknown_tasks > 0 || !self.reconciled(now) {
-            return 0;
+            return Duration::ZERO;
         }
-        let max_ms = max_shard_lease_ms(&self.config);
+        let max = max_shard_lease(&self.config);
         let is_stopping =
             |job: &&Job| job.completion.end_state() == Some(JobState::Cancelled) && job.placed > 0;
-        let remaining_ms = |job: &Job| {
-            let requested_at = job.completion.cancel_requested_at_ms();
-            requested_at.map_or(0, |at| max_ms.saturating_sub(now.saturating_sub(at)))
+        let remaining = |job: &Job| {
+            let requested_at = job.completion.cancel_requested_at();
+            requested_at
+                .map_or(Duration::ZERO, |at| max.saturating_sub(now.saturating_duration_since(at)))
         };
-        self.jobs.values().filter(is_stopping).map(remaining_ms).min().unwrap_or(max_ms)
+        self.jobs.values().filter(is_stopping).map(remaining).min().unwrap_or(max)
     }
 
     /// Zones whose shard this leader keeps itself.
@@ -66,8 +68,8 @@
         self.shard_lessor.own_shard()
     }
 
-    /// This controller answered a worker as a lessee at `now` (ms), while its leadership was uncertain.
-    pub fn worker_lease_extended(&mut self, name: &str, now: u64) {
+    /// This controller answered a worker as a lessee at `now`, while its leadership was uncertain.
+    pub fn worker_lease_extended(&mut self, name: &str, now: MonotonicTime) {
         let last_answered_at = &mut self.reconciliation.last_answered_at;
         *last_answered_at = now.max(*last_answered_at);
         if let Some(machine) = self.machines.get_mut(name) {
--- a/crates/controller/src/cluster_state/machine.rs
+++ b/crates/controller/src/cluster_state/machine.rs
@@ -4,8 +4,9 @@
 use super::placed_task::{EndedTask, ExpectedHeartbeat, PlacedTask};
 use super::state_probe::StateProbe;
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::MonotonicTime;
 use hookway_wire::Heartbeat;
+use std::time::Duration;
 
 /// Why a machine is cordoned: it takes no new task and is scaled in once it is empty.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -67,8 +68,25 @@
 pub(super) struct GangReservation {
     /// The gang.
     pub job: JobKey,
-    /// When the reservation ends, ms.
-    pub until_ms: u64,
+    /// When the reservation ends.
+    pub until: MonotonicTime,
+}
+
+/// Since when a machine has surely been in the cloud's machine list. That may be before the monotonic
+/// clock of this process was created, so it has no reading of its own.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct FirstListing {
+    /// When this leader learned that the machine is listed.
+    pub learned_at: MonotonicTime,
+    /// How long it had surely been listed by then.
+    pub age: Duration,
+}
+
+impl FirstListing {
+    /// Whether the machine was listed more than `span` before `at`.
+    pub fn precedes(self, at: MonotonicTime, span: Duration) -> bool {
+        self.learned_at + span < at + self.age
+    }
 }
 
 /// An image in a machine's cache.
@@ -103,8 +121,8 @@
     pub token_offset: u64,
     /// Starts are being dispatched directly to it.
     pub direct_dispatch_in_flight: bool,
-    /// Its next heartbeat is expected before this, ms.
-    pub heartbeat_expected_by: u64,
+    /// Its next heartbeat is expected before this.
+    pub heartbeat_expected_by: MonotonicTime,
     /// The leases of incarnations up to this one have surely expired.
     pub expired_incarnation: u64,
     /// What its next heartbeat shows if its worker has applied the last response.
@@ -112,43 +130,44 @@
     /// Consecutive responses that its worker surely did not apply.
     pub unacknowledged_responses: u32,
     /// Last time when any entitled controller may have answered its worker, which then may have
-    /// extended its lease, ms.
-    pub last_response_at: u64,
+    /// extended its lease.
+    pub last_response_at: MonotonicTime,
     /// Its entry in the machine registry is durable.
     pub registered: bool,
-    /// When it was requested or first seen, ms (may be corrected by its listed age).
-    pub created_at: u64,
-    /// Surely in the cloud's machine list since then, ms (may lie before the clock's start).
-    pub first_listed_at: Option<i64>,
+    /// When it was requested or first seen (may be corrected by its listed age).
+    pub created_at: MonotonicTime,
+    /// Since when it has surely been in the cloud's machine list.
+    pub first_listing: Option<FirstListing>,
     /// Tasks on it.
     pub placed_tasks: Vec<PlacedTask>,
     /// Ended tasks that its worker still reports.
     pub ended_tasks: Vec<EndedTask>,
-    /// When the cloud takes it back, ms.
-    pub interruption_at: Option<u64>,
-    /// Takes no new task until then, ms.
-    pub backoff_until: u64,
+    /// When the cloud takes it back.
+    pub interruption_at: Option<MonotonicTime>,
+    /// Takes no new task until then.
+    pub backoff_until: MonotonicTime,
     /// Jobs that failed on it since a task last completed on it.
     pub failed_jobs: Vec<JobKey>,
     /// Consecutive tasks that took far longer on it than others of their job.
     pub consecutive_slow_tasks: u32,
     /// Takes no new task and is scaled in once empty, for this reason.
     pub cordon_reason: Option<CordonReason>,
-    /// Without any task since, ms.
-    pub idle_since: Option<u64>,
+    /// Without any task since.
+    pub idle_since: Option<MonotonicTime>,
     /// Images in its cache, least recently used first.
     pub images: Vec<CachedImage>,
     /// Images that its entry in the machine registry names, in ascending order.
     pub stored_images: Vec<u32>,
     /// Kept free for a gang.
     pub reserved_for_gang: Option<GangReservation>,
-    /// In this leader's shard until then, ms: it takes new tasks only before. 0: not admitted yet.
-    admitted_until_ms: u64,
+    /// In this leader's shard until then: it takes new tasks only before. [`MonotonicTime::ZERO`]: not
+    /// admitted yet.
+    admitted_until: MonotonicTime,
 }
 
 impl Machine {
-    /// A machine of which nothing is known at `now` (ms).
-    pub fn new(now: u64) -> Self {
+    /// A machine of which nothing is known at `now`.
+    pub fn new(now: MonotonicTime) -> Self {
         Self {
             machine_type: String::new(),
             zone: String::new(),
@@ -160,18 +179,18 @@
             newest_heartbeat: MessageVersion::default(),
             token_offset: 0,
             direct_dispatch_in_flight: false,
-            heartbeat_expected_by: 0,
+            heartbeat_expected_by: MonotonicTime::ZERO,
             expected_heartbeat: ExpectedHeartbeat::default(),
             unacknowledged_responses: 0,
             expired_incarnation: 0,
             last_response_at: now,
             registered: false,
             created_at: now,
-            first_listed_at: None,
+            first_listing: None,
             placed_tasks: Vec::new(),
             ended_tasks: Vec::new(),
             interruption_at: None,
-            backoff_until: 0,
+            backoff_until: MonotonicTime::ZERO,
             failed_jobs: Vec::new(),
             consecutive_slow_tasks: 0,
             cordon_reason: None,
@@ -179,26 +198,27 @@
             images: Vec::new(),
             stored_images: Vec::new(),
             reserved_for_gang: None,
-            admitted_until_ms: 0,
+            admitted_until: MonotonicTime::ZERO,
         }
     }
 
-    /// Whether its worker should be probed at `now` (ms): it has sent no heartbeat, or one before it
+    /// Whether its worker should be probed at `now`: it has sent no heartbeat, or one before it
     /// had seen this leader's fencing token, and the next one is not expected at once.
-    pub fn needs_state_probe(&self, now: u64) -> bool {
-        let heartbeat_expected = self.has_reported
-            && now < self.last_response_at + whole_millis(constants::PROMPT_HEARTBEAT);
+    pub fn needs_state_probe(&self, now: MonotonicTime) -> bool {
+        let heartbeat_expected =
+            self.has_reported && now < self.last_response_at + constants::PROMPT_HEARTBEAT;
         self.state_probe.due(now)
             && !heartbeat_expected
             && !self.address.is_empty()
             && self.cordon_reason.is_none()
     }
 
-    /// Takes the machine's own properties from its newest message, received at `now` (ms).
-    pub fn update_from(&mut self, heartbeat: &Heartbeat, now: u64) {
+    /// Takes the machine's own properties from its newest message, received at `now`.
+    pub fn update_from(&mut self, heartbeat: &Heartbeat, now: MonotonicTime) {
         self.newest_message = MessageVersion::of(heartbeat);
-        self.interruption_at =
-            heartbeat.interruption_notice_s.map(|s| now + (s.max(0.0) * 1000.0) as u64);
+        self.interruption_at = heartbeat
+            .interruption_notice_s
+            .map(|s| now + Duration::from_millis((s.max(0.0) * 1000.0) as u64));
         self.address.clone_from(&heartbeat.addr);
         self.machine_type.clone_from(&heartbeat.machine_type);
         self.zone.clone_from(&heartbeat.zone);
@@ -206,13 +226,13 @@
     }
 
     /// Admits the machine to this leader's shard; a later end of an earlier admission stays.
-    pub fn admit(&mut self, until_ms: u64) {
-        self.admitted_until_ms = self.admitted_until_ms.max(until_ms);
+    pub fn admit(&mut self, until: MonotonicTime) {
+        self.admitted_until = self.admitted_until.max(until);
     }
 
-    /// Whether the machine is in this leader's shard at `now` (ms).
-    pub fn is_admitted(&self, now: u64) -> bool {
-        now < self.admitted_until_ms
+    /// Whether the machine is in this leader's shard at `now`.
+    pub fn is_admitted(&self, now: MonotonicTime) -> bool {
+        now < self.admitted_until
     }
 
     /// Whether its worker has sent a heartbeat and its lease has not surely expired since.
@@ -230,8 +250,8 @@
         self.placed_tasks.is_empty() && self.ended_tasks.is_empty()
     }
 
-    /// Updates since when it has no task, at `now` (ms).
-    pub fn update_idle_since(&mut self, now: u64) {
+    /// Updates since when it has no task, at `now`.
+    pub fn update_idle_since(&mut self, now: MonotonicTime) {
         if !self.is_empty() {
             self.idle_since = None;
         } else if self.has_reported {
--- a/crates/controller/src/cluster_state/machine_fill.rs
+++ b/crates/controller/src/cluster_state/machine_fill.rs
@@ -5,6 +5,7 @@
 use super::snapshot::FreeResources;
 use crate::settings::Team;
 use hookway_policy::{JobView, Resources};
+use hookway_time::MonotonicTime;
 
 /// A machine with free resources.
 struct FillTarget<'a> {
@@ -21,7 +22,7 @@
 impl ClusterState {
     /// Fills the free resources of a machine that has just sent a heartbeat, in the order of the
     /// last round's queue. Leftover demand whose image is cached there precedes other leftovers.
-    pub(super) fn fill_machine(&mut self, name: &str, now: u64) {
+    pub(super) fn fill_machine(&mut self, name: &str, now: MonotonicTime) {
         if self.last_round.unplaced.is_empty() {
             return;
         }
@@ -51,7 +52,7 @@
     }
 
     /// The machine, if it may take tasks now.
-    fn fill_target<'a>(&self, name: &'a str, now: u64) -> Option<FillTarget<'a>> {
+    fn fill_target<'a>(&self, name: &'a str, now: MonotonicTime) -> Option<FillTarget<'a>> {
         let machine = self.machines.get(name)?;
         if self.last_round.reserved_machines.contains(name)
             || machine.is_draining()
@@ -82,7 +83,12 @@
     }
 
     /// Number of tasks of a demand that may be placed on the machine now.
-    fn tasks_to_fill(&self, target: &FillTarget<'_>, demand: &UnplacedDemand, now: u64) -> u32 {
+    fn tasks_to_fill(
+        &self,
+        target: &FillTarget<'_>,
+        demand: &UnplacedDemand,
+        now: MonotonicTime,
+    ) -> u32 {
         let Some(job) = self.jobs.get(&demand.job) else { return 0 };
         if demand.tasks == 0
             || job.excludes_machine(target.name, self.machines.len())
--- a/crates/controller/src/cluster_state/machine_list.rs
+++ b/crates/controller/src/cluster_state/machine_list.rs
@@ -1,14 +1,22 @@
 //! Reconciliation with the cloud's machine list.
 
+use super::machine::FirstListing;
 use super::task_removal::TaskRemoval;
 use super::{ClusterState, CordonReason, Machine};
 use hookway_constants as constants;
+use hookway_time::MonotonicTime;
 use hookway_wire::{ListedMachine, MachineState};
 use std::collections::HashSet;
+use std::time::Duration;
 
 impl ClusterState {
-    /// Takes in the machine list, requested at `asked` and received at `now` (both ms).
-    pub fn machines_listed(&mut self, list: &[ListedMachine], asked: u64, now: u64) {
+    /// Takes in the machine list, requested at `asked` and received at `now`.
+    pub fn machines_listed(
+        &mut self,
+        list: &[ListedMachine],
+        asked: MonotonicTime,
+        now: MonotonicTime,
+    ) {
         for listed in list {
             if !self.removed_machines.contains(&listed.id) && self.add_listed_machine(listed, now) {
                 self.update_listed(listed, now);
@@ -22,7 +30,7 @@
 
     /// Adds a listed machine that this leader does not know. `false`: it has failed before this leader
     /// knew it, so there is nothing more to update. It stays listed until it is deleted.
-    fn add_listed_machine(&mut self, listed: &ListedMachine, now: u64) -> bool {
+    fn add_listed_machine(&mut self, listed: &ListedMachine, now: MonotonicTime) -> bool {
         let name = &listed.id;
         if self.machines.contains_key(name) {
             return true;
@@ -33,14 +41,14 @@
             machine.cordon_reason = Some(CordonReason::Failed);
         } else {
             tracing::info!(machine = %name, age_s = listed.age_s, "machine found in list");
-            machine.created_at = now.saturating_sub(age_ms(listed));
+            machine.created_at = now.saturating_sub(age(listed));
         }
         self.machines.insert(name.clone(), machine);
         !failed
     }
 
     /// Takes in what the list says of a known machine.
-    fn update_listed(&mut self, listed: &ListedMachine, now: u64) {
+    fn update_listed(&mut self, listed: &ListedMachine, now: MonotonicTime) {
         let name = &listed.id;
         let Some(machine) = self.machines.get_mut(name) else { return };
         if !machine.has_reported {
@@ -50,9 +58,9 @@
             if let Some(address) = &listed.addr {
                 machine.address.clone_from(address);
             }
-            machine.created_at = machine.created_at.min(now.saturating_sub(age_ms(listed)));
+            machine.created_at = machine.created_at.min(now.saturating_sub(age(listed)));
         }
-        machine.first_listed_at.get_or_insert(now as i64);
+        machine.first_listing.get_or_insert(FirstListing { learned_at: now, age: Duration::ZERO });
         let known_as_failed = machine.cordon_reason == Some(CordonReason::Failed);
         if listed.status == MachineState::Failed && !known_as_failed {
             tracing::info!(machine = %name, "machine failed");
@@ -63,16 +71,16 @@
         }
     }
 
-    /// Machines that are gone, as a list requested at `asked` (ms) lacks them. Once listed, a machine
+    /// Machines that are gone, as a list requested at `asked` lacks them. Once listed, a machine
     /// stays listed until it is gone; but a list may be older than the one before, by up to twice the
     /// list's lag.
-    fn machines_missing_from(&self, list: &[ListedMachine], asked: u64) -> Vec<String> {
-        let lag_ms = (self.config.platform.cloud.list_lag_s
-            * 1000.0
-            * constants::UNLISTED_LAG_FACTOR) as u64;
+    fn machines_missing_from(&self, list: &[ListedMachine], asked: MonotonicTime) -> Vec<String> {
+        let lag_ms =
+            self.config.platform.cloud.list_lag_s * 1000.0 * constants::UNLISTED_LAG_FACTOR;
+        let lag = Duration::from_millis(lag_ms as u64);
         let listed: HashSet<&str> = list.iter().map(|machine| machine.id.as_str()).collect();
         let must_be_listed = |machine: &Machine| {
-            machine.first_listed_at.is_some_and(|since| asked as i64 > since + lag_ms as i64)
+            machine.first_listing.is_some_and(|listing| listing.precedes(asked, lag))
         };
         self.machines
             .iter()
@@ -82,7 +90,7 @@
     }
 }
 
-/// Age of a listed machine, ms.
-fn age_ms(listed: &ListedMachine) -> u64 {
-    (listed.age_s.max(0.0) * 1000.0) as u64
+/// Age of a listed machine.
+fn age(listed: &ListedMachine) -> Duration {
+    Duration::from_millis((listed.age_s.max(0.0) * 1000.0) as u64)
 }
--- a/crates/controller/src/cluster_state/machine_registry.rs
+++ b/crates/controller/src/cluster_state/machine_registry.rs
@@ -2,6 +2,7 @@
 
 use crate::records::{MachineRegistryEntry, MachineRegistryRecord, fits_value_limit, registry_key};
 use hookway_constants as constants;
+use hookway_time::WallTime;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Which record each machine is in. Many machines share one, so that hundreds of them may take their
@@ -10,8 +11,8 @@
 pub(super) struct MachineRegistry {
     /// Maximum number of machines of a record.
     max_entries: usize,
-    /// Machines by record, with the time of day of their registration, ms.
-    records: BTreeMap<u64, BTreeMap<String, u64>>,
+    /// Machines by record, with the time of their registration.
+    records: BTreeMap<u64, BTreeMap<String, WallTime>>,
     /// The record of each machine.
     record_of: HashMap<String, u64>,
     /// Records whose stored version lacks a machine: written before a task starts on it.
@@ -54,28 +55,28 @@
     }
 
     /// Takes in a machine of a record that an earlier leader wrote.
-    pub fn loaded(&mut self, number: u64, machine: &str, at_ms: u64) {
+    pub fn loaded(&mut self, number: u64, machine: &str, registered_at: WallTime) {
         let members = self.records.entry(number).or_default();
         if self.record_of.contains_key(machine) {
             // That leader was moving it between records when it ended. One of them is enough.
             self.stale.insert(number);
             return;
         }
-        members.insert(machine.to_owned(), at_ms);
+        members.insert(machine.to_owned(), registered_at);
         self.record_of.insert(machine.to_owned(), number);
     }
 
-    /// Adds a machine, registered at `at_ms` (time of day), unless it is here already.
-    pub fn register(&mut self, machine: &str, at_ms: u64) {
+    /// Adds a machine, unless it is here already.
+    pub fn register(&mut self, machine: &str, registered_at: WallTime) {
         if self.record_of.contains_key(machine) {
             return;
         }
-        let number = self.add_to_open_record(machine, at_ms);
+        let number = self.add_to_open_record(machine, registered_at);
         self.urgent.insert(number);
     }
 
     /// Adds a machine to a record with room, or to a new one.
-    fn add_to_open_record(&mut self, machine: &str, at_ms: u64) -> u64 {
+    fn add_to_open_record(&mut self, machine: &str, registered_at: WallTime) -> u64 {
         let open = self.records.iter().find(|(_, members)| members.len() < self.max_entries);
         let number = open.map_or_else(
             || {
@@ -84,7 +85,7 @@
             },
             |(number, _)| *number,
         );
-        self.records.entry(number).or_default().insert(machine.to_owned(), at_ms);
+        self.records.entry(number).or_default().insert(machine.to_owned(), registered_at);
         self.record_of.insert(machine.to_owned(), number);
         number
     }
@@ -94,12 +95,12 @@
     pub fn split(&mut self, number: u64) {
         let Some(members) = self.records.get(&number) else { return };
         let staying = members.iter().filter(|(machine, _)| !self.moving.contains_key(*machine));
-        let surplus: Vec<(String, u64)> = staying
+        let surplus: Vec<(String, WallTime)> = staying
             .skip(self.max_entries)
-            .map(|(machine, at_ms)| (machine.clone(), *at_ms))
+            .map(|(machine, registered_at)| (machine.clone(), *registered_at))
             .collect();
-        for (machine, at_ms) in surplus {
-            let target = self.add_to_open_record(&machine, at_ms);
+        for (machine, registered_at) in surplus {
+            let target = self.add_to_open_record(&machine, registered_at);
             self.stale.insert(target);
             self.moving.insert(machine, number);
         }
@@ -155,8 +156,8 @@
         self.urgent.insert(number);
     }
 
-    /// The machines of a record, with their times.
-    pub fn members(&self, number: u64) -> impl Iterator<Item = (&String, u64)> {
+    /// The machines of a record, with the times of their registration.
+    pub fn members(&self, number: u64) -> impl Iterator<Item = (&String, WallTime)> {
         self.records.get(&number).into_iter().flatten().map(|(machine, at)| (machine, *at))
     }
 
@@ -181,10 +182,13 @@
     ) -> Option<serde_json::Value> {
         let mut record = MachineRegistryRecord::default();
         let mut numbers: HashMap<&str, usize> = HashMap::new();
-        for (machine, at_ms) in self.members(number) {
+        for (machine, registered_at) in self.members(number) {
             let cached = images(machine);
             let newest = cached.len().saturating_sub(constants::REGISTRY_ENTRY_IMAGES);
-            let mut entry = MachineRegistryEntry { registered_at_ms: at_ms, images: Vec::new() };
+            let mut entry = MachineRegistryEntry {
+                registered_at_ms: registered_at.as_unix_millis(),
+                images: Vec::new(),
+            };
             for (name, gb) in &cached[newest..] {
                 let next = numbers.len();
                 let n = *numbers.entry(name).or_insert(next);
--- a/crates/controller/src/cluster_state/machine_registry/tests.rs
+++ b/crates/controller/src/cluster_state/machine_registry/tests.rs
@@ -25,7 +25,7 @@
     let machines: BTreeSet<String> = (0..64).map(|n| format!("m-{n:06}")).collect();
     let mut stored = BTreeMap::from([(3, machines.clone())]);
     for machine in &machines {
-        registry.loaded(3, machine, 1_764_654_219_000);
+        registry.loaded(3, machine, WallTime::from_unix_millis(1_764_654_219_000));
     }
     registry.mark_stale("m-000001");
     for _ in 0..40 {
@@ -42,7 +42,7 @@
 fn machine_removed_while_moving_leaves_both_records() {
     let mut registry = MachineRegistry::new(SMALL_VALUE_KB);
     for n in 0..64 {
-        registry.loaded(0, &format!("m-{n:06}"), 1);
+        registry.loaded(0, &format!("m-{n:06}"), WallTime::from_unix_millis(1));
     }
     registry.split(0);
     registry.remove("m-000063");
@@ -57,8 +57,8 @@
 #[test]
 fn machine_in_two_records_after_crash_stays_in_one() {
     let mut registry = MachineRegistry::new(SMALL_VALUE_KB);
-    registry.loaded(0, "m-000001", 1);
-    registry.loaded(1, "m-000001", 1);
+    registry.loaded(0, "m-000001", WallTime::from_unix_millis(1));
+    registry.loaded(1, "m-000001", WallTime::from_unix_millis(1));
     assert_eq!(registry.next_stale(), Some(1));
     assert_eq!(registry.members(1).count(), 0);
     registry.remove("m-000001");
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -1,7 +1,7 @@
 //! The cluster state: jobs, machines and tasks as the leader knows them, and every decision that
 //! follows from them.
 //!
-//! No I/O and no clock: the caller says what happened and when (milliseconds on its steady clock), and
+//! No I/O and no clock: the caller says what happened and when (by its monotonic clock), and
 //! carries out the returned actions.
 
 mod acknowledgement;
@@ -60,7 +60,7 @@
 pub use clocks::Timestamp;
 pub use commit_queue::{CommitResult, PendingCommit, RereadKey};
 pub use job_operations::{CancelOutcome, JobLookup};
-pub use leases::{leases_expire_within_cancellation, max_shard_lease_ms, worker_lease_expiry_ms};
+pub use leases::{leases_expire_within_cancellation, max_shard_lease, worker_lease_expiry};
 pub use recovery::LoadedState;
 pub use standby_feed::WarmStart;
 pub use summary::Summary;
@@ -74,6 +74,7 @@
 use commit_queue::CommitQueue;
 use direct_dispatch::DirectDispatch;
 use hookway_constants as constants;
+use hookway_time::whole_millis;
 use hookway_wire::{JobId, MachineType, Precondition};
 use image_numbers::ImageNumbers;
 use job::{Job, JobKey, TaskPlacement};
@@ -166,8 +167,8 @@
                 &config.zone,
                 &config.peers,
                 &config.platform.zones,
-                max_shard_lease_ms(&config),
-                at.monotonic,
+                whole_millis(max_shard_lease(&config)),
+                at.monotonic.as_millis(),
             ),
             commit_queue: CommitQueue::new(&config.platform, leader_precondition, at.monotonic),
             completed_jobs: Vec::new(),
--- a/crates/controller/src/cluster_state/placed_task.rs
+++ b/crates/controller/src/cluster_state/placed_task.rs
@@ -1,6 +1,7 @@
 //! Tasks on machines: those placed there and those that ended there.
 
 use super::JobKey;
+use hookway_time::MonotonicTime;
 use hookway_wire::{Command, ExitCause, Heartbeat, TaskState, TaskStatus};
 
 /// How far the start of a placed task has progressed.
@@ -38,8 +39,8 @@
 pub(super) struct StopOrder {
     /// Time for a checkpoint, s.
     pub grace_s: f64,
-    /// When the stop was decided, ms.
-    pub decided_at: u64,
+    /// When the stop was decided.
+    pub decided_at: MonotonicTime,
 }
 
 /// A task that takes resources of a machine.
@@ -61,10 +62,10 @@
     pub stop: Option<StopOrder>,
     /// A direct command to stop it was handed out.
     pub stop_dispatched: bool,
-    /// When it was first seen running, ms.
-    pub running_since: Option<u64>,
-    /// When it was placed, ms.
-    pub placed_at: u64,
+    /// When it was first seen running.
+    pub running_since: Option<MonotonicTime>,
+    /// When it was placed.
+    pub placed_at: MonotonicTime,
     /// Found in a heartbeat, not placed by this leader: its start time is not known.
     pub adopted: bool,
 }
@@ -132,10 +133,10 @@
     pub starts: Vec<TaskAttempt>,
     /// Reaped attempts: not reported any more.
     pub reaps: Vec<TaskAttempt>,
-    /// When the response was given, ms.
-    pub responded_at: u64,
-    /// When the response before that one was given, ms.
-    pub responded_before: u64,
+    /// When the response was given.
+    pub responded_at: MonotonicTime,
+    /// When the response before that one was given.
+    pub responded_before: MonotonicTime,
 }
 
 impl ExpectedHeartbeat {
--- a/crates/controller/src/cluster_state/placement.rs
+++ b/crates/controller/src/cluster_state/placement.rs
@@ -1,10 +1,11 @@
 //! Placing tasks on machines, stopping them, and preempting them for other jobs.
 
 use super::{ClusterState, JobKey, PlacedTask, StopOrder, TaskPhase, TaskPlacement};
+use hookway_time::MonotonicTime;
 
 impl ClusterState {
     /// Places one unplaced task of a job on each of `machines`, as long as there is one.
-    pub(super) fn place_tasks(&mut self, key: JobKey, machines: &[String], now: u64) {
+    pub(super) fn place_tasks(&mut self, key: JobKey, machines: &[String], now: MonotonicTime) {
         let reconciled = self.reconciled(now);
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let gang = job.spec.is_gang();
@@ -54,7 +55,7 @@
 
     /// Stops the task at `position` of a machine's placed tasks, and its whole gang with it, with time
     /// for a checkpoint.
-    pub(super) fn stop_task(&mut self, name: &str, position: usize, now: u64) {
+    pub(super) fn stop_task(&mut self, name: &str, position: usize, now: MonotonicTime) {
         let machine = self.machines.get(name);
         let Some(placed) = machine.and_then(|m| m.placed_tasks.get(position)) else { return };
         let Some(key) = placed.job else { return };
@@ -79,7 +80,7 @@
         name: &str,
         position: usize,
         beneficiary: JobKey,
-        now: u64,
+        now: MonotonicTime,
     ) {
         let machine = self.machines.get(name);
         let Some(placed) = machine.and_then(|m| m.placed_tasks.get(position)) else { return };
--- a/crates/controller/src/cluster_state/recovery.rs
+++ b/crates/controller/src/cluster_state/recovery.rs
@@ -1,13 +1,20 @@
 //! Recovery: how a new leader takes in the records of earlier ones from the state service.
 
+use super::machine::FirstListing;
 use super::machine_registry::MachineRegistry;
 use super::{CachedImage, ClassHistory, ClusterState, Machine, Timestamp};
 use crate::records::{
     ClassRecord, ImagesRecord, JobSchedulingRecord, MachineRegistryRecord, ProgressRecord,
     SharedStartWatermarksRecord,
 };
+use hookway_time::{WallTime, millis_f64};
 use hookway_wire::{JobId, KeyValue};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
+use std::time::Duration;
+
+/// Taken off the age of a registration beside the errors of the two wall clocks: covers the time
+/// between a reading of a clock and its use.
+const REGISTRATION_AGE_MARGIN: Duration = Duration::from_secs(1);
 
 /// What a new leader read from the state service.
 #[derive(Debug, Clone, Default)]
@@ -148,7 +155,7 @@
             Ok(record) => {
                 job.stored_min_tasks = Some(record.min_tasks);
                 job.run_time_count = record.run_time_count;
-                job.run_time_sum_ms = record.run_time_sum_ms;
+                job.run_time_sum = Duration::from_millis(record.run_time_sum_ms);
                 job.start_watermark.load(record.start_watermark);
             }
             Err(error) => {
@@ -180,9 +187,10 @@
     fn load_registry_record(&mut self, kv: KeyValue, at: Timestamp) {
         let Some(name) = kv.key.strip_prefix(crate::records::REGISTRY_PREFIX) else { return };
         let Some(number) = MachineRegistry::record_number(name) else {
-            let since = kv.value.get("at_ms").and_then(serde_json::Value::as_u64);
-            self.inherit_machine(name, since, Vec::new(), at);
-            self.commit_queue.migrate_legacy_entry(name, since.unwrap_or(at.wall));
+            let at_ms = kv.value.get("at_ms").and_then(serde_json::Value::as_u64);
+            let registered_at = at_ms.map(WallTime::from_unix_millis);
+            self.inherit_machine(name, registered_at, Vec::new(), at);
+            self.commit_queue.migrate_legacy_entry(name, registered_at.unwrap_or(at.wall));
             return;
         };
         let record: MachineRegistryRecord = match serde_json::from_value(kv.value) {
@@ -199,8 +207,9 @@
         let images = self.images.of_record(&record.images);
         for (machine, entry) in record.machines {
             let cached = entry.images.iter().filter_map(|i| images.get(*i).copied()).collect();
-            self.inherit_machine(&machine, Some(entry.registered_at_ms), cached, at);
-            self.commit_queue.registry.loaded(number, &machine, entry.registered_at_ms);
+            let registered_at = WallTime::from_unix_millis(entry.registered_at_ms);
+            self.inherit_machine(&machine, Some(registered_at), cached, at);
+            self.commit_queue.registry.loaded(number, &machine, registered_at);
         }
     }
 
@@ -237,11 +246,11 @@
         self.commit_queue.shared_watermarks.loaded(number, live);
     }
 
-    /// Adds a machine of the registry, registered at `since` (time of day, ms).
+    /// Adds a machine of the registry.
     fn inherit_machine(
         &mut self,
         name: &str,
-        since: Option<u64>,
+        registered_at: Option<WallTime>,
         images: Vec<CachedImage>,
         at: Timestamp,
     ) {
@@ -250,12 +259,15 @@
         machine.images = images;
         machine.stored_images = machine.image_ids();
         // A machine that was registered long enough ago must be in any list from now on, or it is gone.
-        // Times of day may be off on either side.
-        if let Some(since) = since {
-            let clock_error_ms = self.config.platform.clock_off_ms * 2.0 + 1000.0;
-            let age_ms = at.wall as f64 - since as f64 - clock_error_ms;
+        // The wall clocks may be off on either side.
+        if let Some(registered_at) = registered_at {
+            let clock_error_ms =
+                self.config.platform.clock_off_ms * 2.0 + millis_f64(REGISTRATION_AGE_MARGIN);
+            let age_ms =
+                millis_f64(at.wall.saturating_duration_since(registered_at)) - clock_error_ms;
             if age_ms > 0.0 {
-                machine.first_listed_at = Some(at.monotonic as i64 - age_ms as i64);
+                let age = Duration::from_millis(age_ms as u64);
+                machine.first_listing = Some(FirstListing { learned_at: at.monotonic, age });
             }
         }
         self.machines.insert(name.to_owned(), machine);
--- a/crates/controller/src/cluster_state/scale_in.rs
+++ b/crates/controller/src/cluster_state/scale_in.rs
@@ -1,25 +1,26 @@
 //! Scale in: which machines are cordoned and deleted, and why.
 
-use super::{ClusterState, CordonReason, Machine, worker_lease_expiry_ms};
+use super::{ClusterState, CordonReason, Machine, worker_lease_expiry};
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, millis_f64};
 use hookway_wire::MachineType;
 use std::collections::{HashMap, HashSet};
+use std::time::Duration;
 
-/// Boot time of a machine whose type is not known, ms.
-const UNKNOWN_TYPE_BOOT_MS: f64 = 60_000.0;
+/// Boot time of a machine whose type is not known: longer than that of most types.
+const UNKNOWN_TYPE_BOOT: Duration = Duration::from_secs(60);
 
 /// What the scale-in decisions of one round depend on.
 struct ScaleInContext<'a> {
-    now: u64,
-    /// When this leader could last not answer workers, ms: silence before that is not the machines'.
-    resumed_at: u64,
-    /// Time after which the lease of a worker without a response has surely expired, ms.
-    lease_ms: u64,
+    now: MonotonicTime,
+    /// When this leader could last not answer workers: silence before that is not the machines'.
+    resumed_at: MonotonicTime,
+    /// Time after which the lease of a worker without a response has surely expired.
+    lease: Duration,
     reconciled: bool,
     machine_types: &'a [MachineType],
-    /// Idle timeout by machine type, ms.
-    idle_timeouts_ms: HashMap<String, u64>,
+    /// Idle timeout by machine type.
+    idle_timeouts: HashMap<String, Duration>,
     /// Machines that the demand makes use of.
     needed: &'a HashSet<&'a str>,
     /// Zones that are partitioned.
@@ -69,39 +70,41 @@
     /// Whether the machine has been without a task for longer than its type's idle timeout, and is
     /// neither needed nor a spare.
     fn is_idle(&self, name: &str, machine: &Machine) -> bool {
-        let idle_ms = machine.idle_since.map_or(0, |since| self.now.saturating_sub(since));
-        let timeout_ms = self.idle_timeouts_ms.get(&machine.machine_type);
+        let idle = machine
+            .idle_since
+            .map_or(Duration::ZERO, |since| self.now.saturating_duration_since(since));
+        let timeout = self.idle_timeouts.get(&machine.machine_type);
         machine.has_reported
             && self.reconciled
             && !self.is_partitioned(machine)
             && !self.needed.contains(name)
-            && idle_ms >= timeout_ms.copied().unwrap_or(u64::MAX)
+            && timeout.is_some_and(|timeout| idle >= *timeout)
             && !self.spares.contains(name)
     }
 
     /// Whether the machine's lease expired so long ago that it is not expected back.
     fn is_silent(&self, machine: &Machine) -> bool {
         let silent_since = machine.last_response_at.max(self.resumed_at);
-        let delay_ms = if self.is_partitioned(machine) {
-            whole_millis(constants::PARTITION_SCALE_IN_DELAY)
+        let delay = if self.is_partitioned(machine) {
+            constants::PARTITION_SCALE_IN_DELAY
         } else {
-            whole_millis(constants::SILENT_SCALE_IN_DELAY)
+            constants::SILENT_SCALE_IN_DELAY
         };
         (machine.has_reported || machine.registered)
-            && self.now >= silent_since + self.lease_ms + delay_ms
+            && self.now >= silent_since + self.lease + delay
     }
 
     /// Whether the machine has had time enough to boot, without a heartbeat. One of the machine
     /// registry has been up.
     fn boot_timed_out(&self, machine: &Machine) -> bool {
         let machine_type = self.machine_types.iter().find(|t| t.name == machine.machine_type);
-        let boot_ms = machine_type.map_or(UNKNOWN_TYPE_BOOT_MS, |t| t.boot_s * 1000.0);
-        let timeout_ms = (boot_ms * constants::BOOT_TIMEOUT_FACTOR) as u64
-            + whole_millis(constants::BOOT_TIMEOUT_MARGIN);
+        let boot_ms = machine_type.map_or(millis_f64(UNKNOWN_TYPE_BOOT), |t| t.boot_s * 1000.0);
+        let timeout = Duration::from_millis((boot_ms * constants::BOOT_TIMEOUT_FACTOR) as u64)
+            + constants::BOOT_TIMEOUT_MARGIN;
         !machine.has_reported
             && !machine.registered
-            && self.now >= machine.created_at + timeout_ms
-            && self.now >= self.resumed_at + self.lease_ms
+            && self.now >= machine.created_at + timeout
+            && self.now >= self.resumed_at + self.lease
     }
 }
 
@@ -109,25 +112,24 @@
     /// Cordons machines, and returns those to delete now.
     pub(super) fn machines_to_scale_in(
         &mut self,
-        now: u64,
+        now: MonotonicTime,
         needed: &HashSet<&str>,
         partitioned: &HashSet<String>,
     ) -> Vec<String> {
         self.record_demand(now);
-        let patience_ms =
-            self.max_heartbeat_interval_ms() + whole_millis(constants::UNRECONCILED_SCALE_IN);
+        let patience = self.max_heartbeat_interval() + constants::UNRECONCILED_SCALE_IN;
         let context = ScaleInContext {
             now,
             resumed_at: self.clocks.resumed_at,
-            lease_ms: worker_lease_expiry_ms(&self.config.platform),
+            lease: worker_lease_expiry(&self.config.platform),
             reconciled: self.reconciled(now),
             machine_types: &self.machine_types,
-            idle_timeouts_ms: self.idle_timeouts_ms(),
+            idle_timeouts: self.idle_timeouts(),
             needed,
             partitioned,
             spares: self.spare_machines(now),
-            silent: self.silent_machines(now, patience_ms),
-            unreconciled: self.unreconciled_to_delete(now, patience_ms),
+            silent: self.silent_machines(now, patience),
+            unreconciled: self.unreconciled_to_delete(now, patience),
         };
         let mut surplus = Vec::new();
         for (name, machine) in &mut self.machines {
@@ -147,36 +149,36 @@
     }
 
     /// Machines without a heartbeat since the failover to delete now: none unless inherited jobs wait
-    /// for them and the deletion gains time against the expiry of their leases. `patience_ms` is the
+    /// for them and the deletion gains time against the expiry of their leases. `patience` is the
     /// time for a worker to send a heartbeat, to try each controller with one that hangs among them,
     /// and to send another heartbeat with the new fencing token.
-    fn unreconciled_to_delete(&self, now: u64, patience_ms: u64) -> HashSet<String> {
+    fn unreconciled_to_delete(&self, now: MonotonicTime, patience: Duration) -> HashSet<String> {
         let inherited_waits =
             self.jobs.values().any(|j| j.inherited && j.is_active() && !j.unplaced.is_empty());
         let leases_expire_at =
-            self.reconciliation.last_answered_at + worker_lease_expiry_ms(&self.config.platform);
+            self.reconciliation.last_answered_at + worker_lease_expiry(&self.config.platform);
         let worthwhile = !self.reconciled(now)
             && inherited_waits
-            && now + whole_millis(constants::UNRECONCILED_SCALE_IN_MIN_GAIN) < leases_expire_at;
+            && now + constants::UNRECONCILED_SCALE_IN_MIN_GAIN < leases_expire_at;
         if !worthwhile {
             return HashSet::new();
         }
-        let overdue = now >= self.clocks.answering_since() + patience_ms;
+        let overdue = now >= self.clocks.answering_since() + patience;
         self.unreconciled_lost_machines(|machine| {
             overdue || !machine.has_reported && machine.state_probe.is_unresponsive()
         })
     }
 
-    /// How long a machine of each type may be idle, ms.
-    fn idle_timeouts_ms(&self) -> HashMap<String, u64> {
-        let timeout = |t: &MachineType| (t.name.clone(), self.idle_timeout_ms(t));
+    /// How long a machine of each type may be idle.
+    fn idle_timeouts(&self) -> HashMap<String, Duration> {
+        let timeout = |t: &MachineType| (t.name.clone(), self.idle_timeout(t));
         self.machine_types.iter().map(timeout).collect()
     }
 
-    /// How long a machine of this type may be idle, ms. As in ski rental, keeping it costs as much as
+    /// How long a machine of this type may be idle. As in ski rental, keeping it costs as much as
     /// replacing it once it has been idle for as long as a new one takes to boot and to fetch an
     /// image, which is time paid for without work.
-    fn idle_timeout_ms(&self, machine_type: &MachineType) -> u64 {
+    fn idle_timeout(&self, machine_type: &MachineType) -> Duration {
         let sizes_gb: Vec<f64> = self.jobs.values().map(|job| job.spec.image_gb).collect();
         let mean_gb = if sizes_gb.is_empty() {
             0.0
@@ -185,11 +187,11 @@
         };
         let replacement_s = machine_type.boot_s + machine_type.fetch_s(mean_gb);
         let default_ms = (replacement_s * constants::IDLE_RETURN_FACTOR * 1000.0) as u64;
-        self.config.operator.idle_return_ms.unwrap_or(default_ms)
+        Duration::from_millis(self.config.operator.idle_return_ms.unwrap_or(default_ms))
     }
 
     /// The cloud confirmed a deletion: the machines and all tasks on them are gone.
-    pub fn scale_in_finished(&mut self, names: &[String], now: u64) {
+    pub fn scale_in_finished(&mut self, names: &[String], now: MonotonicTime) {
         for name in names {
             self.remove_machine(name, now);
         }
--- a/crates/controller/src/cluster_state/scale_out.rs
+++ b/crates/controller/src/cluster_state/scale_out.rs
@@ -3,7 +3,7 @@
 use super::{ClusterState, Machine};
 use hookway_constants as constants;
 use hookway_policy::{MachineOffer, MachineView, Resources, ScalingPlan};
-use hookway_time::whole_millis;
+use hookway_time::MonotonicTime;
 use hookway_wire::ScaleOutRequest;
 use std::collections::{HashMap, HashSet};
 
@@ -31,16 +31,16 @@
     /// Number of requests of this term.
     last_request: u64,
     pending: Vec<PendingScaleOut>,
-    /// Pools without capacity, and until when they are not asked again, ms.
-    unavailable_until_ms: HashMap<CapacityPool, u64>,
+    /// Pools without capacity, and until when they are not asked again.
+    unavailable_until: HashMap<CapacityPool, MonotonicTime>,
 }
 
 impl ScaleOutState {
     /// Whether a pool may be asked for machines: it had capacity, and no request is in flight. What a
     /// request brings counts as booting machines, and more requests before its answer would only
     /// queue up.
-    fn may_request(&self, pool: CapacityPool, now: u64) -> bool {
-        let unavailable = self.unavailable_until_ms.get(&pool).is_some_and(|until| now < *until);
+    fn may_request(&self, pool: CapacityPool, now: MonotonicTime) -> bool {
+        let unavailable = self.unavailable_until.get(&pool).is_some_and(|until| now < *until);
         !unavailable && !self.pending.iter().any(|pending| pending.pool == pool)
     }
 
@@ -52,8 +52,12 @@
 }
 
 impl ClusterState {
-    /// What the cloud may be asked for at `now` (ms), outside of `partitioned` zones.
-    pub(super) fn offers(&self, partitioned: &HashSet<String>, now: u64) -> Vec<MachineOffer> {
+    /// What the cloud may be asked for at `now`, outside of `partitioned` zones.
+    pub(super) fn offers(
+        &self,
+        partitioned: &HashSet<String>,
+        now: MonotonicTime,
+    ) -> Vec<MachineOffer> {
         let mut offers = Vec::new();
         for (machine_type, offered) in self.machine_types.iter().enumerate() {
             for name in offered.zones.iter().filter(|name| !partitioned.contains(*name)) {
@@ -143,12 +147,12 @@
         request
     }
 
-    /// The cloud answered a scale-out request at `now` (ms). `None`: no capacity.
+    /// The cloud answered a scale-out request at `now`. `None`: no capacity.
     pub fn scale_out_finished(
         &mut self,
         request: &ScaleOutRequest,
         machines: Option<Vec<String>>,
-        now: u64,
+        now: MonotonicTime,
     ) {
         let Some(pending) = self.scale_outs.take(&request.request_id) else { return };
         let added = machines.as_ref().map_or(0, Vec::len);
@@ -156,8 +160,8 @@
             request = %pending.request_id, added, requested = pending.count, "scale out finished"
         );
         if added < pending.count as usize {
-            let until_ms = now + whole_millis(constants::UNAVAILABLE_CAPACITY);
-            self.scale_outs.unavailable_until_ms.insert(pending.pool, until_ms);
+            let until = now + constants::UNAVAILABLE_CAPACITY;
+            self.scale_outs.unavailable_until.insert(pending.pool, until);
         }
         for name in machines.unwrap_or_default() {
             if self.removed_machines.contains(&name) {
--- a/crates/controller/src/cluster_state/scheduling_round.rs
+++ b/crates/controller/src/cluster_state/scheduling_round.rs
@@ -4,8 +4,12 @@
 use super::{ClusterState, GangReservation, JobKey};
 use hookway_constants as constants;
 use hookway_policy::{QueueEntry, QuotaReservation, Victim, min_tasks, place, preempt};
-use hookway_time::whole_millis;
+use hookway_time::MonotonicTime;
 use std::collections::HashSet;
+use std::time::Duration;
+
+/// Lower bound of the share of the core that rounds may take, against division by zero.
+const MIN_CORE_SHARE: f64 = 0.001;
 
 /// Tasks of a job that the last round found no room for.
 #[derive(Debug, Clone, Copy)]
@@ -21,8 +25,8 @@
 /// What the last scheduling round left for heartbeats until the next one.
 #[derive(Debug, Default)]
 pub(super) struct LastRound {
-    /// When it took place, ms; 0 before the first one.
-    pub at_ms: u64,
+    /// When it took place; [`MonotonicTime::ZERO`] before the first one.
+    pub at: MonotonicTime,
     /// Tasks without room, in the order of the scheduling queue.
     pub unplaced: Vec<UnplacedDemand>,
     /// Parts of teams' quotas reserved for gangs that wait.
@@ -32,9 +36,9 @@
 }
 
 impl ClusterState {
-    /// Minimum interval between two rounds, ms: the estimated cost of a round, divided by the share
+    /// Minimum interval between two rounds: the estimated cost of a round, divided by the share
     /// of the core that rounds may take.
-    pub fn round_interval_ms(&self) -> u64 {
+    pub fn round_interval(&self) -> Duration {
         let machines = self.machines.len() as f64;
         let waiting_jobs =
             self.jobs.values().filter(|j| j.is_active() && !j.unplaced.is_empty()).count() as f64;
@@ -42,15 +46,13 @@
             constants::ROUND_COST_PER_MACHINE_US + waiting_jobs * constants::ROUND_COST_PER_PAIR_US;
         let cost_ms = machines * per_machine_us / 1000.0;
         let share = self.config.platform.machine_limits.core_share * constants::ROUND_CORE_SHARE;
-        ((cost_ms / share.max(0.001)) as u64).clamp(
-            whole_millis(constants::HEARTBEAT_ROUND_INTERVAL),
-            whole_millis(constants::MAX_ROUND_INTERVAL),
-        )
+        Duration::from_millis((cost_ms / share.max(MIN_CORE_SHARE)) as u64)
+            .clamp(constants::HEARTBEAT_ROUND_INTERVAL, constants::MAX_ROUND_INTERVAL)
     }
 
-    /// One scheduling round at `now` (ms).
-    pub fn scheduling_round(&mut self, now: u64) {
-        self.last_round.at_ms = now;
+    /// One scheduling round at `now`.
+    pub fn scheduling_round(&mut self, now: MonotonicTime) {
+        self.last_round.at = now;
         self.expire_leases(now);
         self.log_reconciliation(now);
         self.admit_machines(now);
@@ -72,10 +74,10 @@
     }
 
     /// Admits every machine to this leader's shard for the length of a shard lease.
-    fn admit_machines(&mut self, now: u64) {
-        let until_ms = now + self.config.operator.shard_lease_ms;
+    fn admit_machines(&mut self, now: MonotonicTime) {
+        let until = now + Duration::from_millis(self.config.operator.shard_lease_ms);
         for machine in self.machines.values_mut() {
-            machine.admit(until_ms);
+            machine.admit(until);
         }
     }
 
@@ -89,7 +91,7 @@
     }
 
     /// Places what has room, and keeps what has none for heartbeats.
-    fn place_startable_tasks(&mut self, snapshot: &mut SchedulingSnapshot, now: u64) {
+    fn place_startable_tasks(&mut self, snapshot: &mut SchedulingSnapshot, now: MonotonicTime) {
         let placed = place(&mut snapshot.cluster);
         let unplaced = |entry: &QueueEntry| UnplacedDemand {
             job: snapshot.job_keys[entry.job],
@@ -111,13 +113,13 @@
     }
 
     /// Stops tasks of lower priority for jobs without room, and reserves their machines.
-    fn preempt_for_unplaced_tasks(&mut self, snapshot: &SchedulingSnapshot, now: u64) {
-        let until_ms = now + whole_millis(constants::STOP_TIMEOUT);
+    fn preempt_for_unplaced_tasks(&mut self, snapshot: &SchedulingSnapshot, now: MonotonicTime) {
+        let until = now + constants::STOP_TIMEOUT;
         for preemption in preempt(&snapshot.cluster) {
             let job = snapshot.job_keys[preemption.job];
             for machine in &preemption.machines {
                 if let Some(machine) = self.machines.get_mut(&snapshot.machine_names[*machine]) {
-                    machine.reserved_for_gang = Some(GangReservation { job, until_ms });
+                    machine.reserved_for_gang = Some(GangReservation { job, until });
                 }
             }
             for Victim { machine, task } in preemption.victims {
--- a/crates/controller/src/cluster_state/silence.rs
+++ b/crates/controller/src/cluster_state/silence.rs
@@ -2,7 +2,9 @@
 
 use super::{ClusterState, Machine};
 use hookway_constants as constants;
+use hookway_time::MonotonicTime;
 use std::collections::{HashMap, HashSet};
+use std::time::Duration;
 
 /// Machines of a zone.
 #[derive(Debug, Clone, Copy, Default)]
@@ -45,22 +47,22 @@
         zones
     }
 
-    /// Time since the last response to a machine's worker, as far as this leader could answer, ms.
-    fn silence_ms(&self, machine: &Machine, now: u64) -> u64 {
-        now.saturating_sub(machine.last_response_at.max(self.clocks.resumed_at))
+    /// Time since the last response to a machine's worker, as far as this leader could answer.
+    fn silence(&self, machine: &Machine, now: MonotonicTime) -> Duration {
+        now.saturating_duration_since(machine.last_response_at.max(self.clocks.resumed_at))
     }
 
     /// Zones that can't be reached at this moment. Nothing is added there, and their machines are kept
     /// for a while: those that are gone are missing from the machine list.
-    pub(super) fn partitioned_zones(&self, now: u64) -> HashSet<String> {
-        let timeout_ms = self.heartbeat_timeout_ms();
+    pub(super) fn partitioned_zones(&self, now: MonotonicTime) -> HashSet<String> {
+        let timeout = self.heartbeat_timeout();
         let is_silent = |machine: &Machine| {
             let since = if machine.has_reported {
                 machine.last_response_at
             } else {
                 self.clocks.elected_at()
             };
-            now >= since.max(self.clocks.resumed_at) + timeout_ms
+            now >= since.max(self.clocks.resumed_at) + timeout
         };
         let zones = self.count_by_zone(
             |machine| machine.registered && !machine.zone.is_empty(),
@@ -70,18 +72,21 @@
         partitioned.map(|(zone, _)| (*zone).to_owned()).collect()
     }
 
-    /// Machines with tasks that have been silent for `patience_ms` while most others of their zone
+    /// Machines with tasks that have been silent for `patience` while most others of their zone
     /// have not. A deletion proves their tasks gone, which the machine list and their leases do only
     /// much later.
-    pub(super) fn silent_machines(&self, now: u64, patience_ms: u64) -> HashSet<String> {
+    pub(super) fn silent_machines(
+        &self,
+        now: MonotonicTime,
+        patience: Duration,
+    ) -> HashSet<String> {
         // In a partition machines fall silent one by one, each when its next heartbeat is due.
-        let timeout_ms = self.heartbeat_timeout_ms();
-        let zones = self.count_by_zone(Machine::is_live, |_, machine| {
-            self.silence_ms(machine, now) >= timeout_ms
-        });
+        let timeout = self.heartbeat_timeout();
+        let zones = self
+            .count_by_zone(Machine::is_live, |_, machine| self.silence(machine, now) >= timeout);
         let lost = |machine: &Machine| {
             machine.is_live()
-                && self.silence_ms(machine, now) >= patience_ms
+                && self.silence(machine, now) >= patience
                 && !machine.placed_tasks.is_empty()
         };
         self.lost_machines(&zones, |_, machine| lost(machine))
--- a/crates/controller/src/cluster_state/snapshot.rs
+++ b/crates/controller/src/cluster_state/snapshot.rs
@@ -4,6 +4,7 @@
 use hookway_policy::{
     ClusterSnapshot, JobView, MachineView, PlacedTaskView, Quota, Resources, TeamView,
 };
+use hookway_time::{MonotonicTime, seconds_f64};
 use std::collections::HashMap;
 
 /// A cluster snapshot for the policy, with what its indexes stand for.
@@ -38,8 +39,8 @@
         FreeResources { free, has_unknown_tasks }
     }
 
-    /// The cluster as the policy sees it at `now` (ms).
-    pub(super) fn scheduling_snapshot(&self, now: u64) -> SchedulingSnapshot {
+    /// The cluster as the policy sees it at `now`.
+    pub(super) fn scheduling_snapshot(&self, now: MonotonicTime) -> SchedulingSnapshot {
         let mut job_indexes: HashMap<JobKey, usize> = HashMap::new();
         let mut job_keys = Vec::new();
         let mut jobs = Vec::new();
@@ -59,7 +60,7 @@
             })
             .unzip();
         let cluster = ClusterSnapshot {
-            now: now as f64 / 1000.0,
+            now: now.as_seconds_f64(),
             cheapest_cpu_price: self.cheapest_cpu_price(),
             gang_requests: self.classes.values().filter(|c| c.gangs).map(|c| c.request).collect(),
             jobs,
@@ -146,7 +147,7 @@
             startable,
             crash_looping: job.is_crash_looping(),
             placed_per_zone: job.placed_per_zone.clone(),
-            waiting_since: job.waiting_since as f64 / 1000.0,
+            waiting_since: job.waiting_since.as_seconds_f64(),
         }
     }
 
@@ -156,7 +157,7 @@
         name: &str,
         machine: &Machine,
         job_indexes: &HashMap<JobKey, usize>,
-        now: u64,
+        now: MonotonicTime,
     ) -> Option<MachineView> {
         let machine_type =
             self.machine_types.iter().position(|t| t.name == machine.machine_type)?;
@@ -189,7 +190,7 @@
             images: machine.images.iter().map(|cached| cached.image).collect(),
             schedulable: machine.has_reported
                 && !closed
-                && now < machine.last_response_at + self.missed_heartbeat_ms()
+                && now < machine.last_response_at + self.missed_heartbeat()
                 && now >= machine.backoff_until
                 && machine.is_admitted(now),
             booting: !machine.has_reported && !closed,
@@ -201,23 +202,19 @@
         })
     }
 
-    /// Time after a response from which a machine without a new heartbeat gets no new task, ms.
-    fn missed_heartbeat_ms(&self) -> u64 {
-        (self.config.platform.workers.heartbeat_interval_s * 2000.0) as u64
-    }
-
     /// A placed task as the policy sees it; `None` if its job is not in the snapshot.
     fn placed_task_view(
         &self,
         id: u64,
         placed: &PlacedTask,
         job_indexes: &HashMap<JobKey, usize>,
-        now: u64,
+        now: MonotonicTime,
     ) -> Option<PlacedTaskView> {
         let key = placed.job?;
         let job = self.jobs.get(&key)?;
-        let running_s =
-            placed.running_since.map_or(0.0, |since| now.saturating_sub(since) as f64 / 1e3);
+        let running_s = placed
+            .running_since
+            .map_or(0.0, |since| seconds_f64(now.saturating_duration_since(since)));
         Some(PlacedTaskView {
             id,
             job: *job_indexes.get(&key)?,
--- a/crates/controller/src/cluster_state/spare_machines.rs
+++ b/crates/controller/src/cluster_state/spare_machines.rs
@@ -2,8 +2,9 @@
 //! ready.
 
 use super::class_history::ClassHistory;
-use super::{ClusterState, Job, Machine, worker_lease_expiry_ms};
+use super::{ClusterState, Job, Machine, worker_lease_expiry};
 use hookway_policy::Resources;
+use hookway_time::MonotonicTime;
 use hookway_wire::MachineType;
 use std::collections::HashSet;
 
@@ -24,8 +25,8 @@
 }
 
 impl ClusterState {
-    /// Records how many machines each class needs at `now` (ms).
-    pub(super) fn record_demand(&mut self, now: u64) {
+    /// Records how many machines each class needs at `now`.
+    pub(super) fn record_demand(&mut self, now: MonotonicTime) {
         for (name, class) in &mut self.classes {
             let tasks: u32 = self
                 .jobs
@@ -42,7 +43,7 @@
     }
 
     /// Machines that stay although idle.
-    pub(super) fn spare_machines(&self, now: u64) -> HashSet<String> {
+    pub(super) fn spare_machines(&self, now: MonotonicTime) -> HashSet<String> {
         let objectives = self.config.platform.objectives.iter();
         objectives
             .filter(|objective| objective.kind == "wait")
@@ -57,7 +58,7 @@
 
     /// The spares of a class: as many as it needed at a time of late, less those that run its tasks,
     /// and one in any case. Those with most of the class's images come first, then the cheapest.
-    fn spare_machines_of(&self, class: &SpareClass<'_>, now: u64) -> Vec<String> {
+    fn spare_machines_of(&self, class: &SpareClass<'_>, now: MonotonicTime) -> Vec<String> {
         let mut candidates: Vec<Candidate<'_>> = Vec::new();
         let mut busy_machines = 0;
         for (name, machine) in &self.machines {
@@ -93,17 +94,17 @@
         machine: &Machine,
         machine_type: &MachineType,
         class: &SpareClass<'_>,
-        now: u64,
+        now: MonotonicTime,
     ) -> bool {
         let history = class.history;
         let ready_s = machine_type.boot_s + machine_type.fetch_s(history.image_gb);
-        let lease_ms = worker_lease_expiry_ms(&self.config.platform);
+        let lease = worker_lease_expiry(&self.config.platform);
         let ready_in_time = ready_s < class.start_within_s;
         !ready_in_time
             && machine.has_reported
             && !machine.is_draining()
             && (!machine.spot || history.spot)
             && Resources::of_machine_type(machine_type).fits(&history.request)
-            && now < machine.last_response_at + lease_ms
+            && now < machine.last_response_at + lease
     }
 }
--- a/crates/controller/src/cluster_state/standby_feed.rs
+++ b/crates/controller/src/cluster_state/standby_feed.rs
@@ -8,7 +8,7 @@
 use crate::networks::Networks;
 use hookway_constants as constants;
 use hookway_replication::{JobHints, MachineView, Publisher, ReplicatedState, Stage, TaskView};
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, WallTime};
 use hookway_wire::{JobId, TaskState};
 
 /// What a new leader took from its replicated state.
@@ -109,8 +109,9 @@
         let mut hints = JobHints { attempt, ..JobHints::default() };
         if job.consecutive_failures > 0 {
             hints.errors = job.consecutive_failures;
-            hints.failed_at = self.clocks.elected.wall_at_monotonic(job.last_failure_at);
-            hints.paused_until = self.clocks.elected.wall_at_monotonic(job.backoff_until);
+            let elected = self.clocks.elected;
+            hints.failed_at = elected.wall_at_monotonic(job.last_failure_at).as_unix_millis();
+            hints.paused_until = elected.wall_at_monotonic(job.backoff_until).as_unix_millis();
             hints.failed_on = job.failed_machines.iter().cloned().collect();
         }
         Some(hints)
@@ -122,7 +123,7 @@
         &mut self,
         copy: &ReplicatedState,
         workers: &Networks,
-        now: u64,
+        now: MonotonicTime,
     ) -> WarmStart {
         let mut taken = WarmStart::default();
         for (name, known) in &copy.machines {
@@ -141,12 +142,13 @@
                 taken.gangs += 1;
             }
             if hints.errors > 0 && job.consecutive_failures == 0 {
-                let latest = now + whole_millis(constants::FAILURE_BACKOFF_MAX);
+                let latest = now + constants::FAILURE_BACKOFF_MAX;
                 job.consecutive_failures = hints.errors.min(constants::MAX_RESUMED_FAILURES);
-                job.last_failure_at =
-                    self.clocks.elected.monotonic_at_wall(hints.failed_at).min(now);
-                job.backoff_until =
-                    self.clocks.elected.monotonic_at_wall(hints.paused_until).min(latest);
+                let elected = self.clocks.elected;
+                let failed_at = WallTime::from_unix_millis(hints.failed_at);
+                let paused_until = WallTime::from_unix_millis(hints.paused_until);
+                job.last_failure_at = elected.monotonic_at_wall(failed_at).min(now);
+                job.backoff_until = elected.monotonic_at_wall(paused_until).min(latest);
                 let kept = hints.failed_on.iter().take(constants::MAX_FAILED_MACHINES);
                 job.failed_machines = kept.cloned().collect();
                 taken.failing_jobs += 1;
--- a/crates/controller/src/cluster_state/startable_tasks.rs
+++ b/crates/controller/src/cluster_state/startable_tasks.rs
@@ -2,10 +2,11 @@
 
 use super::{ClusterState, Job};
 use crate::settings::Team;
+use hookway_time::MonotonicTime;
 
 impl ClusterState {
-    /// Number of tasks of a job that may be started at `now` (ms).
-    pub(super) fn startable_now(&self, job: &Job, now: u64) -> u32 {
+    /// Number of tasks of a job that may be started at `now`.
+    pub(super) fn startable_now(&self, job: &Job, now: MonotonicTime) -> u32 {
         let team = self.config.platform.teams.get(job.team);
         let has_quota = team.is_some_and(Team::limited);
         // Until all machines are reconciled, a task of an inherited job may be on a machine that has
--- a/crates/controller/src/cluster_state/state_probe.rs
+++ b/crates/controller/src/cluster_state/state_probe.rs
@@ -3,7 +3,7 @@
 use super::heartbeat_tasks::MessageKind;
 use super::{ClusterState, MessageVersion};
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::MonotonicTime;
 use hookway_wire::Heartbeat;
 
 /// The state probes of all machines.
@@ -11,14 +11,14 @@
 pub(super) struct StateProbes {
     /// Number of probes in flight.
     pub in_flight: usize,
-    /// Workers without a heartbeat are probed from then on, ms.
-    pub start_at: u64,
+    /// Workers without a heartbeat are probed from then on.
+    pub start_at: MonotonicTime,
 }
 
 impl StateProbes {
-    /// No probes yet, of a leader that was elected at `elected_at` (ms).
-    pub fn new(elected_at: u64) -> Self {
-        Self { in_flight: 0, start_at: elected_at + whole_millis(constants::STATE_PROBE_DELAY) }
+    /// No probes yet, of a leader that was elected at `elected_at`.
+    pub fn new(elected_at: MonotonicTime) -> Self {
+        Self { in_flight: 0, start_at: elected_at + constants::STATE_PROBE_DELAY }
     }
 
     /// A probe has ended.
@@ -33,8 +33,8 @@
     in_flight: bool,
     /// Consecutive probes without an answer.
     unanswered: u32,
-    /// When the last probe was sent, ms.
-    last_sent_at: Option<u64>,
+    /// When the last probe was sent.
+    last_sent_at: Option<MonotonicTime>,
 }
 
 impl StateProbe {
@@ -43,14 +43,14 @@
         self.in_flight
     }
 
-    /// Whether another probe may be sent at `now` (ms).
-    pub fn due(&self, now: u64) -> bool {
-        let retry_due = |sent_at: u64| now >= sent_at + whole_millis(constants::STATE_PROBE_RETRY);
+    /// Whether another probe may be sent at `now`.
+    pub fn due(&self, now: MonotonicTime) -> bool {
+        let retry_due = |sent_at: MonotonicTime| now >= sent_at + constants::STATE_PROBE_RETRY;
         !self.in_flight && self.last_sent_at.is_none_or(retry_due)
     }
 
-    /// A probe is sent at `now` (ms).
-    pub fn begin(&mut self, now: u64) {
+    /// A probe is sent at `now`.
+    pub fn begin(&mut self, now: MonotonicTime) {
         self.in_flight = true;
         self.last_sent_at = Some(now);
     }
@@ -82,7 +82,7 @@
     /// some seconds for each controller that hangs, and shows the new token with the heartbeat after
     /// that, which may be its next regular one; until all workers have, most work of earlier terms
     /// waits.
-    pub fn take_state_probes(&mut self, now: u64) -> Vec<(String, String)> {
+    pub fn take_state_probes(&mut self, now: MonotonicTime) -> Vec<(String, String)> {
         let room = constants::MAX_STATE_PROBES.saturating_sub(self.state_probes.in_flight);
         if now < self.state_probes.start_at {
             return Vec::new();
@@ -102,12 +102,12 @@
         probes
     }
 
-    /// Takes in the answer of a probed worker, received at `now` (ms); `None` if there was none.
+    /// Takes in the answer of a probed worker, received at `now`; `None` if there was none.
     ///
     /// With this term's fencing token it names every task: the worker refuses whatever an earlier
     /// leader sent. It extends no lease; but the worker may be in an incarnation whose lease began
     /// just now.
-    pub fn state_probed(&mut self, name: &str, answer: Option<Heartbeat>, now: u64) {
+    pub fn state_probed(&mut self, name: &str, answer: Option<Heartbeat>, now: MonotonicTime) {
         let answer = answer.filter(|a| a.machine == name && a.fencing_token >= self.term);
         let Some(machine) = self.machines.get_mut(name) else { return };
         if machine.state_probe.is_in_flight() {
--- a/crates/controller/src/cluster_state/summary.rs
+++ b/crates/controller/src/cluster_state/summary.rs
@@ -1,6 +1,7 @@
 //! A summary of the cluster, for the log.
 
 use super::ClusterState;
+use hookway_time::MonotonicTime;
 
 /// The state of the cluster in one line of the log.
 #[derive(Debug, Clone, PartialEq)]
@@ -30,8 +31,8 @@
 }
 
 impl ClusterState {
-    /// A summary of the cluster at `now` (ms).
-    pub fn summary(&self, now: u64) -> Summary {
+    /// A summary of the cluster at `now`.
+    pub fn summary(&self, now: MonotonicTime) -> Summary {
         let cluster = self.scheduling_snapshot(now).cluster;
         let up = || cluster.machines.iter().filter(|machine| !machine.booting);
         let total: f64 = up().map(|machine| machine.total.cpus).sum();
--- a/crates/controller/src/cluster_state/task_adoption.rs
+++ b/crates/controller/src/cluster_state/task_adoption.rs
@@ -1,6 +1,7 @@
 //! Adoption of tasks that a worker reports and that this leader did not place there.
 
 use super::{ClusterState, EndedTask, Job, JobKey, PlacedTask, TaskPhase, TaskPlacement};
+use hookway_time::MonotonicTime;
 use hookway_wire::{ExitCause, TaskId, TaskState, TaskStatus};
 
 impl ClusterState {
@@ -10,7 +11,7 @@
         name: &str,
         task: &TaskId,
         reported: &TaskStatus,
-        now: u64,
+        now: MonotonicTime,
     ) {
         let key = self.job_with_task(task);
         if reported.state == TaskState::Ended {
@@ -48,7 +49,7 @@
         key: Option<JobKey>,
         index: u32,
         reported: &TaskStatus,
-        now: u64,
+        now: MonotonicTime,
     ) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let mut orphaned = true;
--- a/crates/controller/src/cluster_state/task_end.rs
+++ b/crates/controller/src/cluster_state/task_end.rs
@@ -2,8 +2,13 @@
 
 use super::{ClusterState, CordonReason, Job, JobKey, PlacedTask};
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, millis_f64};
 use hookway_wire::ExitCause;
+use std::time::Duration;
+
+/// Intervals between heartbeats: when a task ended that is reported after a longer silence is not
+/// known well enough.
+const KNOWN_END_INTERVALS: f64 = 2.0;
 
 impl ClusterState {
     /// A placed task has ended on a machine.
@@ -13,7 +18,7 @@
         key: JobKey,
         placed: &PlacedTask,
         cause: ExitCause,
-        now: u64,
+        now: MonotonicTime,
     ) {
         let daemon = self.jobs.get(&key).is_some_and(|job| job.spec.is_daemon());
         if cause == ExitCause::Done && !daemon {
@@ -24,14 +29,14 @@
     }
 
     /// A task that is no replica of a daemon is done.
-    fn task_done(&mut self, name: &str, key: JobKey, placed: &PlacedTask, now: u64) {
-        let run_time_ms = self.known_run_time_ms(name, placed, now);
+    fn task_done(&mut self, name: &str, key: JobKey, placed: &PlacedTask, now: MonotonicTime) {
+        let run_time = self.known_run_time(name, placed, now);
         let mean_ms = self.jobs.get(&key).and_then(Job::reliable_mean_run_time_ms);
-        self.complete_task(key, placed.index, run_time_ms);
+        self.complete_task(key, placed.index, run_time);
         let Some(machine) = self.machines.get_mut(name) else { return };
         machine.failed_jobs.clear();
-        let (Some(run_time_ms), Some(mean_ms)) = (run_time_ms, mean_ms) else { return };
-        let slow = run_time_ms as f64 > mean_ms * constants::SLOW_TASK_RATIO;
+        let (Some(run_time), Some(mean_ms)) = (run_time, mean_ms) else { return };
+        let slow = millis_f64(run_time) > mean_ms * constants::SLOW_TASK_RATIO;
         machine.consecutive_slow_tasks = if slow { machine.consecutive_slow_tasks + 1 } else { 0 };
         if machine.consecutive_slow_tasks >= constants::SLOW_TASKS
             && machine.cordon(CordonReason::Slow)
@@ -40,14 +45,21 @@
         }
     }
 
-    /// Run time of a task that ended, ms, if it is known. After a silence nobody knows when it ended,
+    /// Run time of a task that ended, if it is known. After a silence nobody knows when it ended,
     /// and of an adopted task, when it began: such times would make the mean too short.
-    fn known_run_time_ms(&self, name: &str, placed: &PlacedTask, now: u64) -> Option<u64> {
-        let answered_at = self.machines.get(name).map_or(0, |m| m.last_response_at);
-        let silence_ms = now.saturating_sub(answered_at) as f64;
-        let after_silence = silence_ms > 2.0 * self.heartbeat_interval_ms();
+    fn known_run_time(
+        &self,
+        name: &str,
+        placed: &PlacedTask,
+        now: MonotonicTime,
+    ) -> Option<Duration> {
+        let answered_at =
+            self.machines.get(name).map_or(MonotonicTime::ZERO, |m| m.last_response_at);
+        let silence = now.saturating_duration_since(answered_at);
+        let after_silence =
+            millis_f64(silence) > KNOWN_END_INTERVALS * self.heartbeat_interval_ms();
         let known = !after_silence && !placed.adopted;
-        placed.running_since.filter(|_| known).map(|since| now.saturating_sub(since))
+        placed.running_since.filter(|_| known).map(|since| now.saturating_duration_since(since))
     }
 
     /// An attempt ended without completing its task.
@@ -57,7 +69,7 @@
         key: JobKey,
         placed: &PlacedTask,
         cause: ExitCause,
-        now: u64,
+        now: MonotonicTime,
     ) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         if !placed.orphaned && !job.completion.is_final() {
@@ -70,17 +82,15 @@
                 job.replica_completed(name, placed.running_since, placed.placed_at, now);
             }
             ExitCause::InsufficientResources | ExitCause::AttemptConflict => {
-                machine.backoff_until = now + whole_millis(constants::REJECTED_START_BACKOFF);
-            }
-            ExitCause::UnknownJob => {
-                job.backoff_until = now + whole_millis(constants::FAILURE_BACKOFF)
+                machine.backoff_until = now + constants::REJECTED_START_BACKOFF;
             }
+            ExitCause::UnknownJob => job.backoff_until = now + constants::FAILURE_BACKOFF,
             _ => {}
         }
     }
 
-    /// A task has completed; of a gang, all tasks have. `run_time_ms` is its run time if known.
-    pub(super) fn complete_task(&mut self, key: JobKey, index: u32, run_time_ms: Option<u64>) {
+    /// A task has completed; of a gang, all tasks have. `run_time` is its run time if known.
+    pub(super) fn complete_task(&mut self, key: JobKey, index: u32, run_time: Option<Duration>) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         if job.completion.is_final() || job.spec.is_daemon() {
             return;
@@ -94,9 +104,9 @@
                 continue;
             }
             if i == index
-                && let Some(run_time_ms) = run_time_ms
+                && let Some(run_time) = run_time
             {
-                job.run_time_sum_ms += run_time_ms;
+                job.run_time_sum += run_time;
                 job.run_time_count += 1;
             }
             let page = job.progress.page_of(i);
--- a/crates/controller/src/cluster_state/task_removal.rs
+++ b/crates/controller/src/cluster_state/task_removal.rs
@@ -1,6 +1,7 @@
 //! Removal of tasks from their machines: they ended, are lost, or were never started.
 
 use super::{ClusterState, Job, PlacedTask, TaskAttempt, TaskPhase, TaskPlacement};
+use hookway_time::MonotonicTime;
 use hookway_wire::ExitCause;
 
 /// How a placed task left its machine.
@@ -21,7 +22,7 @@
         name: &str,
         placed: &PlacedTask,
         removal: TaskRemoval,
-        now: u64,
+        now: MonotonicTime,
     ) {
         let Some(key) = placed.job else {
             self.unknown_tasks = self.unknown_tasks.saturating_sub(1);
@@ -59,7 +60,12 @@
     }
 
     /// All tasks on a machine are gone. Starts that were never sent count as not started.
-    pub(super) fn remove_all_tasks(&mut self, name: &str, now: u64, removal: TaskRemoval) {
+    pub(super) fn remove_all_tasks(
+        &mut self,
+        name: &str,
+        now: MonotonicTime,
+        removal: TaskRemoval,
+    ) {
         self.mark_unpublished(name);
         self.uncount_running(name);
         let Some(machine) = self.machines.get_mut(name) else { return };
@@ -72,7 +78,7 @@
     }
 
     /// A machine is proven gone.
-    pub(super) fn remove_machine(&mut self, name: &str, now: u64) {
+    pub(super) fn remove_machine(&mut self, name: &str, now: MonotonicTime) {
         self.remove_all_tasks(name, now, TaskRemoval::Lost);
         let removed = self.machines.remove(name);
         if removed.is_some_and(|machine| machine.state_probe.is_in_flight()) {
@@ -86,7 +92,7 @@
     }
 
     /// Cancels all starts on a machine that were never sent.
-    pub(super) fn cancel_planned_starts(&mut self, name: &str, now: u64) {
+    pub(super) fn cancel_planned_starts(&mut self, name: &str, now: MonotonicTime) {
         let Some(machine) = self.machines.get(name) else { return };
         let planned: Vec<TaskAttempt> = machine
             .placed_tasks
@@ -100,7 +106,12 @@
     }
 
     /// Cancels a start that was never sent.
-    pub(super) fn cancel_planned_start(&mut self, name: &str, start: &TaskAttempt, now: u64) {
+    pub(super) fn cancel_planned_start(
+        &mut self,
+        name: &str,
+        start: &TaskAttempt,
+        now: MonotonicTime,
+    ) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let position = machine.placed_tasks.iter().position(|placed| {
             placed.phase == TaskPhase::Planned
--- a/crates/controller/src/leadership/clock.rs
+++ b/crates/controller/src/leadership/clock.rs
@@ -1,6 +1,7 @@
 //! The clocks of this process.
 
 use crate::cluster_state::Timestamp;
+use hookway_time::{MonotonicTime, WallTime};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
@@ -29,7 +30,10 @@
 
     /// Reads both clocks.
     pub fn timestamp(&self) -> Timestamp {
-        Timestamp { monotonic: self.now(), wall: wall_clock_ms() }
+        Timestamp {
+            monotonic: MonotonicTime::from_millis(self.now()),
+            wall: WallTime::from_unix_millis(wall_clock_ms()),
+        }
     }
 }
 
--- a/crates/controller/tests/cluster_state/autoscaling.rs
+++ b/crates/controller/tests/cluster_state/autoscaling.rs
@@ -1,8 +1,10 @@
 //! Autoscaling: scale-out, machines that do not boot, and machines kept for a class.
 
-use crate::harness::{LeaderHarness, job, listed_machine, small_worker, test_config};
+use crate::harness::{
+    LeaderHarness, at, job, listed_machine, ms, small_worker, test_config, timestamp,
+};
 use hookway_controller::cluster_state::{
-    ClusterState, ControllerConfig, LoadedState, ScalingAction, Timestamp,
+    ClusterState, ControllerConfig, LoadedState, ScalingAction,
 };
 use hookway_controller::records::LEADER_KEY;
 use hookway_controller::settings::Settings;
@@ -16,7 +18,7 @@
     let mut rented = 0;
     let mut deleted = Vec::new();
     for _ in 0..200 {
-        harness.now += 1_000;
+        harness.now += ms(1_000);
         for action in harness.cluster.autoscaling_round(harness.now) {
             match action {
                 ScalingAction::ScaleOut(request) => {
@@ -58,7 +60,7 @@
     let mut waiting: Vec<hookway_wire::ScaleOutRequest> = Vec::new();
     let mut asked = std::collections::BTreeSet::new();
     for _ in 0..40 {
-        harness.now += 1_000;
+        harness.now += ms(1_000);
         for action in harness.cluster.autoscaling_round(harness.now) {
             if let ScalingAction::ScaleOut(request) = action {
                 let offer = (request.zone.clone(), request.spot);
@@ -101,9 +103,10 @@
         ..LoadedState::default()
     };
     let guard = Precondition { key: LEADER_KEY.into(), mod_revision: stamp };
-    let at = Timestamp { monotonic: 20_000, wall: 1_020_000 };
-    let cluster = ClusterState::new(config, 5_000, guard, machine_types(), loaded, at);
-    let mut next = LeaderHarness { cluster, store: harness.store.clone(), now: 20_000 };
+    let now = at(20_000);
+    let elected = timestamp(now);
+    let cluster = ClusterState::new(config, 5_000, guard, machine_types(), loaded, elected);
+    let mut next = LeaderHarness { cluster, store: harness.store.clone(), now };
     for _ in 0..60 {
         next.run_rounds(&mut [&mut w]);
         for action in next.cluster.autoscaling_round(next.now) {
--- a/crates/controller/tests/cluster_state/cancellation.rs
+++ b/crates/controller/tests/cluster_state/cancellation.rs
@@ -1,8 +1,9 @@
 //! CancelOutcome: one outcome per job, and tasks that are stopped under every leader.
 
-use crate::harness::{LeaderHarness, job, one_running_task, small_worker};
+use crate::harness::{LeaderHarness, at, job, one_running_task, small_worker};
 use hookway_controller::cluster_state::Timestamp;
 use hookway_controller::records::{JobRecord, job_key};
+use hookway_time::WallTime;
 use hookway_wire::{ExitCause, JobState};
 
 #[test]
@@ -47,7 +48,7 @@
         has_start_watermark: true,
     };
     let value = serde_json::to_value(record).expect("a record");
-    let at = Timestamp { monotonic: harness.now, wall: 0 };
+    let at = Timestamp { monotonic: harness.now, wall: WallTime::default() };
     harness.cluster.add_job(&job_key(&id), value, at, false);
     harness.run_rounds(&mut [&mut w, &mut late]);
     assert_eq!((w.started_attempts.len(), late.started_attempts.len()), (1, 0));
@@ -58,7 +59,7 @@
     let (mut harness, mut w, id) = one_running_task();
     harness.cluster.cancel(&id);
     harness.commit_pending();
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, 9_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(9_000));
     next.run_rounds(&mut [&mut w]);
     assert_eq!(w.unfinished_tasks().len(), 0);
 }
--- a/crates/controller/tests/cluster_state/commit_queue.rs
+++ b/crates/controller/tests/cluster_state/commit_queue.rs
@@ -1,8 +1,10 @@
 //! The commit queue: durability before any answer, preconditions, splitting and retries of transactions.
 
-use crate::harness::{LeaderHarness, job, one_running_task, small_worker, test_config};
+use crate::harness::{
+    LeaderHarness, at, job, ms, one_running_task, small_worker, test_config, timestamp,
+};
 use hookway_controller::cluster_state::{
-    CancelOutcome, ClusterState, CommitResult, JobLookup, LoadedState, Timestamp,
+    CancelOutcome, ClusterState, CommitResult, JobLookup, LoadedState,
 };
 use hookway_controller::records::{LEADER_KEY, final_state_key, job_key};
 use hookway_testkit::{ScriptedWorker, machine_types};
@@ -33,7 +35,7 @@
     harness.cluster.committed(commit, CommitResult::Applied(revision), harness.now);
     assert_eq!(harness.cluster.take_completed_jobs()[0].1.state, JobState::Done);
     w.handle_response(&answer);
-    harness.now += 500;
+    harness.now += ms(500);
     let commands = harness.heartbeat(&mut w);
     assert!(commands.iter().any(|o| matches!(o, Command::Reap { .. })));
 }
@@ -45,7 +47,7 @@
     let report = w.heartbeat();
     harness.cluster.handle_heartbeat(&report, harness.now);
     let late = harness.cluster.next_commit(harness.now).expect("the end");
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, 9_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(9_000));
     assert_eq!(next.cluster.cancel(&id), CancelOutcome::Pending);
     next.commit_pending();
     assert!(next.store.commit(&late.transaction).is_err(), "the guard on the leader's key");
@@ -102,12 +104,13 @@
         key: LEADER_KEY.into(),
         mod_revision: harness.store.put(LEADER_KEY, 1.into()),
     };
-    let at = Timestamp { monotonic: 0, wall: 1_000_000 };
-    harness.cluster = ClusterState::new(big, 1, guard, machine_types(), LoadedState::default(), at);
+    let elected = timestamp(at(0));
+    harness.cluster =
+        ClusterState::new(big, 1, guard, machine_types(), LoadedState::default(), elected);
     // Several times the load of a job wave: thousands of machines, and jobs that all finish at once.
     for n in 0..6_000 {
         let name = format!("m-{n:06}");
-        harness.cluster.handle_heartbeat(&small_worker(&name, "a").heartbeat(), 0);
+        harness.cluster.handle_heartbeat(&small_worker(&name, "a").heartbeat(), at(0));
     }
     for n in 0..3_000 {
         let id = harness.submit(job(&format!("req-{n:06}"), "array", 1));
@@ -125,7 +128,7 @@
         }
         let revision = harness.store.commit(&commit.transaction).expect("applied");
         harness.cluster.committed(commit, CommitResult::Applied(revision), harness.now);
-        harness.now += 1_000;
+        harness.now += ms(1_000);
         commits += 1;
     }
     assert!(commits > 10);
@@ -168,7 +171,7 @@
         harness.heartbeat(&mut more[n]);
         harness.heartbeat(&mut more[n + 1]);
         harness.submit(job(ids[0], "array", tasks));
-        harness.now += 500;
+        harness.now += ms(500);
         harness.cluster.scheduling_round(harness.now);
         let old_mark = unanswered(&mut harness);
         harness.commit_pending();
@@ -195,7 +198,7 @@
 fn commit_within(harness: &mut LeaderHarness, most_changes: usize) -> Vec<usize> {
     let mut applied = Vec::new();
     for _ in 0..60 {
-        harness.now += 1_000;
+        harness.now += ms(1_000);
         let Some(commit) = harness.cluster.next_commit(harness.now) else { continue };
         let changes = commit.transaction.operations.len();
         let result = if changes > most_changes {
@@ -234,19 +237,19 @@
     }
     let mut tries = 0;
     for _ in 0..40 {
-        harness.now += 500;
+        harness.now += ms(500);
         let Some(commit) = harness.cluster.next_commit(harness.now) else { continue };
         let poisoned =
             commit.transaction.operations.iter().any(|c| c.key() == final_state_key(&ids[0]));
         tries += usize::from(poisoned);
         // The state service accepts the operation after some seconds.
-        let result = if poisoned && harness.now < 12_000 {
+        let result = if poisoned && harness.now < at(12_000) {
             CommitResult::Rejected
         } else {
             CommitResult::Applied(harness.store.commit(&commit.transaction).expect("applied"))
         };
         harness.cluster.committed(commit, result, harness.now);
-        if harness.now == 4_000 {
+        if harness.now == at(4_000) {
             assert_eq!(harness.stored_final_state(&ids[1]).as_deref(), Some("withdrawn"));
             assert_eq!(harness.stored_final_state(&ids[0]), None);
         }
--- a/crates/controller/tests/cluster_state/direct_dispatch.rs
+++ b/crates/controller/tests/cluster_state/direct_dispatch.rs
@@ -1,6 +1,6 @@
 //! Direct dispatch: commands sent straight to a worker may arrive late, twice or never.
 
-use crate::harness::{LeaderHarness, job, small_worker};
+use crate::harness::{LeaderHarness, job, ms, small_worker};
 use hookway_clients::Delivery;
 use hookway_testkit::ScriptedWorker;
 use hookway_wire::{DirectCommands, ExitCause, JobId, JobState};
@@ -83,7 +83,7 @@
         [],
         "the worker had not seen the higher token when it reported"
     );
-    harness.now += 5_000;
+    harness.now += ms(5_000);
     harness.run_rounds(&mut [&mut w]);
     assert_eq!(w.handle_direct_commands(&commands), None, "the late command is refused");
     assert_eq!(w.started_attempts.len() + other.started_attempts.len(), 1);
--- a/crates/controller/tests/cluster_state/failure_attribution.rs
+++ b/crates/controller/tests/cluster_state/failure_attribution.rs
@@ -1,6 +1,6 @@
 //! Failure attribution: failing jobs and faulty machines are told apart.
 
-use crate::harness::{LeaderHarness, job, small_worker};
+use crate::harness::{LeaderHarness, at, job, ms, small_worker};
 use crate::support::workers;
 use hookway_controller::cluster_state::{JobLookup, ScalingAction};
 use hookway_wire::{ExitCause, JobId};
@@ -13,7 +13,7 @@
     for _ in 0..6 {
         harness.run_rounds(&mut [&mut w]);
         w.end_task("req-000001/0", ExitCause::Error);
-        harness.now += 31_000 / 4;
+        harness.now += ms(31_000 / 4);
         harness.run_rounds(&mut [&mut w]);
     }
     let fleet = harness.cluster.autoscaling_round(harness.now);
@@ -52,7 +52,7 @@
     let returned = harness.cluster.autoscaling_round(harness.now);
     let deleted = returned.iter().any(|a| matches!(a, ScalingAction::ScaleIn(_)));
     assert!(!deleted, "many jobs failed on each machine, and each of them on many: {returned:?}");
-    let late = tries.iter().filter(|at| **at > 30_000).count();
+    let late = tries.iter().filter(|tried_at| **tried_at > at(30_000)).count();
     assert!((1..=12).contains(&late), "{late} tries of four jobs in the second half minute");
     let JobLookup::Known(status) = harness.cluster.status(&ids[0]) else { panic!("it is known") };
     assert!(status.notes.iter().any(|n| n.contains("ran on none")), "{:?}", status.notes);
@@ -93,7 +93,7 @@
         }
     }
     assert_eq!(done, 6);
-    assert!(harness.now - begun < 12_000, "{} ms", harness.now - begun);
+    assert!(harness.now - begun < ms(12_000), "{:?}", harness.now - begun);
     let mut gone = Vec::new();
     for _ in 0..20 {
         harness.heartbeat(&mut bad);
--- a/crates/controller/tests/cluster_state/heartbeats.rs
+++ b/crates/controller/tests/cluster_state/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats: their order, lost responses, duplicates, and the isolation of a leader that receives none.
 
-use crate::harness::{LeaderHarness, job, small_worker, test_config};
-use hookway_controller::cluster_state::worker_lease_expiry_ms;
+use crate::harness::{LeaderHarness, at, job, ms, small_worker, test_config};
+use hookway_controller::cluster_state::worker_lease_expiry;
 use hookway_testkit::ScriptedWorker;
 use hookway_wire::{Command, JobId};
 
@@ -11,14 +11,17 @@
     let (mut one, mut two) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.run_rounds(&mut [&mut one, &mut two]);
     assert!(!harness.cluster.all_workers_silent(harness.now));
-    harness.now += 3_000;
+    harness.now += ms(3_000);
     harness.heartbeat(&mut two);
-    assert!(!harness.cluster.all_workers_silent(harness.now + 4_000), "one of them still reports");
-    assert!(harness.cluster.all_workers_silent(harness.now + 6_500));
+    assert!(
+        !harness.cluster.all_workers_silent(harness.now + ms(4_000)),
+        "one of them still reports"
+    );
+    assert!(harness.cluster.all_workers_silent(harness.now + ms(6_500)));
     // The next leader, partitioned from all workers from the start.
-    let next = LeaderHarness::lead(harness.store.clone(), 2, 200_000);
-    assert!(!next.cluster.all_workers_silent(203_000));
-    assert!(next.cluster.all_workers_silent(207_000));
+    let next = LeaderHarness::lead(harness.store.clone(), 2, at(200_000));
+    assert!(!next.cluster.all_workers_silent(at(203_000)));
+    assert!(next.cluster.all_workers_silent(at(207_000)));
 }
 
 #[test]
@@ -49,12 +52,12 @@
     let report = w.heartbeat();
     let lost = harness.cluster.handle_heartbeat(&report, harness.now).expect("an answer");
     assert!(matches!(lost.commands[..], [Command::Run { .. }]));
-    harness.now += 4_000;
+    harness.now += ms(4_000);
     harness.heartbeat(&mut w);
     assert_eq!(w.started_attempts.len(), 1);
     let before = harness.now;
     harness.run_rounds(&mut [&mut w]);
-    assert_eq!(w.started_attempts.len(), 1, "since {before} it is known to be there");
+    assert_eq!(w.started_attempts.len(), 1, "since {before:?} it is known to be there");
 }
 
 #[test]
@@ -67,7 +70,7 @@
     harness.cluster.handle_heartbeat(&copy, harness.now);
     // After the worker began its next incarnation.
     w.expire_lease();
-    harness.now += worker_lease_expiry_ms(&test_config().platform) + 1_000;
+    harness.now += worker_lease_expiry(&test_config().platform) + ms(1_000);
     harness.run_rounds(&mut [&mut other]);
     harness.heartbeat(&mut w);
     let before = harness.cluster.status(&JobId::parse("req-000001").expect("an id"));
@@ -79,7 +82,11 @@
     harness.cluster.handle_heartbeat(&copy, harness.now);
     harness.cluster.scale_in_finished(&["m-1".into()], harness.now);
     let machines = harness.cluster.machine_count();
-    assert_eq!(harness.cluster.handle_heartbeat(&copy, harness.now + 60_000), None, "it is gone");
+    assert_eq!(
+        harness.cluster.handle_heartbeat(&copy, harness.now + ms(60_000)),
+        None,
+        "it is gone"
+    );
     assert_eq!(harness.cluster.machine_count(), machines);
     // After a failover: it carries the old fencing token and reconciles no machine.
     let copy = other.heartbeat();
@@ -102,13 +109,13 @@
     for w in &mut workers {
         harness.heartbeat(w);
     }
-    harness.now += 1_000;
+    harness.now += ms(1_000);
     for w in &mut workers {
         harness.heartbeat(w);
     }
-    assert!(!harness.cluster.all_workers_silent(harness.now + 2_500));
-    assert!(harness.cluster.all_workers_silent(harness.now + 3_500));
+    assert!(!harness.cluster.all_workers_silent(harness.now + ms(2_500)));
+    assert!(harness.cluster.all_workers_silent(harness.now + ms(3_500)));
     // The leader's own process was paused: heartbeats missed meanwhile prove nothing.
-    harness.cluster.resumed(harness.now + 3_400);
-    assert!(!harness.cluster.all_workers_silent(harness.now + 7_000));
+    harness.cluster.resumed(harness.now + ms(3_400));
+    assert!(!harness.cluster.all_workers_silent(harness.now + ms(7_000)));
 }
--- a/crates/controller/tests/cluster_state/leases.rs
+++ b/crates/controller/tests/cluster_state/leases.rs
@@ -1,8 +1,8 @@
 //! Worker leases and shard leases: when each has certainly expired.
 
-use crate::harness::{LeaderHarness, job, small_worker, test_config};
+use crate::harness::{LeaderHarness, at, job, ms, small_worker, test_config, timestamp};
 use crate::support::busy_zone;
-use hookway_controller::cluster_state::{CancelOutcome, Timestamp, worker_lease_expiry_ms};
+use hookway_controller::cluster_state::{CancelOutcome, worker_lease_expiry};
 use hookway_wire::{DirectCommands, ExitCause, JobId};
 
 #[test]
@@ -51,7 +51,7 @@
     reachable.end_task("req-000001/1", ExitCause::GangMemberLost);
     let mut third = small_worker("m-3", "a");
     for _ in 0..5 {
-        harness.now += 500;
+        harness.now += ms(500);
         let report = one_way.heartbeat();
         harness.cluster.handle_heartbeat(&report, harness.now);
         harness.commit_pending();
@@ -64,8 +64,8 @@
     );
     // Its lease is counted from the last response that it may have received, not from its heartbeats.
     let mut deleted = Vec::new();
-    while harness.now < partitioned_at + worker_lease_expiry_ms(&test_config().platform) + 6_000 {
-        harness.now += 1_000;
+    while harness.now < partitioned_at + worker_lease_expiry(&test_config().platform) + ms(6_000) {
+        harness.now += ms(1_000);
         let report = one_way.heartbeat();
         harness.cluster.handle_heartbeat(&report, harness.now);
         harness.commit_pending();
@@ -88,7 +88,7 @@
     // Its user cancels the job; nothing reaches m-1.
     assert_eq!(harness.cluster.cancel(&id), CancelOutcome::Pending);
     harness.commit_pending();
-    while harness.now < heard_at + 20_000 {
+    while harness.now < heard_at + ms(20_000) {
         let report = one_way.heartbeat();
         harness.cluster.handle_heartbeat(&report, harness.now);
         harness.advance(1_000);
@@ -102,23 +102,23 @@
 fn shard_lease_during_cancellation_expires_as_if_granted_at_request() {
     let (mut harness, mut workers) = busy_zone(3);
     let params = test_config().platform.workers;
-    let full = ((params.cancel_s - params.lease_s) * 1000.0) as u64;
-    let lease = harness.cluster.shard_lease_ms(harness.now);
-    assert!(lease > 0 && lease < full, "a worker's lease after it must end in time as well");
+    let full = ms(((params.cancel_s - params.lease_s) * 1000.0) as u64);
+    let lease = harness.cluster.shard_lease(harness.now);
+    assert!(lease > ms(0) && lease < full, "a worker's lease after it must end in time as well");
     let asked = harness.now;
-    harness.cluster.set_time(Timestamp { monotonic: asked, wall: 1_000_000 + asked });
+    harness.cluster.set_time(timestamp(asked));
     harness.cluster.cancel(&JobId::parse("req-000001").expect("an id"));
-    assert_eq!(harness.cluster.shard_lease_ms(asked), lease, "before its user is told");
+    assert_eq!(harness.cluster.shard_lease(asked), lease, "before its user is told");
     harness.commit_pending();
-    for later in [0, 1, 5_000, lease - 1, lease, lease + 1, 10 * lease] {
-        let ends = asked + later + harness.cluster.shard_lease_ms(asked + later);
-        assert_eq!(ends, asked + lease.max(later), "{later} ms later");
+    for later in [ms(0), ms(1), ms(5_000), lease - ms(1), lease, lease + ms(1), 10 * lease] {
+        let ends = asked + later + harness.cluster.shard_lease(asked + later);
+        assert_eq!(ends, asked + lease.max(later), "{later:?} later");
     }
     harness.run_rounds_all(&mut workers);
-    assert_eq!(harness.cluster.shard_lease_ms(harness.now), lease, "the tasks are gone");
+    assert_eq!(harness.cluster.shard_lease(harness.now), lease, "the tasks are gone");
     // The next leader does not know all cancelled jobs until every machine is reconciled.
-    let next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + 1_000);
-    assert_eq!(next.cluster.shard_lease_ms(next.now), 0);
+    let next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(1_000));
+    assert_eq!(next.cluster.shard_lease(next.now), ms(0));
 }
 
 /// Found by the simulation, 2026-12-02: the response to a state probe renews no lease, but the worker's
@@ -130,21 +130,21 @@
     let mut w = small_worker("m-1", "a");
     harness.submit(job("req-000001", "array", 2));
     harness.run_rounds(&mut [&mut w]);
-    let mut next = LeaderHarness::lead(harness.store.clone(), 5_000, 20_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 5_000, at(20_000));
     w.expire_lease();
-    next.now = 30_000;
+    next.now = at(30_000);
     let probe = DirectCommands { fencing_token: 5_000, incarnation: 2, commands: vec![] };
     let report = w.handle_direct_commands(&probe);
     next.cluster.state_probed("m-1", report, next.now);
-    next.now += 500;
+    next.now += ms(500);
     next.advance(0);
     assert_eq!(next.cluster.take_direct_starts(next.now).len(), 1);
     // By now the lease that an earlier leader may have renewed has expired, and the incarnation's own has
     // not.
-    next.now = 30_000 + worker_lease_expiry_ms(&test_config().platform) - 200;
+    next.now = at(30_000) + (worker_lease_expiry(&test_config().platform) - ms(200));
     next.advance(0);
     assert_eq!(next.cluster.summary(next.now).tasks, 1, "it may run until then");
-    next.now += 1_000;
+    next.now += ms(1_000);
     next.advance(0);
     assert_eq!(next.cluster.summary(next.now).tasks, 0);
 }
@@ -166,22 +166,22 @@
     // A lost response whose receipt a later heartbeat would have shown.
     harness.submit(job("req-000003", "array", 1));
     w.end_task(&task, ExitCause::Error);
-    harness.now += 2_000;
+    harness.now += ms(2_000);
     let report = w.heartbeat();
     let answer = harness.cluster.handle_heartbeat(&report, harness.now).expect("an answer");
     assert!(!answer.commands.is_empty(), "it may forget the task that failed");
-    harness.now += 8_000;
+    harness.now += ms(8_000);
     let kept = harness.now;
     harness.cluster.worker_lease_extended("m-1", kept);
-    harness.now += 4_000;
+    harness.now += ms(4_000);
     let report = w.heartbeat();
     harness.cluster.handle_heartbeat(&report, harness.now);
-    let lease = worker_lease_expiry_ms(&test_config().platform);
-    assert!(heard + 2_000 + lease < kept + lease - 500);
+    let lease = worker_lease_expiry(&test_config().platform);
+    assert!(heard + ms(2_000) + lease < kept + (lease - ms(500)));
     let mut late = w.heartbeat();
     late.sequence += 1;
     assert!(
-        harness.cluster.handle_heartbeat(&late, kept + lease - 500).is_some(),
+        harness.cluster.handle_heartbeat(&late, kept + (lease - ms(500))).is_some(),
         "the session may be alive until then"
     );
 }
--- a/crates/controller/tests/cluster_state/machine_registry.rs
+++ b/crates/controller/tests/cluster_state/machine_registry.rs
@@ -1,8 +1,8 @@
 //! The machine registry in the state service, and its agreement with the list of the cloud.
 
-use crate::harness::{LeaderHarness, job, listed_machine, small_worker, test_config};
+use crate::harness::{LeaderHarness, at, job, listed_machine, ms, small_worker, test_config};
 use crate::support::workers;
-use hookway_controller::cluster_state::worker_lease_expiry_ms;
+use hookway_controller::cluster_state::worker_lease_expiry;
 use hookway_testkit::{MemoryStore, ScriptedWorker};
 use hookway_wire::{ExitCause, MachineState};
 
@@ -17,13 +17,13 @@
     w.handle_response(&answer);
     harness.commit_pending();
     assert!(harness.is_registered("m-1"));
-    harness.now += 500;
+    harness.now += ms(500);
     assert_eq!(
         harness.heartbeat(&mut w),
         [],
         "nor before the store says that tasks of the job may run"
     );
-    harness.now += 500;
+    harness.now += ms(500);
     assert_eq!(harness.heartbeat(&mut w).len(), 1);
 }
 
@@ -36,7 +36,7 @@
     let lost = gone.unfinished_tasks()[0].clone();
     // The cloud deletes m-2 while the leader crashes. It had been up for long, so the first list without it
     // proves its deletion.
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, 100_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(100_000));
     reachable.end_task(&reachable.unfinished_tasks()[0].clone(), ExitCause::Done);
     next.run_rounds(&mut [&mut reachable]);
     assert!(!next.cluster.reconciled(next.now));
@@ -50,13 +50,13 @@
 fn stale_cloud_list_does_not_remove_young_machine() {
     let mut harness = LeaderHarness::start();
     // Late in the term a machine boots and gets a task.
-    harness.now = 300_000;
+    harness.now = at(300_000);
     let mut young = small_worker("m-9", "a");
     harness.submit(job("req-000001", "array", 1));
     harness.run_rounds(&mut [&mut young]);
     assert_eq!(young.unfinished_tasks().len(), 1);
     // The leader changes at once; the first list does not contain the machine yet.
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + 2_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(2_000));
     next.cluster.machines_listed(&[], next.now, next.now);
     for _ in 0..4 {
         next.heartbeat(&mut small_worker("m-2", "b"));
@@ -76,7 +76,7 @@
     harness.run_rounds(&mut [&mut warm]);
     warm.end_task("req-000001/0", ExitCause::Done);
     harness.run_rounds(&mut [&mut cold, &mut warm]);
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, 9_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(9_000));
     next.run_rounds(&mut [&mut cold, &mut warm]);
     next.submit(job("req-000002", "array", 1));
     next.run_rounds(&mut [&mut cold, &mut warm]);
@@ -89,8 +89,8 @@
     // Records of version 0.1.0.
     store.put("r/m-1", serde_json::json!({ "term": 1, "at_ms": 999_000 }));
     store.put("i/m-1", serde_json::json!({ "images": [["img", 1.0]] }));
-    let mut harness = LeaderHarness::lead(store, 2, 0);
-    assert!(!harness.cluster.reconciled(0), "m-1 may have tasks");
+    let mut harness = LeaderHarness::lead(store, 2, at(0));
+    assert!(!harness.cluster.reconciled(at(0)), "m-1 may have tasks");
     let mut many = workers(1..=60, "a");
     let mut refs: Vec<&mut ScriptedWorker> = many.iter_mut().collect();
     harness.run_rounds(&mut refs);
@@ -98,7 +98,7 @@
     assert!(harness.store.list("r/").len() <= 2, "one change in the store for dozens of machines");
     assert!(harness.store.get("i/m-1").is_none() && harness.store.get("r/m-1").is_none());
     // The next leader knows every machine, and the cached image of the first.
-    let next = LeaderHarness::lead(harness.store.clone(), 3, 50_000);
+    let next = LeaderHarness::lead(harness.store.clone(), 3, at(50_000));
     assert_eq!(next.cluster.machine_count(), 60);
     let record = next.store.list("r/").remove(0).value;
     assert_eq!(record["images"][0][0], "img");
@@ -108,7 +108,7 @@
 fn unreadable_registry_record_number_is_not_reused_within_lease() {
     let mut store = MemoryStore::default();
     store.put("r/record-0", serde_json::json!({ "hosts": "from a later version" }));
-    let mut harness = LeaderHarness::lead(store, 1, 0);
+    let mut harness = LeaderHarness::lead(store, 1, at(0));
     let mut w = small_worker("m-1", "a");
     harness.heartbeat(&mut w);
     harness.heartbeat(&mut w);
@@ -118,7 +118,7 @@
         "a second leader within the lease must know that it does not know all machines"
     );
     // It is deleted once the leases of its machines have certainly expired.
-    harness.now = worker_lease_expiry_ms(&test_config().platform) + 1;
+    harness.now = at(0) + worker_lease_expiry(&test_config().platform) + ms(1);
     harness.heartbeat(&mut w);
     harness.advance(1_000);
     harness.advance(1_000);
--- a/crates/controller/tests/cluster_state/reconciliation.rs
+++ b/crates/controller/tests/cluster_state/reconciliation.rs
@@ -1,7 +1,7 @@
 //! Reconciliation after a failover: what a new leader may start before it has heard every machine.
 
-use crate::harness::{LeaderHarness, job, listed_machine, small_worker, test_config};
-use hookway_controller::cluster_state::worker_lease_expiry_ms;
+use crate::harness::{LeaderHarness, at, job, listed_machine, ms, small_worker, test_config};
+use hookway_controller::cluster_state::worker_lease_expiry;
 use hookway_wire::{DirectCommands, ExitCause, JobId, ListedMachine, MachineState};
 
 #[test]
@@ -13,7 +13,7 @@
     assert_eq!((reachable.unfinished_tasks().len(), partitioned.unfinished_tasks().len()), (1, 1));
     let lost = partitioned.unfinished_tasks()[0].clone();
     // The old leader is partitioned together with m-2. A new one is elected at 30 s.
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, 30_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(30_000));
     let fresh = next.submit(job("req-000002", "array", 1));
     let mut idle = small_worker("m-3", "a");
     for _ in 0..20 {
@@ -22,8 +22,8 @@
         next.advance(600);
         let twice =
             reachable.unfinished_tasks().contains(&lost) || idle.unfinished_tasks().contains(&lost);
-        let over = next.now >= 30_000 + worker_lease_expiry_ms(&test_config().platform);
-        assert!(!twice || over, "{lost} started at {} while m-2 may have it", next.now);
+        let over = next.now >= at(30_000) + worker_lease_expiry(&test_config().platform);
+        assert!(!twice || over, "{lost} started at {:?} while m-2 may have it", next.now);
     }
     assert!(
         idle.started_attempts.iter().any(|(t, _)| t.starts_with(fresh.as_str())),
@@ -44,7 +44,7 @@
     let mut w = small_worker("m-1", "a");
     harness.submit(job("req-000001", "array", 2));
     harness.run_rounds(&mut [&mut w]);
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, 10_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(10_000));
     assert!(!next.cluster.reconciled(next.now));
     next.heartbeat(&mut w);
     assert_eq!(w.fencing_token, 2, "the token rises with the term");
@@ -55,8 +55,10 @@
     assert_eq!(w.started_attempts.len(), 1);
     // The deposed leader's response carries the lower fencing token and is dropped.
     let report = w.heartbeat();
-    let answer =
-        harness.cluster.handle_heartbeat(&report, harness.now + 1).expect("it does not know yet");
+    let answer = harness
+        .cluster
+        .handle_heartbeat(&report, harness.now + ms(1))
+        .expect("it does not know yet");
     assert!(!w.handle_response(&answer));
 }
 
@@ -72,7 +74,7 @@
     assert_eq!(partitioned.unfinished_tasks(), ["req-000001/0"]);
     // A new leader receives the delayed heartbeat first. It names no task, but proves nothing: only a
     // heartbeat with the new fencing token was certainly sent after the failover.
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, 9_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(9_000));
     next.cluster.handle_heartbeat(&held_back, next.now);
     assert!(!next.cluster.reconciled(next.now));
     for _ in 0..8 {
@@ -96,7 +98,7 @@
     harness.run_rounds(&mut [&mut one]);
     assert_eq!(one.unfinished_tasks().len(), 1);
     // m-1 becomes unreachable together with the leader; 3 of the team's 4 CPUs may be in use there.
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, 9_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(9_000));
     spec.id = JobId::parse("req-000002").expect("an id");
     next.submit(spec);
     for _ in 0..10 {
@@ -115,13 +117,13 @@
     let id = harness.submit(job("req-000001", "array", 16));
     for term in 1..=16 {
         let begun = harness.now;
-        while harness.now < begun + 11_000 {
+        while harness.now < begun + ms(11_000) {
             for w in [&mut one, &mut two] {
                 harness.heartbeat(w);
-                harness.now += 500;
+                harness.now += ms(500);
                 // Each task takes a few seconds; heartbeats that a killed leader never received reach the
                 // next one.
-                if harness.now.is_multiple_of(2_000) {
+                if harness.now.as_millis().is_multiple_of(2_000) {
                     for task in w.unfinished_tasks() {
                         assert!(w.end_task(&task, ExitCause::Done));
                     }
@@ -130,7 +132,7 @@
             harness.advance(500);
         }
         let next = 1 + term * hookway_constants::TOKENS_PER_TERM;
-        harness = LeaderHarness::lead(harness.store.clone(), next, harness.now + 200);
+        harness = LeaderHarness::lead(harness.store.clone(), next, harness.now + ms(200));
     }
     harness.run_rounds(&mut [&mut one, &mut two]);
     let so_far = (&one.started_attempts, &two.started_attempts);
@@ -155,14 +157,14 @@
     assert_eq!(one.unfinished_tasks().len() + two.unfinished_tasks().len(), 2);
     one.end_task(&one.unfinished_tasks()[0].clone(), ExitCause::Done);
 
-    let mut next = LeaderHarness::lead(harness.store.clone(), 5_000, 20_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 5_000, at(20_000));
     let list = ["m-1", "m-2"].map(|m| ListedMachine {
         addr: Some("127.0.0.1:9".into()),
         ..listed_machine(m, MachineState::Running, 60.0)
     });
     next.cluster.machines_listed(&list, next.now, next.now);
     assert!(next.cluster.take_state_probes(next.now).is_empty(), "most come by themselves");
-    next.now += 1_500;
+    next.now += ms(1_500);
     let mut asked = next.cluster.take_state_probes(next.now);
     asked.sort();
     let names: Vec<&str> = asked.iter().map(|(name, _)| name.as_str()).collect();
@@ -174,11 +176,13 @@
     next.cluster.state_probed("m-2", None, next.now);
     assert!(!next.cluster.reconciled(next.now));
 
-    let late =
-        harness.cluster.handle_heartbeat(&one.heartbeat(), harness.now + 1_000).expect("an answer");
-    let mut next = LeaderHarness::lead(next.store.clone(), 9_000, 30_000);
+    let late = harness
+        .cluster
+        .handle_heartbeat(&one.heartbeat(), harness.now + ms(1_000))
+        .expect("an answer");
+    let mut next = LeaderHarness::lead(next.store.clone(), 9_000, at(30_000));
     next.cluster.machines_listed(&list, next.now, next.now);
-    next.now += 1_500;
+    next.now += ms(1_500);
     assert_eq!(next.cluster.take_state_probes(next.now).len(), 2);
     let probe = DirectCommands { fencing_token: 9_000, incarnation: 1, commands: vec![] };
     for (name, w) in [("m-1", &mut one), ("m-2", &mut two)] {
--- a/crates/controller/tests/cluster_state/runtime_estimates.rs
+++ b/crates/controller/tests/cluster_state/runtime_estimates.rs
@@ -1,6 +1,6 @@
 //! Runtime estimates: tasks that run for too long, or longer than their machine will exist.
 
-use crate::harness::{LeaderHarness, job, small_worker};
+use crate::harness::{LeaderHarness, job, ms, small_worker};
 use crate::support::workers;
 use hookway_testkit::ScriptedWorker;
 use hookway_wire::ExitCause;
@@ -75,7 +75,7 @@
         harness.run_rounds_all(&mut workers);
     }
     // A new leader sees five of them complete after a second; they had run for twenty seconds before.
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + 1_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(1_000));
     next.run_rounds_all(&mut workers);
     for worker in &mut workers[..5] {
         let task = worker.unfinished_tasks()[0].clone();
--- a/crates/controller/tests/cluster_state/start_watermarks.rs
+++ b/crates/controller/tests/cluster_state/start_watermarks.rs
@@ -1,9 +1,10 @@
 //! Start watermarks: which tasks no leader can have started.
 
-use crate::harness::{LeaderHarness, job, small_worker, test_config};
-use hookway_controller::cluster_state::{ClusterState, LoadedState, Timestamp};
+use crate::harness::{LeaderHarness, at, job, small_worker, test_config, timestamp};
+use hookway_controller::cluster_state::{ClusterState, LoadedState};
 use hookway_controller::records::LEADER_KEY;
 use hookway_testkit::{MemoryStore, machine_types};
+use hookway_time::MonotonicTime;
 use hookway_wire::{ExitCause, Precondition};
 
 #[test]
@@ -20,7 +21,7 @@
         .expect("a number")
         .parse()
         .expect("a number");
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, 30_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(30_000));
     reachable.end_task(&reachable.unfinished_tasks()[0].clone(), ExitCause::Done);
     let mut idle = small_worker("m-3", "a");
     next.run_rounds(&mut [&mut reachable, &mut idle]);
@@ -49,21 +50,22 @@
         ..LoadedState::default()
     };
     let mut store = harness.store.clone();
-    let lead = |store: &mut MemoryStore, term: u64, marked: bool, now: u64| {
+    let lead = |store: &mut MemoryStore, term: u64, marked: bool, now: MonotonicTime| {
         let stamp = store.put(LEADER_KEY, serde_json::json!({ "term": term }));
         let guard = Precondition { key: LEADER_KEY.into(), mod_revision: stamp };
-        let at = Timestamp { monotonic: now, wall: 1_000_000 + now };
         let loaded = loaded(store, marked);
-        let cluster = ClusterState::new(test_config(), term, guard, machine_types(), loaded, at);
+        let elected = timestamp(now);
+        let cluster =
+            ClusterState::new(test_config(), term, guard, machine_types(), loaded, elected);
         LeaderHarness { cluster, store: store.clone(), now }
     };
-    let mut next = lead(&mut store, 2, false, 30_000);
+    let mut next = lead(&mut store, 2, false, at(30_000));
     let mut idle = small_worker("m-3", "a");
     next.run_rounds(&mut [&mut idle]);
     assert_eq!(idle.started_attempts, [], "any task may be on m-2");
     // The leader after that one reads this from the state service.
     let mut store = next.store.clone();
-    let mut third = lead(&mut store, 3, true, 33_000);
+    let mut third = lead(&mut store, 3, true, at(33_000));
     let mut idle = small_worker("m-4", "a");
     third.run_rounds(&mut [&mut idle]);
     assert_eq!(idle.started_attempts, []);
@@ -87,7 +89,7 @@
     assert_eq!(marks.len(), 1, "{marks:?}");
     assert!(marks[0].value["jobs"].as_array().is_some_and(|jobs| jobs.len() < 100));
     // The machine is unreachable for the next leader: its task waits, the others need not.
-    let mut next = LeaderHarness::lead(harness.store.clone(), 5_000, 20_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 5_000, at(20_000));
     let mut other = small_worker("m-2", "a");
     for _ in 0..3 {
         next.heartbeat(&mut other);
@@ -96,7 +98,7 @@
     assert_eq!(other.unfinished_tasks().len(), 1, "something that no leader has started");
     assert_ne!(other.unfinished_tasks(), begun);
     // The record is deleted when all of its jobs have finished.
-    let mut harness = LeaderHarness::lead(harness.store.clone(), 9_000, 40_000);
+    let mut harness = LeaderHarness::lead(harness.store.clone(), 9_000, at(40_000));
     for _ in 0..300 {
         harness.heartbeat(&mut w);
         for task in w.unfinished_tasks() {
@@ -120,7 +122,7 @@
     harness.run_rounds(&mut [&mut w]);
     let mut store = harness.store.clone();
     store.put("m/shared-0", serde_json::json!({ "jobs": 7 }));
-    let mut next = LeaderHarness::lead(store, 5_000, 20_000);
+    let mut next = LeaderHarness::lead(store, 5_000, at(20_000));
     let mut other = small_worker("m-2", "a");
     for _ in 0..3 {
         next.heartbeat(&mut other);
--- a/crates/controller/tests/cluster_state/support.rs
+++ b/crates/controller/tests/cluster_state/support.rs
@@ -1,6 +1,6 @@
 //! Set-ups that several subjects share.
 
-use crate::harness::{LeaderHarness, job, small_worker};
+use crate::harness::{LeaderHarness, job, ms, small_worker};
 use hookway_testkit::ScriptedWorker;
 
 /// A leader and this many workers of one zone, with a running task on each.
@@ -14,13 +14,13 @@
     (harness, workers)
 }
 
-/// Machines that the leader deletes within `ms` while only these workers send heartbeats.
+/// Machines that the leader deletes within `millis` while only these workers send heartbeats.
 pub fn deleted_machines(
     harness: &mut LeaderHarness,
     reporting: &mut [ScriptedWorker],
-    ms: u64,
+    millis: u64,
 ) -> Vec<String> {
-    let until = harness.now + ms;
+    let until = harness.now + ms(millis);
     let mut names = Vec::new();
     while harness.now < until {
         for worker in reporting.iter_mut() {
--- a/crates/controller/tests/cluster_state/unreachable_machines.rs
+++ b/crates/controller/tests/cluster_state/unreachable_machines.rs
@@ -1,6 +1,6 @@
 //! Unreachable machines: which are deleted as proof that their tasks are gone, and which are kept.
 
-use crate::harness::{LeaderHarness, job, listed_machine, small_worker};
+use crate::harness::{LeaderHarness, at, job, listed_machine, small_worker};
 use crate::support::{busy_zone, deleted_machines};
 use hookway_controller::cluster_state::ScalingAction;
 use hookway_testkit::ScriptedWorker;
@@ -66,7 +66,7 @@
     let (mut a, mut b) = (zone(reachable, 1, "a"), zone(partitioned, 50, "b"));
     harness.submit(job("req-000001", "array", (reachable + partitioned + 1) as u32));
     harness.run_rounds(&mut a.iter_mut().chain(b.iter_mut()).collect::<Vec<_>>());
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, 30_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(30_000));
     let entries: Vec<ListedMachine> = a
         .iter_mut()
         .chain(b.iter_mut())
--- a/crates/controller/tests/concurrent_faults.rs
+++ b/crates/controller/tests/concurrent_faults.rs
@@ -4,9 +4,11 @@
 
 mod harness;
 
-use harness::{LeaderHarness, job, listed_machine, one_running_task, small_worker, test_config};
+use harness::{
+    LeaderHarness, at, job, listed_machine, ms, one_running_task, small_worker, test_config,
+};
 use hookway_controller::cluster_state::{
-    CancelOutcome, CommitResult, JobLookup, worker_lease_expiry_ms,
+    CancelOutcome, CommitResult, JobLookup, worker_lease_expiry,
 };
 use hookway_controller::records::scheduling_key;
 use hookway_testkit::{MemoryStore, ScriptedWorker};
@@ -29,12 +31,12 @@
     bound_job(&mut harness, true, false, 300);
     harness.run_rounds(&mut [&mut partitioned]);
     assert_eq!(partitioned.unfinished_tasks().len(), 1, "its zone is a from now on");
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, 30_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(30_000));
     let mut other = small_worker("m-2", "b");
     next.run_rounds(&mut [&mut other]);
     assert_eq!(other.started_attempts, [], "the job may be in zone a");
-    let lease = worker_lease_expiry_ms(&test_config().platform);
-    while next.now < 30_000 + lease {
+    let lease = worker_lease_expiry(&test_config().platform);
+    while next.now < at(30_000) + lease {
         next.run_rounds(&mut [&mut other]);
     }
     next.run_rounds(&mut [&mut other]);
@@ -56,7 +58,7 @@
         20,
         "half of it"
     );
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, 30_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(30_000));
     let mut fresh = small_worker("m-100", "a");
     next.run_rounds(&mut [&mut far, &mut fresh]);
     assert_eq!(fresh.started_attempts, [], "half of the job may be in zone a");
@@ -69,7 +71,7 @@
     let mut partitioned = small_worker("m-1", "a");
     bound_job(&mut harness, false, false, 300);
     harness.run_rounds(&mut [&mut partitioned]);
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, 30_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(30_000));
     let mut other = small_worker("m-2", "b");
     next.run_rounds(&mut [&mut other]);
     assert_eq!(other.unfinished_tasks().len(), 1);
@@ -86,7 +88,7 @@
     let mut store = harness.store.clone();
     assert!(store.get(&scheduling_key(&id)).is_some());
     store.put(&scheduling_key(&id), serde_json::json!({ "least": "of a later version" }));
-    let mut next = LeaderHarness::lead(store, 2, 30_000);
+    let mut next = LeaderHarness::lead(store, 2, at(30_000));
     let mut other = small_worker("m-2", "b");
     next.run_rounds(&mut [&mut other]);
     assert_eq!(other.started_attempts, [], "any of its tasks may be on m-1");
@@ -104,7 +106,7 @@
     harness.run_rounds(&mut [&mut worker]);
     let mut store = harness.store.clone();
     store.put(&format!("j/{id}"), serde_json::json!({ "spec": 7 }));
-    let mut next = LeaderHarness::lead(store, 2, 30_000);
+    let mut next = LeaderHarness::lead(store, 2, at(30_000));
     next.advance(1_000);
     assert!(next.store.get(&scheduling_key(&id)).is_some(), "a later version may read it");
 }
@@ -126,7 +128,7 @@
     harness.cluster.committed(second, CommitResult::NotApplied, harness.now);
     harness.store.commit(&late).expect("carried out late");
     assert_eq!(harness.cluster.status(&id), JobLookup::CommitInFlight, "the store must be asked");
-    harness.now += 1_000;
+    harness.now += ms(1_000);
     harness.commit_pending();
     assert_eq!(harness.job_state(&id), JobState::Cancelled);
 }
@@ -147,7 +149,7 @@
 fn cancellation_waits_for_tasks_when_worker_lease_exceeds_its_limit() {
     let mut config = test_config();
     config.platform.workers.cancel_s = config.platform.workers.lease_s - 4.0;
-    let mut harness = LeaderHarness::lead_with(config, MemoryStore::default(), 1, 0);
+    let mut harness = LeaderHarness::lead_with(config, MemoryStore::default(), 1, at(0));
     let mut worker = small_worker("m-1", "a");
     let id = harness.submit(job("req-000001", "array", 1));
     harness.run_rounds(&mut [&mut worker]);
@@ -192,7 +194,7 @@
     while right.unfinished_tasks().is_empty() {
         harness.run_rounds(&mut [&mut left, &mut right]);
     }
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + 6_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(6_000));
     // Duplicates arrive first; their responses reach no worker.
     let mut idle = small_worker("m-3", "a");
     next.cluster.handle_heartbeat(&older, next.now);
@@ -218,7 +220,7 @@
     let (harness, mut worker, _) = one_running_task();
     worker.end_task(&worker.unfinished_tasks()[0].clone(), ExitCause::Error);
     let held_back = worker.heartbeat();
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + 6_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(6_000));
     // The state probe makes the worker report its tasks under the new fencing token.
     let probe =
         DirectCommands { fencing_token: 2, incarnation: worker.incarnation(), commands: vec![] };
@@ -230,7 +232,7 @@
     );
     next.cluster.state_probed("m-1", Some(told), next.now);
     next.run_rounds(&mut [&mut worker]);
-    next.now += 60_000;
+    next.now += ms(60_000);
     while worker.unfinished_tasks().is_empty() {
         next.run_rounds(&mut [&mut worker]);
     }
@@ -262,7 +264,7 @@
         let answer =
             harness.cluster.handle_heartbeat(&report, harness.now).expect("the leader answers");
         assert!(quick.handle_response(&answer));
-        harness.now += 500;
+        harness.now += ms(500);
         harness.cluster.scheduling_round(harness.now);
         assert_eq!(harness.cluster.take_direct_starts(harness.now), [], "nor straight");
         if let Some(commit) = harness.cluster.next_commit(harness.now) {
@@ -302,19 +304,19 @@
     assert_eq!(partitioned.unfinished_tasks().len(), 1, "three of four CPUs");
     harness.submit(tight("req-000002"));
     // Cancelled before or after the failover.
-    for (case, at) in ["before", "after"].iter().zip([40_000, 80_000]) {
-        let mut harness = LeaderHarness::lead(harness.store.clone(), at, at);
+    for (case, term) in ["before", "after"].iter().zip([40_000, 80_000]) {
+        let mut harness = LeaderHarness::lead(harness.store.clone(), term, at(term));
         if *case == "before" {
             harness.cluster.cancel(&id);
             harness.commit_pending();
-            harness = LeaderHarness::lead(harness.store.clone(), at + 4_096, at + 1_000);
+            harness = LeaderHarness::lead(harness.store.clone(), term + 4_096, at(term + 1_000));
         } else {
             harness.advance(1_000);
             harness.cluster.cancel(&id);
             harness.commit_pending();
         }
         assert_eq!(harness.stored_final_state(&id).as_deref(), Some("withdrawn"));
-        let over = harness.now + worker_lease_expiry_ms(&test_config().platform) - 3_000;
+        let over = harness.now + (worker_lease_expiry(&test_config().platform) - ms(3_000));
         let mut reachable = reachable.clone();
         while harness.now < over {
             harness.run_rounds(&mut [&mut reachable]);
@@ -343,7 +345,7 @@
         harness.run_rounds_all(&mut workers);
         let over = harness.stored_final_state(&id);
         assert_eq!(over.is_some(), term == 4, "done with the last one only");
-        harness = LeaderHarness::lead(harness.store.clone(), term, harness.now + 6_000);
+        harness = LeaderHarness::lead(harness.store.clone(), term, harness.now + ms(6_000));
     }
     assert_eq!(harness.stored_final_state(&id).as_deref(), Some("done"));
     let started: usize = workers.iter().map(|w| w.started_attempts.len()).sum();
@@ -360,7 +362,7 @@
     harness.run_rounds_all(&mut workers);
     let old: Vec<_> = workers.iter_mut().map(ScriptedWorker::heartbeat).collect();
     workers.iter_mut().for_each(ScriptedWorker::expire_lease);
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + 30_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(30_000));
     // Duplicated heartbeats from before the outage arrive first.
     for report in &old {
         next.cluster.handle_heartbeat(report, next.now);
--- a/crates/controller/tests/daemons.rs
+++ b/crates/controller/tests/daemons.rs
@@ -3,9 +3,9 @@
 
 mod harness;
 
-use harness::{LeaderHarness, job, small_worker, test_config};
+use harness::{LeaderHarness, at, job, ms, small_worker, test_config};
 use hookway_constants as constants;
-use hookway_controller::cluster_state::worker_lease_expiry_ms;
+use hookway_controller::cluster_state::worker_lease_expiry;
 use hookway_testkit::ScriptedWorker;
 use hookway_time::whole_millis;
 use hookway_wire::{Command, ExitCause, JobId, JobSpec, JobState, Priority};
@@ -29,8 +29,8 @@
 }
 
 /// Advances the clock while the worker sends heartbeats.
-fn run_for(harness: &mut LeaderHarness, worker: &mut ScriptedWorker, ms: u64) {
-    let until = harness.now + ms;
+fn run_for(harness: &mut LeaderHarness, worker: &mut ScriptedWorker, millis: u64) {
+    let until = harness.now + ms(millis);
     while harness.now < until {
         harness.heartbeat(worker);
         harness.advance(1_000);
@@ -97,11 +97,11 @@
         let (mut one, mut two) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
         harness.submit(daemon("req-000001", 3));
         let starts_within =
-            |harness: &mut LeaderHarness, workers: &mut [&mut ScriptedWorker; 2], ms: u64| {
+            |harness: &mut LeaderHarness, workers: &mut [&mut ScriptedWorker; 2], millis: u64| {
                 let started = |w: &[&mut ScriptedWorker; 2]| {
                     w[0].started_attempts.len() + w[1].started_attempts.len()
                 };
-                let (before, until) = (started(workers), harness.now + ms);
+                let (before, until) = (started(workers), harness.now + ms(millis));
                 while harness.now < until {
                     for worker in workers.iter_mut() {
                         for task in worker.unfinished_tasks() {
@@ -143,11 +143,11 @@
     let (mut lost, mut other) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     running(&mut harness, &mut lost);
     harness.heartbeat(&mut other);
-    let over = harness.now + worker_lease_expiry_ms(&test_config().platform);
-    while harness.now < over - 1_000 {
+    let over = harness.now + worker_lease_expiry(&test_config().platform);
+    while harness.now + ms(1_000) < over {
         harness.heartbeat(&mut other);
         harness.advance(500);
-        assert_eq!(other.unfinished_tasks(), [""; 0], "m-1 may still run it at {}", harness.now);
+        assert_eq!(other.unfinished_tasks(), [""; 0], "m-1 may still run it at {:?}", harness.now);
     }
     for _ in 0..10 {
         harness.heartbeat(&mut other);
@@ -182,7 +182,7 @@
     let id = harness.submit(daemon("req-000001", 6));
     harness.run_rounds(&mut [&mut one, &mut two]);
     let (before_one, before_two) = (one.unfinished_tasks(), two.unfinished_tasks());
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, 30_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(30_000));
     next.run_rounds(&mut [&mut one, &mut two]);
     assert_eq!((one.unfinished_tasks(), two.unfinished_tasks()), (before_one, before_two));
     assert_eq!(next.job_state(&id), JobState::Running);
@@ -209,7 +209,7 @@
     let mut worker = small_worker("m-1", "a");
     let id = running(&mut harness, &mut worker);
     worker.end_task("req-000001/0", ExitCause::Done);
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, 60_000);
+    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(60_000));
     let commands = next.heartbeat(&mut worker);
     assert!(commands.iter().any(|o| matches!(o, Command::Reap { .. })), "{commands:?}");
     for _ in 0..4 {
