--- a/crates/controller/tests/fleet_size.rs
+++ b/crates/controller/tests/fleet_size.rs
@@ -4,7 +4,7 @@
 
 mod harness;
 
-use harness::{LeaderHarness, job, test_config};
+use harness::{LeaderHarness, job, ms, test_config};
 use hookway_controller::cluster_state::ControllerConfig;
 use hookway_testkit::ScriptedWorker;
 use hookway_wire::{ExitCause, Operation, Transaction};
@@ -80,12 +80,12 @@
                 self.workers[n].handle_response(&answer);
             }
             if n % 100 == 0 {
-                self.harness.now += 40;
+                self.harness.now += ms(40);
                 self.flush();
             }
         }
         self.flush();
-        self.harness.now += 500;
+        self.harness.now += ms(500);
         self.harness.cluster.scheduling_round(self.harness.now);
         self.flush();
     }
@@ -127,7 +127,7 @@
         let task = fleet.workers[n].unfinished_tasks().remove(0);
         fleet.workers[n].end_task(&task, ExitCause::Done);
     }
-    let now = fleet.harness.now + 6_000;
+    let now = fleet.harness.now + ms(6_000);
     let store = std::mem::take(&mut fleet.harness.store);
     let begun = Instant::now();
     fleet.harness = LeaderHarness::lead(store, 1 + hookway_constants::TOKENS_PER_TERM, now);
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -9,7 +9,9 @@
 use hookway_controller::records::{JobRecord, LEADER_KEY, final_state_key, job_key};
 use hookway_controller::settings::{OperatorSettings, Settings};
 use hookway_testkit::{MemoryStore, SETTINGS, ScriptedWorker, machine_types};
+use hookway_time::{MonotonicTime, WallTime};
 use hookway_wire::{Command, JobId, JobSpec, JobState, ListedMachine, MachineState, Precondition};
+use std::time::Duration;
 
 pub fn job(id: &str, kind: &str, tasks: u32) -> JobSpec {
     let text = format!(
@@ -21,11 +23,27 @@
     JobSpec::parse(text.as_bytes()).expect("a sound job")
 }
 
+/// A span of this many milliseconds.
+pub fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
+}
+
+/// The point in time this many milliseconds after the clock's creation.
+pub fn at(millis: u64) -> MonotonicTime {
+    MonotonicTime::from_millis(millis)
+}
+
+/// The readings of both clocks when the monotonic one reads `now`: the wall clock is 1,000 s ahead.
+pub fn timestamp(now: MonotonicTime) -> Timestamp {
+    let wall = WallTime::from_unix_millis(1_000_000 + now.as_millis());
+    Timestamp { monotonic: now, wall }
+}
+
 /// A controller that leads, its state service and its clock.
 pub struct LeaderHarness {
     pub cluster: ClusterState,
     pub store: MemoryStore,
-    pub now: u64,
+    pub now: MonotonicTime,
 }
 
 pub fn test_config() -> ControllerConfig {
@@ -42,11 +60,11 @@
 
 impl LeaderHarness {
     pub fn start() -> Self {
-        Self::lead(MemoryStore::default(), 1, 0)
+        Self::lead(MemoryStore::default(), 1, MonotonicTime::ZERO)
     }
 
     /// A controller wins the leadership for a term and reads every record.
-    pub fn lead(store: MemoryStore, term: u64, now: u64) -> Self {
+    pub fn lead(store: MemoryStore, term: u64, now: MonotonicTime) -> Self {
         Self::lead_with(test_config(), store, term, now)
     }
 
@@ -55,7 +73,7 @@
         config: ControllerConfig,
         mut store: MemoryStore,
         term: u64,
-        now: u64,
+        now: MonotonicTime,
     ) -> Self {
         let stamp = store.put(LEADER_KEY, serde_json::json!({ "term": term }));
         let loaded = LoadedState {
@@ -68,18 +86,18 @@
             has_start_watermarks: true,
         };
         let guard = Precondition { key: LEADER_KEY.into(), mod_revision: stamp };
-        let at = Timestamp { monotonic: now, wall: 1_000_000 + now };
+        let at = timestamp(now);
         let cluster = ClusterState::new(config, term, guard, machine_types(), loaded, at);
         Self { cluster, store, now }
     }
 
     pub fn submit(&mut self, spec: JobSpec) -> JobId {
         let id = spec.id.clone();
-        let record =
-            JobRecord { spec, accepted_at_ms: 1_000_000 + self.now, has_start_watermark: true };
+        let at = timestamp(self.now);
+        let accepted_at_ms = at.wall.as_unix_millis();
+        let record = JobRecord { spec, accepted_at_ms, has_start_watermark: true };
         let value = serde_json::to_value(record).expect("a record");
         self.store.put(&job_key(&id), value.clone());
-        let at = Timestamp { monotonic: self.now, wall: 1_000_000 + self.now };
         self.cluster.add_job(&job_key(&id), value, at, false);
         id
     }
@@ -125,8 +143,8 @@
     }
 
     /// Advances the clock, then runs a scheduling round.
-    pub fn advance(&mut self, ms: u64) {
-        self.now += ms;
+    pub fn advance(&mut self, millis: u64) {
+        self.now += ms(millis);
         self.cluster.scheduling_round(self.now);
         self.commit_pending();
     }
--- a/crates/controller/tests/simulation/commits.rs
+++ b/crates/controller/tests/simulation/commits.rs
@@ -5,7 +5,7 @@
 use super::messages::Message;
 use hookway_constants as constants;
 use hookway_controller::cluster_state::{CommitResult, PendingCommit};
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, whole_millis};
 use hookway_wire::{JobState, Operation, Transaction};
 
 impl Simulation {
@@ -32,7 +32,11 @@
                 || controller.refused && now < controller.store_unreachable_until;
             match controller.leading(term) {
                 Some(leader) if refused => {
-                    leader.cluster.committed(*commit, CommitResult::NotApplied, now);
+                    leader.cluster.committed(
+                        *commit,
+                        CommitResult::NotApplied,
+                        MonotonicTime::from_millis(now),
+                    );
                 }
                 // Delayed in the network: it may be applied when the partition has healed.
                 _ => {
@@ -55,7 +59,11 @@
         match applied {
             Some(Ok(revision)) if !lost && self.controllers[n].up(now) => {
                 if let Some(leader) = self.controllers[n].leading(term) {
-                    leader.cluster.committed(*commit, CommitResult::Applied(revision), now);
+                    leader.cluster.committed(
+                        *commit,
+                        CommitResult::Applied(revision),
+                        MonotonicTime::from_millis(now),
+                    );
                 }
             }
             _ => {
@@ -78,7 +86,11 @@
         }
         let read = commit.keys().into_iter().map(|k| (k.clone(), self.store.get(&k))).collect();
         if let Some(leader) = self.controllers[n].leading(term) {
-            leader.cluster.committed(*commit, CommitResult::Indeterminate(read), now);
+            leader.cluster.committed(
+                *commit,
+                CommitResult::Indeterminate(read),
+                MonotonicTime::from_millis(now),
+            );
         }
         self.report_decided(n, term);
     }
--- a/crates/controller/tests/simulation/controllers.rs
+++ b/crates/controller/tests/simulation/controllers.rs
@@ -10,7 +10,7 @@
 use hookway_controller::shard_lease::ShardLessee;
 use hookway_replication::{Follower, Publisher};
 use hookway_testkit::{SETTINGS, machine_types};
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, WallTime, whole_millis};
 use hookway_wire::{JobId, ListedMachine, MachineState, Precondition};
 use rand::RngExt;
 use std::collections::BTreeSet;
@@ -140,7 +140,10 @@
 
 impl Simulation {
     fn moment(&self) -> Timestamp {
-        Timestamp { monotonic: self.now, wall: 1_000_000 + self.now }
+        Timestamp {
+            monotonic: MonotonicTime::from_millis(self.now),
+            wall: WallTime::from_unix_millis(1_000_000 + self.now),
+        }
     }
 
     /// Kills the process; another one of the same version starts under its name soon.
@@ -310,11 +313,11 @@
             return true;
         }
         if std::mem::take(&mut leader.paused) {
-            leader.cluster.resumed(now);
+            leader.cluster.resumed(MonotonicTime::from_millis(now));
         }
         leader.cluster.set_time(self.moment());
         let controller = &mut self.controllers[n];
-        let lease_ms = leader.cluster.shard_lease_ms(now);
+        let lease_ms = whole_millis(leader.cluster.shard_lease(MonotonicTime::from_millis(now)));
         if lease_ms > 0 {
             let at = now - controller.begun;
             controller.holding.hold_as_leader(
@@ -327,7 +330,7 @@
         let again = controller
             .deserted_at
             .is_none_or(|at| now >= at + whole_millis(constants::STEP_DOWN_INTERVAL));
-        let lost = leader.cluster.all_workers_silent(now) && again;
+        let lost = leader.cluster.all_workers_silent(MonotonicTime::from_millis(now)) && again;
         if lost || leader.cluster.leadership_lost() {
             controller.deserted_at = if lost { Some(now) } else { controller.deserted_at };
             controller.no_campaign_until = now + whole_millis(constants::STEP_DOWN_PAUSE);
@@ -344,11 +347,12 @@
             }
         }
         if now.is_multiple_of(300) {
-            leader.cluster.scheduling_round(now);
+            leader.cluster.scheduling_round(MonotonicTime::from_millis(now));
         }
         let cloud = self.zone_open(CONTROLLERS[n].1);
         if cloud && now.is_multiple_of(3_000) {
-            leader.cluster.machines_listed(&self.list(), now, now);
+            let at = MonotonicTime::from_millis(now);
+            leader.cluster.machines_listed(&self.list(), at, at);
         }
         if cloud && now.is_multiple_of(1_000) {
             self.run_autoscaling(n, leader);
--- a/crates/controller/tests/simulation/dispatch.rs
+++ b/crates/controller/tests/simulation/dispatch.rs
@@ -7,13 +7,13 @@
 use hookway_clients::Delivery;
 use hookway_constants as constants;
 use hookway_controller::cluster_state::ScalingAction;
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, whole_millis};
 use hookway_wire::{Command, DirectCommands};
 
 impl Simulation {
     pub(super) fn run_autoscaling(&mut self, n: usize, leader: &mut Leader) {
         let now = self.now;
-        for action in leader.cluster.autoscaling_round(now) {
+        for action in leader.cluster.autoscaling_round(MonotonicTime::from_millis(now)) {
             match action {
                 ScalingAction::ScaleOut(request) => {
                     let mut names = Vec::new();
@@ -23,7 +23,11 @@
                         names.push(format!("m-{}", self.machines.len()));
                     }
                     let got = (!names.is_empty()).then_some(names);
-                    leader.cluster.scale_out_finished(&request, got, now);
+                    leader.cluster.scale_out_finished(
+                        &request,
+                        got,
+                        MonotonicTime::from_millis(now),
+                    );
                 }
                 ScalingAction::ScaleIn(names) => {
                     let at = now + self.span(100, 3_000);
@@ -38,12 +42,14 @@
         let (now, term) = (self.now, leader.term);
         let mut messages: Vec<(usize, DirectCommands, bool)> = Vec::new();
         let index = |machine: &str| -> usize { machine[2..].parse().expect("a number") };
-        for (machine, _, commands) in leader.cluster.take_direct_starts(now) {
+        for (machine, _, commands) in
+            leader.cluster.take_direct_starts(MonotonicTime::from_millis(now))
+        {
             messages.push((index(&machine) - 1, commands, true));
         }
-        let probes = leader.cluster.take_state_probes(now);
-        let stops = leader.cluster.take_direct_stops(now);
-        let commit = leader.cluster.next_commit(now);
+        let probes = leader.cluster.take_state_probes(MonotonicTime::from_millis(now));
+        let stops = leader.cluster.take_direct_stops(MonotonicTime::from_millis(now));
+        let commit = leader.cluster.next_commit(MonotonicTime::from_millis(now));
         // The leader waits for no response to a stop. Addresses have no meaning here, so a stop goes to the
         // machine that has the task.
         for (_, commands) in stops {
--- a/crates/controller/tests/simulation/leases.rs
+++ b/crates/controller/tests/simulation/leases.rs
@@ -4,7 +4,7 @@
 use super::messages::{Message, Reply};
 use hookway_constants as constants;
 use hookway_controller::shard_lease::{ShardLease, ShardLeaseRenewal};
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, whole_millis};
 use hookway_wire::Heartbeat;
 
 impl Simulation {
@@ -18,7 +18,7 @@
         let reply = match &mut controller.leader {
             Some(leader) if entitled => leader
                 .cluster
-                .handle_heartbeat(report, now)
+                .handle_heartbeat(report, MonotonicTime::from_millis(now))
                 .map_or(Reply::Unavailable, Reply::Answer),
             leader => {
                 let over = &controller.over;
@@ -29,7 +29,10 @@
                 match (kept, leader) {
                     (Some(kept), leader) => {
                         if let Some(leader) = leader {
-                            leader.cluster.worker_lease_extended(&report.machine, now);
+                            leader.cluster.worker_lease_extended(
+                                &report.machine,
+                                MonotonicTime::from_millis(now),
+                            );
                         }
                         self.counts.lessee_extensions += 1;
                         self.counts.stopped_by_lessees += kept.response.commands.len();
@@ -58,7 +61,9 @@
             return;
         }
         let Some(leader) = &mut self.controllers[n].leader else { return };
-        if let Some(lease) = leader.cluster.renew_shard_lease(renewal, now) {
+        if let Some(lease) =
+            leader.cluster.renew_shard_lease(renewal, MonotonicTime::from_millis(now))
+        {
             self.send(|| Message::LeaseGranted(from, n, renewal.process_nonce, lease.clone(), at));
         }
     }
--- a/crates/controller/tests/simulation/messages.rs
+++ b/crates/controller/tests/simulation/messages.rs
@@ -6,6 +6,7 @@
 use hookway_controller::cluster_state::PendingCommit;
 use hookway_controller::shard_lease::{ShardLease, ShardLeaseRenewal};
 use hookway_replication::{FollowAnswer, FollowRequest};
+use hookway_time::MonotonicTime;
 use hookway_wire::{DirectCommands, Heartbeat, HeartbeatResponse, JobId, Transaction};
 
 /// A message under way. Controllers and machines are indices into their lists.
@@ -101,14 +102,19 @@
             Message::Direct(n, term, m, commands) => self.direct_arrives(n, term, m, commands),
             Message::Delivered(n, term, name, token, delivery) => {
                 if let Some(leader) = self.controllers[n].leading(term) {
-                    leader.cluster.direct_start_sent(&name, token, delivery, now);
+                    leader.cluster.direct_start_sent(
+                        &name,
+                        token,
+                        delivery,
+                        MonotonicTime::from_millis(now),
+                    );
                 }
             }
             Message::StateProbe(n, term, m) => self.probe_arrives(n, term, m),
             Message::ProbeResult(n, term, name, report) => {
                 self.counts.probes_answered += usize::from(report.is_some());
                 if let Some(leader) = self.controllers[n].leading(term) {
-                    leader.cluster.state_probed(&name, report, now);
+                    leader.cluster.state_probed(&name, report, MonotonicTime::from_millis(now));
                 }
             }
             Message::PendingCommit(n, term, commit) => self.commit_arrives(n, term, commit),
@@ -126,7 +132,7 @@
                     m.dead = true;
                 }
                 if let Some(leader) = self.controllers[n].leading(term) {
-                    leader.cluster.scale_in_finished(&names, now);
+                    leader.cluster.scale_in_finished(&names, MonotonicTime::from_millis(now));
                 }
             }
         }
--- a/crates/controller/tests/simulation/mod.rs
+++ b/crates/controller/tests/simulation/mod.rs
@@ -23,7 +23,7 @@
 use controllers::{Controller, Version};
 pub use counts::EventCounts;
 use hookway_testkit::MemoryStore;
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, whole_millis};
 use hookway_wire::{JobId, JobSpec, Transaction};
 use machines::Machine;
 use messages::{Message, Reply};
@@ -243,10 +243,12 @@
                 &format!("\n{} in {zone}: {:?}", machine.name, machine.worker.unfinished_tasks());
         }
         for (controller, (label, zone)) in self.controllers.iter().zip(CONTROLLERS) {
-            let leader = controller
-                .leader
-                .as_ref()
-                .map(|l| (l.cluster.summary(self.now).to_string(), l.cluster.reconciled(self.now)));
+            let leader = controller.leader.as_ref().map(|l| {
+                (
+                    l.cluster.summary(MonotonicTime::from_millis(self.now)).to_string(),
+                    l.cluster.reconciled(MonotonicTime::from_millis(self.now)),
+                )
+            });
             let known = controller.leader.as_ref().map(|l| l.cluster.status(id));
             text += &format!("\n{label} in {zone}: {leader:?} {known:?}");
         }
--- a/crates/controller/tests/simulation/standbys.rs
+++ b/crates/controller/tests/simulation/standbys.rs
@@ -5,7 +5,7 @@
 use hookway_constants as constants;
 use hookway_controller::networks::Networks;
 use hookway_replication::{FollowAnswer, FollowRequest, Publisher};
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, whole_millis};
 use rand::RngExt;
 
 /// Interval at which a leader's published entries are compared with its cluster state, ms.
@@ -83,7 +83,7 @@
         let controller = &self.controllers[n];
         let Ok(copy) = controller.follower.usable(leader.term, self.now) else { return };
         self.counts.warm_starts += 1;
-        leader.cluster.warm_start(copy, &Networks::default(), self.now);
+        leader.cluster.warm_start(copy, &Networks::default(), MonotonicTime::from_millis(self.now));
     }
 
     /// The entries that a leader published add up to its cluster state: none was omitted.
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -4,9 +4,9 @@
 
 mod harness;
 
-use harness::{LeaderHarness, job, small_worker, test_config};
+use harness::{LeaderHarness, job, ms, small_worker, test_config};
 use hookway_constants as constants;
-use hookway_controller::cluster_state::{ClusterState, WarmStart, worker_lease_expiry_ms};
+use hookway_controller::cluster_state::{ClusterState, WarmStart, worker_lease_expiry};
 use hookway_controller::networks::Networks;
 use hookway_replication::{Entry, JobHints, PlacedTask, Publisher, ReplicatedState, Stage};
 use hookway_testkit::ScriptedWorker;
@@ -25,7 +25,7 @@
 /// Another controller is elected and has this copy.
 fn fail_over(harness: &mut LeaderHarness, copy: &ReplicatedState) -> WarmStart {
     let store = std::mem::take(&mut harness.store);
-    *harness = LeaderHarness::lead(store, SECOND_TERM, harness.now + 5_000);
+    *harness = LeaderHarness::lead(store, SECOND_TERM, harness.now + ms(5_000));
     harness.cluster.warm_start(copy, &Networks::default(), harness.now)
 }
 
@@ -197,7 +197,7 @@
     let mut idle = vec![small_worker("m-2", "a")];
     run_rounds(&mut harness, &mut idle);
     assert!(idle[0].started_attempts.is_empty(), "m-1 may run it");
-    let lease_over_at = harness.now + worker_lease_expiry_ms(&test_config().platform);
+    let lease_over_at = harness.now + worker_lease_expiry(&test_config().platform);
     while harness.now < lease_over_at {
         run_rounds(&mut harness, &mut idle);
     }
@@ -241,7 +241,7 @@
     run_rounds(&mut harness, &mut workers);
     let copy = copy_of(&mut harness.cluster);
     let store = std::mem::take(&mut harness.store);
-    harness = LeaderHarness::lead(store, SECOND_TERM, harness.now + 5_000);
+    harness = LeaderHarness::lead(store, SECOND_TERM, harness.now + ms(5_000));
     let elsewhere = Networks::parse("10.1.0.0/16").expect("a network");
     assert_eq!(harness.cluster.warm_start(&copy, &elsewhere, harness.now).addresses, 0);
     assert!(harness.cluster.take_state_probes(harness.now).is_empty());
@@ -302,7 +302,7 @@
     run_rounds(&mut harness, &mut workers);
     assert!(workers[0].unfinished_tasks().is_empty(), "it pauses");
     for _ in 0..whole_millis(constants::FAILURE_BACKOFF_MAX) / 2_000 + 5 {
-        harness.now += 1_500;
+        harness.now += ms(1_500);
         run_rounds(&mut harness, &mut workers);
     }
     assert_eq!(workers[0].unfinished_tasks().len(), 1);
@@ -360,7 +360,7 @@
         "their reports may be from before the failover"
     );
     assert!(harness.cluster.take_state_probes(harness.now).is_empty(), "they report again at once");
-    harness.now += whole_millis(constants::PROMPT_HEARTBEAT);
+    harness.now += constants::PROMPT_HEARTBEAT;
     assert_eq!(answer_probes(&mut harness, &mut workers), 2);
     assert!(harness.cluster.reconciled(harness.now));
 }
@@ -397,13 +397,12 @@
         if let Some(names) = deleted {
             break names;
         }
-        assert!(harness.now < begun + 60_000, "never");
+        assert!(harness.now < begun + ms(60_000), "never");
     };
     assert_eq!(deleted, ["m-8"]);
     let after = harness.now - begun;
-    let asked = u64::from(constants::MAX_UNANSWERED_STATE_PROBES - 1)
-        * whole_millis(constants::STATE_PROBE_RETRY);
-    assert!((asked..asked + 1_500).contains(&after), "{after} ms");
+    let asked = (constants::MAX_UNANSWERED_STATE_PROBES - 1) * constants::STATE_PROBE_RETRY;
+    assert!((asked..asked + ms(1_500)).contains(&after), "{after:?}");
     assert!(!harness.cluster.reconciled(harness.now), "only the cloud's answer proves it");
     harness.cluster.scale_in_finished(&deleted, harness.now);
     assert!(harness.cluster.reconciled(harness.now));
