--- a/crates/controller/src/actor/dispatch.rs
+++ b/crates/controller/src/actor/dispatch.rs
@@ -5,7 +5,9 @@
 use super::messages::{ClusterEvent, ControllerEvent};
 use super::store_io::commit_and_reread;
 use super::term::{ActiveTerm, Authority, TermTasks, TermTimers, take_due};
-use crate::cluster_state::{ClusterState, ScalingAction};
+use crate::cluster_state::{
+    ClusterState, DirectStart, DirectStop, ScalingAction, StateProbeRequest,
+};
 use crate::leadership::pause;
 use hookway_clients::{CloudClient, CloudError, Delivery, ScaleOutOutcome};
 use hookway_constants as constants;
@@ -29,7 +31,9 @@
     }
 
     fn send_direct_stops(&self, cluster: &mut ClusterState, tasks: &mut TermTasks, now: u64) {
-        for (address, commands) in cluster.take_direct_stops(MonotonicTime::from_millis(now)) {
+        for DirectStop { address, commands } in
+            cluster.take_direct_stops(MonotonicTime::from_millis(now))
+        {
             let workers = self.config.workers.clone();
             tasks.spawn(async move { workers.stop(&address, &commands).await });
         }
@@ -51,7 +55,7 @@
         if !starts.is_empty() {
             self.config.standby.start_dispatched(now);
         }
-        for (machine, address, commands) in starts {
+        for DirectStart { machine, address, commands } in starts {
             let (workers, authority) = (self.config.workers.clone(), tasks.authority.clone());
             tasks.spawn_event(async move {
                 // A start that was queued while the process was paused must not be sent.
@@ -83,7 +87,9 @@
         }
         let ActiveTerm { cluster: Some(cluster), tasks, .. } = active else { return };
         let term = tasks.term();
-        for (machine, address) in cluster.take_state_probes(MonotonicTime::from_millis(now)) {
+        for StateProbeRequest { machine, address } in
+            cluster.take_state_probes(MonotonicTime::from_millis(now))
+        {
             let workers = self.config.workers.clone();
             tasks.spawn_event(async move {
                 let heartbeat = workers.probe_state(&address, term).await;
--- a/crates/controller/src/actor/events.rs
+++ b/crates/controller/src/actor/events.rs
@@ -3,7 +3,7 @@
 use super::ControllerActor;
 use super::messages::{ClusterEvent, ControllerEvent};
 use super::term::ActiveTerm;
-use crate::cluster_state::{ClusterState, LoadedState, Timestamp};
+use crate::cluster_state::{ClusterState, CompletedJob, LoadedState, Timestamp};
 use hookway_time::MonotonicTime;
 
 impl ControllerActor {
@@ -105,11 +105,11 @@
     /// Announces the jobs whose final state a commit made durable.
     fn finish_jobs(&self, active: &mut ActiveTerm) {
         let Some(cluster) = &mut active.cluster else { return };
-        for (job, record) in cluster.take_completed_jobs() {
+        for CompletedJob { id, record } in cluster.take_completed_jobs() {
             // The cluster state drops the job, and its user requests the status once more. Without
             // the cache each of these requests would take two reads of the state service.
-            self.config.final_states.remember(&record.status(&job).into());
-            active.pending_cancellations.job_finished(&job, &record);
+            self.config.final_states.remember(&record.status(&id).into());
+            active.pending_cancellations.job_finished(&id, &record);
         }
         if cluster.leadership_lost() {
             self.config.leadership_lost.notify_one();
--- a/crates/controller/src/actor/store_io.rs
+++ b/crates/controller/src/actor/store_io.rs
@@ -24,7 +24,7 @@
         active.tasks.spawn(async move {
             loop {
                 match load_state(&store, has_start_watermarks).await {
-                    Ok((state, revision)) => {
+                    Ok(StateRead { state, revision }) => {
                         let loaded = ControllerEvent::StateLoaded { state, revision };
                         let _ = events.send(loaded).await;
                         return;
@@ -50,11 +50,18 @@
 /// The receiver of the events of a term no longer exists.
 struct TermEnded;
 
-/// Reads all records that a new leader needs, and the revision that later jobs come after.
+/// All records that a new leader needs.
+struct StateRead {
+    state: LoadedState,
+    /// Jobs that are not in `state` come after this revision.
+    revision: u64,
+}
+
+/// Reads all records that a new leader needs.
 async fn load_state(
     store: &StoreClient,
     has_start_watermarks: bool,
-) -> Result<(LoadedState, u64), StoreError> {
+) -> Result<StateRead, StoreError> {
     let (jobs, revision) = store.list(JOBS_PREFIX).await?;
     let (progress, _) = store.list(PROGRESS_PREFIX).await?;
     let (scheduling, _) = store.list(SCHEDULING_PREFIX).await?;
@@ -63,7 +70,7 @@
     let classes = store.get(CLASSES_KEY).await?;
     let state =
         LoadedState { jobs, progress, scheduling, registry, images, classes, has_start_watermarks };
-    Ok((state, revision))
+    Ok(StateRead { state, revision })
 }
 
 async fn watch_jobs(
@@ -150,7 +157,7 @@
 async fn reread_key(store: &StoreClient, key: String, unavailable: &impl Fn()) -> RereadKey {
     loop {
         match store.get(&key).await {
-            Ok(value) => return (key, value),
+            Ok(stored) => return RereadKey { key, stored },
             Err(error) => {
                 tracing::debug!(key, %error, "reading a key again failed");
                 if !matches!(error, StoreError::TooMany) {
--- a/crates/controller/src/cluster_state/command_dispatch.rs
+++ b/crates/controller/src/cluster_state/command_dispatch.rs
@@ -9,6 +9,22 @@
 /// Maximum number of commands in one message, so that its only line stays far below 64 KiB.
 const MAX_COMMANDS: usize = 400;
 
+/// Stops to be sent directly to a worker.
+#[derive(Debug, Clone, PartialEq)]
+pub struct DirectStop {
+    /// The address of the worker.
+    pub address: String,
+    /// The commands that stop the tasks.
+    pub commands: DirectCommands,
+}
+
+/// The stop of a placed task.
+struct SelectedStop {
+    /// Position in the machine's placed tasks.
+    position: usize,
+    grace_s: f64,
+}
+
 impl ClusterState {
     /// Time for a checkpoint, s, if a placed task must be stopped; `None` if it must not.
     pub(super) fn stop_grace_s(&self, placed: &PlacedTask, now: MonotonicTime) -> Option<f64> {
@@ -98,21 +114,17 @@
         commands
     }
 
-    /// Stops that should not wait for the workers' heartbeats: address and commands. Each is handed
-    /// out once; if it gets lost, the response to the next heartbeat has the same command.
-    pub fn take_direct_stops(&mut self, now: MonotonicTime) -> Vec<(String, DirectCommands)> {
+    /// Stops that should not wait for the workers' heartbeats. Each is handed out once; if it gets lost,
+    /// the response to the next heartbeat has the same command.
+    pub fn take_direct_stops(&mut self, now: MonotonicTime) -> Vec<DirectStop> {
         if !std::mem::take(&mut self.stops_due) {
             return Vec::new();
         }
         let names: Vec<String> = self.machines.keys().cloned().collect();
-        names.into_iter().filter_map(|name| self.take_direct_stops_of(&name, now)).collect()
+        names.into_iter().filter_map(|name| self.take_direct_stop_of(&name, now)).collect()
     }
 
-    fn take_direct_stops_of(
-        &mut self,
-        name: &str,
-        now: MonotonicTime,
-    ) -> Option<(String, DirectCommands)> {
+    fn take_direct_stop_of(&mut self, name: &str, now: MonotonicTime) -> Option<DirectStop> {
         let timeout = self.heartbeat_timeout();
         let machine = self.machines.get(name)?;
         // A machine that has missed its heartbeat would only take a connection until the time limit.
@@ -123,12 +135,15 @@
         }
         let is_new =
             |p: &PlacedTask| !p.stop_dispatched && matches!(p.phase, TaskPhase::Reported(_));
-        let stops: Vec<(usize, f64)> = machine
+        let stops: Vec<SelectedStop> = machine
             .placed_tasks
             .iter()
             .enumerate()
             .filter(|(_, placed)| is_new(placed))
-            .filter_map(|(i, placed)| Some((i, self.stop_grace_s(placed, now)?)))
+            .filter_map(|(position, placed)| {
+                let grace_s = self.stop_grace_s(placed, now)?;
+                Some(SelectedStop { position, grace_s })
+            })
             .take(MAX_COMMANDS)
             .collect();
         if stops.is_empty() {
@@ -136,8 +151,8 @@
         }
         let machine = self.machines.get_mut(name)?;
         let mut commands = Vec::with_capacity(stops.len());
-        for (i, grace_s) in stops {
-            let placed = &mut machine.placed_tasks[i];
+        for SelectedStop { position, grace_s } in stops {
+            let placed = &mut machine.placed_tasks[position];
             placed.stop_dispatched = true;
             commands.push(placed.kill_command(grace_s));
         }
@@ -146,6 +161,6 @@
             incarnation: machine.newest_message.incarnation,
             commands,
         };
-        Some((machine.address.clone(), commands))
+        Some(DirectStop { address: machine.address.clone(), commands })
     }
 }
--- a/crates/controller/src/cluster_state/commit_items.rs
+++ b/crates/controller/src/cluster_state/commit_items.rs
@@ -1,8 +1,8 @@
 //! The records of a transaction, as they are put into it.
 
-use super::commit_queue::{CommitItem, PendingCommit, RegistryMember};
+use super::commit_queue::{CommitItem, JobPage, PendingCommit, RegistryMember};
 use super::machine_registry::MachineRegistry;
-use super::{CachedImage, ClusterState, JobKey, Machine};
+use super::{ClusterState, JobKey, Machine};
 use crate::records::{
     CLASSES_KEY, ClassRecord, FinalRecord, JobSchedulingRecord, ProgressRecord,
     SharedStartWatermarksRecord, final_state_key, fits_value_limit, job_key, scheduling_key,
@@ -57,11 +57,10 @@
     }
 
     fn add_registry_record(&mut self, commit: &mut PendingCommit, number: u64) {
-        let cached_images = |machine: &str| -> Vec<(&str, f64)> {
+        let cached_images = |machine: &str| {
             let machine = self.machines.get(machine);
             let cached = machine.map(|m| m.images.as_slice()).unwrap_or_default();
-            let named = |c: &CachedImage| Some((self.images.name(c.image)?, c.size_gb));
-            cached.iter().filter_map(named).collect()
+            self.images.named(cached)
         };
         let value_kb = self.config.platform.state.value_kb;
         let Some(value) = self.commit_queue.registry.record(number, value_kb, cached_images) else {
@@ -87,7 +86,7 @@
     pub(super) fn add_progress_pages(&mut self, commit: &mut PendingCommit) {
         let mut waiting = Vec::new();
         while commit.has_room_for(1)
-            && let Some((key, page)) = self.commit_queue.progress_pages.pop_front()
+            && let Some(JobPage { job: key, page }) = self.commit_queue.progress_pages.pop_front()
         {
             let Some(job) = self.jobs.get_mut(&key) else { continue };
             // A job that ends, or has ended, needs no progress record.
@@ -96,7 +95,7 @@
                 continue;
             }
             if job.progress.must_wait(page) {
-                waiting.push((key, page));
+                waiting.push(JobPage { job: key, page });
                 continue;
             }
             let record = ProgressRecord::new(&job.results(page));
--- a/crates/controller/src/cluster_state/commit_outcome.rs
+++ b/crates/controller/src/cluster_state/commit_outcome.rs
@@ -1,6 +1,6 @@
 //! What the outcome of a transaction means for each of its records.
 
-use super::commit_queue::{CommitItem, RegistryMember, is_leader_record};
+use super::commit_queue::{CommitItem, JobPage, RegistryMember, is_leader_record};
 use super::{ClusterState, JobKey};
 use crate::records::{
     FinalRecord, JobSchedulingRecord, ProgressRecord, parse_progress_key, scheduling_key,
@@ -79,7 +79,7 @@
             }
             CommitItem::ProgressPage { job: key, page, .. } => {
                 if self.jobs.get_mut(&key).is_some_and(|job| job.progress.queue(page)) {
-                    self.commit_queue.progress_pages.push_back((key, page));
+                    self.commit_queue.progress_pages.push_back(JobPage { job: key, page });
                 }
             }
             CommitItem::MachineRegistry { number, .. } => {
@@ -140,7 +140,7 @@
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let page = job.progress.page_of(first);
         if first < job.spec.tasks && job.has_unstored_results(page) && job.progress.queue(page) {
-            self.commit_queue.progress_pages.push_back((key, page));
+            self.commit_queue.progress_pages.push_back(JobPage { job: key, page });
         }
     }
 
@@ -163,7 +163,7 @@
         }
         for page in stored.pages_to_write {
             if job.progress.queue(page) {
-                self.commit_queue.progress_pages.push_back((key, page));
+                self.commit_queue.progress_pages.push_back(JobPage { job: key, page });
             }
         }
         self.stops_due = true;
--- a/crates/controller/src/cluster_state/commit_queue.rs
+++ b/crates/controller/src/cluster_state/commit_queue.rs
@@ -27,8 +27,8 @@
     pub leader_precondition: Precondition,
     /// Jobs whose final record is to be written.
     pub finished_jobs: VecDeque<JobKey>,
-    /// Progress pages to be written, by job and page.
-    pub progress_pages: VecDeque<(JobKey, usize)>,
+    /// Progress pages to be written.
+    pub progress_pages: VecDeque<JobPage>,
     pub registry: MachineRegistry,
     pub shared_watermarks: SharedStartWatermarks,
     /// Revisions of the records that only leaders write, by key; 0, or none, if there is no record.
@@ -116,6 +116,13 @@
     key == CLASSES_KEY || key.starts_with(SCHEDULING_PREFIX) || key.starts_with(REGISTRY_PREFIX)
 }
 
+/// A page of a job's results.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct JobPage {
+    pub job: JobKey,
+    pub page: usize,
+}
+
 /// A machine of a registry record, with the images written for it.
 #[derive(Debug, Clone)]
 pub(super) struct RegistryMember {
@@ -174,8 +181,14 @@
     Indeterminate(Vec<RereadKey>),
 }
 
-/// A key that was read again, with its value if it has one.
-pub type RereadKey = (String, Option<KeyValue>);
+/// A key that was read again.
+#[derive(Debug, Clone, PartialEq)]
+pub struct RereadKey {
+    /// The key.
+    pub key: String,
+    /// What is stored under it, if anything.
+    pub stored: Option<KeyValue>,
+}
 
 impl PendingCommit {
     /// A transaction without operations, applied only as long as this controller leads.
--- a/crates/controller/src/cluster_state/commits.rs
+++ b/crates/controller/src/cluster_state/commits.rs
@@ -80,16 +80,16 @@
 
     /// A precondition failed, or the outcome is not known: the keys read again since tell what holds.
     fn commit_indeterminate(&mut self, commit: PendingCommit, reread: Vec<RereadKey>) {
-        for (key, value) in reread {
+        for RereadKey { key, stored } in reread {
             if key == self.commit_queue.leader_precondition.key {
-                let revision = value.as_ref().map_or(0, |v| v.mod_revision);
+                let revision = stored.as_ref().map_or(0, |kv| kv.mod_revision);
                 if revision != self.commit_queue.leader_precondition.mod_revision {
                     tracing::info!(term = self.term, "leadership lost");
                     self.commit_queue.leadership_lost = true;
                 }
                 continue;
             }
-            self.apply_reread(&key, value);
+            self.apply_reread(&key, stored);
         }
         for item in commit.items {
             if let CommitItem::Final { job, .. } = &item
--- a/crates/controller/src/cluster_state/direct_dispatch.rs
+++ b/crates/controller/src/cluster_state/direct_dispatch.rs
@@ -17,6 +17,17 @@
     in_flight: usize,
 }
 
+/// Starts to be sent directly to a machine's worker.
+#[derive(Debug, Clone, PartialEq)]
+pub struct DirectStart {
+    /// The machine.
+    pub machine: String,
+    /// The address of its worker.
+    pub address: String,
+    /// The commands that start the tasks.
+    pub commands: DirectCommands,
+}
+
 /// The planned starts of a machine that may be dispatched now.
 struct StartSelection {
     /// Positions in the machine's placed tasks.
@@ -26,16 +37,13 @@
 }
 
 impl ClusterState {
-    /// Starts that should not wait for their workers' next heartbeats: machine, address and commands.
-    /// The outcome goes to [`ClusterState::direct_start_sent`].
+    /// Starts that should not wait for their workers' next heartbeats. The outcome goes to
+    /// [`ClusterState::direct_start_sent`].
     ///
     /// Such a command may arrive late, or twice, and after `reap` a second arrival would start the
     /// task again. So the machine's fencing token rises with each: every later response, and with it
     /// every `reap`, carries a higher one, after which the worker refuses the command.
-    pub fn take_direct_starts(
-        &mut self,
-        now: MonotonicTime,
-    ) -> Vec<(String, String, DirectCommands)> {
+    pub fn take_direct_starts(&mut self, now: MonotonicTime) -> Vec<DirectStart> {
         let mut dispatches = Vec::new();
         let names = self.direct_dispatch.machines_with_planned_starts.clone();
         for name in names {
@@ -43,19 +51,13 @@
             if in_flight >= constants::MAX_DIRECT_DISPATCHES {
                 break;
             }
-            if let Some((address, commands)) = self.take_direct_starts_of(&name, now) {
-                dispatches.push((name, address, commands));
-            }
+            dispatches.extend(self.take_direct_start_of(&name, now));
         }
         self.direct_dispatch.in_flight += dispatches.len();
         dispatches
     }
 
-    fn take_direct_starts_of(
-        &mut self,
-        name: &str,
-        now: MonotonicTime,
-    ) -> Option<(String, DirectCommands)> {
+    fn take_direct_start_of(&mut self, name: &str, now: MonotonicTime) -> Option<DirectStart> {
         let Some(machine) = self.machines.get(name) else {
             self.direct_dispatch.machines_with_planned_starts.remove(name);
             return None;
@@ -90,7 +92,8 @@
         let incarnation = machine.newest_message.incarnation;
         let address = machine.address.clone();
         self.mark_unpublished(name);
-        Some((address, DirectCommands { fencing_token, incarnation, commands }))
+        let commands = DirectCommands { fencing_token, incarnation, commands };
+        Some(DirectStart { machine: name.to_owned(), address, commands })
     }
 
     /// Selects planned starts, up to the number that one message may have.
--- a/crates/controller/src/cluster_state/heartbeat_tasks.rs
+++ b/crates/controller/src/cluster_state/heartbeat_tasks.rs
@@ -21,6 +21,12 @@
     removal: TaskRemoval,
 }
 
+/// A task of the message, with its parsed id.
+struct FoundTask<'a> {
+    task: TaskId,
+    reported: &'a TaskStatus,
+}
+
 /// What a message says of the tasks of its machine.
 #[derive(Default)]
 struct TaskChanges<'a> {
@@ -29,7 +35,7 @@
     ended: Vec<EndedTask>,
     removed: Vec<RemovedTask>,
     /// Tasks that this leader did not place there.
-    unplaced: Vec<(TaskId, &'a TaskStatus)>,
+    unplaced: Vec<FoundTask<'a>>,
     /// Some start surely did not arrive and is planned again.
     has_replanned_starts: bool,
 }
@@ -56,8 +62,8 @@
         for removed in changes.removed {
             self.remove_task(name, &removed.task, removed.removal, now);
         }
-        for (task, reported) in changes.unplaced {
-            self.adopt_task(name, &task, reported, now);
+        for found in changes.unplaced {
+            self.adopt_task(name, &found.task, found.reported, now);
         }
         self.update_images(name);
         self.count_running(name);
@@ -126,7 +132,7 @@
             .filter(|i| !std::mem::replace(&mut is_reported[*i], true));
         match position {
             Some(i) => apply_reported(name, before[i].clone(), reported, now, &mut changes),
-            None => changes.unplaced.push((task, reported)),
+            None => changes.unplaced.push(FoundTask { task, reported }),
         }
     }
     for (placed, is_reported) in before.into_iter().zip(is_reported) {
--- a/crates/controller/src/cluster_state/image_numbers.rs
+++ b/crates/controller/src/cluster_state/image_numbers.rs
@@ -1,8 +1,18 @@
 //! Numbers that stand for the names of images.
 
 use super::CachedImage;
+use crate::records::ImageRecord;
 use std::collections::HashMap;
 
+/// An image by its name.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(super) struct NamedImage<'a> {
+    /// The image's name.
+    pub name: &'a str,
+    /// Its size, GB.
+    pub size_gb: f64,
+}
+
 /// The images that this leader has seen. An image keeps its number for the whole term.
 #[derive(Debug, Default)]
 pub(super) struct ImageNumbers {
@@ -21,16 +31,20 @@
         number
     }
 
-    /// The name of an image.
-    pub fn name(&self, number: u32) -> Option<&str> {
-        self.names.get(number as usize).map(String::as_str)
+    /// Cached images with their names.
+    pub fn named(&self, cached: &[CachedImage]) -> Vec<NamedImage<'_>> {
+        let named = |cached: &CachedImage| {
+            let name = self.names.get(cached.image as usize)?;
+            Some(NamedImage { name, size_gb: cached.size_gb })
+        };
+        cached.iter().filter_map(named).collect()
     }
 
-    /// Images of a record, given by name and size in GB.
-    pub fn of_record(&mut self, images: &[(String, f64)]) -> Vec<CachedImage> {
-        let mut cached = |(name, size_gb): &(String, f64)| CachedImage {
-            image: self.number(name),
-            size_gb: *size_gb,
+    /// The images of a record.
+    pub fn of_record(&mut self, images: &[ImageRecord]) -> Vec<CachedImage> {
+        let mut cached = |image: &ImageRecord| CachedImage {
+            image: self.number(&image.name),
+            size_gb: image.size_gb,
         };
         images.iter().map(&mut cached).collect()
     }
--- a/crates/controller/src/cluster_state/job_operations.rs
+++ b/crates/controller/src/cluster_state/job_operations.rs
@@ -30,6 +30,15 @@
     UnknownJob,
 }
 
+/// A job whose final record has become durable.
+#[derive(Debug, Clone, PartialEq)]
+pub struct CompletedJob {
+    /// The job.
+    pub id: JobId,
+    /// Its final record.
+    pub record: FinalRecord,
+}
+
 impl ClusterState {
     /// The status of a job.
     pub fn status(&self, id: &JobId) -> JobLookup {
@@ -98,7 +107,7 @@
     }
 
     /// The jobs whose final record has become durable since the last call.
-    pub fn take_completed_jobs(&mut self) -> Vec<(JobId, FinalRecord)> {
+    pub fn take_completed_jobs(&mut self) -> Vec<CompletedJob> {
         std::mem::take(&mut self.completed_jobs)
     }
 
@@ -126,7 +135,7 @@
         self.stops_due = true;
         let id = job.id.clone();
         self.jobs.mark_ended(&id);
-        self.completed_jobs.push((id, record));
+        self.completed_jobs.push(CompletedJob { id, record });
         self.forget_if_removed(key);
     }
 
--- a/crates/controller/src/cluster_state/machine_registry.rs
+++ b/crates/controller/src/cluster_state/machine_registry.rs
@@ -1,6 +1,9 @@
 //! The machine registry: which machines may have tasks, in records shared by many machines.
 
-use crate::records::{MachineRegistryEntry, MachineRegistryRecord, fits_value_limit, registry_key};
+use super::image_numbers::NamedImage;
+use crate::records::{
+    ImageRecord, MachineRegistryEntry, MachineRegistryRecord, fits_value_limit, registry_key,
+};
 use hookway_constants as constants;
 use hookway_time::WallTime;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -173,12 +176,12 @@
     }
 
     /// The value of a record; `None` if its machines alone are too many for a value. `images` gives the
-    /// names and sizes (GB) of the images cached on a machine; where they have no room they are left out.
+    /// images cached on a machine; where they have no room they are left out.
     pub fn record<'a>(
         &self,
         number: u64,
         value_kb: f64,
-        images: impl Fn(&str) -> Vec<(&'a str, f64)>,
+        images: impl Fn(&str) -> Vec<NamedImage<'a>>,
     ) -> Option<serde_json::Value> {
         let mut record = MachineRegistryRecord::default();
         let mut numbers: HashMap<&str, usize> = HashMap::new();
@@ -189,11 +192,12 @@
                 registered_at_ms: registered_at.as_unix_millis(),
                 images: Vec::new(),
             };
-            for (name, gb) in &cached[newest..] {
+            for NamedImage { name, size_gb } in &cached[newest..] {
                 let next = numbers.len();
                 let n = *numbers.entry(name).or_insert(next);
                 if n == next {
-                    record.images.push(((*name).to_owned(), *gb));
+                    let name = (*name).to_owned();
+                    record.images.push(ImageRecord { name, size_gb: *size_gb });
                 }
                 entry.images.push(n);
             }
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -58,14 +58,16 @@
 
 pub use autoscaling::ScalingAction;
 pub use clocks::Timestamp;
+pub use command_dispatch::DirectStop;
 pub use commit_queue::{CommitResult, PendingCommit, RereadKey};
-pub use job_operations::{CancelOutcome, JobLookup};
+pub use direct_dispatch::DirectStart;
+pub use job_operations::{CancelOutcome, CompletedJob, JobLookup};
 pub use leases::{leases_expire_within_cancellation, max_shard_lease, worker_lease_expiry};
 pub use recovery::LoadedState;
 pub use standby_feed::WarmStart;
+pub use state_probe::StateProbeRequest;
 pub use summary::Summary;
 
-use crate::records::FinalRecord;
 use crate::settings::{OperatorSettings, PlatformSettings};
 use crate::shard_lease::ShardLessor;
 use bounded_set::BoundedSet;
@@ -75,7 +77,7 @@
 use direct_dispatch::DirectDispatch;
 use hookway_constants as constants;
 use hookway_time::whole_millis;
-use hookway_wire::{JobId, MachineType, Precondition};
+use hookway_wire::{MachineType, Precondition};
 use image_numbers::ImageNumbers;
 use job::{Job, JobKey, TaskPlacement};
 use job_index::JobIndex;
@@ -124,7 +126,7 @@
     shard_lessor: ShardLessor,
     commit_queue: CommitQueue,
     /// Jobs whose end has become durable and was not taken by the caller yet.
-    completed_jobs: Vec<(JobId, FinalRecord)>,
+    completed_jobs: Vec<CompletedJob>,
     /// Cancelled jobs of which it is not sure that their tasks are gone in time.
     unproven_cancellations: BTreeSet<JobKey>,
     /// What the last scheduling round left for heartbeats.
--- a/crates/controller/src/cluster_state/state_probe.rs
+++ b/crates/controller/src/cluster_state/state_probe.rs
@@ -27,6 +27,15 @@
     }
 }
 
+/// A state probe to be sent.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub struct StateProbeRequest {
+    /// The machine.
+    pub machine: String,
+    /// The address of its worker.
+    pub address: String,
+}
+
 /// The state probes of one machine whose worker has not shown this leader's fencing token yet.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct StateProbe {
@@ -75,14 +84,14 @@
 }
 
 impl ClusterState {
-    /// Workers that have not shown this leader's fencing token and should be probed: machine and
-    /// address. The outcome goes to [`ClusterState::state_probed`].
+    /// Workers that have not shown this leader's fencing token and should be probed. The outcome goes to
+    /// [`ClusterState::state_probed`].
     ///
     /// A worker finds a new leader only after its heartbeat to the old one has failed, which takes it
     /// some seconds for each controller that hangs, and shows the new token with the heartbeat after
     /// that, which may be its next regular one; until all workers have, most work of earlier terms
     /// waits.
-    pub fn take_state_probes(&mut self, now: MonotonicTime) -> Vec<(String, String)> {
+    pub fn take_state_probes(&mut self, now: MonotonicTime) -> Vec<StateProbeRequest> {
         let room = constants::MAX_STATE_PROBES.saturating_sub(self.state_probes.in_flight);
         if now < self.state_probes.start_at {
             return Vec::new();
@@ -95,7 +104,8 @@
             let Some(machine) = self.machines.get_mut(name) else { continue };
             if machine.needs_state_probe(now) {
                 machine.state_probe.begin(now);
-                probes.push((name.clone(), machine.address.clone()));
+                let (machine, address) = (name.clone(), machine.address.clone());
+                probes.push(StateProbeRequest { machine, address });
             }
         }
         self.state_probes.in_flight += probes.len();
--- a/crates/controller/src/cluster_state/task_end.rs
+++ b/crates/controller/src/cluster_state/task_end.rs
@@ -1,5 +1,6 @@
 //! Ends of tasks: completions, failures and what they tell of the machine.
 
+use super::commit_queue::JobPage;
 use super::{ClusterState, CordonReason, Job, JobKey, PlacedTask};
 use hookway_constants as constants;
 use hookway_time::{MonotonicTime, millis_f64};
@@ -111,7 +112,7 @@
             }
             let page = job.progress.page_of(i);
             if job.progress.queue(page) {
-                self.commit_queue.progress_pages.push_back((key, page));
+                self.commit_queue.progress_pages.push_back(JobPage { job: key, page });
             }
         }
         self.finish_if_complete(key);
--- a/crates/controller/src/records/machine_registry.rs
+++ b/crates/controller/src/records/machine_registry.rs
@@ -9,9 +9,31 @@
     /// The machines, by name.
     #[serde(rename = "hosts")]
     pub machines: BTreeMap<String, MachineRegistryEntry>,
-    /// Name and size in GB of the images that the entries refer to.
+    /// The images that the entries refer to.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub images: Vec<(String, f64)>,
+    pub images: Vec<ImageRecord>,
+}
+
+/// An image in a record; stored as an array of its name and its size.
+#[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(String, f64)", into = "(String, f64)")]
+pub struct ImageRecord {
+    /// Its name.
+    pub name: String,
+    /// Its size, GB.
+    pub size_gb: f64,
+}
+
+impl From<(String, f64)> for ImageRecord {
+    fn from((name, size_gb): (String, f64)) -> Self {
+        Self { name, size_gb }
+    }
+}
+
+impl From<ImageRecord> for (String, f64) {
+    fn from(image: ImageRecord) -> Self {
+        (image.name, image.size_gb)
+    }
 }
 
 /// A machine in `r/record-<n>`.
@@ -28,6 +50,6 @@
 /// The value of `i/<machine>`, written by version 0.1.0.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ImagesRecord {
-    /// Name and size in GB of the images in the machine's cache; least recently used first.
-    pub images: Vec<(String, f64)>,
+    /// The images in the machine's cache; least recently used first.
+    pub images: Vec<ImageRecord>,
 }
--- a/crates/controller/src/records/mod.rs
+++ b/crates/controller/src/records/mod.rs
@@ -32,7 +32,9 @@
     progress_key, registry_key, scheduling_key, shared_watermarks_key,
 };
 pub use leader::LeaderRecord;
-pub use machine_registry::{ImagesRecord, MachineRegistryEntry, MachineRegistryRecord};
+pub use machine_registry::{
+    ImageRecord, ImagesRecord, MachineRegistryEntry, MachineRegistryRecord,
+};
 pub use progress::ProgressRecord;
 pub use scheduling::{ClassRecord, JobSchedulingRecord, SharedStartWatermarksRecord};
 
--- a/crates/controller/tests/cluster_state/cancellation.rs
+++ b/crates/controller/tests/cluster_state/cancellation.rs
@@ -23,7 +23,7 @@
         let decided = harness.cluster.take_completed_jobs();
         assert_eq!(decided.len(), 1);
         let state = if withdraw_first { JobState::Cancelled } else { JobState::Done };
-        assert_eq!(decided[0].1.state, state);
+        assert_eq!(decided[0].record.state, state);
     }
 }
 
--- a/crates/controller/tests/cluster_state/commit_queue.rs
+++ b/crates/controller/tests/cluster_state/commit_queue.rs
@@ -33,7 +33,7 @@
     assert_eq!(harness.cluster.status(&id), JobLookup::CommitInFlight);
     let revision = harness.store.commit(&commit.transaction).expect("applied");
     harness.cluster.committed(commit, CommitResult::Applied(revision), harness.now);
-    assert_eq!(harness.cluster.take_completed_jobs()[0].1.state, JobState::Done);
+    assert_eq!(harness.cluster.take_completed_jobs()[0].record.state, JobState::Done);
     w.handle_response(&answer);
     harness.now += ms(500);
     let commands = harness.heartbeat(&mut w);
--- a/crates/controller/tests/cluster_state/direct_dispatch.rs
+++ b/crates/controller/tests/cluster_state/direct_dispatch.rs
@@ -10,10 +10,9 @@
     harness.run_rounds(&mut [w]);
     harness.submit(job("req-000001", "array", 1));
     harness.advance(1_000);
-    let (machine, _, commands) =
-        harness.cluster.take_direct_starts(harness.now).pop().expect("a start");
-    assert_eq!(machine, "m-1");
-    commands
+    let start = harness.cluster.take_direct_starts(harness.now).pop().expect("a start");
+    assert_eq!(start.machine, "m-1");
+    start.commands
 }
 
 #[test]
--- a/crates/controller/tests/cluster_state/reconciliation.rs
+++ b/crates/controller/tests/cluster_state/reconciliation.rs
@@ -167,7 +167,7 @@
     next.now += ms(1_500);
     let mut asked = next.cluster.take_state_probes(next.now);
     asked.sort();
-    let names: Vec<&str> = asked.iter().map(|(name, _)| name.as_str()).collect();
+    let names: Vec<&str> = asked.iter().map(|probe| probe.machine.as_str()).collect();
     assert_eq!(names, ["m-1", "m-2"]);
     assert!(next.cluster.take_state_probes(next.now).is_empty(), "once each");
 
@@ -198,5 +198,5 @@
     next.advance(500);
     let starts = next.cluster.take_direct_starts(next.now);
     assert_eq!(starts.len(), 1, "{starts:?}");
-    assert_eq!(starts[0].0, "m-1");
+    assert_eq!(starts[0].machine, "m-1");
 }
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -10,8 +10,9 @@
 use hookway_controller::job_snapshot::JobSnapshot;
 use hookway_controller::peers::{PeerRequest, PeerResponse};
 use hookway_controller::records::{
-    ClassRecord, FinalRecord, ImagesRecord, JobRecord, JobSchedulingRecord, LeaderRecord,
-    MachineRegistryEntry, MachineRegistryRecord, ProgressRecord, SharedStartWatermarksRecord,
+    ClassRecord, FinalRecord, ImageRecord, ImagesRecord, JobRecord, JobSchedulingRecord,
+    LeaderRecord, MachineRegistryEntry, MachineRegistryRecord, ProgressRecord,
+    SharedStartWatermarksRecord,
 };
 use hookway_controller::request_outcome::RequestOutcome;
 use hookway_controller::shard_lease::{ShardLease, ShardLeaseAcknowledgement, ShardLeaseRenewal};
@@ -95,13 +96,11 @@
     json("record-minimum", &minimum);
     json("record-marks", &SharedStartWatermarksRecord { jobs: BTreeSet::from([id()]) });
     let entry = MachineRegistryEntry { registered_at_ms: 1_764_654_219_000, images: vec![0] };
+    let images = vec![ImageRecord { name: "img-07".into(), size_gb: 6.2 }];
     let bare = MachineRegistryEntry { registered_at_ms: 1_764_654_219_001, images: vec![] };
     let machines = BTreeMap::from([("m-000231".to_owned(), entry), ("m-000232".to_owned(), bare)]);
-    json(
-        "record-roster",
-        &MachineRegistryRecord { machines, images: vec![("img-07".into(), 6.2)] },
-    );
-    json("record-images", &ImagesRecord { images: vec![("img-07".into(), 6.2)] });
+    json("record-roster", &MachineRegistryRecord { machines, images: images.clone() });
+    json("record-images", &ImagesRecord { images });
     let need = Resources { cpus: 8.0, gpus: 1.0, memory_gb: 64.0 };
     json("record-lane", &ClassRecord { request: need, image_gb: 6.2, spot: true, gangs: false });
 }
--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -9,8 +9,8 @@
 use hookway_controller::leadership::LeadershipView;
 use hookway_controller::peers::{PeerRequest, PeerResponse, Peers};
 use hookway_controller::records::{
-    ClassRecord, FinalRecord, ImagesRecord, JobRecord, JobSchedulingRecord, MachineRegistryEntry,
-    MachineRegistryRecord, ProgressRecord, SharedStartWatermarksRecord,
+    ClassRecord, FinalRecord, ImageRecord, ImagesRecord, JobRecord, JobSchedulingRecord,
+    MachineRegistryEntry, MachineRegistryRecord, ProgressRecord, SharedStartWatermarksRecord,
 };
 use hookway_controller::standby::{Standby, StandbyMode, StandbySignals};
 use hookway_policy::Resources;
@@ -71,7 +71,9 @@
     json("pinned-record-roster-empty", &MachineRegistryRecord::default());
     let entry = MachineRegistryEntry { registered_at_ms: 1_764_654_219_000, images: vec![1, 0] };
     let machines = BTreeMap::from([("m-000231".to_owned(), entry)]);
-    let images = vec![("img-07".into(), 6.2), ("img-08".into(), 0.5)];
+    let images = [("img-07", 6.2), ("img-08", 0.5)]
+        .map(|(name, size_gb)| ImageRecord { name: name.into(), size_gb })
+        .to_vec();
     json("pinned-record-roster-images", &MachineRegistryRecord { machines, images });
     json("pinned-record-images-empty", &ImagesRecord::default());
 }
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_controller::cluster_state::{
-    ClusterState, CommitResult, ControllerConfig, JobLookup, LoadedState, PendingCommit,
+    ClusterState, CommitResult, ControllerConfig, JobLookup, LoadedState, PendingCommit, RereadKey,
     ScalingAction, Timestamp,
 };
 use hookway_controller::records::{JobRecord, LEADER_KEY, final_state_key, job_key};
@@ -116,7 +116,8 @@
     /// What the leader reads of a commit's keys when it has no response to it.
     pub fn read_after_lost_response(&self, commit: &PendingCommit) -> CommitResult {
         let keys = commit.keys().into_iter();
-        CommitResult::Indeterminate(keys.map(|k| (k.clone(), self.store.get(&k))).collect())
+        let reread = |key: String| RereadKey { stored: self.store.get(&key), key };
+        CommitResult::Indeterminate(keys.map(reread).collect())
     }
 
     /// One autoscaling round; the machines to be deleted, without the requests for new ones.
--- a/crates/controller/tests/simulation/commits.rs
+++ b/crates/controller/tests/simulation/commits.rs
@@ -4,7 +4,7 @@
 use super::controllers::Version;
 use super::messages::Message;
 use hookway_constants as constants;
-use hookway_controller::cluster_state::{CommitResult, PendingCommit};
+use hookway_controller::cluster_state::{CommitResult, CompletedJob, PendingCommit, RereadKey};
 use hookway_time::{MonotonicTime, whole_millis};
 use hookway_wire::{JobState, Operation, Transaction};
 
@@ -84,7 +84,8 @@
             return self
                 .at(now + whole_millis(constants::LEADER_RETRY), Message::Reread(n, term, commit));
         }
-        let read = commit.keys().into_iter().map(|k| (k.clone(), self.store.get(&k))).collect();
+        let reread = |key: String| RereadKey { stored: self.store.get(&key), key };
+        let read = commit.keys().into_iter().map(reread).collect();
         if let Some(leader) = self.controllers[n].leading(term) {
             leader.cluster.committed(
                 *commit,
@@ -99,8 +100,8 @@
     pub(super) fn report_decided(&mut self, n: usize, term: u64) {
         let Some(leader) = self.controllers[n].leading(term) else { return };
         let decided = leader.cluster.take_completed_jobs();
-        let waited: Vec<bool> = decided.iter().map(|(id, _)| leader.asked.remove(id)).collect();
-        for ((id, record), waited) in decided.into_iter().zip(waited) {
+        let waited: Vec<bool> = decided.iter().map(|job| leader.asked.remove(&job.id)).collect();
+        for (CompletedJob { id, record }, waited) in decided.into_iter().zip(waited) {
             self.controllers[n].over.insert(id.clone());
             if waited && record.state == JobState::Cancelled {
                 self.report_cancelled(n, &id);
--- a/crates/controller/tests/simulation/dispatch.rs
+++ b/crates/controller/tests/simulation/dispatch.rs
@@ -6,7 +6,9 @@
 use super::messages::Message;
 use hookway_clients::Delivery;
 use hookway_constants as constants;
-use hookway_controller::cluster_state::ScalingAction;
+use hookway_controller::cluster_state::{
+    DirectStart, DirectStop, ScalingAction, StateProbeRequest,
+};
 use hookway_time::{MonotonicTime, whole_millis};
 use hookway_wire::{Command, DirectCommands};
 
@@ -42,7 +44,7 @@
         let (now, term) = (self.now, leader.term);
         let mut messages: Vec<(usize, DirectCommands, bool)> = Vec::new();
         let index = |machine: &str| -> usize { machine[2..].parse().expect("a number") };
-        for (machine, _, commands) in
+        for DirectStart { machine, commands, .. } in
             leader.cluster.take_direct_starts(MonotonicTime::from_millis(now))
         {
             messages.push((index(&machine) - 1, commands, true));
@@ -52,7 +54,7 @@
         let commit = leader.cluster.next_commit(MonotonicTime::from_millis(now));
         // The leader waits for no response to a stop. Addresses have no meaning here, so a stop goes to the
         // machine that has the task.
-        for (_, commands) in stops {
+        for DirectStop { commands, .. } in stops {
             let Some(task) = commands.commands.iter().find_map(|o| match o {
                 Command::Kill { task, attempt, .. } => Some((task.clone(), *attempt)),
                 _ => None,
@@ -89,7 +91,7 @@
                 self.at(now + 1_500, outcome);
             }
         }
-        for (machine, _) in probes {
+        for StateProbeRequest { machine, .. } in probes {
             self.send(|| Message::StateProbe(n, term, index(&machine) - 1));
             // The sender's time limit, whatever is received.
             self.at(
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -32,7 +32,8 @@
 /// Delivers the state probes of the new leader to these workers; the number of probes.
 fn answer_probes(harness: &mut LeaderHarness, workers: &mut [ScriptedWorker]) -> usize {
     let asked = harness.cluster.take_state_probes(harness.now);
-    for (name, _) in &asked {
+    for probe in &asked {
+        let name = &probe.machine;
         let worker = workers.iter_mut().find(|w| w.name() == name);
         let token = harness.cluster.term();
         let report = worker.and_then(|w| {
