--- a/crates/controller/src/cluster_state/command_dispatch.rs
+++ b/crates/controller/src/cluster_state/command_dispatch.rs
@@ -2,9 +2,8 @@
 
 use super::{ClusterState, Machine, PlacedTask, TaskPhase};
 use hookway_constants as constants;
-use hookway_time::MonotonicTime;
+use hookway_time::{MonotonicTime, span_of_seconds};
 use hookway_wire::{Command, DirectCommands, ExitCause};
-use std::time::Duration;
 
 /// Maximum number of commands in one message, so that its only line stays far below 64 KiB.
 const MAX_COMMANDS: usize = 400;
@@ -35,8 +34,7 @@
             return Some(0.0);
         }
         if let Some(order) = placed.stop {
-            let checkpoint = Duration::from_millis((job.spec.checkpoint_s * 1000.0) as u64);
-            let patience = checkpoint + constants::STOP_TIMEOUT;
+            let patience = span_of_seconds(job.spec.checkpoint_s) + constants::STOP_TIMEOUT;
             let overdue = now.saturating_duration_since(order.decided_at) > patience;
             return Some(if overdue { 0.0 } else { order.grace_s });
         }
--- a/crates/controller/src/cluster_state/machine.rs
+++ b/crates/controller/src/cluster_state/machine.rs
@@ -4,7 +4,7 @@
 use super::placed_task::{EndedTask, ExpectedHeartbeat, PlacedTask};
 use super::state_probe::StateProbe;
 use hookway_constants as constants;
-use hookway_time::MonotonicTime;
+use hookway_time::{MonotonicTime, span_of_seconds};
 use hookway_wire::Heartbeat;
 use std::time::Duration;
 
@@ -216,9 +216,8 @@
     /// Takes the machine's own properties from its newest message, received at `now`.
     pub fn update_from(&mut self, heartbeat: &Heartbeat, now: MonotonicTime) {
         self.newest_message = MessageVersion::of(heartbeat);
-        self.interruption_at = heartbeat
-            .interruption_notice_s
-            .map(|s| now + Duration::from_millis((s.max(0.0) * 1000.0) as u64));
+        self.interruption_at =
+            heartbeat.interruption_notice_s.map(|notice_s| now + span_of_seconds(notice_s));
         self.address.clone_from(&heartbeat.addr);
         self.machine_type.clone_from(&heartbeat.machine_type);
         self.zone.clone_from(&heartbeat.zone);
--- a/crates/controller/src/cluster_state/machine_list.rs
+++ b/crates/controller/src/cluster_state/machine_list.rs
@@ -4,7 +4,7 @@
 use super::task_removal::TaskRemoval;
 use super::{ClusterState, CordonReason, Machine};
 use hookway_constants as constants;
-use hookway_time::MonotonicTime;
+use hookway_time::{MonotonicTime, span_of_seconds};
 use hookway_wire::{ListedMachine, MachineState};
 use std::collections::HashSet;
 use std::time::Duration;
@@ -41,7 +41,7 @@
             machine.cordon_reason = Some(CordonReason::Failed);
         } else {
             tracing::info!(machine = %name, age_s = listed.age_s, "machine found in list");
-            machine.created_at = now.saturating_sub(age(listed));
+            machine.created_at = now.saturating_sub(span_of_seconds(listed.age_s));
         }
         self.machines.insert(name.clone(), machine);
         !failed
@@ -58,7 +58,8 @@
             if let Some(address) = &listed.addr {
                 machine.address.clone_from(address);
             }
-            machine.created_at = machine.created_at.min(now.saturating_sub(age(listed)));
+            machine.created_at =
+                machine.created_at.min(now.saturating_sub(span_of_seconds(listed.age_s)));
         }
         machine.first_listing.get_or_insert(FirstListing { learned_at: now, age: Duration::ZERO });
         let known_as_failed = machine.cordon_reason == Some(CordonReason::Failed);
@@ -89,8 +90,3 @@
             .collect()
     }
 }
-
-/// Age of a listed machine.
-fn age(listed: &ListedMachine) -> Duration {
-    Duration::from_millis((listed.age_s.max(0.0) * 1000.0) as u64)
-}
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -11,5 +11,5 @@
 mod wall;
 
 pub use monotonic::MonotonicTime;
-pub use span::{millis_f64, seconds_f64, whole_millis};
+pub use span::{millis_f64, seconds_f64, span_of_seconds, whole_millis};
 pub use wall::WallTime;
--- a/crates/time/src/span.rs
+++ b/crates/time/src/span.rs
@@ -12,6 +12,11 @@
     whole_millis(span) as f64
 }
 
+/// The span of this many seconds, cut off to whole milliseconds; zero if it is negative or no number.
+pub fn span_of_seconds(seconds: f64) -> Duration {
+    Duration::from_millis((seconds * 1000.0) as u64)
+}
+
 /// A span in seconds, for estimates in floating point and for the log.
 ///
 /// It is the quotient of the whole milliseconds, which [`Duration::as_secs_f64`] may miss by a rounding
