--- a/crates/constants/src/leadership.rs
+++ b/crates/constants/src/leadership.rs
@@ -42,3 +42,6 @@
 /// Fencing tokens per term: the term's own, and one more for each direct dispatch to a machine.
 /// Leaves room for 2^24 terms in an attempt number.
 pub const TOKENS_PER_TERM: u64 = 4_096;
+/// Bits of an attempt number that count the attempts of one term; the bits above are the term. No
+/// leader starts 2^28 tasks.
+pub const ATTEMPT_COUNTER_BITS: u32 = 28;
--- a/crates/constants/src/workers.rs
+++ b/crates/constants/src/workers.rs
@@ -37,6 +37,9 @@
 pub const MAX_DIRECT_STOPS: usize = 32;
 /// How long a direct stop may queue. All stops of a gang must arrive within seconds.
 pub const DIRECT_STOP_QUEUE_LIMIT: Duration = Duration::from_millis(2_000);
+/// Added to the time for a checkpoint when a task is stopped, s. Covers a worker that begins the
+/// checkpoint late.
+pub const CHECKPOINT_MARGIN_S: f64 = 1.0;
 /// A stop that had no effect is repeated without grace this long after the time for a checkpoint,
 /// ms.
 pub const STOP_TIMEOUT: Duration = Duration::from_millis(10_000);
--- a/crates/controller/src/cluster_state/acknowledgement.rs
+++ b/crates/controller/src/cluster_state/acknowledgement.rs
@@ -5,6 +5,9 @@
 use hookway_time::MonotonicTime;
 use hookway_wire::Heartbeat;
 
+/// At most one machine in this many counts as few; a single one always does.
+const FEW_MACHINES_DIVISOR: usize = 4;
+
 impl ClusterState {
     /// Checks whether the worker applied the last response, as far as its next heartbeat shows it.
     ///
@@ -52,14 +55,13 @@
         }
     }
 
-    /// Whether at most a quarter of the machines miss responses. When more do, it is this controller
-    /// whose responses are late.
+    /// Whether few machines miss responses. When more do, it is this controller whose responses are late.
     fn few_machines_miss_responses(&self) -> bool {
         let affected = self
             .machines
             .values()
             .filter(|m| m.unacknowledged_responses >= constants::MAX_UNACKNOWLEDGED_RESPONSES)
             .count();
-        affected * 4 <= self.machines.len().max(4)
+        affected * FEW_MACHINES_DIVISOR <= self.machines.len().max(FEW_MACHINES_DIVISOR)
     }
 }
--- a/crates/controller/src/cluster_state/command_dispatch.rs
+++ b/crates/controller/src/cluster_state/command_dispatch.rs
@@ -5,8 +5,11 @@
 use hookway_time::{MonotonicTime, span_of_seconds};
 use hookway_wire::{Command, DirectCommands, ExitCause};
 
-/// Maximum number of commands in one message, so that its only line stays far below 64 KiB.
+/// Number of commands in one message from which no more starts or direct stops are added, so that its
+/// only line stays far below 64 KiB.
 const MAX_COMMANDS: usize = 400;
+/// Maximum number of commands in a response: reaps and stops may exceed the limit for starts.
+const MAX_COMMANDS_WITH_STOPS: usize = 2 * MAX_COMMANDS;
 
 /// Stops to be sent directly to a worker.
 #[derive(Debug, Clone, PartialEq)]
@@ -89,7 +92,7 @@
         for start in cancelled {
             self.cancel_planned_start(name, &start, now);
         }
-        commands.truncate(MAX_COMMANDS * 2);
+        commands.truncate(MAX_COMMANDS_WITH_STOPS);
         commands
     }
 
--- a/crates/controller/src/cluster_state/failure_attribution.rs
+++ b/crates/controller/src/cluster_state/failure_attribution.rs
@@ -13,6 +13,11 @@
 /// The backoff after failures is doubled at most this many times, so that no number of failures
 /// overflows it.
 const MAX_BACKOFF_DOUBLINGS: u32 = 10;
+/// The jitter of a backoff is below the backoff divided by this: enough to spread jobs that fail
+/// together, little against the backoff itself.
+const JITTER_DIVISOR: u64 = 4;
+/// Number of different jitters.
+const JITTER_STEPS: u64 = 100;
 
 impl Job {
     /// Whether it fails wherever it is tried: no task has completed, and no more of them run than there
@@ -66,24 +71,30 @@
         if proven && self.consecutive_failures < constants::PROVEN_JOB_MAX_FAILURES {
             return;
         }
-        let doublings = (self.consecutive_failures - 1).min(MAX_BACKOFF_DOUBLINGS);
-        let backoff = constants::FAILURE_BACKOFF * (1 << doublings);
-        let backoff = backoff.min(constants::FAILURE_BACKOFF_MAX);
-        // Jobs that were submitted together with the same fault shall not all be tried together.
-        let spread = |sum: u64, byte: u8| sum.wrapping_mul(31).wrapping_add(u64::from(byte));
-        let spread = self.id.as_str().bytes().fold(u64::from(self.consecutive_failures), spread);
-        let jitter = Duration::from_millis(whole_millis(backoff) / 4 * (spread % 100) / 100);
-        let delay = backoff + jitter;
-        self.backoff_until = now + delay;
+        let backoff = self.failure_backoff();
+        self.backoff_until = now + backoff;
         if self.is_crash_looping() {
             self.add_note(format!(
                 "failed on {} machines and ran on none; next try in {} s",
                 self.failed_machines.len(),
-                delay.as_secs()
+                backoff.as_secs()
             ));
         }
     }
 
+    /// Time until the job is tried again after its last failure.
+    fn failure_backoff(&self) -> Duration {
+        let doublings = (self.consecutive_failures - 1).min(MAX_BACKOFF_DOUBLINGS);
+        let backoff = constants::FAILURE_BACKOFF * (1 << doublings);
+        let backoff = backoff.min(constants::FAILURE_BACKOFF_MAX);
+        // Jobs that were submitted together with the same fault shall not all be tried together.
+        let spread = |sum: u64, byte: u8| sum.wrapping_mul(31).wrapping_add(u64::from(byte));
+        let spread = self.id.as_str().bytes().fold(u64::from(self.consecutive_failures), spread);
+        let max_jitter_ms = whole_millis(backoff) / JITTER_DIVISOR;
+        let jitter_ms = max_jitter_ms * (spread % JITTER_STEPS) / JITTER_STEPS;
+        backoff + Duration::from_millis(jitter_ms)
+    }
+
     /// A replica of a daemon is done. It is started again, after a backoff if it ended at once.
     pub(super) fn replica_completed(
         &mut self,
--- a/crates/controller/src/cluster_state/heartbeat_timing.rs
+++ b/crates/controller/src/cluster_state/heartbeat_timing.rs
@@ -12,6 +12,8 @@
 /// Intervals after which the planned starts of such a machine are cancelled, to start elsewhere. Some
 /// more, since a heartbeat that is only late would have taken them.
 const PLANNED_START_INTERVALS: f64 = 2.5;
+/// Workers that must all be silent before that tells of this controller: a single one may be gone.
+const MIN_SILENT_WORKERS: u32 = 2;
 
 impl ClusterState {
     /// Interval between the regular heartbeats of a worker, ms.
@@ -74,7 +76,7 @@
         } else {
             self.silence_limit()
         };
-        expected >= 2 && now >= latest + silence
+        expected >= MIN_SILENT_WORKERS && now >= latest + silence
     }
 
     /// Whether a machine of the registry has sent this leader no heartbeat although it was listed so
--- a/crates/controller/src/cluster_state/placement.rs
+++ b/crates/controller/src/cluster_state/placement.rs
@@ -1,6 +1,7 @@
 //! Placing tasks on machines, stopping them, and preempting them for other jobs.
 
 use super::{ClusterState, JobKey, PlacedTask, StopOrder, TaskPhase, TaskPlacement};
+use hookway_constants as constants;
 use hookway_time::MonotonicTime;
 
 impl ClusterState {
@@ -26,7 +27,7 @@
             // share a term.
             let attempt = job.gang_attempt.filter(|_| gang).unwrap_or_else(|| {
                 self.last_attempt += 1;
-                (self.term << 28) + self.last_attempt
+                (self.term << constants::ATTEMPT_COUNTER_BITS) + self.last_attempt
             });
             if gang {
                 job.gang_attempt = Some(attempt);
@@ -61,7 +62,11 @@
         let Some(key) = placed.job else { return };
         let (task, attempt) = (placed.task.clone(), placed.attempt);
         let Some(job) = self.jobs.get(&key) else { return };
-        let grace_s = if job.spec.checkpoints() { job.spec.checkpoint_s + 1.0 } else { 0.0 };
+        let grace_s = if job.spec.checkpoints() {
+            job.spec.checkpoint_s + constants::CHECKPOINT_MARGIN_S
+        } else {
+            0.0
+        };
         let order = StopOrder { grace_s, decided_at: now };
         let gang = job.spec.is_gang();
         self.stops_due = true;
--- a/crates/controller/src/cluster_state/scale_out.rs
+++ b/crates/controller/src/cluster_state/scale_out.rs
@@ -7,6 +7,10 @@
 use hookway_wire::ScaleOutRequest;
 use std::collections::{HashMap, HashSet};
 
+/// Scale-out requests that may be in flight, however few the cloud takes in a second: one that is
+/// answered late must not hold up all others.
+const MIN_PENDING_REQUESTS: f64 = 2.0;
+
 /// Machines that the cloud offers under the same conditions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct CapacityPool {
@@ -113,7 +117,7 @@
         let mut remaining = u32::try_from(room).unwrap_or(u32::MAX);
         // No more requests than the cloud takes within about a second: one that waits in a queue is out
         // of date when its turn comes.
-        let max_pending = self.config.platform.cloud.rps.max(2.0) as usize;
+        let max_pending = self.config.platform.cloud.rps.max(MIN_PENDING_REQUESTS) as usize;
         let mut requests = Vec::new();
         for scale_out in &plan.scale_out {
             let count = scale_out.count.min(constants::MAX_SCALE_OUT_MACHINES).min(remaining);
--- a/crates/controller/src/cluster_state/snapshot.rs
+++ b/crates/controller/src/cluster_state/snapshot.rs
@@ -7,6 +7,9 @@
 use hookway_time::{MonotonicTime, seconds_f64};
 use std::collections::HashMap;
 
+/// Lower bound of the CPUs of a machine type, against division by zero.
+const MIN_CPUS: f64 = 0.1;
+
 /// A cluster snapshot for the policy, with what its indexes stand for.
 pub(super) struct SchedulingSnapshot {
     /// What the policy sees.
@@ -78,7 +81,7 @@
             .iter()
             .flat_map(|machine_type| {
                 let prices = [Some(machine_type.price_per_hour), machine_type.spot_price];
-                prices.map(|price| price.map(|price| price / machine_type.cpus.max(0.1)))
+                prices.map(|price| price.map(|price| price / machine_type.cpus.max(MIN_CPUS)))
             })
             .flatten()
             .fold(f64::INFINITY, f64::min);
