--- a/crates/controller/tests/simulation/commits.rs
+++ b/crates/controller/tests/simulation/commits.rs
@@ -1,11 +1,10 @@
 //! Commits of a leader: delayed, refused or without a response.
 
-use super::Simulation;
 use super::controllers::Version;
 use super::messages::Message;
+use super::{Simulation, ms};
 use hookway_constants as constants;
 use hookway_controller::cluster_state::{CommitResult, CompletedJob, PendingCommit, RereadKey};
-use hookway_time::{MonotonicTime, whole_millis};
 use hookway_wire::{JobState, Operation, Transaction};
 
 impl Simulation {
@@ -32,17 +31,13 @@
                 || controller.refused && now < controller.store_unreachable_until;
             match controller.leading(term) {
                 Some(leader) if refused => {
-                    leader.cluster.committed(
-                        *commit,
-                        CommitResult::NotApplied,
-                        MonotonicTime::from_millis(now),
-                    );
+                    leader.cluster.committed(*commit, CommitResult::NotApplied, now);
                 }
                 // Delayed in the network: it may be applied when the partition has healed.
                 _ => {
                     let at = now + self.span(1_200, 40_000);
                     self.at(at, Message::DelayedTransaction(commit.transaction.clone()));
-                    self.at(now + 1_200, Message::Reread(n, term, commit));
+                    self.at(now + ms(1_200), Message::Reread(n, term, commit));
                 }
             }
             return;
@@ -59,15 +54,11 @@
         match applied {
             Some(Ok(revision)) if !lost && self.controllers[n].up(now) => {
                 if let Some(leader) = self.controllers[n].leading(term) {
-                    leader.cluster.committed(
-                        *commit,
-                        CommitResult::Applied(revision),
-                        MonotonicTime::from_millis(now),
-                    );
+                    leader.cluster.committed(*commit, CommitResult::Applied(revision), now);
                 }
             }
             _ => {
-                let wait = if lost { 1_200 } else { 10 };
+                let wait = ms(if lost { 1_200 } else { 10 });
                 self.at(now + wait, Message::Reread(n, term, commit));
             }
         }
@@ -81,17 +72,12 @@
             return;
         }
         if !self.store_answers(n) {
-            return self
-                .at(now + whole_millis(constants::LEADER_RETRY), Message::Reread(n, term, commit));
+            return self.at(now + constants::LEADER_RETRY, Message::Reread(n, term, commit));
         }
         let reread = |key: String| RereadKey { stored: self.store.get(&key), key };
         let read = commit.keys().into_iter().map(reread).collect();
         if let Some(leader) = self.controllers[n].leading(term) {
-            leader.cluster.committed(
-                *commit,
-                CommitResult::Indeterminate(read),
-                MonotonicTime::from_millis(now),
-            );
+            leader.cluster.committed(*commit, CommitResult::Indeterminate(read), now);
         }
         self.report_decided(n, term);
     }
--- a/crates/controller/tests/simulation/controllers.rs
+++ b/crates/controller/tests/simulation/controllers.rs
@@ -10,23 +10,24 @@
 use hookway_controller::shard_lease::ShardLessee;
 use hookway_replication::{Follower, Publisher};
 use hookway_testkit::{SETTINGS, machine_types};
-use hookway_time::{MonotonicTime, WallTime, whole_millis};
+use hookway_time::{MonotonicTime, WallTime, seconds_f64, whole_millis};
 use hookway_wire::{JobId, ListedMachine, MachineState, Precondition};
 use rand::RngExt;
 use std::collections::BTreeSet;
+use std::time::Duration;
 
 /// After this long without the leader a shard lessee answers workers itself, ms.
 const LESSEE_TIMEOUT: u64 = 4_000;
 /// New machines are missing from the cloud's list for this long, ms.
-const LIST_LAG: u64 = 4_000;
+const LIST_LAG: Duration = Duration::from_millis(4_000);
 
 /// The state of one term at the controller that leads it or has just lost it.
 pub(super) struct Leader {
     pub cluster: ClusterState,
     pub term: u64,
     pub publisher: Publisher,
-    valid_until: u64,
-    next_extend: u64,
+    valid_until: MonotonicTime,
+    next_extend: MonotonicTime,
     paused: bool,
     /// Cancellations whose users wait until they are durable.
     pub asked: BTreeSet<JobId>,
@@ -40,26 +41,26 @@
     /// Its copy of the leader's cluster state.
     pub follower: Follower,
     /// One-way partition: its requests reach other controllers, their responses don't reach it.
-    pub responses_lost_until: u64,
+    pub responses_lost_until: MonotonicTime,
     pub nonce: u64,
     /// Start of its process.
-    pub begun: u64,
+    pub begun: MonotonicTime,
     pub leader: Option<Leader>,
     /// The leader that it last read.
     pub seen: Option<usize>,
     /// Jobs that it knows to be finished.
     pub over: BTreeSet<JobId>,
-    pub store_unreachable_until: u64,
+    pub store_unreachable_until: MonotonicTime,
     /// The state service refuses its requests; otherwise they get no response.
     pub refused: bool,
-    pub peers_unreachable_until: u64,
-    pub workers_unreachable_until: u64,
-    pub frozen_until: u64,
-    pub down_until: u64,
-    no_campaign_until: u64,
-    deserted_at: Option<u64>,
+    pub peers_unreachable_until: MonotonicTime,
+    pub workers_unreachable_until: MonotonicTime,
+    pub frozen_until: MonotonicTime,
+    pub down_until: MonotonicTime,
+    no_campaign_until: MonotonicTime,
+    deserted_at: Option<MonotonicTime>,
     /// Start of an outage of the state service for every controller.
-    pub outage_at: Option<u64>,
+    pub outage_at: Option<MonotonicTime>,
 }
 
 /// The version of a process.
@@ -75,8 +76,14 @@
 const NEXT_LIMITS: &str =
     "\n[settings.state.next]\nvalue_kb = 0.25\ntxn_ops = 3\nwrite_rps = 20.0\n";
 
+/// The expiry of a leadership lease that was extended at `now`, as the leader estimates it.
+fn leader_lease_expiry(now: MonotonicTime) -> MonotonicTime {
+    let expiry = lease_expiry(now.as_millis(), whole_millis(constants::LEADER_TTL));
+    MonotonicTime::from_millis(expiry)
+}
+
 impl Controller {
-    pub fn new(n: usize, version: Version, nonce: u64, now: u64) -> Self {
+    pub fn new(n: usize, version: Version, nonce: u64, now: MonotonicTime) -> Self {
         let siblings = CONTROLLERS.iter().enumerate().filter(|(other, _)| *other != n);
         let limits = if version == Version::New { NEXT_LIMITS } else { "" };
         let settings = format!("{SETTINGS}{limits}");
@@ -92,31 +99,36 @@
             config,
             version,
             follower: Follower::new(CONTROLLERS[n].0),
-            responses_lost_until: 0,
+            responses_lost_until: MonotonicTime::ZERO,
             nonce,
             begun: now,
             leader: None,
             seen: None,
             over: BTreeSet::new(),
-            store_unreachable_until: 0,
+            store_unreachable_until: MonotonicTime::ZERO,
             refused: false,
-            peers_unreachable_until: 0,
-            workers_unreachable_until: 0,
-            frozen_until: 0,
+            peers_unreachable_until: MonotonicTime::ZERO,
+            workers_unreachable_until: MonotonicTime::ZERO,
+            frozen_until: MonotonicTime::ZERO,
             down_until: now,
-            no_campaign_until: 0,
+            no_campaign_until: MonotonicTime::ZERO,
             deserted_at: None,
             outage_at: None,
         }
     }
 
+    /// The reading of its process's own clock.
+    pub fn clock(&self, now: MonotonicTime) -> MonotonicTime {
+        MonotonicTime::ZERO + (now - self.begun)
+    }
+
     /// Its process runs and is not frozen.
-    pub fn up(&self, now: u64) -> bool {
+    pub fn up(&self, now: MonotonicTime) -> bool {
         now >= self.down_until && now >= self.frozen_until
     }
 
     /// Whether it may act as the leader.
-    pub fn entitled(&self, now: u64) -> bool {
+    pub fn entitled(&self, now: MonotonicTime) -> bool {
         self.up(now) && self.leader.as_ref().is_some_and(|l| !l.paused && now < l.valid_until)
     }
 
@@ -126,24 +138,20 @@
     }
 
     /// Ends every fault of this controller.
-    pub fn end_faults(&mut self, now: u64) {
-        (
-            self.store_unreachable_until,
-            self.peers_unreachable_until,
-            self.workers_unreachable_until,
-        ) = (0, 0, 0);
-        self.responses_lost_until = 0;
+    pub fn end_faults(&mut self, now: MonotonicTime) {
+        self.store_unreachable_until = MonotonicTime::ZERO;
+        self.peers_unreachable_until = MonotonicTime::ZERO;
+        self.workers_unreachable_until = MonotonicTime::ZERO;
+        self.responses_lost_until = MonotonicTime::ZERO;
         self.frozen_until = self.frozen_until.min(now);
         self.outage_at = None;
     }
 }
 
 impl Simulation {
-    fn moment(&self) -> Timestamp {
-        Timestamp {
-            monotonic: MonotonicTime::from_millis(self.now),
-            wall: WallTime::from_unix_millis(1_000_000 + self.now),
-        }
+    pub(super) fn moment(&self) -> Timestamp {
+        let wall = WallTime::from_unix_millis(1_000_000 + self.now.as_millis());
+        Timestamp { monotonic: self.now, wall }
     }
 
     /// Kills the process; another one of the same version starts under its name soon.
@@ -192,10 +200,10 @@
         }
         let controller = &self.controllers[n];
         if let Some(leader) = controller.seen.filter(|l| *l != n)
-            && self.now.is_multiple_of(whole_millis(constants::SHARD_LEASE_RENEWAL_INTERVAL))
+            && self.every(whole_millis(constants::SHARD_LEASE_RENEWAL_INTERVAL))
         {
-            let at = self.now - controller.begun;
-            let renewal = controller.holding.renewal(at);
+            let at = controller.clock(self.now);
+            let renewal = controller.holding.renewal(at.as_millis());
             self.send(|| Message::LeaseRenewal(n, leader, renewal.clone(), at));
         }
         self.follow(n);
@@ -210,15 +218,15 @@
             return;
         }
         if !answers {
-            leader.next_extend = now + whole_millis(constants::LEADER_RETRY);
+            leader.next_extend = now + constants::LEADER_RETRY;
             return;
         }
-        leader.next_extend = now + whole_millis(constants::LEADER_EXTEND_INTERVAL);
+        leader.next_extend = now + constants::LEADER_EXTEND_INTERVAL;
         match self.lead.as_mut().filter(|l| l.term == leader.term) {
             Some(lead) => {
-                lead.until = now + whole_millis(constants::LEADER_TTL);
+                lead.until = now + constants::LEADER_TTL;
                 self.counts.resumed_terms += usize::from(now >= leader.valid_until);
-                leader.valid_until = lease_expiry(now, whole_millis(constants::LEADER_TTL));
+                leader.valid_until = leader_lease_expiry(now);
             }
             None => {
                 self.controllers[n].leader = None;
@@ -256,11 +264,7 @@
         self.next_term += constants::TOKENS_PER_TERM;
         self.counts.terms += 1;
         let stamp = self.store.put(LEADER_KEY, serde_json::json!({ "term": term }));
-        self.lead = Some(StoredLead {
-            controller: n,
-            term,
-            until: now + whole_millis(constants::LEADER_TTL),
-        });
+        self.lead = Some(StoredLead { controller: n, term, until: now + constants::LEADER_TTL });
         let loaded = LoadedState {
             jobs: self.store.list("j/"),
             progress: self.store.list("p/"),
@@ -281,8 +285,8 @@
             cluster,
             term,
             publisher: Publisher::new(term),
-            valid_until: lease_expiry(now, whole_millis(constants::LEADER_TTL)),
-            next_extend: now + whole_millis(constants::LEADER_EXTEND_INTERVAL),
+            valid_until: leader_lease_expiry(now),
+            next_extend: now + constants::LEADER_EXTEND_INTERVAL,
             paused: false,
             asked: BTreeSet::new(),
         };
@@ -299,7 +303,7 @@
             zone: m.worker.zone().into(),
             spot: false,
             status: MachineState::Running,
-            age_s: (self.now - m.born) as f64 / 1000.0,
+            age_s: seconds_f64(self.now - m.born),
         };
         self.machines.iter().filter(seen).map(listed).collect()
     }
@@ -313,13 +317,13 @@
             return true;
         }
         if std::mem::take(&mut leader.paused) {
-            leader.cluster.resumed(MonotonicTime::from_millis(now));
+            leader.cluster.resumed(now);
         }
         leader.cluster.set_time(self.moment());
         let controller = &mut self.controllers[n];
-        let lease_ms = whole_millis(leader.cluster.shard_lease(MonotonicTime::from_millis(now)));
+        let lease_ms = whole_millis(leader.cluster.shard_lease(now));
         if lease_ms > 0 {
-            let at = now - controller.begun;
+            let at = controller.clock(now).as_millis();
             controller.holding.hold_as_leader(
                 leader.term,
                 leader.cluster.own_shard(),
@@ -327,13 +331,12 @@
                 at,
             );
         }
-        let again = controller
-            .deserted_at
-            .is_none_or(|at| now >= at + whole_millis(constants::STEP_DOWN_INTERVAL));
-        let lost = leader.cluster.all_workers_silent(MonotonicTime::from_millis(now)) && again;
+        let again =
+            controller.deserted_at.is_none_or(|at| now >= at + constants::STEP_DOWN_INTERVAL);
+        let lost = leader.cluster.all_workers_silent(now) && again;
         if lost || leader.cluster.leadership_lost() {
             controller.deserted_at = if lost { Some(now) } else { controller.deserted_at };
-            controller.no_campaign_until = now + whole_millis(constants::STEP_DOWN_PAUSE);
+            controller.no_campaign_until = now + constants::STEP_DOWN_PAUSE;
             controller.seen = None;
             if self.store_answers(n) && self.lead.as_ref().is_some_and(|l| l.term == leader.term) {
                 self.end_lead();
@@ -346,15 +349,14 @@
                 leader.cluster.add_job(&kv.key, kv.value, at, false);
             }
         }
-        if now.is_multiple_of(300) {
-            leader.cluster.scheduling_round(MonotonicTime::from_millis(now));
+        if self.every(300) {
+            leader.cluster.scheduling_round(now);
         }
         let cloud = self.zone_open(CONTROLLERS[n].1);
-        if cloud && now.is_multiple_of(3_000) {
-            let at = MonotonicTime::from_millis(now);
-            leader.cluster.machines_listed(&self.list(), at, at);
+        if cloud && self.every(3_000) {
+            leader.cluster.machines_listed(&self.list(), now, now);
         }
-        if cloud && now.is_multiple_of(1_000) {
+        if cloud && self.every(1_000) {
             self.run_autoscaling(n, leader);
         }
         self.send_commands(n, leader);
--- a/crates/controller/tests/simulation/dispatch.rs
+++ b/crates/controller/tests/simulation/dispatch.rs
@@ -1,21 +1,20 @@
 //! What a leader sends to machines and to the cloud.
 
-use super::Simulation;
 use super::controllers::Leader;
 use super::machines::Machine;
 use super::messages::Message;
+use super::{Simulation, ms};
 use hookway_clients::Delivery;
 use hookway_constants as constants;
 use hookway_controller::cluster_state::{
     DirectStart, DirectStop, ScalingAction, StateProbeRequest,
 };
-use hookway_time::{MonotonicTime, whole_millis};
 use hookway_wire::{Command, DirectCommands};
 
 impl Simulation {
     pub(super) fn run_autoscaling(&mut self, n: usize, leader: &mut Leader) {
         let now = self.now;
-        for action in leader.cluster.autoscaling_round(MonotonicTime::from_millis(now)) {
+        for action in leader.cluster.autoscaling_round(now) {
             match action {
                 ScalingAction::ScaleOut(request) => {
                     let mut names = Vec::new();
@@ -25,11 +24,7 @@
                         names.push(format!("m-{}", self.machines.len()));
                     }
                     let got = (!names.is_empty()).then_some(names);
-                    leader.cluster.scale_out_finished(
-                        &request,
-                        got,
-                        MonotonicTime::from_millis(now),
-                    );
+                    leader.cluster.scale_out_finished(&request, got, now);
                 }
                 ScalingAction::ScaleIn(names) => {
                     let at = now + self.span(100, 3_000);
@@ -44,14 +39,12 @@
         let (now, term) = (self.now, leader.term);
         let mut messages: Vec<(usize, DirectCommands, bool)> = Vec::new();
         let index = |machine: &str| -> usize { machine[2..].parse().expect("a number") };
-        for DirectStart { machine, commands, .. } in
-            leader.cluster.take_direct_starts(MonotonicTime::from_millis(now))
-        {
+        for DirectStart { machine, commands, .. } in leader.cluster.take_direct_starts(now) {
             messages.push((index(&machine) - 1, commands, true));
         }
-        let probes = leader.cluster.take_state_probes(MonotonicTime::from_millis(now));
-        let stops = leader.cluster.take_direct_stops(MonotonicTime::from_millis(now));
-        let commit = leader.cluster.next_commit(MonotonicTime::from_millis(now));
+        let probes = leader.cluster.take_state_probes(now);
+        let stops = leader.cluster.take_direct_stops(now);
+        let commit = leader.cluster.next_commit(now);
         // The leader waits for no response to a stop. Addresses have no meaning here, so a stop goes to the
         // machine that has the task.
         for DirectStop { commands, .. } in stops {
@@ -88,21 +81,18 @@
                     commands.fencing_token,
                     Delivery::Indeterminate,
                 );
-                self.at(now + 1_500, outcome);
+                self.at(now + ms(1_500), outcome);
             }
         }
         for StateProbeRequest { machine, .. } in probes {
             self.send(|| Message::StateProbe(n, term, index(&machine) - 1));
             // The sender's time limit, whatever is received.
-            self.at(
-                now + whole_millis(constants::WORKER_TIMEOUT),
-                Message::ProbeResult(n, term, machine, None),
-            );
+            self.at(now + constants::WORKER_TIMEOUT, Message::ProbeResult(n, term, machine, None));
         }
         if let Some(commit) = commit {
             self.check_limits(n, &commit.transaction);
             let slow = self.chance(200);
-            let delay = if slow { self.span(500, 3_000) } else { 10 };
+            let delay = if slow { self.span(500, 3_000) } else { ms(10) };
             self.at(now + delay, Message::PendingCommit(n, term, Box::new(commit)));
         }
     }
--- a/crates/controller/tests/simulation/faults.rs
+++ b/crates/controller/tests/simulation/faults.rs
@@ -1,7 +1,8 @@
 //! Faults of controllers, zones and the state service, and their end.
 
 use super::controllers::Version;
-use super::{CONTROLLERS, FAULTS_END_AT, Simulation, UPGRADE_AT, UPGRADE_EVERY, ZONES};
+use super::{CONTROLLERS, FAULTS_END_AT, Simulation, UPGRADE_AT, UPGRADE_EVERY, ZONES, ms};
+use hookway_time::MonotonicTime;
 use rand::RngExt;
 
 impl Simulation {
@@ -9,7 +10,7 @@
     pub(super) fn upgrade(&mut self) {
         for n in 0..CONTROLLERS.len() {
             let old = self.controllers[n].version == Version::Old;
-            if old && self.now == UPGRADE_AT + n as u64 * UPGRADE_EVERY {
+            if old && self.now == UPGRADE_AT + n as u32 * UPGRADE_EVERY {
                 self.replace(n, Version::New);
             }
         }
@@ -57,7 +58,7 @@
                 }
                 3 => controller.peers_unreachable_until = until,
                 4 => controller.workers_unreachable_until = until,
-                5 => controller.frozen_until = now + self.rng.random_range(200..45_000),
+                5 => controller.frozen_until = now + ms(self.rng.random_range(200..45_000)),
                 // Killed, and restarted within a fraction of a second or seconds.
                 _ => self.kill(n),
             }
@@ -75,7 +76,7 @@
         let now = self.now;
         if now == FAULTS_END_AT {
             self.outage_until = self.outage_until.min(now);
-            self.zone_partitioned_until = [0; ZONES.len()];
+            self.zone_partitioned_until = [MonotonicTime::ZERO; ZONES.len()];
             for controller in &mut self.controllers {
                 controller.end_faults(now);
             }
--- a/crates/controller/tests/simulation/gangs.rs
+++ b/crates/controller/tests/simulation/gangs.rs
@@ -5,13 +5,14 @@
 use hookway_testkit::ScriptedWorker;
 use hookway_wire::{ExitCause, JobSpec, TaskState, TaskStatus};
 use rand::RngExt;
+use std::time::Duration;
 
 /// Time in which a gang's task fetches its image, ms.
-const FETCH: u64 = 1_500;
+const FETCH: Duration = Duration::from_millis(1_500);
 /// A task ends if its gang is not complete after this long, ms.
-const GANG_WAIT: u64 = 35_000;
+const GANG_WAIT: Duration = Duration::from_millis(35_000);
 /// A running task detects the loss of a peer within this time, ms.
-const GANG_PEER: u64 = 4_000;
+const GANG_PEER: Duration = Duration::from_millis(4_000);
 
 impl Simulation {
     /// Kills the leader, or freezes it for longer than its lease, while a gang is partially placed. Most of
--- a/crates/controller/tests/simulation/leases.rs
+++ b/crates/controller/tests/simulation/leases.rs
@@ -4,7 +4,7 @@
 use super::messages::{Message, Reply};
 use hookway_constants as constants;
 use hookway_controller::shard_lease::{ShardLease, ShardLeaseRenewal};
-use hookway_time::{MonotonicTime, whole_millis};
+use hookway_time::MonotonicTime;
 use hookway_wire::Heartbeat;
 
 impl Simulation {
@@ -15,24 +15,20 @@
         }
         let entitled = self.controllers[n].entitled(now);
         let controller = &mut self.controllers[n];
+        let here = controller.clock(now).as_millis();
         let reply = match &mut controller.leader {
             Some(leader) if entitled => leader
                 .cluster
-                .handle_heartbeat(report, MonotonicTime::from_millis(now))
+                .handle_heartbeat(report, now)
                 .map_or(Reply::Unavailable, Reply::Answer),
             leader => {
                 let over = &controller.over;
                 let kept =
-                    controller.holding.extend_worker_lease(report, now - controller.begun, |id| {
-                        over.contains(id)
-                    });
+                    controller.holding.extend_worker_lease(report, here, |id| over.contains(id));
                 match (kept, leader) {
                     (Some(kept), leader) => {
                         if let Some(leader) = leader {
-                            leader.cluster.worker_lease_extended(
-                                &report.machine,
-                                MonotonicTime::from_millis(now),
-                            );
+                            leader.cluster.worker_lease_extended(&report.machine, now);
                         }
                         self.counts.lessee_extensions += 1;
                         self.counts.stopped_by_lessees += kept.response.commands.len();
@@ -40,7 +36,7 @@
                     }
                     (None, Some(_)) => Reply::Unavailable,
                     (None, None) => {
-                        let in_touch = controller.holding.leader_reachable(now - controller.begun);
+                        let in_touch = controller.holding.leader_reachable(here);
                         Reply::Redirect(controller.seen.filter(|l| *l != n && in_touch))
                     }
                 }
@@ -54,16 +50,14 @@
         from: usize,
         n: usize,
         renewal: &ShardLeaseRenewal,
-        at: u64,
+        at: MonotonicTime,
     ) {
         let now = self.now;
         if !self.peers_linked(from, n) || !self.controllers[n].entitled(now) {
             return;
         }
         let Some(leader) = &mut self.controllers[n].leader else { return };
-        if let Some(lease) =
-            leader.cluster.renew_shard_lease(renewal, MonotonicTime::from_millis(now))
-        {
+        if let Some(lease) = leader.cluster.renew_shard_lease(renewal, now) {
             self.send(|| Message::LeaseGranted(from, n, renewal.process_nonce, lease.clone(), at));
         }
     }
@@ -74,17 +68,17 @@
         from: usize,
         nonce: u64,
         lease: ShardLease,
-        sent: u64,
+        sent: MonotonicTime,
     ) {
         let linked = self.peers_linked(from, n);
         let controller = &mut self.controllers[n];
-        let here = self.now - controller.begun;
+        let here = controller.clock(self.now);
         // A connection ends with its process, and a response after the time limit is not taken.
-        let in_time = here < sent + whole_millis(constants::PEER_TIMEOUT);
+        let in_time = here < sent + constants::PEER_TIMEOUT;
         let observed = self.now >= controller.responses_lost_until;
         if linked && observed && controller.nonce == nonce && in_time && controller.leader.is_none()
         {
-            controller.holding.lease_granted(lease, sent, here);
+            controller.holding.lease_granted(lease, sent.as_millis(), here.as_millis());
         }
     }
 }
--- a/crates/controller/tests/simulation/machines.rs
+++ b/crates/controller/tests/simulation/machines.rs
@@ -2,44 +2,46 @@
 
 use super::{
     CONTROLLERS, FAULTS_END_AT, HEARTBEAT_EVERY, HEARTBEAT_TIMEOUT, Message, REPLICAS_AT, Reply,
-    Simulation, always_fails,
+    Simulation, always_fails, ms,
 };
 use hookway_clients::Delivery;
 use hookway_testkit::ScriptedWorker;
+use hookway_time::{MonotonicTime, span_of_seconds};
 use hookway_wire::{DirectCommands, ExitCause, JobSpec};
 use rand::RngExt;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// A replica of a daemon exits after this long, ms, which does not complete the job.
-const REPLICA_ENDS_AFTER: u64 = 40_000;
+const REPLICA_ENDS_AFTER: Duration = Duration::from_millis(40_000);
 
 /// A moved replica runs again within this time, ms.
-const REPLICA_MOVES_WITHIN: u64 = 5_000;
+const REPLICA_MOVES_WITHIN: Duration = Duration::from_millis(5_000);
 
 pub(super) struct Machine {
     pub worker: ScriptedWorker,
     pub name: String,
-    pub born: u64,
+    pub born: MonotonicTime,
     /// Send time of the heartbeat whose response was received last.
-    lease_from: u64,
-    in_flight: Option<(u64, u64)>,
-    next_report: u64,
+    lease_from: MonotonicTime,
+    in_flight: Option<(u64, MonotonicTime)>,
+    next_report: MonotonicTime,
     /// The controller that receives its heartbeats.
     controller: usize,
-    pub partitioned_until: u64,
+    pub partitioned_until: MonotonicTime,
     /// Partitioned from that controller alone, until then.
-    pub partitioned_from: Option<(usize, u64)>,
-    inbound_lost_until: u64,
+    pub partitioned_from: Option<(usize, MonotonicTime)>,
+    inbound_lost_until: MonotonicTime,
     /// One-way partition: nothing that it sends arrives, while direct commands reach it.
-    outbound_lost_until: u64,
+    outbound_lost_until: MonotonicTime,
     /// It hangs.
-    hung_until: u64,
+    hung_until: MonotonicTime,
     pub dead: bool,
-    pub since: BTreeMap<String, u64>,
+    pub since: BTreeMap<String, MonotonicTime>,
 }
 
 impl Machine {
-    pub fn new(n: usize, now: u64) -> Self {
+    pub fn new(n: usize, now: MonotonicTime) -> Self {
         let name = format!("m-{n}");
         Self {
             worker: ScriptedWorker::new(
@@ -53,11 +55,11 @@
             in_flight: None,
             next_report: now,
             controller: n % CONTROLLERS.len(),
-            partitioned_until: 0,
+            partitioned_until: MonotonicTime::ZERO,
             partitioned_from: None,
-            inbound_lost_until: 0,
-            outbound_lost_until: 0,
-            hung_until: 0,
+            inbound_lost_until: MonotonicTime::ZERO,
+            outbound_lost_until: MonotonicTime::ZERO,
+            hung_until: MonotonicTime::ZERO,
             dead: false,
             since: BTreeMap::new(),
         }
@@ -65,13 +67,13 @@
 }
 
 impl Simulation {
-    fn lease_ms(&self) -> u64 {
-        (self.controllers[0].config.platform.workers.lease_s * 1000.0) as u64
+    fn worker_lease(&self) -> Duration {
+        span_of_seconds(self.controllers[0].config.platform.workers.lease_s)
     }
 
     /// A worker whose lease expired discards all tasks before it does anything else.
     fn expire(&mut self, m: usize) {
-        let (now, lease) = (self.now, self.lease_ms());
+        let (now, lease) = (self.now, self.worker_lease());
         let machine = &mut self.machines[m];
         if now > machine.lease_from + lease {
             machine.worker.expire_lease();
@@ -108,7 +110,7 @@
                 if machine.worker.handle_response(&answer) {
                     machine.lease_from = sent;
                     if !answer.commands.is_empty() {
-                        machine.next_report = machine.next_report.min(now + 500);
+                        machine.next_report = machine.next_report.min(now + ms(500));
                     }
                 }
                 self.check_starts(m, before);
@@ -119,7 +121,7 @@
             }
             Reply::Redirect(_) | Reply::Unavailable => {
                 machine.controller = (n + 1) % CONTROLLERS.len();
-                machine.next_report = now + 1_000;
+                machine.next_report = now + ms(1_000);
             }
         }
     }
@@ -139,7 +141,7 @@
         }
         if now < machine.hung_until {
             // It is executed when the machine resumes, if its fencing token still permits.
-            let at = machine.hung_until + 100;
+            let at = machine.hung_until + ms(100);
             return self.at(at, Message::Direct(n, term, m, commands));
         }
         self.expire(m);
@@ -261,8 +263,9 @@
         let machine = &mut self.machines[m];
         if now >= FAULTS_END_AT {
             (machine.partitioned_until, machine.inbound_lost_until, machine.partitioned_from) =
-                (0, 0, None);
-            (machine.outbound_lost_until, machine.hung_until) = (0, 0);
+                (MonotonicTime::ZERO, MonotonicTime::ZERO, None);
+            (machine.outbound_lost_until, machine.hung_until) =
+                (MonotonicTime::ZERO, MonotonicTime::ZERO);
         }
         // A hanging machine resumes its tasks only within its lease.
         let hung = now < machine.hung_until;
@@ -275,7 +278,7 @@
         let machine = &mut self.machines[m];
         if machine.in_flight.is_some_and(|(_, sent)| now > sent + HEARTBEAT_TIMEOUT) {
             machine.in_flight = None;
-            machine.next_report = now + 1_000;
+            machine.next_report = now + ms(1_000);
             machine.controller = (machine.controller + 1) % CONTROLLERS.len();
         }
         if machine.in_flight.is_none() && now >= machine.next_report {
@@ -294,7 +297,7 @@
                 if self.rng.random_range(0..2) == 0 {
                     let machine = &mut self.machines[m];
                     machine.in_flight = None;
-                    machine.next_report = now + 1_000;
+                    machine.next_report = now + ms(1_000);
                     machine.controller = (controller + 1) % CONTROLLERS.len();
                 }
                 return;
@@ -320,12 +323,12 @@
             let machine = &mut self.machines[m];
             let since = machine.since.get(&task).copied().unwrap_or(now);
             // A permanent or a transient failure.
-            let fails = always_fails(id) && now >= since + 1_000;
-            let fails_once = transient_failure && since + 2_000 == now;
+            let fails = always_fails(id) && now >= since + ms(1_000);
+            let fails_once = transient_failure && since + ms(2_000) == now;
             if fails || fails_once {
                 self.counts.errors += 1;
                 machine.worker.end_task(&task, ExitCause::Error);
-                machine.next_report = machine.next_report.min(now + 100);
+                machine.next_report = machine.next_report.min(now + ms(100));
                 continue;
             }
             // Replicas run on, except for one that exits now and then.
@@ -333,16 +336,16 @@
             let daemon = self.jobs.iter().any(daemon);
             let takes = match task.ends_with('7') {
                 _ if daemon => REPLICA_ENDS_AFTER,
-                _ if long => 90_000,
-                true => 25_000,
-                false => 6_000,
+                _ if long => ms(90_000),
+                true => ms(25_000),
+                false => ms(6_000),
             };
             let runs = machine.worker.is_running(&task);
             if !runs || now < since + takes || daemon && now >= FAULTS_END_AT {
                 continue;
             }
             machine.worker.end_task(&task, ExitCause::Done);
-            machine.next_report = machine.next_report.min(now + 100);
+            machine.next_report = machine.next_report.min(now + ms(100));
             let (id, _) = task.split_once('/').expect("a task");
             let gang = self.jobs.iter().find(|j| j.id.as_str() == id && j.is_gang());
             match gang {
@@ -355,7 +358,7 @@
     /// Some time after the faults end, every replica of every daemon is on a machine, except while it moves
     /// to another one.
     pub(super) fn check_replicas(&mut self) {
-        if !(REPLICAS_AT - REPLICA_MOVES_WITHIN..=REPLICAS_AT).contains(&self.now) {
+        if !(REPLICAS_AT.saturating_sub(REPLICA_MOVES_WITHIN)..=REPLICAS_AT).contains(&self.now) {
             return;
         }
         let live =
@@ -381,15 +384,15 @@
 
     /// The tasks of a cancelled job are removed within the limit under every partition.
     pub(super) fn check_cancelled(&self) {
-        let cancel_ms = (self.controllers[0].config.platform.workers.cancel_s * 1000.0) as u64;
+        let limit = span_of_seconds(self.controllers[0].config.platform.workers.cancel_s);
         for (id, reported) in &self.reported {
-            let Some(at) = reported.cancelled_at.filter(|at| self.now > at + cancel_ms) else {
+            let Some(at) = reported.cancelled_at.filter(|at| self.now > *at + limit) else {
                 continue;
             };
             for machine in self.machines.iter().filter(|m| !m.dead) {
                 let there =
                     machine.worker.unfinished_tasks().iter().any(|t| t.starts_with(id.as_str()));
-                assert!(!there, "{id} was withdrawn at {at} and is on {}", machine.name);
+                assert!(!there, "{id} was withdrawn at {at:?} and is on {}", machine.name);
             }
         }
     }
--- a/crates/controller/tests/simulation/messages.rs
+++ b/crates/controller/tests/simulation/messages.rs
@@ -1,7 +1,7 @@
 //! Messages under way between the parts of the simulation, and their delivery.
 
-use super::Simulation;
 use super::scenarios::FaultScenario;
+use super::{Simulation, ms};
 use hookway_clients::Delivery;
 use hookway_controller::cluster_state::PendingCommit;
 use hookway_controller::shard_lease::{ShardLease, ShardLeaseRenewal};
@@ -17,9 +17,9 @@
     /// A controller's response: machine, controller, sequence of the heartbeat, content.
     HeartbeatResponse(usize, usize, u64, Reply),
     /// Sender, receiver, the renewal, send time by the sender's own clock.
-    LeaseRenewal(usize, usize, ShardLeaseRenewal, u64),
+    LeaseRenewal(usize, usize, ShardLeaseRenewal, MonotonicTime),
     /// Receiver, sender, the receiving process, the lease, send time of the renewal.
-    LeaseGranted(usize, usize, u64, ShardLease, u64),
+    LeaseGranted(usize, usize, u64, ShardLease, MonotonicTime),
     /// Sender, receiver, the sending process, position of its copy.
     Follow(usize, usize, u64, FollowRequest),
     /// Receiver, sender, the receiving process, the entries that its copy lacks.
@@ -53,7 +53,7 @@
     #[expect(clippy::too_many_lines, reason = "one short arm for each kind of message")]
     pub(super) fn deliver(&mut self, message: Message) {
         let now = self.now;
-        tracing::debug!("{now}: {message:?}");
+        tracing::debug!("{now:?}: {message:?}");
         // Messages to a frozen controller wait until it resumes.
         let to = match &message {
             Message::Heartbeat(_, n, _)
@@ -102,19 +102,14 @@
             Message::Direct(n, term, m, commands) => self.direct_arrives(n, term, m, commands),
             Message::Delivered(n, term, name, token, delivery) => {
                 if let Some(leader) = self.controllers[n].leading(term) {
-                    leader.cluster.direct_start_sent(
-                        &name,
-                        token,
-                        delivery,
-                        MonotonicTime::from_millis(now),
-                    );
+                    leader.cluster.direct_start_sent(&name, token, delivery, now);
                 }
             }
             Message::StateProbe(n, term, m) => self.probe_arrives(n, term, m),
             Message::ProbeResult(n, term, name, report) => {
                 self.counts.probes_answered += usize::from(report.is_some());
                 if let Some(leader) = self.controllers[n].leading(term) {
-                    leader.cluster.state_probed(&name, report, MonotonicTime::from_millis(now));
+                    leader.cluster.state_probed(&name, report, now);
                 }
             }
             Message::PendingCommit(n, term, commit) => self.commit_arrives(n, term, commit),
@@ -122,7 +117,7 @@
             Message::DelayedTransaction(transaction) => {
                 if now < self.outage_until {
                     return self
-                        .at(self.outage_until + 10, Message::DelayedTransaction(transaction));
+                        .at(self.outage_until + ms(10), Message::DelayedTransaction(transaction));
                 }
                 let _ = self.store.commit(&transaction);
                 self.check_final_states();
@@ -132,7 +127,7 @@
                     m.dead = true;
                 }
                 if let Some(leader) = self.controllers[n].leading(term) {
-                    leader.cluster.scale_in_finished(&names, MonotonicTime::from_millis(now));
+                    leader.cluster.scale_in_finished(&names, now);
                 }
             }
         }
--- a/crates/controller/tests/simulation/mod.rs
+++ b/crates/controller/tests/simulation/mod.rs
@@ -23,7 +23,7 @@
 use controllers::{Controller, Version};
 pub use counts::EventCounts;
 use hookway_testkit::MemoryStore;
-use hookway_time::{MonotonicTime, whole_millis};
+use hookway_time::MonotonicTime;
 use hookway_wire::{JobId, JobSpec, Transaction};
 use machines::Machine;
 use messages::{Message, Reply};
@@ -32,22 +32,23 @@
 pub use scenarios::FaultScenario;
 use scenarios::ScheduledScenario;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 /// The end of all faults, ms.
-pub const FAULTS_END_AT: u64 = 200_000;
+pub const FAULTS_END_AT: MonotonicTime = MonotonicTime::from_millis(200_000);
 /// Start of the rolling upgrade, ms: while faults are injected.
-const UPGRADE_AT: u64 = 40_000;
+const UPGRADE_AT: MonotonicTime = MonotonicTime::from_millis(40_000);
 /// Time between the upgrades of two controllers, ms.
-const UPGRADE_EVERY: u64 = 10_000;
+const UPGRADE_EVERY: Duration = Duration::from_millis(10_000);
 /// Every replica of every daemon runs by then, ms.
-pub const REPLICAS_AT: u64 = FAULTS_END_AT + 60_000;
+pub const REPLICAS_AT: MonotonicTime = MonotonicTime::from_millis(200_000 + 60_000);
 /// Every job must have finished by then, ms. A team at its quota of four tasks may have a dozen of 90 s
 /// queued.
-pub const END_AT: u64 = 1_200_000;
-const STEP: u64 = 100;
+pub const END_AT: MonotonicTime = MonotonicTime::from_millis(1_200_000);
+const STEP: Duration = Duration::from_millis(100);
 /// Time limit of a heartbeat, ms (protocol).
-const HEARTBEAT_TIMEOUT: u64 = 4_000;
-const HEARTBEAT_EVERY: u64 = 2_000;
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(4_000);
+const HEARTBEAT_EVERY: Duration = Duration::from_millis(2_000);
 /// The controllers with their zones. Two share one.
 const CONTROLLERS: [(&str, &str); 3] = [("one", "a"), ("two", "b"), ("three", "a")];
 const ZONES: [&str; 2] = ["a", "b"];
@@ -56,7 +57,7 @@
 struct StoredLead {
     controller: usize,
     term: u64,
-    until: u64,
+    until: MonotonicTime,
 }
 
 /// The states of a job that users have been told.
@@ -64,21 +65,21 @@
 struct ReportedState {
     accepted: bool,
     done: bool,
-    cancelled_at: Option<u64>,
+    cancelled_at: Option<MonotonicTime>,
 }
 
 /// A simulated cluster with its users, network, state service and cloud.
 pub struct Simulation {
     rng: StdRng,
-    now: u64,
+    now: MonotonicTime,
     store: MemoryStore,
     lead: Option<StoredLead>,
     next_term: u64,
-    outage_until: u64,
-    zone_partitioned_until: [u64; ZONES.len()],
+    outage_until: MonotonicTime,
+    zone_partitioned_until: [MonotonicTime; ZONES.len()],
     controllers: Vec<Controller>,
     machines: Vec<Machine>,
-    queue: BTreeMap<(u64, u64), Message>,
+    queue: BTreeMap<(MonotonicTime, u64), Message>,
     sent: u64,
     /// Rate of leader faults: low on some days, so that terms are long.
     leader_fault_rate: u32,
@@ -95,6 +96,11 @@
     pub counts: EventCounts,
 }
 
+/// A span of this many milliseconds.
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
+}
+
 /// Jobs that fail on every machine until their users cancel them.
 fn always_fails(id: &str) -> bool {
     id.bytes().next_back().is_some_and(|b| b == b'5')
@@ -106,18 +112,19 @@
 
 impl Simulation {
     pub fn new(seed: u64) -> Self {
-        let controllers =
-            (0..CONTROLLERS.len()).map(|n| Controller::new(n, Version::Old, n as u64, 0)).collect();
+        let controllers = (0..CONTROLLERS.len())
+            .map(|n| Controller::new(n, Version::Old, n as u64, MonotonicTime::ZERO))
+            .collect();
         Self {
             rng: StdRng::seed_from_u64(seed),
-            now: 0,
+            now: MonotonicTime::ZERO,
             store: MemoryStore::default(),
             lead: None,
             next_term: 1,
-            outage_until: 0,
-            zone_partitioned_until: [0; ZONES.len()],
+            outage_until: MonotonicTime::ZERO,
+            zone_partitioned_until: [MonotonicTime::ZERO; ZONES.len()],
             controllers,
-            machines: (1..=6).map(|n| Machine::new(n, 0)).collect(),
+            machines: (1..=6).map(|n| Machine::new(n, MonotonicTime::ZERO)).collect(),
             queue: BTreeMap::new(),
             sent: 0,
             scenario: None,
@@ -136,8 +143,9 @@
     /// often fail while a gang is partially placed.
     pub fn with_standbys(seed: u64) -> Self {
         let mut simulation = Self::new(seed);
-        simulation.controllers =
-            (0..CONTROLLERS.len()).map(|n| Controller::new(n, Version::New, n as u64, 0)).collect();
+        simulation.controllers = (0..CONTROLLERS.len())
+            .map(|n| Controller::new(n, Version::New, n as u64, MonotonicTime::ZERO))
+            .collect();
         simulation.standby_scenario = true;
         simulation.leader_fault_rate = 4;
         simulation
@@ -151,8 +159,9 @@
     /// A day with one scenario of concurrent faults and no other fault of controllers or zones.
     pub fn with_scenario(kind: FaultScenario, seed: u64) -> Self {
         let mut simulation = Self::new(seed);
-        let at = simulation.span(45_000, 60_000);
-        simulation.scenario = Some(ScheduledScenario { kind, at, leader: 0, away_at: 0 });
+        let at = MonotonicTime::ZERO + simulation.span(45_000, 60_000);
+        simulation.scenario =
+            Some(ScheduledScenario { kind, at, leader: 0, away_at: MonotonicTime::ZERO });
         simulation
     }
 
@@ -165,20 +174,30 @@
         self.now < FAULTS_END_AT && self.rng.random_range(0..1000) < per_mille
     }
 
-    fn span(&mut self, from: u64, to: u64) -> u64 {
+    fn number(&mut self, from: u64, to: u64) -> u64 {
         self.rng.random_range(from..to)
     }
 
+    /// A random span, in milliseconds.
+    fn span(&mut self, from: u64, to: u64) -> Duration {
+        ms(self.number(from, to))
+    }
+
+    /// Whether the clock shows a multiple of this many milliseconds.
+    fn every(&self, millis: u64) -> bool {
+        self.now.as_millis().is_multiple_of(millis)
+    }
+
     /// Expires the leases in the state service, except during its outages.
     fn expire_store_leases(&mut self) {
         let now = self.now;
         if now < self.outage_until {
             return;
         }
-        if self.outage_until > 0 && now < self.outage_until + STEP {
+        if self.outage_until > MonotonicTime::ZERO && now < self.outage_until + STEP {
             // After an outage every lease gets its full duration again.
             if let Some(lead) = &mut self.lead {
-                lead.until = now + whole_millis(hookway_constants::LEADER_TTL);
+                lead.until = now + hookway_constants::LEADER_TTL;
             }
         }
         if self.lead.as_ref().is_some_and(|l| now >= l.until) {
@@ -227,7 +246,7 @@
     /// The faults have ended, every job has finished, and no machine has a task.
     fn finished(&self) -> bool {
         self.now > FAULTS_END_AT
-            && self.now.is_multiple_of(5_000)
+            && self.every(5_000)
             && self.jobs.iter().all(|j| self.has_final_state(&j.id))
             && self.machines.iter().all(|m| m.dead || m.worker.unfinished_tasks().is_empty())
     }
@@ -243,12 +262,10 @@
                 &format!("\n{} in {zone}: {:?}", machine.name, machine.worker.unfinished_tasks());
         }
         for (controller, (label, zone)) in self.controllers.iter().zip(CONTROLLERS) {
-            let leader = controller.leader.as_ref().map(|l| {
-                (
-                    l.cluster.summary(MonotonicTime::from_millis(self.now)).to_string(),
-                    l.cluster.reconciled(MonotonicTime::from_millis(self.now)),
-                )
-            });
+            let leader = controller
+                .leader
+                .as_ref()
+                .map(|l| (l.cluster.summary(self.now).to_string(), l.cluster.reconciled(self.now)));
             let known = controller.leader.as_ref().map(|l| l.cluster.status(id));
             text += &format!("\n{label} in {zone}: {leader:?} {known:?}");
         }
--- a/crates/controller/tests/simulation/network.rs
+++ b/crates/controller/tests/simulation/network.rs
@@ -2,10 +2,11 @@
 
 use super::messages::Message;
 use super::{CONTROLLERS, Simulation, zone_number};
+use hookway_time::MonotonicTime;
 use rand::RngExt;
 
 impl Simulation {
-    pub(super) fn at(&mut self, time: u64, message: Message) {
+    pub(super) fn at(&mut self, time: MonotonicTime, message: Message) {
         self.sent += 1;
         self.queue.insert((time, self.sent), message);
     }
--- a/crates/controller/tests/simulation/scenarios.rs
+++ b/crates/controller/tests/simulation/scenarios.rs
@@ -1,11 +1,13 @@
 //! Days with one scenario of concurrent faults, at a time that depends on the seed.
 
-use super::{CONTROLLERS, Simulation, zone_number};
+use super::{CONTROLLERS, Simulation, ms, zone_number};
+use hookway_time::MonotonicTime;
 use rand::RngExt;
+use std::time::Duration;
 
 /// Longer than the cancellation limit and a worker lease after it, ms.
-const OUTAGE: u64 = 64_000;
-const PARTITION: u64 = 100_000;
+const OUTAGE: Duration = Duration::from_millis(64_000);
+const PARTITION: Duration = Duration::from_millis(100_000);
 
 /// The kind of concurrent faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -26,11 +28,11 @@
 pub(super) struct ScheduledScenario {
     pub kind: FaultScenario,
     /// Its start, ms.
-    pub at: u64,
+    pub at: MonotonicTime,
     /// The leader at its start.
     pub leader: usize,
     /// Start of the outage of the state service, ms.
-    pub away_at: u64,
+    pub away_at: MonotonicTime,
 }
 
 impl Simulation {
@@ -42,7 +44,7 @@
             return;
         }
         let kind = scenario.kind;
-        if scenario.away_at == 0 {
+        if scenario.away_at == MonotonicTime::ZERO {
             let Some(leader) = self.lead.as_ref().map(|l| l.controller) else { return };
             let away_at = match kind {
                 FaultScenario::OnlyLesseeReachable => now + self.span(3_000, 7_000),
@@ -68,7 +70,7 @@
                     far.for_each(|m| m.partitioned_from = Some((leader, now + PARTITION)));
                 }
             }
-        } else if now >= scenario.away_at && now < scenario.away_at + 100 {
+        } else if now >= scenario.away_at && now < scenario.away_at + ms(100) {
             self.outage_until = now + OUTAGE;
             if kind == FaultScenario::OnlyLesseeReachable {
                 // From now on only the shard lease permits the lessee to answer.
@@ -81,13 +83,14 @@
     /// Users cancel every job at the controller that the scenario requires.
     pub(super) fn cancel_in_scenario(&mut self) {
         let now = self.now;
-        let Some(scenario) = self.scenario.as_ref().filter(|p| p.away_at > 0 && now < p.away_at)
+        let Some(scenario) =
+            self.scenario.as_ref().filter(|p| p.away_at > MonotonicTime::ZERO && now < p.away_at)
         else {
             return;
         };
         let (kind, leader) = (scenario.kind, scenario.leader);
         let ready = match kind {
-            FaultScenario::OnlyLesseeReachable => now < scenario.at + 2_000,
+            FaultScenario::OnlyLesseeReachable => now < scenario.at + ms(2_000),
             _ => self.lead.as_ref().is_none_or(|l| l.controller != leader),
         };
         if !ready {
--- a/crates/controller/tests/simulation/standbys.rs
+++ b/crates/controller/tests/simulation/standbys.rs
@@ -5,11 +5,12 @@
 use hookway_constants as constants;
 use hookway_controller::networks::Networks;
 use hookway_replication::{FollowAnswer, FollowRequest, Publisher};
-use hookway_time::{MonotonicTime, whole_millis};
+use hookway_time::whole_millis;
 use rand::RngExt;
+use std::time::Duration;
 
 /// Interval at which a leader's published entries are compared with its cluster state, ms.
-const COMPARE_EVERY: u64 = 5_000;
+const COMPARE_EVERY: Duration = Duration::from_millis(5_000);
 
 impl Simulation {
     /// A controller that does not lead requests the entries that its copy lacks. Only the new version does,
@@ -18,7 +19,7 @@
         let controller = &self.controllers[n];
         let Some(leader) = controller.seen.filter(|l| *l != n) else { return };
         let both = [n, leader].iter().all(|c| self.controllers[*c].version == Version::New);
-        if !both || !self.now.is_multiple_of(whole_millis(constants::FOLLOW_INTERVAL)) {
+        if !both || !self.every(whole_millis(constants::FOLLOW_INTERVAL)) {
             return;
         }
         let (nonce, request) = (controller.nonce, controller.follower.request());
@@ -38,7 +39,7 @@
         }
         let Some(leader) = &mut self.controllers[n].leader else { return };
         leader.cluster.publish(&mut leader.publisher);
-        let answer = leader.publisher.answer(ask, now).expect("a small state");
+        let answer = leader.publisher.answer(ask, now.as_millis()).expect("a small state");
         self.send(|| Message::Followed(from, n, nonce, answer.clone()));
     }
 
@@ -59,7 +60,7 @@
         if !observed || controller.leader.is_some() {
             return;
         }
-        let refused = controller.follower.handle_answer(answer, now).is_err();
+        let refused = controller.follower.handle_answer(answer, now.as_millis()).is_err();
         self.counts.refused_answers += usize::from(refused);
     }
 
@@ -74,21 +75,23 @@
 
     /// Mean number of steps until a controller campaigns when nobody leads: fewer with a usable copy.
     pub(super) fn election_steps(&self, n: usize) -> u32 {
-        let warm = self.controllers[n].follower.usable(u64::MAX, self.now).is_ok();
+        let warm = self.controllers[n].follower.usable(u64::MAX, self.now.as_millis()).is_ok();
         if warm { 2 } else { 8 }
     }
 
     /// A new leader takes what its copy has.
     pub(super) fn warm_start(&mut self, n: usize, leader: &mut Leader) {
         let controller = &self.controllers[n];
-        let Ok(copy) = controller.follower.usable(leader.term, self.now) else { return };
+        let Ok(copy) = controller.follower.usable(leader.term, self.now.as_millis()) else {
+            return;
+        };
         self.counts.warm_starts += 1;
-        leader.cluster.warm_start(copy, &Networks::default(), MonotonicTime::from_millis(self.now));
+        leader.cluster.warm_start(copy, &Networks::default(), self.now);
     }
 
     /// The entries that a leader published add up to its cluster state: none was omitted.
     pub(super) fn check_published_entries(&self, leader: &mut Leader) {
-        if !self.now.is_multiple_of(COMPARE_EVERY) {
+        if !self.every(whole_millis(COMPARE_EVERY)) {
             return;
         }
         leader.cluster.publish(&mut leader.publisher);
--- a/crates/controller/tests/simulation/users.rs
+++ b/crates/controller/tests/simulation/users.rs
@@ -30,12 +30,14 @@
         let team = if self.rng.random_range(0..4) == 0 { "tight" } else { "team" };
         let tasks = match team {
             // All tasks of a gang must fit its team's quota.
-            _ if gang && self.standby_scenario => self.span(2, if team == "tight" { 5 } else { 7 }),
-            _ if gang || self.long(&n.to_string()) => self.span(1, 4),
+            _ if gang && self.standby_scenario => {
+                self.number(2, if team == "tight" { 5 } else { 7 })
+            }
+            _ if gang || self.long(&n.to_string()) => self.number(1, 4),
             // Where arrays fill all machines, no resources are left to complete gangs.
-            _ if self.standby_scenario => self.span(1, 8),
-            "tight" => self.span(1, 16),
-            _ => self.span(1, 80),
+            _ if self.standby_scenario => self.number(1, 8),
+            "tight" => self.number(1, 16),
+            _ => self.number(1, 80),
         };
         // Features of the new version are used only after all controllers are upgraded.
         let new = self.controllers.iter().all(|c| c.version == Version::New);
@@ -67,7 +69,7 @@
         }
         let record = JobRecord {
             spec: spec.clone(),
-            accepted_at_ms: 1_000_000 + self.now,
+            accepted_at_ms: self.moment().wall.as_unix_millis(),
             has_start_watermark: true,
         };
         let value = serde_json::to_value(record).expect("a record");
@@ -83,7 +85,7 @@
         if self.jobs.is_empty() {
             return;
         }
-        if self.now >= REPLICAS_AT && self.now.is_multiple_of(5_000) {
+        if self.now >= REPLICAS_AT && self.every(5_000) {
             let ends = |j: &&JobSpec| always_fails(j.id.as_str()) || j.is_daemon();
             let wrong = self.jobs.iter().filter(ends);
             let ids: Vec<JobId> = wrong.map(|j| j.id.clone()).collect();
