--- a/crates/controller/src/actor/dispatch.rs
+++ b/crates/controller/src/actor/dispatch.rs
@@ -5,7 +5,9 @@
 use super::messages::{ClusterEvent, ControllerEvent};
 use super::store_io::commit_and_reread;
 use super::term::{ActiveTerm, Authority, TermTasks, TermTimers, take_due};
-use crate::cluster_state::{ClusterState, ScalingAction};
+use crate::cluster_state::{
+    ClusterState, DirectStart, DirectStop, ScalingAction, StateProbeRequest,
+};
 use hookway_clients::{CloudClient, CloudError, Delivery, ScaleOutOutcome};
 use hookway_constants as constants;
 use hookway_time::MonotonicTime;
@@ -35,7 +37,7 @@
         tasks: &mut TermTasks,
         now: MonotonicTime,
     ) {
-        for (address, commands) in cluster.take_direct_stops(now.as_millis()) {
+        for DirectStop { address, commands } in cluster.take_direct_stops(now) {
             let workers = self.config.workers.clone();
             tasks.spawn(async move { workers.stop(&address, &commands).await });
         }
@@ -53,11 +55,11 @@
         if !take_due(&mut timers.last_direct_dispatch_at, interval, now) {
             return;
         }
-        let starts = cluster.take_direct_starts(now.as_millis());
+        let starts = cluster.take_direct_starts(now);
         if !starts.is_empty() {
             self.config.standby.start_dispatched(now);
         }
-        for (machine, address, commands) in starts {
+        for DirectStart { machine, address, commands } in starts {
             let (workers, authority) = (self.config.workers.clone(), tasks.authority.clone());
             tasks.spawn_event(async move {
                 // A start that was queued while the process was paused must not be sent.
@@ -78,7 +80,7 @@
         tasks: &mut TermTasks,
         now: MonotonicTime,
     ) {
-        let Some(commit) = cluster.next_commit(now.as_millis()) else { return };
+        let Some(commit) = cluster.next_commit(now) else { return };
         let (store, events) = (self.config.store.clone(), tasks.events.clone());
         tasks.spawn_event(async move {
             let unavailable = || drop(events.try_send(ControllerEvent::StoreUnavailable));
@@ -94,7 +96,7 @@
         }
         let ActiveTerm { cluster: Some(cluster), tasks, .. } = active else { return };
         let term = tasks.term();
-        for (machine, address) in cluster.take_state_probes(now.as_millis()) {
+        for StateProbeRequest { machine, address } in cluster.take_state_probes(now) {
             let workers = self.config.workers.clone();
             tasks.spawn_event(async move {
                 let heartbeat = workers.probe_state(&address, term).await;
--- a/crates/controller/src/actor/events.rs
+++ b/crates/controller/src/actor/events.rs
@@ -3,7 +3,7 @@
 use super::ControllerActor;
 use super::messages::{ClusterEvent, ControllerEvent};
 use super::term::ActiveTerm;
-use crate::cluster_state::{ClusterState, LoadedState, Timestamp};
+use crate::cluster_state::{ClusterState, CompletedJob, LoadedState, Timestamp};
 use hookway_time::MonotonicTime;
 
 impl ControllerActor {
@@ -27,35 +27,35 @@
         event: ClusterEvent,
         at: Timestamp,
     ) {
-        let now = MonotonicTime::from_millis(at.monotonic);
+        let now = at.monotonic;
         let Some(cluster) = &mut active.cluster else { return };
         match event {
             ClusterEvent::JobAdded { key, value } => cluster.add_job(&key, value, at, false),
             ClusterEvent::CommitFinished { commit, result } => {
-                cluster.committed(commit, result, now.as_millis());
+                cluster.committed(commit, result, now);
                 self.finish_jobs(active);
                 self.dispatch(active);
             }
             ClusterEvent::ScaleOutFinished { request, machines } => {
-                cluster.scale_out_finished(&request, machines, now.as_millis());
+                cluster.scale_out_finished(&request, machines, now);
                 // Capacity that was refused is requested elsewhere at the next tick.
                 active.timers.last_autoscaling_at = MonotonicTime::ZERO;
             }
             ClusterEvent::ScaleInFinished { machines, deleted: true } => {
-                cluster.scale_in_finished(&machines, now.as_millis());
+                cluster.scale_in_finished(&machines, now);
             }
             ClusterEvent::ScaleInFinished { machines, deleted: false } => {
                 cluster.scale_in_failed(&machines);
             }
             ClusterEvent::DirectStartSent { machine, fencing_token, delivery } => {
-                cluster.direct_start_sent(&machine, fencing_token, delivery, now.as_millis());
+                cluster.direct_start_sent(&machine, fencing_token, delivery, now);
             }
             ClusterEvent::MachinesListed { machines, requested_at } => {
-                cluster.machines_listed(&machines, requested_at.as_millis(), now.as_millis());
+                cluster.machines_listed(&machines, requested_at, now);
                 self.send_state_probes(active, now);
             }
             ClusterEvent::StateProbed { machine, heartbeat } => {
-                cluster.state_probed(&machine, heartbeat, now.as_millis());
+                cluster.state_probed(&machine, heartbeat, now);
                 self.send_state_probes(active, now);
             }
         }
@@ -70,7 +70,7 @@
         at: Timestamp,
     ) {
         let term = active.term();
-        if !self.config.standby.records_read(term, MonotonicTime::from_millis(at.monotonic)) {
+        if !self.config.standby.records_read(term, at.monotonic) {
             return;
         }
         let machine_types = self.config.machine_types.borrow().as_ref().map(|types| types.to_vec());
@@ -82,7 +82,7 @@
             state,
             at,
         );
-        self.warm_start(&mut cluster, MonotonicTime::from_millis(at.monotonic));
+        self.warm_start(&mut cluster, at.monotonic);
         tracing::info!(term, cluster = %cluster.summary(at.monotonic), "cluster state loaded");
         active.cluster = Some(cluster);
         self.spawn_job_watch(active, revision);
@@ -94,7 +94,7 @@
         match self.config.standby.copy(term, now) {
             Ok(copy) => {
                 let networks = &self.config.cluster.operator.replication.worker_networks;
-                let recovered = cluster.warm_start(copy, networks, now.as_millis());
+                let recovered = cluster.warm_start(copy, networks, now);
                 tracing::info!(term, %recovered, "warm start");
             }
             Err(reason) => tracing::info!(term, %reason, "cold start"),
@@ -104,11 +104,11 @@
     /// Announces the jobs whose final state a commit made durable.
     fn finish_jobs(&self, active: &mut ActiveTerm) {
         let Some(cluster) = &mut active.cluster else { return };
-        for (job, record) in cluster.take_completed_jobs() {
+        for CompletedJob { id, record } in cluster.take_completed_jobs() {
             // The cluster state drops the job, and its user requests the status once more. Without
             // the cache each of these requests would take two reads of the state service.
-            self.config.final_states.remember(&record.status(&job).into());
-            active.pending_cancellations.job_finished(&job, &record);
+            self.config.final_states.remember(&record.status(&id).into());
+            active.pending_cancellations.job_finished(&id, &record);
         }
         if cluster.leadership_lost() {
             self.config.leadership_lost.notify_one();
--- a/crates/controller/src/actor/requests.rs
+++ b/crates/controller/src/actor/requests.rs
@@ -3,7 +3,8 @@
 use super::ControllerActor;
 use super::messages::{ControllerRequest, HeartbeatReply, PreparedRenewal, Reply};
 use super::term::ActiveTerm;
-use crate::cluster_state::CancelOutcome;
+use crate::cluster_state::{CancelOutcome, Timestamp};
+use crate::leadership::wall_clock;
 use hookway_time::MonotonicTime;
 use hookway_wire::{Command, Heartbeat, HeartbeatResponse, ReplicationStatus};
 
@@ -46,7 +47,7 @@
         match request {
             ControllerRequest::Heartbeat { heartbeat, reply } => {
                 let valid_until = self.config.clock.instant_at(active.tasks.authority.expires_at());
-                let response = cluster.handle_heartbeat(&heartbeat, now.as_millis());
+                let response = cluster.handle_heartbeat(&heartbeat, now);
                 if response.as_ref().is_some_and(starts_a_task) {
                     self.config.standby.start_dispatched(now);
                 }
@@ -67,13 +68,13 @@
             },
             ControllerRequest::AdoptJob { read_in_term, key, value, reply } => {
                 if read_in_term == Some(active.leader_term.term) {
-                    let at = self.config.clock.timestamp();
+                    let at = Timestamp { monotonic: now, wall: wall_clock() };
                     cluster.add_job(&key, value, at, false);
                 }
                 let _ = reply.send(Some(()));
             }
             ControllerRequest::RenewShardLease { renewal, reply } => {
-                let _ = reply.send(cluster.renew_shard_lease(&renewal, now.as_millis()));
+                let _ = reply.send(cluster.renew_shard_lease(&renewal, now));
             }
             ControllerRequest::Follow { request, reply } => {
                 let _ = reply.send(active.publication.answer(cluster, &request, now));
@@ -100,7 +101,7 @@
                 if extension.is_some()
                     && let Some(cluster) = &mut active.cluster
                 {
-                    cluster.worker_lease_extended(&heartbeat.machine, now.as_millis());
+                    cluster.worker_lease_extended(&heartbeat.machine, now);
                 }
                 let _ = reply.send(extension.unwrap_or(HeartbeatReply::Unavailable));
             }
--- a/crates/controller/src/actor/timer.rs
+++ b/crates/controller/src/actor/timer.rs
@@ -38,7 +38,7 @@
 
     /// Extends the lease of the leader's own shard, unless the cluster state forbids it at `now`.
     fn lease_own_shard(&mut self, cluster: &ClusterState, now: MonotonicTime) {
-        let lease_length = Duration::from_millis(cluster.shard_lease_ms(now.as_millis()));
+        let lease_length = cluster.shard_lease(now);
         if !lease_length.is_zero() {
             let zones = cluster.own_shard();
             self.config.shard_lessee.hold_as_leader(cluster.term(), zones, lease_length, now);
@@ -51,7 +51,7 @@
         let allowed = self
             .stepped_down_at
             .is_none_or(|last_at| now >= last_at + constants::STEP_DOWN_INTERVAL);
-        let steps_down = cluster.all_workers_silent(now.as_millis()) && allowed;
+        let steps_down = cluster.all_workers_silent(now) && allowed;
         if steps_down {
             tracing::info!(term = cluster.term(), "stepping down: no worker sends heartbeats");
             self.stepped_down_at = Some(now);
@@ -77,10 +77,9 @@
         timers: &mut TermTimers,
         now: MonotonicTime,
     ) {
-        let interval = constants::AUTOSCALING_INTERVAL
-            .max(2 * Duration::from_millis(cluster.round_interval_ms()));
+        let interval = constants::AUTOSCALING_INTERVAL.max(2 * cluster.round_interval());
         if take_due(&mut timers.last_autoscaling_at, interval, now) {
-            for action in cluster.autoscaling_round(now.as_millis()) {
+            for action in cluster.autoscaling_round(now) {
                 self.spawn_scaling_action(tasks, action);
             }
         }
@@ -100,7 +99,7 @@
         let interval = shortest + constants::CLOUD_LIST_PER_MACHINE * machine_count;
         let due =
             |interval| timers.last_machine_list_at.is_none_or(|last_at| now >= last_at + interval);
-        let wanted_sooner = due(shortest) && cluster.any_heartbeat_overdue(now.as_millis());
+        let wanted_sooner = due(shortest) && cluster.any_heartbeat_overdue(now);
         if !(due(interval) || wanted_sooner) {
             return;
         }
@@ -138,7 +137,7 @@
     let process_paused = now >= active.timers.last_tick_at + constants::PROCESS_PAUSE;
     active.timers.last_tick_at = now;
     if process_paused || active.suspended {
-        cluster.resumed(now.as_millis());
+        cluster.resumed(now);
     }
     if active.suspended {
         tracing::info!(term, "leadership lease holds again, decisions resumed");
@@ -148,15 +147,15 @@
 }
 
 fn run_scheduling_round(cluster: &mut ClusterState, timers: &mut TermTimers, now: MonotonicTime) {
-    let interval =
-        Duration::from_millis(cluster.round_interval_ms()).max(constants::SCHEDULING_INTERVAL);
+    let interval = cluster.round_interval().max(constants::SCHEDULING_INTERVAL);
     if take_due(&mut timers.last_scheduling_at, interval, now) {
-        cluster.scheduling_round(now.as_millis());
+        cluster.scheduling_round(now);
     }
 }
 
 fn log_summary(cluster: &ClusterState, timers: &mut TermTimers, now: MonotonicTime) {
     if take_due(&mut timers.last_summary_at, SUMMARY_INTERVAL, now) {
-        tracing::info!(term = cluster.term(), cluster = %cluster.summary(now.as_millis()), "cluster summary");
+        let summary = cluster.summary(now);
+        tracing::info!(term = cluster.term(), cluster = %summary, "cluster summary");
     }
 }
--- a/crates/controller/src/cluster_state/acknowledgement.rs
+++ b/crates/controller/src/cluster_state/acknowledgement.rs
@@ -2,8 +2,12 @@
 
 use super::{ClusterState, CordonReason};
 use hookway_constants as constants;
+use hookway_time::MonotonicTime;
 use hookway_wire::Heartbeat;
 
+/// At most one machine in this many counts as few; a single one always does.
+const FEW_MACHINES_DIVISOR: usize = 4;
+
 impl ClusterState {
     /// Checks whether the worker applied the last response, as far as its next heartbeat shows it.
     ///
@@ -11,7 +15,12 @@
     /// without effect was not received and never will be: it extended no lease. A machine whose worker
     /// applies several consecutive responses not at all takes no new task and is cordoned; its tasks
     /// count until its lease has surely expired.
-    pub(super) fn check_acknowledgement(&mut self, name: &str, heartbeat: &Heartbeat, now: u64) {
+    pub(super) fn check_acknowledgement(
+        &mut self,
+        name: &str,
+        heartbeat: &Heartbeat,
+        now: MonotonicTime,
+    ) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let expected = std::mem::take(&mut machine.expected_heartbeat);
         let Some(acknowledged) = expected.acknowledged(heartbeat) else { return };
@@ -25,7 +34,7 @@
         }
         // All machines are counted only when one has missed a response.
         let few_affected = self.few_machines_miss_responses();
-        let backoff_until = now + self.max_heartbeat_interval_ms();
+        let backoff_until = now + self.max_heartbeat_interval();
         let Some(machine) = self.machines.get_mut(name) else { return };
         machine.unacknowledged_responses += 1;
         // Unless it was answered since, by this controller as a lessee while its leadership was
@@ -46,14 +55,13 @@
         }
     }
 
-    /// Whether at most a quarter of the machines miss responses. When more do, it is this controller
-    /// whose responses are late.
+    /// Whether few machines miss responses. When more do, it is this controller whose responses are late.
     fn few_machines_miss_responses(&self) -> bool {
         let affected = self
             .machines
             .values()
             .filter(|m| m.unacknowledged_responses >= constants::MAX_UNACKNOWLEDGED_RESPONSES)
             .count();
-        affected * 4 <= self.machines.len().max(4)
+        affected * FEW_MACHINES_DIVISOR <= self.machines.len().max(FEW_MACHINES_DIVISOR)
     }
 }
--- a/crates/controller/src/cluster_state/command_dispatch.rs
+++ b/crates/controller/src/cluster_state/command_dispatch.rs
@@ -2,15 +2,34 @@
 
 use super::{ClusterState, Machine, PlacedTask, TaskPhase};
 use hookway_constants as constants;
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, span_of_seconds};
 use hookway_wire::{Command, DirectCommands, ExitCause};
 
-/// Maximum number of commands in one message, so that its only line stays far below 64 KiB.
+/// Number of commands in one message from which no more starts or direct stops are added, so that its
+/// only line stays far below 64 KiB.
 const MAX_COMMANDS: usize = 400;
+/// Maximum number of commands in a response: reaps and stops may exceed the limit for starts.
+const MAX_COMMANDS_WITH_STOPS: usize = 2 * MAX_COMMANDS;
+
+/// Stops to be sent directly to a worker.
+#[derive(Debug, Clone, PartialEq)]
+pub struct DirectStop {
+    /// The address of the worker.
+    pub address: String,
+    /// The commands that stop the tasks.
+    pub commands: DirectCommands,
+}
+
+/// The stop of a placed task.
+struct SelectedStop {
+    /// Position in the machine's placed tasks.
+    position: usize,
+    grace_s: f64,
+}
 
 impl ClusterState {
     /// Time for a checkpoint, s, if a placed task must be stopped; `None` if it must not.
-    pub(super) fn stop_grace_s(&self, placed: &PlacedTask, now: u64) -> Option<f64> {
+    pub(super) fn stop_grace_s(&self, placed: &PlacedTask, now: MonotonicTime) -> Option<f64> {
         let job = placed.job.and_then(|key| self.jobs.get(&key));
         let Some(job) = job else { return Some(0.0) };
         // Nobody has any use for a checkpoint of these.
@@ -18,9 +37,8 @@
             return Some(0.0);
         }
         if let Some(order) = placed.stop {
-            let patience_ms =
-                (job.spec.checkpoint_s * 1000.0) as u64 + whole_millis(constants::STOP_TIMEOUT);
-            let overdue = now.saturating_sub(order.decided_at) > patience_ms;
+            let patience = span_of_seconds(job.spec.checkpoint_s) + constants::STOP_TIMEOUT;
+            let overdue = now.saturating_duration_since(order.decided_at) > patience;
             return Some(if overdue { 0.0 } else { order.grace_s });
         }
         let broken_gang =
@@ -40,8 +58,8 @@
         job.is_some_and(|job| job.orphaned.contains(&placed.index))
     }
 
-    /// The commands in the response to a machine's newest heartbeat, received at `now` (ms).
-    pub(super) fn commands_for(&mut self, name: &str, now: u64) -> Vec<Command> {
+    /// The commands in the response to a machine's newest heartbeat, received at `now`.
+    pub(super) fn commands_for(&mut self, name: &str, now: MonotonicTime) -> Vec<Command> {
         let Some(machine) = self.machines.get(name) else { return Vec::new() };
         let mut commands = self.reap_commands(machine);
         let draining = machine.is_draining();
@@ -74,7 +92,7 @@
         for start in cancelled {
             self.cancel_planned_start(name, &start, now);
         }
-        commands.truncate(MAX_COMMANDS * 2);
+        commands.truncate(MAX_COMMANDS_WITH_STOPS);
         commands
     }
 
@@ -97,33 +115,36 @@
         commands
     }
 
-    /// Stops that should not wait for the workers' heartbeats: address and commands. Each is handed
-    /// out once; if it gets lost, the response to the next heartbeat has the same command.
-    pub fn take_direct_stops(&mut self, now: u64) -> Vec<(String, DirectCommands)> {
+    /// Stops that should not wait for the workers' heartbeats. Each is handed out once; if it gets lost,
+    /// the response to the next heartbeat has the same command.
+    pub fn take_direct_stops(&mut self, now: MonotonicTime) -> Vec<DirectStop> {
         if !std::mem::take(&mut self.stops_due) {
             return Vec::new();
         }
         let names: Vec<String> = self.machines.keys().cloned().collect();
-        names.into_iter().filter_map(|name| self.take_direct_stops_of(&name, now)).collect()
+        names.into_iter().filter_map(|name| self.take_direct_stop_of(&name, now)).collect()
     }
 
-    fn take_direct_stops_of(&mut self, name: &str, now: u64) -> Option<(String, DirectCommands)> {
-        let timeout_ms = self.heartbeat_timeout_ms();
+    fn take_direct_stop_of(&mut self, name: &str, now: MonotonicTime) -> Option<DirectStop> {
+        let timeout = self.heartbeat_timeout();
         let machine = self.machines.get(name)?;
         // A machine that has missed its heartbeat would only take a connection until the time limit.
         let answered_at = machine.last_response_at.max(self.clocks.resumed_at);
-        let silent = now >= answered_at + timeout_ms;
+        let silent = now >= answered_at + timeout;
         if !machine.has_reported || machine.address.is_empty() || silent {
             return None;
         }
         let is_new =
             |p: &PlacedTask| !p.stop_dispatched && matches!(p.phase, TaskPhase::Reported(_));
-        let stops: Vec<(usize, f64)> = machine
+        let stops: Vec<SelectedStop> = machine
             .placed_tasks
             .iter()
             .enumerate()
             .filter(|(_, placed)| is_new(placed))
-            .filter_map(|(i, placed)| Some((i, self.stop_grace_s(placed, now)?)))
+            .filter_map(|(position, placed)| {
+                let grace_s = self.stop_grace_s(placed, now)?;
+                Some(SelectedStop { position, grace_s })
+            })
             .take(MAX_COMMANDS)
             .collect();
         if stops.is_empty() {
@@ -131,8 +152,8 @@
         }
         let machine = self.machines.get_mut(name)?;
         let mut commands = Vec::with_capacity(stops.len());
-        for (i, grace_s) in stops {
-            let placed = &mut machine.placed_tasks[i];
+        for SelectedStop { position, grace_s } in stops {
+            let placed = &mut machine.placed_tasks[position];
             placed.stop_dispatched = true;
             commands.push(placed.kill_command(grace_s));
         }
@@ -141,6 +162,6 @@
             incarnation: machine.newest_message.incarnation,
             commands,
         };
-        Some((machine.address.clone(), commands))
+        Some(DirectStop { address: machine.address.clone(), commands })
     }
 }
--- a/crates/controller/src/cluster_state/commit_items.rs
+++ b/crates/controller/src/cluster_state/commit_items.rs
@@ -1,8 +1,8 @@
 //! The records of a transaction, as they are put into it.
 
-use super::commit_queue::{CommitItem, PendingCommit, RegistryMember};
+use super::commit_queue::{CommitItem, JobPage, PendingCommit, RegistryMember};
 use super::machine_registry::MachineRegistry;
-use super::{CachedImage, ClusterState, JobKey, Machine};
+use super::{ClusterState, JobKey, Machine};
 use crate::records::{
     CLASSES_KEY, ClassRecord, FinalRecord, JobSchedulingRecord, ProgressRecord,
     SharedStartWatermarksRecord, final_state_key, fits_value_limit, job_key, scheduling_key,
@@ -10,6 +10,7 @@
 };
 use hookway_constants as constants;
 use hookway_policy::min_tasks_need_rewrite;
+use hookway_time::{MonotonicTime, whole_millis};
 use std::collections::BTreeMap;
 
 impl ClusterState {
@@ -47,7 +48,7 @@
     }
 
     /// Registry records with hints for the next leader, within the budget for hints.
-    pub(super) fn add_registry_hints(&mut self, commit: &mut PendingCommit, now: u64) {
+    pub(super) fn add_registry_hints(&mut self, commit: &mut PendingCommit, now: MonotonicTime) {
         while commit.has_room_for(1) && self.commit_queue.hint_bucket.has_token(now) {
             let Some(number) = self.commit_queue.registry.next_stale() else { break };
             self.commit_queue.hint_bucket.take(1);
@@ -56,11 +57,10 @@
     }
 
     fn add_registry_record(&mut self, commit: &mut PendingCommit, number: u64) {
-        let cached_images = |machine: &str| -> Vec<(&str, f64)> {
+        let cached_images = |machine: &str| {
             let machine = self.machines.get(machine);
             let cached = machine.map(|m| m.images.as_slice()).unwrap_or_default();
-            let named = |c: &CachedImage| Some((self.images.name(c.image)?, c.size_gb));
-            cached.iter().filter_map(named).collect()
+            self.images.named(cached)
         };
         let value_kb = self.config.platform.state.value_kb;
         let Some(value) = self.commit_queue.registry.record(number, value_kb, cached_images) else {
@@ -86,7 +86,7 @@
     pub(super) fn add_progress_pages(&mut self, commit: &mut PendingCommit) {
         let mut waiting = Vec::new();
         while commit.has_room_for(1)
-            && let Some((key, page)) = self.commit_queue.progress_pages.pop_front()
+            && let Some(JobPage { job: key, page }) = self.commit_queue.progress_pages.pop_front()
         {
             let Some(job) = self.jobs.get_mut(&key) else { continue };
             // A job that ends, or has ended, needs no progress record.
@@ -95,7 +95,7 @@
                 continue;
             }
             if job.progress.must_wait(page) {
-                waiting.push((key, page));
+                waiting.push(JobPage { job: key, page });
                 continue;
             }
             let record = ProgressRecord::new(&job.results(page));
@@ -159,7 +159,11 @@
     }
 
     /// Scheduling records with hints for the next leader, within the budget for hints.
-    pub(super) fn add_scheduling_records(&mut self, commit: &mut PendingCommit, now: u64) {
+    pub(super) fn add_scheduling_records(
+        &mut self,
+        commit: &mut PendingCommit,
+        now: MonotonicTime,
+    ) {
         while commit.has_room_for(1) && self.commit_queue.hint_bucket.has_token(now) {
             let Some(key) = self.commit_queue.scheduling_records.pop_first() else { break };
             self.commit_queue.hint_bucket.take(1);
@@ -172,7 +176,7 @@
         let record = JobSchedulingRecord {
             min_tasks: job.min_tasks,
             run_time_count: job.run_time_count,
-            run_time_sum_ms: job.run_time_sum_ms,
+            run_time_sum_ms: whole_millis(job.run_time_sum),
             start_watermark: job.start_watermark.highest(),
         };
         let Ok(value) = serde_json::to_value(&record) else { return };
@@ -184,7 +188,7 @@
     }
 
     /// The record of all job classes, a hint for the next leader, when one of them has changed.
-    pub(super) fn add_classes(&mut self, commit: &mut PendingCommit, now: u64) {
+    pub(super) fn add_classes(&mut self, commit: &mut PendingCommit, now: MonotonicTime) {
         if !self.commit_queue.classes_changed
             || !commit.has_room_for(1)
             || !self.commit_queue.hint_bucket.has_token(now)
--- a/crates/controller/src/cluster_state/commit_queue.rs
+++ b/crates/controller/src/cluster_state/commit_queue.rs
@@ -10,6 +10,7 @@
 };
 use crate::settings::PlatformSettings;
 use hookway_constants as constants;
+use hookway_time::{MonotonicTime, WallTime};
 use hookway_wire::{KeyValue, Operation, Precondition, Transaction};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
@@ -26,8 +27,8 @@
     pub leader_precondition: Precondition,
     /// Jobs whose final record is to be written.
     pub finished_jobs: VecDeque<JobKey>,
-    /// Progress pages to be written, by job and page.
-    pub progress_pages: VecDeque<(JobKey, usize)>,
+    /// Progress pages to be written.
+    pub progress_pages: VecDeque<JobPage>,
     pub registry: MachineRegistry,
     pub shared_watermarks: SharedStartWatermarks,
     /// Revisions of the records that only leaders write, by key; 0, or none, if there is no record.
@@ -52,15 +53,19 @@
     pub rejected: VecDeque<DelayedItem>,
     /// A transaction is in flight.
     pub commit_in_flight: bool,
-    /// No transaction is sent before this time, ms.
-    pub backoff_until: u64,
+    /// No transaction is sent before this time.
+    pub backoff_until: MonotonicTime,
     /// A transaction showed that this controller does not lead any more.
     pub leadership_lost: bool,
 }
 
 impl CommitQueue {
-    /// An empty queue of a leader that was elected at `now` (ms).
-    pub fn new(platform: &PlatformSettings, leader_precondition: Precondition, now: u64) -> Self {
+    /// An empty queue of a leader that was elected at `now`.
+    pub fn new(
+        platform: &PlatformSettings,
+        leader_precondition: Precondition,
+        now: MonotonicTime,
+    ) -> Self {
         let state = &platform.state;
         let bucket = |share: f64| TokenBucket::new(state.write_rps * share, now);
         Self {
@@ -80,7 +85,7 @@
             max_operations: state.txn_ops,
             rejected: VecDeque::new(),
             commit_in_flight: false,
-            backoff_until: 0,
+            backoff_until: MonotonicTime::ZERO,
             leadership_lost: false,
         }
     }
@@ -99,10 +104,10 @@
         self.stale_keys.push_back(key);
     }
 
-    /// Moves a registry entry of the older format to a record; `at_ms` is its time of day.
-    pub fn migrate_legacy_entry(&mut self, machine: &str, at_ms: u64) {
+    /// Moves a registry entry of the older format, of a machine registered at that time, to a record.
+    pub fn migrate_legacy_entry(&mut self, machine: &str, registered_at: WallTime) {
         self.legacy_registry_keys.insert(machine.to_owned(), registry_key(machine));
-        self.registry.register(machine, at_ms);
+        self.registry.register(machine, registered_at);
     }
 }
 
@@ -111,6 +116,13 @@
     key == CLASSES_KEY || key.starts_with(SCHEDULING_PREFIX) || key.starts_with(REGISTRY_PREFIX)
 }
 
+/// A page of a job's results.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct JobPage {
+    pub job: JobKey,
+    pub page: usize,
+}
+
 /// A machine of a registry record, with the images written for it.
 #[derive(Debug, Clone)]
 pub(super) struct RegistryMember {
@@ -140,8 +152,8 @@
 /// An item that was rejected by itself.
 #[derive(Debug, Clone)]
 pub(super) struct DelayedItem {
-    /// When it is tried again, ms.
-    pub retry_at: u64,
+    /// When it is tried again.
+    pub retry_at: MonotonicTime,
     pub item: CommitItem,
 }
 
@@ -169,8 +181,14 @@
     Indeterminate(Vec<RereadKey>),
 }
 
-/// A key that was read again, with its value if it has one.
-pub type RereadKey = (String, Option<KeyValue>);
+/// A key that was read again.
+#[derive(Debug, Clone, PartialEq)]
+pub struct RereadKey {
+    /// The key.
+    pub key: String,
+    /// What is stored under it, if anything.
+    pub stored: Option<KeyValue>,
+}
 
 impl PendingCommit {
     /// A transaction without operations, applied only as long as this controller leads.
--- a/crates/controller/src/cluster_state/heartbeat_tasks.rs
+++ b/crates/controller/src/cluster_state/heartbeat_tasks.rs
@@ -2,6 +2,7 @@
 
 use super::task_removal::TaskRemoval;
 use super::{CachedImage, ClusterState, EndedTask, PlacedTask, TaskPhase};
+use hookway_time::{MonotonicTime, seconds_f64};
 use hookway_wire::{ExitCause, Heartbeat, TaskId, TaskState, TaskStatus};
 
 /// What a message of a worker answers.
@@ -20,6 +21,12 @@
     removal: TaskRemoval,
 }
 
+/// A task of the message, with its parsed id.
+struct FoundTask<'a> {
+    task: TaskId,
+    reported: &'a TaskStatus,
+}
+
 /// What a message says of the tasks of its machine.
 #[derive(Default)]
 struct TaskChanges<'a> {
@@ -28,7 +35,7 @@
     ended: Vec<EndedTask>,
     removed: Vec<RemovedTask>,
     /// Tasks that this leader did not place there.
-    unplaced: Vec<(TaskId, &'a TaskStatus)>,
+    unplaced: Vec<FoundTask<'a>>,
     /// Some start surely did not arrive and is planned again.
     has_replanned_starts: bool,
 }
@@ -39,7 +46,7 @@
         &mut self,
         name: &str,
         heartbeat: &Heartbeat,
-        now: u64,
+        now: MonotonicTime,
         kind: MessageKind,
     ) {
         self.mark_unpublished(name);
@@ -55,8 +62,8 @@
         for removed in changes.removed {
             self.remove_task(name, &removed.task, removed.removal, now);
         }
-        for (task, reported) in changes.unplaced {
-            self.adopt_task(name, &task, reported, now);
+        for found in changes.unplaced {
+            self.adopt_task(name, &found.task, found.reported, now);
         }
         self.update_images(name);
         self.count_running(name);
@@ -109,7 +116,7 @@
     name: &str,
     before: Vec<PlacedTask>,
     heartbeat: &'a Heartbeat,
-    now: u64,
+    now: MonotonicTime,
     kind: MessageKind,
 ) -> TaskChanges<'a> {
     let mut changes = TaskChanges::default();
@@ -125,7 +132,7 @@
             .filter(|i| !std::mem::replace(&mut is_reported[*i], true));
         match position {
             Some(i) => apply_reported(name, before[i].clone(), reported, now, &mut changes),
-            None => changes.unplaced.push((task, reported)),
+            None => changes.unplaced.push(FoundTask { task, reported }),
         }
     }
     for (placed, is_reported) in before.into_iter().zip(is_reported) {
@@ -141,7 +148,7 @@
     name: &str,
     mut placed: PlacedTask,
     reported: &TaskStatus,
-    now: u64,
+    now: MonotonicTime,
     changes: &mut TaskChanges<'_>,
 ) {
     if reported.state == TaskState::Ended {
@@ -152,7 +159,7 @@
     }
     placed.phase = TaskPhase::Reported(reported.state);
     if reported.state == TaskState::Running && placed.running_since.is_none() {
-        let after_s = now.saturating_sub(placed.placed_at) as f64 / 1000.0;
+        let after_s = seconds_f64(now.saturating_duration_since(placed.placed_at));
         tracing::debug!(machine = %name, task = %placed.task, after_s, "task running");
         placed.running_since = Some(now);
     }
--- a/crates/controller/src/cluster_state/job_operations.rs
+++ b/crates/controller/src/cluster_state/job_operations.rs
@@ -2,6 +2,7 @@
 
 use super::{ClusterState, Job, JobKey, leases_expire_within_cancellation};
 use crate::records::FinalRecord;
+use hookway_time::MonotonicTime;
 use hookway_wire::{JobId, JobState, JobStatus};
 
 /// What the leader knows of the status of a job.
@@ -29,6 +30,15 @@
     UnknownJob,
 }
 
+/// A job whose final record has become durable.
+#[derive(Debug, Clone, PartialEq)]
+pub struct CompletedJob {
+    /// The job.
+    pub id: JobId,
+    /// Its final record.
+    pub record: FinalRecord,
+}
+
 impl ClusterState {
     /// The status of a job.
     pub fn status(&self, id: &JobId) -> JobLookup {
@@ -80,7 +90,7 @@
     /// Queues the final records of cancellations of which it is sure that all leases which may keep tasks
     /// alive end in time. As a rule these are all of them at once: shard leases end in time, and a worker's
     /// lease is shorter than a cancellation may take. Where it is not, the tasks must be gone first.
-    pub(super) fn queue_proven_cancellations(&mut self, now: u64) {
+    pub(super) fn queue_proven_cancellations(&mut self, now: MonotonicTime) {
         if self.unproven_cancellations.is_empty() {
             return;
         }
@@ -97,7 +107,7 @@
     }
 
     /// The jobs whose final record has become durable since the last call.
-    pub fn take_completed_jobs(&mut self) -> Vec<(JobId, FinalRecord)> {
+    pub fn take_completed_jobs(&mut self) -> Vec<CompletedJob> {
         std::mem::take(&mut self.completed_jobs)
     }
 
@@ -125,7 +135,7 @@
         self.stops_due = true;
         let id = job.id.clone();
         self.jobs.mark_ended(&id);
-        self.completed_jobs.push((id, record));
+        self.completed_jobs.push(CompletedJob { id, record });
         self.forget_if_removed(key);
     }
 
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -1,7 +1,7 @@
 //! The cluster state: jobs, machines and tasks as the leader knows them, and every decision that
 //! follows from them.
 //!
-//! No I/O and no clock: the caller says what happened and when (milliseconds on its steady clock), and
+//! No I/O and no clock: the caller says what happened and when (by its monotonic clock), and
 //! carries out the returned actions.
 
 mod acknowledgement;
@@ -58,14 +58,16 @@
 
 pub use autoscaling::ScalingAction;
 pub use clocks::Timestamp;
+pub use command_dispatch::DirectStop;
 pub use commit_queue::{CommitResult, PendingCommit, RereadKey};
-pub use job_operations::{CancelOutcome, JobLookup};
-pub use leases::{leases_expire_within_cancellation, max_shard_lease_ms, worker_lease_expiry_ms};
+pub use direct_dispatch::DirectStart;
+pub use job_operations::{CancelOutcome, CompletedJob, JobLookup};
+pub use leases::{leases_expire_within_cancellation, max_shard_lease, worker_lease_expiry};
 pub use recovery::LoadedState;
 pub use standby_feed::WarmStart;
+pub use state_probe::StateProbeRequest;
 pub use summary::Summary;
 
-use crate::records::FinalRecord;
 use crate::settings::{OperatorSettings, PeerController, PlatformSettings};
 use crate::shard_lease::ShardLessor;
 use bounded_set::BoundedSet;
@@ -74,8 +76,7 @@
 use commit_queue::CommitQueue;
 use direct_dispatch::DirectDispatch;
 use hookway_constants as constants;
-use hookway_time::MonotonicTime;
-use hookway_wire::{JobId, MachineType, Precondition};
+use hookway_wire::{MachineType, Precondition};
 use image_numbers::ImageNumbers;
 use job::{Job, JobKey, TaskPlacement};
 use job_index::JobIndex;
@@ -86,7 +87,6 @@
 use scheduling_round::LastRound;
 use state_probe::StateProbes;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
-use std::time::Duration;
 
 /// What does not change while a controller leads.
 #[derive(Debug, Clone)]
@@ -125,7 +125,7 @@
     shard_lessor: ShardLessor,
     commit_queue: CommitQueue,
     /// Jobs whose end has become durable and was not taken by the caller yet.
-    completed_jobs: Vec<(JobId, FinalRecord)>,
+    completed_jobs: Vec<CompletedJob>,
     /// Cancelled jobs of which it is not sure that their tasks are gone in time.
     unproven_cancellations: BTreeSet<JobKey>,
     /// What the last scheduling round left for heartbeats.
@@ -168,8 +168,8 @@
                 &config.zone,
                 &config.peers,
                 &config.platform.zones,
-                Duration::from_millis(max_shard_lease_ms(&config)),
-                MonotonicTime::from_millis(at.monotonic),
+                max_shard_lease(&config),
+                at.monotonic,
             ),
             commit_queue: CommitQueue::new(&config.platform, leader_precondition, at.monotonic),
             completed_jobs: Vec::new(),
--- a/crates/controller/src/cluster_state/placement.rs
+++ b/crates/controller/src/cluster_state/placement.rs
@@ -1,10 +1,12 @@
 //! Placing tasks on machines, stopping them, and preempting them for other jobs.
 
 use super::{ClusterState, JobKey, PlacedTask, StopOrder, TaskPhase, TaskPlacement};
+use hookway_constants as constants;
+use hookway_time::MonotonicTime;
 
 impl ClusterState {
     /// Places one unplaced task of a job on each of `machines`, as long as there is one.
-    pub(super) fn place_tasks(&mut self, key: JobKey, machines: &[String], now: u64) {
+    pub(super) fn place_tasks(&mut self, key: JobKey, machines: &[String], now: MonotonicTime) {
         let reconciled = self.reconciled(now);
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let gang = job.spec.is_gang();
@@ -25,7 +27,7 @@
             // share a term.
             let attempt = job.gang_attempt.filter(|_| gang).unwrap_or_else(|| {
                 self.last_attempt += 1;
-                (self.term << 28) + self.last_attempt
+                (self.term << constants::ATTEMPT_COUNTER_BITS) + self.last_attempt
             });
             if gang {
                 job.gang_attempt = Some(attempt);
@@ -54,13 +56,17 @@
 
     /// Stops the task at `position` of a machine's placed tasks, and its whole gang with it, with time
     /// for a checkpoint.
-    pub(super) fn stop_task(&mut self, name: &str, position: usize, now: u64) {
+    pub(super) fn stop_task(&mut self, name: &str, position: usize, now: MonotonicTime) {
         let machine = self.machines.get(name);
         let Some(placed) = machine.and_then(|m| m.placed_tasks.get(position)) else { return };
         let Some(key) = placed.job else { return };
         let (task, attempt) = (placed.task.clone(), placed.attempt);
         let Some(job) = self.jobs.get(&key) else { return };
-        let grace_s = if job.spec.checkpoints() { job.spec.checkpoint_s + 1.0 } else { 0.0 };
+        let grace_s = if job.spec.checkpoints() {
+            job.spec.checkpoint_s + constants::CHECKPOINT_MARGIN_S
+        } else {
+            0.0
+        };
         let order = StopOrder { grace_s, decided_at: now };
         let gang = job.spec.is_gang();
         self.stops_due = true;
@@ -79,7 +85,7 @@
         name: &str,
         position: usize,
         beneficiary: JobKey,
-        now: u64,
+        now: MonotonicTime,
     ) {
         let machine = self.machines.get(name);
         let Some(placed) = machine.and_then(|m| m.placed_tasks.get(position)) else { return };
--- a/crates/controller/src/cluster_state/standby_feed.rs
+++ b/crates/controller/src/cluster_state/standby_feed.rs
@@ -10,7 +10,7 @@
 use hookway_replication::{
     MachineView, Publisher, ReplicatedJob, ReplicatedState, Stage, TaskView,
 };
-use hookway_time::whole_millis;
+use hookway_time::{MonotonicTime, WallTime};
 use hookway_wire::{JobId, TaskState};
 
 /// What a new leader took from its replicated state.
@@ -111,10 +111,11 @@
         let mut replicated = ReplicatedJob { gang_attempt: attempt, ..ReplicatedJob::default() };
         if job.consecutive_failures > 0 {
             replicated.consecutive_failures = job.consecutive_failures;
+            let elected = self.clocks.elected;
             replicated.last_failure_unix_ms =
-                self.clocks.elected.wall_at_monotonic(job.last_failure_at);
+                elected.wall_at_monotonic(job.last_failure_at).as_unix_millis();
             replicated.backoff_until_unix_ms =
-                self.clocks.elected.wall_at_monotonic(job.backoff_until);
+                elected.wall_at_monotonic(job.backoff_until).as_unix_millis();
             replicated.failed_machines = job.failed_machines.iter().cloned().collect();
         }
         Some(replicated)
@@ -126,7 +127,7 @@
         &mut self,
         copy: &ReplicatedState,
         workers: &Networks,
-        now: u64,
+        now: MonotonicTime,
     ) -> WarmStart {
         let mut taken = WarmStart::default();
         for (name, known) in &copy.machines {
@@ -145,16 +146,14 @@
                 taken.gangs += 1;
             }
             if replicated.consecutive_failures > 0 && job.consecutive_failures == 0 {
-                let latest = now + whole_millis(constants::FAILURE_BACKOFF_MAX);
+                let latest = now + constants::FAILURE_BACKOFF_MAX;
                 job.consecutive_failures =
                     replicated.consecutive_failures.min(constants::MAX_RESUMED_FAILURES);
-                job.last_failure_at =
-                    self.clocks.elected.monotonic_at_wall(replicated.last_failure_unix_ms).min(now);
-                job.backoff_until = self
-                    .clocks
-                    .elected
-                    .monotonic_at_wall(replicated.backoff_until_unix_ms)
-                    .min(latest);
+                let elected = self.clocks.elected;
+                let failed_at = WallTime::from_unix_millis(replicated.last_failure_unix_ms);
+                let paused_until = WallTime::from_unix_millis(replicated.backoff_until_unix_ms);
+                job.last_failure_at = elected.monotonic_at_wall(failed_at).min(now);
+                job.backoff_until = elected.monotonic_at_wall(paused_until).min(latest);
                 let kept = replicated.failed_machines.iter().take(constants::MAX_FAILED_MACHINES);
                 job.failed_machines = kept.cloned().collect();
                 taken.failing_jobs += 1;
--- a/crates/controller/src/leadership/clock.rs
+++ b/crates/controller/src/leadership/clock.rs
@@ -30,7 +30,7 @@
 
     /// Reads both clocks.
     pub fn timestamp(&self) -> Timestamp {
-        Timestamp { monotonic: self.now().as_millis(), wall: wall_clock().as_unix_millis() }
+        Timestamp { monotonic: self.now(), wall: wall_clock() }
     }
 }
 
--- a/crates/controller/tests/cluster_state/direct_dispatch.rs
+++ b/crates/controller/tests/cluster_state/direct_dispatch.rs
@@ -1,6 +1,6 @@
 //! Direct dispatch: commands sent straight to a worker may arrive late, twice or never.
 
-use crate::harness::{LeaderHarness, job, small_worker};
+use crate::harness::{LeaderHarness, job, ms, small_worker};
 use hookway_clients::Delivery;
 use hookway_testkit::ScriptedWorker;
 use hookway_wire::{DirectCommands, ExitCause, JobId, JobState};
@@ -10,10 +10,9 @@
     harness.run_rounds(&mut [w]);
     harness.submit(job("req-000001", "array", 1));
     harness.advance(1_000);
-    let (machine, _, commands) =
-        harness.cluster.take_direct_starts(harness.now).pop().expect("a start");
-    assert_eq!(machine, "m-1");
-    commands
+    let start = harness.cluster.take_direct_starts(harness.now).pop().expect("a start");
+    assert_eq!(start.machine, "m-1");
+    start.commands
 }
 
 #[test]
@@ -83,7 +82,7 @@
         [],
         "the worker had not seen the higher token when it reported"
     );
-    harness.now += 5_000;
+    harness.now += ms(5_000);
     harness.run_rounds(&mut [&mut w]);
     assert_eq!(w.handle_direct_commands(&commands), None, "the late command is refused");
     assert_eq!(w.started_attempts.len() + other.started_attempts.len(), 1);
--- a/crates/controller/tests/simulation/commits.rs
+++ b/crates/controller/tests/simulation/commits.rs
@@ -1,11 +1,10 @@
 //! Commits of a leader: delayed, refused or without a response.
 
-use super::Simulation;
 use super::controllers::Version;
 use super::messages::Message;
+use super::{Simulation, ms};
 use hookway_constants as constants;
-use hookway_controller::cluster_state::{CommitResult, PendingCommit};
-use hookway_time::whole_millis;
+use hookway_controller::cluster_state::{CommitResult, CompletedJob, PendingCommit, RereadKey};
 use hookway_wire::{JobState, Operation, Transaction};
 
 impl Simulation {
@@ -38,7 +37,7 @@
                 _ => {
                     let at = now + self.span(1_200, 40_000);
                     self.at(at, Message::DelayedTransaction(commit.transaction.clone()));
-                    self.at(now + 1_200, Message::Reread(n, term, commit));
+                    self.at(now + ms(1_200), Message::Reread(n, term, commit));
                 }
             }
             return;
@@ -59,7 +58,7 @@
                 }
             }
             _ => {
-                let wait = if lost { 1_200 } else { 10 };
+                let wait = ms(if lost { 1_200 } else { 10 });
                 self.at(now + wait, Message::Reread(n, term, commit));
             }
         }
@@ -73,10 +72,10 @@
             return;
         }
         if !self.store_answers(n) {
-            return self
-                .at(now + whole_millis(constants::LEADER_RETRY), Message::Reread(n, term, commit));
+            return self.at(now + constants::LEADER_RETRY, Message::Reread(n, term, commit));
         }
-        let read = commit.keys().into_iter().map(|k| (k.clone(), self.store.get(&k))).collect();
+        let reread = |key: String| RereadKey { stored: self.store.get(&key), key };
+        let read = commit.keys().into_iter().map(reread).collect();
         if let Some(leader) = self.controllers[n].leading(term) {
             leader.cluster.committed(*commit, CommitResult::Indeterminate(read), now);
         }
@@ -87,8 +86,8 @@
     pub(super) fn report_decided(&mut self, n: usize, term: u64) {
         let Some(leader) = self.controllers[n].leading(term) else { return };
         let decided = leader.cluster.take_completed_jobs();
-        let waited: Vec<bool> = decided.iter().map(|(id, _)| leader.asked.remove(id)).collect();
-        for ((id, record), waited) in decided.into_iter().zip(waited) {
+        let waited: Vec<bool> = decided.iter().map(|job| leader.asked.remove(&job.id)).collect();
+        for (CompletedJob { id, record }, waited) in decided.into_iter().zip(waited) {
             self.controllers[n].over.insert(id.clone());
             if waited && record.state == JobState::Cancelled {
                 self.report_cancelled(n, &id);
--- a/crates/controller/tests/simulation/dispatch.rs
+++ b/crates/controller/tests/simulation/dispatch.rs
@@ -1,13 +1,14 @@
 //! What a leader sends to machines and to the cloud.
 
-use super::Simulation;
 use super::controllers::Leader;
 use super::machines::Machine;
 use super::messages::Message;
+use super::{Simulation, ms};
 use hookway_clients::Delivery;
 use hookway_constants as constants;
-use hookway_controller::cluster_state::ScalingAction;
-use hookway_time::whole_millis;
+use hookway_controller::cluster_state::{
+    DirectStart, DirectStop, ScalingAction, StateProbeRequest,
+};
 use hookway_wire::{Command, DirectCommands};
 
 impl Simulation {
@@ -38,7 +39,7 @@
         let (now, term) = (self.now, leader.term);
         let mut messages: Vec<(usize, DirectCommands, bool)> = Vec::new();
         let index = |machine: &str| -> usize { machine[2..].parse().expect("a number") };
-        for (machine, _, commands) in leader.cluster.take_direct_starts(now) {
+        for DirectStart { machine, commands, .. } in leader.cluster.take_direct_starts(now) {
             messages.push((index(&machine) - 1, commands, true));
         }
         let probes = leader.cluster.take_state_probes(now);
@@ -46,7 +47,7 @@
         let commit = leader.cluster.next_commit(now);
         // The leader waits for no response to a stop. Addresses have no meaning here, so a stop goes to the
         // machine that has the task.
-        for (_, commands) in stops {
+        for DirectStop { commands, .. } in stops {
             let Some(task) = commands.commands.iter().find_map(|o| match o {
                 Command::Kill { task, attempt, .. } => Some((task.clone(), *attempt)),
                 _ => None,
@@ -80,21 +81,18 @@
                     commands.fencing_token,
                     Delivery::Indeterminate,
                 );
-                self.at(now + 1_500, outcome);
+                self.at(now + ms(1_500), outcome);
             }
         }
-        for (machine, _) in probes {
+        for StateProbeRequest { machine, .. } in probes {
             self.send(|| Message::StateProbe(n, term, index(&machine) - 1));
             // The sender's time limit, whatever is received.
-            self.at(
-                now + whole_millis(constants::WORKER_TIMEOUT),
-                Message::ProbeResult(n, term, machine, None),
-            );
+            self.at(now + constants::WORKER_TIMEOUT, Message::ProbeResult(n, term, machine, None));
         }
         if let Some(commit) = commit {
             self.check_limits(n, &commit.transaction);
             let slow = self.chance(200);
-            let delay = if slow { self.span(500, 3_000) } else { 10 };
+            let delay = if slow { self.span(500, 3_000) } else { ms(10) };
             self.at(now + delay, Message::PendingCommit(n, term, Box::new(commit)));
         }
     }
--- a/crates/controller/tests/simulation/leases.rs
+++ b/crates/controller/tests/simulation/leases.rs
@@ -4,7 +4,7 @@
 use super::messages::{Message, Reply};
 use hookway_constants as constants;
 use hookway_controller::shard_lease::{ShardLease, ShardLeaseRenewal};
-use hookway_time::{MonotonicTime, whole_millis};
+use hookway_time::MonotonicTime;
 use hookway_wire::Heartbeat;
 
 impl Simulation {
@@ -15,6 +15,7 @@
         }
         let entitled = self.controllers[n].entitled(now);
         let controller = &mut self.controllers[n];
+        let here = controller.clock(now);
         let reply = match &mut controller.leader {
             Some(leader) if entitled => leader
                 .cluster
@@ -22,11 +23,8 @@
                 .map_or(Reply::Unavailable, Reply::Answer),
             leader => {
                 let over = &controller.over;
-                let kept = controller.holding.extend_worker_lease(
-                    report,
-                    MonotonicTime::from_millis(now - controller.begun),
-                    |id| over.contains(id),
-                );
+                let kept =
+                    controller.holding.extend_worker_lease(report, here, |id| over.contains(id));
                 match (kept, leader) {
                     (Some(kept), leader) => {
                         if let Some(leader) = leader {
@@ -38,9 +36,7 @@
                     }
                     (None, Some(_)) => Reply::Unavailable,
                     (None, None) => {
-                        let in_touch = controller
-                            .holding
-                            .leader_reachable(MonotonicTime::from_millis(now - controller.begun));
+                        let in_touch = controller.holding.leader_reachable(here);
                         Reply::Redirect(controller.seen.filter(|l| *l != n && in_touch))
                     }
                 }
@@ -54,7 +50,7 @@
         from: usize,
         n: usize,
         renewal: &ShardLeaseRenewal,
-        at: u64,
+        at: MonotonicTime,
     ) {
         let now = self.now;
         if !self.peers_linked(from, n) || !self.controllers[n].entitled(now) {
@@ -72,21 +68,17 @@
         from: usize,
         nonce: u64,
         lease: ShardLease,
-        sent: u64,
+        sent: MonotonicTime,
     ) {
         let linked = self.peers_linked(from, n);
         let controller = &mut self.controllers[n];
-        let here = self.now - controller.begun;
+        let here = controller.clock(self.now);
         // A connection ends with its process, and a response after the time limit is not taken.
-        let in_time = here < sent + whole_millis(constants::PEER_TIMEOUT);
+        let in_time = here < sent + constants::PEER_TIMEOUT;
         let observed = self.now >= controller.responses_lost_until;
         if linked && observed && controller.nonce == nonce && in_time && controller.leader.is_none()
         {
-            controller.holding.lease_granted(
-                lease,
-                MonotonicTime::from_millis(sent),
-                MonotonicTime::from_millis(here),
-            );
+            controller.holding.lease_granted(lease, sent, here);
         }
     }
 }
--- a/crates/controller/tests/simulation/messages.rs
+++ b/crates/controller/tests/simulation/messages.rs
@@ -1,11 +1,12 @@
 //! Messages under way between the parts of the simulation, and their delivery.
 
-use super::Simulation;
 use super::scenarios::FaultScenario;
+use super::{Simulation, ms};
 use hookway_clients::Delivery;
 use hookway_controller::cluster_state::PendingCommit;
 use hookway_controller::shard_lease::{ShardLease, ShardLeaseRenewal};
 use hookway_replication::{FollowRequest, FollowResponse};
+use hookway_time::MonotonicTime;
 use hookway_wire::{DirectCommands, Heartbeat, HeartbeatResponse, JobId, Transaction};
 
 /// A message under way. Controllers and machines are indices into their lists.
@@ -16,9 +17,9 @@
     /// A controller's response: machine, controller, sequence of the heartbeat, content.
     HeartbeatResponse(usize, usize, u64, Reply),
     /// Sender, receiver, the renewal, send time by the sender's own clock.
-    LeaseRenewal(usize, usize, ShardLeaseRenewal, u64),
+    LeaseRenewal(usize, usize, ShardLeaseRenewal, MonotonicTime),
     /// Receiver, sender, the receiving process, the lease, send time of the renewal.
-    LeaseGranted(usize, usize, u64, ShardLease, u64),
+    LeaseGranted(usize, usize, u64, ShardLease, MonotonicTime),
     /// Sender, receiver, the sending process, position of its copy.
     Follow(usize, usize, u64, FollowRequest),
     /// Receiver, sender, the receiving process, the entries that its copy lacks.
@@ -52,7 +53,7 @@
     #[expect(clippy::too_many_lines, reason = "one short arm for each kind of message")]
     pub(super) fn deliver(&mut self, message: Message) {
         let now = self.now;
-        tracing::debug!("{now}: {message:?}");
+        tracing::debug!("{now:?}: {message:?}");
         // Messages to a frozen controller wait until it resumes.
         let to = match &message {
             Message::Heartbeat(_, n, _)
@@ -116,7 +117,7 @@
             Message::DelayedTransaction(transaction) => {
                 if now < self.outage_until {
                     return self
-                        .at(self.outage_until + 10, Message::DelayedTransaction(transaction));
+                        .at(self.outage_until + ms(10), Message::DelayedTransaction(transaction));
                 }
                 let _ = self.store.commit(&transaction);
                 self.check_final_states();
