--- a/crates/constants/src/cloud.rs
+++ b/crates/constants/src/cloud.rs
@@ -36,7 +36,7 @@
 pub const DEMAND_WINDOW: Duration = Duration::from_millis(120_000);
 /// A machine is scaled in once it has been idle for this many times the boot and image fetch time
 /// of a new one. At 1 the costs break even; above it late jobs are spared a boot.
-pub const IDLE_RETURN_FACTOR: f64 = 2.0;
+pub const IDLE_TIMEOUT_FACTOR: f64 = 2.0;
 /// How long after a failover, beyond the longest heartbeat interval, the leader waits for
 /// registered machines before it deletes those that have not reported: time for a worker to
 /// try each controller, with one that hangs.
--- a/crates/controller/src/cluster_state/scale_in.rs
+++ b/crates/controller/src/cluster_state/scale_in.rs
@@ -186,8 +186,8 @@
             sizes_gb.iter().sum::<f64>() / sizes_gb.len() as f64
         };
         let replacement_s = machine_type.boot_s + machine_type.fetch_s(mean_gb);
-        let default_ms = (replacement_s * constants::IDLE_RETURN_FACTOR * 1000.0) as u64;
-        Duration::from_millis(self.config.operator.idle_return_ms.unwrap_or(default_ms))
+        let default_ms = (replacement_s * constants::IDLE_TIMEOUT_FACTOR * 1000.0) as u64;
+        self.config.operator.idle_timeout.unwrap_or(Duration::from_millis(default_ms))
     }
 
     /// The cloud confirmed a deletion: the machines and all tasks on them are gone.
--- a/crates/controller/src/cluster_state/scheduling_round.rs
+++ b/crates/controller/src/cluster_state/scheduling_round.rs
@@ -75,7 +75,7 @@
 
     /// Admits every machine to this leader's shard for the length of a shard lease.
     fn admit_machines(&mut self, now: MonotonicTime) {
-        let until = now + Duration::from_millis(self.config.operator.shard_lease_ms);
+        let until = now + self.config.operator.shard_lease;
         for machine in self.machines.values_mut() {
             machine.admit(until);
         }
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -148,7 +148,7 @@
             view,
             leadership_lost: self.leadership_lost.clone(),
             leader_suspected: self.standby_signals.leader_suspected.clone(),
-            lease_length: Duration::from_millis(self.operator.replication.leader_lease_ms),
+            lease_length: self.operator.replication.leader_lease,
             has_warm_copy: self.standby_signals.has_warm_copy.clone(),
         })
     }
--- a/crates/controller/src/settings/operator.rs
+++ b/crates/controller/src/settings/operator.rs
@@ -3,9 +3,10 @@
 use super::{ConfigError, SettingError};
 use crate::networks::Networks;
 use hookway_constants as constants;
-use hookway_time::{millis_f64, whole_millis};
+use hookway_time::millis_f64;
 use std::ops::RangeInclusive;
 use std::path::Path;
+use std::time::Duration;
 
 /// The range of times other than the length of the leadership lease, s.
 const TIME_RANGE_S: RangeInclusive<f64> = 1.0..=86_400.0;
@@ -13,13 +14,13 @@
 /// The operators' settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OperatorSettings {
-    /// `[fleet] idle_return_s`: idle time after which a machine is scaled in, ms. `None`: derived
-    /// from the machine type.
-    pub idle_return_ms: Option<u64>,
+    /// `[fleet] idle_return_s`: idle time after which a machine is scaled in. `None`: derived from
+    /// the machine type.
+    pub idle_timeout: Option<Duration>,
     /// `[fleet] most_machines`: maximum number of machines at a time.
     pub max_machines: usize,
-    /// `[scheduling] block_lease_s`: length of a shard lease, ms.
-    pub shard_lease_ms: u64,
+    /// `[scheduling] block_lease_s`: length of a shard lease.
+    pub shard_lease: Duration,
     /// `[replication]`.
     pub replication: ReplicationSettings,
 }
@@ -27,9 +28,9 @@
 impl Default for OperatorSettings {
     fn default() -> Self {
         Self {
-            idle_return_ms: None,
+            idle_timeout: None,
             max_machines: usize::MAX,
-            shard_lease_ms: whole_millis(constants::SHARD_LEASE),
+            shard_lease: constants::SHARD_LEASE,
             replication: ReplicationSettings::default(),
         }
     }
@@ -64,14 +65,14 @@
     ) -> Result<(), SettingError> {
         match (section, key) {
             (Some("fleet"), "idle_return_s") => {
-                self.idle_return_ms = Some(parse_time(value, name)?)
+                self.idle_timeout = Some(parse_time(value, name)?);
             }
             (Some("fleet"), "most_machines") => {
                 self.max_machines =
                     value.parse().map_err(|_| SettingError::NotAWholeNumber(name))?;
             }
             (Some("scheduling"), "block_lease_s") => {
-                self.shard_lease_ms = parse_time(value, name)?;
+                self.shard_lease = parse_time(value, name)?;
             }
             (Some("replication"), key) => self.replication.set(key, value, name)?,
             _ => return Err(SettingError::Unknown(name)),
@@ -85,9 +86,9 @@
 pub struct ReplicationSettings {
     /// `standby`: whether followers keep a copy of the leader's cluster state.
     pub standby: bool,
-    /// `leader_lease_s`: length of the leadership lease, ms. A new leader can't be elected before
+    /// `leader_lease_s`: length of the leadership lease. A new leader can't be elected before
     /// the lease of the previous one has expired.
-    pub leader_lease_ms: u64,
+    pub leader_lease: Duration,
     /// `controller_networks`: where connections of other controllers are accepted from.
     pub controller_networks: Networks,
     /// `worker_networks`: the addresses of workers that a new leader accepts from its copy.
@@ -98,7 +99,7 @@
     fn default() -> Self {
         Self {
             standby: constants::STANDBY_DEFAULT,
-            leader_lease_ms: whole_millis(constants::LEADER_TTL),
+            leader_lease: constants::LEADER_TTL,
             controller_networks: Networks::default(),
             worker_networks: Networks::default(),
         }
@@ -115,7 +116,7 @@
                     _ => return Err(SettingError::NotASwitch(name)),
                 }
             }
-            "leader_lease_s" => self.leader_lease_ms = parse_leader_lease(value, name)?,
+            "leader_lease_s" => self.leader_lease = parse_leader_lease(value, name)?,
             "controller_networks" => self.controller_networks = parse_networks(value, name)?,
             "worker_networks" => self.worker_networks = parse_networks(value, name)?,
             _ => return Err(SettingError::Unknown(name)),
@@ -124,25 +125,25 @@
     }
 }
 
-/// Parses a time in s; returns it in ms.
-fn parse_time(value: &str, name: String) -> Result<u64, SettingError> {
+/// Parses a time in s.
+fn parse_time(value: &str, name: String) -> Result<Duration, SettingError> {
     let Ok(seconds) = value.parse::<f64>() else { return Err(SettingError::NotANumber(name)) };
     if !TIME_RANGE_S.contains(&seconds) {
         let (min_s, max_s) = (*TIME_RANGE_S.start() as u64, *TIME_RANGE_S.end() as u64);
         return Err(SettingError::OutOfRange { name, min_s, max_s });
     }
-    Ok((seconds * 1_000.0) as u64)
+    Ok(Duration::from_millis((seconds * 1_000.0) as u64))
 }
 
-/// Parses the length of the leadership lease in s; returns it in ms.
-fn parse_leader_lease(value: &str, name: String) -> Result<u64, SettingError> {
+/// Parses the length of the leadership lease in s.
+fn parse_leader_lease(value: &str, name: String) -> Result<Duration, SettingError> {
     let (min, max) = constants::LEADER_TTL_RANGE.into_inner();
     let lease_ms = value.parse().unwrap_or(f64::NAN) * 1_000.0;
     if !(millis_f64(min)..=millis_f64(max)).contains(&lease_ms) {
         let (min_s, max_s) = (min.as_secs(), max.as_secs());
         return Err(SettingError::OutOfRange { name, min_s, max_s });
     }
-    Ok(lease_ms as u64)
+    Ok(Duration::from_millis(lease_ms as u64))
 }
 
 fn parse_networks(value: &str, name: String) -> Result<Networks, SettingError> {
--- a/crates/controller/src/settings/tests.rs
+++ b/crates/controller/src/settings/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use hookway_testkit::SETTINGS;
+use std::time::Duration;
 
 #[test]
 fn unknown_settings_are_ignored_and_invalid_ones_are_named() {
@@ -23,7 +24,7 @@
 #[test]
 fn unknown_operator_setting_is_rejected() {
     let found = OperatorSettings::parse("[fleet]\nidle_return_s = 30\n").unwrap();
-    assert_eq!(found.idle_return_ms, Some(30_000));
+    assert_eq!(found.idle_timeout, Some(Duration::from_millis(30_000)));
     assert!(
         OperatorSettings::parse("[fleet]\nidle = 30\n").unwrap_err().to_string().contains("idle")
     );
@@ -65,7 +66,7 @@
     let read = |text: &str| OperatorSettings::parse(&format!("[replication]\n{text}\n"));
     let rule = OperatorSettings::default().replication;
     let found = read("standby = off\nleader_lease_s = 4.4").unwrap().replication;
-    assert_eq!((found.standby, found.leader_lease_ms), (false, 4_400));
+    assert_eq!((found.standby, found.leader_lease), (false, Duration::from_millis(4_400)));
     assert_eq!(found.worker_networks, rule.worker_networks);
     let found = read("worker_networks = 10.1.0.0/16\ncontroller_networks = 10.0.0.0/24").unwrap();
     assert!(found.replication.worker_networks.allow_socket("10.1.2.3:9000"));
--- a/crates/controller/tests/settings_keys.rs
+++ b/crates/controller/tests/settings_keys.rs
@@ -2,6 +2,11 @@
 //! and what holds without it.
 
 use hookway_controller::{OperatorSettings, Settings};
+use std::time::Duration;
+
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
+}
 
 /// Nothing but what must be there.
 const LEAST: &str = r#"
@@ -180,12 +185,12 @@
     let networks = |n: &hookway_controller::networks::Networks| {
         (n.allow_socket("10.1.2.3:9"), n.allow_socket("10.2.2.3:9"))
     };
-    assert_eq!(set("fleet", "idle_return_s = 30.5").idle_return_ms, Some(30_500));
+    assert_eq!(set("fleet", "idle_return_s = 30.5").idle_timeout, Some(ms(30_500)));
     assert_eq!(set("fleet", "most_machines = 12").max_machines, 12);
-    assert_eq!(set("scheduling", "block_lease_s = 20").shard_lease_ms, 20_000);
+    assert_eq!(set("scheduling", "block_lease_s = 20").shard_lease, ms(20_000));
     assert!(set("replication", "standby = on").replication.standby);
     assert!(!set("replication", "standby = off").replication.standby);
-    assert_eq!(set("replication", "leader_lease_s = 4.3").replication.leader_lease_ms, 4_300);
+    assert_eq!(set("replication", "leader_lease_s = 4.3").replication.leader_lease, ms(4_300));
     let found = set("replication", "controller_networks = 10.1.0.0/16").replication;
     assert_eq!(networks(&found.controller_networks), (true, false));
     assert_eq!(networks(&found.worker_networks), (true, true));
@@ -214,11 +219,11 @@
 fn empty_operator_settings_keep_defaults() {
     let found = OperatorSettings::parse("").unwrap();
     assert_eq!(found, OperatorSettings::default());
-    assert_eq!(found.idle_return_ms, None);
+    assert_eq!(found.idle_timeout, None);
     assert_eq!(found.max_machines, usize::MAX);
-    assert_eq!(found.shard_lease_ms, 30_000);
+    assert_eq!(found.shard_lease, ms(30_000));
     assert!(found.replication.standby);
-    assert_eq!(found.replication.leader_lease_ms, 5_000);
+    assert_eq!(found.replication.leader_lease, ms(5_000));
     assert!(found.replication.controller_networks.allow_socket("10.1.2.3:9"));
     assert!(found.replication.worker_networks.allow_socket("10.1.2.3:9"));
 }
