--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -3,152 +3,20 @@
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 mod harness;
+mod standby_support;
 
 use harness::{LeaderHarness, job, ms, small_worker, test_config};
 use hookway_constants as constants;
-use hookway_controller::cluster_state::{ClusterState, WarmStart, worker_lease_expiry};
+use hookway_controller::cluster_state::{WarmStart, worker_lease_expiry};
 use hookway_controller::networks::Networks;
 use hookway_replication::{Entry, PlacedTask, Publisher, ReplicatedJob, ReplicatedState, Stage};
 use hookway_testkit::ScriptedWorker;
 use hookway_time::whole_millis;
-use hookway_wire::{ExitCause, JobId, JobState, ListedMachine, MachineState, TaskState};
-
-const SECOND_TERM: u64 = 1 + constants::TOKENS_PER_TERM;
-
-/// The copy of a standby that is up to date.
-fn copy_of(cluster: &mut ClusterState) -> ReplicatedState {
-    let mut publisher = Publisher::new(cluster.term());
-    cluster.publish_all(&mut publisher);
-    publisher.state().clone()
-}
-
-/// Another controller is elected and has this copy.
-fn fail_over(harness: &mut LeaderHarness, copy: &ReplicatedState) -> WarmStart {
-    let store = std::mem::take(&mut harness.store);
-    *harness = LeaderHarness::lead(store, SECOND_TERM, harness.now + ms(5_000));
-    harness.cluster.warm_start(copy, &Networks::default(), harness.now)
-}
-
-/// Delivers the state probes of the new leader to these workers; the number of probes.
-fn answer_probes(harness: &mut LeaderHarness, workers: &mut [ScriptedWorker]) -> usize {
-    let asked = harness.cluster.take_state_probes(harness.now);
-    for probe in &asked {
-        let name = &probe.machine;
-        let worker = workers.iter_mut().find(|w| w.name() == name);
-        let token = harness.cluster.term();
-        let report = worker.and_then(|w| {
-            let session = w.incarnation();
-            w.handle_direct_commands(&hookway_wire::DirectCommands {
-                fencing_token: token,
-                incarnation: session,
-                commands: vec![],
-            })
-        });
-        harness.cluster.state_probed(name, report, harness.now);
-    }
-    asked.len()
-}
-
-fn run_rounds(harness: &mut LeaderHarness, workers: &mut [ScriptedWorker]) {
-    let mut all: Vec<&mut ScriptedWorker> = workers.iter_mut().collect();
-    harness.run_rounds(&mut all);
-}
-
-fn fleet(machines: usize) -> Vec<ScriptedWorker> {
-    (1..=machines)
-        .map(|n| {
-            let mut worker = small_worker(&format!("m-{n}"), "a");
-            worker.first_state = TaskState::FetchingImage;
-            worker
-        })
-        .collect()
-}
-
-/// Four machines and a gang of four: two of its tasks are on their machines when the leader crashes.
-fn partially_placed_gang() -> (LeaderHarness, Vec<ScriptedWorker>, ReplicatedState, JobId) {
-    let mut harness = LeaderHarness::start();
-    let mut workers = fleet(4);
-    run_rounds(&mut harness, &mut workers);
-    let id = harness.submit(job("req-000001", "group", 4));
-    harness.advance(500);
-    for worker in &mut workers[..2] {
-        harness.heartbeat(worker);
-    }
-    assert_eq!(workers.iter().filter(|w| !w.unfinished_tasks().is_empty()).count(), 2);
-    let copy = copy_of(&mut harness.cluster);
-    (harness, workers, copy, id)
-}
-
-fn attempts(workers: &[ScriptedWorker]) -> Vec<u64> {
-    workers.iter().flat_map(|w| &w.started_attempts).map(|(_, attempt)| *attempt).collect()
-}
-
-#[test]
-fn partially_placed_gang_is_completed_under_same_attempt() {
-    let (mut harness, mut workers, copy, id) = partially_placed_gang();
-    let taken = fail_over(&mut harness, &copy);
-    assert_eq!((taken.addresses, taken.gangs), (4, 1), "{taken}");
-    assert_eq!(answer_probes(&mut harness, &mut workers), 4, "asked at once");
-    assert!(harness.cluster.reconciled(harness.now));
-    run_rounds(&mut harness, &mut workers);
-    let attempts = attempts(&workers);
-    assert_eq!(attempts.len(), 4, "the rest was started, and nothing twice: {attempts:?}");
-    assert!(attempts.iter().all(|a| *a == attempts[0]), "{attempts:?}");
-    for worker in &mut workers {
-        worker.set_all_task_states(TaskState::Running);
-    }
-    run_rounds(&mut harness, &mut workers);
-    assert_eq!(harness.job_state(&id), JobState::Running);
-}
-
-/// Without a copy the attempt may be one that lost tasks.
-#[test]
-fn partially_placed_gang_without_copy_restarts() {
-    let (mut harness, mut workers, _, _) = partially_placed_gang();
-    fail_over(&mut harness, &ReplicatedState::default());
-    run_rounds(&mut harness, &mut workers);
-    run_rounds(&mut harness, &mut workers);
-    let attempts = attempts(&workers);
-    assert_eq!(attempts.len(), 6, "two without success: {attempts:?}");
-    assert_ne!(attempts.first(), attempts.last());
-}
-
-#[test]
-fn gang_that_ran_and_lost_a_task_restarts_under_new_attempt() {
-    let (mut harness, mut workers, _, _) = partially_placed_gang();
-    run_rounds(&mut harness, &mut workers);
-    for worker in &mut workers {
-        worker.set_all_task_states(TaskState::Running);
-    }
-    run_rounds(&mut harness, &mut workers);
-    let copy = copy_of(&mut harness.cluster);
-    let task = workers[3].unfinished_tasks().remove(0);
-    workers[3].end_task(&task, ExitCause::Error);
-    fail_over(&mut harness, &copy);
-    run_rounds(&mut harness, &mut workers);
-    run_rounds(&mut harness, &mut workers);
-    let attempts = attempts(&workers);
-    assert_ne!(attempts.first(), attempts.last(), "a new attempt: {attempts:?}");
-}
-
-#[test]
-fn gang_not_completable_in_time_is_stopped_for_restart() {
-    let (mut harness, mut workers, copy, _) = partially_placed_gang();
-    // Two machines are deleted, so there are no resources for the rest.
-    workers.truncate(2);
-    fail_over(&mut harness, &copy);
-    for gone in ["m-3", "m-4"] {
-        harness.cluster.scale_in_finished(&[gone.to_owned()], harness.now);
-    }
-    run_rounds(&mut harness, &mut workers);
-    assert_eq!(workers[0].unfinished_tasks().len(), 1, "the rest may find room yet");
-    harness.advance(whole_millis(constants::GANG_RESUME_LIMIT));
-    run_rounds(&mut harness, &mut workers);
-    assert!(
-        workers.iter().all(|w| w.unfinished_tasks().is_empty()),
-        "stopped, so that it can begin anew"
-    );
-}
+use hookway_wire::{ExitCause, JobId, ListedMachine, MachineState, TaskState};
+use standby_support::{
+    SECOND_TERM, answer_probes, attempts, copy_of, fail_over, fleet, partially_placed_gang,
+    run_rounds,
+};
 
 /// The stream is a hint: a start that it lacks may have been sent nevertheless.
 #[test]
@@ -412,28 +280,3 @@
     harness.cluster.scale_in_finished(&deleted, harness.now);
     assert!(harness.cluster.reconciled(harness.now));
 }
-
-/// The remaining tasks of a gang may be on a machine that has not answered: none starts elsewhere before it
-/// is reconciled.
-#[test]
-fn gang_is_not_completed_while_tasks_may_run_on_unreachable_machine() {
-    let mut harness = LeaderHarness::start();
-    let mut workers = fleet(4);
-    run_rounds(&mut harness, &mut workers);
-    harness.submit(job("req-000001", "group", 3));
-    harness.advance(500);
-    for worker in &mut workers {
-        harness.heartbeat(worker);
-    }
-    let copy = copy_of(&mut harness.cluster);
-    let holds = |w: &ScriptedWorker| !w.unfinished_tasks().is_empty();
-    let unreachable = workers.iter().position(holds).expect("a task of the gang");
-    let unreachable = workers.remove(unreachable);
-    fail_over(&mut harness, &copy);
-    run_rounds(&mut harness, &mut workers);
-    let begun = attempts(&workers).len();
-    assert_eq!(begun, 2, "one machine is idle, and must stay so");
-    assert!(!harness.cluster.reconciled(harness.now));
-    run_rounds(&mut harness, &mut workers);
-    assert_eq!(attempts(&workers).len(), begun, "its third task runs on {}", unreachable.name());
-}
--- /dev/null
+++ b/crates/controller/tests/standby_gangs.rs
@@ -0,0 +1,107 @@
+//! Gangs that an earlier leader placed in part, with and without a copy of its cluster state.
+#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+
+mod harness;
+mod standby_support;
+
+use harness::{LeaderHarness, job};
+use hookway_constants as constants;
+use hookway_replication::ReplicatedState;
+use hookway_testkit::ScriptedWorker;
+use hookway_time::whole_millis;
+use hookway_wire::{ExitCause, JobState, TaskState};
+use standby_support::{
+    answer_probes, attempts, copy_of, fail_over, fleet, partially_placed_gang, run_rounds,
+};
+
+#[test]
+fn partially_placed_gang_is_completed_under_same_attempt() {
+    let (mut harness, mut workers, copy, id) = partially_placed_gang();
+    let taken = fail_over(&mut harness, &copy);
+    assert_eq!((taken.addresses, taken.gangs), (4, 1), "{taken}");
+    assert_eq!(answer_probes(&mut harness, &mut workers), 4, "asked at once");
+    assert!(harness.cluster.reconciled(harness.now));
+    run_rounds(&mut harness, &mut workers);
+    let attempts = attempts(&workers);
+    assert_eq!(attempts.len(), 4, "the rest was started, and nothing twice: {attempts:?}");
+    assert!(attempts.iter().all(|a| *a == attempts[0]), "{attempts:?}");
+    for worker in &mut workers {
+        worker.set_all_task_states(TaskState::Running);
+    }
+    run_rounds(&mut harness, &mut workers);
+    assert_eq!(harness.job_state(&id), JobState::Running);
+}
+
+/// Without a copy the attempt may be one that lost tasks.
+#[test]
+fn partially_placed_gang_without_copy_restarts() {
+    let (mut harness, mut workers, _, _) = partially_placed_gang();
+    fail_over(&mut harness, &ReplicatedState::default());
+    run_rounds(&mut harness, &mut workers);
+    run_rounds(&mut harness, &mut workers);
+    let attempts = attempts(&workers);
+    assert_eq!(attempts.len(), 6, "two without success: {attempts:?}");
+    assert_ne!(attempts.first(), attempts.last());
+}
+
+#[test]
+fn gang_that_ran_and_lost_a_task_restarts_under_new_attempt() {
+    let (mut harness, mut workers, _, _) = partially_placed_gang();
+    run_rounds(&mut harness, &mut workers);
+    for worker in &mut workers {
+        worker.set_all_task_states(TaskState::Running);
+    }
+    run_rounds(&mut harness, &mut workers);
+    let copy = copy_of(&mut harness.cluster);
+    let task = workers[3].unfinished_tasks().remove(0);
+    workers[3].end_task(&task, ExitCause::Error);
+    fail_over(&mut harness, &copy);
+    run_rounds(&mut harness, &mut workers);
+    run_rounds(&mut harness, &mut workers);
+    let attempts = attempts(&workers);
+    assert_ne!(attempts.first(), attempts.last(), "a new attempt: {attempts:?}");
+}
+
+#[test]
+fn gang_not_completable_in_time_is_stopped_for_restart() {
+    let (mut harness, mut workers, copy, _) = partially_placed_gang();
+    // Two machines are deleted, so there are no resources for the rest.
+    workers.truncate(2);
+    fail_over(&mut harness, &copy);
+    for gone in ["m-3", "m-4"] {
+        harness.cluster.scale_in_finished(&[gone.to_owned()], harness.now);
+    }
+    run_rounds(&mut harness, &mut workers);
+    assert_eq!(workers[0].unfinished_tasks().len(), 1, "the rest may find room yet");
+    harness.advance(whole_millis(constants::GANG_RESUME_LIMIT));
+    run_rounds(&mut harness, &mut workers);
+    assert!(
+        workers.iter().all(|w| w.unfinished_tasks().is_empty()),
+        "stopped, so that it can begin anew"
+    );
+}
+
+/// The remaining tasks of a gang may be on a machine that has not answered: none starts elsewhere before it
+/// is reconciled.
+#[test]
+fn gang_is_not_completed_while_tasks_may_run_on_unreachable_machine() {
+    let mut harness = LeaderHarness::start();
+    let mut workers = fleet(4);
+    run_rounds(&mut harness, &mut workers);
+    harness.submit(job("req-000001", "group", 3));
+    harness.advance(500);
+    for worker in &mut workers {
+        harness.heartbeat(worker);
+    }
+    let copy = copy_of(&mut harness.cluster);
+    let holds = |w: &ScriptedWorker| !w.unfinished_tasks().is_empty();
+    let unreachable = workers.iter().position(holds).expect("a task of the gang");
+    let unreachable = workers.remove(unreachable);
+    fail_over(&mut harness, &copy);
+    run_rounds(&mut harness, &mut workers);
+    let begun = attempts(&workers).len();
+    assert_eq!(begun, 2, "one machine is idle, and must stay so");
+    assert!(!harness.cluster.reconciled(harness.now));
+    run_rounds(&mut harness, &mut workers);
+    assert_eq!(attempts(&workers).len(), begun, "its third task runs on {}", unreachable.name());
+}
