--- a/crates/constants/src/preemption.rs
+++ b/crates/constants/src/preemption.rs
@@ -27,3 +27,6 @@
 /// from the end of reconciliation. Beyond it the gang is restarted: its waiting tasks would give
 /// up.
 pub const GANG_RESUME_LIMIT: Duration = Duration::from_millis(5_000);
+/// How long the machines of preempted tasks stay reserved for the job that they were stopped for: as
+/// long as a stop may take before it is repeated.
+pub const PREEMPTED_MACHINE_RESERVATION: Duration = super::STOP_TIMEOUT;
--- a/crates/constants/src/store.rs
+++ b/crates/constants/src/store.rs
@@ -18,7 +18,7 @@
 /// controller writes.
 pub const LEADER_WRITE_SHARE: f64 = 0.7;
 /// Share of the store's write rate for scheduling records (the bound in the design).
-pub const MIN_TASKS_WRITE_SHARE: f64 = 0.5;
+pub const HINT_WRITE_SHARE: f64 = 0.5;
 /// Relative change of a minimum task count at which its record is written again (a quarter, by the
 /// design).
 pub const MIN_TASKS_REWRITE_CHANGE: f64 = 0.25;
--- a/crates/controller/src/actor/dispatch.rs
+++ b/crates/controller/src/actor/dispatch.rs
@@ -4,7 +4,7 @@
 use super::ControllerActor;
 use super::messages::{ClusterEvent, ControllerEvent};
 use super::store_io::commit_and_reread;
-use super::term::{ActiveTerm, Authority, TermTasks, TermTimers, take_due};
+use super::term::{ActiveTerm, Authority, TermTasks, TermTimers};
 use crate::cluster_state::{
     ClusterState, DirectStart, DirectStop, ScalingAction, StateProbeRequest,
 };
@@ -51,8 +51,7 @@
         now: MonotonicTime,
     ) {
         // Every heartbeat dispatches, and most machines with planned starts wait for a commit.
-        let interval = constants::DIRECT_DISPATCH_INTERVAL;
-        if !take_due(&mut timers.last_direct_dispatch_at, interval, now) {
+        if !timers.direct_dispatch.take_due(constants::DIRECT_DISPATCH_INTERVAL, now) {
             return;
         }
         let starts = cluster.take_direct_starts(now);
--- a/crates/controller/src/actor/events.rs
+++ b/crates/controller/src/actor/events.rs
@@ -36,12 +36,13 @@
             ClusterEvent::CommitFinished { commit, result } => {
                 cluster.committed(commit, result, now);
                 self.finish_jobs(active);
+                self.resign_if_leadership_lost(active);
                 self.dispatch(active);
             }
             ClusterEvent::ScaleOutFinished { request, machines } => {
                 cluster.scale_out_finished(&request, machines, now);
                 // Capacity that was refused is requested elsewhere at the next tick.
-                active.timers.last_autoscaling_at = MonotonicTime::ZERO;
+                active.timers.autoscaling.make_due();
             }
             ClusterEvent::ScaleInFinished { machines, deleted: true } => {
                 cluster.scale_in_finished(&machines, now);
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Announces the jobs whose final state a commit made durable.
+    /// Replies to the users who wait for the end of jobs that a commit made durable.
     fn finish_jobs(&self, active: &mut ActiveTerm) {
         let Some(cluster) = &mut active.cluster else { return };
         for CompletedJob { id, record } in cluster.take_completed_jobs() {
@@ -112,8 +113,12 @@
             self.config.final_states.remember(&record.status(&id).into());
             active.pending_cancellations.job_finished(&id, &record);
         }
-        if cluster.leadership_lost() {
-            self.config.leadership_lost.notify_one();
+    }
+
+    /// Resigns if a transaction showed that another controller leads.
+    fn resign_if_leadership_lost(&self, active: &ActiveTerm) {
+        if active.cluster.as_ref().is_some_and(ClusterState::leadership_lost) {
+            self.config.resign_requested.notify_one();
         }
     }
 }
--- a/crates/controller/src/actor/messages.rs
+++ b/crates/controller/src/actor/messages.rs
@@ -31,7 +31,7 @@
         /// Receives what the leader knows.
         reply: Reply<JobLookup>,
     },
-    /// Cancel a job. The reply comes once the decision is durable.
+    /// Cancel a job. A decision that has to be written is replied to once it is durable.
     Cancel {
         /// The job.
         job: JobId,
--- a/crates/controller/src/actor/mod.rs
+++ b/crates/controller/src/actor/mod.rs
@@ -52,7 +52,7 @@
     /// Who leads, published by the election actor.
     pub view: watch::Receiver<LeadershipView>,
     /// Notified when this controller gives up its leadership.
-    pub leadership_lost: Arc<Notify>,
+    pub resign_requested: Arc<Notify>,
     /// The machine types.
     pub machine_types: watch::Receiver<MachineTypes>,
     /// The requests.
@@ -102,7 +102,7 @@
     /// Leads until the term ends; gives the leadership back if a later term is known already.
     async fn lead(&mut self, leader_term: LeaderTerm) {
         if !self.config.standby.elected(leader_term.term, self.config.clock.now()) {
-            self.config.leadership_lost.notify_one();
+            self.config.resign_requested.notify_one();
             // Until the election actor has released the leadership.
             let _ = self.config.view.changed().await;
             return;
--- a/crates/controller/src/actor/requests.rs
+++ b/crates/controller/src/actor/requests.rs
@@ -17,18 +17,18 @@
                 let extension = self.extend_worker_lease(&heartbeat, now);
                 let _ = reply.send(extension.unwrap_or_else(|| self.redirect(now)));
             }
-            ControllerRequest::Status { reply, .. } => drop(reply.send(None)),
-            ControllerRequest::Cancel { reply, .. } => drop(reply.send(None)),
-            ControllerRequest::AdoptJob { reply, .. } => drop(reply.send(None)),
-            ControllerRequest::RenewShardLease { reply, .. } => drop(reply.send(None)),
+            ControllerRequest::Status { reply, .. } => decline(reply),
+            ControllerRequest::Cancel { reply, .. } => decline(reply),
+            ControllerRequest::AdoptJob { reply, .. } => decline(reply),
+            ControllerRequest::RenewShardLease { reply, .. } => decline(reply),
             ControllerRequest::PrepareShardLeaseRenewal(reply) => {
                 let renewal = self.config.shard_lessee.renewal(now);
-                let _ = reply.send(Some(PreparedRenewal { renewal, sent_at: now }));
+                answer(reply, PreparedRenewal { renewal, sent_at: now });
             }
             ControllerRequest::ShardLeaseGranted { lease, sent_at } => {
                 self.config.shard_lessee.lease_granted(lease, sent_at, now);
             }
-            ControllerRequest::Follow { reply, .. } => drop(reply.send(None)),
+            ControllerRequest::Follow { reply, .. } => decline(reply),
             ControllerRequest::PrepareFollow(reply) => {
                 let _ = reply.send(self.config.standby.next_request(now));
             }
@@ -57,21 +57,21 @@
                 self.dispatch(active);
             }
             ControllerRequest::Status { job, reply } => {
-                let _ = reply.send(Some(cluster.status(&job)));
+                answer(reply, cluster.status(&job));
             }
             ControllerRequest::Cancel { job, reply } => match cluster.cancel(&job) {
                 CancelOutcome::Pending => {
                     active.pending_cancellations.add(job, reply);
                     self.dispatch(active);
                 }
-                outcome => drop(reply.send(Some(outcome))),
+                outcome => answer(reply, outcome),
             },
             ControllerRequest::AdoptJob { read_in_term, key, value, reply } => {
                 if read_in_term == Some(active.leader_term.term) {
                     let at = Timestamp { monotonic: now, wall: wall_clock() };
                     cluster.add_job(&key, value, at, JobOrigin::ThisTerm);
                 }
-                let _ = reply.send(Some(()));
+                answer(reply, ());
             }
             ControllerRequest::RenewShardLease { renewal, reply } => {
                 let _ = reply.send(cluster.renew_shard_lease(&renewal, now));
@@ -80,8 +80,8 @@
                 let _ = reply.send(active.publication.answer(cluster, &request, now));
             }
             // A leader leases its own shard, and follows nobody.
-            ControllerRequest::PrepareShardLeaseRenewal(reply) => drop(reply.send(None)),
-            ControllerRequest::PrepareFollow(reply) => drop(reply.send(None)),
+            ControllerRequest::PrepareShardLeaseRenewal(reply) => decline(reply),
+            ControllerRequest::PrepareFollow(reply) => decline(reply),
             ControllerRequest::ShardLeaseGranted { .. } | ControllerRequest::Followed(_) => {}
             ControllerRequest::ReplicationStatus(reply) => self.replication_status(reply, now),
         }
@@ -105,8 +105,8 @@
                 }
                 let _ = reply.send(extension.unwrap_or(HeartbeatReply::Unavailable));
             }
-            ControllerRequest::PrepareShardLeaseRenewal(reply) => drop(reply.send(None)),
-            ControllerRequest::PrepareFollow(reply) => drop(reply.send(None)),
+            ControllerRequest::PrepareShardLeaseRenewal(reply) => decline(reply),
+            ControllerRequest::PrepareFollow(reply) => decline(reply),
             ControllerRequest::ShardLeaseGranted { .. } | ControllerRequest::Followed(_) => {}
             other => self.handle_as_follower(other),
         }
@@ -137,10 +137,20 @@
     }
 
     fn replication_status(&self, reply: Reply<ReplicationStatus>, now: MonotonicTime) {
-        let _ = reply.send(Some(self.config.standby.status(now)));
+        answer(reply, self.config.standby.status(now));
     }
 }
 
+/// Sends a reply. The requester may have given up; then nobody needs it.
+fn answer<T>(reply: Reply<T>, value: T) {
+    let _ = reply.send(Some(value));
+}
+
+/// Replies that this controller does not lead, or has no answer.
+fn decline<T>(reply: Reply<T>) {
+    let _ = reply.send(None);
+}
+
 fn starts_a_task(response: &HeartbeatResponse) -> bool {
     response.commands.iter().any(|command| matches!(command, Command::Run { .. }))
 }
--- a/crates/controller/src/actor/term.rs
+++ b/crates/controller/src/actor/term.rs
@@ -119,46 +119,53 @@
     }
 }
 
-/// When the duties of a leader were last carried out; zero: not in this term.
+/// The periodic duties of a leader.
 #[derive(Debug, Default)]
 pub(super) struct TermTimers {
     pub(super) last_tick_at: MonotonicTime,
-    pub(super) last_scheduling_at: MonotonicTime,
-    pub(super) last_autoscaling_at: MonotonicTime,
+    pub(super) scheduling: Periodic,
+    pub(super) autoscaling: Periodic,
     /// When the machine list was last requested; `None`: not in this term.
     pub(super) last_machine_list_at: Option<MonotonicTime>,
-    pub(super) last_summary_at: MonotonicTime,
-    pub(super) last_direct_dispatch_at: MonotonicTime,
+    pub(super) summary: Periodic,
+    pub(super) direct_dispatch: Periodic,
 }
 
-/// Whether `interval` has passed since `last_at`. If so, `last_at` becomes `now`.
-pub(super) fn take_due(
-    last_at: &mut MonotonicTime,
-    interval: Duration,
-    now: MonotonicTime,
-) -> bool {
-    let due = now >= *last_at + interval;
-    if due {
-        *last_at = now;
-    }
-    due
+/// A duty that is carried out at intervals.
+#[derive(Debug, Default)]
+pub(super) struct Periodic {
+    /// When it was last carried out; the creation of the clock if it was not yet in this term.
+    last_at: MonotonicTime,
+}
+
+impl Periodic {
+    /// Whether `interval` has passed since it was last carried out. If so, it counts as carried out at
+    /// `now`.
+    pub(super) fn take_due(&mut self, interval: Duration, now: MonotonicTime) -> bool {
+        let due = now >= self.last_at + interval;
+        if due {
+            self.last_at = now;
+        }
+        due
+    }
+
+    /// Makes it due at once.
+    pub(super) fn make_due(&mut self) {
+        self.last_at = MonotonicTime::ZERO;
+    }
 }
 
 /// The replication log that standbys follow.
 pub(super) struct Publication {
     publisher: Publisher,
-    last_published_at: MonotonicTime,
-    last_full_publish_at: MonotonicTime,
+    publish: Periodic,
+    full_publish: Periodic,
 }
 
 impl Publication {
     fn new(term: u64) -> Self {
         let publisher = Publisher::new(term);
-        Self {
-            publisher,
-            last_published_at: MonotonicTime::ZERO,
-            last_full_publish_at: MonotonicTime::ZERO,
-        }
+        Self { publisher, publish: Periodic::default(), full_publish: Periodic::default() }
     }
 
     /// Answers a standby; `None` if its request is invalid.
@@ -169,9 +176,8 @@
         now: MonotonicTime,
     ) -> Option<FollowResponse> {
         // Standbys ask one after the other: one comparison of the cluster state serves them all.
-        if take_due(&mut self.last_published_at, constants::FOLLOW_INTERVAL / 2, now) {
-            let full_interval = constants::FULL_PUBLISH_INTERVAL;
-            if take_due(&mut self.last_full_publish_at, full_interval, now) {
+        if self.publish.take_due(constants::FOLLOW_INTERVAL / 2, now) {
+            if self.full_publish.take_due(constants::FULL_PUBLISH_INTERVAL, now) {
                 cluster.publish_all(&mut self.publisher);
             } else {
                 cluster.publish(&mut self.publisher);
@@ -199,7 +205,7 @@
     /// Answers the users of a job whose final state is durable.
     pub(super) fn job_finished(&mut self, job: &JobId, record: &FinalRecord) {
         for reply in self.replies.remove(job).unwrap_or_default() {
-            let _ = reply.send(Some(CancelOutcome::AlreadyFinal(record.status(job))));
+            let _ = reply.send(Some(CancelOutcome::Final(record.status(job))));
         }
     }
 
--- a/crates/controller/src/actor/timer.rs
+++ b/crates/controller/src/actor/timer.rs
@@ -1,7 +1,7 @@
 //! The periodic duties of a leader.
 
 use super::messages::ClusterEvent;
-use super::term::{ActiveTerm, TermTasks, TermTimers, take_due};
+use super::term::{ActiveTerm, TermTasks, TermTimers};
 use super::{ControllerActor, MachineTypes};
 use crate::cluster_state::ClusterState;
 use hookway_constants as constants;
@@ -55,7 +55,7 @@
         if steps_down {
             tracing::info!(term = cluster.term(), "stepping down: no worker sends heartbeats");
             self.stepped_down_at = Some(now);
-            self.config.leadership_lost.notify_one();
+            self.config.resign_requested.notify_one();
         }
         steps_down
     }
@@ -78,7 +78,7 @@
         now: MonotonicTime,
     ) {
         let interval = constants::AUTOSCALING_INTERVAL.max(2 * cluster.round_interval());
-        if take_due(&mut timers.last_autoscaling_at, interval, now) {
+        if timers.autoscaling.take_due(interval, now) {
             for action in cluster.autoscaling_round(now) {
                 self.spawn_scaling_action(tasks, action);
             }
@@ -148,13 +148,13 @@
 
 fn run_scheduling_round(cluster: &mut ClusterState, timers: &mut TermTimers, now: MonotonicTime) {
     let interval = cluster.round_interval().max(constants::SCHEDULING_INTERVAL);
-    if take_due(&mut timers.last_scheduling_at, interval, now) {
+    if timers.scheduling.take_due(interval, now) {
         cluster.scheduling_round(now);
     }
 }
 
 fn log_summary(cluster: &ClusterState, timers: &mut TermTimers, now: MonotonicTime) {
-    if take_due(&mut timers.last_summary_at, SUMMARY_INTERVAL, now) {
+    if timers.summary.take_due(SUMMARY_INTERVAL, now) {
         let summary = cluster.summary(now);
         tracing::info!(term = cluster.term(), cluster = %summary, "cluster summary");
     }
--- a/crates/controller/src/api/cancellation.rs
+++ b/crates/controller/src/api/cancellation.rs
@@ -45,8 +45,8 @@
             let term = self.own_term();
             let cancel = |reply| ControllerRequest::Cancel { job: job.clone(), reply };
             match self.config.controller.request(cancel).await? {
-                CancelOutcome::AlreadyFinal(status) => {
-                    return Some(self.announce_cancelled(status.into()));
+                CancelOutcome::Final(status) => {
+                    return Some(self.announce_final(status.into()));
                 }
                 CancelOutcome::Pending => {
                     return Some(RequestOutcome::unavailable("the decision is not durable yet"));
@@ -87,16 +87,16 @@
             return Ok(RequestOutcome::unavailable("internal"));
         };
         Ok(match store.commit(&leaderless_cancellation_transaction(job, final_value)).await? {
-            CommitOutcome::Applied(_) => self.announce_cancelled(record.status(job).into()),
+            CommitOutcome::Applied(_) => self.announce_final(record.status(job).into()),
             CommitOutcome::PreconditionFailed(_) => {
                 RequestOutcome::unavailable("the job's leader can't be reached")
             }
         })
     }
 
-    /// Announces a durable cancellation to the other controllers, so that a shard lessee that can't
+    /// Announces the durable end of a job to the other controllers, so that a shard lessee that can't
     /// reach the state service stops the job's tasks: docs/safety.md, "Cancellations are facts".
-    fn announce_cancelled(&self, snapshot: JobSnapshot) -> RequestOutcome {
+    fn announce_final(&self, snapshot: JobSnapshot) -> RequestOutcome {
         for peer in self.config.peers.names() {
             let (peers, snapshot) = (self.config.peers.clone(), snapshot.clone());
             tokio::spawn(async move { peers.announce_finished(&peer, snapshot).await });
--- a/crates/controller/src/cluster_state/commit_items.rs
+++ b/crates/controller/src/cluster_state/commit_items.rs
@@ -101,9 +101,9 @@
             let record = ProgressRecord::new(&job.results(page));
             let Ok(value) = serde_json::to_value(&record) else { continue };
             job.progress.unqueue(page);
-            let name = job.progress.key(&job.id, page);
-            commit.require(name.clone(), job.progress.mod_revision(page));
-            commit.put(name, value);
+            let store_key = job.progress.key(&job.id, page);
+            commit.require(store_key.clone(), job.progress.mod_revision(page));
+            commit.put(store_key, value);
             commit.items.push(CommitItem::ProgressPage { job: key, page, record });
         }
         self.commit_queue.progress_pages.extend(waiting);
@@ -180,9 +180,9 @@
             start_watermark: job.start_watermark.highest(),
         };
         let Ok(value) = serde_json::to_value(&record) else { return };
-        let name = scheduling_key(&job.id);
-        commit.require_known_revision(&self.commit_queue.mod_revisions, &name);
-        commit.put(name, value);
+        let store_key = scheduling_key(&job.id);
+        commit.require_known_revision(&self.commit_queue.mod_revisions, &store_key);
+        commit.put(store_key, value);
         commit.items.push(CommitItem::Scheduling { job: key, record });
         self.commit_queue.scheduling_records.remove(&key);
     }
--- a/crates/controller/src/cluster_state/commit_outcome.rs
+++ b/crates/controller/src/cluster_state/commit_outcome.rs
@@ -50,7 +50,7 @@
     fn scheduling_record_stored(&mut self, key: JobKey, record: &JobSchedulingRecord) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         job.stored_min_tasks = Some(record.min_tasks);
-        job.start_watermark.record_stored(record.start_watermark);
+        job.start_watermark.record_durable(record.start_watermark);
         if job.completion.is_final() {
             let name = scheduling_key(&job.id);
             self.commit_queue.stale_keys.push_back(name);
@@ -60,7 +60,7 @@
     fn shared_watermarks_stored(&mut self, number: u64, keys: &[JobKey]) {
         for key in keys {
             if let Some(job) = self.jobs.get_mut(key) {
-                job.start_watermark.record_stored(job.spec.tasks);
+                job.start_watermark.record_durable(job.spec.tasks);
             }
         }
         // All of its jobs ended while it was in flight.
--- a/crates/controller/src/cluster_state/commit_queue.rs
+++ b/crates/controller/src/cluster_state/commit_queue.rs
@@ -81,7 +81,7 @@
             classes_changed: false,
             watermark_raises: BTreeSet::new(),
             bucket: bucket(constants::LEADER_WRITE_SHARE),
-            hint_bucket: bucket(constants::MIN_TASKS_WRITE_SHARE),
+            hint_bucket: bucket(constants::HINT_WRITE_SHARE),
             max_operations: state.txn_ops,
             rejected: VecDeque::new(),
             commit_in_flight: false,
--- a/crates/controller/src/cluster_state/commits.rs
+++ b/crates/controller/src/cluster_state/commits.rs
@@ -54,7 +54,7 @@
             CommitResult::NotApplied => {
                 self.commit_queue.backoff_until = now + constants::LEADER_RETRY;
                 for item in commit.items {
-                    self.final_not_applied(&item);
+                    self.mark_final_not_applied(&item);
                     self.requeue(item);
                 }
             }
@@ -101,7 +101,7 @@
         }
     }
 
-    fn final_not_applied(&mut self, item: &CommitItem) {
+    fn mark_final_not_applied(&mut self, item: &CommitItem) {
         if let CommitItem::Final { job, .. } = item
             && let Some(job) = self.jobs.get_mut(job)
         {
@@ -118,7 +118,7 @@
             (operations / 2).max(constants::JOB_COMPLETION_OPERATIONS);
         let alone = commit.items.len() == 1;
         for item in commit.items {
-            self.final_not_applied(&item);
+            self.mark_final_not_applied(&item);
             if alone {
                 let retry_at = now + constants::REJECTED_RETRY;
                 self.commit_queue.rejected.push_back(DelayedItem { retry_at, item });
--- a/crates/controller/src/cluster_state/direct_dispatch.rs
+++ b/crates/controller/src/cluster_state/direct_dispatch.rs
@@ -158,7 +158,7 @@
             && version > machine.newest_message
         {
             machine.newest_message = version;
-            self.apply_heartbeat(name, heartbeat, now, MessageKind::DirectAnswer);
+            self.apply_reported_tasks(name, heartbeat, now, MessageKind::DirectAnswer);
         }
     }
 
--- a/crates/controller/src/cluster_state/heartbeat.rs
+++ b/crates/controller/src/cluster_state/heartbeat.rs
@@ -32,6 +32,7 @@
         self.expire_lease_if_silent(name, now);
         self.accept_version(heartbeat)?;
         self.check_acknowledgement(name, heartbeat, now);
+        // Once more: a response that did not arrive extended no lease, so it may have expired earlier.
         self.expire_lease_if_silent(name, now);
         let arrival = self.record_arrival(heartbeat, now)?;
         self.register_if_new(name, now);
@@ -44,7 +45,7 @@
             self.remove_all_tasks(name, now, TaskRemoval::Lost);
         }
         if !arrival.outdated {
-            self.apply_heartbeat(name, heartbeat, now, MessageKind::Heartbeat);
+            self.apply_reported_tasks(name, heartbeat, now, MessageKind::Heartbeat);
         }
         let machine = self.machines.get_mut(name)?;
         let responded_before = std::mem::replace(&mut machine.last_response_at, now);
--- a/crates/controller/src/cluster_state/heartbeat_tasks.rs
+++ b/crates/controller/src/cluster_state/heartbeat_tasks.rs
@@ -5,7 +5,7 @@
 use hookway_time::{MonotonicTime, seconds_f64};
 use hookway_wire::{ExitCause, Heartbeat, TaskId, TaskState, TaskStatus};
 
-/// What a message of a worker answers.
+/// How a message of a worker came about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum MessageKind {
     /// A heartbeat, sent by the worker itself: it has one in flight at a time.
@@ -22,7 +22,7 @@
 }
 
 /// A task of the message, with its parsed id.
-struct FoundTask<'a> {
+struct ReportedTask<'a> {
     task: TaskId,
     reported: &'a TaskStatus,
 }
@@ -35,14 +35,14 @@
     ended: Vec<EndedTask>,
     removed: Vec<RemovedTask>,
     /// Tasks that this leader did not place there.
-    unplaced: Vec<FoundTask<'a>>,
+    to_adopt: Vec<ReportedTask<'a>>,
     /// Some start surely did not arrive and is planned again.
     has_replanned_starts: bool,
 }
 
 impl ClusterState {
     /// Brings the tasks of a machine in line with a message that is newer than all before.
-    pub(super) fn apply_heartbeat(
+    pub(super) fn apply_reported_tasks(
         &mut self,
         name: &str,
         heartbeat: &Heartbeat,
@@ -62,7 +62,7 @@
         for removed in changes.removed {
             self.remove_task(name, &removed.task, removed.removal, now);
         }
-        for found in changes.unplaced {
+        for found in changes.to_adopt {
             self.adopt_task(name, &found.task, found.reported, now);
         }
         self.update_images(name);
@@ -132,7 +132,7 @@
             .filter(|i| !std::mem::replace(&mut is_reported[*i], true));
         match position {
             Some(i) => apply_reported(name, before[i].clone(), reported, now, &mut changes),
-            None => changes.unplaced.push(FoundTask { task, reported }),
+            None => changes.to_adopt.push(ReportedTask { task, reported }),
         }
     }
     for (placed, is_reported) in before.into_iter().zip(is_reported) {
--- a/crates/controller/src/cluster_state/job_operations.rs
+++ b/crates/controller/src/cluster_state/job_operations.rs
@@ -19,8 +19,8 @@
 /// The outcome of a request to cancel a job.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CancelOutcome {
-    /// It has ended already.
-    AlreadyFinal(JobStatus),
+    /// Its end is durable, by this cancellation or before it.
+    Final(JobStatus),
     /// The final record is being written; once it is durable, the job comes with [`ClusterState::take_completed_jobs`].
     Pending,
     /// Its tasks may not be gone in time, so the cancellation can't be confirmed yet; none of its tasks
@@ -72,7 +72,7 @@
         let Some(key) = self.jobs.key(id) else { return CancelOutcome::UnknownJob };
         let Some(job) = self.jobs.get_mut(&key) else { return CancelOutcome::UnknownJob };
         if let Some(record) = job.completion.final_record() {
-            return CancelOutcome::AlreadyFinal(record.status(id));
+            return CancelOutcome::Final(record.status(id));
         }
         if job.completion.request_cancel(now) {
             tracing::info!(job = %id, "cancellation requested");
@@ -127,7 +127,7 @@
                 self.commit_queue.delete_stale(crate::records::shared_watermarks_key(number));
             }
             Some(_) => {}
-            None if job.stored_min_tasks.is_some() || job.start_watermark.is_stored() => {
+            None if job.stored_min_tasks.is_some() || job.start_watermark.allows_any_start() => {
                 self.commit_queue.delete_stale(crate::records::scheduling_key(&job.id));
             }
             None => {}
--- a/crates/controller/src/cluster_state/machine.rs
+++ b/crates/controller/src/cluster_state/machine.rs
@@ -160,8 +160,8 @@
     pub stored_images: Vec<u32>,
     /// Kept free for a gang.
     pub reserved_for_gang: Option<GangReservation>,
-    /// In this leader's shard until then: it takes new tasks only before. [`MonotonicTime::ZERO`]: not
-    /// admitted yet.
+    /// It takes new tasks only until then. [`MonotonicTime::ZERO`]: no scheduling round has admitted it
+    /// yet.
     admitted_until: MonotonicTime,
 }
 
@@ -224,12 +224,14 @@
         self.spot = heartbeat.spot;
     }
 
-    /// Admits the machine to this leader's shard; a later end of an earlier admission stays.
+    /// Lets the machine take new tasks until then; a later end of an earlier admission stays. Each
+    /// scheduling round admits the machines that it knows, so heartbeats between rounds place nothing
+    /// on a machine that was added since.
     pub fn admit(&mut self, until: MonotonicTime) {
         self.admitted_until = self.admitted_until.max(until);
     }
 
-    /// Whether the machine is in this leader's shard at `now`.
+    /// Whether the machine may take new tasks at `now`.
     pub fn is_admitted(&self, now: MonotonicTime) -> bool {
         now < self.admitted_until
     }
--- a/crates/controller/src/cluster_state/reconciliation.rs
+++ b/crates/controller/src/cluster_state/reconciliation.rs
@@ -1,15 +1,17 @@
 //! Reconciliation after a failover: when every task that an earlier leader may have started is known.
 
 use super::{ClusterState, worker_lease_expiry};
+use crate::shard_lease::UNKNOWN_ZONE;
 use hookway_time::{MonotonicTime, seconds_f64};
 use std::collections::BTreeSet;
 
 /// The machines that a new leader has yet to reconcile.
 #[derive(Debug)]
 pub(super) struct Reconciliation {
-    /// Machines of the registry whose tasks are not known yet, and keys of registry records that can't
-    /// be read.
+    /// Machines of the registry whose tasks are not known yet.
     pub machines: BTreeSet<String>,
+    /// Keys of registry records that can't be read: which machines they name is not known.
+    pub unreadable_records: BTreeSet<String>,
     /// When their workers may last have been answered by another controller.
     pub last_answered_at: MonotonicTime,
     /// The end of the reconciliation is in the log.
@@ -19,7 +21,12 @@
 impl Reconciliation {
     /// No machine is known yet; workers may have been answered until `elected_at`.
     pub fn new(elected_at: MonotonicTime) -> Self {
-        Self { machines: BTreeSet::new(), last_answered_at: elected_at, logged: false }
+        Self {
+            machines: BTreeSet::new(),
+            unreadable_records: BTreeSet::new(),
+            last_answered_at: elected_at,
+            logged: false,
+        }
     }
 }
 
@@ -27,7 +34,9 @@
     /// Whether every task that an earlier leader may have started is known at `now`: each machine
     /// of the registry has sent a heartbeat, is gone, or the lease of its worker has surely expired.
     pub fn reconciled(&self, now: MonotonicTime) -> bool {
-        self.reconciliation.machines.is_empty() || self.unreconciled_leases_expired(now)
+        let all_known = self.reconciliation.machines.is_empty()
+            && self.reconciliation.unreadable_records.is_empty();
+        all_known || self.unreconciled_leases_expired(now)
     }
 
     /// Logs the end of the reconciliation, once.
@@ -44,7 +53,6 @@
     pub(super) fn unreconciled_leases_expired(&self, now: MonotonicTime) -> bool {
         let lease = worker_lease_expiry(&self.config.platform);
         let last_answered_at = self.reconciliation.last_answered_at;
-        // Their zones are not known, so those of all lessees count.
-        self.shard_lessor.worker_lease_expired("", last_answered_at, lease, now)
+        self.shard_lessor.worker_lease_expired(UNKNOWN_ZONE, last_answered_at, lease, now)
     }
 }
--- a/crates/controller/src/cluster_state/recovery.rs
+++ b/crates/controller/src/cluster_state/recovery.rs
@@ -163,7 +163,7 @@
                     key = %kv.key, %error,
                     "scheduling record can't be read, all tasks of the job count as started"
                 );
-                job.start_watermark.load_all(job.spec.tasks);
+                job.start_watermark.assume_all_started(job.spec.tasks);
             }
         }
     }
@@ -180,7 +180,7 @@
                 last_leader_kept_watermarks && (shared_watermarks_complete || !job.is_small());
             job.start_watermark.finish_loading(job.spec.tasks, complete);
         }
-        let unwritten = self.jobs.iter().filter(|(_, j)| !j.start_watermark.is_recorded());
+        let unwritten = self.jobs.iter().filter(|(_, j)| !j.start_watermark.is_record_current());
         self.commit_queue.watermark_raises.extend(unwritten.map(|(key, _)| *key));
     }
 
@@ -199,7 +199,7 @@
                 // Its machines are not known: their tasks show in their heartbeats, and until their leases
                 // have expired no inherited task is started.
                 tracing::error!(key = %kv.key, %error, "machine registry record can't be read");
-                self.reconciliation.machines.insert(kv.key);
+                self.reconciliation.unreadable_records.insert(kv.key);
                 self.commit_queue.registry.unreadable(number);
                 return;
             }
@@ -235,7 +235,7 @@
         let mut live = BTreeSet::new();
         for id in record.jobs {
             if let Some(job) = self.jobs.by_id_mut(&id) {
-                job.start_watermark.load_all(job.spec.tasks);
+                job.start_watermark.assume_all_started(job.spec.tasks);
                 job.start_watermark.set_shared_record(number);
                 live.insert(id);
             }
--- a/crates/controller/src/cluster_state/scheduling_round.rs
+++ b/crates/controller/src/cluster_state/scheduling_round.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Admits every machine to this leader's shard for the length of a shard lease.
+    /// Admits every machine for new tasks, for the length of a shard lease.
     fn admit_machines(&mut self, now: MonotonicTime) {
         let until = now + self.config.operator.shard_lease;
         for machine in self.machines.values_mut() {
@@ -114,7 +114,7 @@
 
     /// Stops tasks of lower priority for jobs without room, and reserves their machines.
     fn preempt_for_unplaced_tasks(&mut self, snapshot: &SchedulingSnapshot, now: MonotonicTime) {
-        let until = now + constants::STOP_TIMEOUT;
+        let until = now + constants::PREEMPTED_MACHINE_RESERVATION;
         for preemption in preempt(&snapshot.cluster) {
             let job = snapshot.job_keys[preemption.job];
             for machine in &preemption.machines {
--- a/crates/controller/src/cluster_state/start_watermark.rs
+++ b/crates/controller/src/cluster_state/start_watermark.rs
@@ -8,13 +8,13 @@
 #[derive(Debug)]
 pub(super) struct StartWatermark {
     /// The job was accepted by a version that keeps start watermarks.
-    in_job_record: bool,
+    accepted_with_watermark: bool,
     /// Tasks below it may be started: the state service says so.
     stored: u32,
     /// What the state service is to say.
     target: u32,
-    /// Whether the state service says `stored`; `false` only for jobs of leaders without watermarks.
-    recorded: bool,
+    /// Whether a record with `stored` is durable; `false` only for jobs of leaders without watermarks.
+    record_current: bool,
     /// Tasks from it on were not started by any earlier leader.
     never_started_from: u32,
     /// The record shared with other small jobs that says that this job may have been started.
@@ -22,14 +22,14 @@
 }
 
 impl StartWatermark {
-    /// The watermark of a job none of which may have been started. `in_job_record` says that the
+    /// The watermark of a job none of which may have been started. `accepted_with_watermark` says that the
     /// version that accepted the job keeps watermarks.
-    pub fn new(in_job_record: bool) -> Self {
+    pub fn new(accepted_with_watermark: bool) -> Self {
         Self {
-            in_job_record,
+            accepted_with_watermark,
             stored: 0,
             target: 0,
-            recorded: true,
+            record_current: true,
             never_started_from: 0,
             shared_record: None,
         }
@@ -57,23 +57,23 @@
 
     /// Whether tasks wait for a record to be written.
     pub fn needs_record(&self) -> bool {
-        self.target > self.stored || !self.recorded
+        self.target > self.stored || !self.record_current
     }
 
     /// Whether the state service says what this leader knows.
-    pub fn is_recorded(&self) -> bool {
-        self.recorded
+    pub fn is_record_current(&self) -> bool {
+        self.record_current
     }
 
     /// Whether some task may be started.
-    pub fn is_stored(&self) -> bool {
+    pub fn allows_any_start(&self) -> bool {
         self.stored > 0
     }
 
     /// A record with this watermark is durable.
-    pub fn record_stored(&mut self, watermark: u32) {
+    pub fn record_durable(&mut self, watermark: u32) {
         self.load(watermark);
-        self.recorded = true;
+        self.record_current = true;
     }
 
     /// A record of an earlier leader has this watermark.
@@ -82,7 +82,7 @@
     }
 
     /// All of the job's `tasks` may have been started.
-    pub fn load_all(&mut self, tasks: u32) {
+    pub fn assume_all_started(&mut self, tasks: u32) {
         self.stored = tasks;
     }
 
@@ -90,9 +90,9 @@
     /// or the job was accepted without a watermark), every one of the `tasks` may have been started,
     /// and the next leader must know it too.
     pub fn finish_loading(&mut self, tasks: u32, complete: bool) {
-        if !self.in_job_record || !complete {
+        if !self.accepted_with_watermark || !complete {
             self.stored = tasks;
-            self.recorded = false;
+            self.record_current = false;
         }
         self.never_started_from = self.stored;
     }
--- a/crates/controller/src/cluster_state/start_watermark/tests.rs
+++ b/crates/controller/src/cluster_state/start_watermark/tests.rs
@@ -7,25 +7,25 @@
     watermark.raise_target(8);
     assert!(watermark.covers(7) && !watermark.covers(8));
     assert!(watermark.needs_record() && !watermark.allows_start(0), "not durable yet");
-    watermark.record_stored(watermark.highest());
+    watermark.record_durable(watermark.highest());
     assert!(watermark.allows_start(7) && !watermark.allows_start(8));
     assert!(!watermark.needs_record());
-    watermark.record_stored(4);
+    watermark.record_durable(4);
     assert!(watermark.allows_start(7), "a durable watermark never falls");
 }
 
 #[test]
 fn inherited_job_without_complete_watermarks_counts_as_started() {
-    for (in_job_record, complete) in [(true, false), (false, true), (false, false)] {
-        let mut watermark = StartWatermark::new(in_job_record);
+    for (accepted_with_watermark, complete) in [(true, false), (false, true), (false, false)] {
+        let mut watermark = StartWatermark::new(accepted_with_watermark);
         watermark.load(3);
         watermark.finish_loading(10, complete);
         assert_eq!(watermark.never_started_from(), 10);
-        assert!(watermark.needs_record() && !watermark.is_recorded());
+        assert!(watermark.needs_record() && !watermark.is_record_current());
     }
     let mut watermark = StartWatermark::new(true);
     watermark.load(3);
     watermark.finish_loading(10, true);
     assert_eq!(watermark.never_started_from(), 3);
-    assert!(watermark.is_recorded() && !watermark.needs_record());
+    assert!(watermark.is_record_current() && !watermark.needs_record());
 }
--- a/crates/controller/src/cluster_state/state_probe.rs
+++ b/crates/controller/src/cluster_state/state_probe.rs
@@ -145,6 +145,6 @@
         }
         machine.update_from(&answer, now);
         self.reconciliation.machines.remove(name);
-        self.apply_heartbeat(name, &answer, now, MessageKind::DirectAnswer);
+        self.apply_reported_tasks(name, &answer, now, MessageKind::DirectAnswer);
     }
 }
--- a/crates/controller/src/leadership/election.rs
+++ b/crates/controller/src/leadership/election.rs
@@ -31,7 +31,7 @@
     /// Where this actor publishes who leads.
     pub view: watch::Sender<LeadershipView>,
     /// Notified by the controller actor to give up the leadership.
-    pub leadership_lost: Arc<Notify>,
+    pub resign_requested: Arc<Notify>,
     /// Notified when the leader has been silent for unusually long. The actor then reads the
     /// leader key at once, because a watch whose connection broke unnoticed delivers no event.
     pub leader_suspected: Arc<Notify>,
@@ -117,8 +117,11 @@
         {
             if record.nonce == self.nonce {
                 // The transaction of this process, whose response was lost. When the lease was
-                // granted is unknown, so it counts as expired until the first extension.
-                self.lead(new_term(&record, leader.mod_revision, lease_id, false), None).await;
+                // granted is unknown, so it counts as expired until the first extension; whether
+                // the last leader recorded start watermarks is unknown too, so all tasks count as
+                // started.
+                let term = new_term(&record, leader.mod_revision, lease_id, false);
+                self.lead(term, None).await;
                 self.nonce = rand::rng().random();
             } else {
                 // One process at a time runs under this name, so the leader is an earlier process
@@ -286,7 +289,7 @@
         loop {
             tokio::select! {
                 () = sleep(delay) => {}
-                () = self.config.leadership_lost.notified() => return TermEnd::Resigned,
+                () = self.config.resign_requested.notified() => return TermEnd::Resigned,
             }
             let sent_at = self.config.clock.now();
             match self.config.store.extend(lease_id).await {
--- a/crates/controller/src/shard_lease/lessor.rs
+++ b/crates/controller/src/shard_lease/lessor.rs
@@ -8,6 +8,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// The zone of a worker that has not sent a heartbeat to this leader.
+pub const UNKNOWN_ZONE: &str = "";
+
 /// What the leader knows about another controller. All times are of the leader's monotonic clock.
 #[derive(Debug, Default)]
 struct LesseeState {
@@ -145,8 +148,8 @@
     }
 
     /// Whether the lease of a worker has certainly expired at `now`: no controller extended it for
-    /// `worker_lease`. The leader last answered the worker at `last_response_at`. `zone` is
-    /// empty if it is unknown.
+    /// `worker_lease`, which includes clock drift and margin. The leader last answered the worker at `last_response_at`. `zone` is
+    /// [`UNKNOWN_ZONE`] if it is not known: then those of all lessees count.
     pub fn worker_lease_expired(
         &self,
         zone: &str,
@@ -158,18 +161,19 @@
         // The shard of a zone without a controller was leased by earlier leaders, to any of them.
         let may_have_shard = |lessee: &&LesseeState| !zone_has_controller || lessee.zone == zone;
         let mut last_extension_at = last_response_at;
-        let mut accounted_until = now;
-        let mut open_until = MonotonicTime::ZERO;
+        let mut all_accounted_until = now;
+        let mut last_shard_expiry = MonotonicTime::ZERO;
         for lessee in self.lessees.values().filter(may_have_shard) {
             last_extension_at = last_extension_at.max(lessee.last_extension_at);
             if lessee.may_extend() {
-                accounted_until = accounted_until.min(lessee.accounted_until);
-                open_until = open_until.max(lessee.lease_expires_at);
+                all_accounted_until = all_accounted_until.min(lessee.accounted_until);
+                last_shard_expiry = last_shard_expiry.max(lessee.lease_expires_at);
             }
         }
-        // Either no extension came in time while all lessees were accounted for, or the worker lease
-        // ended after the latest expiry of every shard lease.
-        last_extension_at + worker_lease <= accounted_until
-            || last_extension_at.max(open_until) + worker_lease <= now
+        let expired_while_all_accounted = last_extension_at + worker_lease <= all_accounted_until;
+        // Whoever extended it unseen did so before the latest expiry of a shard lease.
+        let latest_extension_at = last_extension_at.max(last_shard_expiry);
+        let expired_after_every_shard_lease = latest_extension_at + worker_lease <= now;
+        expired_while_all_accounted || expired_after_every_shard_lease
     }
 }
--- a/crates/controller/src/shard_lease/mod.rs
+++ b/crates/controller/src/shard_lease/mod.rs
@@ -20,7 +20,7 @@
 mod messages;
 
 pub use lessee::{ShardLessee, WorkerLeaseExtension, leader_timeout};
-pub use lessor::ShardLessor;
+pub use lessor::{ShardLessor, UNKNOWN_ZONE};
 pub use messages::{ShardLease, ShardLeaseAcknowledgement, ShardLeaseRenewal};
 
 #[cfg(test)]
--- a/crates/controller/tests/api/support.rs
+++ b/crates/controller/tests/api/support.rs
@@ -96,7 +96,7 @@
                 let _ = reply.send(self.leads().then(|| lookup(&job)));
             }
             ControllerRequest::Cancel { job, reply } => {
-                let outcome = CancelOutcome::AlreadyFinal(known(&job, JobState::Cancelled));
+                let outcome = CancelOutcome::Final(known(&job, JobState::Cancelled));
                 let _ = reply.send(self.leads().then_some(outcome));
             }
             ControllerRequest::AdoptJob { reply, .. } => drop(reply.send(Some(()))),
--- a/crates/controller/tests/leadership.rs
+++ b/crates/controller/tests/leadership.rs
@@ -31,7 +31,7 @@
         clock,
         lease: validity.clone(),
         view: view_tx,
-        leadership_lost: Arc::new(Notify::new()),
+        resign_requested: Arc::new(Notify::new()),
         leader_suspected: suspicion.clone(),
         lease_length: hookway_constants::LEADER_TTL,
         has_warm_copy: Arc::default(),
--- a/crates/controller/tests/store_keys.rs
+++ b/crates/controller/tests/store_keys.rs
@@ -85,7 +85,7 @@
         clock: Clock::default(),
         lease: Arc::new(LeadershipLease::default()),
         view: view_tx,
-        leadership_lost: Arc::new(Notify::new()),
+        resign_requested: Arc::new(Notify::new()),
         leader_suspected: Arc::new(Notify::new()),
         lease_length: std::time::Duration::from_secs(5),
         has_warm_copy: Arc::default(),
