--- a/crates/controller/src/cluster_state/command_dispatch.rs
+++ b/crates/controller/src/cluster_state/command_dispatch.rs
@@ -42,7 +42,7 @@
             return Some(if overdue { 0.0 } else { order.grace_s });
         }
         let broken_gang =
-            job.spec.is_gang() && (job.broken || job.gang_attempt != Some(placed.attempt));
+            job.spec.is_gang() && (job.gang.broken || job.gang.attempt != Some(placed.attempt));
         broken_gang.then_some(0.0)
     }
 
--- a/crates/controller/src/cluster_state/commit_items.rs
+++ b/crates/controller/src/cluster_state/commit_items.rs
@@ -175,8 +175,8 @@
         let Some(job) = self.jobs.get(&key).filter(|job| job.is_active()) else { return };
         let record = JobSchedulingRecord {
             min_tasks: job.min_tasks,
-            run_time_count: job.run_time_count,
-            run_time_sum_ms: whole_millis(job.run_time_sum),
+            run_time_count: job.run_times.count,
+            run_time_sum_ms: whole_millis(job.run_times.sum),
             start_watermark: job.start_watermark.highest(),
         };
         let Ok(value) = serde_json::to_value(&record) else { return };
--- a/crates/controller/src/cluster_state/draining.rs
+++ b/crates/controller/src/cluster_state/draining.rs
@@ -44,7 +44,7 @@
             .map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
         let remaining = machine.interruption_at.map(|at| at.saturating_duration_since(now));
         let cannot_finish = !job.spec.is_gang()
-            && job.reliable_mean_run_time_ms().zip(remaining).is_some_and(
+            && job.run_times.reliable_mean_ms().zip(remaining).is_some_and(
                 |(mean_ms, remaining)| mean_ms - millis_f64(ran) > millis_f64(remaining),
             );
         // A replica of a daemon never finishes first.
@@ -96,7 +96,7 @@
             return false;
         }
         let ran_ms = millis_f64(now.saturating_duration_since(since));
-        let mean_ms = job.reliable_mean_run_time_ms();
+        let mean_ms = job.run_times.reliable_mean_ms();
         mean_ms.is_some_and(|mean_ms| ran_ms > mean_ms * constants::STUCK_TASK_RATIO)
     }
 }
--- a/crates/controller/src/cluster_state/failure_attribution.rs
+++ b/crates/controller/src/cluster_state/failure_attribution.rs
@@ -25,12 +25,12 @@
     pub fn is_crash_looping(&self) -> bool {
         let max_failures =
             if self.spec.needs_all_tasks_at_once() { constants::GANG_MAX_FAILURES } else { 1 };
-        self.consecutive_failures >= max_failures && self.unproven()
+        self.failures.consecutive >= max_failures && self.unproven()
     }
 
     /// Whether nothing shows that it can run at all.
     fn unproven(&self) -> bool {
-        self.completed == 0 && self.running as usize <= self.failed_machines.len()
+        self.completed == 0 && self.running as usize <= self.failures.machines.len()
     }
 
     /// Weight of an error of this job in the attribution to the machine that it happened on.
@@ -39,36 +39,31 @@
             return 1.0;
         }
         // On one machine only, so far: either may be faulty.
-        if self.failed_machines.len() == 1 { constants::UNPROVEN_JOB_WEIGHT } else { 0.0 }
+        if self.failures.machines.len() == 1 { constants::UNPROVEN_JOB_WEIGHT } else { 0.0 }
     }
 
     /// Whether it should not be tried again on a machine, out of so many: on one of those that it failed on
     /// last, and never on more than half of all.
     pub fn excludes_machine(&self, name: &str, machines: usize) -> bool {
         let max_excluded = machines / 2;
-        self.failed_machines.iter().rev().take(max_excluded).any(|machine| machine == name)
+        self.failures.machines.iter().rev().take(max_excluded).any(|machine| machine == name)
     }
 
     /// A task of it, placed at `placed_at`, has failed on a machine. Errors of tasks that were placed
     /// before the last error count with that one: they are one try.
     fn record_failure(&mut self, machine: &str, placed_at: MonotonicTime, now: MonotonicTime) {
-        if !self.failed_machines.iter().any(|failed| failed == machine) {
-            if self.failed_machines.len() >= constants::MAX_FAILED_MACHINES {
-                self.failed_machines.pop_front();
-            }
-            self.failed_machines.push_back(machine.to_owned());
-        }
-        if self.consecutive_failures > 0 && placed_at <= self.last_failure_at {
+        self.failures.add_machine(machine);
+        if self.failures.consecutive > 0 && placed_at <= self.failures.last_at {
             return;
         }
-        if self.spec.is_daemon() && now >= self.last_failure_at + constants::REPLICA_FAILURE_MEMORY
+        if self.spec.is_daemon() && now >= self.failures.last_at + constants::REPLICA_FAILURE_MEMORY
         {
-            self.consecutive_failures = 0;
+            self.failures.consecutive = 0;
         }
-        self.last_failure_at = now;
-        self.consecutive_failures += 1;
+        self.failures.last_at = now;
+        self.failures.consecutive += 1;
         let proven = self.completed > 0 || self.spec.is_daemon() && !self.unproven();
-        if proven && self.consecutive_failures < constants::PROVEN_JOB_MAX_FAILURES {
+        if proven && self.failures.consecutive < constants::PROVEN_JOB_MAX_FAILURES {
             return;
         }
         let backoff = self.failure_backoff();
@@ -76,7 +71,7 @@
         if self.is_crash_looping() {
             self.add_note(format!(
                 "failed on {} machines and ran on none; next try in {} s",
-                self.failed_machines.len(),
+                self.failures.machines.len(),
                 backoff.as_secs()
             ));
         }
@@ -84,12 +79,12 @@
 
     /// Time until the job is tried again after its last failure.
     fn failure_backoff(&self) -> Duration {
-        let doublings = (self.consecutive_failures - 1).min(MAX_BACKOFF_DOUBLINGS);
+        let doublings = (self.failures.consecutive - 1).min(MAX_BACKOFF_DOUBLINGS);
         let backoff = constants::FAILURE_BACKOFF * (1 << doublings);
         let backoff = backoff.min(constants::FAILURE_BACKOFF_MAX);
         // Jobs that were submitted together with the same fault shall not all be tried together.
         let spread = |sum: u64, byte: u8| sum.wrapping_mul(31).wrapping_add(u64::from(byte));
-        let spread = self.id.as_str().bytes().fold(u64::from(self.consecutive_failures), spread);
+        let spread = self.id.as_str().bytes().fold(u64::from(self.failures.consecutive), spread);
         let max_jitter_ms = whole_millis(backoff) / JITTER_DIVISOR;
         let jitter_ms = max_jitter_ms * (spread % JITTER_STEPS) / JITTER_STEPS;
         backoff + Duration::from_millis(jitter_ms)
@@ -115,7 +110,7 @@
     /// Forgets the failures of daemons with a replica that has run for a while: they have no completed tasks
     /// that would show that they work.
     pub(super) fn reset_steady_daemons(&mut self, now: MonotonicTime) {
-        let failed = |job: &Job| job.spec.is_daemon() && job.consecutive_failures > 0;
+        let failed = |job: &Job| job.spec.is_daemon() && job.failures.consecutive > 0;
         if !self.jobs.values().any(failed) {
             return;
         }
@@ -123,8 +118,7 @@
         for placed in self.machines.values().flat_map(|machine| &machine.placed_tasks) {
             let Some(job) = placed.job.and_then(|key| self.jobs.get_mut(&key)) else { continue };
             if failed(job) && placed.running_since.as_ref().is_some_and(steady) {
-                job.consecutive_failures = 0;
-                job.failed_machines.clear();
+                job.failures.clear();
             }
         }
     }
--- a/crates/controller/src/cluster_state/gang_repair.rs
+++ b/crates/controller/src/cluster_state/gang_repair.rs
@@ -17,12 +17,13 @@
                 && job.placed > 0
                 && job.placements.contains(&TaskPlacement::Unplaced)
                 && (reconciled || job.origin == JobOrigin::ThisTerm);
-            job.completing = partial
+            job.gang.completing = partial
                 && completable.contains(key)
-                && now < *job.resume_deadline.get_or_insert(now + constants::GANG_RESUME_LIMIT);
-            if partial && !job.completing {
-                self.stops_due |= !job.broken;
-                job.broken = true;
+                && now
+                    < *job.gang.resume_deadline.get_or_insert(now + constants::GANG_RESUME_LIMIT);
+            if partial && !job.gang.completing {
+                self.stops_due |= !job.gang.broken;
+                job.gang.broken = true;
             }
         }
     }
@@ -31,11 +32,11 @@
     /// found of it wait for the rest, and none of them runs or is being stopped.
     fn completable_gangs(&self) -> HashSet<JobKey> {
         let resumable = |job: &Job| {
-            job.resumed_attempt.is_some()
+            job.gang.resumed_attempt.is_some()
                 && !job.unplaced.is_empty()
-                && job.gang_attempt == job.resumed_attempt
+                && job.gang.attempt == job.gang.resumed_attempt
                 && job.orphaned.is_empty()
-                && !job.broken
+                && !job.gang.broken
         };
         let mut gangs: HashSet<JobKey> =
             self.jobs.iter().filter(|(_, job)| resumable(job)).map(|(key, _)| *key).collect();
--- a/crates/controller/src/cluster_state/job.rs
+++ b/crates/controller/src/cluster_state/job.rs
@@ -2,16 +2,18 @@
 
 use super::Timestamp;
 use super::completion::Completion;
+use super::failure_history::FailureHistory;
+use super::gang_state::GangState;
 use super::progress::Progress;
+use super::run_times::RunTimes;
 use super::service_level_objectives::ServiceLevelObjectives;
 use super::start_watermark::StartWatermark;
 use crate::records::JobRecord;
 use hookway_constants as constants;
 use hookway_policy::Resources;
-use hookway_time::{MonotonicTime, WallTime, millis_f64, seconds_f64};
+use hookway_time::{MonotonicTime, WallTime, seconds_f64};
 use hookway_wire::{JobId, JobSpec};
 use std::collections::{BTreeSet, VecDeque};
-use std::time::Duration;
 
 /// Identifies a job within one leader's cluster state. Never used again within a term; ascending in
 /// the order in which the leader learned of the jobs.
@@ -97,30 +99,16 @@
     pub running: u32,
     /// `placed`, by zone index.
     pub placed_per_zone: Vec<u32>,
-    /// Sum of the known run times.
-    pub run_time_sum: Duration,
-    /// Number of the known run times.
-    pub run_time_count: u32,
-    /// Attempt number that all tasks of a gang share.
-    pub gang_attempt: Option<u64>,
-    /// Attempt of a gang that an earlier leader was starting, from the replicated state.
-    pub resumed_attempt: Option<u64>,
-    /// Until then that attempt may be completed; set once all machines are reconciled.
-    pub resume_deadline: Option<MonotonicTime>,
-    /// The tasks found of that attempt wait for the other ones, which may be started.
-    pub completing: bool,
-    /// The gang's attempt has lost a task or is being stopped: all of its tasks must be stopped.
-    pub broken: bool,
+    /// The known run times of its completed tasks.
+    pub run_times: RunTimes,
+    /// The attempt of a gang.
+    pub gang: GangState,
     /// How far its completion has progressed.
     pub completion: Completion,
     /// No task is started before this time.
     pub backoff_until: MonotonicTime,
-    /// Consecutive tries that ended with an error.
-    pub consecutive_failures: u32,
-    /// When the last of those ended.
-    pub last_failure_at: MonotonicTime,
-    /// The machines that its tasks failed on last, oldest first.
-    pub failed_machines: VecDeque<String>,
+    /// The failures of its tasks.
+    pub failures: FailureHistory,
     /// Tasks that were restarted once for running far longer than others.
     pub restarted_tasks: BTreeSet<u32>,
     /// Why attempts ended, for the user.
@@ -165,18 +153,11 @@
             placed: 0,
             running: 0,
             placed_per_zone: vec![0; context.zones],
-            run_time_sum: Duration::ZERO,
-            run_time_count: 0,
-            gang_attempt: None,
-            resumed_attempt: None,
-            resume_deadline: None,
-            completing: false,
-            broken: false,
+            run_times: RunTimes::default(),
+            gang: GangState::default(),
             completion: Completion::active(),
             backoff_until: MonotonicTime::ZERO,
-            consecutive_failures: 0,
-            last_failure_at: MonotonicTime::ZERO,
-            failed_machines: VecDeque::new(),
+            failures: FailureHistory::default(),
             restarted_tasks: BTreeSet::new(),
             notes: VecDeque::new(),
             waiting_since: at.monotonic,
@@ -268,17 +249,6 @@
         self.notes.push_back(text);
     }
 
-    /// Mean of the known run times, ms.
-    pub fn mean_run_time_ms(&self) -> Option<f64> {
-        (self.run_time_count > 0)
-            .then(|| millis_f64(self.run_time_sum) / f64::from(self.run_time_count))
-    }
-
-    /// Mean of the known run times, ms, once there are enough to judge a machine by it.
-    pub fn reliable_mean_run_time_ms(&self) -> Option<f64> {
-        self.mean_run_time_ms().filter(|_| self.run_time_count >= constants::RELIABLE_MEAN_TASKS)
-    }
-
     /// Whether its tasks may be started at all.
     pub fn is_active(&self) -> bool {
         self.completion.is_active()
--- a/crates/controller/src/cluster_state/placement.rs
+++ b/crates/controller/src/cluster_state/placement.rs
@@ -28,12 +28,12 @@
             };
             // An attempt number is never used twice: the term is its upper part, and no two leaders
             // share a term.
-            let attempt = job.gang_attempt.filter(|_| gang).unwrap_or_else(|| {
+            let attempt = job.gang.attempt.filter(|_| gang).unwrap_or_else(|| {
                 self.last_attempt += 1;
                 (self.term << constants::ATTEMPT_COUNTER_BITS) + self.last_attempt
             });
             if gang {
-                job.gang_attempt = Some(attempt);
+                job.gang.attempt = Some(attempt);
             }
             job.placements[index as usize] = TaskPlacement::Placed;
             job.count_placed(self.config.platform.zone(&machine.zone));
--- a/crates/controller/src/cluster_state/recovery.rs
+++ b/crates/controller/src/cluster_state/recovery.rs
@@ -154,8 +154,8 @@
         match serde_json::from_value::<JobSchedulingRecord>(kv.value) {
             Ok(record) => {
                 job.stored_min_tasks = Some(record.min_tasks);
-                job.run_time_count = record.run_time_count;
-                job.run_time_sum = Duration::from_millis(record.run_time_sum_ms);
+                job.run_times.count = record.run_time_count;
+                job.run_times.sum = Duration::from_millis(record.run_time_sum_ms);
                 job.start_watermark.load(record.start_watermark);
             }
             Err(error) => {
--- a/crates/controller/src/cluster_state/snapshot.rs
+++ b/crates/controller/src/cluster_state/snapshot.rs
@@ -145,7 +145,7 @@
             start_by: job.start_by_s.clone(),
             estimated_task_time: job.spec.estimate_s,
             completed: job.completed,
-            mean_task_time: job.mean_run_time_ms().map(|ms| ms / 1000.0),
+            mean_task_time: job.run_times.mean_ms().map(|ms| ms / 1000.0),
             unfinished: job.unfinished(),
             placed: job.placed,
             startable,
--- a/crates/controller/src/cluster_state/standby_feed.rs
+++ b/crates/controller/src/cluster_state/standby_feed.rs
@@ -104,19 +104,19 @@
     /// What the next leader should know of a job beside its records, if anything.
     fn replicated_job(&self, job: &Job) -> Option<ReplicatedJob> {
         let attempt =
-            job.gang_attempt.filter(|_| job.spec.is_gang() && job.is_active() && !job.broken);
-        if attempt.is_none() && job.consecutive_failures == 0 {
+            job.gang.attempt.filter(|_| job.spec.is_gang() && job.is_active() && !job.gang.broken);
+        if attempt.is_none() && job.failures.consecutive == 0 {
             return None;
         }
         let mut replicated = ReplicatedJob { gang_attempt: attempt, ..ReplicatedJob::default() };
-        if job.consecutive_failures > 0 {
-            replicated.consecutive_failures = job.consecutive_failures;
+        if job.failures.consecutive > 0 {
+            replicated.consecutive_failures = job.failures.consecutive;
             let elected = self.clocks.elected;
             replicated.last_failure_unix_ms =
-                elected.wall_at_monotonic(job.last_failure_at).as_unix_millis();
+                elected.wall_at_monotonic(job.failures.last_at).as_unix_millis();
             replicated.backoff_until_unix_ms =
                 elected.wall_at_monotonic(job.backoff_until).as_unix_millis();
-            replicated.failed_machines = job.failed_machines.iter().cloned().collect();
+            replicated.failed_machines = job.failures.machines.iter().cloned().collect();
         }
         Some(replicated)
     }
@@ -142,20 +142,20 @@
             let job = JobId::parse(id).and_then(|id| self.jobs.by_id_mut(&id));
             let Some(job) = job else { continue };
             if job.spec.is_gang() && replicated.gang_attempt.is_some() {
-                job.resumed_attempt = replicated.gang_attempt;
+                job.gang.resumed_attempt = replicated.gang_attempt;
                 taken.gangs += 1;
             }
-            if replicated.consecutive_failures > 0 && job.consecutive_failures == 0 {
+            if replicated.consecutive_failures > 0 && job.failures.consecutive == 0 {
                 let latest = now + constants::FAILURE_BACKOFF_MAX;
-                job.consecutive_failures =
+                job.failures.consecutive =
                     replicated.consecutive_failures.min(constants::MAX_RESUMED_FAILURES);
                 let elected = self.clocks.elected;
                 let failed_at = WallTime::from_unix_millis(replicated.last_failure_unix_ms);
                 let paused_until = WallTime::from_unix_millis(replicated.backoff_until_unix_ms);
-                job.last_failure_at = elected.monotonic_at_wall(failed_at).min(now);
+                job.failures.last_at = elected.monotonic_at_wall(failed_at).min(now);
                 job.backoff_until = elected.monotonic_at_wall(paused_until).min(latest);
                 let kept = replicated.failed_machines.iter().take(constants::MAX_FAILED_MACHINES);
-                job.failed_machines = kept.cloned().collect();
+                job.failures.machines = kept.cloned().collect();
                 taken.failing_jobs += 1;
             }
         }
--- a/crates/controller/src/cluster_state/startable_tasks.rs
+++ b/crates/controller/src/cluster_state/startable_tasks.rs
@@ -40,7 +40,7 @@
     if job.spec.is_gang() {
         // Tasks of an earlier attempt stay where they are until they exit.
         let whole = job.placed == 0 && unplaced == job.spec.tasks;
-        let completing = job.completing && !job.broken;
+        let completing = job.gang.completing && !job.gang.broken;
         return if whole || completing { unplaced } else { 0 };
     }
     if job.is_crash_looping() { unplaced.min(1).saturating_sub(job.placed) } else { unplaced }
--- a/crates/controller/src/cluster_state/task_adoption.rs
+++ b/crates/controller/src/cluster_state/task_adoption.rs
@@ -86,12 +86,12 @@
     fn adopt_attempt(&mut self, index: u32, attempt: u64) -> bool {
         let wanted = self.placements[index as usize] == TaskPlacement::Unplaced && self.is_active();
         let gang = self.spec.is_gang();
-        let same_gang = !gang || self.gang_attempt.is_none_or(|expected| expected == attempt);
+        let same_gang = !gang || self.gang.attempt.is_none_or(|expected| expected == attempt);
         let adopted = wanted && same_gang;
         if adopted {
             self.placements[index as usize] = TaskPlacement::Placed;
             if gang {
-                self.gang_attempt = Some(attempt);
+                self.gang.attempt = Some(attempt);
             }
         } else {
             self.orphaned.push(index);
--- a/crates/controller/src/cluster_state/task_end.rs
+++ b/crates/controller/src/cluster_state/task_end.rs
@@ -1,7 +1,7 @@
 //! Ends of tasks: completions, failures and what they tell of the machine.
 
 use super::commit_queue::JobPage;
-use super::{ClusterState, CordonReason, Job, JobKey, PlacedTask};
+use super::{ClusterState, CordonReason, JobKey, PlacedTask};
 use hookway_constants as constants;
 use hookway_time::{MonotonicTime, millis_f64};
 use hookway_wire::ExitCause;
@@ -32,7 +32,7 @@
     /// A task that is no replica of a daemon is done.
     fn task_done(&mut self, name: &str, key: JobKey, placed: &PlacedTask, now: MonotonicTime) {
         let run_time = self.known_run_time(name, placed, now);
-        let mean_ms = self.jobs.get(&key).and_then(Job::reliable_mean_run_time_ms);
+        let mean_ms = self.jobs.get(&key).and_then(|job| job.run_times.reliable_mean_ms());
         self.complete_task(key, placed.index, run_time);
         let Some(machine) = self.machines.get_mut(name) else { return };
         machine.failed_jobs.clear();
@@ -96,7 +96,7 @@
         if job.completion.is_final() || job.spec.is_daemon() {
             return;
         }
-        job.consecutive_failures = 0;
+        job.failures.consecutive = 0;
         let gang = job.spec.is_gang();
         self.stops_due |= gang || !job.orphaned.is_empty();
         let completed = if gang { 0..job.spec.tasks } else { index..index + 1 };
@@ -107,8 +107,7 @@
             if i == index
                 && let Some(run_time) = run_time
             {
-                job.run_time_sum += run_time;
-                job.run_time_count += 1;
+                job.run_times.add(run_time);
             }
             let page = job.progress.page_of(i);
             if job.progress.queue(page) {
--- a/crates/controller/src/cluster_state/task_removal.rs
+++ b/crates/controller/src/cluster_state/task_removal.rs
@@ -51,8 +51,8 @@
         }
         if let Some(job) = self.jobs.get_mut(&key) {
             if job.placed == 0 {
-                job.gang_attempt = None;
-                job.broken = false;
+                job.gang.attempt = None;
+                job.gang.broken = false;
             }
             job.waiting_since = now;
         }
@@ -139,7 +139,7 @@
         } else if self.placements[index as usize] == TaskPlacement::Placed {
             self.placements[index as usize] = TaskPlacement::Unplaced;
             breaks_gang = self.spec.is_gang() && removal != TaskRemoval::Ended(ExitCause::Done);
-            self.broken |= breaks_gang;
+            self.gang.broken |= breaks_gang;
         }
         // An orphaned attempt on another machine counts as much as the expected one.
         if self.is_active()
