--- a/crates/controller/tests/cluster_state/commit_queue.rs
+++ b/crates/controller/tests/cluster_state/commit_queue.rs
@@ -1,4 +1,4 @@
-//! The commit queue: durability before any answer, preconditions, splitting and retries of transactions.
+//! The commit queue: durability before any response, preconditions, splitting and retries of transactions.
 
 use crate::harness::{
     LeaderHarness, at, job, ms, one_running_task, small_worker, test_config, timestamp,
@@ -13,44 +13,47 @@
 #[test]
 fn completed_job_is_reported_done_only_after_durable_commit() {
     let mut harness = LeaderHarness::start();
-    let mut w = small_worker("m-1", "a");
+    let mut worker = small_worker("m-1", "a");
     let id = harness.submit(job("req-000001", "array", 2));
-    harness.run_rounds(&mut [&mut w]);
-    assert_eq!(w.unfinished_tasks(), ["req-000001/0"], "one task fits at a time");
+    harness.run_rounds(&mut [&mut worker]);
+    assert_eq!(worker.unfinished_tasks(), ["req-000001/0"], "the machine has room for one task");
     assert_eq!(harness.job_state(&id), JobState::Running);
-    w.end_task("req-000001/0", ExitCause::Done);
-    harness.run_rounds(&mut [&mut w]);
-    assert_eq!(w.unfinished_tasks(), ["req-000001/1"]);
-    w.end_task("req-000001/1", ExitCause::Done);
-    let report = w.heartbeat();
-    let answer = harness.cluster.handle_heartbeat(&report, harness.now).expect("an answer");
+    worker.end_task("req-000001/0", ExitCause::Done);
+    harness.run_rounds(&mut [&mut worker]);
+    assert_eq!(worker.unfinished_tasks(), ["req-000001/1"]);
+    worker.end_task("req-000001/1", ExitCause::Done);
+    let heartbeat = worker.heartbeat();
+    let response = harness.cluster.handle_heartbeat(&heartbeat, harness.now).expect("a response");
     assert!(
-        !answer.commands.iter().any(|o| matches!(o, Command::Reap { .. })),
-        "the result is not durable yet"
+        !response.commands.iter().any(|command| matches!(command, Command::Reap { .. })),
+        "no reap before the result is durable"
     );
     assert_eq!(harness.job_state(&id), JobState::Queued);
-    let commit = harness.cluster.next_commit(harness.now).expect("the end is to be written");
+    let commit = harness.cluster.next_commit(harness.now).expect("a commit of the final state");
     assert_eq!(harness.cluster.status(&id), JobLookup::CommitInFlight);
     let revision = harness.store.commit(&commit.transaction).expect("applied");
     harness.cluster.committed(commit, CommitResult::Applied(revision), harness.now);
     assert_eq!(harness.cluster.take_completed_jobs()[0].record.state, JobState::Done);
-    w.handle_response(&answer);
+    worker.handle_response(&response);
     harness.now += ms(500);
-    let commands = harness.heartbeat(&mut w);
-    assert!(commands.iter().any(|o| matches!(o, Command::Reap { .. })));
+    let commands = harness.heartbeat(&mut worker);
+    assert!(commands.iter().any(|command| matches!(command, Command::Reap { .. })));
 }
 
 #[test]
 fn delayed_commit_of_deposed_leader_fails_its_precondition() {
-    let (mut harness, mut w, id) = one_running_task();
-    w.end_task("req-000001/0", ExitCause::Done);
-    let report = w.heartbeat();
-    harness.cluster.handle_heartbeat(&report, harness.now);
-    let late = harness.cluster.next_commit(harness.now).expect("the end");
+    let (mut harness, mut worker, id) = one_running_task();
+    worker.end_task("req-000001/0", ExitCause::Done);
+    let heartbeat = worker.heartbeat();
+    harness.cluster.handle_heartbeat(&heartbeat, harness.now);
+    let late = harness.cluster.next_commit(harness.now).expect("a commit of the final state");
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(9_000));
     assert_eq!(next.cluster.cancel(&id), CancelOutcome::Pending);
     next.commit_pending();
-    assert!(next.store.commit(&late.transaction).is_err(), "the guard on the leader's key");
+    assert!(
+        next.store.commit(&late.transaction).is_err(),
+        "the precondition on the leader's key fails"
+    );
     assert_eq!(next.stored_final_state(&id).as_deref(), Some("withdrawn"));
     let result = next.read_after_lost_response(&late);
     harness.cluster.committed(late, result, harness.now);
@@ -60,11 +63,11 @@
 #[test]
 fn lost_commit_response_is_resolved_by_reading_keys() {
     for applied in [true, false] {
-        let (mut harness, mut w, id) = one_running_task();
-        w.end_task("req-000001/0", ExitCause::Done);
-        let report = w.heartbeat();
-        harness.cluster.handle_heartbeat(&report, harness.now);
-        let commit = harness.cluster.next_commit(harness.now).expect("the end");
+        let (mut harness, mut worker, id) = one_running_task();
+        worker.end_task("req-000001/0", ExitCause::Done);
+        let heartbeat = worker.heartbeat();
+        harness.cluster.handle_heartbeat(&heartbeat, harness.now);
+        let commit = harness.cluster.next_commit(harness.now).expect("a commit of the final state");
         let late = commit.transaction.clone();
         if applied {
             harness.store.commit(&late).expect("applied");
@@ -75,38 +78,44 @@
         harness.commit_pending();
         assert_eq!(harness.stored_final_state(&id).as_deref(), Some("done"));
         assert_eq!(harness.cluster.take_completed_jobs().len(), 1);
-        assert!(harness.store.commit(&late).is_err(), "arriving late it changes nothing");
+        assert!(harness.store.commit(&late).is_err(), "a late copy is rejected");
     }
 }
 
 #[test]
 fn resubmission_of_finished_job_fails_its_precondition() {
-    let (mut harness, mut w, id) = one_running_task();
-    w.end_task("req-000001/0", ExitCause::Done);
-    harness.run_rounds(&mut [&mut w]);
-    let again = Transaction {
+    let (mut harness, mut worker, id) = one_running_task();
+    worker.end_task("req-000001/0", ExitCause::Done);
+    harness.run_rounds(&mut [&mut worker]);
+    let resubmission = Transaction {
         preconditions: vec![
             Precondition { key: job_key(&id), mod_revision: 0 },
             Precondition { key: final_state_key(&id), mod_revision: 0 },
         ],
         operations: vec![Operation::put(job_key(&id), serde_json::json!({}))],
     };
-    assert_eq!(harness.store.commit(&again), Err(vec![final_state_key(&id)]));
+    assert_eq!(harness.store.commit(&resubmission), Err(vec![final_state_key(&id)]));
 }
 
 #[test]
 fn transactions_are_split_by_bytes_regardless_of_operation_limit() {
     let mut harness = LeaderHarness::start();
-    let mut big = test_config();
-    big.platform.state.txn_ops = 10_000;
-    big.platform.state.write_rps = 100_000.0;
-    let guard = Precondition {
+    let mut config = test_config();
+    config.platform.state.txn_ops = 10_000;
+    config.platform.state.write_rps = 100_000.0;
+    let precondition = Precondition {
         key: LEADER_KEY.into(),
         mod_revision: harness.store.put(LEADER_KEY, 1.into()),
     };
-    let elected = timestamp(at(0));
-    harness.cluster =
-        ClusterState::new(big, 1, guard, machine_types(), LoadedState::default(), elected);
+    let elected_at = timestamp(at(0));
+    harness.cluster = ClusterState::new(
+        config,
+        1,
+        precondition,
+        machine_types(),
+        LoadedState::default(),
+        elected_at,
+    );
     // Several times the load of a job wave: thousands of machines, and jobs that all finish at once.
     for n in 0..6_000 {
         let name = format!("m-{n:06}");
@@ -118,12 +127,12 @@
     }
     let mut commits = 0;
     while let Some(commit) = harness.cluster.next_commit(harness.now) {
-        let value_most = 8 * 1024;
+        let max_value_bytes = 8 * 1024;
         let body = serde_json::to_vec(&commit.transaction).expect("a transaction");
         assert!(body.len() <= 64 * 1024, "{} bytes", body.len());
-        for change in &commit.transaction.operations {
-            if let Operation::Put { value: v, .. } = change {
-                assert!(v.to_string().len() <= value_most);
+        for operation in &commit.transaction.operations {
+            if let Operation::Put { value, .. } = operation {
+                assert!(value.to_string().len() <= max_value_bytes);
             }
         }
         let revision = harness.store.commit(&commit.transaction).expect("applied");
@@ -140,71 +149,71 @@
 }
 
 /// Found by code review, 2026-12-02: a transaction without a response was applied 12 s later, after newer
-/// ones of the same leader, and restored an older machine registry and older watermarks. The next leader did
-/// not know the newer machines, and started tasks elsewhere that still ran on an unreachable one.
+/// ones of the same leader, and restored an older machine registry and older start watermarks. The next
+/// leader did not know the newer machines, and restarted tasks elsewhere that still ran on an unreachable one.
 #[test]
 fn delayed_transaction_restores_no_older_record() {
     let mut harness = LeaderHarness::start();
-    let (mut one, mut two) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
-    let unanswered = |harness: &mut LeaderHarness| {
-        let commit = harness.cluster.next_commit(harness.now).expect("something to write");
+    let (mut worker_1, mut worker_2) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
+    let commit_without_response = |harness: &mut LeaderHarness| {
+        let commit = harness.cluster.next_commit(harness.now).expect("a pending commit");
         let late = commit.transaction.clone();
         let result = harness.read_after_lost_response(&commit);
         harness.cluster.committed(commit, result, harness.now);
         late
     };
-    harness.cluster.handle_heartbeat(&one.heartbeat(), harness.now);
-    let old_roster = unanswered(&mut harness);
+    harness.cluster.handle_heartbeat(&worker_1.heartbeat(), harness.now);
+    let older_registry = commit_without_response(&mut harness);
     harness.commit_pending();
-    harness.heartbeat(&mut two);
+    harness.heartbeat(&mut worker_2);
     assert!(harness.is_registered("m-1") && harness.is_registered("m-2"));
-    assert!(harness.store.commit(&old_roster).is_err());
-    assert!(harness.is_registered("m-2"), "its tasks are known to the next leader");
+    assert!(harness.store.commit(&older_registry).is_err());
+    assert!(harness.is_registered("m-2"), "the newer registration stays stored");
 
-    // The same for watermarks: the record of a single job, and the record that small jobs share.
-    let mut more: Vec<ScriptedWorker> =
+    // The same for start watermarks: the record of a single job, and the record that small jobs share.
+    let mut extra_workers: Vec<ScriptedWorker> =
         (3..7).map(|n| small_worker(&format!("m-{n}"), "a")).collect();
-    for (n, tasks, ids) in
+    for (first_worker, tasks, ids) in
         [(0, 40, ["req-000001", "req-000002"]), (2, 1, ["req-000003", "req-000004"])]
     {
         // Each machine has room for one task.
-        harness.heartbeat(&mut more[n]);
-        harness.heartbeat(&mut more[n + 1]);
+        harness.heartbeat(&mut extra_workers[first_worker]);
+        harness.heartbeat(&mut extra_workers[first_worker + 1]);
         harness.submit(job(ids[0], "array", tasks));
         harness.now += ms(500);
         harness.cluster.scheduling_round(harness.now);
-        let old_mark = unanswered(&mut harness);
+        let older_watermark = commit_without_response(&mut harness);
         harness.commit_pending();
         harness.submit(job(ids[1], "array", tasks));
         harness.advance(500);
-        let marks = |harness: &LeaderHarness| -> Vec<_> {
+        let stored_watermarks = |harness: &LeaderHarness| -> Vec<_> {
             harness.store.list("m/").into_iter().map(|kv| (kv.key, kv.value)).collect()
         };
-        let before = marks(&harness);
+        let before = stored_watermarks(&harness);
         assert!(!before.is_empty());
-        assert!(harness.store.commit(&old_mark).is_err());
-        assert_eq!(marks(&harness), before);
+        assert!(harness.store.commit(&older_watermark).is_err());
+        assert_eq!(stored_watermarks(&harness), before);
     }
-    // A transaction whose precondition fails reads the newer version and continues.
-    let done = one.unfinished_tasks().first().cloned();
-    if let Some(task) = done {
-        one.end_task(&task, ExitCause::Done);
+    // After a failed precondition the leader rereads the record, writes it again and still leads.
+    let running = worker_1.unfinished_tasks().first().cloned();
+    if let Some(task) = running {
+        worker_1.end_task(&task, ExitCause::Done);
     }
-    harness.run_rounds(&mut [&mut one, &mut two]);
+    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
     assert!(!harness.cluster.leadership_lost());
 }
 
 /// Commits against a state service that rejects transactions of more than this many operations.
-fn commit_within(harness: &mut LeaderHarness, most_changes: usize) -> Vec<usize> {
+fn commit_within(harness: &mut LeaderHarness, max_operations: usize) -> Vec<usize> {
     let mut applied = Vec::new();
     for _ in 0..60 {
         harness.now += ms(1_000);
         let Some(commit) = harness.cluster.next_commit(harness.now) else { continue };
-        let changes = commit.transaction.operations.len();
-        let result = if changes > most_changes {
+        let operation_count = commit.transaction.operations.len();
+        let result = if operation_count > max_operations {
             CommitResult::Rejected
         } else {
-            applied.push(changes);
+            applied.push(operation_count);
             CommitResult::Applied(harness.store.commit(&commit.transaction).expect("applied"))
         };
         harness.cluster.committed(commit, result, harness.now);
@@ -221,7 +230,7 @@
         assert_eq!(harness.cluster.cancel(id), CancelOutcome::Pending);
     }
     let applied = commit_within(&mut harness, 3);
-    assert!(applied.iter().all(|changes| *changes <= 3), "{applied:?}");
+    assert!(applied.iter().all(|operation_count| *operation_count <= 3), "{applied:?}");
     for id in &ids {
         assert_eq!(harness.stored_final_state(id).as_deref(), Some("withdrawn"));
     }
@@ -230,20 +239,23 @@
 #[test]
 fn rejected_single_operation_is_retried_without_blocking_others() {
     let mut harness = LeaderHarness::start();
-    let (poison, other) = (job("req-000001", "array", 1), job("req-000002", "array", 1));
-    let ids = [harness.submit(poison), harness.submit(other)];
+    let (rejected, other) = (job("req-000001", "array", 1), job("req-000002", "array", 1));
+    let ids = [harness.submit(rejected), harness.submit(other)];
     for id in &ids {
         harness.cluster.cancel(id);
     }
-    let mut tries = 0;
+    let mut attempts = 0;
     for _ in 0..40 {
         harness.now += ms(500);
         let Some(commit) = harness.cluster.next_commit(harness.now) else { continue };
-        let poisoned =
-            commit.transaction.operations.iter().any(|c| c.key() == final_state_key(&ids[0]));
-        tries += usize::from(poisoned);
+        let has_rejected_operation = commit
+            .transaction
+            .operations
+            .iter()
+            .any(|operation| operation.key() == final_state_key(&ids[0]));
+        attempts += usize::from(has_rejected_operation);
         // The state service accepts the operation after some seconds.
-        let result = if poisoned && harness.now < at(12_000) {
+        let result = if has_rejected_operation && harness.now < at(12_000) {
             CommitResult::Rejected
         } else {
             CommitResult::Applied(harness.store.commit(&commit.transaction).expect("applied"))
@@ -255,5 +267,5 @@
         }
     }
     assert_eq!(harness.stored_final_state(&ids[0]).as_deref(), Some("withdrawn"));
-    assert!(tries <= 6, "{tries} tries");
+    assert!(attempts <= 6, "{attempts} commit attempts of the rejected operation");
 }
--- a/crates/controller/tests/cluster_state/heartbeats.rs
+++ b/crates/controller/tests/cluster_state/heartbeats.rs
@@ -8,14 +8,14 @@
 #[test]
 fn leader_without_heartbeats_detects_its_isolation() {
     let mut harness = LeaderHarness::start();
-    let (mut one, mut two) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
-    harness.run_rounds(&mut [&mut one, &mut two]);
+    let (mut worker_1, mut worker_2) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
+    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
     assert!(!harness.cluster.all_workers_silent(harness.now));
     harness.now += ms(3_000);
-    harness.heartbeat(&mut two);
+    harness.heartbeat(&mut worker_2);
     assert!(
         !harness.cluster.all_workers_silent(harness.now + ms(4_000)),
-        "one of them still reports"
+        "one worker still sends heartbeats"
     );
     assert!(harness.cluster.all_workers_silent(harness.now + ms(6_500)));
     // The next leader, partitioned from all workers from the start.
@@ -27,91 +27,95 @@
 #[test]
 fn out_of_order_heartbeat_changes_no_state() {
     let mut harness = LeaderHarness::start();
-    let mut w = small_worker("m-1", "a");
+    let mut worker = small_worker("m-1", "a");
     harness.submit(job("req-000001", "array", 1));
-    harness.heartbeat(&mut w);
-    let early = w.heartbeat();
-    harness.run_rounds(&mut [&mut w]);
-    assert_eq!(w.unfinished_tasks().len(), 1);
+    harness.heartbeat(&mut worker);
+    let delayed = worker.heartbeat();
+    harness.run_rounds(&mut [&mut worker]);
+    assert_eq!(worker.unfinished_tasks().len(), 1);
     assert_eq!(
-        harness.cluster.handle_heartbeat(&early, harness.now),
+        harness.cluster.handle_heartbeat(&delayed, harness.now),
         None,
-        "held back by the network"
+        "a heartbeat with an older sequence number is refused"
     );
-    harness.run_rounds(&mut [&mut w]);
-    assert_eq!(w.started_attempts.len(), 1);
+    harness.run_rounds(&mut [&mut worker]);
+    assert_eq!(worker.started_attempts.len(), 1);
 }
 
 #[test]
 fn command_in_lost_response_is_resent_and_runs_once() {
     let mut harness = LeaderHarness::start();
-    let mut w = small_worker("m-1", "a");
+    let mut worker = small_worker("m-1", "a");
     harness.submit(job("req-000001", "array", 1));
-    harness.heartbeat(&mut w);
+    harness.heartbeat(&mut worker);
     harness.advance(500);
-    let report = w.heartbeat();
-    let lost = harness.cluster.handle_heartbeat(&report, harness.now).expect("an answer");
+    let heartbeat = worker.heartbeat();
+    let lost = harness.cluster.handle_heartbeat(&heartbeat, harness.now).expect("a response");
     assert!(matches!(lost.commands[..], [Command::Run { .. }]));
     harness.now += ms(4_000);
-    harness.heartbeat(&mut w);
-    assert_eq!(w.started_attempts.len(), 1);
+    harness.heartbeat(&mut worker);
+    assert_eq!(worker.started_attempts.len(), 1);
     let before = harness.now;
-    harness.run_rounds(&mut [&mut w]);
-    assert_eq!(w.started_attempts.len(), 1, "since {before:?} it is known to be there");
+    harness.run_rounds(&mut [&mut worker]);
+    assert_eq!(worker.started_attempts.len(), 1, "not restarted after {before:?}");
 }
 
 #[test]
 fn duplicated_heartbeat_after_restart_deletion_or_failover_changes_no_state() {
     let mut harness = LeaderHarness::start();
-    let (mut w, mut other) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
+    let (mut worker, mut other) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.submit(job("req-000001", "array", 1));
-    harness.run_rounds(&mut [&mut w]);
-    let copy = w.heartbeat();
-    harness.cluster.handle_heartbeat(&copy, harness.now);
+    harness.run_rounds(&mut [&mut worker]);
+    let duplicate = worker.heartbeat();
+    harness.cluster.handle_heartbeat(&duplicate, harness.now);
     // After the worker began its next incarnation.
-    w.expire_lease();
+    worker.expire_lease();
     harness.now += worker_lease_expiry(&test_config().platform) + ms(1_000);
     harness.run_rounds(&mut [&mut other]);
-    harness.heartbeat(&mut w);
+    harness.heartbeat(&mut worker);
     let before = harness.cluster.status(&JobId::parse("req-000001").expect("an id"));
-    assert_eq!(harness.cluster.handle_heartbeat(&copy, harness.now), None, "an older session");
+    assert_eq!(
+        harness.cluster.handle_heartbeat(&duplicate, harness.now),
+        None,
+        "an older incarnation is refused"
+    );
     assert_eq!(harness.cluster.status(&JobId::parse("req-000001").expect("an id")), before);
     assert_eq!(other.unfinished_tasks(), ["req-000001/0"]);
     // After the machine was deleted.
-    let copy = w.heartbeat();
-    harness.cluster.handle_heartbeat(&copy, harness.now);
+    let duplicate = worker.heartbeat();
+    harness.cluster.handle_heartbeat(&duplicate, harness.now);
     harness.cluster.scale_in_finished(&["m-1".into()], harness.now);
     let machines = harness.cluster.machine_count();
     assert_eq!(
-        harness.cluster.handle_heartbeat(&copy, harness.now + ms(60_000)),
+        harness.cluster.handle_heartbeat(&duplicate, harness.now + ms(60_000)),
         None,
-        "it is gone"
+        "a deleted machine is refused"
     );
     assert_eq!(harness.cluster.machine_count(), machines);
     // After a failover: it carries the old fencing token and reconciles no machine.
-    let copy = other.heartbeat();
-    harness.cluster.handle_heartbeat(&copy, harness.now);
+    let duplicate = other.heartbeat();
+    harness.cluster.handle_heartbeat(&duplicate, harness.now);
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now);
     let mut third = small_worker("m-3", "a");
-    next.cluster.handle_heartbeat(&copy, next.now);
+    next.cluster.handle_heartbeat(&duplicate, next.now);
     next.run_rounds(&mut [&mut third]);
     assert!(!next.cluster.reconciled(next.now));
-    assert_eq!(third.started_attempts, [], "the task is still on m-2");
+    assert_eq!(third.started_attempts, [], "the task may still run on m-2");
 }
 
-/// A controller that was partitioned from its workers alone kept the leadership lease for 24 s of an ops day:
-/// three heartbeat intervals, although 150 heartbeats a second had been arriving.
+/// A controller that was partitioned from its workers alone kept the leadership lease for 24 s on an
+/// operations day: three heartbeat intervals, although 150 heartbeats a second had been arriving.
 #[test]
 fn more_reporting_workers_shorten_isolation_detection() {
     let mut harness = LeaderHarness::start();
     let mut workers: Vec<ScriptedWorker> =
         (0..60).map(|n| small_worker(&format!("m-{n:02}"), "a")).collect();
-    for w in &mut workers {
-        harness.heartbeat(w);
+    for worker in &mut workers {
+        harness.heartbeat(worker);
     }
     harness.now += ms(1_000);
-    for w in &mut workers {
-        harness.heartbeat(w);
+    for worker in &mut workers {
+        harness.heartbeat(worker);
     }
     assert!(!harness.cluster.all_workers_silent(harness.now + ms(2_500)));
     assert!(harness.cluster.all_workers_silent(harness.now + ms(3_500)));
--- a/crates/controller/tests/cluster_state/leases.rs
+++ b/crates/controller/tests/cluster_state/leases.rs
@@ -8,11 +8,11 @@
 #[test]
 fn heartbeat_of_expired_incarnation_is_ignored() {
     let mut harness = LeaderHarness::start();
-    let (mut w, mut other) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
+    let (mut worker, mut other) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.submit(job("req-000001", "array", 1));
-    harness.run_rounds(&mut [&mut w]);
-    assert_eq!(w.unfinished_tasks().len(), 1);
-    let held_back = w.heartbeat();
+    harness.run_rounds(&mut [&mut worker]);
+    assert_eq!(worker.unfinished_tasks().len(), 1);
+    let delayed = worker.heartbeat();
     for _ in 0..30 {
         harness.heartbeat(&mut other);
         harness.advance(600);
@@ -20,15 +20,15 @@
     assert_eq!(
         other.unfinished_tasks(),
         ["req-000001/0"],
-        "the unreachable machine's lease is over"
+        "the unreachable machine's worker lease has expired"
     );
     // The heartbeat arrives minutes late and still names the task.
-    assert_eq!(harness.cluster.handle_heartbeat(&held_back, harness.now), None);
+    assert_eq!(harness.cluster.handle_heartbeat(&delayed, harness.now), None);
     harness.run_rounds(&mut [&mut other]);
     assert_eq!(other.unfinished_tasks(), ["req-000001/0"]);
-    w.expire_lease();
-    harness.run_rounds(&mut [&mut w, &mut other]);
-    assert_eq!(w.unfinished_tasks().len(), 0);
+    worker.expire_lease();
+    harness.run_rounds(&mut [&mut worker, &mut other]);
+    assert_eq!(worker.unfinished_tasks().len(), 0);
 }
 
 #[test]
@@ -41,7 +41,7 @@
     assert_eq!(
         (one_way.unfinished_tasks().len(), reachable.unfinished_tasks().len()),
         (1, 1),
-        "the gang runs on both"
+        "the gang runs on both machines"
     );
     // From here on no response reaches m-1, although its heartbeats arrive. Its task of the gang ends.
     let partitioned_at = harness.now;
@@ -52,27 +52,27 @@
     let mut third = small_worker("m-3", "a");
     for _ in 0..5 {
         harness.now += ms(500);
-        let report = one_way.heartbeat();
-        harness.cluster.handle_heartbeat(&report, harness.now);
+        let heartbeat = one_way.heartbeat();
+        harness.cluster.handle_heartbeat(&heartbeat, harness.now);
         harness.commit_pending();
         harness.run_rounds(&mut [&mut reachable, &mut third]);
     }
     assert_eq!(
         (reachable.unfinished_tasks().len(), third.unfinished_tasks().len()),
         (1, 1),
-        "the gang runs elsewhere"
+        "the gang runs on the reachable machines"
     );
     // Its lease is counted from the last response that it may have received, not from its heartbeats.
     let mut deleted = Vec::new();
     while harness.now < partitioned_at + worker_lease_expiry(&test_config().platform) + ms(6_000) {
         harness.now += ms(1_000);
-        let report = one_way.heartbeat();
-        harness.cluster.handle_heartbeat(&report, harness.now);
+        let heartbeat = one_way.heartbeat();
+        harness.cluster.handle_heartbeat(&heartbeat, harness.now);
         harness.commit_pending();
         harness.run_rounds(&mut [&mut reachable, &mut third]);
         deleted.extend(harness.requested_deletions());
     }
-    assert!(deleted.contains(&"m-1".to_owned()), "deleted");
+    assert!(deleted.contains(&"m-1".to_owned()), "the one-way partitioned machine is deleted");
     assert!(!deleted.contains(&"m-2".to_owned()));
 }
 
@@ -83,14 +83,14 @@
     harness.submit(job("req-000001", "array", 1));
     harness.run_rounds(&mut [&mut one_way]);
     assert_eq!(one_way.unfinished_tasks().len(), 1);
-    let heard_at = harness.now;
+    let last_response_at = harness.now;
     let id = JobId::parse("req-000001").expect("an id");
-    // Its user cancels the job; nothing reaches m-1.
+    // The job is cancelled; nothing reaches m-1.
     assert_eq!(harness.cluster.cancel(&id), CancelOutcome::Pending);
     harness.commit_pending();
-    while harness.now < heard_at + ms(20_000) {
-        let report = one_way.heartbeat();
-        harness.cluster.handle_heartbeat(&report, harness.now);
+    while harness.now < last_response_at + ms(20_000) {
+        let heartbeat = one_way.heartbeat();
+        harness.cluster.handle_heartbeat(&heartbeat, harness.now);
         harness.advance(1_000);
         harness.run_rounds(&mut [&mut reachable]);
     }
@@ -104,18 +104,32 @@
     let params = test_config().platform.workers;
     let full = ms(((params.cancel_s - params.lease_s) * 1000.0) as u64);
     let lease = harness.cluster.shard_lease(harness.now);
-    assert!(lease > ms(0) && lease < full, "a worker's lease after it must end in time as well");
-    let asked = harness.now;
-    harness.cluster.set_time(timestamp(asked));
+    assert!(lease > ms(0) && lease < full, "it leaves time for a worker lease within cancel_s");
+    let cancel_requested_at = harness.now;
+    harness.cluster.set_time(timestamp(cancel_requested_at));
     harness.cluster.cancel(&JobId::parse("req-000001").expect("an id"));
-    assert_eq!(harness.cluster.shard_lease(asked), lease, "before its user is told");
+    assert_eq!(
+        harness.cluster.shard_lease(cancel_requested_at),
+        lease,
+        "unchanged at the time of the request"
+    );
     harness.commit_pending();
-    for later in [ms(0), ms(1), ms(5_000), lease - ms(1), lease, lease + ms(1), 10 * lease] {
-        let ends = asked + later + harness.cluster.shard_lease(asked + later);
-        assert_eq!(ends, asked + lease.max(later), "{later:?} later");
+    for elapsed in [ms(0), ms(1), ms(5_000), lease - ms(1), lease, lease + ms(1), 10 * lease] {
+        let expires_at = cancel_requested_at
+            + elapsed
+            + harness.cluster.shard_lease(cancel_requested_at + elapsed);
+        assert_eq!(
+            expires_at,
+            cancel_requested_at + lease.max(elapsed),
+            "{elapsed:?} after the request"
+        );
     }
     harness.run_rounds_all(&mut workers);
-    assert_eq!(harness.cluster.shard_lease(harness.now), lease, "the tasks are gone");
+    assert_eq!(
+        harness.cluster.shard_lease(harness.now),
+        lease,
+        "full length once the tasks are gone"
+    );
     // The next leader does not know all cancelled jobs until every machine is reconciled.
     let next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(1_000));
     assert_eq!(next.cluster.shard_lease(next.now), ms(0));
@@ -123,19 +137,19 @@
 
 /// Found by the simulation, 2026-12-02: the response to a state probe renews no lease, but the worker's
 /// incarnation, and its lease with it, may have begun a moment before, long after an earlier leader's last
-/// response. A task started there was taken for gone while it ran.
+/// response. The placement of a task started there was dropped while the task ran.
 #[test]
 fn lease_of_unknown_incarnation_counts_from_state_probe() {
     let mut harness = LeaderHarness::start();
-    let mut w = small_worker("m-1", "a");
+    let mut worker = small_worker("m-1", "a");
     harness.submit(job("req-000001", "array", 2));
-    harness.run_rounds(&mut [&mut w]);
+    harness.run_rounds(&mut [&mut worker]);
     let mut next = LeaderHarness::lead(harness.store.clone(), 5_000, at(20_000));
-    w.expire_lease();
+    worker.expire_lease();
     next.now = at(30_000);
     let probe = DirectCommands { fencing_token: 5_000, incarnation: 2, commands: vec![] };
-    let report = w.handle_direct_commands(&probe);
-    next.cluster.state_probed("m-1", report, next.now);
+    let heartbeat = worker.handle_direct_commands(&probe);
+    next.cluster.state_probed("m-1", heartbeat, next.now);
     next.now += ms(500);
     next.advance(0);
     assert_eq!(next.cluster.take_direct_starts(next.now).len(), 1);
@@ -143,7 +157,11 @@
     // not.
     next.now = at(30_000) + (worker_lease_expiry(&test_config().platform) - ms(200));
     next.advance(0);
-    assert_eq!(next.cluster.summary(next.now).tasks, 1, "it may run until then");
+    assert_eq!(
+        next.cluster.summary(next.now).tasks,
+        1,
+        "the task may run until the incarnation's lease expires"
+    );
     next.now += ms(1_000);
     next.advance(0);
     assert_eq!(next.cluster.summary(next.now).tasks, 0);
@@ -155,33 +173,33 @@
 #[test]
 fn lost_response_does_not_revoke_later_lease_extension() {
     let mut harness = LeaderHarness::start();
-    let (mut w, mut reachable) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
+    let (mut worker, mut reachable) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.submit(job("req-000001", "array", 1));
-    harness.run_rounds(&mut [&mut w]);
-    let task = w.unfinished_tasks()[0].clone();
+    harness.run_rounds(&mut [&mut worker]);
+    let task = worker.unfinished_tasks()[0].clone();
     harness.run_rounds(&mut [&mut reachable]);
     harness.submit(job("req-000002", "array", 1));
     harness.run_rounds(&mut [&mut reachable]);
-    let heard = harness.now;
+    let last_heartbeat_at = harness.now;
     // A lost response whose receipt a later heartbeat would have shown.
     harness.submit(job("req-000003", "array", 1));
-    w.end_task(&task, ExitCause::Error);
+    worker.end_task(&task, ExitCause::Error);
     harness.now += ms(2_000);
-    let report = w.heartbeat();
-    let answer = harness.cluster.handle_heartbeat(&report, harness.now).expect("an answer");
-    assert!(!answer.commands.is_empty(), "it may forget the task that failed");
+    let heartbeat = worker.heartbeat();
+    let response = harness.cluster.handle_heartbeat(&heartbeat, harness.now).expect("a response");
+    assert!(!response.commands.is_empty(), "the response reaps the failed task");
     harness.now += ms(8_000);
-    let kept = harness.now;
-    harness.cluster.worker_lease_extended("m-1", kept);
+    let extended_at = harness.now;
+    harness.cluster.worker_lease_extended("m-1", extended_at);
     harness.now += ms(4_000);
-    let report = w.heartbeat();
-    harness.cluster.handle_heartbeat(&report, harness.now);
+    let heartbeat = worker.heartbeat();
+    harness.cluster.handle_heartbeat(&heartbeat, harness.now);
     let lease = worker_lease_expiry(&test_config().platform);
-    assert!(heard + ms(2_000) + lease < kept + (lease - ms(500)));
-    let mut late = w.heartbeat();
+    assert!(last_heartbeat_at + ms(2_000) + lease < extended_at + (lease - ms(500)));
+    let mut late = worker.heartbeat();
     late.sequence += 1;
     assert!(
-        harness.cluster.handle_heartbeat(&late, kept + (lease - ms(500))).is_some(),
-        "the session may be alive until then"
+        harness.cluster.handle_heartbeat(&late, extended_at + (lease - ms(500))).is_some(),
+        "the incarnation may live until the extended lease expires"
     );
 }
--- a/crates/controller/tests/cluster_state/machine_registry.rs
+++ b/crates/controller/tests/cluster_state/machine_registry.rs
@@ -9,22 +9,22 @@
 #[test]
 fn no_task_starts_before_machine_is_registered() {
     let mut harness = LeaderHarness::start();
-    let mut w = small_worker("m-1", "a");
+    let mut worker = small_worker("m-1", "a");
     harness.submit(job("req-000001", "array", 1));
-    let report = w.heartbeat();
-    let answer = harness.cluster.handle_heartbeat(&report, harness.now).expect("an answer");
-    assert_eq!(answer.commands, [], "a crash now must not hide a started task");
-    w.handle_response(&answer);
+    let heartbeat = worker.heartbeat();
+    let response = harness.cluster.handle_heartbeat(&heartbeat, harness.now).expect("a response");
+    assert_eq!(response.commands, [], "no start before the registration is durable");
+    worker.handle_response(&response);
     harness.commit_pending();
     assert!(harness.is_registered("m-1"));
     harness.now += ms(500);
     assert_eq!(
-        harness.heartbeat(&mut w),
+        harness.heartbeat(&mut worker),
         [],
-        "nor before the store says that tasks of the job may run"
+        "no start before the job's start watermark is durable"
     );
     harness.now += ms(500);
-    assert_eq!(harness.heartbeat(&mut w).len(), 1);
+    assert_eq!(harness.heartbeat(&mut worker).len(), 1);
 }
 
 #[test]
@@ -33,17 +33,17 @@
     let (mut reachable, mut gone) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     harness.submit(job("req-000001", "array", 2));
     harness.run_rounds(&mut [&mut reachable, &mut gone]);
-    let lost = gone.unfinished_tasks()[0].clone();
+    let lost_task = gone.unfinished_tasks()[0].clone();
     // The cloud deletes m-2 while the leader crashes. It had been up for long, so the first list without it
     // proves its deletion.
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(100_000));
     reachable.end_task(&reachable.unfinished_tasks()[0].clone(), ExitCause::Done);
     next.run_rounds(&mut [&mut reachable]);
     assert!(!next.cluster.reconciled(next.now));
-    let entry = listed_machine("m-1", MachineState::Running, 100.0);
-    next.cluster.machines_listed(&[entry], next.now, next.now);
+    let listed = listed_machine("m-1", MachineState::Running, 100.0);
+    next.cluster.machines_listed(&[listed], next.now, next.now);
     next.run_rounds(&mut [&mut reachable]);
-    assert_eq!(reachable.unfinished_tasks(), [lost]);
+    assert_eq!(reachable.unfinished_tasks(), [lost_task]);
 }
 
 #[test]
@@ -64,7 +64,7 @@
     }
     assert!(
         !next.cluster.reconciled(next.now),
-        "its age counts from its own entry in the machine registry"
+        "a young machine that the list lacks is not treated as deleted"
     );
 }
 
@@ -90,12 +90,12 @@
     store.put("r/m-1", serde_json::json!({ "term": 1, "at_ms": 999_000 }));
     store.put("i/m-1", serde_json::json!({ "images": [["img", 1.0]] }));
     let mut harness = LeaderHarness::lead(store, 2, at(0));
-    assert!(!harness.cluster.reconciled(at(0)), "m-1 may have tasks");
-    let mut many = workers(1..=60, "a");
-    let mut refs: Vec<&mut ScriptedWorker> = many.iter_mut().collect();
+    assert!(!harness.cluster.reconciled(at(0)), "m-1 of the legacy record may have tasks");
+    let mut all_workers = workers(1..=60, "a");
+    let mut refs: Vec<&mut ScriptedWorker> = all_workers.iter_mut().collect();
     harness.run_rounds(&mut refs);
     assert!((1..=60).all(|n| harness.is_registered(&format!("m-{n}"))));
-    assert!(harness.store.list("r/").len() <= 2, "one change in the store for dozens of machines");
+    assert!(harness.store.list("r/").len() <= 2, "one record holds dozens of machines");
     assert!(harness.store.get("i/m-1").is_none() && harness.store.get("r/m-1").is_none());
     // The next leader knows every machine, and the cached image of the first.
     let next = LeaderHarness::lead(harness.store.clone(), 3, at(50_000));
@@ -109,17 +109,17 @@
     let mut store = MemoryStore::default();
     store.put("r/record-0", serde_json::json!({ "hosts": "from a later version" }));
     let mut harness = LeaderHarness::lead(store, 1, at(0));
-    let mut w = small_worker("m-1", "a");
-    harness.heartbeat(&mut w);
-    harness.heartbeat(&mut w);
+    let mut worker = small_worker("m-1", "a");
+    harness.heartbeat(&mut worker);
+    harness.heartbeat(&mut worker);
     assert!(harness.is_registered("m-1"));
     assert!(
         harness.store.get("r/record-0").is_some_and(|kv| kv.value["hosts"].is_string()),
-        "a second leader within the lease must know that it does not know all machines"
+        "it stays while a worker lease may run: the next leader must see that machines are unknown"
     );
     // It is deleted once the leases of its machines have certainly expired.
     harness.now = at(0) + worker_lease_expiry(&test_config().platform) + ms(1);
-    harness.heartbeat(&mut w);
+    harness.heartbeat(&mut worker);
     harness.advance(1_000);
     harness.advance(1_000);
     assert!(harness.store.get("r/record-0").is_none_or(|kv| kv.value["hosts"].is_object()));
--- a/crates/controller/tests/cluster_state/main.rs
+++ b/crates/controller/tests/cluster_state/main.rs
@@ -1,5 +1,5 @@
 //! `ClusterState` against a state service in memory and scripted workers, with a clock that the test moves. One
-//! module for each subject; each test names the failure that it guards against.
+//! module for each subject; each test is named by its condition and expected result.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 mod autoscaling;
--- a/crates/controller/tests/cluster_state/start_watermarks.rs
+++ b/crates/controller/tests/cluster_state/start_watermarks.rs
@@ -15,7 +15,7 @@
     harness.run_rounds(&mut [&mut reachable, &mut partitioned]);
     let queued = harness.submit(job("req-000002", "group", 1));
     // The leader is partitioned together with m-2; the task on m-1 completes.
-    let held: u32 = partitioned.unfinished_tasks()[0]
+    let partitioned_task: u32 = partitioned.unfinished_tasks()[0]
         .rsplit('/')
         .next()
         .expect("a number")
@@ -25,14 +25,20 @@
     reachable.end_task(&reachable.unfinished_tasks()[0].clone(), ExitCause::Done);
     let mut idle = small_worker("m-3", "a");
     next.run_rounds(&mut [&mut reachable, &mut idle]);
-    assert!(!next.cluster.reconciled(next.now), "m-2 may still run {held}");
-    let fresh: Vec<String> =
+    assert!(!next.cluster.reconciled(next.now), "m-2 may still run task {partitioned_task}");
+    let started_tasks: Vec<String> =
         reachable.unfinished_tasks().into_iter().chain(idle.unfinished_tasks()).collect();
-    assert_eq!(fresh.len(), 2, "both machines have work: {fresh:?}");
-    assert!(fresh.contains(&format!("{queued}/0")), "a gang of which nothing was started");
-    let of_array = fresh.iter().find(|t| t.starts_with("req-000001/")).expect("an array's task");
-    let index: u32 = of_array.rsplit('/').next().expect("a number").parse().expect("a number");
-    assert!(index >= 32, "{index}: below the mark the old leader may have started it on m-2");
+    assert_eq!(started_tasks.len(), 2, "each reachable machine gets a task: {started_tasks:?}");
+    assert!(
+        started_tasks.contains(&format!("{queued}/0")),
+        "a gang that was never started does not wait"
+    );
+    let array_task = started_tasks
+        .iter()
+        .find(|task| task.starts_with("req-000001/"))
+        .expect("a task of the array");
+    let index: u32 = array_task.rsplit('/').next().expect("a number").parse().expect("a number");
+    assert!(index >= 32, "{index} is below the start watermark: it may run on m-2");
 }
 
 #[test]
@@ -42,28 +48,35 @@
     harness.submit(job("req-000001", "array", 300));
     harness.run_rounds(&mut [&mut partitioned]);
     // A leader of version 0.1.0 may have started any of the tasks without a watermark.
-    let loaded = |store: &MemoryStore, marked| LoadedState {
+    let loaded = |store: &MemoryStore, has_start_watermarks| LoadedState {
         jobs: store.list("j/"),
         scheduling: store.list("m/"),
         registry: store.list("r/"),
-        has_start_watermarks: marked,
+        has_start_watermarks,
         ..LoadedState::default()
     };
     let mut store = harness.store.clone();
-    let lead = |store: &mut MemoryStore, term: u64, marked: bool, now: MonotonicTime| {
-        let stamp = store.put(LEADER_KEY, serde_json::json!({ "term": term }));
-        let guard = Precondition { key: LEADER_KEY.into(), mod_revision: stamp };
-        let loaded = loaded(store, marked);
-        let elected = timestamp(now);
-        let cluster =
-            ClusterState::new(test_config(), term, guard, machine_types(), loaded, elected);
-        LeaderHarness { cluster, store: store.clone(), now }
-    };
+    let lead =
+        |store: &mut MemoryStore, term: u64, has_start_watermarks: bool, now: MonotonicTime| {
+            let mod_revision = store.put(LEADER_KEY, serde_json::json!({ "term": term }));
+            let precondition = Precondition { key: LEADER_KEY.into(), mod_revision };
+            let loaded = loaded(store, has_start_watermarks);
+            let elected_at = timestamp(now);
+            let cluster = ClusterState::new(
+                test_config(),
+                term,
+                precondition,
+                machine_types(),
+                loaded,
+                elected_at,
+            );
+            LeaderHarness { cluster, store: store.clone(), now }
+        };
     let mut next = lead(&mut store, 2, false, at(30_000));
     let mut idle = small_worker("m-3", "a");
     next.run_rounds(&mut [&mut idle]);
-    assert_eq!(idle.started_attempts, [], "any task may be on m-2");
-    // The leader after that one reads this from the state service.
+    assert_eq!(idle.started_attempts, [], "without watermarks any task may run on m-2");
+    // The leader after that one recovers this from the state service.
     let mut store = next.store.clone();
     let mut third = lead(&mut store, 3, true, at(33_000));
     let mut idle = small_worker("m-4", "a");
@@ -72,22 +85,22 @@
 }
 
 /// Thousands of one-task jobs arrive within a minute or two: a record for each used up the write budget that
-/// all final states wait for. They share records, from which the next leader knows which tasks may have been
+/// all final states wait for. They share records, which tell the next leader which tasks may have been
 /// started.
 #[test]
 fn small_jobs_share_watermark_record_that_next_leader_reads() {
     let mut harness = LeaderHarness::start();
-    let mut w = small_worker("m-1", "a");
-    harness.heartbeat(&mut w);
+    let mut worker = small_worker("m-1", "a");
+    harness.heartbeat(&mut worker);
     for n in 0..100 {
         harness.submit(job(&format!("req-{n:06}"), "array", 1));
     }
-    harness.run_rounds(&mut [&mut w]);
-    let begun: Vec<String> = w.unfinished_tasks();
-    assert_eq!(begun.len(), 1, "a task fills the machine");
-    let marks = harness.store.list("m/");
-    assert_eq!(marks.len(), 1, "{marks:?}");
-    assert!(marks[0].value["jobs"].as_array().is_some_and(|jobs| jobs.len() < 100));
+    harness.run_rounds(&mut [&mut worker]);
+    let started_tasks: Vec<String> = worker.unfinished_tasks();
+    assert_eq!(started_tasks.len(), 1, "one task fills the machine");
+    let watermark_records = harness.store.list("m/");
+    assert_eq!(watermark_records.len(), 1, "{watermark_records:?}");
+    assert!(watermark_records[0].value["jobs"].as_array().is_some_and(|jobs| jobs.len() < 100));
     // The machine is unreachable for the next leader: its task waits, the others need not.
     let mut next = LeaderHarness::lead(harness.store.clone(), 5_000, at(20_000));
     let mut other = small_worker("m-2", "a");
@@ -95,31 +108,31 @@
         next.heartbeat(&mut other);
         next.advance(500);
     }
-    assert_eq!(other.unfinished_tasks().len(), 1, "something that no leader has started");
-    assert_ne!(other.unfinished_tasks(), begun);
+    assert_eq!(other.unfinished_tasks().len(), 1, "a task that no leader has started");
+    assert_ne!(other.unfinished_tasks(), started_tasks);
     // The record is deleted when all of its jobs have finished.
     let mut harness = LeaderHarness::lead(harness.store.clone(), 9_000, at(40_000));
     for _ in 0..300 {
-        harness.heartbeat(&mut w);
-        for task in w.unfinished_tasks() {
-            w.end_task(&task, ExitCause::Done);
+        harness.heartbeat(&mut worker);
+        for task in worker.unfinished_tasks() {
+            worker.end_task(&task, ExitCause::Done);
         }
-        harness.heartbeat(&mut w);
+        harness.heartbeat(&mut worker);
         harness.advance(300);
     }
     assert_eq!(harness.store.list("j/").len(), 0);
-    let left = harness.store.list("m/");
-    assert!(left.len() <= 1, "but for the one that is being filled: {left:?}");
+    let remaining = harness.store.list("m/");
+    assert!(remaining.len() <= 1, "only the record that is being filled stays: {remaining:?}");
 }
 
 /// An unreadable watermark record may name any small job.
 #[test]
 fn unreadable_watermark_record_counts_small_jobs_as_started() {
     let mut harness = LeaderHarness::start();
-    let mut w = small_worker("m-1", "a");
-    harness.heartbeat(&mut w);
+    let mut worker = small_worker("m-1", "a");
+    harness.heartbeat(&mut worker);
     harness.submit(job("req-000001", "array", 1));
-    harness.run_rounds(&mut [&mut w]);
+    harness.run_rounds(&mut [&mut worker]);
     let mut store = harness.store.clone();
     store.put("m/shared-0", serde_json::json!({ "jobs": 7 }));
     let mut next = LeaderHarness::lead(store, 5_000, at(20_000));
@@ -128,5 +141,5 @@
         next.heartbeat(&mut other);
         next.advance(500);
     }
-    assert_eq!(other.unfinished_tasks().len(), 0, "it runs on a machine that is not heard");
+    assert_eq!(other.unfinished_tasks().len(), 0, "the task may run on the silent machine");
 }
--- a/crates/controller/tests/cluster_state/support.rs
+++ b/crates/controller/tests/cluster_state/support.rs
@@ -1,29 +1,30 @@
-//! Set-ups that several subjects share.
+//! Set-ups that several modules share.
 
 use crate::harness::{LeaderHarness, job, ms, small_worker};
 use hookway_testkit::ScriptedWorker;
 
-/// A leader and this many workers of one zone, with a running task on each.
+/// A leader and `count` workers of one zone, with one running task on each.
 pub fn busy_zone(count: usize) -> (LeaderHarness, Vec<ScriptedWorker>) {
     let mut harness = LeaderHarness::start();
     let names: Vec<String> = (1..=count).map(|n| format!("m-{n}")).collect();
-    let mut workers: Vec<ScriptedWorker> = names.iter().map(|n| small_worker(n, "a")).collect();
+    let mut workers: Vec<ScriptedWorker> =
+        names.iter().map(|name| small_worker(name, "a")).collect();
     harness.submit(job("req-000001", "array", count as u32));
     harness.run_rounds_all(&mut workers);
-    assert!(workers.iter().all(|w| w.unfinished_tasks().len() == 1));
+    assert!(workers.iter().all(|worker| worker.unfinished_tasks().len() == 1));
     (harness, workers)
 }
 
 /// Machines that the leader deletes within `millis` while only these workers send heartbeats.
 pub fn deleted_machines(
     harness: &mut LeaderHarness,
-    reporting: &mut [ScriptedWorker],
+    reachable: &mut [ScriptedWorker],
     millis: u64,
 ) -> Vec<String> {
-    let until = harness.now + ms(millis);
+    let end = harness.now + ms(millis);
     let mut names = Vec::new();
-    while harness.now < until {
-        for worker in reporting.iter_mut() {
+    while harness.now < end {
+        for worker in reachable.iter_mut() {
             harness.heartbeat(worker);
         }
         harness.advance(1_000);
--- a/crates/controller/tests/cluster_state/unreachable_machines.rs
+++ b/crates/controller/tests/cluster_state/unreachable_machines.rs
@@ -10,9 +10,9 @@
 fn single_unreachable_machine_is_deleted_and_task_moves_before_lease_expiry() {
     let (mut harness, mut workers) = busy_zone(5);
     let unreachable = workers.remove(0);
-    let lost = unreachable.unfinished_tasks()[0].clone();
+    let lost_task = unreachable.unfinished_tasks()[0].clone();
     let names = deleted_machines(&mut harness, &mut workers, 12_000);
-    assert_eq!(names, ["m-1"], "its lease of 14 s still runs");
+    assert_eq!(names, ["m-1"], "the machine is deleted before its worker lease expires");
     let mut idle = small_worker("m-9", "a");
     harness.run_rounds(&mut [&mut idle]);
     assert_eq!(
@@ -22,7 +22,7 @@
     );
     harness.cluster.scale_in_finished(&names, harness.now);
     harness.run_rounds(&mut [&mut idle]);
-    assert_eq!(idle.unfinished_tasks(), [lost]);
+    assert_eq!(idle.unfinished_tasks(), [lost_task]);
 }
 
 #[test]
@@ -57,52 +57,57 @@
 }
 
 /// A failover during which only the workers of zone a send heartbeats; the machines that the new leader
-/// deletes within `ms`.
-fn deleted_after_failover(reachable: usize, partitioned: usize, ms: u64) -> Vec<String> {
+/// deletes within `millis`.
+fn deleted_after_failover(reachable: usize, partitioned: usize, millis: u64) -> Vec<String> {
     let mut harness = LeaderHarness::start();
     let zone = |count: usize, from: usize, zone: &str| -> Vec<ScriptedWorker> {
         (from..from + count).map(|n| small_worker(&format!("m-{n}"), zone)).collect()
     };
-    let (mut a, mut b) = (zone(reachable, 1, "a"), zone(partitioned, 50, "b"));
+    let (mut zone_a, mut zone_b) = (zone(reachable, 1, "a"), zone(partitioned, 50, "b"));
     harness.submit(job("req-000001", "array", (reachable + partitioned + 1) as u32));
-    harness.run_rounds(&mut a.iter_mut().chain(b.iter_mut()).collect::<Vec<_>>());
+    harness.run_rounds(&mut zone_a.iter_mut().chain(zone_b.iter_mut()).collect::<Vec<_>>());
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(30_000));
-    let entries: Vec<ListedMachine> = a
+    let listed: Vec<ListedMachine> = zone_a
         .iter_mut()
-        .chain(b.iter_mut())
-        .map(|w| w.heartbeat())
-        .map(|r| ListedMachine {
-            zone: r.zone,
-            ..listed_machine(&r.machine, MachineState::Running, 60.0)
+        .chain(zone_b.iter_mut())
+        .map(|worker| worker.heartbeat())
+        .map(|heartbeat| ListedMachine {
+            zone: heartbeat.zone,
+            ..listed_machine(&heartbeat.machine, MachineState::Running, 60.0)
         })
         .collect();
-    next.cluster.machines_listed(&entries, next.now, next.now);
-    // One machine of the partitioned zone is heard: its heartbeat was sent before the partition.
+    next.cluster.machines_listed(&listed, next.now, next.now);
+    // One heartbeat of the partitioned zone still arrives: it was sent before the partition.
     if partitioned > 4 {
-        next.heartbeat(&mut b[0]);
+        next.heartbeat(&mut zone_b[0]);
     }
-    deleted_machines(&mut next, &mut a, ms)
+    deleted_machines(&mut next, &mut zone_a, millis)
 }
 
 #[test]
 fn partitioned_zone_keeps_its_machines_after_failover() {
     let none = [] as [&str; 0];
-    assert_eq!(deleted_after_failover(12, 6, 60_000), none, "they come back, or the list tells");
-    assert_eq!(deleted_after_failover(12, 1, 12_000), none, "all of a zone, however small");
+    assert_eq!(
+        deleted_after_failover(12, 6, 60_000),
+        none,
+        "a partitioned zone keeps its machines"
+    );
+    assert_eq!(deleted_after_failover(12, 1, 12_000), none, "a zone with one machine keeps it");
 }
 
 #[test]
 fn partitioned_zone_keeps_its_machines_and_gets_no_scale_out() {
     let mut harness = LeaderHarness::start();
-    let mut a: Vec<ScriptedWorker> = (1..7).map(|n| small_worker(&format!("m-{n}"), "a")).collect();
-    let mut b: Vec<ScriptedWorker> =
+    let mut zone_a: Vec<ScriptedWorker> =
+        (1..7).map(|n| small_worker(&format!("m-{n}"), "a")).collect();
+    let mut zone_b: Vec<ScriptedWorker> =
         (7..10).map(|n| small_worker(&format!("m-{n}"), "b")).collect();
-    harness.run_rounds(&mut a.iter_mut().chain(b.iter_mut()).collect::<Vec<_>>());
+    harness.run_rounds(&mut zone_a.iter_mut().chain(zone_b.iter_mut()).collect::<Vec<_>>());
     harness.submit(job("req-000001", "array", 40));
     // Demand for many more machines arrives while zone b is unreachable, for longer than its leases.
-    let mut rented = Vec::new();
+    let mut scale_out_zones = Vec::new();
     for second in 0..60 {
-        for worker in &mut a {
+        for worker in &mut zone_a {
             harness.heartbeat(worker);
         }
         harness.advance(1_000);
@@ -111,16 +116,19 @@
                 ScalingAction::ScaleOut(request) => {
                     harness.cluster.scale_out_finished(&request, None, harness.now);
                     if second > 4 {
-                        rented.push(request.zone.clone());
+                        scale_out_zones.push(request.zone.clone());
                     }
                 }
                 ScalingAction::ScaleIn(names) => panic!("{names:?} deleted"),
             }
         }
     }
-    assert!(!rented.is_empty());
-    assert!(rented.iter().all(|zone| zone == "a"), "{rented:?}");
-    b.iter_mut().for_each(ScriptedWorker::expire_lease);
-    harness.run_rounds_all(&mut b);
-    assert!(b.iter().all(|w| w.unfinished_tasks().len() == 1), "back, they get work at once");
+    assert!(!scale_out_zones.is_empty());
+    assert!(scale_out_zones.iter().all(|zone| zone == "a"), "{scale_out_zones:?}");
+    zone_b.iter_mut().for_each(ScriptedWorker::expire_lease);
+    harness.run_rounds_all(&mut zone_b);
+    assert!(
+        zone_b.iter().all(|worker| worker.unfinished_tasks().len() == 1),
+        "reachable again, each gets a task"
+    );
 }
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -20,7 +20,7 @@
         "Together":false,"Spread":false,"Loaners":true,"GuessS":10,"SnapshotEveryS":0,
         "SnapshotS":0}}"#
     );
-    JobSpec::parse(text.as_bytes()).expect("a sound job")
+    JobSpec::parse(text.as_bytes()).expect("a valid job")
 }
 
 /// A span of this many milliseconds.
@@ -53,7 +53,7 @@
         controller_name: "worker-0".into(),
         zone: "a".into(),
         peers: vec![],
-        platform: Settings::parse(&settings).expect("sound settings").platform,
+        platform: Settings::parse(&settings).expect("valid settings").platform,
         operator: OperatorSettings::default(),
     }
 }
@@ -63,19 +63,19 @@
         Self::lead(MemoryStore::default(), 1, MonotonicTime::ZERO)
     }
 
-    /// A controller wins the leadership for a term and reads every record.
+    /// A controller that wins the election for a term and has read every record.
     pub fn lead(store: MemoryStore, term: u64, now: MonotonicTime) -> Self {
         Self::lead_with(test_config(), store, term, now)
     }
 
-    /// The same, with other settings.
+    /// `lead` with other settings.
     pub fn lead_with(
         config: ControllerConfig,
         mut store: MemoryStore,
         term: u64,
         now: MonotonicTime,
     ) -> Self {
-        let stamp = store.put(LEADER_KEY, serde_json::json!({ "term": term }));
+        let mod_revision = store.put(LEADER_KEY, serde_json::json!({ "term": term }));
         let loaded = LoadedState {
             jobs: store.list("j/"),
             progress: store.list("p/"),
@@ -85,20 +85,21 @@
             classes: store.get("c/lanes"),
             has_start_watermarks: true,
         };
-        let guard = Precondition { key: LEADER_KEY.into(), mod_revision: stamp };
-        let at = timestamp(now);
-        let cluster = ClusterState::new(config, term, guard, machine_types(), loaded, at);
+        let precondition = Precondition { key: LEADER_KEY.into(), mod_revision };
+        let elected_at = timestamp(now);
+        let cluster =
+            ClusterState::new(config, term, precondition, machine_types(), loaded, elected_at);
         Self { cluster, store, now }
     }
 
     pub fn submit(&mut self, spec: JobSpec) -> JobId {
         let id = spec.id.clone();
-        let at = timestamp(self.now);
-        let accepted_at_ms = at.wall.as_unix_millis();
+        let accepted_at = timestamp(self.now);
+        let accepted_at_ms = accepted_at.wall.as_unix_millis();
         let record = JobRecord { spec, accepted_at_ms, has_start_watermark: true };
-        let value = serde_json::to_value(record).expect("a record");
+        let value = serde_json::to_value(record).expect("a job record that serializes");
         self.store.put(&job_key(&id), value.clone());
-        self.cluster.add_job(&job_key(&id), value, at, JobOrigin::ThisTerm);
+        self.cluster.add_job(&job_key(&id), value, accepted_at, JobOrigin::ThisTerm);
         id
     }
 
@@ -120,7 +121,7 @@
         CommitResult::Indeterminate(keys.map(reread).collect())
     }
 
-    /// One autoscaling round; the machines to be deleted, without the requests for new ones.
+    /// Runs one autoscaling round and returns the machines to be deleted; scale-out requests are dropped.
     pub fn requested_deletions(&mut self) -> Vec<String> {
         let mut names = Vec::new();
         for action in self.cluster.autoscaling_round(self.now) {
@@ -131,13 +132,14 @@
         names
     }
 
-    /// One heartbeat of a worker and its response; the commands in it.
+    /// Handles one heartbeat of a worker, delivers the response to it and returns the commands sent.
     pub fn heartbeat(&mut self, worker: &mut ScriptedWorker) -> Vec<Command> {
-        let report = worker.heartbeat();
-        let answer = self.cluster.handle_heartbeat(&report, self.now);
-        let commands = answer.as_ref().map(|a| a.commands.clone()).unwrap_or_default();
-        if let Some(answer) = answer {
-            worker.handle_response(&answer);
+        let heartbeat = worker.heartbeat();
+        let response = self.cluster.handle_heartbeat(&heartbeat, self.now);
+        let commands =
+            response.as_ref().map(|response| response.commands.clone()).unwrap_or_default();
+        if let Some(response) = response {
+            worker.handle_response(&response);
         }
         self.commit_pending();
         commands
@@ -160,7 +162,7 @@
         }
     }
 
-    /// The same for a list of workers.
+    /// `run_rounds` for a list of workers.
     pub fn run_rounds_all(&mut self, workers: &mut [ScriptedWorker]) {
         self.run_rounds(&mut workers.iter_mut().collect::<Vec<_>>());
     }
