--- a/crates/controller/src/cluster_state/machine_registry/tests.rs
+++ b/crates/controller/src/cluster_state/machine_registry/tests.rs
@@ -2,7 +2,7 @@
 
 const SMALL_VALUE_KB: f64 = 2.0;
 
-fn write(
+fn write_record(
     registry: &mut MachineRegistry,
     number: u64,
     stored: &mut BTreeMap<u64, BTreeSet<String>>,
@@ -30,11 +30,15 @@
     registry.mark_stale("m-000001");
     for _ in 0..40 {
         let Some(number) = registry.next_stale() else { break };
-        write(&mut registry, number, &mut stored);
-        let named: BTreeSet<String> = stored.values().flatten().cloned().collect();
-        assert_eq!(named, machines, "a crash now would hide a machine");
+        write_record(&mut registry, number, &mut stored);
+        let registered: BTreeSet<String> = stored.values().flatten().cloned().collect();
+        assert_eq!(registered, machines, "every machine is in a stored record after each write");
     }
-    assert_eq!(stored.values().map(BTreeSet::len).sum::<usize>(), 64, "each in one record");
+    assert_eq!(
+        stored.values().map(BTreeSet::len).sum::<usize>(),
+        64,
+        "each machine is in one record"
+    );
     assert!(stored.len() >= 4);
 }
 
@@ -48,7 +52,7 @@
     registry.remove("m-000063");
     let mut stored = BTreeMap::new();
     while let Some(number) = registry.next_stale() {
-        write(&mut registry, number, &mut stored);
+        write_record(&mut registry, number, &mut stored);
     }
     assert!(!stored.values().any(|machines: &BTreeSet<String>| machines.contains("m-000063")));
     assert_eq!(stored.values().map(BTreeSet::len).sum::<usize>(), 63);
--- a/crates/controller/src/cluster_state/progress/tests.rs
+++ b/crates/controller/src/cluster_state/progress/tests.rs
@@ -14,8 +14,8 @@
     let small = Progress::new(40_000, SMALL_VALUE_KB);
     let keys: Vec<String> = (0..3).map(|chunk| small.key(&id(), chunk)).collect();
     assert_eq!(keys, ["p/req-000001/0", "p/req-000001/0/8192", "p/req-000001/1"]);
-    let all_done: Vec<bool> = small.range(0).map(|_| true).collect();
-    let length = serde_json::to_string(&ProgressRecord::new(&all_done)).unwrap().len();
+    let all_completed: Vec<bool> = small.range(0).map(|_| true).collect();
+    let length = serde_json::to_string(&ProgressRecord::new(&all_completed)).unwrap().len();
     assert!(length as f64 <= SMALL_VALUE_KB * 1024.0, "{length} bytes");
 }
 
@@ -25,14 +25,14 @@
     let mut results = vec![false; 16_384];
     results[5] = true;
     results[9_000] = true;
-    let learned = progress.learn(0, 7, Some(&ProgressRecord::new(&results)));
-    assert_eq!(learned.done, [5, 9_000]);
-    assert_eq!(learned.pages_to_write, [1], "the second part needs a record of its own");
+    let loaded = progress.learn(0, 7, Some(&ProgressRecord::new(&results)));
+    assert_eq!(loaded.done, [5, 9_000]);
+    assert_eq!(loaded.pages_to_write, [1], "page 1 needs a record of its own");
     assert!(progress.is_durable(5) && progress.is_durable(9_000));
     assert!(progress.queue(1));
-    assert!(progress.must_wait(0), "what it holds of the second part is stored nowhere else");
+    assert!(progress.must_wait(0), "results of page 1 are stored in this record only");
     progress.unqueue(1);
-    assert!(progress.must_wait(0), "the second part is under way, not stored");
+    assert!(progress.must_wait(0), "page 1 is not stored yet");
     let part = ProgressRecord::new(&results[8_192..]);
     assert_eq!(progress.learn(8_192, 8, Some(&part)).pages_to_write, [0usize; 0]);
     assert!(!progress.must_wait(0));
--- a/crates/controller/src/cluster_state/start_watermark/tests.rs
+++ b/crates/controller/src/cluster_state/start_watermark/tests.rs
@@ -6,12 +6,15 @@
     assert!(!watermark.allows_start(0) && !watermark.needs_record());
     watermark.raise_target(8);
     assert!(watermark.covers(7) && !watermark.covers(8));
-    assert!(watermark.needs_record() && !watermark.allows_start(0), "not durable yet");
+    assert!(
+        watermark.needs_record() && !watermark.allows_start(0),
+        "no start before the watermark is durable"
+    );
     watermark.record_stored(watermark.highest());
     assert!(watermark.allows_start(7) && !watermark.allows_start(8));
     assert!(!watermark.needs_record());
     watermark.record_stored(4);
-    assert!(watermark.allows_start(7), "a durable watermark never falls");
+    assert!(watermark.allows_start(7), "a durable watermark is never lowered");
 }
 
 #[test]
--- a/crates/controller/src/concurrency_limiter/tests.rs
+++ b/crates/controller/src/concurrency_limiter/tests.rs
@@ -6,12 +6,12 @@
     for _ in 0..100 {
         limiter.record_latency(Duration::from_secs(2));
     }
-    let held: Vec<_> = std::iter::from_fn(|| limiter.try_acquire()).collect();
-    assert_eq!(held.len(), constants::MIN_CONCURRENCY);
-    drop(held);
+    let permits: Vec<_> = std::iter::from_fn(|| limiter.try_acquire()).collect();
+    assert_eq!(permits.len(), constants::MIN_CONCURRENCY);
+    drop(permits);
     for _ in 0..1000 {
         limiter.record_latency(Duration::from_millis(5));
     }
-    let held: Vec<_> = std::iter::from_fn(|| limiter.try_acquire()).collect();
-    assert_eq!(held.len(), 20);
+    let permits: Vec<_> = std::iter::from_fn(|| limiter.try_acquire()).collect();
+    assert_eq!(permits.len(), 20);
 }
--- a/crates/controller/src/connection_table/tests.rs
+++ b/crates/controller/src/connection_table/tests.rs
@@ -10,36 +10,44 @@
     }
 }
 
-/// Guards against a full socket table that ends the process, or shuts users out while connections
-/// whose other side a cut took away hold it.
+/// A full socket table must neither end the process nor refuse users while connections to partitioned peers
+/// occupy it.
 #[tokio::test]
 async fn full_connection_table_closes_only_longest_idle_connection() {
     let connections = ConnectionTable::new(4, Duration::from_secs(20));
-    let mut held = Vec::new();
+    let mut open_connections = Vec::new();
     for n in 0..4u64 {
-        let ctrl = ConnCtrl::new();
-        let observer = connections.observe(&info(), &ctrl);
-        held.push((ctrl, observer));
-        // The first one has been quiet longest, the last one is busy.
+        let control = ConnCtrl::new();
+        let observer = connections.observe(&info(), &control);
+        open_connections.push((control, observer));
+        // The first connection has been idle for longest, the last one is busy.
         let open = connections.table.open.lock().unwrap();
         open[&n].last_traffic.set(MonotonicTime::from_millis(n * 10_000));
     }
     let almost_busy = constants::CONNECTION_BUSY - Duration::from_millis(1);
     connections.table.close_idle(MonotonicTime::from_millis(30_000) + almost_busy);
-    let closed: Vec<bool> = held.iter().map(|(ctrl, _)| ctrl.is_aborted()).collect();
+    let closed: Vec<bool> =
+        open_connections.iter().map(|(control, _)| control.is_aborted()).collect();
     assert_eq!(closed, [true, false, false, false]);
-    assert_eq!(connections.open_connections(), 4, "its socket is held until its stream is dropped");
-    held.remove(0);
+    assert_eq!(
+        connections.open_connections(),
+        4,
+        "an aborted connection counts until its stream is dropped"
+    );
+    open_connections.remove(0);
     assert_eq!(connections.open_connections(), 3);
     assert!(matches!(connections.decide(&info()).await, FuseAction::Accept(_)));
     connections.table.close_idle(MonotonicTime::from_millis(10_000) + almost_busy);
-    assert!(held.iter().all(|(ctrl, _)| !ctrl.is_aborted()), "busy ones stay");
+    assert!(
+        open_connections.iter().all(|(control, _)| !control.is_aborted()),
+        "busy connections stay open"
+    );
 }
 
 #[test]
 fn idle_timeout_exceeds_longest_heartbeat_interval() {
     let connections = ConnectionTable::for_machine(1_000, 8.0);
-    let idle = connections.config.connection_idle_timeout.unwrap();
-    assert!(idle.as_secs_f64() > 8.0 * constants::MAX_HEARTBEAT_INTERVAL_FACTOR);
+    let idle_timeout = connections.config.connection_idle_timeout.unwrap();
+    assert!(idle_timeout.as_secs_f64() > 8.0 * constants::MAX_HEARTBEAT_INTERVAL_FACTOR);
     assert!(connections.table.max_connections < 1_000);
 }
--- a/crates/controller/src/networks/tests.rs
+++ b/crates/controller/src/networks/tests.rs
@@ -6,15 +6,18 @@
     assert!(networks.allow_socket("10.0.0.255:9000") && networks.allow_socket("10.0.1.7:1"));
     assert!(networks.allow_socket("[fd00::5]:9000"));
     assert!(!networks.allow_socket("10.0.2.1:9000") && !networks.allow_socket("[::1]:9000"));
-    assert!(!networks.allow_socket("10.0.0.1"), "no port");
-    assert!(!networks.allow_socket("worker-0:9000"), "a name is no address");
+    assert!(!networks.allow_socket("10.0.0.1"), "an address without port is refused");
+    assert!(!networks.allow_socket("worker-0:9000"), "a host name is refused if networks are set");
     assert!(Networks::default().allow_socket("worker-0:9000"));
 }
 
 #[test]
 fn invalid_network_is_rejected_by_name() {
-    for wrong in ["10.0.0.0/33", "10.0.0.0/24,", "nowhere", "10.0.0/24", "fd00::/129"] {
-        let part = wrong.split(',').next_back().unwrap();
-        assert!(Networks::parse(wrong).unwrap_err().to_string().contains(part), "{wrong}");
+    for invalid in ["10.0.0.0/33", "10.0.0.0/24,", "nowhere", "10.0.0/24", "fd00::/129"] {
+        let invalid_part = invalid.split(',').next_back().unwrap();
+        assert!(
+            Networks::parse(invalid).unwrap_err().to_string().contains(invalid_part),
+            "{invalid}"
+        );
     }
 }
--- a/crates/controller/src/shard_lease/tests.rs
+++ b/crates/controller/src/shard_lease/tests.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 const LEASE: Duration = Duration::from_secs(30);
-const WORKER: Duration = Duration::from_secs(22);
+const WORKER_LEASE: Duration = Duration::from_secs(22);
 
 /// A reading of the clock, ms.
 fn at(millis: u64) -> MonotonicTime {
@@ -20,16 +20,16 @@
 }
 
 fn lessor(won_at: MonotonicTime) -> ShardLessor {
-    let siblings = [("one", "b"), ("two", "c")].map(|(name, zone)| PeerController {
+    let peers = [("one", "b"), ("two", "c")].map(|(name, zone)| PeerController {
         name: name.to_owned(),
         zone: zone.to_owned(),
         address: String::new(),
     });
     let zones = ["a", "b", "c", "d"].map(str::to_owned);
-    ShardLessor::new("a", &siblings, &zones, LEASE, won_at)
+    ShardLessor::new("a", &peers, &zones, LEASE, won_at)
 }
 
-fn heartbeat(zone: &str, token: u64) -> Heartbeat {
+fn heartbeat(zone: &str, fencing_token: u64) -> Heartbeat {
     Heartbeat {
         machine: "m-1".into(),
         addr: "127.0.0.1:1".into(),
@@ -38,7 +38,7 @@
         spot: false,
         incarnation: 1,
         sequence: 1,
-        fencing_token: token,
+        fencing_token,
         interruption_notice_s: None,
         tasks: vec![hookway_wire::TaskStatus {
             task: "req-000001/0".into(),
@@ -50,8 +50,8 @@
     }
 }
 
-/// A renewal and its answer, without delay.
-fn exchange(lessor: &mut ShardLessor, lessee: &mut ShardLessee, now: MonotonicTime) {
+/// One renewal request and its response, without delay.
+fn renew_shard_lease(lessor: &mut ShardLessor, lessee: &mut ShardLessee, now: MonotonicTime) {
     let lease = lessor.renew(5, &lessee.renewal(now), LEASE, now).unwrap();
     lessee.lease_granted(lease, now, now);
 }
@@ -60,24 +60,24 @@
 fn connected_shard_lessee_delays_lease_expiry_by_at_most_one_renewal() {
     let (mut lessor, mut lessee) = (lessor(at(0)), ShardLessee::new("one", 1, ms(8_000)));
     for now in (0..60_000).step_by(1_000) {
-        exchange(&mut lessor, &mut lessee, at(now));
+        renew_shard_lease(&mut lessor, &mut lessee, at(now));
     }
     assert!(lessor.worker_lease_expired(
         "b",
-        at(59_000).saturating_sub(WORKER).saturating_sub(ms(1_000)),
-        WORKER,
+        at(59_000).saturating_sub(WORKER_LEASE).saturating_sub(ms(1_000)),
+        WORKER_LEASE,
         at(59_000)
     ));
     assert!(!lessor.worker_lease_expired(
         "b",
-        at(59_000).saturating_sub(WORKER) + ms(1),
-        WORKER,
+        at(59_000).saturating_sub(WORKER_LEASE) + ms(1),
+        WORKER_LEASE,
         at(59_000)
     ));
     assert_eq!(
         lessee.extend_worker_lease(&heartbeat("b", 5), at(59_500), |_| false),
         None,
-        "the leader is there"
+        "no extension while the leader is reachable"
     );
 }
 
@@ -85,163 +85,178 @@
 fn partitioned_shard_lessee_extends_leases_and_leader_accounts_for_it() {
     let (mut lessor, mut lessee) = (lessor(at(0)), ShardLessee::new("one", 1, ms(8_000)));
     for now in [0, 1_000, 2_000] {
-        exchange(&mut lessor, &mut lessee, at(now));
+        renew_shard_lease(&mut lessor, &mut lessee, at(now));
     }
     assert_eq!(
         lessee.extend_worker_lease(&heartbeat("b", 7), at(5_000), |_| false),
         None,
-        "a change of leader may be under way"
+        "no extension while a failover may be in progress"
     );
     assert_eq!(
         lessee
             .extend_worker_lease(&heartbeat("b", 7), at(11_000), |_| false)
-            .map(|k| k.response.fencing_token),
+            .map(|extension| extension.response.fencing_token),
         Some(7)
     );
     assert_eq!(
         lessee.extend_worker_lease(&heartbeat("c", 7), at(11_000), |_| false),
         None,
-        "not of its block"
+        "a machine outside its shard gets no extension"
     );
-    let later = 5 + constants::TOKENS_PER_TERM;
+    let later_token = 5 + constants::TOKENS_PER_TERM;
     assert_eq!(
-        lessee.extend_worker_lease(&heartbeat("b", later), at(11_000), |_| false),
+        lessee.extend_worker_lease(&heartbeat("b", later_token), at(11_000), |_| false),
         None,
-        "a later leader commands it"
+        "a worker of a later leader gets no extension"
     );
     assert!(lessee.extend_worker_lease(&heartbeat("b", 7), at(31_900), |_| false).is_some());
     assert_eq!(
         lessee.extend_worker_lease(&heartbeat("b", 7), at(32_000), |_| false),
         None,
-        "its lease is over"
+        "its shard lease has expired"
     );
-    // The leader heard the worker last at 1 s, and the holder at 2 s.
-    assert!(!lessor.worker_lease_expired("b", at(1_000), WORKER, at(32_000) + WORKER));
-    assert!(lessor.worker_lease_expired("b", at(1_000), WORKER, at(32_100) + WORKER));
-    // Back in touch it says when it answered last.
-    exchange(&mut lessor, &mut lessee, at(40_000));
-    exchange(&mut lessor, &mut lessee, at(41_000));
+    // The leader's last response to the worker was at 1 s, its last to the lessee at 2 s.
+    assert!(!lessor.worker_lease_expired("b", at(1_000), WORKER_LEASE, at(32_000) + WORKER_LEASE));
+    assert!(lessor.worker_lease_expired("b", at(1_000), WORKER_LEASE, at(32_100) + WORKER_LEASE));
+    // Once reconnected, the lessee reports its last lease extension.
+    renew_shard_lease(&mut lessor, &mut lessee, at(40_000));
+    renew_shard_lease(&mut lessor, &mut lessee, at(41_000));
     assert!(!lessor.worker_lease_expired(
         "b",
         at(1_000),
-        WORKER,
-        at(31_900) + WORKER.saturating_sub(ms(1))
+        WORKER_LEASE,
+        at(31_900) + WORKER_LEASE.saturating_sub(ms(1))
     ));
 }
 
-/// A cancellation is a fact: a holder that has heard of it stops the tasks, whatever became of the leader;
-/// and the answer says until when it may go out.
+/// A cancellation is durable: a shard lessee that knows of it stops the tasks while the leader is unreachable.
+/// The extension names the time until which its response may be sent.
 #[test]
 fn shard_lessee_stops_tasks_of_finished_jobs_and_starts_none() {
     let (mut lessor, mut lessee) = (lessor(at(0)), ShardLessee::new("one", 1, ms(8_000)));
-    exchange(&mut lessor, &mut lessee, at(1_000));
-    exchange(&mut lessor, &mut lessee, at(2_000));
+    renew_shard_lease(&mut lessor, &mut lessee, at(1_000));
+    renew_shard_lease(&mut lessor, &mut lessee, at(2_000));
     let mut heartbeat = heartbeat("b", 7);
-    let mut other = heartbeat.tasks[0].clone();
-    other.task = "req-000002/4".into();
-    let ended = TaskStatus { state: TaskState::Ended, attempt: 9, ..heartbeat.tasks[0].clone() };
-    heartbeat.tasks.extend([other, ended]);
-    let over = |id: &JobId| id.as_str() == "req-000001";
-    let kept = lessee.extend_worker_lease(&heartbeat, at(15_000), over).unwrap();
+    let mut other_task = heartbeat.tasks[0].clone();
+    other_task.task = "req-000002/4".into();
+    let ended_task =
+        TaskStatus { state: TaskState::Ended, attempt: 9, ..heartbeat.tasks[0].clone() };
+    heartbeat.tasks.extend([other_task, ended_task]);
+    let is_finished = |id: &JobId| id.as_str() == "req-000001";
+    let extension = lessee.extend_worker_lease(&heartbeat, at(15_000), is_finished).unwrap();
     let stop = Command::Kill { task: "req-000001/0".into(), attempt: 1, grace_s: 0.0 };
-    assert_eq!((kept.response.fencing_token, kept.response.commands), (7, vec![stop]));
-    assert_eq!(kept.valid_until, (at(2_000) + LEASE).saturating_sub(drift(LEASE)));
+    assert_eq!((extension.response.fencing_token, extension.response.commands), (7, vec![stop]));
+    assert_eq!(extension.valid_until, (at(2_000) + LEASE).saturating_sub(drift(LEASE)));
 }
 
 #[test]
 fn new_leader_counts_earlier_shard_leases_until_lessees_drop_them() {
     let mut lessor = lessor(at(100_000));
-    assert!(!lessor.worker_lease_expired("b", at(100_000), WORKER, at(100_000) + LEASE + WORKER));
-    assert!(lessor.worker_lease_expired("b", at(100_000), WORKER, at(100_100) + LEASE + WORKER));
+    assert!(!lessor.worker_lease_expired(
+        "b",
+        at(100_000),
+        WORKER_LEASE,
+        at(100_000) + LEASE + WORKER_LEASE
+    ));
+    assert!(lessor.worker_lease_expired(
+        "b",
+        at(100_000),
+        WORKER_LEASE,
+        at(100_100) + LEASE + WORKER_LEASE
+    ));
     assert!(
-        lessor.worker_lease_expired("a", at(100_000), WORKER, at(100_000) + WORKER),
-        "its own zone"
+        lessor.worker_lease_expired("a", at(100_000), WORKER_LEASE, at(100_000) + WORKER_LEASE),
+        "the leader's own zone has no lessee"
     );
     assert!(
-        !lessor.worker_lease_expired("", at(100_000), WORKER, at(100_000) + WORKER),
-        "the zone is not known"
+        !lessor.worker_lease_expired("", at(100_000), WORKER_LEASE, at(100_000) + WORKER_LEASE),
+        "a machine of unknown zone may be in any shard"
     );
     assert!(
-        !lessor.worker_lease_expired("d", at(100_000), WORKER, at(100_000) + WORKER),
-        "no controller in it"
+        !lessor.worker_lease_expired("d", at(100_000), WORKER_LEASE, at(100_000) + WORKER_LEASE),
+        "a zone without a controller may be in any shard"
     );
     let mut lessee = ShardLessee::new("one", 1, ms(8_000));
     lessee.hold_as_leader(1, vec!["b".into()], LEASE, at(90_000));
     assert!(lessee.extend_worker_lease(&heartbeat("b", 1), at(99_000), |_| false).is_some());
-    exchange(&mut lessor, &mut lessee, at(101_000));
+    renew_shard_lease(&mut lessor, &mut lessee, at(101_000));
     assert_eq!(
         lessee.extend_worker_lease(&heartbeat("b", 1), at(115_000), |_| false),
         None,
-        "dropped with the news"
+        "the lessee dropped the lease of the earlier leader"
     );
-    exchange(&mut lessor, &mut lessee, at(102_000));
+    renew_shard_lease(&mut lessor, &mut lessee, at(102_000));
     for now in (103_000..125_000).step_by(1_000) {
-        exchange(&mut lessor, &mut lessee, at(now));
+        renew_shard_lease(&mut lessor, &mut lessee, at(now));
     }
-    assert!(lessor.worker_lease_expired("b", at(100_000), WORKER, at(124_500)));
+    assert!(lessor.worker_lease_expired("b", at(100_000), WORKER_LEASE, at(124_500)));
 }
 
 #[test]
 fn delayed_renewals_and_those_of_dead_processes_prove_no_expiry() {
     let (mut lessor, mut lessee) = (lessor(at(0)), ShardLessee::new("one", 1, ms(8_000)));
-    let first = lessee.renewal(at(500));
+    let first_renewal = lessee.renewal(at(500));
     for now in [1_000, 2_000, 3_000] {
-        exchange(&mut lessor, &mut lessee, at(now));
+        renew_shard_lease(&mut lessor, &mut lessee, at(now));
     }
-    let late = lessee.renewal(at(3_500));
+    let late_renewal = lessee.renewal(at(3_500));
     assert!(lessee.extend_worker_lease(&heartbeat("b", 5), at(20_000), |_| false).is_some());
-    // Copies from before, long after: neither ends the lease nor vouches for the time since.
-    for copy in [&first, &late] {
-        lessor.renew(5, copy, LEASE, at(30_000));
+    // Delayed renewals neither end the shard lease nor prove that no worker lease was extended since.
+    for delayed in [&first_renewal, &late_renewal] {
+        lessor.renew(5, delayed, LEASE, at(30_000));
         assert!(!lessor.worker_lease_expired(
             "b",
             at(1_000),
-            WORKER,
-            at(1_000) + WORKER + ms(5_000)
+            WORKER_LEASE,
+            at(1_000) + WORKER_LEASE + ms(5_000)
         ));
     }
-    // So does a copy of a process that is gone, once a new one has echoed a stamp.
-    let gone = lessee.renewal(at(21_000));
-    // A new process: the earlier one may have answered until this one began.
-    let mut next = ShardLessee::new("one", 2, ms(8_000));
-    let hello = lessor.renew(5, &next.renewal(at(1_000)), LEASE, at(36_000)).unwrap();
-    assert_eq!(hello.lease_ms, 0, "no lease before it has echoed a stamp");
-    next.lease_granted(hello, at(1_000), at(1_000));
-    lessor.renew(5, &next.renewal(at(2_000)), LEASE, at(37_000));
+    // A renewal of an ended process; it arrives after the new process has acknowledged a grant.
+    let renewal_of_ended_process = lessee.renewal(at(21_000));
+    // A new process: the earlier one may have extended worker leases until this one started.
+    let mut next_process = ShardLessee::new("one", 2, ms(8_000));
+    let first_response =
+        lessor.renew(5, &next_process.renewal(at(1_000)), LEASE, at(36_000)).unwrap();
+    assert_eq!(first_response.lease_ms, 0, "no shard lease before it has acknowledged a grant");
+    next_process.lease_granted(first_response, at(1_000), at(1_000));
+    lessor.renew(5, &next_process.renewal(at(2_000)), LEASE, at(37_000));
     assert!(!lessor.worker_lease_expired(
         "b",
         at(1_000),
-        WORKER,
-        at(37_000) + WORKER.saturating_sub(ms(5_000))
+        WORKER_LEASE,
+        at(37_000) + WORKER_LEASE.saturating_sub(ms(5_000))
     ));
-    let lease = lessor.renew(5, &next.renewal(at(2_500)), LEASE, at(38_000)).unwrap();
-    next.lease_granted(lease, at(2_500), at(2_500));
-    lessor.renew(5, &gone, LEASE, at(39_000));
-    assert!(next.extend_worker_lease(&heartbeat("b", 5), at(30_000), |_| false).is_some());
+    let lease = lessor.renew(5, &next_process.renewal(at(2_500)), LEASE, at(38_000)).unwrap();
+    next_process.lease_granted(lease, at(2_500), at(2_500));
+    lessor.renew(5, &renewal_of_ended_process, LEASE, at(39_000));
+    assert!(next_process.extend_worker_lease(&heartbeat("b", 5), at(30_000), |_| false).is_some());
     assert!(
-        !lessor.worker_lease_expired("b", at(1_000), WORKER, at(38_000) + LEASE),
-        "it still holds its block"
+        !lessor.worker_lease_expired("b", at(1_000), WORKER_LEASE, at(38_000) + LEASE),
+        "the new process still holds the shard lease"
     );
 }
 
 #[test]
 fn controller_without_leader_contact_redirects_no_worker_to_it() {
     let mut lessor = lessor(at(0));
-    let mut other = ShardLessee::new("three", 9, ms(4_000));
-    assert!(other.leader_reachable(at(3_999)), "a process that has just begun knows no better");
-    assert!(!other.leader_reachable(at(4_000)));
-    // It holds no block, as another controller of its zone does; the leader's answer is word of it all the same.
-    exchange(&mut lessor, &mut ShardLessee::new("one", 1, ms(4_000)), at(9_000));
-    other.lease_granted(
+    let mut without_lease = ShardLessee::new("three", 9, ms(4_000));
+    assert!(
+        without_lease.leader_reachable(at(3_999)),
+        "a new process assumes that the leader is reachable"
+    );
+    assert!(!without_lease.leader_reachable(at(4_000)));
+    // Another controller of its zone holds the shard lease; the leader's response still proves contact.
+    renew_shard_lease(&mut lessor, &mut ShardLessee::new("one", 1, ms(4_000)), at(9_000));
+    without_lease.lease_granted(
         ShardLease { term: 5, granted_at_ms: 1, zones: vec![], lease_ms: 0 },
         at(10_000),
         at(10_000),
     );
-    assert!(other.leader_reachable(at(13_999)));
-    assert!(!other.leader_reachable(at(14_000)));
+    assert!(without_lease.leader_reachable(at(13_999)));
+    assert!(!without_lease.leader_reachable(at(14_000)));
     assert_eq!(
-        other.extend_worker_lease(&heartbeat("b", 5), at(14_000), |_| false),
+        without_lease.extend_worker_lease(&heartbeat("b", 5), at(14_000), |_| false),
         None,
-        "it may not answer itself"
+        "without a shard lease it extends no worker lease"
     );
 }
