--- a/crates/controller/tests/simulated_days.rs
+++ b/crates/controller/tests/simulated_days.rs
@@ -19,7 +19,7 @@
         let id = &spec.id;
         assert!(
             simulation.has_final_state(id),
-            "seed {seed}: {id} has no end\n{}",
+            "seed {seed}: {id} has no final state\n{}",
             simulation.describe(id)
         );
     }
@@ -28,11 +28,11 @@
 
 /// The seeds to run. More of them by hand: `HOOKWAY_MODEL_SEEDS=2000..3000 cargo test --release --test
 /// simulated_days`.
-fn seeds(as_a_rule: u64) -> std::ops::Range<u64> {
-    let wanted = std::env::var("HOOKWAY_MODEL_SEEDS").ok();
-    let span = wanted.as_deref().and_then(|s| s.split_once(".."));
-    let number = |s: &str| s.parse().expect("a seed");
-    span.map_or(0..as_a_rule, |(from, to)| number(from)..number(to))
+fn seeds(default_count: u64) -> std::ops::Range<u64> {
+    let requested = std::env::var("HOOKWAY_MODEL_SEEDS").ok();
+    let range = requested.as_deref().and_then(|range| range.split_once(".."));
+    let number = |text: &str| text.parse().expect("a seed number");
+    range.map_or(0..default_count, |(from, to)| number(from)..number(to))
 }
 
 fn scenario(kind: FaultScenario) -> EventCounts {
@@ -41,76 +41,83 @@
     days.iter().fold(EventCounts::default(), EventCounts::and)
 }
 
-/// A cancellation is confirmed while the state service refuses the leader: `check_cancelled` holds
-/// nevertheless.
+/// Cancellations are confirmed while the state service refuses the leader: `check_cancelled` must hold.
 #[test]
 fn tasks_cancelled_while_leader_is_refused_are_removed_within_limit() {
-    let all = scenario(FaultScenario::LeaderRefused);
-    println!("{all:?}");
-    assert!(all.cancelled_without_leader > 20 && all.lessee_extensions > 50, "{all:?}");
-    assert!(all.stopped_by_lessees > 20, "the old leader learned of it: {all:?}");
+    let totals = scenario(FaultScenario::LeaderRefused);
+    println!("{totals:?}");
+    assert!(totals.cancelled_without_leader > 20 && totals.lessee_extensions > 50, "{totals:?}");
+    assert!(
+        totals.stopped_by_lessees > 20,
+        "the old leader stops tasks as a shard lessee: {totals:?}"
+    );
 }
 
 #[test]
 fn tasks_cancelled_while_leader_is_isolated_are_removed_within_limit() {
-    let all = scenario(FaultScenario::LeaderIsolated);
-    println!("{all:?}");
-    assert!(all.cancelled_without_leader > 20 && all.lessee_extensions > 50, "{all:?}");
+    let totals = scenario(FaultScenario::LeaderIsolated);
+    println!("{totals:?}");
+    assert!(totals.cancelled_without_leader > 20 && totals.lessee_extensions > 50, "{totals:?}");
 }
 
 #[test]
 fn cancelled_tasks_in_partitioned_leader_zone_are_removed_within_limit() {
-    let all = scenario(FaultScenario::LeaderZonePartitioned);
-    println!("{all:?}");
-    assert!(all.cancelled_without_leader > 20 && all.lessee_extensions > 50, "{all:?}");
+    let totals = scenario(FaultScenario::LeaderZonePartitioned);
+    println!("{totals:?}");
+    assert!(totals.cancelled_without_leader > 20 && totals.lessee_extensions > 50, "{totals:?}");
 }
 
-/// While a task of a cancelled job may run anywhere, shard leases end within the cancellation limit.
+/// While a task of a cancelled job may run, shard leases expire within the cancellation limit.
 #[test]
 fn cancelled_tasks_reachable_only_by_shard_lessee_are_removed_within_limit() {
-    let all = scenario(FaultScenario::OnlyLesseeReachable);
-    println!("{all:?}");
-    assert!(all.cancelled > 50, "{all:?}");
+    let totals = scenario(FaultScenario::OnlyLesseeReachable);
+    println!("{totals:?}");
+    assert!(totals.cancelled > 50, "{totals:?}");
 }
 
 #[test]
 fn random_faults_violate_no_invariant_and_every_job_finishes() {
     let days: Vec<EventCounts> =
         seeds(60).map(|seed| run_seed(seed, Simulation::new(seed))).collect();
-    let all = days.iter().fold(EventCounts::default(), EventCounts::and);
-    println!("{all:?}");
+    let totals = days.iter().fold(EventCounts::default(), EventCounts::and);
+    println!("{totals:?}");
     // The days contained the events that they are meant to test.
     assert!(
-        all.starts > 5_000 && all.quota_bound_starts > 300 && all.zone_bound_starts > 1_000,
-        "{all:?}"
+        totals.starts > 5_000
+            && totals.quota_bound_starts > 300
+            && totals.zone_bound_starts > 1_000,
+        "{totals:?}"
+    );
+    assert!(totals.terms > 4 * days.len() && totals.resumed_terms > 5, "{totals:?}");
+    assert!(
+        totals.errors > 300 && totals.probe_responses > 100 && totals.lessee_extensions > 50,
+        "{totals:?}"
     );
-    assert!(all.terms > 4 * days.len() && all.resumed_terms > 5, "{all:?}");
-    assert!(all.errors > 300 && all.probes_answered > 100 && all.lessee_extensions > 50, "{all:?}");
-    assert!(all.cancelled > 100 && all.cancelled_without_leader > 30, "{all:?}");
-    assert!(all.stopped_by_lessees > 0 && all.status_queries > 100_000, "{all:?}");
-    assert!(all.replica_starts > 300 && all.replicas_in_place > 50, "{all:?}");
-    assert!(all.divided_registry_records > 500, "{all:?}");
-    assert!(all.warm_starts > 10, "{all:?}");
+    assert!(totals.cancelled > 100 && totals.cancelled_without_leader > 30, "{totals:?}");
+    assert!(totals.stopped_by_lessees > 0 && totals.status_queries > 100_000, "{totals:?}");
+    assert!(totals.replica_starts > 300 && totals.replicas_in_place > 50, "{totals:?}");
+    assert!(totals.divided_registry_records > 500, "{totals:?}");
+    assert!(totals.warm_starts > 10, "{totals:?}");
 }
 
-/// New leaders with copies of every age, while the old ones crash or freeze with partially placed gangs.
+/// Leaders crash or freeze with partially placed gangs; new leaders have standby copies of every age.
 #[test]
 fn standby_failover_amid_gangs_violates_no_invariant() {
     let days: Vec<EventCounts> =
         seeds(30).map(|seed| run_seed(seed, Simulation::with_standbys(seed))).collect();
-    let all = days.iter().fold(EventCounts::default(), EventCounts::and);
-    println!("{all:?}");
-    assert!(all.warm_starts > 50 && all.completed_gangs > 5, "{all:?}");
-    assert!(all.refused_answers > 50, "{all:?}");
+    let totals = days.iter().fold(EventCounts::default(), EventCounts::and);
+    println!("{totals:?}");
+    assert!(totals.warm_starts > 50 && totals.completed_gangs > 5, "{totals:?}");
+    assert!(totals.refused_responses > 50, "{totals:?}");
 }
 
-/// Standbys whose requests reach the leader and whom its responses don't reach: they lag, suspect it and
-/// start cold.
+/// Requests of standbys reach the leader, its responses do not reach them: they lag, suspect the leader and
+/// start without a copy.
 #[test]
 fn one_way_controller_partitions_violate_no_invariant() {
     let days: Vec<EventCounts> =
         seeds(12).map(|seed| run_seed(seed, Simulation::with_one_way_partitions(seed))).collect();
-    let all = days.iter().fold(EventCounts::default(), EventCounts::and);
-    println!("{all:?}");
-    assert!(all.one_way_partitions > 50 && all.warm_starts > 20, "{all:?}");
+    let totals = days.iter().fold(EventCounts::default(), EventCounts::and);
+    println!("{totals:?}");
+    assert!(totals.one_way_partitions > 50 && totals.warm_starts > 20, "{totals:?}");
 }
--- a/crates/controller/tests/simulation/commits.rs
+++ b/crates/controller/tests/simulation/commits.rs
@@ -11,13 +11,21 @@
     /// A controller's transactions stay within the limits that its version knows.
     pub(super) fn check_limits(&mut self, n: usize, transaction: &Transaction) {
         let limits = &self.controllers[n].config.platform.state;
-        let changes = transaction.operations.len();
-        assert!(changes <= limits.txn_ops, "{changes} changes, and a limit of {}", limits.txn_ops);
-        for change in &transaction.operations {
-            let Operation::Put { key: put, value: v, .. } = change else { continue };
-            let length = v.to_string().len() as f64;
-            assert!(length <= limits.value_kb * 1024.0, "{put}: {length} bytes");
-            let divided = self.controllers[n].version == Version::New && put.starts_with("r/");
+        let operation_count = transaction.operations.len();
+        assert!(
+            operation_count <= limits.txn_ops,
+            "{operation_count} operations, limit {}",
+            limits.txn_ops
+        );
+        for operation in &transaction.operations {
+            let Operation::Put { key, value, .. } = operation else { continue };
+            let length = value.to_string().len() as f64;
+            assert!(
+                length <= limits.value_kb * 1024.0,
+                "{key}: {length} bytes, limit {} KB",
+                limits.value_kb
+            );
+            let divided = self.controllers[n].version == Version::New && key.starts_with("r/");
             self.counts.divided_registry_records += usize::from(divided);
         }
     }
@@ -25,15 +33,15 @@
     /// A transaction reaches the state service or is refused or delayed; its response may be lost.
     pub(super) fn commit_arrives(&mut self, n: usize, term: u64, commit: Box<PendingCommit>) {
         let now = self.now;
-        if !self.store_answers(n) {
+        if !self.store_reachable(n) {
             let controller = &mut self.controllers[n];
-            let refused = now < self.outage_until
+            let not_applied = now < self.outage_until
                 || controller.refused && now < controller.store_unreachable_until;
             match controller.leading(term) {
-                Some(leader) if refused => {
+                Some(leader) if not_applied => {
                     leader.cluster.committed(*commit, CommitResult::NotApplied, now);
                 }
-                // Delayed in the network: it may be applied when the partition has healed.
+                // Delayed in the network: the transaction may be applied when the partition has healed.
                 _ => {
                     let at = now + self.span(1_200, 40_000);
                     self.at(at, Message::DelayedTransaction(commit.transaction.clone()));
@@ -42,9 +50,9 @@
             }
             return;
         }
-        let lost = self.chance(50);
-        let late = lost && self.chance(500);
-        let applied = if late {
+        let response_lost = self.chance(50);
+        let delayed = response_lost && self.chance(500);
+        let applied = if delayed {
             let at = now + self.span(100, 20_000);
             self.at(at, Message::DelayedTransaction(commit.transaction.clone()));
             None
@@ -52,14 +60,14 @@
             Some(self.store.commit(&commit.transaction))
         };
         match applied {
-            Some(Ok(revision)) if !lost && self.controllers[n].up(now) => {
+            Some(Ok(revision)) if !response_lost && self.controllers[n].up(now) => {
                 if let Some(leader) = self.controllers[n].leading(term) {
                     leader.cluster.committed(*commit, CommitResult::Applied(revision), now);
                 }
             }
             _ => {
-                let wait = ms(if lost { 1_200 } else { 10 });
-                self.at(now + wait, Message::Reread(n, term, commit));
+                let reread_delay = ms(if response_lost { 1_200 } else { 10 });
+                self.at(now + reread_delay, Message::Reread(n, term, commit));
             }
         }
         self.check_final_states();
@@ -71,7 +79,7 @@
         if self.controllers[n].leading(term).is_none() {
             return;
         }
-        if !self.store_answers(n) {
+        if !self.store_reachable(n) {
             return self.at(now + constants::LEADER_RETRY, Message::Reread(n, term, commit));
         }
         let reread = |key: String| RereadKey { stored: self.store.get(&key), key };
@@ -85,11 +93,12 @@
     /// Users that wait for a cancellation get their response once it is durable.
     pub(super) fn report_decided(&mut self, n: usize, term: u64) {
         let Some(leader) = self.controllers[n].leading(term) else { return };
-        let decided = leader.cluster.take_completed_jobs();
-        let waited: Vec<bool> = decided.iter().map(|job| leader.asked.remove(&job.id)).collect();
-        for (CompletedJob { id, record }, waited) in decided.into_iter().zip(waited) {
-            self.controllers[n].over.insert(id.clone());
-            if waited && record.state == JobState::Cancelled {
+        let completed_jobs = leader.cluster.take_completed_jobs();
+        let requested: Vec<bool> =
+            completed_jobs.iter().map(|job| leader.pending_cancellations.remove(&job.id)).collect();
+        for (CompletedJob { id, record }, requested) in completed_jobs.into_iter().zip(requested) {
+            self.controllers[n].finished.insert(id.clone());
+            if requested && record.state == JobState::Cancelled {
                 self.report_cancelled(n, &id);
             }
         }
--- a/crates/controller/tests/simulation/controllers.rs
+++ b/crates/controller/tests/simulation/controllers.rs
@@ -1,6 +1,6 @@
 //! Controllers: their processes, leadership leases, elections and the rounds of a leader.
 
-use super::{CONTROLLERS, Message, Simulation, StoredLead, ms};
+use super::{CONTROLLERS, Message, Simulation, StoredLeadership, ms};
 use crate::simulation::machines::Machine;
 use hookway_constants as constants;
 use hookway_controller::cluster_state::{
@@ -18,9 +18,9 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// After this long without the leader a shard lessee answers workers itself.
+/// After this long without the leader a shard lessee extends worker leases.
 const LESSEE_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// New machines are missing from the cloud's list for this long, ms.
+/// New machines are missing from the cloud's list for this long.
 const LIST_LAG: Duration = Duration::from_millis(4_000);
 
 /// The state of one term at the controller that leads it or has just lost it.
@@ -32,26 +32,26 @@
     next_extend: MonotonicTime,
     paused: bool,
     /// Cancellations whose users wait until they are durable.
-    pub asked: BTreeSet<JobId>,
+    pub pending_cancellations: BTreeSet<JobId>,
 }
 
 /// A controller's process.
 pub(super) struct Controller {
     pub config: ControllerConfig,
-    pub holding: ShardLessee,
+    pub lessee: ShardLessee,
     pub version: Version,
     /// Its copy of the leader's cluster state.
     pub follower: Follower,
     /// One-way partition: its requests reach other controllers, their responses don't reach it.
     pub responses_lost_until: MonotonicTime,
     pub nonce: u64,
-    /// Start of its process.
-    pub begun: MonotonicTime,
+    /// Start of its process, by the simulated clock.
+    pub started_at: MonotonicTime,
     pub leader: Option<Leader>,
-    /// The leader that it last read.
-    pub seen: Option<usize>,
+    /// The leader that it last read from the state service.
+    pub observed_leader: Option<usize>,
     /// Jobs that it knows to be finished.
-    pub over: BTreeSet<JobId>,
+    pub finished: BTreeSet<JobId>,
     pub store_unreachable_until: MonotonicTime,
     /// The state service refuses its requests; otherwise they get no response.
     pub refused: bool,
@@ -60,7 +60,7 @@
     pub frozen_until: MonotonicTime,
     pub down_until: MonotonicTime,
     no_campaign_until: MonotonicTime,
-    deserted_at: Option<MonotonicTime>,
+    workers_silent_at: Option<MonotonicTime>,
     /// Start of an outage of the state service for every controller.
     pub outage_at: Option<MonotonicTime>,
 }
@@ -90,27 +90,27 @@
 
 impl Controller {
     pub fn new(n: usize, version: Version, nonce: u64, now: MonotonicTime) -> Self {
-        let siblings = CONTROLLERS.iter().enumerate().filter(|(other, _)| *other != n);
+        let peers = CONTROLLERS.iter().enumerate().filter(|(other, _)| *other != n);
         let limits = if version == Version::New { NEXT_LIMITS } else { "" };
         let settings = format!("{SETTINGS}{limits}");
         let config = ControllerConfig {
             controller_name: CONTROLLERS[n].0.into(),
             zone: CONTROLLERS[n].1.into(),
-            peers: siblings.map(|(_, (name, zone))| peer(name, zone)).collect(),
-            platform: Settings::parse(&settings).expect("sound settings").platform,
+            peers: peers.map(|(_, (name, zone))| peer(name, zone)).collect(),
+            platform: Settings::parse(&settings).expect("valid settings").platform,
             operator: OperatorSettings::default(),
         };
         Self {
-            holding: ShardLessee::new(CONTROLLERS[n].0, nonce, LESSEE_TIMEOUT),
+            lessee: ShardLessee::new(CONTROLLERS[n].0, nonce, LESSEE_TIMEOUT),
             config,
             version,
             follower: Follower::new(CONTROLLERS[n].0),
             responses_lost_until: MonotonicTime::ZERO,
             nonce,
-            begun: now,
+            started_at: now,
             leader: None,
-            seen: None,
-            over: BTreeSet::new(),
+            observed_leader: None,
+            finished: BTreeSet::new(),
             store_unreachable_until: MonotonicTime::ZERO,
             refused: false,
             peers_unreachable_until: MonotonicTime::ZERO,
@@ -118,14 +118,14 @@
             frozen_until: MonotonicTime::ZERO,
             down_until: now,
             no_campaign_until: MonotonicTime::ZERO,
-            deserted_at: None,
+            workers_silent_at: None,
             outage_at: None,
         }
     }
 
     /// The reading of its process's own clock.
     pub fn clock(&self, now: MonotonicTime) -> MonotonicTime {
-        MonotonicTime::ZERO + (now - self.begun)
+        MonotonicTime::ZERO + (now - self.started_at)
     }
 
     /// Its process runs and is not frozen.
@@ -134,13 +134,14 @@
     }
 
     /// Whether it may act as the leader.
-    pub fn entitled(&self, now: MonotonicTime) -> bool {
-        self.up(now) && self.leader.as_ref().is_some_and(|l| !l.paused && now < l.valid_until)
+    pub fn may_lead(&self, now: MonotonicTime) -> bool {
+        self.up(now)
+            && self.leader.as_ref().is_some_and(|leader| !leader.paused && now < leader.valid_until)
     }
 
     /// Its state as leader of that term.
     pub fn leading(&mut self, term: u64) -> Option<&mut Leader> {
-        self.leader.as_mut().filter(|l| l.term == term)
+        self.leader.as_mut().filter(|leader| leader.term == term)
     }
 
     /// Ends every fault of this controller.
@@ -168,25 +169,25 @@
     /// Kills the process; one of this version starts under its name soon.
     pub(super) fn replace(&mut self, n: usize, version: Version) {
         let nonce = self.rng.random();
-        let back = match self.rng.random_range(0..2) {
+        let restart_delay = match self.rng.random_range(0..2) {
             0 => self.span(100, 800),
             _ => self.span(1_000, 9_000),
         };
         let old = &self.controllers[n];
-        let cuts = (
+        let partitions = (
             old.store_unreachable_until,
             old.peers_unreachable_until,
             old.workers_unreachable_until,
             old.refused,
         );
-        let mut next = Controller::new(n, version, nonce, self.now + back);
+        let mut restarted = Controller::new(n, version, nonce, self.now + restart_delay);
         (
-            next.store_unreachable_until,
-            next.peers_unreachable_until,
-            next.workers_unreachable_until,
-            next.refused,
-        ) = cuts;
-        self.controllers[n] = next;
+            restarted.store_unreachable_until,
+            restarted.peers_unreachable_until,
+            restarted.workers_unreachable_until,
+            restarted.refused,
+        ) = partitions;
+        self.controllers[n] = restarted;
     }
 
     pub(super) fn run_controller(&mut self, n: usize) {
@@ -198,18 +199,18 @@
             self.read_leader_and_campaign(n);
         }
         if let Some(mut leader) = self.controllers[n].leader.take() {
-            let stays = self.run_leader(n, &mut leader);
-            if stays {
+            let still_leads = self.run_leader(n, &mut leader);
+            if still_leads {
                 self.controllers[n].leader = Some(leader);
             }
             return;
         }
         let controller = &self.controllers[n];
-        if let Some(leader) = controller.seen.filter(|l| *l != n)
+        if let Some(leader) = controller.observed_leader.filter(|leader| *leader != n)
             && self.every(constants::SHARD_LEASE_RENEWAL_INTERVAL)
         {
             let at = controller.clock(self.now);
-            let renewal = controller.holding.renewal(at);
+            let renewal = controller.lessee.renewal(at);
             self.send(|| Message::LeaseRenewal(n, leader, renewal.clone(), at));
         }
         self.follow(n);
@@ -218,17 +219,17 @@
     /// Extends the lease of a leader.
     fn extend_lease(&mut self, n: usize) {
         let now = self.now;
-        let answers = self.store_answers(n);
+        let reachable = self.store_reachable(n);
         let Some(leader) = &mut self.controllers[n].leader else { return };
         if now < leader.next_extend {
             return;
         }
-        if !answers {
+        if !reachable {
             leader.next_extend = now + constants::LEADER_RETRY;
             return;
         }
         leader.next_extend = now + constants::LEADER_EXTEND_INTERVAL;
-        match self.lead.as_mut().filter(|l| l.term == leader.term) {
+        match self.lead.as_mut().filter(|lease| lease.term == leader.term) {
             Some(lead) => {
                 lead.until = now + constants::LEADER_TTL;
                 self.counts.resumed_terms += usize::from(now >= leader.valid_until);
@@ -236,25 +237,25 @@
             }
             None => {
                 self.controllers[n].leader = None;
-                self.controllers[n].seen = None;
+                self.controllers[n].observed_leader = None;
             }
         }
     }
 
     /// Reads who leads, and campaigns if nobody does.
     fn read_leader_and_campaign(&mut self, n: usize) {
-        if !self.store_answers(n) {
+        if !self.store_reachable(n) {
             return;
         }
         match &self.lead {
-            // The lease belongs to its own earlier process and is revoked.
-            Some(lead) if lead.controller == n => self.end_lead(),
+            // The leadership lease of its own earlier process is revoked.
+            Some(lead) if lead.controller == n => self.revoke_leadership(),
             Some(lead) => {
-                self.controllers[n].seen = Some(lead.controller);
+                self.controllers[n].observed_leader = Some(lead.controller);
                 self.controllers[n].follower.observe_term(lead.term);
             }
             None => {
-                self.controllers[n].seen = None;
+                self.controllers[n].observed_leader = None;
                 let campaigns = self.now >= self.controllers[n].no_campaign_until;
                 let steps = self.election_steps(n);
                 if campaigns && self.rng.random_range(0..steps) == 0 {
@@ -269,8 +270,9 @@
         let term = self.next_term;
         self.next_term += constants::TOKENS_PER_TERM;
         self.counts.terms += 1;
-        let stamp = self.store.put(LEADER_KEY, serde_json::json!({ "term": term }));
-        self.lead = Some(StoredLead { controller: n, term, until: now + constants::LEADER_TTL });
+        let mod_revision = self.store.put(LEADER_KEY, serde_json::json!({ "term": term }));
+        self.lead =
+            Some(StoredLeadership { controller: n, term, until: now + constants::LEADER_TTL });
         let loaded = LoadedState {
             jobs: self.store.list("j/"),
             progress: self.store.list("p/"),
@@ -280,13 +282,19 @@
             classes: self.store.get("c/lanes"),
             has_start_watermarks: true,
         };
-        let guard = Precondition { key: LEADER_KEY.into(), mod_revision: stamp };
-        let at = self.moment();
+        let precondition = Precondition { key: LEADER_KEY.into(), mod_revision };
+        let elected_at = self.moment();
         let controller = &mut self.controllers[n];
-        controller.holding.leadership_won(term);
-        controller.seen = Some(n);
-        let cluster =
-            ClusterState::new(controller.config.clone(), term, guard, machine_types(), loaded, at);
+        controller.lessee.leadership_won(term);
+        controller.observed_leader = Some(n);
+        let cluster = ClusterState::new(
+            controller.config.clone(),
+            term,
+            precondition,
+            machine_types(),
+            loaded,
+            elected_at,
+        );
         let mut leader = Leader {
             cluster,
             term,
@@ -294,14 +302,14 @@
             valid_until: leader_lease_expiry(now),
             next_extend: now + constants::LEADER_EXTEND_INTERVAL,
             paused: false,
-            asked: BTreeSet::new(),
+            pending_cancellations: BTreeSet::new(),
         };
         self.warm_start(n, &mut leader);
         self.controllers[n].leader = Some(leader);
     }
 
     fn list(&self) -> Vec<ListedMachine> {
-        let seen = |m: &&Machine| !m.dead && self.now >= m.born + LIST_LAG;
+        let is_listed = |m: &&Machine| !m.dead && self.now >= m.created_at + LIST_LAG;
         let listed = |m: &Machine| ListedMachine {
             id: m.name.clone(),
             addr: Some("127.0.0.1:9".into()),
@@ -309,12 +317,12 @@
             zone: m.worker.zone().into(),
             spot: false,
             status: MachineState::Running,
-            age_s: seconds_f64(self.now - m.born),
+            age_s: seconds_f64(self.now - m.created_at),
         };
-        self.machines.iter().filter(seen).map(listed).collect()
+        self.machines.iter().filter(is_listed).map(listed).collect()
     }
 
-    /// One step of a leader. `false`: it steps down.
+    /// Runs one step of a leader; `false` if it steps down.
     fn run_leader(&mut self, n: usize, leader: &mut Leader) -> bool {
         let now = self.now;
         if now >= leader.valid_until {
@@ -329,21 +337,24 @@
         let lease = leader.cluster.shard_lease(now);
         if !lease.is_zero() {
             let at = controller.clock(now);
-            controller.holding.hold_as_leader(leader.term, leader.cluster.own_shard(), lease, at);
+            controller.lessee.hold_as_leader(leader.term, leader.cluster.own_shard(), lease, at);
         }
-        let again =
-            controller.deserted_at.is_none_or(|at| now >= at + constants::STEP_DOWN_INTERVAL);
-        let lost = leader.cluster.all_workers_silent(now) && again;
-        if lost || leader.cluster.leadership_lost() {
-            controller.deserted_at = if lost { Some(now) } else { controller.deserted_at };
+        let may_step_down =
+            controller.workers_silent_at.is_none_or(|at| now >= at + constants::STEP_DOWN_INTERVAL);
+        let isolated = leader.cluster.all_workers_silent(now) && may_step_down;
+        if isolated || leader.cluster.leadership_lost() {
+            controller.workers_silent_at =
+                if isolated { Some(now) } else { controller.workers_silent_at };
             controller.no_campaign_until = now + constants::STEP_DOWN_PAUSE;
-            controller.seen = None;
-            if self.store_answers(n) && self.lead.as_ref().is_some_and(|l| l.term == leader.term) {
-                self.end_lead();
+            controller.observed_leader = None;
+            if self.store_reachable(n)
+                && self.lead.as_ref().is_some_and(|lease| lease.term == leader.term)
+            {
+                self.revoke_leadership();
             }
             return false;
         }
-        if self.store_answers(n) {
+        if self.store_reachable(n) {
             let at = self.moment();
             for kv in self.store.list("j/") {
                 leader.cluster.add_job(&kv.key, kv.value, at, JobOrigin::ThisTerm);
@@ -352,11 +363,11 @@
         if self.every(ms(300)) {
             leader.cluster.scheduling_round(now);
         }
-        let cloud = self.zone_open(CONTROLLERS[n].1);
-        if cloud && self.every(ms(3_000)) {
+        let cloud_reachable = self.zone_open(CONTROLLERS[n].1);
+        if cloud_reachable && self.every(ms(3_000)) {
             leader.cluster.machines_listed(&self.list(), now, now);
         }
-        if cloud && self.every(ms(1_000)) {
+        if cloud_reachable && self.every(ms(1_000)) {
             self.run_autoscaling(n, leader);
         }
         self.send_commands(n, leader);
--- a/crates/controller/tests/simulation/counts.rs
+++ b/crates/controller/tests/simulation/counts.rs
@@ -5,7 +5,7 @@
 pub struct EventCounts {
     pub starts: usize,
     pub errors: usize,
-    pub probes_answered: usize,
+    pub probe_responses: usize,
     pub lessee_extensions: usize,
     pub stopped_by_lessees: usize,
     pub terms: usize,
@@ -20,7 +20,7 @@
     pub divided_registry_records: usize,
     pub warm_starts: usize,
     pub completed_gangs: usize,
-    pub refused_answers: usize,
+    pub refused_responses: usize,
     pub one_way_partitions: usize,
 }
 
@@ -30,7 +30,7 @@
         Self {
             starts: self.starts + other.starts,
             errors: self.errors + other.errors,
-            probes_answered: self.probes_answered + other.probes_answered,
+            probe_responses: self.probe_responses + other.probe_responses,
             lessee_extensions: self.lessee_extensions + other.lessee_extensions,
             stopped_by_lessees: self.stopped_by_lessees + other.stopped_by_lessees,
             terms: self.terms + other.terms,
@@ -47,7 +47,7 @@
                 + other.divided_registry_records,
             warm_starts: self.warm_starts + other.warm_starts,
             completed_gangs: self.completed_gangs + other.completed_gangs,
-            refused_answers: self.refused_answers + other.refused_answers,
+            refused_responses: self.refused_responses + other.refused_responses,
             one_way_partitions: self.one_way_partitions + other.one_way_partitions,
         }
     }
--- a/crates/controller/tests/simulation/dispatch.rs
+++ b/crates/controller/tests/simulation/dispatch.rs
@@ -18,13 +18,13 @@
             match action {
                 ScalingAction::ScaleOut(request) => {
                     let mut names = Vec::new();
-                    let up = self.machines.iter().filter(|m| !m.dead).count();
-                    for _ in 0..(request.count as usize).min(8usize.saturating_sub(up)) {
+                    let machines_up = self.machines.iter().filter(|m| !m.dead).count();
+                    for _ in 0..(request.count as usize).min(8usize.saturating_sub(machines_up)) {
                         self.machines.push(Machine::new(self.machines.len() + 1, now));
                         names.push(format!("m-{}", self.machines.len()));
                     }
-                    let got = (!names.is_empty()).then_some(names);
-                    leader.cluster.scale_out_finished(&request, got, now);
+                    let created = (!names.is_empty()).then_some(names);
+                    leader.cluster.scale_out_finished(&request, created, now);
                 }
                 ScalingAction::ScaleIn(names) => {
                     let at = now + self.span(100, 3_000);
@@ -38,7 +38,7 @@
     pub(super) fn send_commands(&mut self, n: usize, leader: &mut Leader) {
         let (now, term) = (self.now, leader.term);
         let mut messages: Vec<(usize, DirectCommands, bool)> = Vec::new();
-        let index = |machine: &str| -> usize { machine[2..].parse().expect("a number") };
+        let index = |machine: &str| -> usize { machine[2..].parse().expect("a machine number") };
         for DirectStart { machine, commands, .. } in leader.cluster.take_direct_starts(now) {
             messages.push((index(&machine) - 1, commands, true));
         }
@@ -48,7 +48,7 @@
         // The leader waits for no response to a stop. Addresses have no meaning here, so a stop goes to the
         // machine that has the task.
         for DirectStop { commands, .. } in stops {
-            let Some(task) = commands.commands.iter().find_map(|o| match o {
+            let Some(task) = commands.commands.iter().find_map(|command| match command {
                 Command::Kill { task, attempt, .. } => Some((task.clone(), *attempt)),
                 _ => None,
             }) else {
@@ -60,11 +60,11 @@
                 messages.push((m, commands, false));
             }
         }
-        for (m, commands, waits) in messages {
-            let term = if waits { term } else { 0 };
+        for (m, commands, awaits_response) in messages {
+            let term = if awaits_response { term } else { 0 };
             let name = self.machines[m].name.clone();
-            if waits && self.chance(50) {
-                // No connection: certainly not sent.
+            if awaits_response && self.chance(50) {
+                // The connection is refused: the commands were certainly not sent.
                 let at = now + self.span(5, 50);
                 let outcome =
                     Message::Delivered(n, term, name, commands.fencing_token, Delivery::NotSent);
@@ -72,8 +72,8 @@
                 continue;
             }
             self.send(|| Message::Direct(n, term, m, commands.clone()));
-            if waits {
-                // The sender's time limit, whatever is received.
+            if awaits_response {
+                // The sender's time limit expires, whether or not a response arrived.
                 let outcome = Message::Delivered(
                     n,
                     term,
@@ -86,7 +86,7 @@
         }
         for StateProbeRequest { machine, .. } in probes {
             self.send(|| Message::StateProbe(n, term, index(&machine) - 1));
-            // The sender's time limit, whatever is received.
+            // The sender's time limit expires, whether or not a response arrived.
             self.at(now + constants::WORKER_TIMEOUT, Message::ProbeResult(n, term, machine, None));
         }
         if let Some(commit) = commit {
--- a/crates/controller/tests/simulation/faults.rs
+++ b/crates/controller/tests/simulation/faults.rs
@@ -36,8 +36,8 @@
         }
         for n in 0..CONTROLLERS.len() {
             let leads = self.controllers[n].leader.is_some();
-            let others = if self.standby_scenario { 2 } else { 8 };
-            if !self.chance(if leads { self.leader_fault_rate } else { others }) {
+            let follower_fault_rate = if self.standby_scenario { 2 } else { 8 };
+            if !self.chance(if leads { self.leader_fault_rate } else { follower_fault_rate }) {
                 continue;
             }
             let until = now + self.span(500, 60_000);
@@ -48,8 +48,8 @@
                     controller.store_unreachable_until = until;
                     controller.refused = self.rng.random_range(0..2) == 0;
                     if self.rng.random_range(0..3) == 0 {
-                        let begin = now + self.span(0, 9_000);
-                        self.controllers[n].outage_at = Some(begin);
+                        let outage_at = now + self.span(0, 9_000);
+                        self.controllers[n].outage_at = Some(outage_at);
                     }
                 }
                 2 => {
--- a/crates/controller/tests/simulation/gangs.rs
+++ b/crates/controller/tests/simulation/gangs.rs
@@ -7,16 +7,16 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// Time in which a gang's task fetches its image, ms.
-const FETCH: Duration = Duration::from_millis(1_500);
-/// A task ends if its gang is not complete after this long, ms.
-const GANG_WAIT: Duration = Duration::from_millis(35_000);
-/// A running task detects the loss of a peer within this time, ms.
-const GANG_PEER: Duration = Duration::from_millis(4_000);
+/// Time in which a gang's task fetches its image.
+const IMAGE_FETCH: Duration = Duration::from_millis(1_500);
+/// A task ends if its gang is not complete after this long.
+const GANG_WAIT_TIMEOUT: Duration = Duration::from_millis(35_000);
+/// A running task detects the loss of a peer within this time.
+const GANG_LOSS_TIMEOUT: Duration = Duration::from_millis(4_000);
 
 impl Simulation {
     /// Kills the leader, or freezes it for longer than its lease, while a gang is partially placed. Most of
-    /// its direct dispatches under way are lost with its connections.
+    /// its direct dispatches in flight are lost with its connections.
     pub(super) fn fail_leader_amid_gangs(&mut self) {
         let Some(leader) = self.lead.as_ref().map(|lead| lead.controller) else { return };
         if !self.chance(700) || !self.jobs.iter().any(|spec| self.partially_placed(spec)) {
@@ -24,8 +24,8 @@
         }
         let of_leader =
             |message: &Message| matches!(message, Message::Direct(n, ..) if *n == leader);
-        let under_way = self.queue.iter().filter(|(_, message)| of_leader(message));
-        for at in under_way.map(|(at, _)| *at).collect::<Vec<_>>() {
+        let in_flight = self.queue.iter().filter(|(_, message)| of_leader(message));
+        for at in in_flight.map(|(at, _)| *at).collect::<Vec<_>>() {
             if self.chance(700) {
                 self.queue.remove(&at);
             }
@@ -39,68 +39,78 @@
     }
 
     fn partially_placed(&self, spec: &JobSpec) -> bool {
-        let there = |index: &u32| {
+        let is_placed = |index: &u32| {
             let task = format!("{}/{index}", spec.id);
-            let live = |w: &ScriptedWorker| {
-                w.tasks().iter().any(|t| t.task == task && t.state != TaskState::Ended)
+            let live = |worker: &ScriptedWorker| {
+                worker
+                    .tasks()
+                    .iter()
+                    .any(|status| status.task == task && status.state != TaskState::Ended)
             };
             self.machines.iter().any(|m| !m.dead && live(&m.worker))
         };
-        let placed = (0..spec.tasks).filter(there).count();
-        // A standby knows the attempt, so that its copy is used.
-        let followed = |c: &Controller| c.follower.state().jobs.contains_key(spec.id.as_str());
+        let placed = (0..spec.tasks).filter(is_placed).count();
+        // Some standby copy names the job, so that the next leader can use it.
+        let followed = |controller: &Controller| {
+            controller.follower.state().jobs.contains_key(spec.id.as_str())
+        };
         let known = self.controllers.iter().any(followed);
         known && spec.is_gang() && placed > 0 && placed < spec.tasks as usize
     }
 
     /// A gang's task has just been started.
     pub(super) fn gang_task_started(&mut self, m: usize, task: &str, attempt: u64) {
-        let gang = |j: &JobSpec| j.is_gang() && task.split('/').next() == Some(j.id.as_str());
+        let gang =
+            |spec: &JobSpec| spec.is_gang() && task.split('/').next() == Some(spec.id.as_str());
         if !self.jobs.iter().any(gang) {
             return;
         }
         self.machines[m].worker.set_task_state(task, TaskState::FetchingImage);
-        let earlier = self.lead.as_ref().is_some_and(|lead| attempt >> 28 < lead.term);
-        let leads = |c: &Controller| c.leader.as_ref().is_some_and(|l| l.term > attempt >> 28);
-        self.counts.completed_gangs += usize::from(earlier && self.controllers.iter().any(leads));
+        let of_earlier_term = self.lead.as_ref().is_some_and(|lead| attempt >> 28 < lead.term);
+        let leads = |controller: &Controller| {
+            controller.leader.as_ref().is_some_and(|leader| leader.term > attempt >> 28)
+        };
+        self.counts.completed_gangs +=
+            usize::from(of_earlier_term && self.controllers.iter().any(leads));
     }
 
     /// Advances the gang tasks of a machine.
     pub(super) fn run_gangs(&mut self, m: usize) {
-        let here: Vec<TaskStatus> = self.machines[m].worker.tasks().to_vec();
-        for reported in here.iter().filter(|t| t.state != TaskState::Ended) {
-            let (id, _) = reported.task.split_once('/').expect("a task");
-            let spec = self.jobs.iter().find(|j| j.is_gang() && j.id.as_str() == id).cloned();
+        let tasks: Vec<TaskStatus> = self.machines[m].worker.tasks().to_vec();
+        for status in tasks.iter().filter(|status| status.state != TaskState::Ended) {
+            let (id, _) = status.task.split_once('/').expect("a task name");
+            let spec =
+                self.jobs.iter().find(|spec| spec.is_gang() && spec.id.as_str() == id).cloned();
             if let Some(spec) = spec {
-                self.run_gang_task(m, reported, &spec);
+                self.run_gang_task(m, status, &spec);
             }
         }
     }
 
-    fn run_gang_task(&mut self, m: usize, reported: &TaskStatus, spec: &JobSpec) {
+    fn run_gang_task(&mut self, m: usize, status: &TaskStatus, spec: &JobSpec) {
         let now = self.now;
-        let (task, attempt) = (reported.task.as_str(), reported.attempt);
+        let (task, attempt) = (status.task.as_str(), status.attempt);
         let since = self.machines[m].since.get(task).copied().unwrap_or(now);
         let name = |index: u32| format!("{}/{index}", spec.id);
         let state = |index: u32| {
-            let on = |w: &ScriptedWorker| w.task_state(&name(index), attempt);
-            self.machines.iter().filter(|m| !m.dead).find_map(|m| on(&m.worker))
+            let task_state = |worker: &ScriptedWorker| worker.task_state(&name(index), attempt);
+            self.machines.iter().filter(|m| !m.dead).find_map(|m| task_state(&m.worker))
         };
-        match reported.state {
-            TaskState::FetchingImage if now >= since + FETCH => {
+        match status.state {
+            TaskState::FetchingImage if now >= since + IMAGE_FETCH => {
                 self.machines[m].worker.set_task_state(task, TaskState::WaitingForGang);
             }
             TaskState::WaitingForGang => {
                 let ready = |index| matches!(state(index), Some(TaskState::WaitingForGang));
                 if (0..spec.tasks).all(ready) {
                     self.start_gang(spec, attempt);
-                } else if now >= since + GANG_WAIT {
+                } else if now >= since + GANG_WAIT_TIMEOUT {
                     self.machines[m].worker.end_task(task, ExitCause::GangIncomplete);
                 }
             }
             TaskState::Running => {
-                let gone = |index: u32| state(index).is_none() && !self.done.contains(&name(index));
-                if now >= since + GANG_PEER && (0..spec.tasks).any(gone) {
+                let lost = |index: u32| state(index).is_none() && !self.done.contains(&name(index));
+                if now >= since + GANG_LOSS_TIMEOUT && (0..spec.tasks).any(lost) {
                     self.machines[m].worker.end_task(task, ExitCause::GangMemberLost);
                 }
             }
--- a/crates/controller/tests/simulation/leases.rs
+++ b/crates/controller/tests/simulation/leases.rs
@@ -8,41 +8,46 @@
 use hookway_wire::Heartbeat;
 
 impl Simulation {
-    pub(super) fn heartbeat_arrives(&mut self, m: usize, n: usize, report: &Heartbeat) {
+    pub(super) fn heartbeat_arrives(&mut self, m: usize, n: usize, heartbeat: &Heartbeat) {
         let now = self.now;
         if !self.worker_linked(n, m) {
             return;
         }
-        let entitled = self.controllers[n].entitled(now);
+        let may_lead = self.controllers[n].may_lead(now);
         let controller = &mut self.controllers[n];
-        let here = controller.clock(now);
+        let local_now = controller.clock(now);
         let reply = match &mut controller.leader {
-            Some(leader) if entitled => leader
+            Some(leader) if may_lead => leader
                 .cluster
-                .handle_heartbeat(report, now)
-                .map_or(Reply::Unavailable, Reply::Answer),
+                .handle_heartbeat(heartbeat, now)
+                .map_or(Reply::Unavailable, Reply::Response),
             leader => {
-                let over = &controller.over;
-                let kept =
-                    controller.holding.extend_worker_lease(report, here, |id| over.contains(id));
-                match (kept, leader) {
-                    (Some(kept), leader) => {
+                let finished = &controller.finished;
+                let extension = controller
+                    .lessee
+                    .extend_worker_lease(heartbeat, local_now, |id| finished.contains(id));
+                match (extension, leader) {
+                    (Some(extension), leader) => {
                         if let Some(leader) = leader {
-                            leader.cluster.worker_lease_extended(&report.machine, now);
+                            leader.cluster.worker_lease_extended(&heartbeat.machine, now);
                         }
                         self.counts.lessee_extensions += 1;
-                        self.counts.stopped_by_lessees += kept.response.commands.len();
-                        Reply::Answer(kept.response)
+                        self.counts.stopped_by_lessees += extension.response.commands.len();
+                        Reply::Response(extension.response)
                     }
                     (None, Some(_)) => Reply::Unavailable,
                     (None, None) => {
-                        let in_touch = controller.holding.leader_reachable(here);
-                        Reply::Redirect(controller.seen.filter(|l| *l != n && in_touch))
+                        let leader_reachable = controller.lessee.leader_reachable(local_now);
+                        Reply::Redirect(
+                            controller
+                                .observed_leader
+                                .filter(|leader| *leader != n && leader_reachable),
+                        )
                     }
                 }
             }
         };
-        self.send(|| Message::HeartbeatResponse(m, n, report.sequence, reply.clone()));
+        self.send(|| Message::HeartbeatResponse(m, n, heartbeat.sequence, reply.clone()));
     }
 
     pub(super) fn renewal_arrives(
@@ -50,15 +55,17 @@
         from: usize,
         n: usize,
         renewal: &ShardLeaseRenewal,
-        at: MonotonicTime,
+        sent: MonotonicTime,
     ) {
         let now = self.now;
-        if !self.peers_linked(from, n) || !self.controllers[n].entitled(now) {
+        if !self.peers_linked(from, n) || !self.controllers[n].may_lead(now) {
             return;
         }
         let Some(leader) = &mut self.controllers[n].leader else { return };
         if let Some(lease) = leader.cluster.renew_shard_lease(renewal, now) {
-            self.send(|| Message::LeaseGranted(from, n, renewal.process_nonce, lease.clone(), at));
+            self.send(|| {
+                Message::LeaseGranted(from, n, renewal.process_nonce, lease.clone(), sent)
+            });
         }
     }
 
@@ -72,13 +79,13 @@
     ) {
         let linked = self.peers_linked(from, n);
         let controller = &mut self.controllers[n];
-        let here = controller.clock(self.now);
+        let local_now = controller.clock(self.now);
         // A connection ends with its process, and a response after the time limit is not taken.
-        let in_time = here < sent + constants::PEER_TIMEOUT;
+        let in_time = local_now < sent + constants::PEER_TIMEOUT;
         let observed = self.now >= controller.responses_lost_until;
         if linked && observed && controller.nonce == nonce && in_time && controller.leader.is_none()
         {
-            controller.holding.lease_granted(lease, sent, here);
+            controller.lessee.lease_granted(lease, sent, local_now);
         }
     }
 }
--- a/crates/controller/tests/simulation/machines.rs
+++ b/crates/controller/tests/simulation/machines.rs
@@ -12,20 +12,20 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A replica of a daemon exits after this long, ms, which does not complete the job.
+/// A replica of a daemon exits after this long, which does not complete the job.
 const REPLICA_ENDS_AFTER: Duration = Duration::from_millis(40_000);
 
-/// A moved replica runs again within this time, ms.
+/// A moved replica runs again within this time.
 const REPLICA_MOVES_WITHIN: Duration = Duration::from_millis(5_000);
 
 pub(super) struct Machine {
     pub worker: ScriptedWorker,
     pub name: String,
-    pub born: MonotonicTime,
+    pub created_at: MonotonicTime,
     /// Send time of the heartbeat whose response was received last.
     lease_from: MonotonicTime,
     in_flight: Option<(u64, MonotonicTime)>,
-    next_report: MonotonicTime,
+    next_heartbeat: MonotonicTime,
     /// The controller that receives its heartbeats.
     controller: usize,
     pub partitioned_until: MonotonicTime,
@@ -34,7 +34,7 @@
     inbound_lost_until: MonotonicTime,
     /// One-way partition: nothing that it sends arrives, while direct commands reach it.
     outbound_lost_until: MonotonicTime,
-    /// It hangs.
+    /// The machine hangs until then.
     hung_until: MonotonicTime,
     pub dead: bool,
     pub since: BTreeMap<String, MonotonicTime>,
@@ -50,10 +50,10 @@
                 if n.is_multiple_of(2) { "a" } else { "b" },
             ),
             name,
-            born: now,
+            created_at: now,
             lease_from: now,
             in_flight: None,
-            next_report: now,
+            next_heartbeat: now,
             controller: n % CONTROLLERS.len(),
             partitioned_until: MonotonicTime::ZERO,
             partitioned_from: None,
@@ -87,41 +87,41 @@
         &mut self,
         m: usize,
         n: usize,
-        tick: u64,
+        sequence: u64,
         reply: Reply,
     ) {
         let now = self.now;
         let linked = self.worker_linked(n, m);
         let machine = &self.machines[m];
-        let open = linked
+        let delivered = linked
             && now >= machine.inbound_lost_until
             && !machine.dead
             && now >= machine.hung_until;
-        let Some((expected, sent)) = machine.in_flight.filter(|_| open) else { return };
-        if expected != tick || now > sent + HEARTBEAT_TIMEOUT {
+        let Some((expected, sent)) = machine.in_flight.filter(|_| delivered) else { return };
+        if expected != sequence || now > sent + HEARTBEAT_TIMEOUT {
             return;
         }
-        let soon = self.span(0, 500);
+        let retry_delay = self.span(0, 500);
         let machine = &mut self.machines[m];
         machine.in_flight = None;
         match reply {
-            Reply::Answer(answer) => {
+            Reply::Response(response) => {
                 let before = machine.worker.started_attempts.len();
-                if machine.worker.handle_response(&answer) {
+                if machine.worker.handle_response(&response) {
                     machine.lease_from = sent;
-                    if !answer.commands.is_empty() {
-                        machine.next_report = machine.next_report.min(now + ms(500));
+                    if !response.commands.is_empty() {
+                        machine.next_heartbeat = machine.next_heartbeat.min(now + ms(500));
                     }
                 }
                 self.check_starts(m, before);
             }
             Reply::Redirect(Some(other)) if other != n => {
                 machine.controller = other;
-                machine.next_report = now + soon;
+                machine.next_heartbeat = now + retry_delay;
             }
             Reply::Redirect(_) | Reply::Unavailable => {
                 machine.controller = (n + 1) % CONTROLLERS.len();
-                machine.next_report = now + ms(1_000);
+                machine.next_heartbeat = now + ms(1_000);
             }
         }
     }
@@ -147,11 +147,11 @@
         self.expire(m);
         let machine = &mut self.machines[m];
         let before = machine.worker.started_attempts.len();
-        let report = machine.worker.handle_direct_commands(&commands);
+        let heartbeat = machine.worker.handle_direct_commands(&commands);
         let name = machine.name.clone();
         self.check_starts(m, before);
         if term > 0 {
-            let delivery = report.map_or(Delivery::Refused, Delivery::Executed);
+            let delivery = heartbeat.map_or(Delivery::Refused, Delivery::Executed);
             let delay = self.span(5, 50);
             let reply = Message::Delivered(n, term, name, commands.fencing_token, delivery);
             self.at(now + delay, reply);
@@ -168,11 +168,11 @@
         self.expire(m);
         let machine = &mut self.machines[m];
         // The probe is repeated under the incarnation that its refusal names.
-        let session = machine.worker.incarnation();
-        let probe = DirectCommands { fencing_token: term, incarnation: session, commands: vec![] };
-        let report = machine.worker.handle_direct_commands(&probe);
+        let incarnation = machine.worker.incarnation();
+        let probe = DirectCommands { fencing_token: term, incarnation, commands: vec![] };
+        let heartbeat = machine.worker.handle_direct_commands(&probe);
         let name = machine.name.clone();
-        self.send(|| Message::ProbeResult(n, term, name.clone(), report.clone()));
+        self.send(|| Message::ProbeResult(n, term, name.clone(), heartbeat.clone()));
     }
 
     /// Checks the invariants at each start.
@@ -181,17 +181,17 @@
         for (task, attempt) in started {
             self.counts.starts += 1;
             let earlier = &self.machines[m].worker.started_attempts[..before];
-            let again = earlier.iter().any(|(t, a)| *t == task && *a == attempt);
-            assert!(!again, "{task} attempt {attempt} starts a second time on m-{}", m + 1);
+            let repeated = earlier.iter().any(|(t, a)| *t == task && *a == attempt);
+            assert!(!repeated, "{task} attempt {attempt} is started twice on m-{}", m + 1);
             for (other, machine) in self.machines.iter().enumerate() {
-                let twice = other != m
+                let duplicate = other != m
                     && !machine.dead
                     && machine.worker.unfinished_tasks().contains(&task);
-                assert!(!twice, "{task} starts on m-{} while on m-{}", m + 1, other + 1);
+                assert!(!duplicate, "{task} starts on m-{} and runs on m-{}", m + 1, other + 1);
             }
-            let same =
+            let copies =
                 self.machines[m].worker.unfinished_tasks().iter().filter(|t| **t == task).count();
-            assert!(same <= 1, "{task} is on one machine twice");
+            assert!(copies <= 1, "{task} runs {copies} times on one machine");
             self.check_bounds(m, &task);
             let replica =
                 |j: &JobSpec| j.is_daemon() && task.split('/').next() == Some(j.id.as_str());
@@ -203,25 +203,25 @@
 
     /// Checks zone constraints and quotas.
     fn check_bounds(&mut self, m: usize, task: &str) {
-        let (id, _) = task.split_once('/').expect("a task");
-        let spec = self.jobs.iter().find(|j| j.id.as_str() == id).expect("a job").clone();
-        let here = self.machines[m].worker.zone().to_owned();
+        let (id, _) = task.split_once('/').expect("a task name");
+        let spec = self.jobs.iter().find(|j| j.id.as_str() == id).expect("a submitted job").clone();
+        let zone = self.machines[m].worker.zone().to_owned();
         let mut live: Vec<(String, String)> = Vec::new();
         for machine in self.machines.iter().filter(|m| !m.dead) {
-            let zone = machine.worker.zone();
+            let machine_zone = machine.worker.zone();
             live.extend(
-                machine.worker.unfinished_tasks().into_iter().map(|t| (t, zone.to_owned())),
+                machine.worker.unfinished_tasks().into_iter().map(|t| (t, machine_zone.to_owned())),
             );
         }
         let of_job = |t: &str| t.split_once('/').is_some_and(|(j, _)| j == id);
         if spec.one_zone || spec.spread {
             self.counts.zone_bound_starts += 1;
             let of_job: Vec<&(String, String)> = live.iter().filter(|(t, _)| of_job(t)).collect();
-            let apart = of_job.iter().any(|(_, z)| *z != here);
-            assert!(!(spec.one_zone && apart), "{task} starts in {here}, others are elsewhere");
-            let near = of_job.iter().filter(|(_, z)| *z == here).count();
+            let elsewhere = of_job.iter().any(|(_, z)| *z != zone);
+            assert!(!(spec.one_zone && elsewhere), "{task} starts in {zone}, others elsewhere");
+            let in_zone = of_job.iter().filter(|(_, z)| *z == zone).count();
             let cap = spec.max_tasks_per_zone() as usize;
-            assert!(!spec.spread || near <= cap, "{task}: {near} of {cap} in {here}");
+            assert!(!spec.spread || in_zone <= cap, "{task}: {in_zone} in {zone}, limit {cap}");
         }
         if spec.team == "tight" {
             self.counts.quota_bound_starts += 1;
@@ -230,7 +230,7 @@
                 self.jobs.iter().any(|j| j.id.as_str() == id && j.team == "tight")
             };
             let used = live.iter().filter(|(t, _)| tight(t)).count();
-            assert!(used <= 4, "{task}: its team has {used} tasks, and a limit of 4");
+            assert!(used <= 4, "{task}: its team runs {used} tasks, limit 4");
         }
     }
 
@@ -278,36 +278,36 @@
         let machine = &mut self.machines[m];
         if machine.in_flight.is_some_and(|(_, sent)| now > sent + HEARTBEAT_TIMEOUT) {
             machine.in_flight = None;
-            machine.next_report = now + ms(1_000);
+            machine.next_heartbeat = now + ms(1_000);
             machine.controller = (machine.controller + 1) % CONTROLLERS.len();
         }
-        if machine.in_flight.is_none() && now >= machine.next_report {
-            let report = machine.worker.heartbeat();
-            machine.in_flight = Some((report.sequence, now));
-            machine.next_report = now + HEARTBEAT_EVERY;
+        if machine.in_flight.is_none() && now >= machine.next_heartbeat {
+            let heartbeat = machine.worker.heartbeat();
+            machine.in_flight = Some((heartbeat.sequence, now));
+            machine.next_heartbeat = now + HEARTBEAT_EVERY;
             let (controller, outbound_lost) =
                 (machine.controller, now < machine.outbound_lost_until);
             if outbound_lost || !self.worker_linked(controller, m) {
-                // It may be delayed and arrive when the partition has healed.
+                // The heartbeat may be delayed and arrive when the partition has healed.
                 if self.chance(300) {
                     let at = now + self.span(1_000, 60_000);
-                    self.at(at, Message::Heartbeat(m, controller, report));
+                    self.at(at, Message::Heartbeat(m, controller, heartbeat));
                 }
                 // The connection is refused, or times out.
                 if self.rng.random_range(0..2) == 0 {
                     let machine = &mut self.machines[m];
                     machine.in_flight = None;
-                    machine.next_report = now + ms(1_000);
+                    machine.next_heartbeat = now + ms(1_000);
                     machine.controller = (controller + 1) % CONTROLLERS.len();
                 }
                 return;
             }
-            self.send(|| Message::Heartbeat(m, controller, report.clone()));
+            self.send(|| Message::Heartbeat(m, controller, heartbeat.clone()));
             // A duplicate reaches every controller at some time.
             if self.chance(20) {
                 for n in 0..CONTROLLERS.len() {
                     let at = now + self.span(2_000, 60_000);
-                    self.at(at, Message::Heartbeat(m, n, report.clone()));
+                    self.at(at, Message::Heartbeat(m, n, heartbeat.clone()));
                 }
             }
         }
@@ -318,8 +318,8 @@
         // Tasks run for a few seconds, a few for much longer than the time limits of controllers, and all
         // tasks of some jobs for longer than the cancellation limit.
         for task in self.machines[m].worker.unfinished_tasks() {
-            let (id, _) = task.split_once('/').expect("a task");
-            let long = self.long(id);
+            let (id, _) = task.split_once('/').expect("a task name");
+            let is_long = self.long(id);
             let machine = &mut self.machines[m];
             let since = machine.since.get(&task).copied().unwrap_or(now);
             // A permanent or a transient failure.
@@ -328,25 +328,25 @@
             if fails || fails_once {
                 self.counts.errors += 1;
                 machine.worker.end_task(&task, ExitCause::Error);
-                machine.next_report = machine.next_report.min(now + ms(100));
+                machine.next_heartbeat = machine.next_heartbeat.min(now + ms(100));
                 continue;
             }
             // Replicas run on, except for one that exits now and then.
             let daemon = |j: &JobSpec| j.id.as_str() == id && j.is_daemon();
             let daemon = self.jobs.iter().any(daemon);
-            let takes = match task.ends_with('7') {
+            let run_time = match task.ends_with('7') {
                 _ if daemon => REPLICA_ENDS_AFTER,
-                _ if long => ms(90_000),
+                _ if is_long => ms(90_000),
                 true => ms(25_000),
                 false => ms(6_000),
             };
             let runs = machine.worker.is_running(&task);
-            if !runs || now < since + takes || daemon && now >= FAULTS_END_AT {
+            if !runs || now < since + run_time || daemon && now >= FAULTS_END_AT {
                 continue;
             }
             machine.worker.end_task(&task, ExitCause::Done);
-            machine.next_report = machine.next_report.min(now + ms(100));
-            let (id, _) = task.split_once('/').expect("a task");
+            machine.next_heartbeat = machine.next_heartbeat.min(now + ms(100));
+            let (id, _) = task.split_once('/').expect("a task name");
             let gang = self.jobs.iter().find(|j| j.id.as_str() == id && j.is_gang());
             match gang {
                 Some(spec) => self.done.extend((0..spec.tasks).map(|i| format!("{id}/{i}"))),
@@ -355,7 +355,7 @@
         }
     }
 
-    /// Some time after the faults end, every replica of every daemon is on a machine, except while it moves
+    /// Some time after the faults end, every replica of every daemon runs on a machine, except while it moves
     /// to another one.
     pub(super) fn check_replicas(&mut self) {
         if !(REPLICAS_AT.saturating_sub(REPLICA_MOVES_WITHIN)..=REPLICAS_AT).contains(&self.now) {
@@ -375,14 +375,14 @@
                 continue;
             }
             for replica in 0..spec.tasks {
-                let there = self.replicas_seen.contains(&format!("{id}/{replica}"));
-                assert!(there, "replica {replica} does not run\n{}", self.describe(id));
+                let running = self.replicas_seen.contains(&format!("{id}/{replica}"));
+                assert!(running, "replica {replica} does not run\n{}", self.describe(id));
                 self.counts.replicas_in_place += 1;
             }
         }
     }
 
-    /// The tasks of a cancelled job are removed within the limit under every partition.
+    /// Checks that no task of a cancelled job runs after the cancellation limit, whatever is partitioned.
     pub(super) fn check_cancelled(&self) {
         let limit = span_of_seconds(self.controllers[0].config.platform.workers.cancel_s);
         for (id, reported) in &self.reported {
@@ -390,9 +390,9 @@
                 continue;
             };
             for machine in self.machines.iter().filter(|m| !m.dead) {
-                let there =
+                let running =
                     machine.worker.unfinished_tasks().iter().any(|t| t.starts_with(id.as_str()));
-                assert!(!there, "{id} was withdrawn at {at:?} and is on {}", machine.name);
+                assert!(!running, "{id}, cancelled at {at:?}, still runs on {}", machine.name);
             }
         }
     }
--- a/crates/controller/tests/simulation/messages.rs
+++ b/crates/controller/tests/simulation/messages.rs
@@ -1,4 +1,4 @@
-//! Messages under way between the parts of the simulation, and their delivery.
+//! Messages in flight between the parts of the simulation, and their delivery.
 
 use super::scenarios::FaultScenario;
 use super::{Simulation, ms};
@@ -9,7 +9,7 @@
 use hookway_time::MonotonicTime;
 use hookway_wire::{DirectCommands, Heartbeat, HeartbeatResponse, JobId, Transaction};
 
-/// A message under way. Controllers and machines are indices into their lists.
+/// A message in flight. Controllers and machines are indices into their lists.
 #[derive(Debug)]
 pub(super) enum Message {
     /// Machine, controller.
@@ -26,7 +26,7 @@
     Followed(usize, usize, u64, FollowResponse),
     /// A controller tells another that a job has finished.
     JobFinished(usize, usize, JobId),
-    /// Controller, its term (0: it waits for no response), machine.
+    /// Controller, its term (0: it waits for no response), machine, commands.
     Direct(usize, u64, usize, DirectCommands),
     /// To a controller in a term: machine, fencing token, outcome.
     Delivered(usize, u64, String, u64, Delivery),
@@ -34,9 +34,9 @@
     ProbeResult(usize, u64, String, Option<Heartbeat>),
     /// A transaction arrives at the state service.
     PendingCommit(usize, u64, Box<PendingCommit>),
-    /// Its sender reads the keys of a commit without a response.
+    /// The leader rereads the keys of a commit that got no response.
     Reread(usize, u64, Box<PendingCommit>),
-    /// It arrives after its sender's time limit.
+    /// A transaction that arrives after its sender's time limit.
     DelayedTransaction(Transaction),
     /// A deletion arrives at the cloud.
     Delete(usize, u64, Vec<String>),
@@ -44,7 +44,7 @@
 
 #[derive(Debug, Clone)]
 pub(super) enum Reply {
-    Answer(HeartbeatResponse),
+    Response(HeartbeatResponse),
     Redirect(Option<usize>),
     Unavailable,
 }
@@ -55,7 +55,7 @@
         let now = self.now;
         tracing::debug!("{now:?}: {message:?}");
         // Messages to a frozen controller wait until it resumes.
-        let to = match &message {
+        let receiver = match &message {
             Message::Heartbeat(_, n, _)
             | Message::LeaseRenewal(_, n, ..)
             | Message::LeaseGranted(n, ..)
@@ -67,49 +67,53 @@
             | Message::Reread(n, ..) => Some(*n),
             _ => None,
         };
-        if let Some(n) = to {
+        if let Some(n) = receiver {
             if now < self.controllers[n].down_until {
                 return;
             }
-            let thaw = self.controllers[n].frozen_until;
-            if now < thaw {
-                return self.at(thaw, message);
+            let resumes_at = self.controllers[n].frozen_until;
+            if now < resumes_at {
+                return self.at(resumes_at, message);
             }
         }
         match message {
-            Message::Heartbeat(m, n, report) => self.heartbeat_arrives(m, n, &report),
-            Message::HeartbeatResponse(m, n, tick, reply) => {
-                self.heartbeat_response_arrives(m, n, tick, reply)
+            Message::Heartbeat(m, n, heartbeat) => self.heartbeat_arrives(m, n, &heartbeat),
+            Message::HeartbeatResponse(m, n, sequence, reply) => {
+                self.heartbeat_response_arrives(m, n, sequence, reply)
             }
-            Message::LeaseRenewal(from, n, renewal, at) => {
-                self.renewal_arrives(from, n, &renewal, at)
+            Message::LeaseRenewal(from, n, renewal, sent) => {
+                self.renewal_arrives(from, n, &renewal, sent)
             }
             Message::LeaseGranted(n, from, nonce, lease, sent) => {
                 self.shard_lease_arrives(n, from, nonce, lease, sent);
             }
-            Message::Follow(from, n, nonce, ask) => self.follow_arrives(from, n, nonce, &ask),
-            Message::Followed(n, from, nonce, answer) => {
-                self.followed_arrives(n, from, nonce, answer);
+            Message::Follow(from, n, nonce, request) => {
+                self.follow_arrives(from, n, nonce, &request);
+            }
+            Message::Followed(n, from, nonce, response) => {
+                self.followed_arrives(n, from, nonce, response);
             }
             Message::JobFinished(n, from, id) => {
                 // No invariant may depend on this message.
-                let lost =
-                    self.scenario.as_ref().is_some_and(|p| p.kind != FaultScenario::LeaderRefused);
+                let lost = self
+                    .scenario
+                    .as_ref()
+                    .is_some_and(|scenario| scenario.kind != FaultScenario::LeaderRefused);
                 if !lost && self.peers_linked(from, n) {
-                    self.controllers[n].over.insert(id);
+                    self.controllers[n].finished.insert(id);
                 }
             }
             Message::Direct(n, term, m, commands) => self.direct_arrives(n, term, m, commands),
-            Message::Delivered(n, term, name, token, delivery) => {
+            Message::Delivered(n, term, name, fencing_token, delivery) => {
                 if let Some(leader) = self.controllers[n].leading(term) {
-                    leader.cluster.direct_start_sent(&name, token, delivery, now);
+                    leader.cluster.direct_start_sent(&name, fencing_token, delivery, now);
                 }
             }
             Message::StateProbe(n, term, m) => self.probe_arrives(n, term, m),
-            Message::ProbeResult(n, term, name, report) => {
-                self.counts.probes_answered += usize::from(report.is_some());
+            Message::ProbeResult(n, term, name, heartbeat) => {
+                self.counts.probe_responses += usize::from(heartbeat.is_some());
                 if let Some(leader) = self.controllers[n].leading(term) {
-                    leader.cluster.state_probed(&name, report, now);
+                    leader.cluster.state_probed(&name, heartbeat, now);
                 }
             }
             Message::PendingCommit(n, term, commit) => self.commit_arrives(n, term, commit),
@@ -123,8 +127,10 @@
                 self.check_final_states();
             }
             Message::Delete(n, term, names) => {
-                for m in self.machines.iter_mut().filter(|m| names.contains(&m.name)) {
-                    m.dead = true;
+                for machine in
+                    self.machines.iter_mut().filter(|machine| names.contains(&machine.name))
+                {
+                    machine.dead = true;
                 }
                 if let Some(leader) = self.controllers[n].leading(term) {
                     leader.cluster.scale_in_finished(&names, now);
--- a/crates/controller/tests/simulation/mod.rs
+++ b/crates/controller/tests/simulation/mod.rs
@@ -34,33 +34,34 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The end of all faults, ms.
+/// End of all faults.
 pub const FAULTS_END_AT: MonotonicTime = MonotonicTime::from_millis(200_000);
-/// Start of the rolling upgrade, ms: while faults are injected.
+/// Start of the rolling upgrade, while faults are injected.
 const UPGRADE_AT: MonotonicTime = MonotonicTime::from_millis(40_000);
-/// Time between the upgrades of two controllers, ms.
+/// Time between the upgrades of two controllers.
 const UPGRADE_EVERY: Duration = Duration::from_millis(10_000);
-/// Every replica of every daemon runs by then, ms.
+/// Every replica of every daemon runs by then.
 pub const REPLICAS_AT: MonotonicTime = MonotonicTime::from_millis(200_000 + 60_000);
-/// Every job must have finished by then, ms. A team at its quota of four tasks may have a dozen of 90 s
+/// Every job must have finished by then. A team at its quota of four tasks may have a dozen of 90 s
 /// queued.
 pub const END_AT: MonotonicTime = MonotonicTime::from_millis(1_200_000);
 const STEP: Duration = Duration::from_millis(100);
-/// Time limit of a heartbeat, ms (protocol).
+/// Time limit of a heartbeat (protocol).
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(4_000);
 const HEARTBEAT_EVERY: Duration = Duration::from_millis(2_000);
-/// The controllers with their zones. Two share one.
+/// Name and zone of each controller; two share a zone. `n` is the index of a controller, `m` that of a
+/// machine.
 const CONTROLLERS: [(&str, &str); 3] = [("one", "a"), ("two", "b"), ("three", "a")];
 const ZONES: [&str; 2] = ["a", "b"];
 
-/// The leader's record in the state service.
-struct StoredLead {
+/// The leadership lease in the state service.
+struct StoredLeadership {
     controller: usize,
     term: u64,
     until: MonotonicTime,
 }
 
-/// The states of a job that users have been told.
+/// The states of a job that users have seen.
 #[derive(Default)]
 struct ReportedState {
     accepted: bool,
@@ -73,7 +74,7 @@
     rng: StdRng,
     now: MonotonicTime,
     store: MemoryStore,
-    lead: Option<StoredLead>,
+    lead: Option<StoredLeadership>,
     next_term: u64,
     outage_until: MonotonicTime,
     zone_partitioned_until: [MonotonicTime; ZONES.len()],
@@ -96,18 +97,18 @@
     pub counts: EventCounts,
 }
 
-/// A span of this many milliseconds.
+/// A span of `millis` milliseconds.
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
 /// Jobs that fail on every machine until their users cancel them.
 fn always_fails(id: &str) -> bool {
-    id.bytes().next_back().is_some_and(|b| b == b'5')
+    id.bytes().next_back().is_some_and(|digit| digit == b'5')
 }
 
 fn zone_number(zone: &str) -> usize {
-    ZONES.iter().position(|z| *z == zone).expect("a zone")
+    ZONES.iter().position(|known| *known == zone).expect("a known zone")
 }
 
 impl Simulation {
@@ -151,7 +152,7 @@
         simulation
     }
 
-    /// The same, with one-way partitions between controllers.
+    /// `with_standbys`, with one-way partitions between controllers.
     pub fn with_one_way_partitions(seed: u64) -> Self {
         Self { one_way_partitions: true, ..Self::with_standbys(seed) }
     }
@@ -159,15 +160,16 @@
     /// A day with one scenario of concurrent faults and no other fault of controllers or zones.
     pub fn with_scenario(kind: FaultScenario, seed: u64) -> Self {
         let mut simulation = Self::new(seed);
-        let at = MonotonicTime::ZERO + simulation.span(45_000, 60_000);
+        let starts_at = MonotonicTime::ZERO + simulation.span(45_000, 60_000);
         simulation.scenario =
-            Some(ScheduledScenario { kind, at, leader: 0, away_at: MonotonicTime::ZERO });
+            Some(ScheduledScenario { kind, starts_at, leader: 0, away_at: MonotonicTime::ZERO });
         simulation
     }
 
     /// Whether the job's tasks run for longer than the cancellation limit.
     fn long(&self, id: &str) -> bool {
-        self.scenario.is_some() || id.bytes().next_back().is_some_and(|b| b == b'3' || b == b'8')
+        self.scenario.is_some()
+            || id.bytes().next_back().is_some_and(|digit| digit == b'3' || digit == b'8')
     }
 
     fn chance(&mut self, per_mille: u32) -> bool {
@@ -200,18 +202,21 @@
                 lead.until = now + hookway_constants::LEADER_TTL;
             }
         }
-        if self.lead.as_ref().is_some_and(|l| now >= l.until) {
-            self.end_lead();
+        if self.lead.as_ref().is_some_and(|lease| now >= lease.until) {
+            self.revoke_leadership();
         }
         if self.chance(1) && self.rng.random_range(0..2) == 0 {
             self.outage_until = now + self.span(1_000, 64_000);
         }
     }
 
-    fn end_lead(&mut self) {
+    fn revoke_leadership(&mut self) {
         self.lead = None;
-        let gone = hookway_wire::Operation::delete(hookway_controller::records::LEADER_KEY);
-        let _ = self.store.commit(&Transaction { preconditions: vec![], operations: vec![gone] });
+        let delete_leader =
+            hookway_wire::Operation::delete(hookway_controller::records::LEADER_KEY);
+        let _ = self
+            .store
+            .commit(&Transaction { preconditions: vec![], operations: vec![delete_leader] });
     }
 
     pub fn run(&mut self) {
@@ -230,7 +235,7 @@
                 self.run_machine(m);
             }
             if self.chance(2) {
-                // A machine fails with all of its tasks.
+                // A machine fails, with all of its tasks.
                 let m = self.rng.random_range(0..self.machines.len());
                 self.machines[m].dead = true;
             }
@@ -243,31 +248,30 @@
         }
     }
 
-    /// The faults have ended, every job has finished, and no machine has a task.
+    /// Whether the faults have ended, every job has finished and no machine has a task.
     fn finished(&self) -> bool {
         self.now > FAULTS_END_AT
             && self.every(ms(5_000))
-            && self.jobs.iter().all(|j| self.has_final_state(&j.id))
+            && self.jobs.iter().all(|spec| self.has_final_state(&spec.id))
             && self.machines.iter().all(|m| m.dead || m.worker.unfinished_tasks().is_empty())
     }
 
-    /// The final state, to investigate a failure.
+    /// The state of a job on machines and leaders, for messages of failed assertions.
     pub fn describe(&self, id: &JobId) -> String {
-        let spec = self.jobs.iter().find(|j| j.id == *id);
-        let of_job = |t: &&String| t.starts_with(id.as_str());
+        let spec = self.jobs.iter().find(|spec| spec.id == *id);
+        let of_job = |task: &&String| task.starts_with(id.as_str());
         let mut text = format!("{spec:?}\ndone: {}", self.done.iter().filter(of_job).count());
         for machine in self.machines.iter().filter(|m| !m.dead) {
             let zone = machine.worker.zone();
             text +=
                 &format!("\n{} in {zone}: {:?}", machine.name, machine.worker.unfinished_tasks());
         }
-        for (controller, (label, zone)) in self.controllers.iter().zip(CONTROLLERS) {
-            let leader = controller
-                .leader
-                .as_ref()
-                .map(|l| (l.cluster.summary(self.now).to_string(), l.cluster.reconciled(self.now)));
-            let known = controller.leader.as_ref().map(|l| l.cluster.status(id));
-            text += &format!("\n{label} in {zone}: {leader:?} {known:?}");
+        for (controller, (name, zone)) in self.controllers.iter().zip(CONTROLLERS) {
+            let leader = controller.leader.as_ref().map(|leader| {
+                (leader.cluster.summary(self.now).to_string(), leader.cluster.reconciled(self.now))
+            });
+            let status = controller.leader.as_ref().map(|leader| leader.cluster.status(id));
+            text += &format!("\n{name} in {zone}: {leader:?} {status:?}");
         }
         text
     }
--- a/crates/controller/tests/simulation/network.rs
+++ b/crates/controller/tests/simulation/network.rs
@@ -13,16 +13,16 @@
 
     /// Sends a message; it may be delayed, duplicated or lost.
     pub(super) fn send(&mut self, make: impl Fn() -> Message) {
-        let direct = matches!(make(), Message::Direct(..));
+        let is_direct = matches!(make(), Message::Direct(..));
         let mut copies = 1;
         if self.chance(40) {
             copies = 0;
-        } else if self.chance(if direct { 300 } else { 60 }) {
+        } else if self.chance(if is_direct { 300 } else { 60 }) {
             copies = 2;
         }
         for copy in 0..copies {
-            let late = copy > 0 || self.chance(if direct { 250 } else { 30 });
-            let delay = match (late, self.rng.random_range(0..2)) {
+            let delayed = copy > 0 || self.chance(if is_direct { 250 } else { 30 });
+            let delay = match (delayed, self.rng.random_range(0..2)) {
                 (false, _) => self.span(5, 60),
                 (true, 0) => self.span(500, 6_000),
                 (true, _) => self.span(500, 60_000),
@@ -36,29 +36,31 @@
     }
 
     /// Whether two zones can reach each other.
-    pub(super) fn zones_linked(&self, one: &str, other: &str) -> bool {
-        one == other || self.zone_open(one) && self.zone_open(other)
+    pub(super) fn zones_linked(&self, first: &str, second: &str) -> bool {
+        first == second || self.zone_open(first) && self.zone_open(second)
     }
 
     /// Whether a controller can reach the state service.
-    pub(super) fn store_answers(&self, n: usize) -> bool {
+    pub(super) fn store_reachable(&self, n: usize) -> bool {
         let controller = &self.controllers[n];
         self.now >= self.outage_until
             && self.now >= controller.store_unreachable_until
             && self.zone_open(CONTROLLERS[n].1)
     }
 
-    pub(super) fn peers_linked(&self, one: usize, other: usize) -> bool {
+    pub(super) fn peers_linked(&self, first: usize, second: usize) -> bool {
         let open = |n: usize| self.now >= self.controllers[n].peers_unreachable_until;
-        open(one) && open(other) && self.zones_linked(CONTROLLERS[one].1, CONTROLLERS[other].1)
+        open(first)
+            && open(second)
+            && self.zones_linked(CONTROLLERS[first].1, CONTROLLERS[second].1)
     }
 
     pub(super) fn worker_linked(&self, n: usize, m: usize) -> bool {
         let machine = &self.machines[m];
-        let filtered = machine
+        let partitioned = machine
             .partitioned_from
             .is_some_and(|(controller, until)| controller == n && self.now < until);
-        !filtered
+        !partitioned
             && self.now >= self.controllers[n].workers_unreachable_until
             && self.now >= machine.partitioned_until
             && self.zones_linked(CONTROLLERS[n].1, machine.worker.zone())
--- a/crates/controller/tests/simulation/scenarios.rs
+++ b/crates/controller/tests/simulation/scenarios.rs
@@ -5,7 +5,7 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// Longer than the cancellation limit and a worker lease after it, ms.
+/// Longer than the cancellation limit plus one worker lease.
 const OUTAGE: Duration = Duration::from_millis(64_000);
 const PARTITION: Duration = Duration::from_millis(100_000);
 
@@ -16,9 +16,10 @@
     /// state service is unavailable to all for longer than `cancel_s`, while workers send heartbeats to the
     /// old leader.
     LeaderRefused,
-    /// The same, and the old leader can't reach the other controllers either: it learns of no cancellation.
+    /// As `LeaderRefused`, and the old leader can't reach the other controllers either: it learns of no
+    /// cancellation.
     LeaderIsolated,
-    /// The leader's whole zone is partitioned, with workers that no other controller reaches.
+    /// The leader's zone is partitioned, with workers that no controller of another zone reaches.
     LeaderZonePartitioned,
     /// The leader that confirms cancellations can't reach some machines, but their shard lessee can, and
     /// loses the leader later. The leader's messages to it about the cancellations are lost.
@@ -27,11 +28,11 @@
 
 pub(super) struct ScheduledScenario {
     pub kind: FaultScenario,
-    /// Its start, ms.
-    pub at: MonotonicTime,
+    /// Its start.
+    pub starts_at: MonotonicTime,
     /// The leader at its start.
     pub leader: usize,
-    /// Start of the outage of the state service, ms.
+    /// Start of the outage of the state service.
     pub away_at: MonotonicTime,
 }
 
@@ -40,17 +41,17 @@
     pub(super) fn run_scenario(&mut self) {
         let now = self.now;
         let Some(scenario) = &self.scenario else { return };
-        if now < scenario.at {
+        if now < scenario.starts_at {
             return;
         }
         let kind = scenario.kind;
         if scenario.away_at == MonotonicTime::ZERO {
-            let Some(leader) = self.lead.as_ref().map(|l| l.controller) else { return };
+            let Some(leader) = self.lead.as_ref().map(|lease| lease.controller) else { return };
             let away_at = match kind {
                 FaultScenario::OnlyLesseeReachable => now + self.span(3_000, 7_000),
                 _ => now + self.span(5_000, 9_000),
             };
-            self.scenario = Some(ScheduledScenario { kind, at: now, leader, away_at });
+            self.scenario = Some(ScheduledScenario { kind, starts_at: now, leader, away_at });
             let controller = &mut self.controllers[leader];
             match kind {
                 FaultScenario::LeaderRefused | FaultScenario::LeaderIsolated => {
@@ -65,15 +66,16 @@
                         now + PARTITION;
                 }
                 FaultScenario::OnlyLesseeReachable => {
-                    let there = |z: &str| z != CONTROLLERS[leader].1;
-                    let far = self.machines.iter_mut().filter(|m| there(m.worker.zone()));
-                    far.for_each(|m| m.partitioned_from = Some((leader, now + PARTITION)));
+                    let in_other_zone = |zone: &str| zone != CONTROLLERS[leader].1;
+                    let distant =
+                        self.machines.iter_mut().filter(|m| in_other_zone(m.worker.zone()));
+                    distant.for_each(|m| m.partitioned_from = Some((leader, now + PARTITION)));
                 }
             }
         } else if now >= scenario.away_at && now < scenario.away_at + ms(100) {
             self.outage_until = now + OUTAGE;
             if kind == FaultScenario::OnlyLesseeReachable {
-                // From now on only the shard lease permits the lessee to answer.
+                // From now on only the shard lease permits the lessee to extend worker leases.
                 let leader = scenario.leader;
                 self.controllers[leader].peers_unreachable_until = now + PARTITION;
             }
@@ -83,15 +85,17 @@
     /// Users cancel every job at the controller that the scenario requires.
     pub(super) fn cancel_in_scenario(&mut self) {
         let now = self.now;
-        let Some(scenario) =
-            self.scenario.as_ref().filter(|p| p.away_at > MonotonicTime::ZERO && now < p.away_at)
+        let Some(scenario) = self
+            .scenario
+            .as_ref()
+            .filter(|scenario| scenario.away_at > MonotonicTime::ZERO && now < scenario.away_at)
         else {
             return;
         };
         let (kind, leader) = (scenario.kind, scenario.leader);
         let ready = match kind {
-            FaultScenario::OnlyLesseeReachable => now < scenario.at + ms(2_000),
-            _ => self.lead.as_ref().is_none_or(|l| l.controller != leader),
+            FaultScenario::OnlyLesseeReachable => now < scenario.starts_at + ms(2_000),
+            _ => self.lead.as_ref().is_none_or(|lease| lease.controller != leader),
         };
         if !ready {
             return;
@@ -100,7 +104,7 @@
             FaultScenario::OnlyLesseeReachable => leader,
             _ => self.rng.random_range(0..CONTROLLERS.len()),
         };
-        let ids: Vec<_> = self.jobs.iter().map(|j| j.id.clone()).collect();
+        let ids: Vec<_> = self.jobs.iter().map(|spec| spec.id.clone()).collect();
         for id in ids {
             self.cancel_at(n, &id);
         }
--- a/crates/controller/tests/simulation/standbys.rs
+++ b/crates/controller/tests/simulation/standbys.rs
@@ -1,4 +1,4 @@
-//! Followers: their requests to the leader, the responses, and what a new leader takes from its copy.
+//! Standbys: requests of followers, responses of the leader, and the warm start of a new leader from its copy.
 
 use super::controllers::{Leader, Version};
 use super::{Message, Simulation};
@@ -12,13 +12,13 @@
 const COMPARE_EVERY: Duration = Duration::from_millis(5_000);
 
 impl Simulation {
-    /// A controller that does not lead requests the entries that its copy lacks. Only the new version does,
-    /// and only from a leader of the new version.
+    /// A follower requests the entries that its copy lacks, if it and the leader are of the new version.
     pub(super) fn follow(&mut self, n: usize) {
         let controller = &self.controllers[n];
-        let Some(leader) = controller.seen.filter(|l| *l != n) else { return };
-        let both = [n, leader].iter().all(|c| self.controllers[*c].version == Version::New);
-        if !both || !self.every(constants::FOLLOW_INTERVAL) {
+        let Some(leader) = controller.observed_leader.filter(|leader| *leader != n) else { return };
+        let both_new =
+            [n, leader].iter().all(|index| self.controllers[*index].version == Version::New);
+        if !both_new || !self.every(constants::FOLLOW_INTERVAL) {
             return;
         }
         let (nonce, request) = (controller.nonce, controller.follower.request());
@@ -30,16 +30,17 @@
         from: usize,
         n: usize,
         nonce: u64,
-        ask: &FollowRequest,
+        request: &FollowRequest,
     ) {
         let now = self.now;
-        if !self.peers_linked(from, n) || !self.controllers[n].entitled(now) {
+        if !self.peers_linked(from, n) || !self.controllers[n].may_lead(now) {
             return;
         }
         let Some(leader) = &mut self.controllers[n].leader else { return };
         leader.cluster.publish(&mut leader.publisher);
-        let answer = leader.publisher.respond(ask, now).expect("a small state");
-        self.send(|| Message::Followed(from, n, nonce, answer.clone()));
+        let response =
+            leader.publisher.respond(request, now).expect("a state that fits a response");
+        self.send(|| Message::Followed(from, n, nonce, response.clone()));
     }
 
     /// A response, possibly delayed or duplicated.
@@ -48,7 +49,7 @@
         n: usize,
         from: usize,
         nonce: u64,
-        answer: FollowResponse,
+        response: FollowResponse,
     ) {
         let now = self.now;
         let linked = self.peers_linked(from, n);
@@ -59,8 +60,8 @@
         if !observed || controller.leader.is_some() {
             return;
         }
-        let refused = controller.follower.handle_response(answer, now).is_err();
-        self.counts.refused_answers += usize::from(refused);
+        let refused = controller.follower.handle_response(response, now).is_err();
+        self.counts.refused_responses += usize::from(refused);
     }
 
     /// Injects a one-way partition: a controller's requests reach the others, their responses don't reach it.
@@ -78,7 +79,7 @@
         if warm { 2 } else { 8 }
     }
 
-    /// A new leader takes what its copy has.
+    /// A new leader starts from its standby copy if it is usable.
     pub(super) fn warm_start(&mut self, n: usize, leader: &mut Leader) {
         let controller = &self.controllers[n];
         let Ok(copy) = controller.follower.usable_copy(leader.term, self.now) else {
@@ -88,15 +89,15 @@
         leader.cluster.warm_start(copy, &Networks::default(), self.now);
     }
 
-    /// The entries that a leader published add up to its cluster state: none was omitted.
+    /// Checks that the published entries are the whole cluster state of the leader.
     pub(super) fn check_published_entries(&self, leader: &mut Leader) {
         if !self.every(COMPARE_EVERY) {
             return;
         }
         leader.cluster.publish(&mut leader.publisher);
-        let mut whole = Publisher::new(leader.term);
-        leader.cluster.publish_all(&mut whole);
-        let differing = leader.publisher.state().differing(whole.state(), 4);
+        let mut complete = Publisher::new(leader.term);
+        leader.cluster.publish_all(&mut complete);
+        let differing = leader.publisher.state().differing(complete.state(), 4);
         assert!(differing.is_empty(), "not published: {differing:?}");
     }
 }
--- a/crates/controller/tests/simulation/users.rs
+++ b/crates/controller/tests/simulation/users.rs
@@ -6,10 +6,10 @@
 use hookway_wire::{JobId, JobSpec, JobState, Operation, Precondition, Transaction};
 use rand::RngExt;
 
-/// Most replicas of a daemon, and most daemons: together they fit the smaller zone, whatever constraints
-/// others have.
-const MOST_REPLICAS: u64 = 2;
-const MOST_DAEMONS: usize = 4;
+/// Limits of replicas per daemon and of daemons: together they fit the smaller zone, whatever constraints
+/// other jobs have.
+const MAX_REPLICAS: u64 = 2;
+const MAX_DAEMONS: usize = 4;
 
 /// A job's state as a user sees it.
 #[derive(Debug, PartialEq, Eq)]
@@ -21,11 +21,11 @@
 impl Simulation {
     #[expect(clippy::too_many_lines, reason = "the steps of one simulated event, in order")]
     pub(super) fn submit(&mut self) {
-        let most = if self.scenario.is_some() { 14 } else { 40 };
-        if self.jobs.len() >= most || !self.chance(30) {
+        let max_jobs = if self.scenario.is_some() { 14 } else { 40 };
+        if self.jobs.len() >= max_jobs || !self.chance(30) {
             return;
         }
-        let n = self.jobs.len();
+        let job_number = self.jobs.len();
         let gang = self.rng.random_range(0..3) < if self.standby_scenario { 2 } else { 1 };
         let team = if self.rng.random_range(0..4) == 0 { "tight" } else { "team" };
         let tasks = match team {
@@ -33,38 +33,39 @@
             _ if gang && self.standby_scenario => {
                 self.number(2, if team == "tight" { 5 } else { 7 })
             }
-            _ if gang || self.long(&n.to_string()) => self.number(1, 4),
+            _ if gang || self.long(&job_number.to_string()) => self.number(1, 4),
             // Where arrays fill all machines, no resources are left to complete gangs.
             _ if self.standby_scenario => self.number(1, 8),
             "tight" => self.number(1, 16),
             _ => self.number(1, 80),
         };
         // Features of the new version are used only after all controllers are upgraded.
-        let new = self.controllers.iter().all(|c| c.version == Version::New);
-        let daemons = self.jobs.iter().filter(|j| j.is_daemon()).count();
-        let fits = new && !gang && team == "team" && daemons < MOST_DAEMONS;
+        let all_upgraded =
+            self.controllers.iter().all(|controller| controller.version == Version::New);
+        let daemons = self.jobs.iter().filter(|spec| spec.is_daemon()).count();
+        let fits = all_upgraded && !gang && team == "team" && daemons < MAX_DAEMONS;
         let daemon = fits && self.rng.random_range(0..2) == 0;
         let (kind, priority) = match (gang, daemon) {
             (true, _) => ("group", "normal"),
             (_, true) => ("daemon", "production"),
             _ => ("array", "normal"),
         };
-        let tasks = if daemon { tasks.min(MOST_REPLICAS) } else { tasks };
+        let tasks = if daemon { tasks.min(MAX_REPLICAS) } else { tasks };
         let (one_zone, spread) = match self.rng.random_range(0..5) {
             0 => (true, false),
             1 => (false, true),
             _ => (false, false),
         };
         let text = format!(
-            r#"{{"NameId":"req-{n:06}","Lane":"train","Owner":"{team}","Shape":"{kind}",
+            r#"{{"NameId":"req-{job_number:06}","Lane":"train","Owner":"{team}","Shape":"{kind}",
             "Rank":"{priority}","Pieces":{tasks},"Vcpus":1.0,"Gpus":0,"RamGb":1,"Bundle":"img",
             "ImageGb":1,"Together":{one_zone},"Spread":{spread},"Loaners":true,"GuessS":10,
             "SnapshotEveryS":0,"SnapshotS":0,"DueS":60}}"#
         );
-        let spec = JobSpec::parse(text.as_bytes()).expect("a sound job");
-        let at = (0..CONTROLLERS.len())
-            .find(|n| self.store_answers(*n) && self.controllers[*n].up(self.now));
-        if at.is_none() {
+        let spec = JobSpec::parse(text.as_bytes()).expect("a valid job");
+        let accepting = (0..CONTROLLERS.len())
+            .find(|n| self.store_reachable(*n) && self.controllers[*n].up(self.now));
+        if accepting.is_none() {
             return;
         }
         let record = JobRecord {
@@ -72,7 +73,7 @@
             accepted_at_ms: self.moment().wall.as_unix_millis(),
             has_start_watermark: true,
         };
-        let value = serde_json::to_value(record).expect("a record");
+        let value = serde_json::to_value(record).expect("a job record that serializes");
         let key = job_key(&spec.id);
         self.store.put(&key, value);
         // The response may be lost; the user then submits again and finds the job.
@@ -86,9 +87,9 @@
             return;
         }
         if self.now >= REPLICAS_AT && self.every(ms(5_000)) {
-            let ends = |j: &&JobSpec| always_fails(j.id.as_str()) || j.is_daemon();
-            let wrong = self.jobs.iter().filter(ends);
-            let ids: Vec<JobId> = wrong.map(|j| j.id.clone()).collect();
+            let never_done = |spec: &&JobSpec| always_fails(spec.id.as_str()) || spec.is_daemon();
+            let to_cancel = self.jobs.iter().filter(never_done);
+            let ids: Vec<JobId> = to_cancel.map(|spec| spec.id.clone()).collect();
             for id in ids {
                 (0..CONTROLLERS.len()).for_each(|n| self.cancel_at(n, &id));
             }
@@ -96,14 +97,15 @@
         if self.scenario.is_some() {
             self.cancel_in_scenario();
         }
-        let n = self.rng.random_range(0..self.jobs.len());
-        let id = self.jobs[n].id.clone();
+        let index = self.rng.random_range(0..self.jobs.len());
+        let id = self.jobs[index].id.clone();
         for n in 0..CONTROLLERS.len() {
             self.query_at(n, &id);
         }
         // More cancellations while a controller is refused or partitioned, most while nobody leads.
-        let odd = self.controllers.iter().any(|c| self.now < c.store_unreachable_until);
-        let rate = match (&self.lead, odd) {
+        let store_unreachable =
+            self.controllers.iter().any(|controller| self.now < controller.store_unreachable_until);
+        let rate = match (&self.lead, store_unreachable) {
             _ if self.scenario.is_some() => 0,
             (None, _) => 250,
             (_, true) => 25,
@@ -122,55 +124,56 @@
         let reported = self.reported.entry(id.clone()).or_default();
         assert!(
             !reported.accepted || observed != ObservedState::Absent,
-            "{id} was accepted, and is unknown"
+            "{id} was accepted and is now unknown"
         );
         let cancelled = observed == ObservedState::State(JobState::Cancelled);
         let done = observed == ObservedState::State(JobState::Done);
         assert!(
             reported.cancelled_at.is_none() || cancelled,
-            "{id} was withdrawn, and is {observed:?}"
+            "{id} was cancelled and is now {observed:?}"
         );
-        assert!(!reported.done || done, "{id} was done, and is {observed:?}");
+        assert!(!reported.done || done, "{id} was done and is now {observed:?}");
         if cancelled {
             reported.cancelled_at.get_or_insert(self.now);
         }
         reported.done |= done;
     }
 
-    /// The decision of the API service.
+    /// The state that the API of a controller responds with; `None` if it gives no response.
     fn state_at(&mut self, n: usize, id: &JobId) -> Option<ObservedState> {
         if !self.controllers[n].up(self.now) {
             return None;
         }
-        if self.controllers[n].over.contains(id) {
+        if self.controllers[n].finished.contains(id) {
             return self.stored(id);
         }
-        let leader = self.entitled_for(n);
-        if let Some(l) = leader {
-            let cluster = &self.controllers[l].leader.as_ref()?.cluster;
+        let leader = self.reachable_leader(n);
+        if let Some(leader) = leader {
+            let cluster = &self.controllers[leader].leader.as_ref()?.cluster;
             match cluster.status(id) {
                 JobLookup::Known(status) => return Some(ObservedState::State(status.state)),
                 JobLookup::CommitInFlight | JobLookup::UnknownJob
-                    if l != n && self.store_answers(l) =>
+                    if leader != n && self.store_reachable(leader) =>
                 {
                     return self.stored(id);
                 }
                 JobLookup::CommitInFlight | JobLookup::UnknownJob => {}
             }
         }
-        if self.store_answers(n) { self.stored(id) } else { None }
+        if self.store_reachable(n) { self.stored(id) } else { None }
     }
 
     /// The controller that may act as leader and that `n` can reach; possibly itself.
-    fn entitled_for(&self, n: usize) -> Option<usize> {
-        let leads = |c: usize| self.controllers[c].entitled(self.now);
+    fn reachable_leader(&self, n: usize) -> Option<usize> {
+        let leads = |index: usize| self.controllers[index].may_lead(self.now);
         if leads(n) {
             return Some(n);
         }
-        let seen = self.controllers[n].seen?;
-        let there =
-            leads(seen) && self.peers_linked(n, seen) && self.controllers[seen].up(self.now);
-        there.then_some(seen)
+        let observed_leader = self.controllers[n].observed_leader?;
+        let reachable = leads(observed_leader)
+            && self.peers_linked(n, observed_leader)
+            && self.controllers[observed_leader].up(self.now);
+        reachable.then_some(observed_leader)
     }
 
     fn stored(&self, id: &JobId) -> Option<ObservedState> {
@@ -185,18 +188,18 @@
 
     /// A user cancels a job at a controller.
     pub(super) fn cancel_at(&mut self, n: usize, id: &JobId) {
-        if !self.controllers[n].up(self.now) || self.controllers[n].over.contains(id) {
+        if !self.controllers[n].up(self.now) || self.controllers[n].finished.contains(id) {
             return;
         }
-        if let Some(l) = self.entitled_for(n) {
-            let Some(leader) = &mut self.controllers[l].leader else { return };
+        if let Some(index) = self.reachable_leader(n) {
+            let Some(leader) = &mut self.controllers[index].leader else { return };
             if leader.cluster.cancel(id) == CancelOutcome::Pending {
-                leader.asked.insert(id.clone());
+                leader.pending_cancellations.insert(id.clone());
             }
             return;
         }
-        // The precondition: nobody leads.
-        if !self.store_answers(n) || self.store.get(&job_key(id)).is_none() {
+        // Without a leader: written on the precondition that nobody leads.
+        if !self.store_reachable(n) || self.store.get(&job_key(id)).is_none() {
             return;
         }
         let record = serde_json::json!({ "state": "withdrawn", "done": 0, "owner": "team" });
@@ -226,21 +229,21 @@
         self.counts.cancelled += 1;
         let now = self.now;
         self.reported.entry(id.clone()).or_default().cancelled_at.get_or_insert(now);
-        self.controllers[n].over.insert(id.clone());
-        for other in (0..CONTROLLERS.len()).filter(|o| *o != n) {
+        self.controllers[n].finished.insert(id.clone());
+        for other in (0..CONTROLLERS.len()).filter(|other| *other != n) {
             self.send(|| Message::JobFinished(other, n, id.clone()));
         }
     }
 
-    /// A job that is durably done has all of its tasks done.
+    /// Checks that every job with the final state done has all of its tasks done.
     pub(super) fn check_final_states(&mut self) {
         for spec in &self.jobs {
             let id = &spec.id;
             let Some(kv) = self.store.get(&final_state_key(id)) else { continue };
             if kv.value["state"].as_str() == Some("done") {
-                assert!(!spec.is_daemon(), "{id} is a daemon, and is called done");
-                let all = (0..spec.tasks).all(|i| self.done.contains(&format!("{id}/{i}")));
-                assert!(all, "{id} is called done before all of its tasks are");
+                assert!(!spec.is_daemon(), "the daemon {id} has the final state done");
+                let all_done = (0..spec.tasks).all(|i| self.done.contains(&format!("{id}/{i}")));
+                assert!(all_done, "{id} has the final state done before all of its tasks are");
             }
         }
     }
