--- a/crates/controller/tests/cluster_state/machine_registry.rs
+++ b/crates/controller/tests/cluster_state/machine_registry.rs
@@ -30,10 +30,10 @@
 #[test]
 fn machine_deleted_without_leader_does_not_block_older_jobs() {
     let mut harness = LeaderHarness::start();
-    let (mut reachable, mut gone) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
+    let (mut reachable, mut deleted) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     harness.submit(job("req-000001", "array", 2));
-    harness.run_rounds(&mut [&mut reachable, &mut gone]);
-    let lost_task = gone.unfinished_tasks()[0].clone();
+    harness.run_rounds(&mut [&mut reachable, &mut deleted]);
+    let lost_task = deleted.unfinished_tasks()[0].clone();
     // The cloud deletes m-2 while the leader crashes. It had been up for long, so the first list without it
     // proves its deletion.
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(100_000));
--- a/crates/controller/tests/cluster_state/reconciliation.rs
+++ b/crates/controller/tests/cluster_state/reconciliation.rs
@@ -134,8 +134,8 @@
             }
             harness.advance(500);
         }
-        let token = 1 + term * hookway_constants::TOKENS_PER_TERM;
-        harness = LeaderHarness::lead(harness.store.clone(), token, harness.now + ms(200));
+        let next_term = 1 + term * hookway_constants::TOKENS_PER_TERM;
+        harness = LeaderHarness::lead(harness.store.clone(), next_term, harness.now + ms(200));
     }
     harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
     let started_by_worker = (&worker_1.started_attempts, &worker_2.started_attempts);
--- a/crates/controller/tests/concurrent_faults.rs
+++ b/crates/controller/tests/concurrent_faults.rs
@@ -1,4 +1,4 @@
-//! Concurrent faults, each brought about by itself: a leader or a shard lessee, a state service in memory, scripted
+//! Concurrent faults, one scripted test for each: a leader or a shard lessee, a state service in memory, scripted
 //! workers, and a clock that the test moves. docs/safety.md has the table of concurrent faults.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
@@ -30,17 +30,17 @@
     let mut partitioned = small_worker("m-1", "a");
     bound_job(&mut harness, true, false, 300);
     harness.run_rounds(&mut [&mut partitioned]);
-    assert_eq!(partitioned.unfinished_tasks().len(), 1, "its zone is a from now on");
+    assert_eq!(partitioned.unfinished_tasks().len(), 1, "the job is bound to zone a");
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(30_000));
     let mut other = small_worker("m-2", "b");
     next.run_rounds(&mut [&mut other]);
-    assert_eq!(other.started_attempts, [], "the job may be in zone a");
+    assert_eq!(other.started_attempts, [], "the job may still run in zone a");
     let lease = worker_lease_expiry(&test_config().platform);
     while next.now < at(30_000) + lease {
         next.run_rounds(&mut [&mut other]);
     }
     next.run_rounds(&mut [&mut other]);
-    assert_eq!(other.unfinished_tasks().len(), 1, "what was there is gone for sure");
+    assert_eq!(other.unfinished_tasks().len(), 1, "the lease in zone a has expired");
 }
 
 #[test]
@@ -48,20 +48,20 @@
     let mut harness = LeaderHarness::start();
     let mut partitioned: Vec<ScriptedWorker> =
         (1..=20).map(|n| small_worker(&format!("m-{n}"), "a")).collect();
-    let mut far = small_worker("m-99", "b");
+    let mut distant = small_worker("m-99", "b");
     bound_job(&mut harness, false, true, 40);
-    let mut all: Vec<&mut ScriptedWorker> = partitioned.iter_mut().collect();
-    all.push(&mut far);
-    harness.run_rounds(&mut all);
+    let mut reachable: Vec<&mut ScriptedWorker> = partitioned.iter_mut().collect();
+    reachable.push(&mut distant);
+    harness.run_rounds(&mut reachable);
     assert_eq!(
-        partitioned.iter().map(|w| w.unfinished_tasks().len()).sum::<usize>(),
+        partitioned.iter().map(|worker| worker.unfinished_tasks().len()).sum::<usize>(),
         20,
-        "half of it"
+        "half of the job runs in zone a"
     );
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(30_000));
-    let mut fresh = small_worker("m-100", "a");
-    next.run_rounds(&mut [&mut far, &mut fresh]);
-    assert_eq!(fresh.started_attempts, [], "half of the job may be in zone a");
+    let mut idle = small_worker("m-100", "a");
+    next.run_rounds(&mut [&mut distant, &mut idle]);
+    assert_eq!(idle.started_attempts, [], "half of the job may still run in zone a");
 }
 
 /// The counterpart of the first test: without constraints, tasks above the watermark start at once.
@@ -77,7 +77,7 @@
     assert_eq!(other.unfinished_tasks().len(), 1);
 }
 
-/// An unreadable watermark record does not tell what was started; it was read as if nothing had been. Found
+/// An unreadable watermark record does not tell which tasks were started; it was read as none. Found
 /// by code review, on 2026-12-02.
 #[test]
 fn unreadable_watermark_counts_job_as_started() {
@@ -91,13 +91,13 @@
     let mut next = LeaderHarness::lead(store, 2, at(30_000));
     let mut other = small_worker("m-2", "b");
     next.run_rounds(&mut [&mut other]);
-    assert_eq!(other.started_attempts, [], "any of its tasks may be on m-1");
+    assert_eq!(other.started_attempts, [], "any task of the job may run on m-1");
     partitioned.end_task(&partitioned.unfinished_tasks()[0].clone(), ExitCause::Done);
     next.run_rounds(&mut [&mut other, &mut partitioned]);
-    assert!(!other.started_attempts.is_empty(), "all machines have reported");
+    assert!(!other.started_attempts.is_empty(), "every machine is reconciled");
 }
 
-/// No record is deleted of a job whose own record is unreadable.
+/// Records of a job whose own record is unreadable are not deleted.
 #[test]
 fn records_of_unreadable_job_are_kept() {
     let mut harness = LeaderHarness::start();
@@ -112,33 +112,37 @@
 }
 
 /// Found by the simulation, on 2026-12-02: a transaction with a job's final state had no response; the state
-/// service refused the next one, and the leader answered the job's state from memory again; then the first
-/// one was applied, and other controllers answered the final state that they read.
+/// service refused the next one, and the leader again served the job's state from memory; then the first one
+/// was applied, and other controllers served the final state that they read.
 #[test]
 fn undetermined_final_state_is_not_answered_from_memory() {
     let (mut harness, _, id) = one_running_task();
     let cancelled = harness.cluster.cancel(&id);
     assert_eq!(cancelled, CancelOutcome::Pending);
-    let first = harness.cluster.next_commit(harness.now).expect("the end");
+    let first = harness.cluster.next_commit(harness.now).expect("a commit of the final state");
     let late = first.transaction.clone();
     let result = harness.read_after_lost_response(&first);
     harness.cluster.committed(first, result, harness.now);
     assert_eq!(harness.cluster.status(&id), JobLookup::CommitInFlight);
-    let second = harness.cluster.next_commit(harness.now).expect("once more");
+    let second = harness.cluster.next_commit(harness.now).expect("a retry of the commit");
     harness.cluster.committed(second, CommitResult::NotApplied, harness.now);
-    harness.store.commit(&late).expect("carried out late");
-    assert_eq!(harness.cluster.status(&id), JobLookup::CommitInFlight, "the store must be asked");
+    harness.store.commit(&late).expect("applied late");
+    assert_eq!(
+        harness.cluster.status(&id),
+        JobLookup::CommitInFlight,
+        "the state must be read from the store"
+    );
     harness.now += ms(1_000);
     harness.commit_pending();
     assert_eq!(harness.job_state(&id), JobState::Cancelled);
 }
 
-/// The counterpart: while a transaction was certainly not applied, the state is answered from memory.
+/// The counterpart: while a transaction was certainly not applied, the state is served from memory.
 #[test]
 fn unapplied_final_state_keeps_running_state_in_memory() {
     let (mut harness, _, id) = one_running_task();
     harness.cluster.cancel(&id);
-    let commit = harness.cluster.next_commit(harness.now).expect("the end");
+    let commit = harness.cluster.next_commit(harness.now).expect("a commit of the final state");
     harness.cluster.committed(commit, CommitResult::NotApplied, harness.now);
     assert_eq!(harness.job_state(&id), JobState::Running);
 }
@@ -155,7 +159,7 @@
     harness.run_rounds(&mut [&mut worker]);
     assert_eq!(harness.cluster.cancel(&id), CancelOutcome::LeasesOutstanding);
     // The worker is partitioned; the user repeats the request.
-    let report = worker.heartbeat();
+    let heartbeat = worker.heartbeat();
     for _ in 0..5 {
         harness.advance(1_000);
         assert_eq!(harness.cluster.cancel(&id), CancelOutcome::LeasesOutstanding);
@@ -163,15 +167,15 @@
     }
     let stops = harness
         .cluster
-        .handle_heartbeat(&report, harness.now)
-        .expect("the leader answers")
+        .handle_heartbeat(&heartbeat, harness.now)
+        .expect("the leader responds")
         .commands;
     assert!(matches!(stops.as_slice(), [Command::Kill { .. }]), "{stops:?}");
     worker.end_task(&worker.unfinished_tasks()[0].clone(), ExitCause::Stopped);
     harness.heartbeat(&mut worker);
     harness.advance(100);
     assert_eq!(harness.stored_final_state(&id).as_deref(), Some("withdrawn"));
-    // With the usual settings nothing waits.
+    // With the default settings the cancellation does not wait.
     let mut harness = LeaderHarness::start();
     let id = harness.submit(job("req-000002", "array", 1));
     assert_eq!(harness.cluster.cancel(&id), CancelOutcome::Pending);
@@ -182,36 +186,37 @@
 #[test]
 fn delayed_heartbeat_received_first_by_new_leader_starts_no_task_twice() {
     let mut harness = LeaderHarness::start();
-    let (mut left, mut right) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
+    let (mut worker_1, mut worker_2) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     harness.submit(job("req-000001", "array", 1));
-    let older = left.heartbeat();
-    harness.run_rounds(&mut [&mut left]);
-    assert_eq!(left.unfinished_tasks().len(), 1);
-    let (old, empty) = (left.heartbeat(), right.heartbeat());
-    // The task is refused there and runs elsewhere.
-    left.end_task(&left.unfinished_tasks()[0].clone(), ExitCause::InsufficientResources);
-    harness.run_rounds(&mut [&mut left, &mut right]);
-    while right.unfinished_tasks().is_empty() {
-        harness.run_rounds(&mut [&mut left, &mut right]);
+    let older = worker_1.heartbeat();
+    harness.run_rounds(&mut [&mut worker_1]);
+    assert_eq!(worker_1.unfinished_tasks().len(), 1);
+    let (with_task, without_task) = (worker_1.heartbeat(), worker_2.heartbeat());
+    // The task is refused on m-1 and runs on m-2.
+    worker_1.end_task(&worker_1.unfinished_tasks()[0].clone(), ExitCause::InsufficientResources);
+    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+    while worker_2.unfinished_tasks().is_empty() {
+        harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
     }
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(6_000));
     // Duplicates arrive first; their responses reach no worker.
     let mut idle = small_worker("m-3", "a");
     next.cluster.handle_heartbeat(&older, next.now);
-    next.cluster.handle_heartbeat(&empty, next.now);
+    next.cluster.handle_heartbeat(&without_task, next.now);
     for _ in 0..4 {
         next.run_rounds(&mut [&mut idle]);
-        assert_eq!(idle.started_attempts, [], "it runs on m-2, which was not heard yet");
+        assert_eq!(idle.started_attempts, [], "the task runs on m-2, which is not reconciled yet");
     }
-    next.cluster.handle_heartbeat(&old, next.now);
+    next.cluster.handle_heartbeat(&with_task, next.now);
     next.run_rounds(&mut [&mut idle]);
     assert_eq!(idle.started_attempts, []);
-    next.run_rounds(&mut [&mut left, &mut right, &mut idle]);
-    next.run_rounds(&mut [&mut left, &mut right, &mut idle]);
-    let live: usize = [&left, &right, &idle].iter().map(|w| w.unfinished_tasks().len()).sum();
-    assert_eq!(live, 1, "one machine has it");
-    // The duplicate again, after newer heartbeats: it changes no state.
-    assert_eq!(next.cluster.handle_heartbeat(&old, next.now), None);
+    next.run_rounds(&mut [&mut worker_1, &mut worker_2, &mut idle]);
+    next.run_rounds(&mut [&mut worker_1, &mut worker_2, &mut idle]);
+    let live: usize =
+        [&worker_1, &worker_2, &idle].iter().map(|worker| worker.unfinished_tasks().len()).sum();
+    assert_eq!(live, 1, "the task runs on one machine");
+    // Another duplicate after newer heartbeats changes no state.
+    assert_eq!(next.cluster.handle_heartbeat(&with_task, next.now), None);
 }
 
 /// A heartbeat is delayed until a new leader has acted, and then arrives there.
@@ -219,18 +224,19 @@
 fn delayed_heartbeat_after_new_leader_acted_changes_no_state() {
     let (harness, mut worker, _) = one_running_task();
     worker.end_task(&worker.unfinished_tasks()[0].clone(), ExitCause::Error);
-    let held_back = worker.heartbeat();
+    let delayed = worker.heartbeat();
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(6_000));
-    // The state probe makes the worker report its tasks under the new fencing token.
+    // The response to the state probe names the tasks under the new fencing token.
     let probe =
         DirectCommands { fencing_token: 2, incarnation: worker.incarnation(), commands: vec![] };
-    let told = worker.handle_direct_commands(&probe).expect("a higher token");
+    let probe_response =
+        worker.handle_direct_commands(&probe).expect("a probe with a higher fencing token");
     next.cluster.machines_listed(
         &[listed_machine("m-1", MachineState::Running, 60.0)],
         next.now,
         next.now,
     );
-    next.cluster.state_probed("m-1", Some(told), next.now);
+    next.cluster.state_probed("m-1", Some(probe_response), next.now);
     next.run_rounds(&mut [&mut worker]);
     next.now += ms(60_000);
     while worker.unfinished_tasks().is_empty() {
@@ -238,9 +244,9 @@
     }
     let before = worker.started_attempts.len();
     assert_eq!(
-        next.cluster.handle_heartbeat(&held_back, next.now),
+        next.cluster.handle_heartbeat(&delayed, next.now),
         None,
-        "it is older than what was heard"
+        "an older heartbeat is refused"
     );
     for _ in 0..5 {
         next.run_rounds(&mut [&mut worker]);
@@ -253,33 +259,37 @@
 #[test]
 fn machine_without_committed_registration_gets_no_task() {
     let mut harness = LeaderHarness::start();
-    let (mut first, mut quick) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
+    let (mut first, mut booted) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.submit(job("req-000001", "array", 300));
     harness.run_rounds(&mut [&mut first]);
-    assert_eq!(first.unfinished_tasks().len(), 1, "the store knows that tasks may be started");
+    assert_eq!(first.unfinished_tasks().len(), 1, "the start watermark is stored");
     // The commits of the new machine's entry have no response; they arrive late, after the end of the leader.
-    let mut lost = Vec::new();
+    let mut without_response = Vec::new();
     for _ in 0..6 {
-        let report = quick.heartbeat();
-        let answer =
-            harness.cluster.handle_heartbeat(&report, harness.now).expect("the leader answers");
-        assert!(quick.handle_response(&answer));
+        let heartbeat = booted.heartbeat();
+        let response =
+            harness.cluster.handle_heartbeat(&heartbeat, harness.now).expect("the leader responds");
+        assert!(booted.handle_response(&response));
         harness.now += ms(500);
         harness.cluster.scheduling_round(harness.now);
-        assert_eq!(harness.cluster.take_direct_starts(harness.now), [], "nor straight");
+        assert_eq!(
+            harness.cluster.take_direct_starts(harness.now),
+            [],
+            "no direct start before registration"
+        );
         if let Some(commit) = harness.cluster.next_commit(harness.now) {
-            lost.push(commit.transaction.clone());
+            without_response.push(commit.transaction.clone());
             let result = harness.read_after_lost_response(&commit);
             harness.cluster.committed(commit, result, harness.now);
         }
     }
-    assert!(!lost.is_empty());
-    assert_eq!(quick.started_attempts, [], "the next leader would not know of it");
+    assert!(!without_response.is_empty());
+    assert_eq!(booted.started_attempts, [], "no start before the registration is stored");
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now);
-    for transaction in &lost {
-        assert!(next.store.commit(transaction).is_err(), "the old leader's writes fail by now");
+    for transaction in &without_response {
+        assert!(next.store.commit(transaction).is_err(), "commits of the deposed leader fail");
     }
-    // Neither listed nor registered: it has no task, and nothing waits for it.
+    // Neither listed nor registered: the machine has no task, and reconciliation does not wait for it.
     next.cluster.machines_listed(&[], next.now, next.now);
     let mut other = small_worker("m-3", "b");
     next.run_rounds(&mut [&mut first, &mut other]);
@@ -292,17 +302,17 @@
 /// deleted.
 #[test]
 fn cancelled_tasks_count_against_quota_until_lease_expiry() {
-    let tight = |id: &str| {
+    let quota_job = |id: &str| {
         let mut spec = job(id, "array", 1);
         spec.team = "tight".into();
         spec
     };
     let mut harness = LeaderHarness::start();
     let (mut partitioned, mut reachable) = (small_worker("m-1", "b"), small_worker("m-2", "a"));
-    let id = harness.submit(tight("req-000001"));
+    let id = harness.submit(quota_job("req-000001"));
     harness.run_rounds(&mut [&mut partitioned]);
-    assert_eq!(partitioned.unfinished_tasks().len(), 1, "three of four CPUs");
-    harness.submit(tight("req-000002"));
+    assert_eq!(partitioned.unfinished_tasks().len(), 1, "three of the team's four CPUs are in use");
+    harness.submit(quota_job("req-000002"));
     // Cancelled before or after the failover.
     for (case, term) in ["before", "after"].iter().zip([40_000, 80_000]) {
         let mut harness = LeaderHarness::lead(harness.store.clone(), term, at(term));
@@ -316,16 +326,16 @@
             harness.commit_pending();
         }
         assert_eq!(harness.stored_final_state(&id).as_deref(), Some("withdrawn"));
-        let over = harness.now + (worker_lease_expiry(&test_config().platform) - ms(3_000));
+        let end = harness.now + (worker_lease_expiry(&test_config().platform) - ms(3_000));
         let mut reachable = reachable.clone();
-        while harness.now < over {
+        while harness.now < end {
             harness.run_rounds(&mut [&mut reachable]);
-            assert_eq!(reachable.started_attempts, [], "{case}: m-1 may still run it");
+            assert_eq!(reachable.started_attempts, [], "{case}: the task may still run on m-1");
         }
         for _ in 0..5 {
             harness.run_rounds(&mut [&mut reachable]);
         }
-        assert_eq!(reachable.unfinished_tasks().len(), 1, "{case}: it is gone for sure");
+        assert_eq!(reachable.unfinished_tasks().len(), 1, "{case}: the lease on m-1 has expired");
     }
     reachable.expire_lease();
 }
@@ -339,17 +349,17 @@
     let id = harness.submit(job("req-000001", "array", 3));
     harness.run_rounds_all(&mut workers);
     for term in 2..=4 {
-        let n = term as usize - 2;
-        let task = workers[n].unfinished_tasks()[0].clone();
-        workers[n].end_task(&task, ExitCause::Done);
+        let index = term as usize - 2;
+        let task = workers[index].unfinished_tasks()[0].clone();
+        workers[index].end_task(&task, ExitCause::Done);
         harness.run_rounds_all(&mut workers);
-        let over = harness.stored_final_state(&id);
-        assert_eq!(over.is_some(), term == 4, "done with the last one only");
+        let final_state = harness.stored_final_state(&id);
+        assert_eq!(final_state.is_some(), term == 4, "done only after the last task");
         harness = LeaderHarness::lead(harness.store.clone(), term, harness.now + ms(6_000));
     }
     assert_eq!(harness.stored_final_state(&id).as_deref(), Some("done"));
-    let started: usize = workers.iter().map(|w| w.started_attempts.len()).sum();
-    assert_eq!(started, 3, "none ran a second time");
+    let started: usize = workers.iter().map(|worker| worker.started_attempts.len()).sum();
+    assert_eq!(started, 3, "each task is started once");
 }
 
 /// All controllers are down for longer than a worker's lease: every task restarts, once.
@@ -360,22 +370,25 @@
         (1..=3).map(|n| small_worker(&format!("m-{n}"), "a")).collect();
     let id = harness.submit(job("req-000001", "array", 3));
     harness.run_rounds_all(&mut workers);
-    let old: Vec<_> = workers.iter_mut().map(ScriptedWorker::heartbeat).collect();
+    let before_outage: Vec<_> = workers.iter_mut().map(ScriptedWorker::heartbeat).collect();
     workers.iter_mut().for_each(ScriptedWorker::expire_lease);
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(30_000));
     // Duplicated heartbeats from before the outage arrive first.
-    for report in &old {
-        next.cluster.handle_heartbeat(report, next.now);
+    for heartbeat in &before_outage {
+        next.cluster.handle_heartbeat(heartbeat, next.now);
     }
     for _ in 0..4 {
         next.run_rounds_all(&mut workers);
     }
-    assert!(workers.iter().all(|w| w.unfinished_tasks().len() == 1), "each has a task again");
+    assert!(
+        workers.iter().all(|worker| worker.unfinished_tasks().len() == 1),
+        "each worker runs a task again"
+    );
     let attempts: std::collections::BTreeSet<_> =
-        workers.iter().flat_map(|w| &w.started_attempts).collect();
-    assert_eq!(attempts.len(), 6, "no attempt number was used twice");
-    for w in &mut workers {
-        w.end_task(&w.unfinished_tasks()[0].clone(), ExitCause::Done);
+        workers.iter().flat_map(|worker| &worker.started_attempts).collect();
+    assert_eq!(attempts.len(), 6, "every attempt has a new number");
+    for worker in &mut workers {
+        worker.end_task(&worker.unfinished_tasks()[0].clone(), ExitCause::Done);
     }
     next.run_rounds_all(&mut workers);
     assert_eq!(next.stored_final_state(&id).as_deref(), Some("done"));
--- a/crates/controller/tests/controller_actor.rs
+++ b/crates/controller/tests/controller_actor.rs
@@ -31,7 +31,7 @@
  "Pieces":4,"Vcpus":2.0,"Gpus":0,"RamGb":4.0,"Bundle":"img-07","ImageGb":6.2,"Together":false,
  "Spread":false,"Loaners":true,"GuessS":240.0,"SnapshotEveryS":0,"SnapshotS":0}"#;
 
-/// Nobody listens there.
+/// No process listens at this address.
 const NOWHERE: &str = "127.0.0.1:1";
 
 /// A running controller.
@@ -46,40 +46,42 @@
     PeerController { name: name.to_owned(), zone: "b".to_owned(), address: address.to_owned() }
 }
 
-/// Starts a controller; `campaigns`: it seeks the leadership.
+/// Starts a controller, which campaigns for the leadership if `campaigns`.
 #[expect(clippy::too_many_lines, reason = "one scripted controller, set up in order")]
 async fn start(
-    label: &str,
+    name: &str,
     store: &str,
-    siblings: &[(&str, &str)],
+    peer_addresses: &[(&str, &str)],
     campaigns: bool,
 ) -> RunningController {
-    let settings = Settings::parse(SETTINGS).expect("sound settings");
+    let settings = Settings::parse(SETTINGS).expect("valid settings");
     let client = || StoreClient::new(store, 1_000.0);
     let (view_tx, view) = watch::channel(LeadershipView::default());
     let (machine_types_tx, machine_types_rx) = watch::channel(Some(Arc::new(machine_types())));
-    let (node_tx, asks) = mpsc::channel(64);
-    let (validity, doubt) = (Arc::new(LeadershipLease::default()), Arc::new(Notify::new()));
+    let (requests_tx, requests_rx) = mpsc::channel(64);
+    let (lease, leadership_lost) = (Arc::new(LeadershipLease::default()), Arc::new(Notify::new()));
     let clock = Clock::default();
     let signals = StandbySignals::default();
-    let addresses: HashMap<String, String> =
-        siblings.iter().map(|(l, a)| ((*l).to_owned(), (*a).to_owned())).collect();
+    let addresses: HashMap<String, String> = peer_addresses
+        .iter()
+        .map(|(name, address)| ((*name).to_owned(), (*address).to_owned()))
+        .collect();
     let stores = StoreClients { submissions: client(), queries: client() };
     let final_states = Arc::default();
     let api_service = Arc::new(ApiService::new(ApiServiceConfig {
         platform: settings.platform.clone(),
         stores,
         peers: Arc::new(Peers::new(addresses)),
-        controller: ControllerHandle::new(node_tx.clone()),
+        controller: ControllerHandle::new(requests_tx.clone()),
         view: view.clone(),
         machine_types: machine_types_rx.clone(),
         final_states: Arc::clone(&final_states),
     }));
-    let node = ControllerActor::new(ControllerActorConfig {
+    let actor = ControllerActor::new(ControllerActorConfig {
         cluster: ControllerConfig {
-            controller_name: label.into(),
+            controller_name: name.into(),
             zone: "a".into(),
-            peers: siblings.iter().map(|(name, address)| peer(name, address)).collect(),
+            peers: peer_addresses.iter().map(|(name, address)| peer(name, address)).collect(),
             platform: settings.platform,
             operator: OperatorSettings::default(),
         },
@@ -87,27 +89,27 @@
         cloud: CloudClient::new(NOWHERE, 100.0),
         workers: WorkerClient::default(),
         clock,
-        lease: validity.clone(),
+        lease: lease.clone(),
         view: view.clone(),
-        leadership_lost: doubt.clone(),
+        leadership_lost: leadership_lost.clone(),
         machine_types: machine_types_rx,
-        requests: asks,
+        requests: requests_rx,
         final_states,
-        shard_lessee: ShardLessee::new(label, 1, Duration::from_secs(1)),
-        standby: Standby::new(label, StandbyMode::Warm, signals.clone()),
+        shard_lessee: ShardLessee::new(name, 1, Duration::from_secs(1)),
+        standby: Standby::new(name, StandbyMode::Warm, signals.clone()),
     });
     tokio::task::spawn_local(async move {
-        node.run().await;
+        actor.run().await;
         drop(machine_types_tx);
     });
     if campaigns {
         let leadership = Leadership::new(LeadershipConfig {
-            controller_name: label.into(),
+            controller_name: name.into(),
             store: client(),
             clock,
-            lease: validity,
+            lease,
             view: view_tx,
-            leadership_lost: doubt,
+            leadership_lost,
             leader_suspected: signals.leader_suspected,
             lease_length: hookway_constants::LEADER_TTL,
             has_warm_copy: signals.has_warm_copy,
@@ -116,27 +118,28 @@
     } else {
         std::mem::forget(view_tx);
     }
-    RunningController { api_service, requests: node_tx, view }
+    RunningController { api_service, requests: requests_tx, view }
 }
 
 async fn within<T>(work: impl Future<Output = T>) -> T {
-    tokio::time::timeout(Duration::from_secs(20), work).await.expect("no answer at all")
+    tokio::time::timeout(Duration::from_secs(20), work).await.expect("a result within 20 s")
 }
 
 /// Accepts the job and waits until the leader knows it.
-async fn accepted(one: &mut RunningController) -> JobId {
-    one.view.wait_for(|v| v.own_term.is_some()).await.expect("the actor lives");
-    let verdict = one.api_service.submit(JOB.as_bytes(), Origin::Client).await;
-    assert!(matches!(verdict, RequestOutcome::Accepted(_)), "{verdict:?}");
+async fn accepted(controller_1: &mut RunningController) -> JobId {
+    controller_1.view.wait_for(|view| view.own_term.is_some()).await.expect("the actor runs");
+    let outcome = controller_1.api_service.submit(JOB.as_bytes(), Origin::Client).await;
+    assert!(matches!(outcome, RequestOutcome::Accepted(_)), "{outcome:?}");
     let id = JobId::parse("req-000412").expect("an id");
-    // Its cluster state has been loaded.
+    // Wait until the leader has loaded its cluster state.
     let known = async || {
-        let (reply, answer) = oneshot::channel();
-        one.requests
+        let (reply, response) = oneshot::channel();
+        controller_1
+            .requests
             .send(ControllerRequest::Status { job: id.clone(), reply })
             .await
-            .expect("the actor lives");
-        answer.await.expect("an answer").is_some()
+            .expect("the actor runs");
+        response.await.expect("a response").is_some()
     };
     while !known().await {
         tokio::task::yield_now().await;
@@ -144,32 +147,32 @@
     id
 }
 
-/// A request that can't be decided now is answered at once, not held until the state service is back: users waited
-/// for the full time limit during each outage.
+/// A request that can't be decided now gets a response at once, not when the state service is back: users waited for
+/// the full time limit during each outage.
 #[tokio::test]
 async fn cancellation_without_state_service_is_answered_at_once() {
     let work = async {
         let server = StoreServer::default();
         let address = server.start().await.expect("a free port");
-        let mut one = start("one", &address, &[], true).await;
-        let id = accepted(&mut one).await;
+        let mut controller_1 = start("one", &address, &[], true).await;
+        let id = accepted(&mut controller_1).await;
         server.begin_outage();
-        let verdict = within(one.api_service.cancel(&id, Origin::Client)).await;
-        assert!(matches!(verdict, RequestOutcome::Unavailable(_)), "{verdict:?}");
+        let outcome = within(controller_1.api_service.cancel(&id, Origin::Client)).await;
+        assert!(matches!(outcome, RequestOutcome::Unavailable(_)), "{outcome:?}");
         assert!(server.with_store(|store| store.get(&final_state_key(&id))).is_none());
         server.end_outage();
-        // The decision stayed in the queue; whoever asks again learns the outcome.
-        let told = within(async {
+        // The cancellation stays in the commit queue; a repeated request gets the outcome.
+        let status = within(async {
             loop {
-                if let RequestOutcome::Known(told) =
-                    one.api_service.cancel(&id, Origin::Client).await
+                if let RequestOutcome::Known(status) =
+                    controller_1.api_service.cancel(&id, Origin::Client).await
                 {
-                    break told;
+                    break status;
                 }
             }
         })
         .await;
-        assert_eq!(told.state, JobState::Cancelled);
+        assert_eq!(status.state, JobState::Cancelled);
     };
     LocalSet::new().run_until(work).await;
 }
@@ -182,60 +185,64 @@
         let server = StoreServer::default();
         let address = server.start().await.expect("a free port");
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let there = listener.local_addr().expect("bound").to_string();
-        // The other controller is refused by the state service.
-        let two = start("two", NOWHERE, &[], false).await;
-        tokio::spawn(peers::serve(listener, two.api_service.clone(), Networks::default()));
-        let mut one = start("one", &address, &[("two", &there)], true).await;
-        let id = accepted(&mut one).await;
-        assert!(!two.api_service.final_states().contains(&id));
-        let verdict = within(one.api_service.cancel(&id, Origin::Client)).await;
-        assert!(matches!(verdict, RequestOutcome::Known(_)), "{verdict:?}");
+        let peer_address = listener.local_addr().expect("a bound address").to_string();
+        // The other controller can't reach the state service.
+        let controller_2 = start("two", NOWHERE, &[], false).await;
+        tokio::spawn(peers::serve(listener, controller_2.api_service.clone(), Networks::default()));
+        let mut controller_1 = start("one", &address, &[("two", &peer_address)], true).await;
+        let id = accepted(&mut controller_1).await;
+        assert!(!controller_2.api_service.final_states().contains(&id));
+        let outcome = within(controller_1.api_service.cancel(&id, Origin::Client)).await;
+        assert!(matches!(outcome, RequestOutcome::Known(_)), "{outcome:?}");
         within(async {
-            while !two.api_service.final_states().contains(&id) {
+            while !controller_2.api_service.final_states().contains(&id) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         })
         .await;
-        let RequestOutcome::Known(told) = two.api_service.status(&id, Origin::Client).await else {
-            panic!("it knows the end without the state service")
+        let RequestOutcome::Known(status) =
+            controller_2.api_service.status(&id, Origin::Client).await
+        else {
+            panic!("the final state is unknown without the state service")
         };
-        assert_eq!(told.state, JobState::Cancelled);
+        assert_eq!(status.state, JobState::Cancelled);
     };
     LocalSet::new().run_until(work).await;
 }
 
 /// A controller that the state service refuses alone serves its users through the others, whether one of them
-/// leads or nobody does: otherwise its users would get no answer meanwhile.
+/// leads or nobody does: otherwise its users would get no response.
 #[tokio::test]
 async fn controller_refused_by_state_service_answers_users_through_peers() {
     let work = async {
         let server = StoreServer::default();
         let address = server.start().await.expect("a free port");
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let there = listener.local_addr().expect("bound").to_string();
+        let peer_address = listener.local_addr().expect("a bound address").to_string();
         // Nobody leads at first.
-        let two = start("two", &address, &[], false).await;
-        tokio::spawn(peers::serve(listener, two.api_service.clone(), Networks::default()));
-        let one = start("one", NOWHERE, &[("two", &there)], false).await;
-        let first = JobId::parse("req-000412").expect("an id");
-        let verdict = within(one.api_service.submit(JOB.as_bytes(), Origin::Client)).await;
-        assert!(matches!(verdict, RequestOutcome::Accepted(_)), "{verdict:?}");
-        let verdict = within(one.api_service.status(&first, Origin::Client)).await;
-        assert!(matches!(verdict, RequestOutcome::Known(told) if told.state == JobState::Queued));
-        let verdict = within(one.api_service.cancel(&first, Origin::Client)).await;
+        let controller_2 = start("two", &address, &[], false).await;
+        tokio::spawn(peers::serve(listener, controller_2.api_service.clone(), Networks::default()));
+        let controller_1 = start("one", NOWHERE, &[("two", &peer_address)], false).await;
+        let id = JobId::parse("req-000412").expect("an id");
+        let outcome = within(controller_1.api_service.submit(JOB.as_bytes(), Origin::Client)).await;
+        assert!(matches!(outcome, RequestOutcome::Accepted(_)), "{outcome:?}");
+        let outcome = within(controller_1.api_service.status(&id, Origin::Client)).await;
         assert!(
-            matches!(verdict, RequestOutcome::Known(told) if told.state == JobState::Cancelled)
+            matches!(outcome, RequestOutcome::Known(status) if status.state == JobState::Queued)
+        );
+        let outcome = within(controller_1.api_service.cancel(&id, Origin::Client)).await;
+        assert!(
+            matches!(outcome, RequestOutcome::Known(status) if status.state == JobState::Cancelled)
         );
         let absent = JobId::parse("req-000999").expect("an id");
         assert_eq!(
-            within(one.api_service.status(&absent, Origin::Client)).await,
+            within(controller_1.api_service.status(&absent, Origin::Client)).await,
             RequestOutcome::NotFound
         );
-        // While the state service is away for all, nobody knows.
+        // During an outage of the state service no controller can decide.
         server.begin_outage();
-        let verdict = within(one.api_service.status(&absent, Origin::Client)).await;
-        assert!(matches!(verdict, RequestOutcome::Unavailable(_)), "{verdict:?}");
+        let outcome = within(controller_1.api_service.status(&absent, Origin::Client)).await;
+        assert!(matches!(outcome, RequestOutcome::Unavailable(_)), "{outcome:?}");
     };
     LocalSet::new().run_until(work).await;
 }
--- a/crates/controller/tests/daemons.rs
+++ b/crates/controller/tests/daemons.rs
@@ -20,8 +20,8 @@
     }
 }
 
-/// A daemon with one replica that runs on the worker.
-fn running(harness: &mut LeaderHarness, worker: &mut ScriptedWorker) -> JobId {
+/// Submits a daemon whose one replica runs on the worker.
+fn submit_running_daemon(harness: &mut LeaderHarness, worker: &mut ScriptedWorker) -> JobId {
     let id = harness.submit(daemon("req-000001", 1));
     harness.run_rounds(&mut [&mut *worker]);
     assert_eq!(worker.unfinished_tasks(), ["req-000001/0"]);
@@ -30,8 +30,8 @@
 
 /// Advances the clock while the worker sends heartbeats.
 fn run_for(harness: &mut LeaderHarness, worker: &mut ScriptedWorker, millis: u64) {
-    let until = harness.now + ms(millis);
-    while harness.now < until {
+    let end = harness.now + ms(millis);
+    while harness.now < end {
         harness.heartbeat(worker);
         harness.advance(1_000);
     }
@@ -48,16 +48,16 @@
     ] {
         let mut harness = LeaderHarness::start();
         let mut worker = small_worker("m-1", "a");
-        let id = running(&mut harness, &mut worker);
+        let id = submit_running_daemon(&mut harness, &mut worker);
         run_for(&mut harness, &mut worker, whole_millis(constants::REPLICA_STEADY));
         worker.end_task("req-000001/0", cause);
         for _ in 0..4 {
             harness.run_rounds(&mut [&mut worker]);
         }
         assert_eq!(worker.unfinished_tasks(), ["req-000001/0"], "after {cause:?}");
-        assert_eq!(worker.heartbeat().tasks.len(), 1, "the earlier attempt is removed");
+        assert_eq!(worker.heartbeat().tasks.len(), 1, "the earlier attempt is reaped");
         assert_eq!(harness.job_state(&id), JobState::Running);
-        assert_eq!(harness.store.list("p/"), [], "an end is no result");
+        assert_eq!(harness.store.list("p/"), [], "an ended replica is no result");
     }
 }
 
@@ -65,7 +65,7 @@
 fn replica_restarts_write_no_records() {
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
-    let id = running(&mut harness, &mut worker);
+    let id = submit_running_daemon(&mut harness, &mut worker);
     let before = harness.store.revision();
     for _ in 0..50 {
         run_for(&mut harness, &mut worker, whole_millis(constants::REPLICA_STEADY));
@@ -77,29 +77,28 @@
     }
     harness.run_rounds(&mut [&mut worker]);
     assert!(worker.started_attempts.len() > 40);
-    assert_eq!(
-        harness.store.revision(),
-        before,
-        "nothing is written for a replica that runs again"
-    );
+    assert_eq!(harness.store.revision(), before, "a replica restart writes no record");
     harness.cluster.cancel(&id);
     harness.run_rounds(&mut [&mut worker]);
     assert_eq!(harness.stored_final_state(&id).as_deref(), Some("withdrawn"));
     assert_eq!(worker.unfinished_tasks(), [""; 0]);
-    let left: Vec<String> = harness.store.list("").into_iter().map(|kv| kv.key).collect();
-    assert!(!left.iter().any(|key| key.starts_with("j/") || key.starts_with("p/")), "{left:?}");
+    let remaining: Vec<String> = harness.store.list("").into_iter().map(|kv| kv.key).collect();
+    assert!(
+        !remaining.iter().any(|key| key.starts_with("j/") || key.starts_with("p/")),
+        "{remaining:?}"
+    );
 }
 
 #[test]
 fn replicas_ending_at_once_restart_with_growing_backoff() {
     for cause in [ExitCause::Done, ExitCause::Error] {
         let mut harness = LeaderHarness::start();
-        let (mut one, mut two) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
+        let (mut worker_1, mut worker_2) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
         harness.submit(daemon("req-000001", 3));
         let starts_within =
             |harness: &mut LeaderHarness, workers: &mut [&mut ScriptedWorker; 2], millis: u64| {
-                let started = |w: &[&mut ScriptedWorker; 2]| {
-                    w[0].started_attempts.len() + w[1].started_attempts.len()
+                let started = |workers: &[&mut ScriptedWorker; 2]| {
+                    workers[0].started_attempts.len() + workers[1].started_attempts.len()
                 };
                 let (before, until) = (started(workers), harness.now + ms(millis));
                 while harness.now < until {
@@ -113,27 +112,30 @@
                 }
                 started(workers) - before
             };
-        let mut workers = [&mut one, &mut two];
+        let mut workers = [&mut worker_1, &mut worker_2];
         starts_within(&mut harness, &mut workers, 60_000);
-        let later = starts_within(&mut harness, &mut workers, 60_000);
-        assert!((1..=4).contains(&later), "{later} starts within a minute, all ended {cause:?}");
+        let late_starts = starts_within(&mut harness, &mut workers, 60_000);
+        assert!(
+            (1..=4).contains(&late_starts),
+            "{late_starts} starts in the second minute, all ended {cause:?}"
+        );
     }
 }
 
 #[test]
 fn single_replica_error_does_not_delay_other_replicas() {
     let mut harness = LeaderHarness::start();
-    let (mut one, mut two) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
+    let (mut worker_1, mut worker_2) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     harness.submit(daemon("req-000001", 6));
-    harness.run_rounds(&mut [&mut one, &mut two]);
-    assert_eq!(one.unfinished_tasks().len() + two.unfinished_tasks().len(), 6);
-    let failing = one.unfinished_tasks()[0].clone();
-    one.end_task(&failing, ExitCause::Error);
-    harness.run_rounds(&mut [&mut one, &mut two]);
+    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+    assert_eq!(worker_1.unfinished_tasks().len() + worker_2.unfinished_tasks().len(), 6);
+    let failed_replica = worker_1.unfinished_tasks()[0].clone();
+    worker_1.end_task(&failed_replica, ExitCause::Error);
+    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
     assert_eq!(
-        one.unfinished_tasks().len() + two.unfinished_tasks().len(),
+        worker_1.unfinished_tasks().len() + worker_2.unfinished_tasks().len(),
         6,
-        "it runs elsewhere at once"
+        "the failed replica restarts at once"
     );
 }
 
@@ -141,13 +143,18 @@
 fn replica_on_lost_machine_restarts_only_after_lease_expiry() {
     let mut harness = LeaderHarness::start();
     let (mut lost, mut other) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
-    running(&mut harness, &mut lost);
+    submit_running_daemon(&mut harness, &mut lost);
     harness.heartbeat(&mut other);
-    let over = harness.now + worker_lease_expiry(&test_config().platform);
-    while harness.now + ms(1_000) < over {
+    let lease_expires_at = harness.now + worker_lease_expiry(&test_config().platform);
+    while harness.now + ms(1_000) < lease_expires_at {
         harness.heartbeat(&mut other);
         harness.advance(500);
-        assert_eq!(other.unfinished_tasks(), [""; 0], "m-1 may still run it at {:?}", harness.now);
+        assert_eq!(
+            other.unfinished_tasks(),
+            [""; 0],
+            "the replica may run on m-1 at {:?}",
+            harness.now
+        );
     }
     for _ in 0..10 {
         harness.heartbeat(&mut other);
@@ -160,7 +167,7 @@
 fn replica_with_interruption_notice_moves_without_running_twice() {
     let mut harness = LeaderHarness::start();
     let (mut leaving, mut other) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
-    running(&mut harness, &mut leaving);
+    submit_running_daemon(&mut harness, &mut leaving);
     leaving.set_interruption_notice(60.0);
     for _ in 0..12 {
         for worker in [&mut leaving, &mut other] {
@@ -169,7 +176,7 @@
         harness.advance(500);
         assert!(
             leaving.unfinished_tasks().len() + other.unfinished_tasks().len() <= 1,
-            "on two machines"
+            "the replica runs on one machine at most"
         );
     }
     assert_eq!(other.unfinished_tasks(), ["req-000001/0"]);
@@ -178,28 +185,29 @@
 #[test]
 fn new_leader_reconciles_replicas_and_starts_none_twice() {
     let mut harness = LeaderHarness::start();
-    let (mut one, mut two) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
+    let (mut worker_1, mut worker_2) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     let id = harness.submit(daemon("req-000001", 6));
-    harness.run_rounds(&mut [&mut one, &mut two]);
-    let (before_one, before_two) = (one.unfinished_tasks(), two.unfinished_tasks());
+    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+    let (before_1, before_2) = (worker_1.unfinished_tasks(), worker_2.unfinished_tasks());
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(30_000));
-    next.run_rounds(&mut [&mut one, &mut two]);
-    assert_eq!((one.unfinished_tasks(), two.unfinished_tasks()), (before_one, before_two));
+    next.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+    assert_eq!((worker_1.unfinished_tasks(), worker_2.unfinished_tasks()), (before_1, before_2));
     assert_eq!(next.job_state(&id), JobState::Running);
-    assert_eq!(one.started_attempts.len() + two.started_attempts.len(), 6);
+    assert_eq!(worker_1.started_attempts.len() + worker_2.started_attempts.len(), 6);
 }
 
 #[test]
 fn missing_replicas_preempt_lower_priority_tasks() {
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
-    let filling = JobSpec { cpus: 1.0, ..job("req-000002", "array", 4) };
-    harness.submit(filling);
+    let low_priority = JobSpec { cpus: 1.0, ..job("req-000002", "array", 4) };
+    harness.submit(low_priority);
     harness.run_rounds(&mut [&mut worker]);
     assert_eq!(worker.unfinished_tasks().len(), 4, "the machine is full");
     harness.submit(daemon("req-000001", 2));
     harness.run_rounds(&mut [&mut worker]);
-    let replicas = worker.unfinished_tasks().iter().filter(|t| t.starts_with("req-000001")).count();
+    let replicas =
+        worker.unfinished_tasks().iter().filter(|task| task.starts_with("req-000001")).count();
     assert_eq!((replicas, worker.unfinished_tasks().len()), (2, 4));
 }
 
@@ -207,11 +215,11 @@
 fn result_of_earlier_attempt_after_failover_ends_no_replica() {
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
-    let id = running(&mut harness, &mut worker);
+    let id = submit_running_daemon(&mut harness, &mut worker);
     worker.end_task("req-000001/0", ExitCause::Done);
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(60_000));
     let commands = next.heartbeat(&mut worker);
-    assert!(commands.iter().any(|o| matches!(o, Command::Reap { .. })), "{commands:?}");
+    assert!(commands.iter().any(|command| matches!(command, Command::Reap { .. })), "{commands:?}");
     for _ in 0..4 {
         next.run_rounds(&mut [&mut worker]);
     }
--- a/crates/controller/tests/fleet_size.rs
+++ b/crates/controller/tests/fleet_size.rs
@@ -1,5 +1,5 @@
-//! A fleet of 4,500 machines, each with tasks, before and after a failover: nothing has a fixed limit below
-//! it. The rules are asserted; time and memory are printed for whoever runs it by hand with `--release --nocapture`.
+//! A fleet of 4,500 machines, each with tasks, before and after a failover: no fixed limit is below this size.
+//! Limits and placements are asserted; time and memory are printed with `--release --nocapture`.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 mod harness;
@@ -14,17 +14,17 @@
 const MACHINES: usize = 4_500;
 /// Tasks of each array; one fits on a machine at a time.
 const ARRAY_TASKS: u32 = 500;
-/// Arrays: a tenth more tasks than there is room for.
+/// Number of arrays: their tasks exceed the capacity of the fleet by about a tenth.
 const ARRAYS: u32 = 10;
 
 fn limits(config: &ControllerConfig) -> (usize, f64) {
     (config.platform.state.txn_ops, config.platform.state.value_kb)
 }
 
-/// Resident memory of this process, KiB; 0 where the system does not tell.
+/// Resident memory of this process, KiB; 0 where the system does not report it.
 fn resident_kb() -> usize {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap_or_default();
+    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or_default();
     line.trim().trim_end_matches(" kB").trim().parse().unwrap_or(0)
 }
 
@@ -45,16 +45,16 @@
 
     /// Every transaction stays within the limits of the state service.
     fn check_transaction(&mut self, transaction: &Transaction) {
-        let (most_changes, value_kb) = limits(&test_config());
+        let (max_operations, max_value_kb) = limits(&test_config());
         assert!(
-            transaction.operations.len() <= most_changes,
-            "{} changes",
+            transaction.operations.len() <= max_operations,
+            "{} operations, limit {max_operations}",
             transaction.operations.len()
         );
-        for change in &transaction.operations {
-            if let Operation::Put { key: put, value: v, .. } = change {
-                let kb = v.to_string().len() as f64 / 1024.0;
-                assert!(kb <= value_kb, "{put}: {kb} KiB");
+        for operation in &transaction.operations {
+            if let Operation::Put { key, value, .. } = operation {
+                let kb = value.to_string().len() as f64 / 1024.0;
+                assert!(kb <= max_value_kb, "{key}: {kb} KiB, limit {max_value_kb}");
             }
         }
         let text = serde_json::to_string(transaction).expect("a transaction");
@@ -72,12 +72,12 @@
     }
 
     /// Every worker sends one heartbeat, and all queued operations are committed.
-    fn report_all(&mut self) {
+    fn heartbeat_all(&mut self) {
         for n in 0..self.workers.len() {
-            let report = self.workers[n].heartbeat();
-            let answer = self.harness.cluster.handle_heartbeat(&report, self.harness.now);
-            if let Some(answer) = answer {
-                self.workers[n].handle_response(&answer);
+            let heartbeat = self.workers[n].heartbeat();
+            let response = self.harness.cluster.handle_heartbeat(&heartbeat, self.harness.now);
+            if let Some(response) = response {
+                self.workers[n].handle_response(&response);
             }
             if n % 100 == 0 {
                 self.harness.now += ms(40);
@@ -91,14 +91,14 @@
     }
 
     fn running(&self) -> usize {
-        self.workers.iter().map(|w| w.unfinished_tasks().len()).sum()
+        self.workers.iter().map(|worker| worker.unfinished_tasks().len()).sum()
     }
 
-    /// No task is on two machines.
+    /// Checks that no task runs on two machines.
     fn check_tasks(&self) {
-        let mut seen = BTreeSet::new();
+        let mut running = BTreeSet::new();
         for task in self.workers.iter().flat_map(ScriptedWorker::unfinished_tasks) {
-            assert!(seen.insert(task.clone()), "{task} is on two machines");
+            assert!(running.insert(task.clone()), "{task} runs on two machines");
         }
     }
 }
@@ -110,16 +110,16 @@
     for n in 0..ARRAYS {
         fleet.harness.submit(job(&format!("req-{n:06}"), "array", ARRAY_TASKS));
     }
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for _ in 0..4 {
-        fleet.report_all();
+        fleet.heartbeat_all();
     }
-    println!("filled in {:?}, {} transactions", begun.elapsed(), fleet.transactions);
+    println!("filled in {:?}, {} transactions", started_at.elapsed(), fleet.transactions);
     assert_eq!(fleet.running(), MACHINES, "every machine has a task");
     fleet.check_tasks();
-    let begun = Instant::now();
-    fleet.report_all();
-    println!("a report: {:?}", begun.elapsed() / MACHINES as u32);
+    let started_at = Instant::now();
+    fleet.heartbeat_all();
+    println!("one heartbeat: {:?}", started_at.elapsed() / MACHINES as u32);
     println!("memory: {} KiB", resident_kb().saturating_sub(before_kb));
 
     // Tasks end during a failover; the new leader reads all machines from the state service.
@@ -129,25 +129,25 @@
     }
     let now = fleet.harness.now + ms(6_000);
     let store = std::mem::take(&mut fleet.harness.store);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     fleet.harness = LeaderHarness::lead(store, 1 + hookway_constants::TOKENS_PER_TERM, now);
-    println!("loaded in {:?}", begun.elapsed());
+    println!("loaded in {:?}", started_at.elapsed());
     assert_eq!(fleet.harness.cluster.machine_count(), MACHINES);
-    assert!(!fleet.harness.cluster.reconciled(now), "no machine has reported yet");
-    let begun = Instant::now();
-    fleet.report_all();
+    assert!(!fleet.harness.cluster.reconciled(now), "no machine has sent a heartbeat yet");
+    let started_at = Instant::now();
+    fleet.heartbeat_all();
     assert!(
         !fleet.harness.cluster.reconciled(fleet.harness.now),
-        "reports with the old token settle nothing"
+        "heartbeats with the old fencing token reconcile no machine"
     );
-    fleet.report_all();
-    println!("every machine reconciled in {:?}", begun.elapsed());
-    assert!(fleet.harness.cluster.reconciled(fleet.harness.now), "every machine has reported");
+    fleet.heartbeat_all();
+    println!("every machine reconciled in {:?}", started_at.elapsed());
+    assert!(fleet.harness.cluster.reconciled(fleet.harness.now), "every machine is reconciled");
     for _ in 0..3 {
-        fleet.report_all();
+        fleet.heartbeat_all();
     }
     fleet.check_tasks();
-    assert_eq!(fleet.running(), MACHINES, "what ended made room for what was left");
-    let done: usize = fleet.workers.iter().map(|w| w.started_attempts.len()).sum();
-    assert_eq!(done, MACHINES + MACHINES / 10, "each task was started once");
+    assert_eq!(fleet.running(), MACHINES, "queued tasks fill the machines whose task ended");
+    let starts: usize = fleet.workers.iter().map(|worker| worker.started_attempts.len()).sum();
+    assert_eq!(starts, MACHINES + MACHINES / 10, "each task was started once");
 }
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -181,7 +181,7 @@
 
     pub fn stored_final_state(&self, id: &JobId) -> Option<String> {
         let kv = self.store.get(&final_state_key(id))?;
-        kv.value.get("state").and_then(|s| s.as_str()).map(str::to_owned)
+        kv.value.get("state").and_then(|state| state.as_str()).map(str::to_owned)
     }
 }
 
--- a/crates/controller/tests/leadership.rs
+++ b/crates/controller/tests/leadership.rs
@@ -14,22 +14,22 @@
 
 struct RunningController {
     view: watch::Receiver<LeadershipView>,
-    validity: Arc<LeadershipLease>,
+    lease: Arc<LeadershipLease>,
     clock: Clock,
     suspicion: Arc<Notify>,
     leadership: tokio::task::JoinHandle<()>,
 }
 
-fn start(label: &str, address: &str) -> RunningController {
+fn start(name: &str, address: &str) -> RunningController {
     let (view_tx, view) = watch::channel(LeadershipView::default());
-    let validity = Arc::new(LeadershipLease::default());
+    let lease = Arc::new(LeadershipLease::default());
     let clock = Clock::default();
     let suspicion = Arc::new(Notify::new());
     let leadership = Leadership::new(LeadershipConfig {
-        controller_name: label.into(),
+        controller_name: name.into(),
         store: StoreClient::new(address, 1_000.0),
         clock,
-        lease: validity.clone(),
+        lease: lease.clone(),
         view: view_tx,
         leadership_lost: Arc::new(Notify::new()),
         leader_suspected: suspicion.clone(),
@@ -37,35 +37,45 @@
         has_warm_copy: Arc::default(),
     });
     let leadership = tokio::spawn(leadership.run());
-    RunningController { view, validity, clock, suspicion, leadership }
+    RunningController { view, lease, clock, suspicion, leadership }
 }
 
 async fn leads(controller: &mut RunningController) -> LeaderTerm {
-    let view = controller.view.wait_for(|v| v.own_term.is_some()).await.expect("the actor lives");
-    view.own_term.clone().expect("just seen")
+    let view = controller
+        .view
+        .wait_for(|view| view.own_term.is_some())
+        .await
+        .expect("the leadership actor runs");
+    view.own_term.clone().expect("a term that the view has")
 }
 
 #[tokio::test]
 async fn lost_leadership_lease_ends_term_and_next_term_is_higher() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
-    let mut one = start("one", &address);
-    let first = leads(&mut one).await;
+    let mut controller_1 = start("one", &address);
+    let first = leads(&mut controller_1).await;
     assert_eq!(first.term, 1);
-    assert!(one.validity.holds(first.term, one.clock.now()));
-    let mut two = start("two", &address);
-    two.view.wait_for(|v| v.leader.as_deref() == Some("one")).await.expect("the actor lives");
-    assert_eq!(two.view.borrow().own_term, None, "one leader at a time");
-    // The lease ends, as it does when it is not extended in time.
+    assert!(controller_1.lease.holds(first.term, controller_1.clock.now()));
+    let mut controller_2 = start("two", &address);
+    controller_2
+        .view
+        .wait_for(|view| view.leader.as_deref() == Some("one"))
+        .await
+        .expect("the leadership actor runs");
+    assert_eq!(controller_2.view.borrow().own_term, None, "one leader at a time");
+    // The lease expires, as if it was not extended in time.
     server.expire_lease(first.lease_id);
     let second = tokio::select! {
-        m = leads(&mut two) => m,
-        m = async { one.view.wait_for(|v| v.own_term.as_ref().is_some_and(|m| m.term > 1)).await
-            .expect("the actor lives").own_term.clone().expect("just seen") } => m,
+        term = leads(&mut controller_2) => term,
+        term = async { controller_1.view
+            .wait_for(|view| view.own_term.as_ref().is_some_and(|own_term| own_term.term > 1)).await
+            .expect("the leadership actor runs").own_term.clone()
+            .expect("a term that the view has") } => term,
     };
     // Above every fencing token that the first term may have used, those of each machine included.
     assert_eq!(second.term, 1 + hookway_constants::TOKENS_PER_TERM);
-    // A transaction of the deposed leader that is still under way fails by its precondition.
+    // A transaction of the deposed leader that is still in flight fails its precondition.
     let late = Transaction {
         preconditions: vec![first.precondition],
         operations: vec![Operation::put("f/req-000001", serde_json::json!("late"))],
@@ -84,32 +94,34 @@
         operations: vec![
             Operation::Put {
                 key: LEADER_KEY.into(),
-                value: serde_json::to_value(record).expect("a record"),
+                value: serde_json::to_value(record).expect("a leader record that serializes"),
                 lease_id: Some(lease_id),
             },
             Operation::put(LEADER_TERM_KEY, serde_json::json!(4)),
         ],
     };
     server.with_store(|store| store.commit(&before)).expect("applied");
-    let mut one = start("one", &address);
-    assert_eq!(leads(&mut one).await.term, 5);
-    assert!(!server.expire_lease(lease_id), "the old lease is over");
+    let mut controller_1 = start("one", &address);
+    assert_eq!(leads(&mut controller_1).await.term, 5);
+    assert!(!server.expire_lease(lease_id), "the lease of the previous process was revoked");
 }
 
 #[tokio::test]
 async fn term_continues_after_state_service_outage() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
-    let mut one = start("one", &address);
-    let first = leads(&mut one).await;
+    let mut controller_1 = start("one", &address);
+    let first = leads(&mut controller_1).await;
     server.begin_outage();
     // Several extensions fail; the lease itself lasts, as every lease does during an outage.
     server.wait_for_refused_requests(3).await;
     server.end_outage();
-    let two = start("two", &address);
-    let mut view = two.view.clone();
-    view.wait_for(|v| v.leader.as_deref() == Some("one")).await.expect("the actor lives");
-    assert_eq!(one.view.borrow().own_term, Some(first));
+    let controller_2 = start("two", &address);
+    let mut view = controller_2.view.clone();
+    view.wait_for(|view| view.leader.as_deref() == Some("one"))
+        .await
+        .expect("the leadership actor runs");
+    assert_eq!(controller_1.view.borrow().own_term, Some(first));
 }
 
 /// A watch whose connection broke unnoticed hides the expiry of a lease for seconds; a suspicion reads the leader at
@@ -118,21 +130,31 @@
 async fn leader_suspicion_reads_state_service_without_deposing_live_leader() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
-    let mut one = start("one", &address);
-    let first = leads(&mut one).await;
-    let mut two = start("two", &address);
-    two.view.wait_for(|v| v.leader.as_deref() == Some("one")).await.expect("the actor lives");
+    let mut controller_1 = start("one", &address);
+    let first = leads(&mut controller_1).await;
+    let mut controller_2 = start("two", &address);
+    controller_2
+        .view
+        .wait_for(|view| view.leader.as_deref() == Some("one"))
+        .await
+        .expect("the leadership actor runs");
     server.suppress_watch_events();
-    two.suspicion.notify_one();
+    controller_2.suspicion.notify_one();
     tokio::time::sleep(std::time::Duration::from_millis(200)).await;
-    assert_eq!(two.view.borrow().own_term, None, "the lease runs, so it leads");
-    assert_eq!(one.view.borrow().own_term, Some(first.clone()));
-    // Its process has ended, and nobody extends the lease; the muted watch delivers no event.
-    one.leadership.abort();
+    assert_eq!(
+        controller_2.view.borrow().own_term,
+        None,
+        "the lease has not expired, so its holder leads"
+    );
+    assert_eq!(controller_1.view.borrow().own_term, Some(first.clone()));
+    // Its process has ended, and nobody extends the lease; the suppressed watch delivers no event.
+    controller_1.leadership.abort();
     server.expire_lease(first.lease_id);
-    two.suspicion.notify_one();
+    controller_2.suspicion.notify_one();
     let limit = hookway_constants::WATCH_WAIT;
-    let second = tokio::time::timeout(limit, leads(&mut two)).await.expect("before the watch ends");
+    let second = tokio::time::timeout(limit, leads(&mut controller_2))
+        .await
+        .expect("a new leader before the watch ends");
     assert!(second.term > first.term);
-    assert_eq!(two.view.borrow().leader_term, Some(second.term));
+    assert_eq!(controller_2.view.borrow().leader_term, Some(second.term));
 }
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -1,5 +1,5 @@
-//! A new leader with a copy of the last leader's cluster state: what it does sooner, and what it never takes from
-//! the copy. The copy is a hint; the state service, heartbeats and expired leases are the proof.
+//! A new leader with a standby copy of the last leader's cluster state: what the copy speeds up, and what it never
+//! decides. The copy is a hint; the state service, heartbeats and expired leases are the proof.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 mod harness;
@@ -18,7 +18,7 @@
     run_rounds,
 };
 
-/// The stream is a hint: a start that it lacks may have been sent nevertheless.
+/// The copy is a hint: a start that it lacks may have been sent.
 #[test]
 fn start_missing_from_copy_is_not_repeated() {
     let mut harness = LeaderHarness::start();
@@ -32,19 +32,23 @@
     assert_eq!(before, 3);
     fail_over(&mut harness, &copy);
     // Only two machines are reachable; the third may have any task.
-    let mut heard: Vec<ScriptedWorker> = workers.drain(..2).collect();
-    run_rounds(&mut harness, &mut heard);
+    let mut reachable: Vec<ScriptedWorker> = workers.drain(..2).collect();
+    run_rounds(&mut harness, &mut reachable);
     assert!(!harness.cluster.reconciled(harness.now));
-    let lost = heard[0].unfinished_tasks().remove(0);
-    heard[0].end_task(&lost, ExitCause::Stopped);
-    run_rounds(&mut harness, &mut heard);
-    assert_eq!(attempts(&heard).len(), 2, "what may be on the unreachable machine is not started");
+    let ended_task = reachable[0].unfinished_tasks().remove(0);
+    reachable[0].end_task(&ended_task, ExitCause::Stopped);
+    run_rounds(&mut harness, &mut reachable);
+    assert_eq!(
+        attempts(&reachable).len(),
+        2,
+        "a task that may run on the unreachable machine is not started"
+    );
     run_rounds(&mut harness, &mut workers);
-    run_rounds(&mut harness, &mut heard);
+    run_rounds(&mut harness, &mut reachable);
     assert_eq!(
-        attempts(&heard).len(),
+        attempts(&reachable).len(),
         3,
-        "all machines were heard: the task that ended runs again"
+        "every machine is reconciled: the ended task is restarted"
     );
     assert_eq!(attempts(&workers).len(), 1);
 }
@@ -58,20 +62,20 @@
     harness.submit(job("req-000001", "array", 1));
     run_rounds(&mut harness, &mut workers);
     let mut copy = copy_of(&mut harness.cluster);
-    let gone = copy.machines["m-1"].tasks()[0].clone();
+    let removed = copy.machines["m-1"].tasks()[0].clone();
     let machine = "m-1".to_owned();
-    let entry = Entry::TaskRemoved { machine, task: gone.task, attempt: gone.attempt };
-    copy.apply(entry).expect("it was there");
+    let entry = Entry::TaskRemoved { machine, task: removed.task, attempt: removed.attempt };
+    copy.apply(entry).expect("an entry for a task of the copy");
     fail_over(&mut harness, &copy);
     let mut idle = vec![small_worker("m-2", "a")];
     run_rounds(&mut harness, &mut idle);
-    assert!(idle[0].started_attempts.is_empty(), "m-1 may run it");
-    let lease_over_at = harness.now + worker_lease_expiry(&test_config().platform);
-    while harness.now < lease_over_at {
+    assert!(idle[0].started_attempts.is_empty(), "the task may still run on m-1");
+    let lease_expires_at = harness.now + worker_lease_expiry(&test_config().platform);
+    while harness.now < lease_expires_at {
         run_rounds(&mut harness, &mut idle);
     }
     run_rounds(&mut harness, &mut idle);
-    assert_eq!(idle[0].started_attempts.len(), 1, "its lease is surely over");
+    assert_eq!(idle[0].started_attempts.len(), 1, "the worker lease of m-1 has expired");
 }
 
 #[test]
@@ -80,25 +84,25 @@
     let mut workers = fleet(1);
     run_rounds(&mut harness, &mut workers);
     let mut copy = copy_of(&mut harness.cluster);
-    let ghost = || "m-99".to_owned();
+    let unknown_machine = || "m-99".to_owned();
     let task = PlacedTask { task: "req-000009/0".into(), attempt: 7, stage: Stage::Running };
     for entry in [
-        Entry::Machine { name: ghost(), address: "127.0.0.1:1".into(), incarnation: 1 },
-        Entry::Task { machine: ghost(), task },
+        Entry::Machine { name: unknown_machine(), address: "127.0.0.1:1".into(), incarnation: 1 },
+        Entry::Task { machine: unknown_machine(), task },
         Entry::Job {
             id: "req-000009".into(),
             job: ReplicatedJob { consecutive_failures: 9, ..ReplicatedJob::default() },
         },
         Entry::Job { id: "no id".into(), job: ReplicatedJob::default() },
     ] {
-        copy.apply(entry).expect("it fits");
+        copy.apply(entry).expect("an entry within the limits of a copy");
     }
-    let taken = fail_over(&mut harness, &copy);
-    assert_eq!(taken, WarmStart { addresses: 1, failing_jobs: 0, gangs: 0 });
+    let warm_start = fail_over(&mut harness, &copy);
+    assert_eq!(warm_start, WarmStart { addresses: 1, failing_jobs: 0, gangs: 0 });
     assert_eq!(harness.cluster.machine_count(), 1);
-    let unknown = JobId::parse("req-000009").expect("an id");
+    let unknown_job = JobId::parse("req-000009").expect("an id");
     assert_eq!(
-        harness.cluster.status(&unknown),
+        harness.cluster.status(&unknown_job),
         hookway_controller::cluster_state::JobLookup::UnknownJob
     );
 }
@@ -111,12 +115,12 @@
     let copy = copy_of(&mut harness.cluster);
     let store = std::mem::take(&mut harness.store);
     harness = LeaderHarness::lead(store, SECOND_TERM, harness.now + ms(5_000));
-    let elsewhere = Networks::parse("10.1.0.0/16").expect("a network");
-    assert_eq!(harness.cluster.warm_start(&copy, &elsewhere, harness.now).addresses, 0);
+    let other_networks = Networks::parse("10.1.0.0/16").expect("a network");
+    assert_eq!(harness.cluster.warm_start(&copy, &other_networks, harness.now).addresses, 0);
     assert!(harness.cluster.take_state_probes(harness.now).is_empty());
 }
 
-/// A worker that answers under another name than the copy gives to its address reconciles nothing.
+/// A probe response with another machine name than the copy has for the address reconciles no machine.
 #[test]
 fn probe_answered_by_other_machine_reconciles_nothing() {
     let mut harness = LeaderHarness::start();
@@ -125,12 +129,12 @@
     let copy = copy_of(&mut harness.cluster);
     fail_over(&mut harness, &copy);
     let term = harness.cluster.term();
-    let asked = harness.cluster.take_state_probes(harness.now);
-    assert_eq!(asked.len(), 2);
+    let probes = harness.cluster.take_state_probes(harness.now);
+    assert_eq!(probes.len(), 2);
     let probe =
         hookway_wire::DirectCommands { fencing_token: term, incarnation: 1, commands: vec![] };
-    let other = workers[1].handle_direct_commands(&probe);
-    harness.cluster.state_probed("m-1", other, harness.now);
+    let other_response = workers[1].handle_direct_commands(&probe);
+    harness.cluster.state_probed("m-1", other_response, harness.now);
     assert!(!harness.cluster.reconciled(harness.now));
 }
 
@@ -149,11 +153,14 @@
     let copy = copy_of(&mut harness.cluster);
     assert!(copy.jobs[id.as_str()].consecutive_failures > 0);
     let before = attempts(&workers).len();
-    let taken = fail_over(&mut harness, &copy);
-    assert_eq!(taken.failing_jobs, 1);
+    let warm_start = fail_over(&mut harness, &copy);
+    assert_eq!(warm_start.failing_jobs, 1);
     run_rounds(&mut harness, &mut workers);
-    let tried = attempts(&workers).len() - before;
-    assert!(tried <= 1, "{tried} tasks at once of a job that failed on each machine");
+    let restarted = attempts(&workers).len() - before;
+    assert!(
+        restarted <= 1,
+        "{restarted} tasks started at once of a job that failed on every machine"
+    );
 }
 
 /// A copy can't delay the retry of a job for longer than its own errors could.
@@ -170,10 +177,11 @@
         ..ReplicatedJob::default()
     };
     let mut copy = ReplicatedState::default();
-    copy.apply(Entry::Job { id: "req-000001".into(), job }).expect("it fits");
+    copy.apply(Entry::Job { id: "req-000001".into(), job })
+        .expect("an entry within the limits of a copy");
     fail_over(&mut harness, &copy);
     run_rounds(&mut harness, &mut workers);
-    assert!(workers[0].unfinished_tasks().is_empty(), "it pauses");
+    assert!(workers[0].unfinished_tasks().is_empty(), "the job is in backoff");
     for _ in 0..whole_millis(constants::FAILURE_BACKOFF_MAX) / 2_000 + 5 {
         harness.now += ms(1_500);
         run_rounds(&mut harness, &mut workers);
@@ -190,7 +198,7 @@
         .state()
         .machines
         .values()
-        .flat_map(|m| m.tasks().iter().map(|t| t.stage))
+        .flat_map(|machine| machine.tasks().iter().map(|task| task.stage))
         .collect();
     assert_eq!(stages, [Stage::Sent, Stage::Sent, Stage::Planned, Stage::Planned]);
     run_rounds(&mut harness, &mut workers);
@@ -202,7 +210,7 @@
     assert_eq!(
         publisher.state(),
         &copy_of(&mut harness.cluster),
-        "differences lead to the same as a whole"
+        "incremental entries give the whole cluster state"
     );
     assert!(publisher.state().jobs.contains_key(id.as_str()));
     for worker in &mut workers {
@@ -217,7 +225,7 @@
     assert!(publisher.state().jobs.is_empty());
 }
 
-/// A worker whose report came with the old token would show the new one with its next regular report only.
+/// Without a probe, a worker would confirm the new fencing token only in its next regular heartbeat.
 #[test]
 fn workers_with_old_fencing_token_are_probed() {
     let mut harness = LeaderHarness::start();
@@ -230,15 +238,18 @@
     }
     assert!(
         !harness.cluster.reconciled(harness.now),
-        "their reports may be from before the failover"
+        "heartbeats with the old fencing token may be older than the failover"
+    );
+    assert!(
+        harness.cluster.take_state_probes(harness.now).is_empty(),
+        "no probe while prompt heartbeats are due"
     );
-    assert!(harness.cluster.take_state_probes(harness.now).is_empty(), "they report again at once");
     harness.now += constants::PROMPT_HEARTBEAT;
     assert_eq!(answer_probes(&mut harness, &mut workers), 2);
     assert!(harness.cluster.reconciled(harness.now));
 }
 
-/// A worker that does not answer is probed again; where the others of its zone answer its machine is deleted,
+/// A worker that does not respond is probed again. If the others of its zone respond, its machine is deleted,
 /// and the deletion proves that its tasks are gone.
 #[test]
 fn machine_not_answering_probes_is_deleted_soon_after_failover() {
@@ -250,12 +261,12 @@
     let copy = copy_of(&mut harness.cluster);
     workers.pop();
     fail_over(&mut harness, &copy);
-    // The cloud still lists it, and says in which zone it is.
-    let list: Vec<ListedMachine> = (1..=8)
+    // The cloud still lists the machine, with its zone.
+    let listed: Vec<ListedMachine> = (1..=8)
         .map(|n| harness::listed_machine(&format!("m-{n}"), MachineState::Running, 60.0))
         .collect();
-    harness.cluster.machines_listed(&list, harness.now, harness.now);
-    let begun = harness.now;
+    harness.cluster.machines_listed(&listed, harness.now, harness.now);
+    let started_at = harness.now;
     let deleted = loop {
         answer_probes(&mut harness, &mut workers);
         for worker in &mut workers {
@@ -263,20 +274,25 @@
         }
         harness.advance(500);
         let deleted =
-            harness.cluster.autoscaling_round(harness.now).into_iter().find_map(|a| match a {
-                hookway_controller::cluster_state::ScalingAction::ScaleIn(names) => Some(names),
-                hookway_controller::cluster_state::ScalingAction::ScaleOut(_) => None,
+            harness.cluster.autoscaling_round(harness.now).into_iter().find_map(|action| {
+                match action {
+                    hookway_controller::cluster_state::ScalingAction::ScaleIn(names) => Some(names),
+                    hookway_controller::cluster_state::ScalingAction::ScaleOut(_) => None,
+                }
             });
         if let Some(names) = deleted {
             break names;
         }
-        assert!(harness.now < begun + ms(60_000), "never");
+        assert!(harness.now < started_at + ms(60_000), "no machine was deleted within 60 s");
     };
     assert_eq!(deleted, ["m-8"]);
-    let after = harness.now - begun;
-    let asked = (constants::MAX_UNANSWERED_STATE_PROBES - 1) * constants::STATE_PROBE_RETRY;
-    assert!((asked..asked + ms(1_500)).contains(&after), "{after:?}");
-    assert!(!harness.cluster.reconciled(harness.now), "only the cloud's answer proves it");
+    let elapsed = harness.now - started_at;
+    let probed_for = (constants::MAX_UNANSWERED_STATE_PROBES - 1) * constants::STATE_PROBE_RETRY;
+    assert!((probed_for..probed_for + ms(1_500)).contains(&elapsed), "deleted after {elapsed:?}");
+    assert!(
+        !harness.cluster.reconciled(harness.now),
+        "only the confirmed deletion reconciles the machine"
+    );
     harness.cluster.scale_in_finished(&deleted, harness.now);
     assert!(harness.cluster.reconciled(harness.now));
 }
--- a/crates/controller/tests/standby_gangs.rs
+++ b/crates/controller/tests/standby_gangs.rs
@@ -17,14 +17,14 @@
 #[test]
 fn partially_placed_gang_is_completed_under_same_attempt() {
     let (mut harness, mut workers, copy, id) = partially_placed_gang();
-    let taken = fail_over(&mut harness, &copy);
-    assert_eq!((taken.addresses, taken.gangs), (4, 1), "{taken}");
-    assert_eq!(answer_probes(&mut harness, &mut workers), 4, "asked at once");
+    let warm_start = fail_over(&mut harness, &copy);
+    assert_eq!((warm_start.addresses, warm_start.gangs), (4, 1), "{warm_start}");
+    assert_eq!(answer_probes(&mut harness, &mut workers), 4, "every machine is probed at once");
     assert!(harness.cluster.reconciled(harness.now));
     run_rounds(&mut harness, &mut workers);
     let attempts = attempts(&workers);
-    assert_eq!(attempts.len(), 4, "the rest was started, and nothing twice: {attempts:?}");
-    assert!(attempts.iter().all(|a| *a == attempts[0]), "{attempts:?}");
+    assert_eq!(attempts.len(), 4, "the other tasks are started, and none twice: {attempts:?}");
+    assert!(attempts.iter().all(|attempt| *attempt == attempts[0]), "{attempts:?}");
     for worker in &mut workers {
         worker.set_all_task_states(TaskState::Running);
     }
@@ -40,7 +40,7 @@
     run_rounds(&mut harness, &mut workers);
     run_rounds(&mut harness, &mut workers);
     let attempts = attempts(&workers);
-    assert_eq!(attempts.len(), 6, "two without success: {attempts:?}");
+    assert_eq!(attempts.len(), 6, "two tasks of the first attempt, four of the next: {attempts:?}");
     assert_ne!(attempts.first(), attempts.last());
 }
 
@@ -59,29 +59,33 @@
     run_rounds(&mut harness, &mut workers);
     run_rounds(&mut harness, &mut workers);
     let attempts = attempts(&workers);
-    assert_ne!(attempts.first(), attempts.last(), "a new attempt: {attempts:?}");
+    assert_ne!(
+        attempts.first(),
+        attempts.last(),
+        "the gang restarts under a new attempt: {attempts:?}"
+    );
 }
 
 #[test]
 fn gang_not_completable_in_time_is_stopped_for_restart() {
     let (mut harness, mut workers, copy, _) = partially_placed_gang();
-    // Two machines are deleted, so there are no resources for the rest.
+    // Two machines are deleted, so the other tasks of the gang can't be placed.
     workers.truncate(2);
     fail_over(&mut harness, &copy);
-    for gone in ["m-3", "m-4"] {
-        harness.cluster.scale_in_finished(&[gone.to_owned()], harness.now);
+    for deleted in ["m-3", "m-4"] {
+        harness.cluster.scale_in_finished(&[deleted.to_owned()], harness.now);
     }
     run_rounds(&mut harness, &mut workers);
-    assert_eq!(workers[0].unfinished_tasks().len(), 1, "the rest may find room yet");
+    assert_eq!(workers[0].unfinished_tasks().len(), 1, "not stopped before the time limit");
     harness.advance(whole_millis(constants::GANG_RESUME_LIMIT));
     run_rounds(&mut harness, &mut workers);
     assert!(
-        workers.iter().all(|w| w.unfinished_tasks().is_empty()),
-        "stopped, so that it can begin anew"
+        workers.iter().all(|worker| worker.unfinished_tasks().is_empty()),
+        "stopped after the time limit, to restart as a whole"
     );
 }
 
-/// The remaining tasks of a gang may be on a machine that has not answered: none starts elsewhere before it
+/// The remaining tasks of a gang may run on a silent machine: none starts elsewhere before it
 /// is reconciled.
 #[test]
 fn gang_is_not_completed_while_tasks_may_run_on_unreachable_machine() {
@@ -94,14 +98,19 @@
         harness.heartbeat(worker);
     }
     let copy = copy_of(&mut harness.cluster);
-    let holds = |w: &ScriptedWorker| !w.unfinished_tasks().is_empty();
-    let unreachable = workers.iter().position(holds).expect("a task of the gang");
+    let has_task = |worker: &ScriptedWorker| !worker.unfinished_tasks().is_empty();
+    let unreachable = workers.iter().position(has_task).expect("a task of the gang");
     let unreachable = workers.remove(unreachable);
     fail_over(&mut harness, &copy);
     run_rounds(&mut harness, &mut workers);
-    let begun = attempts(&workers).len();
-    assert_eq!(begun, 2, "one machine is idle, and must stay so");
+    let started_tasks = attempts(&workers).len();
+    assert_eq!(started_tasks, 2, "the idle machine gets no task");
     assert!(!harness.cluster.reconciled(harness.now));
     run_rounds(&mut harness, &mut workers);
-    assert_eq!(attempts(&workers).len(), begun, "its third task runs on {}", unreachable.name());
+    assert_eq!(
+        attempts(&workers).len(),
+        started_tasks,
+        "the third task may run on {}",
+        unreachable.name()
+    );
 }
--- a/crates/controller/tests/standby_support/mod.rs
+++ b/crates/controller/tests/standby_support/mod.rs
@@ -1,4 +1,4 @@
-//! Failovers to a controller with a copy of the last leader's cluster state.
+//! Failovers to a standby with a copy of the last leader's cluster state.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
@@ -12,43 +12,43 @@
 
 pub const SECOND_TERM: u64 = 1 + constants::TOKENS_PER_TERM;
 
-/// The copy of a standby that is up to date.
+/// The copy of a standby that has applied every entry.
 pub fn copy_of(cluster: &mut ClusterState) -> ReplicatedState {
     let mut publisher = Publisher::new(cluster.term());
     cluster.publish_all(&mut publisher);
     publisher.state().clone()
 }
 
-/// Another controller is elected and has this copy.
+/// Elects another controller that starts from `copy`.
 pub fn fail_over(harness: &mut LeaderHarness, copy: &ReplicatedState) -> WarmStart {
     let store = std::mem::take(&mut harness.store);
     *harness = LeaderHarness::lead(store, SECOND_TERM, harness.now + ms(5_000));
     harness.cluster.warm_start(copy, &Networks::default(), harness.now)
 }
 
-/// Delivers the state probes of the new leader to these workers; the number of probes.
+/// Delivers the state probes of the new leader to these workers and returns the number of probes.
 pub fn answer_probes(harness: &mut LeaderHarness, workers: &mut [ScriptedWorker]) -> usize {
-    let asked = harness.cluster.take_state_probes(harness.now);
-    for probe in &asked {
+    let probes = harness.cluster.take_state_probes(harness.now);
+    for probe in &probes {
         let name = &probe.machine;
-        let worker = workers.iter_mut().find(|w| w.name() == name);
-        let token = harness.cluster.term();
-        let report = worker.and_then(|w| {
-            let session = w.incarnation();
-            w.handle_direct_commands(&hookway_wire::DirectCommands {
-                fencing_token: token,
-                incarnation: session,
+        let worker = workers.iter_mut().find(|worker| worker.name() == name);
+        let fencing_token = harness.cluster.term();
+        let heartbeat = worker.and_then(|worker| {
+            let incarnation = worker.incarnation();
+            worker.handle_direct_commands(&hookway_wire::DirectCommands {
+                fencing_token,
+                incarnation,
                 commands: vec![],
             })
         });
-        harness.cluster.state_probed(name, report, harness.now);
+        harness.cluster.state_probed(name, heartbeat, harness.now);
     }
-    asked.len()
+    probes.len()
 }
 
 pub fn run_rounds(harness: &mut LeaderHarness, workers: &mut [ScriptedWorker]) {
-    let mut all: Vec<&mut ScriptedWorker> = workers.iter_mut().collect();
-    harness.run_rounds(&mut all);
+    let mut all_workers: Vec<&mut ScriptedWorker> = workers.iter_mut().collect();
+    harness.run_rounds(&mut all_workers);
 }
 
 pub fn fleet(machines: usize) -> Vec<ScriptedWorker> {
@@ -71,11 +71,15 @@
     for worker in &mut workers[..2] {
         harness.heartbeat(worker);
     }
-    assert_eq!(workers.iter().filter(|w| !w.unfinished_tasks().is_empty()).count(), 2);
+    assert_eq!(workers.iter().filter(|worker| !worker.unfinished_tasks().is_empty()).count(), 2);
     let copy = copy_of(&mut harness.cluster);
     (harness, workers, copy, id)
 }
 
 pub fn attempts(workers: &[ScriptedWorker]) -> Vec<u64> {
-    workers.iter().flat_map(|w| &w.started_attempts).map(|(_, attempt)| *attempt).collect()
+    workers
+        .iter()
+        .flat_map(|worker| &worker.started_attempts)
+        .map(|(_, attempt)| *attempt)
+        .collect()
 }
