--- a/crates/controller/tests/api/circuit_breakers.rs
+++ b/crates/controller/tests/api/circuit_breakers.rs
@@ -1,4 +1,4 @@
-//! A peer or store that does not answer costs one request per interval.
+//! A peer or state service that does not respond costs one timeout per interval.
 
 use crate::support::*;
 use hookway_controller::api::Origin;
@@ -15,38 +15,38 @@
 #[tokio::test(start_paused = true)]
 async fn unresponsive_controller_trips_circuit_breaker() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("bound").to_string();
+    let address = listener.local_addr().expect("a bound address").to_string();
     let peers = Peers::new(HashMap::from([("worker-1".into(), address)]));
     let request = PeerRequest::Status("req-000001".into());
-    let ask = || peers.ask("worker-1", &request, Duration::from_millis(600));
-    assert!(matches!(ask().await, Err(PeerError::Timeout { .. })));
+    let send = || peers.ask("worker-1", &request, Duration::from_millis(600));
+    assert!(matches!(send().await, Err(PeerError::Timeout { .. })));
     for _ in 0..20 {
-        assert!(matches!(ask().await, Err(PeerError::CircuitOpen { .. })));
+        assert!(matches!(send().await, Err(PeerError::CircuitOpen { .. })));
     }
     tokio::time::advance(Duration::from_millis(1_100)).await;
-    assert!(matches!(ask().await, Err(PeerError::Timeout { .. })), "one tries");
-    assert!(matches!(ask().await, Err(PeerError::CircuitOpen { .. })));
+    assert!(matches!(send().await, Err(PeerError::Timeout { .. })), "one request tries again");
+    assert!(matches!(send().await, Err(PeerError::CircuitOpen { .. })));
 }
 
-/// The same for a state service that does not respond to this controller: without this a request spent its whole
-/// time limit there, with none left for another controller.
+/// A state service that does not respond to this controller: without a circuit breaker a request spent its
+/// whole time limit there, with none left for another controller.
 #[tokio::test(start_paused = true)]
 async fn unresponsive_state_service_trips_circuit_breaker() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("bound").to_string();
+    let address = listener.local_addr().expect("a bound address").to_string();
     let api_service =
         api_service(Role::Follower, true, LeadershipView::default(), Some(&address), 2000.0);
     let id = JobId::parse("req-000001").expect("an id");
-    let took = async || {
-        let begun = Instant::now();
-        let verdict = api_service.status(&id, Origin::Client).await;
-        assert!(matches!(verdict, RequestOutcome::Unavailable(_)), "{verdict:?}");
-        begun.elapsed()
+    let elapsed = async || {
+        let started_at = Instant::now();
+        let outcome = api_service.status(&id, Origin::Client).await;
+        assert!(matches!(outcome, RequestOutcome::Unavailable(_)), "{outcome:?}");
+        started_at.elapsed()
     };
-    assert!(took().await >= Duration::from_secs(1));
+    assert!(elapsed().await >= Duration::from_secs(1));
     for _ in 0..10 {
-        assert!(took().await < Duration::from_millis(50));
+        assert!(elapsed().await < Duration::from_millis(50));
     }
     tokio::time::advance(Duration::from_millis(1_100)).await;
-    assert!(took().await >= Duration::from_secs(1), "one tries");
+    assert!(elapsed().await >= Duration::from_secs(1), "one request tries again");
 }
--- a/crates/controller/tests/api/replication.rs
+++ b/crates/controller/tests/api/replication.rs
@@ -12,18 +12,18 @@
 async fn replication_status_is_public_and_entries_only_for_controllers() {
     let api = api_at(Role::Leader, true, LeadershipView::default(), None);
     let (status, text, _) = get(&api, "/replication").await;
-    let told: ReplicationStatus = serde_json::from_str(&text).expect("a status");
-    assert_eq!((status, told.phase.as_str()), (StatusCode::OK, "active"));
+    let replication_status: ReplicationStatus = serde_json::from_str(&text).expect("a status");
+    assert_eq!((status, replication_status.phase.as_str()), (StatusCode::OK, "active"));
     let api_service =
         api_service_with(SETTINGS, Role::Leader, true, LeadershipView::default(), None, 100.0);
-    let ask = |name: &str| {
+    let request = |name: &str| {
         PeerRequest::Follow(FollowRequest {
             follower: name.into(),
             progress: FollowerProgress::Empty,
         })
     };
-    let answered = api_service.handle(ask("worker-1")).await;
-    assert!(matches!(answered, PeerResponse::Followed(Some(_))), "{answered:?}");
-    let refused = api_service.handle(ask("somebody")).await;
+    let response = api_service.handle(request("worker-1")).await;
+    assert!(matches!(response, PeerResponse::Followed(Some(_))), "{response:?}");
+    let refused = api_service.handle(request("somebody")).await;
     assert_eq!(refused, PeerResponse::Followed(None));
 }
--- a/crates/controller/tests/api/status.rs
+++ b/crates/controller/tests/api/status.rs
@@ -11,7 +11,7 @@
 #[tokio::test]
 async fn possibly_known_job_gets_no_permanent_error_without_state_service() {
     let api = api(Role::Leader, true);
-    // Whether this id was accepted once can't be read, so 422 would be a guess.
+    // Whether this id was accepted before can't be read, so 422 is not proven.
     let body = JOB.replace("\"vision\"", "\"nobody\"");
     let (status, text, retry) = post(&api, "/api/jobs", &body).await;
     assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true), "{text}");
@@ -38,16 +38,20 @@
     let api = api(Role::Leader, true);
     let (status, text, _) = get(&api, "/api/jobs/req-000002").await;
     assert_eq!(status, StatusCode::OK);
-    let told: JobStatus = serde_json::from_str(&text).expect("a status");
-    assert_eq!(told.state, JobState::Done);
-    // The same id submitted again: its state, from memory, with the store away.
+    let job_status: JobStatus = serde_json::from_str(&text).expect("a status");
+    assert_eq!(job_status.state, JobState::Done);
+    // The same id is submitted again: its state comes from memory, without the state service.
     let (status, text, _) = post(&api, "/api/jobs", &JOB.replace("000412", "000002")).await;
     assert_eq!(status, StatusCode::OK);
-    let told: JobStatus = serde_json::from_str(&text).expect("a status");
-    assert_eq!(told.state, JobState::Done);
+    let job_status: JobStatus = serde_json::from_str(&text).expect("a status");
+    assert_eq!(job_status.state, JobState::Done);
     let (status, text, _) = post(&api, "/api/jobs/req-000002/withdraw", "").await;
-    let told: JobStatus = serde_json::from_str(&text).expect("a status");
-    assert_eq!((status, told.state), (StatusCode::OK, JobState::Done), "done stays done");
+    let job_status: JobStatus = serde_json::from_str(&text).expect("a status");
+    assert_eq!(
+        (status, job_status.state),
+        (StatusCode::OK, JobState::Done),
+        "a finished job stays done"
+    );
 }
 
 #[tokio::test]
@@ -73,31 +77,27 @@
     let spec: serde_json::Value = serde_json::from_str(&spec).expect("JSON");
     let record = serde_json::json!({ "spec": spec, "at_ms": 0 });
     server.with_store(|store| store.put(&job_key(&id), record));
-    let sees = |leader: Option<&str>| LeadershipView {
+    let view = |leader: Option<&str>| LeadershipView {
         leader: leader.map(str::to_owned),
         ..LeadershipView::default()
     };
-    // The leader has not seen it yet; nobody leads; the leader can't be reached; it is this controller, as
-    // far as its view goes, while it is not entitled.
+    // The leader does not know the job yet; nobody leads; the leader can't be reached; the view names this
+    // controller, whose leadership lease does not hold.
     for (role, leader) in [
         (Role::Leader, None),
         (Role::Follower, None),
         (Role::Follower, Some("worker-1")),
         (Role::Follower, Some("worker-0")),
     ] {
-        let api = api_at(role, true, sees(leader), Some(&address));
+        let api = api_at(role, true, view(leader), Some(&address));
         let (status, text, _) = get(&api, "/api/jobs/req-000007").await;
-        let told: JobStatus = serde_json::from_str(&text).expect("a status");
-        assert_eq!((status, told.state), (StatusCode::OK, JobState::Queued), "{leader:?}");
+        let job_status: JobStatus = serde_json::from_str(&text).expect("a status");
+        assert_eq!((status, job_status.state), (StatusCode::OK, JobState::Queued), "{leader:?}");
         let (status, ..) = get(&api, "/api/jobs/req-000008").await;
-        assert_eq!(
-            status,
-            StatusCode::NOT_FOUND,
-            "what is in the store nowhere was never accepted"
-        );
+        assert_eq!(status, StatusCode::NOT_FOUND, "a job without a record was never accepted");
     }
-    // While the store is away as well, absence can't be told; as soon as it is back, the job can.
-    let api = api_at(Role::Follower, true, sees(Some("worker-1")), Some(&address));
+    // During an outage of the state service absence is unproven; after it the job is found.
+    let api = api_at(Role::Follower, true, view(Some("worker-1")), Some(&address));
     server.begin_outage();
     let (status, _, retry) = get(&api, "/api/jobs/req-000007").await;
     assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true));
@@ -115,7 +115,7 @@
     let record = serde_json::json!({ "spec": spec, "at_ms": 0 });
     let id = JobId::parse("req-000412").expect("an id");
     server.with_store(|store| store.put(&job_key(&id), record));
-    // One reading, and then none for ten seconds.
+    // The rate allows one read, and the next after ten seconds.
     let api =
         service(api_service(Role::Follower, true, LeadershipView::default(), Some(&address), 0.1));
     assert_eq!(get(&api, "/api/jobs/req-000412").await.0, StatusCode::OK);
@@ -126,7 +126,7 @@
     let (status, text, _) = post(&api, "/api/jobs", &JOB.replace("000412", "000413")).await;
     assert_eq!(status, StatusCode::CREATED, "{text}");
     let (status, ..) = post(&api, "/api/jobs/req-000412/withdraw", "").await;
-    assert_eq!(status, StatusCode::OK, "nor a withdrawal");
+    assert_eq!(status, StatusCode::OK, "a cancellation is not rate-limited either");
 }
 
 /// The same day: after all controllers crashed, each finished job's last status query took two reads of the state
@@ -141,8 +141,12 @@
         .remember(&known(&JobId::parse("req-000010").expect("an id"), JobState::Running).into());
     let api = service(api_service);
     let (status, text, _) = get(&api, "/api/jobs/req-000009").await;
-    let told: JobStatus = serde_json::from_str(&text).expect("a status");
-    assert_eq!((status, told.state), (StatusCode::OK, JobState::Done));
+    let job_status: JobStatus = serde_json::from_str(&text).expect("a status");
+    assert_eq!((status, job_status.state), (StatusCode::OK, JobState::Done));
     let (status, ..) = get(&api, "/api/jobs/req-000010").await;
-    assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE, "what can change is not told from memory");
+    assert_eq!(
+        status,
+        StatusCode::SERVICE_UNAVAILABLE,
+        "a state that can change is not served from memory"
+    );
 }
--- a/crates/controller/tests/api/submissions.rs
+++ b/crates/controller/tests/api/submissions.rs
@@ -1,4 +1,4 @@
-//! Which submissions are accepted, and how others are rejected.
+//! Which submissions are accepted, and how the others are rejected.
 
 use crate::support::*;
 use hookway_controller::http::service;
@@ -25,30 +25,30 @@
 async fn gang_exceeding_capacity_of_its_zones_gets_422() {
     let api = api(Role::Leader, true);
     let spread = JOB.replace("\"Spread\":false", "\"Spread\":true");
-    let apart = spread.replace("\"Together\":true", "\"Together\":false");
-    // It fits zone a alone.
-    for body in [&spread, &apart, &apart.replace("\"Yard\":null", "\"Yard\":\"a\"")] {
+    let spread_gang = spread.replace("\"Together\":true", "\"Together\":false");
+    // The gang fits zone a alone.
+    for body in [&spread, &spread_gang, &spread_gang.replace("\"Yard\":null", "\"Yard\":\"a\"")] {
         let (status, text, retry) = post(&api, "/api/jobs", body).await;
-        // Whether it was accepted before can't be told without the state service.
+        // Whether the job was accepted before is unknown without the state service.
         assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true), "{text}");
     }
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let api = api_at(Role::Leader, true, LeadershipView::default(), Some(&address));
-    for body in [&spread, &apart, &apart.replace("\"Yard\":null", "\"Yard\":\"a\"")] {
+    for body in [&spread, &spread_gang, &spread_gang.replace("\"Yard\":null", "\"Yard\":\"a\"")] {
         let (status, text, _) = post(&api, "/api/jobs", body).await;
         assert_eq!(status, StatusCode::UNPROCESSABLE_ENTITY, "{text}");
         assert!(reason(&text).contains("spread"), "{text}");
     }
-    let one = spread.replace("\"Pieces\":4", "\"Pieces\":1");
-    assert_eq!(post(&api, "/api/jobs", &one).await.0, StatusCode::CREATED);
+    let one_task = spread.replace("\"Pieces\":4", "\"Pieces\":1");
+    assert_eq!(post(&api, "/api/jobs", &one_task).await.0, StatusCode::CREATED);
 }
 
 /// A daemon of four replicas that need 32 of its team's 100 CPUs.
 fn daemon() -> String {
-    let free =
+    let daemon =
         JOB.replace("\"group\"", "\"daemon\"").replace("\"Together\":true", "\"Together\":false");
-    free.replace("\"GuessS\":240.0", "\"GuessS\":0")
+    daemon.replace("\"GuessS\":240.0", "\"GuessS\":0")
 }
 
 #[tokio::test]
@@ -56,8 +56,8 @@
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let api = api_at(Role::Follower, true, LeadershipView::default(), Some(&address));
-    let large = daemon().replace("\"Pieces\":4", "\"Pieces\":13");
-    let (status, text, _) = post(&api, "/api/jobs", &large).await;
+    let over_quota = daemon().replace("\"Pieces\":4", "\"Pieces\":13");
+    let (status, text, _) = post(&api, "/api/jobs", &over_quota).await;
     assert_eq!(status, StatusCode::UNPROCESSABLE_ENTITY, "{text}");
     assert!(reason(&text).contains("limit"), "{text}");
     assert_eq!(post(&api, "/api/jobs", &daemon()).await.0, StatusCode::CREATED);
@@ -68,9 +68,9 @@
     let array =
         other("req-000413", "\"daemon\"", "\"array\"").replace("\"Pieces\":4", "\"Pieces\":13");
     assert_eq!(post(&api, "/api/jobs", &array).await.0, StatusCode::CREATED);
-    // An estimate or a deadline says nothing of a daemon, and does no harm.
-    let due = other("req-000414", "\"GuessS\":0", "\"GuessS\":60,\"DueS\":90");
-    assert_eq!(post(&api, "/api/jobs", &due).await.0, StatusCode::CREATED);
+    // An estimate or a deadline of a daemon is ignored.
+    let with_deadline = other("req-000414", "\"GuessS\":0", "\"GuessS\":60,\"DueS\":90");
+    assert_eq!(post(&api, "/api/jobs", &with_deadline).await.0, StatusCode::CREATED);
     for (from, to) in [("\"Pieces\":4", "\"Pieces\":0"), ("\"Spread\":false,", "")] {
         let (status, text, _) = post(&api, "/api/jobs", &other("req-000415", from, to)).await;
         assert_eq!(status, StatusCode::BAD_REQUEST, "{text}");
@@ -87,7 +87,7 @@
     assert_eq!(status, StatusCode::BAD_REQUEST, "{text}");
     let spec: JobSpec = serde_json::from_str(&long).expect("a job");
     let record = JobRecord { spec, accepted_at_ms: 1, has_start_watermark: true };
-    let value = serde_json::to_value(record).expect("a record");
+    let value = serde_json::to_value(record).expect("a job record that serializes");
     let key = job_key(&JobId::parse("req-000412").expect("an id"));
     server.with_store(|store| store.put(&key, value));
     assert_eq!(post(&api, "/api/jobs", &long).await.0, StatusCode::OK);
@@ -112,6 +112,10 @@
     let (status, text, _) = post(&api, "/api/jobs", &long("req-000413")).await;
     assert_eq!(status, StatusCode::BAD_REQUEST, "{text}");
     assert!(reason(&text).contains("too long"), "{text}");
-    assert_eq!(post(&api, "/api/jobs", &long("req-000412")).await.0, StatusCode::OK, "it is known");
+    assert_eq!(
+        post(&api, "/api/jobs", &long("req-000412")).await.0,
+        StatusCode::OK,
+        "a known job is not rejected"
+    );
     assert_eq!(post(&api, "/api/jobs", JOB).await.0, StatusCode::OK);
 }
--- a/crates/controller/tests/api/support.rs
+++ b/crates/controller/tests/api/support.rs
@@ -30,15 +30,15 @@
 #[derive(Clone, Copy, PartialEq)]
 pub enum Role {
     Leader,
-    /// Its leadership lease expired after it decided.
+    /// Its leadership lease expired between the decision and the response.
     FormerLeader,
     Follower,
 }
 
-pub fn known(id: &JobId, status: JobState) -> JobStatus {
+pub fn known(id: &JobId, state: JobState) -> JobStatus {
     JobStatus {
         id: id.clone(),
-        state: status,
+        state,
         done: 1,
         running: 0,
         team: Some("vision".into()),
@@ -52,7 +52,7 @@
     api_at(role, machine_types_known, LeadershipView::default(), None)
 }
 
-/// The same, with a view of the leader and a state service.
+/// `api` with a view of the leader and a state service.
 pub fn api_at(
     role: Role,
     machine_types_known: bool,
@@ -130,7 +130,7 @@
     }
 }
 
-/// What the scripted leader knows of a job.
+/// The state of a job at the scripted leader.
 fn lookup(job: &JobId) -> JobLookup {
     match job.as_str() {
         "req-000001" => JobLookup::Known(known(job, JobState::Running)),
@@ -154,7 +154,7 @@
     }
 }
 
-/// The same, with other settings.
+/// `api_service` with other settings.
 pub fn api_service_with(
     settings: &str,
     role: Role,
@@ -163,17 +163,17 @@
     store: Option<&str>,
     status_rate: f64,
 ) -> Arc<ApiService> {
-    let (requests, inbox) = mpsc::channel(16);
-    tokio::spawn(ScriptedController { role }.run(inbox));
-    let settings = Settings::parse(settings).expect("sound settings");
+    let (requests, requests_rx) = mpsc::channel(16);
+    tokio::spawn(ScriptedController { role }.run(requests_rx));
+    let settings = Settings::parse(settings).expect("valid settings");
     let (_, view) = watch::channel(leadership);
     let (_, machine_types) =
         watch::channel(machine_types_known.then(|| Arc::new(vec![gpu_machine_type()])));
-    let store_at = store.unwrap_or(&settings.endpoints.state);
-    let submissions = StoreClient::new(store_at, 2000.0);
-    // Nobody listens there.
+    let store_address = store.unwrap_or(&settings.endpoints.state);
+    let submissions = StoreClient::new(store_address, 2000.0);
+    // No process listens at this address.
     let peers = Peers::new(HashMap::from([("worker-1".into(), "127.0.0.1:1".into())]));
-    let queries = StoreClient::new(store_at, status_rate).with_queue_limit(Duration::ZERO);
+    let queries = StoreClient::new(store_address, status_rate).with_queue_limit(Duration::ZERO);
     let stores = StoreClients { submissions, queries };
     let api_service = ApiService::new(ApiServiceConfig {
         platform: settings.platform,
@@ -189,18 +189,18 @@
 
 pub async fn post(service: &Service, path: &str, body: &str) -> (StatusCode, String, bool) {
     let url = format!("http://127.0.0.1:8080{path}");
-    let mut res = TestClient::post(url).body(body.to_owned()).send(service).await;
-    let retry = res.headers().contains_key("retry-after");
-    let text = res.take_string().await.unwrap_or_default();
-    (res.status_code.unwrap_or_default(), text, retry)
+    let mut response = TestClient::post(url).body(body.to_owned()).send(service).await;
+    let retry = response.headers().contains_key("retry-after");
+    let text = response.take_string().await.unwrap_or_default();
+    (response.status_code.unwrap_or_default(), text, retry)
 }
 
 pub async fn get(service: &Service, path: &str) -> (StatusCode, String, bool) {
     let url = format!("http://127.0.0.1:8080{path}");
-    let mut res = TestClient::get(url).send(service).await;
-    let retry = res.headers().contains_key("retry-after");
-    let text = res.take_string().await.unwrap_or_default();
-    (res.status_code.unwrap_or_default(), text, retry)
+    let mut response = TestClient::get(url).send(service).await;
+    let retry = response.headers().contains_key("retry-after");
+    let text = response.take_string().await.unwrap_or_default();
+    (response.status_code.unwrap_or_default(), text, retry)
 }
 
 pub fn reason(text: &str) -> String {
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -29,13 +29,13 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-fn report() -> Heartbeat {
-    let task = |task: &str, status, cause, saved| TaskStatus {
+fn heartbeat() -> Heartbeat {
+    let task = |task: &str, state, cause, checkpointed| TaskStatus {
         task: task.into(),
         attempt: 2,
-        state: status,
+        state,
         cause,
-        checkpointed: saved,
+        checkpointed,
     };
     Heartbeat {
         machine: "m-000231".into(),
@@ -81,58 +81,61 @@
         "record-lead",
         &LeaderRecord { controller_name: "worker-1".into(), term: 4_097, nonce: 77 },
     );
-    let ended = |state, notes| FinalRecord { state, done: 3, team: "vision".into(), notes };
-    json("record-final-done", &ended(JobState::Done, vec![]));
-    json("record-final-withdrawn", &ended(JobState::Cancelled, vec!["a note".into()]));
+    let final_record = |state, notes| FinalRecord { state, done: 3, team: "vision".into(), notes };
+    json("record-final-done", &final_record(JobState::Done, vec![]));
+    json("record-final-withdrawn", &final_record(JobState::Cancelled, vec!["a note".into()]));
     let mut results = vec![false; 20];
     (results[0], results[9], results[19]) = (true, true, true);
     json("record-progress", &ProgressRecord::new(&results));
-    let minimum = JobSchedulingRecord {
+    let scheduling = JobSchedulingRecord {
         min_tasks: 7,
         run_time_count: 4,
         run_time_sum_ms: 91_000,
         start_watermark: 32,
     };
-    json("record-minimum", &minimum);
+    json("record-minimum", &scheduling);
     json("record-marks", &SharedStartWatermarksRecord { jobs: BTreeSet::from([id()]) });
     let entry = MachineRegistryEntry { registered_at_ms: 1_764_654_219_000, images: vec![0] };
     let images = vec![ImageRecord { name: "img-07".into(), size_gb: 6.2 }];
-    let bare = MachineRegistryEntry { registered_at_ms: 1_764_654_219_001, images: vec![] };
-    let machines = BTreeMap::from([("m-000231".to_owned(), entry), ("m-000232".to_owned(), bare)]);
+    let without_images =
+        MachineRegistryEntry { registered_at_ms: 1_764_654_219_001, images: vec![] };
+    let machines =
+        BTreeMap::from([("m-000231".to_owned(), entry), ("m-000232".to_owned(), without_images)]);
     json("record-roster", &MachineRegistryRecord { machines, images: images.clone() });
     json("record-images", &ImagesRecord { images });
-    let need = Resources { cpus: 8.0, gpus: 1.0, memory_gb: 64.0 };
-    json("record-lane", &ClassRecord { request: need, image_gb: 6.2, spot: true, gangs: false });
+    let request = Resources { cpus: 8.0, gpus: 1.0, memory_gb: 64.0 };
+    json("record-lane", &ClassRecord { request, image_gb: 6.2, spot: true, gangs: false });
 }
 
 #[test]
 fn frames_between_controllers_are_read_and_written_as_in_production() {
-    let told = |state| JobSnapshot::from(status(state));
-    let bare = JobSnapshot { team: None, leader: None, notes: vec![], ..told(JobState::Queued) };
+    let snapshot = |state| JobSnapshot::from(status(state));
+    let bare =
+        JobSnapshot { team: None, leader: None, notes: vec![], ..snapshot(JobState::Queued) };
     frame("ask-status", &PeerRequest::Status("req-000412".into()));
     frame("ask-withdraw", &PeerRequest::Cancel("req-000412".into()));
     frame("ask-submit", &PeerRequest::Submit(b"{\"NameId\":1}".to_vec()));
-    let renewal = |echo, answered_ago_ms| ShardLeaseRenewal {
+    let renewal = |acknowledged, extended_ago_ms| ShardLeaseRenewal {
         controller: "worker-1".into(),
         process_nonce: u64::MAX,
         uptime_ms: 70_000,
-        acknowledged: echo,
-        extended_ago_ms: answered_ago_ms,
+        acknowledged,
+        extended_ago_ms,
     };
     let acknowledged = ShardLeaseAcknowledgement { term: 4_097, granted_at_ms: 300 };
     frame("ask-renew", &PeerRequest::RenewShardLease(renewal(Some(acknowledged), Some(1_500))));
     frame("ask-renew-first", &PeerRequest::RenewShardLease(renewal(None, None)));
-    frame("ask-over", &PeerRequest::JobFinished(told(JobState::Cancelled)));
-    let verdict = |verdict| PeerResponse::Outcome(verdict);
-    frame("answer-accepted", &verdict(RequestOutcome::Accepted(bare)));
-    frame("answer-known-running", &verdict(RequestOutcome::Known(told(JobState::Running))));
-    frame("answer-known-done", &verdict(RequestOutcome::Known(told(JobState::Done))));
-    frame("answer-absent", &verdict(RequestOutcome::NotFound));
+    frame("ask-over", &PeerRequest::JobFinished(snapshot(JobState::Cancelled)));
+    let response = |outcome| PeerResponse::Outcome(outcome);
+    frame("answer-accepted", &response(RequestOutcome::Accepted(bare)));
+    frame("answer-known-running", &response(RequestOutcome::Known(snapshot(JobState::Running))));
+    frame("answer-known-done", &response(RequestOutcome::Known(snapshot(JobState::Done))));
+    frame("answer-absent", &response(RequestOutcome::NotFound));
     frame(
         "answer-refused",
-        &verdict(RequestOutcome::Rejected { status: 422, reason: "no room".into() }),
+        &response(RequestOutcome::Rejected { status: 422, reason: "no room".into() }),
     );
-    frame("answer-later", &verdict(RequestOutcome::Unavailable("not now".into())));
+    frame("answer-later", &response(RequestOutcome::Unavailable("not now".into())));
     let lease = ShardLease {
         term: 4_097,
         granted_at_ms: 70_000,
@@ -143,18 +146,18 @@
     frame("answer-no-block", &PeerResponse::ShardLease(None));
 }
 
-/// Messages that came with version 2. Production and version 1 never see them: whoever asks looks at the version
-/// that the leader's answers name.
+/// Messages that came with version 2. Production and version 1 never see them: the sender looks at the version
+/// that the leader's responses name.
 #[test]
 fn frames_of_replication_are_read_and_written_as_in_version_2() {
     let at = |index| Position { term: 4_097, index };
-    let ask =
+    let follow =
         |progress| PeerRequest::Follow(FollowRequest { follower: "worker-1".into(), progress });
-    frame("ask-follow-nothing", &ask(FollowerProgress::Empty));
-    frame("ask-follow-through", &ask(FollowerProgress::Through(at(300))));
+    frame("ask-follow-nothing", &follow(FollowerProgress::Empty));
+    frame("ask-follow-through", &follow(FollowerProgress::Through(at(300))));
     frame(
         "ask-follow-pieces",
-        &ask(FollowerProgress::ReceivingImage { position: at(300), next_chunk: 2 }),
+        &follow(FollowerProgress::ReceivingImage { position: at(300), next_chunk: 2 }),
     );
     let job = ReplicatedJob {
         gang_attempt: Some(9),
@@ -190,24 +193,24 @@
 
 #[test]
 fn a_frame_names_its_version_where_production_ignores_it() {
-    let ask = PeerRequest::Status("req-000412".into());
-    let bytes = frame::encode(&ask).expect("a frame");
-    let written: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
+    let request = PeerRequest::Status("req-000412".into());
+    let bytes = frame::encode(&request).expect("a frame");
+    let written: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(written, format!("{}02", fixture("ask-status")));
-    // As production reads it: what follows the message is not looked at.
+    // As production reads it: bytes after the message are ignored.
     let config = bincode::config::standard();
     let (read, _): (PeerRequest, usize) =
         bincode::serde::decode_from_slice(&bytes, config).expect("a frame");
-    assert_eq!(read, ask);
+    assert_eq!(read, request);
     let read = frame::decode::<PeerRequest>(&bytes).expect("a frame");
-    assert_eq!(read, Frame { message: ask.clone(), version: CURRENT });
-    // A frame of production, and one of a later version that says more.
+    assert_eq!(read, Frame { message: request.clone(), version: CURRENT });
+    // A frame of production, and one of a later version with more bytes.
     let old = &bytes[..bytes.len() - 1];
     let read = frame::decode::<PeerRequest>(old).expect("a frame");
-    assert_eq!(read, Frame { message: ask.clone(), version: FrameVersion(0) });
+    assert_eq!(read, Frame { message: request.clone(), version: FrameVersion(0) });
     let later = [old, &[9, 1, 2, 3]].concat();
     let read = frame::decode::<PeerRequest>(&later).expect("a frame");
-    assert_eq!(read, Frame { message: ask, version: FrameVersion(9) });
+    assert_eq!(read, Frame { message: request, version: FrameVersion(9) });
 }
 
 #[test]
@@ -223,7 +226,7 @@
     let bare = JobStatus { team: None, leader: None, notes: vec![], ..status(JobState::Done) };
     json("http-status-bare", &bare);
     json("http-error", &ErrorBody { error: "no such job".into() });
-    json("http-report", &report());
+    json("http-report", &heartbeat());
     json("http-report-answer", &HeartbeatResponse { fencing_token: 41, commands: commands() });
     json(
         "http-orders",
@@ -235,31 +238,31 @@
 
 #[test]
 fn messages_of_the_state_service_and_the_cloud_are_read_and_written_as_in_production() {
-    let v = serde_json::json!({ "a": 1 });
-    let put = Operation::Put { key: "a/b".into(), value: v.clone(), lease_id: Some(7) };
-    let guards = vec![Precondition { key: "a/b".into(), mod_revision: 0 }];
-    let apply = vec![put, Operation::put("a/c", v.clone()), Operation::delete("c/d")];
-    json("store-commit", &Transaction { preconditions: guards, operations: apply });
+    let value = serde_json::json!({ "a": 1 });
+    let put = Operation::Put { key: "a/b".into(), value: value.clone(), lease_id: Some(7) };
+    let preconditions = vec![Precondition { key: "a/b".into(), mod_revision: 0 }];
+    let operations = vec![put, Operation::put("a/c", value.clone()), Operation::delete("c/d")];
+    json("store-commit", &Transaction { preconditions, operations });
     json("store-commit-answer", &CommitResponse { failed: vec!["a/b".into()], revision: 431 });
     let pair =
-        KeyValue { key: "a/b".into(), value: v.clone(), mod_revision: 412, lease_id: Some(7) };
+        KeyValue { key: "a/b".into(), value: value.clone(), mod_revision: 412, lease_id: Some(7) };
     json("store-pair", &pair);
     json("store-page", &KeyPage { pairs: vec![pair], has_next: true, revision: 431 });
     json("store-grant-request", &LeaseGrantRequest { ttl_ms: 5_000 });
     json("store-grant", &LeaseGrant { lease_id: 7 });
     let events = vec![
-        WatchEvent::Put { key: "c/9".into(), value: v, mod_revision: 433 },
+        WatchEvent::Put { key: "c/9".into(), value, mod_revision: 433 },
         WatchEvent::Delete { key: "c/d".into(), mod_revision: 432 },
     ];
     json("store-watch", &WatchResponse { revision: 433, events });
-    let rent = ScaleOutRequest {
+    let scale_out = ScaleOutRequest {
         request_id: "h-4097-1".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
         count: 12,
     };
-    json("cloud-rent", &rent);
+    json("cloud-rent", &scale_out);
     json("cloud-hosts", &MachineNames { machines: vec!["m-000231".into()] });
     let machine_type = MachineType {
         name: "g8".into(),
--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -1,4 +1,4 @@
-//! What `formats.rs` lacks: every variant of every enum, fields that may be missing, the state that pieces of an
+//! Formats that `formats.rs` lacks: every variant of every enum, optional fields, the state that chunks of an
 //! image carry. `fixtures/pinned.txt` has what commit cd798ce wrote for the values below, one a line; it only grows.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
@@ -26,29 +26,29 @@
 use tokio::net::TcpListener;
 
 fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|b| format!("{b:02x}")).collect()
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 #[test]
 fn optional_record_fields_are_omitted_when_empty_and_default_when_missing() {
-    let record = |marked| JobRecord {
+    let record = |has_start_watermark| JobRecord {
         spec: bare_spec(),
         accepted_at_ms: 1_764_654_219_000,
-        has_start_watermark: marked,
+        has_start_watermark,
     };
     json("pinned-record-job-bare", &record(false));
     read_only("pinned-record-job-of-0.1.0", &record(false));
     read_only("pinned-record-job-unknown-field", &record(true));
-    let ended = |state, notes| FinalRecord { state, done: 3, team: "vision".into(), notes };
-    read_only("pinned-record-final-unknown-field", &ended(JobState::Done, vec![]));
-    let minimum = JobSchedulingRecord {
+    let final_record = |state, notes| FinalRecord { state, done: 3, team: "vision".into(), notes };
+    read_only("pinned-record-final-unknown-field", &final_record(JobState::Done, vec![]));
+    let scheduling = JobSchedulingRecord {
         min_tasks: 7,
         run_time_count: 4,
         run_time_sum_ms: 91_000,
         start_watermark: 0,
     };
-    json("pinned-record-minimum-unopened", &minimum);
-    read_only("pinned-record-minimum-of-0.1.0", &minimum);
+    json("pinned-record-minimum-unopened", &scheduling);
+    read_only("pinned-record-minimum-of-0.1.0", &scheduling);
     json("pinned-record-progress-empty", &ProgressRecord::new(&[]));
     json("pinned-record-marks-empty", &SharedStartWatermarksRecord { jobs: BTreeSet::new() });
     json("pinned-record-roster-empty", &MachineRegistryRecord::default());
@@ -63,23 +63,23 @@
 
 #[test]
 fn class_statistics_record_is_map_keyed_by_class() {
-    let need = Resources { cpus: 8.0, gpus: 1.0, memory_gb: 64.0 };
-    let gang = ClassRecord { request: need, image_gb: 6.2, spot: true, gangs: true };
-    let need = Resources { cpus: 0.5, gpus: 0.0, memory_gb: 2.0 };
-    let array = ClassRecord { request: need, image_gb: 0.0, spot: false, gangs: false };
+    let request = Resources { cpus: 8.0, gpus: 1.0, memory_gb: 64.0 };
+    let gang = ClassRecord { request, image_gb: 6.2, spot: true, gangs: true };
+    let request = Resources { cpus: 0.5, gpus: 0.0, memory_gb: 2.0 };
+    let array = ClassRecord { request, image_gb: 0.0, spot: false, gangs: false };
     let classes = BTreeMap::from([("cleanup".to_owned(), array), ("train".to_owned(), gang)]);
     json("pinned-record-classes", &classes);
 }
 
 #[test]
 fn job_state_frames_match_fixtures() {
-    let over = |state| {
+    let job_finished = |state| {
         PeerRequest::JobFinished(JobSnapshot { notes: vec![], ..JobSnapshot::from(status(state)) })
     };
-    frame("pinned-ask-over-queued", &over(JobState::Queued));
-    frame("pinned-ask-over-running", &over(JobState::Running));
-    frame("pinned-ask-over-done", &over(JobState::Done));
-    frame("pinned-ask-over-cancelled", &over(JobState::Cancelled));
+    frame("pinned-ask-over-queued", &job_finished(JobState::Queued));
+    frame("pinned-ask-over-running", &job_finished(JobState::Running));
+    frame("pinned-ask-over-done", &job_finished(JobState::Done));
+    frame("pinned-ask-over-cancelled", &job_finished(JobState::Cancelled));
 }
 
 #[test]
@@ -101,11 +101,11 @@
         Entry::Job { id: "req-000412".into(), job },
     ];
     let body = FollowResponseBody::Entries { after: at(0), entries, digest: None };
-    let answer = FollowResponse { end: at(5), body };
-    frame("pinned-answer-entries", &PeerResponse::Followed(Some(answer)));
+    let response = FollowResponse { end: at(5), body };
+    frame("pinned-answer-entries", &PeerResponse::Followed(Some(response)));
     let body = FollowResponseBody::Entries { after: at(5), entries: vec![], digest: None };
-    let answer = FollowResponse { end: at(5), body };
-    frame("pinned-answer-no-entries", &PeerResponse::Followed(Some(answer)));
+    let response = FollowResponse { end: at(5), body };
+    frame("pinned-answer-no-entries", &PeerResponse::Followed(Some(response)));
 }
 
 /// A leader's cluster state with a task at each stage and two jobs.
@@ -141,8 +141,8 @@
 fn state_image_matches_pinned_bytes_and_digest() {
     let mut publisher = publisher_with_cluster_state();
     let request = FollowRequest { follower: "worker-1".into(), progress: FollowerProgress::Empty };
-    let answer = publisher.respond(&request, MonotonicTime::ZERO).expect("an image");
-    frame("pinned-answer-image", &PeerResponse::Followed(Some(answer)));
+    let response = publisher.respond(&request, MonotonicTime::ZERO).expect("an image");
+    frame("pinned-answer-image", &PeerResponse::Followed(Some(response)));
     frame("pinned-image-state", publisher.state());
     frame("pinned-image-empty-state", &ReplicatedState::default());
 }
@@ -160,45 +160,45 @@
 #[tokio::test]
 async fn peer_frames_are_prefixed_with_four_byte_length_in_both_directions() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("bound").to_string();
+    let address = listener.local_addr().expect("a bound address").to_string();
     let served = tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let mut sent = vec![0; 4 + 12 + 1];
         stream.read_exact(&mut sent).await.expect("a frame");
-        // `RequestOutcome::Absent` as a controller of version 2 answers.
-        stream.write_all(&[0, 0, 0, 3, 0, 2, 2]).await.expect("it listens");
+        // `RequestOutcome::NotFound` as a controller of version 2 sends it.
+        stream.write_all(&[0, 0, 0, 3, 0, 2, 2]).await.expect("an open connection");
         (sent, stream)
     });
     let peers = Peers::new([("worker-1".to_owned(), address)].into());
-    let ask = PeerRequest::Status("req-000412".into());
+    let request = PeerRequest::Status("req-000412".into());
     let limit = Duration::from_millis(5_000);
-    let answer = peers.ask("worker-1", &ask, limit).await.expect("an answer");
-    assert_eq!(answer, hookway_controller::request_outcome::RequestOutcome::NotFound);
+    let response = peers.ask("worker-1", &request, limit).await.expect("a response");
+    assert_eq!(response, hookway_controller::request_outcome::RequestOutcome::NotFound);
     let (sent, _stream) = tokio::time::timeout(Duration::from_secs(5), served)
         .await
-        .expect("in time")
-        .expect("no panic");
+        .expect("a request within 5 s")
+        .expect("the scripted peer does not panic");
     assert_eq!(hex(&sent), fixture("pinned-status-on-the-wire"));
 }
 
 #[test]
 fn replication_phase_and_copy_state_have_pinned_spellings() {
     let mut standby = Standby::new("worker-0", StandbyMode::Warm, StandbySignals::default());
-    let said = |standby: &Standby, now| {
+    let phase_and_copy = |standby: &Standby, now| {
         let status = standby.status(now);
         (status.phase, status.copy)
     };
     let at = MonotonicTime::from_millis;
-    let words = |phase: &str, copy: &str| (phase.to_owned(), copy.to_owned());
-    assert_eq!(said(&standby, at(0)), words("following", "no copy"));
+    let expected = |phase: &str, copy: &str| (phase.to_owned(), copy.to_owned());
+    assert_eq!(phase_and_copy(&standby, at(0)), expected("following", "no copy"));
     let (leader, leader_term) = (Some("worker-1".to_owned()), Some(4_097));
     standby.view_changed(&LeadershipView { leader, leader_term, own_term: None }, at(0));
     let mut publisher = publisher_with_cluster_state();
     for now in (0..10_000).step_by(200).map(at) {
-        let request = standby.next_request(now).expect("it follows");
-        standby.handle_response(publisher.respond(&request, now).expect("an answer"), now);
+        let request = standby.next_request(now).expect("a request of a follower");
+        standby.handle_response(publisher.respond(&request, now).expect("a response"), now);
     }
-    assert_eq!(said(&standby, at(10_000)), words("following", "usable"));
+    assert_eq!(phase_and_copy(&standby, at(10_000)), expected("following", "usable"));
     standby.next_request(at(20_000));
     assert_eq!(standby.status(at(20_000)).phase, "suspecting");
     standby.view_changed(&LeadershipView::default(), at(20_000));
--- a/crates/controller/tests/formats_support/mod.rs
+++ b/crates/controller/tests/formats_support/mod.rs
@@ -7,9 +7,9 @@
 use std::fmt::Debug;
 
 const FIXTURES: &str = include_str!("../fixtures/production.txt");
-/// What version 2 of the frames added, as its first build wrote it.
+/// Messages that version 2 of the frames added, as its first build wrote them.
 const REPLICATION_FIXTURES: &str = include_str!("../fixtures/replication.txt");
-/// What the two others lack, as commit cd798ce wrote it.
+/// Formats that the other two files lack, as commit cd798ce wrote them.
 const PINNED_FIXTURES: &str = include_str!("../fixtures/pinned.txt");
 
 /// The fixture of that name.
@@ -29,11 +29,11 @@
     assert_eq!(&read, value, "{name} is read differently");
 }
 
-/// The same for a frame, byte by byte.
+/// A value is written as the bytes of the fixture, and read from them.
 pub fn frame<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
     let config = bincode::config::standard();
     let bytes = bincode::serde::encode_to_vec(value, config).expect("a frame");
-    let written: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
+    let written: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(written, fixture(name), "{name} is written differently");
     let (read, _): (T, usize) = bincode::serde::decode_from_slice(&bytes, config).expect("a frame");
     assert_eq!(&read, value, "{name} is read differently");
@@ -44,7 +44,7 @@
     JobId::parse("req-000412").expect("an id")
 }
 
-/// That job, of a kind.
+/// The job in the fixtures, of this kind.
 pub fn spec(kind: &str) -> JobSpec {
     let text = format!(
         r#"{{"NameId":"req-000412","Lane":"train","Owner":"vision","Shape":"{kind}","Rank":"high",
@@ -52,10 +52,10 @@
         "Flavors":["g8"],"Yard":"a","Together":true,"Spread":false,"Loaners":true,"GuessS":240.0,
         "SnapshotEveryS":30.0,"SnapshotS":4.0,"DueS":900.0}}"#
     );
-    JobSpec::parse(text.as_bytes()).expect("a sound job")
+    JobSpec::parse(text.as_bytes()).expect("a valid job")
 }
 
-/// What a user is told of it.
+/// The status of the job in the fixtures.
 pub fn status(state: JobState) -> JobStatus {
     JobStatus {
         id: id(),
@@ -74,7 +74,7 @@
     assert_eq!(&read, value, "{name} is read differently");
 }
 
-/// A job without anything that may be missing.
+/// The job in the fixtures without its optional fields.
 pub fn bare_spec() -> JobSpec {
     JobSpec { machine_types: None, zone: None, deadline_s: None, ..spec("array") }
 }
--- a/crates/controller/tests/message_formats_pinned.rs
+++ b/crates/controller/tests/message_formats_pinned.rs
@@ -1,5 +1,5 @@
-//! The JSON of HTTP messages, as `formats_pinned.rs` pins records and frames: every variant of every enum, and fields
-//! that may be missing. The fixtures are in `fixtures/pinned.txt` too.
+//! The JSON of HTTP messages, as `formats_pinned.rs` pins records and frames: every variant of every enum, and
+//! optional fields. The fixtures are in `fixtures/pinned.txt` too.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 mod formats_support;
@@ -38,8 +38,8 @@
     json("pinned-http-status-running", &bare(JobState::Running));
     json("pinned-http-status-done", &bare(JobState::Done));
     json("pinned-http-status-cancelled", &bare(JobState::Cancelled));
-    let least = JobStatus { done: 0, running: 0, ..bare(JobState::Queued) };
-    read_only("pinned-http-status-least", &least);
+    let minimal = JobStatus { done: 0, running: 0, ..bare(JobState::Queued) };
+    read_only("pinned-http-status-least", &minimal);
 }
 
 #[test]
@@ -71,14 +71,14 @@
 
 #[test]
 fn heartbeat_without_optional_fields_parses_with_defaults() {
-    let task = |cause, saved| TaskStatus {
+    let task = |cause, checkpointed| TaskStatus {
         task: "req-000412/3".into(),
         attempt: 2,
         state: TaskState::Ended,
         cause,
-        checkpointed: saved,
+        checkpointed,
     };
-    let report = |tasks| Heartbeat {
+    let heartbeat = |tasks| Heartbeat {
         machine: "m-000231".into(),
         addr: "10.1.0.232:9000".into(),
         machine_type: "g8".into(),
@@ -90,11 +90,11 @@
         interruption_notice_s: None,
         tasks,
     };
-    read_only("pinned-http-report-least", &report(vec![]));
-    read_only("pinned-http-report-least-task", &report(vec![task(None, None)]));
+    read_only("pinned-http-report-least", &heartbeat(vec![]));
+    read_only("pinned-http-report-least-task", &heartbeat(vec![task(None, None)]));
     json(
         "pinned-http-report-nulls",
-        &report(vec![task(Some(ExitCause::GangMemberLost), Some(false))]),
+        &heartbeat(vec![task(Some(ExitCause::GangMemberLost), Some(false))]),
     );
 }
 
@@ -112,8 +112,9 @@
 
 #[test]
 fn store_messages_without_optional_fields_parse_with_defaults() {
-    let v = serde_json::json!([1, "a", null]);
-    let pair = KeyValue { key: "a/b".into(), value: v.clone(), mod_revision: 412, lease_id: None };
+    let value = serde_json::json!([1, "a", null]);
+    let pair =
+        KeyValue { key: "a/b".into(), value: value.clone(), mod_revision: 412, lease_id: None };
     json("pinned-store-pair-null", &pair);
     read_only("pinned-store-pair-least", &pair);
     read_only("pinned-store-page-least", &KeyPage { pairs: vec![], has_next: false, revision: 9 });
@@ -121,14 +122,11 @@
     read_only("pinned-store-commit-least", &Transaction::default());
     read_only("pinned-store-commit-answer-least", &CommitResponse { failed: vec![], revision: 9 });
     read_only("pinned-store-watch-least", &WatchResponse { revision: 9, events: vec![] });
-    json("pinned-store-put", &Operation::put("a/b", v.clone()));
-    let leased = Operation::Put { key: "a/b".into(), value: v.clone(), lease_id: Some(7) };
+    json("pinned-store-put", &Operation::put("a/b", value.clone()));
+    let leased = Operation::Put { key: "a/b".into(), value: value.clone(), lease_id: Some(7) };
     json("pinned-store-put-leased", &leased);
     json("pinned-store-delete", &Operation::delete("a/b"));
-    json(
-        "pinned-store-event-put",
-        &WatchEvent::Put { key: "a/b".into(), value: v, mod_revision: 9 },
-    );
+    json("pinned-store-event-put", &WatchEvent::Put { key: "a/b".into(), value, mod_revision: 9 });
     json("pinned-store-event-delete", &WatchEvent::Delete { key: "a/b".into(), mod_revision: 9 });
 }
 
@@ -176,18 +174,18 @@
 #[test]
 fn replication_status_json_matches_fixtures() {
     json("pinned-http-replication-bare", &ReplicationStatus::default());
-    let times = |count| DurationStatus {
+    let durations = |count| DurationStatus {
         count,
         p50_ms: count + 1,
         p99_ms: count + 2,
         longest_ms: count + 3,
     };
     let failover = FailoverStatus {
-        detection: times(20),
-        election: times(30),
-        catching_up: times(40),
-        first_start: times(50),
-        whole: times(60),
+        detection: durations(20),
+        election: durations(30),
+        catching_up: durations(40),
+        first_start: durations(50),
+        whole: durations(60),
     };
     let status = ReplicationStatus {
         phase: "catching up".into(),
@@ -199,7 +197,7 @@
         tasks: 3,
         lag_entries: 4,
         lag_ms: 5,
-        lag: times(10),
+        lag: durations(10),
         images: 6,
         resyncs: 7,
         failover,
--- a/crates/controller/tests/store_keys.rs
+++ b/crates/controller/tests/store_keys.rs
@@ -52,7 +52,7 @@
         assert_eq!(records::progress_key(&id(), from), key);
         assert_eq!(records::parse_progress_key(key), Some((id(), from)));
     }
-    for odd in [
+    for invalid in [
         "p/req-000412",
         "p/req-000412/x",
         "p/req-000412/0/x",
@@ -61,7 +61,7 @@
         "q/req-000412/0",
         "p/req-000412/4294967295",
     ] {
-        assert_eq!(records::parse_progress_key(odd), None, "{odd}");
+        assert_eq!(records::parse_progress_key(invalid), None, "{invalid}");
     }
 }
 
@@ -69,8 +69,8 @@
 fn only_shared_watermark_keys_have_number() {
     assert_eq!(records::parse_shared_watermarks_key("m/shared-0"), Some(0));
     assert_eq!(records::parse_shared_watermarks_key("m/shared-17"), Some(17));
-    for odd in ["m/req-000412", "m/shared-", "m/shared-x", "m/17", "shared-17"] {
-        assert_eq!(records::parse_shared_watermarks_key(odd), None, "{odd}");
+    for invalid in ["m/req-000412", "m/shared-", "m/shared-x", "m/17", "shared-17"] {
+        assert_eq!(records::parse_shared_watermarks_key(invalid), None, "{invalid}");
     }
 }
 
@@ -91,13 +91,18 @@
         has_warm_copy: Arc::default(),
     });
     tokio::spawn(leadership.run());
-    let leads = view.wait_for(|v| v.own_term.is_some());
-    let mandate = tokio::time::timeout(Duration::from_secs(10), leads).await.expect("in time");
-    let mandate = mandate.expect("the actor lives").own_term.clone().expect("just seen");
+    let leads = view.wait_for(|view| view.own_term.is_some());
+    let term =
+        tokio::time::timeout(Duration::from_secs(10), leads).await.expect("a term within 10 s");
+    let term = term
+        .expect("the leadership actor runs")
+        .own_term
+        .clone()
+        .expect("a term that the view has");
     let pairs = server.with_store(|store| store.list(""));
     let keys: Vec<(&str, Option<u64>)> =
         pairs.iter().map(|kv| (kv.key.as_str(), kv.lease_id)).collect();
-    let lease = Some(mandate.lease_id);
+    let lease = Some(term.lease_id);
     assert_eq!(keys, [("lead/marked", None), ("lead/now", lease), ("lead/term", None)]);
     assert_eq!(pairs[0].value, 4_096);
     assert_eq!(
@@ -111,20 +116,20 @@
 #[test]
 fn cluster_state_writes_records_under_pinned_keys() {
     let mut harness = LeaderHarness::start();
-    let (mut one, mut two) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
+    let (mut worker_1, mut worker_2) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     harness.submit(job("req-000001", "array", 300));
     harness.submit(job("req-000002", "group", 1));
-    harness.run_rounds(&mut [&mut one, &mut two]);
-    for worker in [&mut one, &mut two] {
+    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+    for worker in [&mut worker_1, &mut worker_2] {
         for task in worker.unfinished_tasks() {
             worker.end_task(&task, ExitCause::Done);
         }
     }
-    harness.run_rounds(&mut [&mut one, &mut two]);
+    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
     harness.advance(60_000);
-    harness.run_rounds(&mut [&mut one, &mut two]);
+    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
     let keys: Vec<String> = harness.store.list("").into_iter().map(|kv| kv.key).collect();
-    // The array goes on, the gang is over.
+    // The array is unfinished, the gang has finished.
     let pinned = [
         "c/lanes",
         "f/req-000002",
