--- a/crates/controller/tests/cluster_state/heartbeats.rs
+++ b/crates/controller/tests/cluster_state/heartbeats.rs
@@ -103,8 +103,8 @@
     assert_eq!(third.started_attempts, [], "the task may still run on m-2");
 }
 
-/// A controller that was partitioned from its workers alone kept the leadership lease for 24 s on an
-/// operations day: three heartbeat intervals, although 150 heartbeats a second had been arriving.
+/// A controller that was partitioned from its workers alone kept the leadership lease for 24 s:
+/// three heartbeat intervals, although 150 heartbeats a second had been arriving. Found on an operations day.
 #[test]
 fn more_reporting_workers_shorten_isolation_detection() {
     let mut harness = LeaderHarness::start();
--- a/crates/controller/tests/cluster_state/leases.rs
+++ b/crates/controller/tests/cluster_state/leases.rs
@@ -104,7 +104,10 @@
     let params = test_config().platform.workers;
     let full = ms(((params.cancel_s - params.lease_s) * 1000.0) as u64);
     let lease = harness.cluster.shard_lease(harness.now);
-    assert!(lease > ms(0) && lease < full, "it leaves time for a worker lease within cancel_s");
+    assert!(
+        lease > ms(0) && lease < full,
+        "a shard lease plus a worker lease ends within cancel_s"
+    );
     let cancel_requested_at = harness.now;
     harness.cluster.set_time(timestamp(cancel_requested_at));
     harness.cluster.cancel(&JobId::parse("req-000001").expect("an id"));
@@ -128,7 +131,7 @@
     assert_eq!(
         harness.cluster.shard_lease(harness.now),
         lease,
-        "full length once the tasks are gone"
+        "not shortened once the tasks have ended"
     );
     // The next leader does not know all cancelled jobs until every machine is reconciled.
     let next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(1_000));
