--- a/crates/policy/src/autoscaling.rs
+++ b/crates/policy/src/autoscaling.rs
@@ -1,5 +1,5 @@
-//! How many machines of which kind the fleet should have: demand is laid out over the machines there are, and what
-//! does not fit is laid out over the cheapest offers of the cloud.
+//! How many machines of which kind the fleet should have: a plan assigns waiting tasks to the existing machines,
+//! and those that do not fit to new machines from the cheapest offers of the cloud. It places none of them.
 
 use crate::placement::{could_ever_hold, smallest_request};
 use crate::{ClusterSnapshot, JobView, MachineView, Resources, desired_tasks};
@@ -10,7 +10,7 @@
 /// Seconds of work over which boot and image fetch are spread when offers are compared.
 const NOMINAL_WORK_S: f64 = 60.0;
 
-/// A kind of machine that can be had now.
+/// A kind of machine that the cloud offers now.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineOffer {
     /// Index of the machine type.
@@ -37,7 +37,7 @@
 pub struct ScalingPlan {
     /// Machines to add.
     pub scale_out: Vec<ScaleOut>,
-    /// Per machine: whether the demand makes use of it.
+    /// Per machine: whether some task was assigned to it.
     pub needed: Vec<bool>,
 }
 
@@ -47,16 +47,16 @@
     free: Resources,
 }
 
-/// What a job still lacks while it is laid out.
+/// The tasks of a job that have no resources in the plan yet.
 struct Shortage {
-    /// Tasks without resources.
+    /// Tasks that are not assigned to a machine.
     tasks: u32,
     /// Further tasks that each zone may hold.
     per_zone: Vec<u32>,
 }
 
 impl Shortage {
-    /// Takes up to `fitting` tasks into a zone; returns how many.
+    /// Assigns up to `fitting` tasks to a zone; returns how many.
     fn assign(&mut self, fitting: u32, zone: usize) -> u32 {
         let tasks = fitting.min(self.tasks).min(self.per_zone[zone]);
         self.tasks -= tasks;
@@ -65,14 +65,14 @@
     }
 }
 
-/// Lays out the demand of one job after the other.
+/// Assigns the demand of one job after the other to machines.
 struct Planner<'a> {
     cluster: &'a ClusterSnapshot,
     offers: &'a [MachineOffer],
     zone_count: usize,
-    /// Free resources per machine, less what has been laid out.
+    /// Free resources per machine, less those of assigned tasks.
     free: Vec<Resources>,
-    /// Resources used per team, with what has been laid out.
+    /// Resources used per team, including those of assigned tasks.
     used: Vec<Resources>,
     /// Machines with free resources for some task, in the order in which they are filled.
     machines: Vec<usize>,
@@ -80,8 +80,8 @@
     plan: ScalingPlan,
 }
 
-/// Plans how many machines to add, and tells which of the present ones are needed. Demand is laid out over the free
-/// resources of machines that are up or booting first.
+/// Plans how many machines to add, and tells which of the existing ones are needed. Tasks are first assigned to the
+/// free resources of machines that are up or booting.
 pub fn plan_scaling(cluster: &ClusterSnapshot, offers: &[MachineOffer]) -> ScalingPlan {
     let smallest = smallest_request(&cluster.jobs);
     let mut planner = Planner::new(cluster, offers, &smallest);
@@ -114,7 +114,7 @@
         }
     }
 
-    /// What a job lacks, within its team's limit; the team is charged for it.
+    /// The tasks that a job lacks, within its team's limit; their resources count as used by the team from here on.
     fn shortage(&mut self, job_index: usize, smallest: &Resources) -> Shortage {
         let job = &self.cluster.jobs[job_index];
         let provisioning_time = provisioning_time(self.cluster, job);
@@ -128,12 +128,12 @@
                 self.used[job.team].add(&job.request);
             }
         }
-        self.machines.retain(|i| self.free[*i].fits(smallest));
+        self.machines.retain(|index| self.free[*index].fits(smallest));
         Shortage { tasks, per_zone: self.tasks_allowed_per_zone(job_index, tasks) }
     }
 
-    /// How many more tasks of a job each zone may hold. Without this a gang that must spread, or stay in one zone,
-    /// would seem to fit where it never will, and nothing would be added for it.
+    /// How many more tasks of a job each zone may hold. Without this, a gang that must spread, or stay in one zone,
+    /// would seem to fit on machines that it must not use, and no machines would be added for it.
     fn tasks_allowed_per_zone(&self, job_index: usize, tasks: u32) -> Vec<u32> {
         let job = &self.cluster.jobs[job_index];
         let mut allowed: Vec<u32> = (0..self.zone_count)
@@ -142,7 +142,7 @@
         if !job.one_zone || job.tasks <= 1 {
             return allowed;
         }
-        // The zone that it is in; else one with capacity for all of a gang, or a good part of an array; else one
+        // The zone that the job is in; else one with capacity for all of a gang, or a quarter of an array; else one
         // where machines can be added.
         let enough = if job.gang { tasks } else { tasks.div_ceil(4) };
         let best = (0..self.zone_count).max_by_key(|zone| {
@@ -169,26 +169,26 @@
         self.offers.iter().any(|offer| offer.zone == zone && allows_offer(job, offer))
     }
 
-    /// Lays out tasks over machines that are up or booting.
+    /// Assigns tasks to machines that are up or booting.
     fn use_machines(&mut self, job_index: usize, shortage: &mut Shortage) {
         let job = &self.cluster.jobs[job_index];
-        for &i in &self.machines {
-            let machine = &self.cluster.machines[i];
+        for &index in &self.machines {
+            let machine = &self.cluster.machines[index];
             if shortage.tasks == 0 {
                 break;
             }
             if !may_use(self.cluster, job_index, machine) {
                 continue;
             }
-            let tasks = shortage.assign(self.free[i].capacity_for(&job.request), machine.zone);
+            let tasks = shortage.assign(self.free[index].capacity_for(&job.request), machine.zone);
             if tasks > 0 {
-                self.plan.needed[i] = true;
-                subtract_tasks(&mut self.free[i], &job.request, tasks);
+                self.plan.needed[index] = true;
+                subtract_tasks(&mut self.free[index], &job.request, tasks);
             }
         }
     }
 
-    /// Lays out tasks over machines that the plan adds for other jobs.
+    /// Assigns tasks to machines that the plan adds for other jobs.
     fn use_planned_machines(&mut self, job_index: usize, shortage: &mut Shortage) {
         let job = &self.cluster.jobs[job_index];
         for machine in &mut self.planned {
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Adds the cheapest machines for the rest.
+    /// Adds the cheapest machines for the remaining tasks.
     fn add_machines(&mut self, job_index: usize, shortage: &mut Shortage) {
         let job = &self.cluster.jobs[job_index];
         while shortage.tasks > 0 && self.planned.len() < MAX_PLANNED_MACHINES {
@@ -226,18 +226,18 @@
         }
     }
 
-    /// One machine for arrays that fail wherever they are tried, if none is left or coming that could try them.
+    /// Adds one machine for crash-looping arrays if no machine that is up, booting or planned could run them.
     fn add_machines_for_crash_looping_arrays(&mut self) {
         for (job_index, job) in self.cluster.jobs.iter().enumerate() {
             if !job.crash_looping || job.gang || job.startable == 0 {
                 continue;
             }
-            let mut coming = self.plan.scale_out.iter().map(|added| &self.offers[added.offer]);
-            let can_try = |machine: &MachineView| {
+            let mut planned = self.plan.scale_out.iter().map(|added| &self.offers[added.offer]);
+            let could_run = |machine: &MachineView| {
                 may_use(self.cluster, job_index, machine) && machine.total.fits(&job.request)
             };
-            let has_machine = self.cluster.machines.iter().any(can_try);
-            if has_machine || coming.any(|offer| allows_offer(job, offer)) {
+            let has_machine = self.cluster.machines.iter().any(could_run);
+            if has_machine || planned.any(|offer| allows_offer(job, offer)) {
                 continue;
             }
             let one_task = Shortage { tasks: 1, per_zone: vec![1; self.zone_count] };
@@ -260,7 +260,7 @@
                 continue;
             }
             let tasks = fitting.min(shortage.tasks).min(shortage.per_zone[offer.zone]);
-            // Boot and image fetch are paid for too.
+            // The machine is paid for while it boots and fetches the image, too.
             let fetch = machine_type.fetch_s(job.image_gb);
             let overhead = 1.0 + (machine_type.boot_s + fetch) / NOMINAL_WORK_S;
             let price = offer.price * overhead / f64::from(tasks);
@@ -293,22 +293,23 @@
     job.allows(offer.machine_type, offer.zone, offer.spot)
 }
 
-/// Machines with resources for some task, those in use first. Demand is laid out on cheap ones first, so that
-/// expensive ones are those to scale in.
+/// Machines with free resources for some task: running before booting, in use before empty, cheap before expensive.
+/// Expensive ones thus tend to stay idle and are scaled in.
 fn machines_with_capacity_by_price(cluster: &ClusterSnapshot, smallest: &Resources) -> Vec<usize> {
     let mut by_price: Vec<usize> =
         (0..cluster.machines.len()).filter(|i| cluster.machines[*i].free.fits(smallest)).collect();
     by_price.sort_by(|a, b| {
         let (a, b) = (&cluster.machines[*a], &cluster.machines[*b]);
-        let later = |machine: &MachineView| (machine.booting, machine.placed_tasks.is_empty());
-        later(a).cmp(&later(b)).then(a.cpu_price().total_cmp(&b.cpu_price()))
+        let state = |machine: &MachineView| (machine.booting, machine.placed_tasks.is_empty());
+        state(a).cmp(&state(b)).then(a.cpu_price().total_cmp(&b.cpu_price()))
     });
     by_price
 }
 
-/// The jobs that machines may be added for, in their order. Nothing is added for a job that fails wherever it is
-/// tried, unless no machines are left that could try it: bad luck must not make a job wait for ever. One gang at a
-/// time; one machine for all others ([`Planner::add_machines_for_crash_looping_arrays`]).
+/// The jobs that machines may be added for, by priority and age. Nothing is added for a crash-looping job unless no
+/// machine is left that could run it: its failures may have been the machines' fault, and it must not wait for ever.
+/// One crash-looping gang at a time; one machine for all crash-looping arrays
+/// ([`Planner::add_machines_for_crash_looping_arrays`]).
 fn jobs_to_scale_for(cluster: &ClusterSnapshot) -> Vec<usize> {
     let stranded_gang = (0..cluster.jobs.len()).find(|i| {
         let job = &cluster.jobs[*i];
--- a/crates/policy/src/autoscaling/tests.rs
+++ b/crates/policy/src/autoscaling/tests.rs
@@ -3,17 +3,17 @@
 
 #[test]
 fn unplaced_demand_scales_out() {
-    let w = cluster(vec![job(1.0, 10)], vec![machine(0)]);
+    let snapshot = cluster(vec![job(1.0, 10)], vec![machine(0)]);
     let offers = [
         MachineOffer { machine_type: 0, zone: 0, spot: false, price: 1.0 },
         MachineOffer { machine_type: 0, zone: 1, spot: true, price: 0.3 },
     ];
-    let plan = plan_scaling(&w, &offers);
+    let plan = plan_scaling(&snapshot, &offers);
     assert_eq!(plan.needed, [true]);
     assert_eq!(
         plan.scale_out,
         [ScaleOut { offer: 1, count: 1 }],
-        "half of 10 in each of two rounds"
+        "10 tasks of 10 s within 20 s: 5 at a time, 4 fit on the existing machine"
     );
 }
 
@@ -21,59 +21,75 @@
     crate::JobView { gang: true, ..job(3.0, tasks) }
 }
 
-/// Found by the model, on 2026-12-02: a gang that must spread waited for ever on a site that had idle
-/// machines in one zone only.
+/// Found by the simulation: a gang that must spread over zones waited for ever while idle machines were in one zone
+/// only.
 #[test]
 fn spread_gang_scales_out_in_other_zone() {
     let spread = crate::JobView { max_tasks_per_zone: 2, ..gang(3) };
-    let w = cluster(vec![spread], vec![machine(0), machine(0), machine(0)]);
+    let snapshot = cluster(vec![spread], vec![machine(0), machine(0), machine(0)]);
     let offers = [0, 1].map(|zone| MachineOffer { machine_type: 0, zone, spot: false, price: 1.0 });
-    assert_eq!(plan_scaling(&w, &offers).scale_out, [ScaleOut { offer: 1, count: 1 }]);
+    assert_eq!(plan_scaling(&snapshot, &offers).scale_out, [ScaleOut { offer: 1, count: 1 }]);
 }
 
 #[test]
 fn one_zone_gang_scales_out_by_missing_capacity_of_one_zone() {
     let one_zone = crate::JobView { one_zone: true, ..gang(3) };
-    let w = cluster(vec![one_zone.clone()], vec![machine(0), machine(1), machine(1)]);
+    let snapshot = cluster(vec![one_zone.clone()], vec![machine(0), machine(1), machine(1)]);
     let offers = [0, 1].map(|zone| MachineOffer { machine_type: 0, zone, spot: false, price: 1.0 });
-    assert_eq!(plan_scaling(&w, &offers).scale_out, [ScaleOut { offer: 1, count: 1 }]);
-    // Where nothing can be rented it never fits; all of it goes where something can.
-    assert_eq!(plan_scaling(&w, &offers[..1]).scale_out, [ScaleOut { offer: 0, count: 2 }]);
-    let whole = cluster(vec![one_zone], vec![machine(0), machine(1), machine(1), machine(1)]);
-    assert_eq!(plan_scaling(&whole, &offers).scale_out, []);
+    assert_eq!(plan_scaling(&snapshot, &offers).scale_out, [ScaleOut { offer: 1, count: 1 }]);
+    // Zone 1 has more machines, but none can be added there: the gang needs two more in zone 0.
+    assert_eq!(plan_scaling(&snapshot, &offers[..1]).scale_out, [ScaleOut { offer: 0, count: 2 }]);
+    let complete = cluster(vec![one_zone], vec![machine(0), machine(1), machine(1), machine(1)]);
+    assert_eq!(plan_scaling(&complete, &offers).scale_out, []);
 }
 
-/// An array that is bound to one zone uses what it gets there; machines elsewhere would be added without use.
+/// A one-zone array uses machines of one zone only; machines added in another zone would stay idle.
 #[test]
 fn one_zone_array_does_not_scale_out_in_second_zone() {
     let offers = [1].map(|zone| MachineOffer { machine_type: 0, zone, spot: false, price: 1.0 });
-    let rented = |tasks: u32| {
+    let scaled_out = |tasks: u32| {
         let one_zone = crate::JobView { one_zone: true, ..job(3.0, tasks) };
-        let w = cluster(vec![one_zone], vec![machine(0), machine(0)]);
-        plan_scaling(&w, &offers).scale_out.iter().map(|r| r.count).sum::<u32>()
+        let snapshot = cluster(vec![one_zone], vec![machine(0), machine(0)]);
+        plan_scaling(&snapshot, &offers)
+            .scale_out
+            .iter()
+            .map(|scale_out| scale_out.count)
+            .sum::<u32>()
     };
-    assert_eq!(rented(8), 0, "zone 0 has room for a good part of it, and is sold out");
-    assert!(rented(60) > 10, "for more than zone 0 will ever hold zone 1 is better");
+    assert_eq!(
+        scaled_out(8),
+        0,
+        "zone 0 has capacity for a quarter of the tasks, and nothing is added elsewhere"
+    );
+    assert!(scaled_out(60) > 10, "zone 0 has too little capacity, and zone 1 has an offer");
 }
 
-/// Found by the model, on 2026-12-02 (seed 3502 in a zone that is cut off): a job failed once by bad luck, all
-/// machines died, and none was ever rented for it.
+/// Found by the simulation (seed 3502 with a partitioned zone): a job failed once through no fault of its own, all
+/// machines were lost, and none was ever added for it.
 #[test]
 fn failed_job_scales_out_when_no_eligible_machine_remains() {
-    let doubtful = crate::JobView { crash_looping: true, startable: 1, ..job(3.0, 30) };
+    let crash_looping = crate::JobView { crash_looping: true, startable: 1, ..job(3.0, 30) };
     let offers = [MachineOffer { machine_type: 0, zone: 0, spot: false, price: 1.0 }];
-    let rented = |jobs: Vec<crate::JobView>, machines| {
+    let scaled_out = |jobs: Vec<crate::JobView>, machines| {
         plan_scaling(&cluster(jobs, machines), &offers).scale_out
     };
-    let two = vec![doubtful.clone(), doubtful.clone()];
-    assert_eq!(rented(two, vec![]), [ScaleOut { offer: 0, count: 1 }], "one for all of them");
+    let two_arrays = vec![crash_looping.clone(), crash_looping.clone()];
+    assert_eq!(
+        scaled_out(two_arrays, vec![]),
+        [ScaleOut { offer: 0, count: 1 }],
+        "one machine for all crash-looping arrays"
+    );
     let mut busy = machine(0);
     busy.free = Resources::default();
-    assert_eq!(rented(vec![doubtful.clone()], vec![busy]), [], "there is one that will be free");
-    let gang = crate::JobView { gang: true, startable: 3, ..doubtful.clone() };
+    assert_eq!(
+        scaled_out(vec![crash_looping.clone()], vec![busy]),
+        [],
+        "a machine exists that will become free"
+    );
+    let gang = crate::JobView { gang: true, startable: 3, ..crash_looping.clone() };
     let gang = crate::JobView { tasks: 3, unfinished: 3, max_tasks_per_zone: 3, ..gang };
-    assert_eq!(rented(vec![gang.clone()], vec![machine(0)]), [ScaleOut { offer: 0, count: 2 }]);
-    assert_eq!(rented(vec![gang], vec![machine(0), machine(0), machine(0)]), []);
-    let pausing = crate::JobView { startable: 0, ..doubtful };
-    assert_eq!(rented(vec![pausing], vec![]), []);
+    assert_eq!(scaled_out(vec![gang.clone()], vec![machine(0)]), [ScaleOut { offer: 0, count: 2 }]);
+    assert_eq!(scaled_out(vec![gang], vec![machine(0), machine(0), machine(0)]), []);
+    let backing_off = crate::JobView { startable: 0, ..crash_looping };
+    assert_eq!(scaled_out(vec![backing_off], vec![]), [], "no task is startable during backoff");
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,7 @@
 //! The scheduling policy of hookway, as pure functions: the minimum task count of a job, the scheduling queue,
 //! placement (bin packing), preemption, and how many machines the fleet should have.
 //!
-//! Nothing here reads a clock or does I/O. Times are seconds on one scale that the caller chooses; machines, jobs,
+//! Nothing here reads a clock or does I/O. Times are seconds since an origin that the caller chooses; machines, jobs,
 //! zones, teams and machine types are named by their index in the [`ClusterSnapshot`] that the caller hands over.
 //! Begin with [`place`], which runs a scheduling round, [`preempt`] and [`plan_scaling`].
 
--- a/crates/policy/src/min_tasks.rs
+++ b/crates/policy/src/min_tasks.rs
@@ -1,13 +1,12 @@
-//! The minimum task count of the design, and how many tasks the fleet is sized for.
+//! The minimum task count of a job, and how many tasks the fleet is sized for.
 
 use crate::JobView;
 use hookway_constants as constants;
 
 /// The minimum number of tasks that should run at a time so that the job meets its deadline.
 ///
-/// The paper's equation 10 with one phase (B = 0): n = A / C, where A is the mean time of the finished tasks times the
-/// unfinished tasks and C the time to the deadline. With less than one mean task time left, all unfinished tasks.
-/// Until a task has finished, the running count.
+/// The mean time of the finished tasks times the unfinished tasks, divided by the time to the deadline. With less than
+/// one mean task time left, all unfinished tasks. Until a task has finished, the number of placed tasks.
 pub fn min_tasks(job: &JobView, now: f64) -> u32 {
     if job.daemon {
         return job.unfinished;
@@ -17,7 +16,7 @@
     min_tasks_by_deadline(mean, job.unfinished, deadline - now)
 }
 
-/// The equation itself: tasks at a time that finish `unfinished` tasks of `mean` seconds in `time_left` seconds.
+/// The number of tasks that must run at a time to finish `unfinished` tasks of `mean` seconds in `time_left` seconds.
 pub(crate) fn min_tasks_by_deadline(mean: f64, unfinished: u32, time_left: f64) -> u32 {
     if time_left < mean || time_left <= 0.0 {
         return unfinished;
@@ -44,7 +43,7 @@
     tasks.min(job.unfinished)
 }
 
-/// Whether a minimum has changed enough for its record to be written again.
+/// Whether the minimum task count has changed enough since it was stored for its record to be written again.
 pub fn min_tasks_need_rewrite(stored: Option<u32>, current: u32) -> bool {
     match stored {
         None | Some(0) => current > 0,
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -21,12 +21,12 @@
     pub machines: Vec<usize>,
 }
 
-/// A part of a team's limit that is set aside for a waiting gang.
+/// A part of a team's limit that is reserved for a waiting gang.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaReservation {
     /// Index of the team.
     pub team: usize,
-    /// What is set aside.
+    /// Reserved resources.
     pub resources: Resources,
 }
 
@@ -37,7 +37,7 @@
     pub placements: Vec<Placement>,
     /// Queue entries of arrays, in order, with the tasks that found no resources.
     pub unplaced: Vec<QueueEntry>,
-    /// What is set aside of teams' limits.
+    /// Reserved parts of teams' limits.
     pub quota_reservations: Vec<QuotaReservation>,
 }
 
@@ -50,7 +50,7 @@
     let queue = scheduling_queue(&cluster.jobs, cluster.now, capacity);
     let mut round = Round::new(cluster);
     for entry in queue {
-        round.serve(entry);
+        round.place_entry(entry);
     }
     round.finish()
 }
@@ -58,9 +58,9 @@
 /// A scheduling round in progress.
 struct Round<'a> {
     cluster: &'a mut ClusterSnapshot,
-    /// A machine with less free takes no task.
+    /// A machine with less free resources can take no task.
     smallest_request: Resources,
-    /// Machines that may have resources for some task.
+    /// Machines that may have free resources for some task.
     candidates: Vec<usize>,
     /// Machines have been reserved for a gang; one gang at a time.
     has_machine_reservation: bool,
@@ -69,8 +69,9 @@
 
 impl<'a> Round<'a> {
     fn new(cluster: &'a mut ClusterSnapshot) -> Self {
-        let candidates =
-            (0..cluster.machines.len()).filter(|i| cluster.machines[*i].schedulable).collect();
+        let candidates = (0..cluster.machines.len())
+            .filter(|index| cluster.machines[*index].schedulable)
+            .collect();
         Self {
             smallest_request: smallest_request(&cluster.jobs),
             candidates,
@@ -80,9 +81,9 @@
         }
     }
 
-    fn serve(&mut self, entry: QueueEntry) {
+    fn place_entry(&mut self, entry: QueueEntry) {
         let machines = &self.cluster.machines;
-        self.candidates.retain(|i| machines[*i].free.fits(&self.smallest_request));
+        self.candidates.retain(|index| machines[*index].free.fits(&self.smallest_request));
         let machines = place_job(self.cluster, entry.job, entry.tasks, &self.candidates);
         let job = &self.cluster.jobs[entry.job];
         let placed = machines.len() as u32;
@@ -97,12 +98,12 @@
         }
     }
 
-    /// Sets quota and machines aside for a gang that found no resources.
+    /// Reserves quota and machines for a gang that found no resources.
     ///
-    /// A gang needs all its resources at once, so arrays that take whatever becomes free would starve it. The quota
-    /// for the first waiting gang of a team is reserved at once (else tasks that were preempted for it would just
-    /// restart), machines once it has waited a while. A gang that no present machines could ever hold must not block
-    /// its team's other jobs for ever, and so loses its reservations after a time limit.
+    /// A gang needs all its resources at once, so arrays that take whatever becomes free would starve it. Quota is
+    /// reserved immediately for the first waiting gang of a team (else tasks preempted for the gang would restart
+    /// within it), machines after `GANG_RESERVATION_DELAY`. A gang that the existing machines could never hold must not
+    /// block its team's other jobs for ever: it gets no reservations after `GANG_RESERVATION_LIMIT`.
     fn reserve_for_gang(&mut self, job_index: usize) {
         let job = &self.cluster.jobs[job_index];
         let waited_ms = (self.cluster.now - job.waiting_since) * 1000.0;
@@ -253,7 +254,7 @@
     let teams_before = cluster.teams.clone();
     let request = job_before.request;
     let machines = assign_tasks(cluster, job_index, tasks, ranking);
-    // Whether to wait is judged by what was free before.
+    // The decision whether to wait needs the snapshot as it was before the assignment.
     for &index in &machines {
         cluster.machines[index].free.add(&request);
     }
@@ -271,9 +272,9 @@
     machines
 }
 
-/// Whether a gang that found resources on these machines should wait a moment instead. It starts together, so one
-/// missing image delays all of it: where machines that hold the image are being cleared for it, or can be cleared
-/// at a lower cost, waiting makes it start earlier.
+/// Whether a gang that found resources on these machines should wait for preemption on others instead. Its tasks start
+/// together, so one image fetch delays all of them: if machines that hold the image are being cleared for the gang, or
+/// can be cleared at a lower cost than the fetch, waiting is cheaper.
 fn should_wait_for_preemption(
     cluster: &ClusterSnapshot,
     job_index: usize,
@@ -287,8 +288,7 @@
     if longest_fetch <= 0.0 || job.crash_looping {
         return false;
     }
-    // If some of the machines that are being cleared lack the image, the gang waits for a fetch in any case, and had
-    // better start.
+    // If a machine that is being cleared lacks the image, the gang has to wait for a fetch in any case: it starts now.
     let mut reserved = cluster
         .machines
         .iter()
--- a/crates/policy/src/placement/cost.rs
+++ b/crates/policy/src/placement/cost.rs
@@ -4,11 +4,12 @@
 use crate::{ClusterSnapshot, JobView, MachineView};
 use hookway_constants as constants;
 
-/// Highest price penalty, in multiples of the cheapest price: an expensive machine is still better than none.
+/// Upper bound of the price penalty, in multiples of the cheapest price per CPU, so that the price does not outweigh
+/// all other costs.
 const MAX_PRICE_EXCESS: f64 = 4.0;
 
-/// How badly a machine suits a task; lower is better. Seconds of image fetch (image locality, the paper's data
-/// locality) plus penalties that keep whole machines free for work that needs them.
+/// How badly a machine suits a task; lower is better. Seconds of image fetch (image locality) plus
+/// penalties that keep whole machines free for work that needs them.
 pub(super) fn placement_cost(
     cluster: &ClusterSnapshot,
     job: &JobView,
@@ -26,7 +27,7 @@
     if !job.gang && suits_gangs() {
         cost += constants::GANG_MACHINE_PENALTY_S;
     }
-    // Expensive machines last, so that they are the ones that become idle and are scaled in.
+    // Expensive machines last, so that they become idle first and are scaled in.
     let cheapest = cluster.cheapest_cpu_price;
     if cheapest > 0.0 {
         let excess = machine.cpu_price() / cheapest - 1.0;
@@ -35,8 +36,14 @@
     cost
 }
 
-/// The candidates that the job could use, best first. A task makes its machine a better fit for the next one and
-/// leaves the others as they were, so one ranking is enough to place any number of tasks.
+/// A machine with its placement cost.
+struct RankedMachine {
+    cost: f64,
+    index: usize,
+}
+
+/// The candidates that the job could use, best first. Placing a task lowers the cost of its machine for the next task
+/// and leaves the cost of the others unchanged, so one ranking is enough to place any number of tasks.
 pub(super) fn machines_by_cost(
     cluster: &ClusterSnapshot,
     job_index: usize,
@@ -44,13 +51,16 @@
     candidates: &[usize],
 ) -> Vec<usize> {
     let job = &cluster.jobs[job_index];
-    let mut ranking: Vec<(f64, usize)> = candidates
+    let mut ranking: Vec<RankedMachine> = candidates
         .iter()
         .map(|index| (*index, &cluster.machines[*index]))
         .filter(|(_, machine)| zone.is_none_or(|zone| zone == machine.zone))
         .filter(|(_, machine)| is_usable(job_index, job, machine))
-        .map(|(index, machine)| (placement_cost(cluster, job, machine), index))
+        .map(|(index, machine)| RankedMachine {
+            cost: placement_cost(cluster, job, machine),
+            index,
+        })
         .collect();
-    ranking.sort_unstable_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-    ranking.into_iter().map(|(_, index)| index).collect()
+    ranking.sort_unstable_by(|a, b| a.cost.total_cmp(&b.cost).then(a.index.cmp(&b.index)));
+    ranking.into_iter().map(|machine| machine.index).collect()
 }
--- a/crates/policy/src/placement/reservation.rs
+++ b/crates/policy/src/placement/reservation.rs
@@ -2,8 +2,8 @@
 
 use crate::{ClusterSnapshot, JobView, MachineView, Resources};
 
-/// What a machine will have for a job once everything that ends by itself, or yields to the job, is gone: replicas
-/// of daemons that are no lower in priority stay.
+/// The resources of a machine that can become free for a job: all but those of daemons of the same or a higher
+/// priority, whose replicas neither end by themselves nor can be preempted by the job.
 fn eventual_capacity(cluster: &ClusterSnapshot, job: &JobView, machine: &MachineView) -> Resources {
     let mut capacity = machine.total;
     for task in &machine.placed_tasks {
@@ -36,7 +36,7 @@
     capacity >= job.tasks
 }
 
-/// Reserves the machines that would have resources for a waiting gang soonest; `false` if there are not enough.
+/// Reserves the least used machines that together can hold a waiting gang; `false` if there are not enough.
 pub(super) fn reserve_machines(cluster: &mut ClusterSnapshot, job_index: usize) -> bool {
     let candidates = reservation_candidates(cluster, job_index);
     let zones: Vec<Option<usize>> = if cluster.jobs[job_index].one_zone {
@@ -64,8 +64,9 @@
             && machine.eligible_for(job_index, job)
             && eventual_capacity(cluster, job, machine).fits(&job.request)
     };
-    let mut candidates: Vec<usize> =
-        (0..cluster.machines.len()).filter(|i| is_candidate(&cluster.machines[*i])).collect();
+    let mut candidates: Vec<usize> = (0..cluster.machines.len())
+        .filter(|index| is_candidate(&cluster.machines[*index]))
+        .collect();
     let used_share = |index: &usize| {
         let machine = &cluster.machines[*index];
         1.0 - machine.free.dominant_share_of(&machine.total)
--- a/crates/policy/src/preemption.rs
+++ b/crates/policy/src/preemption.rs
@@ -18,7 +18,7 @@
 pub struct Victim {
     /// Index of its machine.
     pub machine: usize,
-    /// The caller's number of the task.
+    /// The task's `id` in its [`PlacedTaskView`](crate::PlacedTaskView).
     pub task: u64,
 }
 
@@ -66,7 +66,7 @@
         }
         let mut found = cheapest_preemption(cluster, job_index, tasks, &taken);
         if found.is_none() && job.daemon {
-            // Some replicas are better than none.
+            // Not enough for all replicas: place at least one, since each is useful by itself.
             found = cheapest_preemption(cluster, job_index, 1, &taken);
         }
         if let Some(preemption) = found.filter(|found| !found.victims.is_empty()) {
@@ -96,7 +96,7 @@
     waiting
 }
 
-/// Whether a job has waited long enough for its first start, and no machines are being cleared for it already.
+/// Whether a job has waited long enough for its first start, and no machines are reserved for it already.
 fn waits_for_preemption(cluster: &ClusterSnapshot, index: usize) -> bool {
     let job = &cluster.jobs[index];
     let not_started = if job.gang { job.startable == job.tasks } else { awaits_first_start(job) };
@@ -122,7 +122,7 @@
 }
 
 /// The cheaper of two ways to free resources: on machines that hold the image, or on any. A gang starts together,
-/// so the longest fetch keeps all of its resources waiting.
+/// so the longest fetch keeps the resources of all tasks idle.
 fn cheapest_preemption(
     cluster: &ClusterSnapshot,
     job_index: usize,
--- a/crates/policy/src/preemption/deadlines.rs
+++ b/crates/policy/src/preemption/deadlines.rs
@@ -13,17 +13,17 @@
     stoppable: Vec<Vec<&'a PlacedTaskView>>,
 }
 
-/// Resources for arrays that have less than their deadlines require, taken from backfill: tasks of lower priority
-/// without an objective that write checkpoints. Otherwise tasks that run for minutes would keep a burst of short
-/// ones waiting past their deadlines.
+/// Preempts backfill for arrays that have fewer tasks placed than their deadlines require. Backfill is tasks of lower
+/// priority without an objective that write checkpoints. Without this, tasks that run for minutes would make a burst of
+/// short ones miss their deadlines.
 pub(super) fn preempt_for_deadlines(cluster: &ClusterSnapshot) -> Vec<Preemption> {
     let mut backfill = Backfill::of(cluster);
     if backfill.stoppable.iter().all(Vec::is_empty) {
         return Vec::new();
     }
     let mut preemptions = Vec::new();
-    for (deadline, job_index) in jobs_by_deadline(cluster) {
-        let preemption = backfill.preempt_for(cluster, job_index, deadline);
+    for waiting in jobs_by_deadline(cluster) {
+        let preemption = backfill.preempt_for(cluster, waiting.job, waiting.deadline);
         if !preemption.victims.is_empty() {
             preemptions.push(preemption);
         }
@@ -31,16 +31,22 @@
     preemptions
 }
 
-/// Arrays that can still meet their deadlines, earliest first.
-fn jobs_by_deadline(cluster: &ClusterSnapshot) -> Vec<(f64, usize)> {
-    let mut waiting: Vec<(f64, usize)> = Vec::new();
+/// An array that waits for resources, with its deadline.
+struct WaitingArray {
+    job: usize,
+    deadline: f64,
+}
+
+/// Waiting arrays that can still meet their deadlines, earliest deadline first.
+fn jobs_by_deadline(cluster: &ClusterSnapshot) -> Vec<WaitingArray> {
+    let mut waiting: Vec<WaitingArray> = Vec::new();
     for (index, job) in cluster.jobs.iter().enumerate() {
         let Some(deadline) = job.deadline else { continue };
         if !job.gang && !job.crash_looping && job.startable > 0 && !is_late(job, cluster.now) {
-            waiting.push((deadline, index));
+            waiting.push(WaitingArray { job: index, deadline });
         }
     }
-    waiting.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+    waiting.sort_by(|a, b| a.deadline.total_cmp(&b.deadline).then(a.job.cmp(&b.job)));
     waiting
 }
 
@@ -68,7 +74,7 @@
         Self { free, stoppable }
     }
 
-    /// Lays out what a job lacks of its minimum, and chooses what to stop for it.
+    /// Assigns the tasks that a job lacks of its minimum to free resources, and chooses victims where there are none.
     fn preempt_for(
         &mut self,
         cluster: &ClusterSnapshot,
@@ -83,9 +89,9 @@
         }
         let mut preemption = Preemption::for_job(job_index);
         // Machines that hold the image first.
-        for with_image in [true, false] {
+        for has_image in [true, false] {
             for (index, machine) in cluster.machines.iter().enumerate() {
-                let usable = machine.images.contains(&job.image) == with_image
+                let usable = machine.images.contains(&job.image) == has_image
                     && job.allows(machine.machine_type, machine.zone, machine.spot)
                     && job.may_use_zone(machine.zone)
                     && !machine.excluded_by.contains(&job_index);
@@ -98,8 +104,8 @@
                     let lower_priority =
                         |task: &&PlacedTaskView| cluster.jobs[task.job].priority < job.priority;
                     let stoppable = &mut self.stoppable[index];
-                    let Some(at) = stoppable.iter().position(lower_priority) else { break };
-                    let task = stoppable.swap_remove(at);
+                    let Some(position) = stoppable.iter().position(lower_priority) else { break };
+                    let task = stoppable.swap_remove(position);
                     self.free[index].add(&task.request);
                     preemption.victims.push(Victim { machine: index, task: task.id });
                 }
--- a/crates/policy/src/preemption/quota.rs
+++ b/crates/policy/src/preemption/quota.rs
@@ -4,8 +4,16 @@
 use super::{Preemption, Victim};
 use crate::{ClusterSnapshot, PlacedTaskView};
 
-/// The team's own tasks of lower priority whose end brings its usage far enough below its limit; `None` if that is
-/// not possible, or nothing has to be stopped.
+/// A task that could be stopped.
+struct Candidate<'a> {
+    /// Work lost by stopping it, CPU seconds.
+    lost_work: f64,
+    machine: usize,
+    task: &'a PlacedTaskView,
+}
+
+/// The team's own tasks of lower priority to stop so that its limit allows `tasks` more tasks of the job; `None` if
+/// that is not possible, or nothing has to be stopped.
 pub(super) fn preempt_for_quota(
     cluster: &ClusterSnapshot,
     job_index: usize,
@@ -13,7 +21,7 @@
 ) -> Option<Preemption> {
     let job = &cluster.jobs[job_index];
     let mut team = cluster.teams.get(job.team)?.clone();
-    let mut candidates: Vec<(f64, usize, &PlacedTaskView)> = Vec::new();
+    let mut candidates: Vec<Candidate> = Vec::new();
     for (index, machine) in cluster.machines.iter().enumerate() {
         for task in &machine.placed_tasks {
             let other = &cluster.jobs[task.job];
@@ -23,13 +31,14 @@
             if task.terminating {
                 team.used.subtract(&task.request);
             } else if other.priority < job.priority {
-                candidates.push((lost_work(cluster, task), index, task));
+                let lost_work = lost_work(cluster, task);
+                candidates.push(Candidate { lost_work, machine: index, task });
             }
         }
     }
-    candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
+    candidates.sort_by(|a, b| a.lost_work.total_cmp(&b.lost_work));
     let mut preemption = Preemption::for_job(job_index);
-    for (_, machine, task) in candidates {
+    for Candidate { machine, task, .. } in candidates {
         if team.remaining_tasks(&job.request) >= tasks {
             break;
         }
--- a/crates/policy/src/preemption/victims.rs
+++ b/crates/policy/src/preemption/victims.rs
@@ -14,17 +14,17 @@
 pub(super) struct MachineVictims {
     /// Lost work and waiting time, CPU seconds.
     pub cost: f64,
-    /// The caller's numbers of the tasks.
+    /// Their `id`s in [`PlacedTaskView`].
     pub tasks: Vec<u64>,
 }
 
-/// The work lost by stopping a task, in CPU seconds; a checkpointing task loses next to nothing.
+/// The work lost by stopping a task, in CPU seconds; a checkpointing task loses what it did since its last checkpoint.
 pub(super) fn lost_work(cluster: &ClusterSnapshot, task: &PlacedTaskView) -> f64 {
     let job = &cluster.jobs[task.job];
     let seconds = if job.checkpoints { task.elapsed.min(MAX_UNSAVED_S) } else { task.elapsed };
-    // A gang loses all its tasks with one.
+    // Stopping one task of a gang stops all of them.
     let tasks = if job.gang { f64::from(job.tasks) } else { 1.0 };
-    // A job that would become late loses more than its work; one that is late anyway does not.
+    // Making a job late costs more than its work; a job that is late already has no deadline left to miss.
     let restarted_end = cluster.now + job.task_time();
     let weight = match job.deadline {
         Some(deadline) if cluster.now > deadline => constants::LATE_VICTIM_WEIGHT,
@@ -34,8 +34,8 @@
     (1.0 + seconds) * task.request.cpus.max(MIN_VICTIM_CPUS) * tasks * weight
 }
 
-/// Whether a job may preempt a task: by priority, or because its team's guarantee covers it and the other team
-/// exceeds its own.
+/// Whether a job may preempt a task: because its priority is higher, or because its team's guarantee covers it and the
+/// other team exceeds its own.
 fn may_preempt(cluster: &ClusterSnapshot, job_index: usize, task: &PlacedTaskView) -> bool {
     let (job, victim) = (&cluster.jobs[job_index], &cluster.jobs[task.job]);
     if victim.priority < job.priority {
@@ -50,8 +50,15 @@
     is_guaranteed && victim_team.is_some_and(|team| team.exceeds_guarantee())
 }
 
-/// The cheapest set of tasks whose end frees resources for so many tasks of a job on a machine; `None` if there is
-/// none.
+/// A task that could be stopped.
+struct Candidate<'a> {
+    /// Work lost by stopping it, CPU seconds.
+    lost_work: f64,
+    task: &'a PlacedTaskView,
+}
+
+/// Tasks to stop on a machine so that `tasks` tasks of a job fit there, those that lose least work first; `None` if
+/// stopping all that may be stopped is not enough.
 pub(super) fn victims_on_machine(
     cluster: &ClusterSnapshot,
     job_index: usize,
@@ -61,18 +68,18 @@
     let job = &cluster.jobs[job_index];
     let request = job.request.times(tasks);
     let mut free = machine.free_after_terminations();
-    let mut candidates: Vec<(f64, &PlacedTaskView)> = machine
+    let mut candidates: Vec<Candidate> = machine
         .placed_tasks
         .iter()
         .filter(|task| !task.terminating && may_preempt(cluster, job_index, task))
-        .map(|task| (lost_work(cluster, task), task))
+        .map(|task| Candidate { lost_work: lost_work(cluster, task), task })
         .collect();
-    candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
+    candidates.sort_by(|a, b| a.lost_work.total_cmp(&b.lost_work));
     // A machine without the image delays the job by the fetch.
     let mut cost = cluster.fetch_time(job, machine) * request.cpus;
     let mut victims = Vec::new();
     let mut longest_stop: f64 = 0.0;
-    for (lost_work, task) in candidates {
+    for Candidate { lost_work, task } in candidates {
         if free.fits(&request) {
             break;
         }
@@ -82,7 +89,7 @@
         longest_stop = longest_stop.max(stop);
         victims.push(task.id);
     }
-    // The job waits until the stops have arrived and checkpoints are written.
+    // The job waits until the victims have been told to stop and have written their checkpoints.
     cost += longest_stop * request.cpus;
     free.fits(&request).then_some(MachineVictims { cost, tasks: victims })
 }
--- a/crates/policy/src/scheduling_queue.rs
+++ b/crates/policy/src/scheduling_queue.rs
@@ -4,7 +4,7 @@
 use crate::{JobView, min_tasks};
 use hookway_constants as constants;
 
-/// Least CPUs that a task counts with where their number is a divisor.
+/// Lower bound of a task's CPUs where they are a divisor, so that a task without CPUs does not divide by zero.
 const MIN_CPUS: f64 = 0.001;
 
 /// An entry of the scheduling queue: up to `tasks` tasks of a job are to be placed.
@@ -22,16 +22,16 @@
     job.deadline.unwrap_or(f64::INFINITY)
 }
 
-/// Whether the job is late already. The minimum of a late job is all its tasks for the rest of its life; after a
-/// burst, a few of them would make every later job late as well (the second weak spot of the design). So late jobs
-/// come after those that can still meet their deadlines.
+/// Whether the job is late already. The minimum of a late job is all its unfinished tasks, so that after a burst a
+/// few late jobs would take all resources and make every later job late as well. Late jobs therefore come after those
+/// that can still meet their deadlines.
 pub(crate) fn is_late(job: &JobView, now: f64) -> bool {
     job.deadline
         .is_some_and(|deadline| now + constants::LATENESS_TASK_TIMES * job.task_time() > deadline)
 }
 
-/// How many of its start objectives a job has missed; one that has waited beyond the bound counts as having missed
-/// none and so precedes all others, which prevents starvation.
+/// How many of its start objectives a job has missed. One that has waited for longer than `START_DEADLINE_S` counts as
+/// having missed none and so precedes those that have missed some, which prevents starvation.
 fn missed_starts(job: &JobView, now: f64) -> usize {
     if now > job.submitted + constants::START_DEADLINE_S {
         return 0;
@@ -39,7 +39,8 @@
     job.start_by.iter().filter(|by| now > **by).count()
 }
 
-/// Whether a part of a gang waits on machines for the rest: it holds resources without working, and gives up soon.
+/// Whether a gang is partially placed: its placed tasks hold resources without working until the rest is placed, and
+/// the workers end them after a time limit.
 fn gang_awaits_rest(job: &JobView) -> bool {
     job.gang && job.startable > 0 && job.placed > 0
 }
@@ -72,8 +73,8 @@
 }
 
 /// Marks jobs that can't all meet their deadlines: when the minimums together exceed `capacity` CPUs, those with
-/// the least work left are served, since most jobs are in time then, and the others yield like late ones. Earliest
-/// deadline first would make nearly all of them late one after the other.
+/// the least work left are feasible, which maximizes the number of jobs in time, and the others are deferred like late
+/// ones. Earliest deadline first would make nearly all of them late one after the other.
 fn infeasible(jobs: &[JobView], now: f64, capacity: f64) -> Vec<bool> {
     let mut infeasible = vec![false; jobs.len()];
     let mut free_cpus = capacity;
@@ -103,13 +104,13 @@
     infeasible
 }
 
-/// Whether no objective says when the job should start or finish: it is backfill.
+/// Whether the job has no objective for its start or its end, that is, whether it is backfill.
 pub(crate) fn has_no_objective(job: &JobView) -> bool {
     !job.needs_all_tasks_at_once() && job.deadline.is_none() && job.start_by.is_empty()
 }
 
 /// Whether the job waits for its first start. A replica of a daemon that is not running counts as such by itself,
-/// since no other replica does its work; a gang that lacks tasks has not started, whatever of it waits on machines.
+/// since no other replica does its work; a partially placed gang has not started.
 pub(crate) fn awaits_first_start(job: &JobView) -> bool {
     job.has_never_run() || job.needs_all_tasks_at_once()
 }
@@ -122,7 +123,7 @@
     started: Vec<usize>,
     /// Jobs without any objective.
     without_objective: Vec<usize>,
-    /// Jobs that have failed wherever they were tried.
+    /// Jobs that have failed on every machine that ran them.
     crash_looping: Vec<usize>,
 }
 
@@ -147,7 +148,7 @@
     }
 
     fn groups(&self) -> QueueGroups {
-        let startable = (0..self.jobs.len()).filter(|i| self.jobs[*i].startable > 0);
+        let startable = (0..self.jobs.len()).filter(|index| self.jobs[*index].startable > 0);
         let (crash_looping, healthy): (Vec<usize>, Vec<usize>) =
             startable.partition(|i| self.jobs[*i].crash_looping);
         let (without_objective, with_objective): (Vec<usize>, Vec<usize>) =
@@ -187,8 +188,7 @@
         }
     }
 
-    /// A share of the CPUs for jobs that have waited long, oldest first, so that no load of feasible jobs starves
-    /// them.
+    /// A share of the CPUs for jobs older than `AGING_S`, oldest first, so that feasible jobs cannot starve them.
     fn push_aged(&mut self) {
         let mut aged: Vec<usize> = (0..self.jobs.len()).filter(|i| self.is_aged(*i)).collect();
         aged.sort_by(|a, b| self.jobs[*a].submitted.total_cmp(&self.jobs[*b].submitted));
@@ -207,12 +207,12 @@
 
     fn is_aged(&self, index: usize) -> bool {
         let job = &self.jobs[index];
-        let yields =
+        let comes_after_others =
             has_no_objective(job) || !job.gang && !job.has_never_run() && self.deferred[index];
-        yields && !job.crash_looping && self.now > job.submitted + constants::AGING_S
+        comes_after_others && !job.crash_looping && self.now > job.submitted + constants::AGING_S
     }
 
-    /// What started jobs lack of their minimum.
+    /// The tasks that started jobs lack of their minimums.
     fn push_min_tasks(&mut self, started: &[usize]) {
         for &index in started {
             let job = &self.jobs[index];
@@ -225,10 +225,10 @@
     }
 
     /// Leftover capacity goes to the job with the least work left first: most jobs meet their deadlines that way
-    /// when there is not enough for all. Priorities have decided above.
+    /// when there is not enough for all. Priority has been considered in the earlier entries.
     fn push_leftovers(&mut self, jobs: impl Iterator<Item = usize>) {
-        let work = |i: usize| {
-            let job = &self.jobs[i];
+        let work = |index: usize| {
+            let job = &self.jobs[index];
             f64::from(job.startable) * job.task_time() * job.request.cpus
         };
         let mut arrays: Vec<usize> =
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Backfill: each job starts in its turn, and then the oldest goes first.
+    /// Backfill: one task of each job that has never run, then all tasks, by priority and age.
     fn push_without_objective(&mut self, mut jobs: Vec<usize>) {
         jobs.sort_by(|a, b| {
             let (a, b) = (&self.jobs[*a], &self.jobs[*b]);
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Last: a job that failed wherever it was tried takes nothing from jobs that work.
+    /// Crash-looping jobs come last, so that they take no resources from healthy ones.
     fn push_crash_looping(&mut self, jobs: Vec<usize>) {
         for index in jobs {
             self.push(index, self.jobs[index].startable);
@@ -264,7 +264,7 @@
     }
 }
 
-/// The scheduling queue of the design. Within each priority: jobs that have never run, oldest first; then earliest
+/// The scheduling queue. Within each priority: jobs that have never run, oldest first; then earliest
 /// deadline first, each up to its minimum. Leftover capacity goes to the job with the least work left. Jobs that
 /// are late, or not feasible together with the others on `capacity` CPUs, follow, and after them those without a
 /// deadline; but a share of the CPUs goes to those of them that have waited longest.
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -58,7 +58,7 @@
     pub placed: u32,
     /// Tasks that could be placed now.
     pub startable: u32,
-    /// It has failed wherever it was tried: it is retried on what is left over, and preempts nothing.
+    /// It has failed on every machine that ran it: it is retried on leftover resources only, and preempts nothing.
     pub crash_looping: bool,
     /// Placed tasks per zone.
     pub placed_per_zone: Vec<u32>,
@@ -107,7 +107,7 @@
 /// A task on a machine, as far as preemption is concerned.
 #[derive(Debug, Clone)]
 pub struct PlacedTaskView {
-    /// The caller's number for it.
+    /// Identifies the task to the caller; the policy only returns it.
     pub id: u64,
     /// Index of its job.
     pub job: usize,
@@ -134,9 +134,9 @@
     pub free: Resources,
     /// Its price per hour.
     pub price: f64,
-    /// Images that it is thought to hold.
+    /// Images that it holds, as far as the leader knows.
     pub images: Vec<u32>,
-    /// Takes new tasks.
+    /// May take new tasks.
     pub schedulable: bool,
     /// Still booting: counts for the fleet, not for placement.
     pub booting: bool,
@@ -243,7 +243,7 @@
 }
 
 impl ClusterSnapshot {
-    /// Time until a machine has a job's image, s; 0 if it is thought to hold it.
+    /// Time until a machine has a job's image, s; 0 if it holds it, as far as the leader knows.
     pub(crate) fn fetch_time(&self, job: &JobView, machine: &MachineView) -> f64 {
         if machine.images.contains(&job.image) {
             return 0.0;
