--- a/crates/replication/tests/following.rs
+++ b/crates/replication/tests/following.rs
@@ -23,8 +23,8 @@
     let mut publisher = leader(3);
     let mut follower = follower();
     catch_up(&mut follower, &mut publisher, at(0));
-    let moved = MachineView { address: "127.0.0.1:9009", incarnation: 2, ..machine("m-0") };
-    publisher.publish_machine(moved, [running("req-000001/0", 9)].into_iter());
+    let restarted = MachineView { address: "127.0.0.1:9009", incarnation: 2, ..machine("m-0") };
+    publisher.publish_machine(restarted, [running("req-000001/0", 9)].into_iter());
     publisher.publish_machine(machine("m-1"), [].into_iter());
     publisher.retain_machines(|name| name != "m-2");
     publisher.publish_job(
@@ -34,14 +34,14 @@
     publisher.publish_job("req-000002", ReplicatedJob::default());
     publisher.retain_jobs(1, |id| id == "req-000001");
     catch_up(&mut follower, &mut publisher, at(200));
-    assert_eq!(follower.metrics().images, 1, "the log was enough");
+    assert_eq!(follower.metrics().images, 1, "the log had all entries, no second image was sent");
     assert_eq!(follower.state().machines.len(), 2);
     assert_eq!(follower.state().machines["m-0"].stage("req-000001/0", 9), Some(Stage::Running));
     assert_eq!(follower.state().jobs["req-000001"].consecutive_failures, 2);
-    // Nothing has changed, so there is nothing to say.
-    let end = publisher.end();
-    publisher.publish_machine(moved, [running("req-000001/0", 9)].into_iter());
-    assert_eq!(publisher.end(), end);
+    // Nothing has changed, so nothing is published.
+    let end_before = publisher.end();
+    publisher.publish_machine(restarted, [running("req-000001/0", 9)].into_iter());
+    assert_eq!(publisher.end(), end_before, "an unchanged machine adds no entry");
 }
 
 #[test]
@@ -49,15 +49,15 @@
     let mut publisher = leader(1);
     let mut follower = follower();
     catch_up(&mut follower, &mut publisher, at(0));
-    for n in 0..2_000 {
-        let name = format!("m-{n}");
+    for index in 0..2_000 {
+        let name = format!("m-{index}");
         publisher.publish_machine(machine(&name), [].into_iter());
     }
     let Ok(FollowOutcome::EntriesApplied(first)) = exchange(&mut follower, &mut publisher, at(0))
     else {
-        panic!("entries");
+        panic!("the first response must have entries");
     };
-    assert!(first > 100 && first < 1_999, "{first}");
+    assert!(first > 100 && first < 1_999, "entries of the first message: {first}");
     assert!(follower.metrics().lag_entries > 0);
     catch_up(&mut follower, &mut publisher, at(300));
     assert_eq!(follower.metrics().lag_entries, 0);
@@ -74,7 +74,7 @@
     let mut follower = follower();
     catch_up(&mut follower, &mut publisher, at(0));
     publisher.publish_machine(machine("m-9"), [].into_iter());
-    let response = publisher.respond(&follower.request(), at(0)).expect("a response");
+    let response = publisher.respond(&follower.request(), at(0)).expect("the publisher responds");
     assert_eq!(
         follower.handle_response(response.clone(), at(0)),
         Ok(FollowOutcome::EntriesApplied(1))
@@ -83,23 +83,24 @@
         follower.handle_response(response.clone(), at(0)),
         Ok(FollowOutcome::EntriesApplied(0))
     );
-    // The next response is lost; the one after it brings what both had.
+    // The next response is lost; the one after it has the entries of both.
     publisher.publish_machine(machine("m-8"), [].into_iter());
-    let lost = publisher.respond(&follower.request(), at(0)).expect("a response");
+    let lost = publisher.respond(&follower.request(), at(0)).expect("the publisher responds");
     publisher.publish_machine(machine("m-7"), [].into_iter());
     assert_eq!(
         exchange(&mut follower, &mut publisher, at(0)),
         Ok(FollowOutcome::EntriesApplied(2))
     );
-    // What was lost comes late; and a response that begins where the follower once was goes beyond it.
+    // The lost response arrives late and changes nothing. Of a response that begins at an earlier position, only the
+    // new entries are applied.
     assert_eq!(follower.handle_response(lost, at(0)), Ok(FollowOutcome::EntriesApplied(0)));
     publisher.remove_machine("m-7");
     let progress = FollowerProgress::Through(response.end);
-    let from = FollowRequest { follower: "worker-1".into(), progress };
-    let overlapping = publisher.respond(&from, at(0)).expect("a response");
+    let request = FollowRequest { follower: "worker-1".into(), progress };
+    let overlapping = publisher.respond(&request, at(0)).expect("the publisher responds");
     assert_eq!(follower.handle_response(overlapping, at(0)), Ok(FollowOutcome::EntriesApplied(1)));
     assert_eq!(follower.state(), publisher.state());
-    // Entries that begin beyond the copy: it asks again from where it is.
+    // Entries that begin after the end of the copy are rejected, and requested again from its position.
     let end = publisher.end().index;
     let beyond = follower.handle_response(entries(end + 9, end + 8, vec![]), at(0));
     assert!(matches!(beyond, Err(FollowError::Gap { .. })), "{beyond:?}");
@@ -109,21 +110,21 @@
 
 #[test]
 fn entries_of_deposed_leader_are_rejected_without_state_change() {
-    let mut old = leader(2);
+    let mut deposed = leader(2);
     let mut follower = follower();
-    catch_up(&mut follower, &mut old, at(0));
-    let mut new = Publisher::new(2 * TERM);
-    new.publish_machine(machine("m-0"), [].into_iter());
+    catch_up(&mut follower, &mut deposed, at(0));
+    let mut new_leader = Publisher::new(2 * TERM);
+    new_leader.publish_machine(machine("m-0"), [].into_iter());
     follower.observe_term(2 * TERM);
-    // The old leader wakes and goes on publishing.
-    old.publish_machine(machine("m-0"), [running("req-000001/5", 77)].into_iter());
-    let late = old.respond(&follower.request(), at(10)).expect("a response");
+    // The deposed leader was paused and continues to publish.
+    deposed.publish_machine(machine("m-0"), [running("req-000001/5", 77)].into_iter());
+    let late = deposed.respond(&follower.request(), at(10)).expect("the publisher responds");
     assert_eq!(
         follower.handle_response(late, at(10)),
         Err(FollowError::OldTerm { found: TERM, known: 2 * TERM })
     );
     assert_eq!(follower.state().machines["m-0"].stage("req-000001/5", 77), None);
-    catch_up(&mut follower, &mut new, at(20));
+    catch_up(&mut follower, &mut new_leader, at(20));
     assert_eq!(follower.state().machines.len(), 1);
 }
 
@@ -132,14 +133,18 @@
     let mut publisher = leader(1);
     let mut follower = follower();
     catch_up(&mut follower, &mut publisher, at(0));
-    let mut future = Publisher::new(u64::MAX);
-    future.publish_machine(machine("m-8"), [].into_iter());
-    let response = future.respond(&follower.request(), at(0)).expect("a response");
-    let refused = follower.handle_response(response, at(0));
-    assert_eq!(refused, Err(FollowError::FutureTerm { found: u64::MAX, known: TERM }));
+    let mut unknown = Publisher::new(u64::MAX);
+    unknown.publish_machine(machine("m-8"), [].into_iter());
+    let response = unknown.respond(&follower.request(), at(0)).expect("the publisher responds");
+    let result = follower.handle_response(response, at(0));
+    assert_eq!(result, Err(FollowError::FutureTerm { found: u64::MAX, known: TERM }));
     publisher.publish_machine(machine("m-9"), [].into_iter());
     catch_up(&mut follower, &mut publisher, at(0));
-    assert_eq!(follower.metrics().images, 1, "it did not lose its place");
+    assert_eq!(
+        follower.metrics().images,
+        1,
+        "the follower kept its copy and needed no second image"
+    );
 }
 
 #[test]
@@ -147,26 +152,32 @@
     let mut publisher = leader(40);
     let mut follower = follower();
     catch_up(&mut follower, &mut publisher, at(0));
-    // An entry that the leader never wrote slips into the copy.
+    // The copy receives an entry that the leader never published.
     let wrong =
         Entry::Machine { name: "m-7".into(), address: "127.0.0.1:1".into(), incarnation: 5 };
     let end = publisher.end().index;
-    follower.handle_response(entries(end + 1, end, vec![wrong]), at(0)).expect("nothing tells yet");
+    follower
+        .handle_response(entries(end + 1, end, vec![wrong]), at(0))
+        .expect("no digest has been compared yet");
     publisher.publish_machine(machine("m-0"), [].into_iter());
     let mut now = at(0);
-    let found = loop {
+    let divergence = loop {
         now += constants::REPLICATION_DIGEST_INTERVAL;
         assert!(
             now <= at(0) + 17 * constants::REPLICATION_DIGEST_INTERVAL,
-            "all ranges were compared"
+            "no difference was found although all ranges were compared"
         );
         match exchange(&mut follower, &mut publisher, now) {
             Ok(_) => {}
             Err(error) => break error,
         }
     };
-    assert!(matches!(found, FollowError::Diverged { .. }), "{found:?}");
-    assert_eq!(follower.usable_copy(TERM + 1, now), Err(UnusableCopy::Diverged), "never led from");
+    assert!(matches!(divergence, FollowError::Diverged { .. }), "{divergence:?}");
+    assert_eq!(
+        follower.usable_copy(TERM + 1, now),
+        Err(UnusableCopy::Diverged),
+        "a diverged copy must not be used at a failover"
+    );
     let replaced = exchange(&mut follower, &mut publisher, now).expect("an image of one chunk");
     let FollowOutcome::ImageApplied { differing } = replaced else { panic!("{replaced:?}") };
     assert!(differing.contains(&"m-7".to_owned()), "{differing:?}");
@@ -176,21 +187,22 @@
 #[test]
 fn entries_that_do_not_apply_to_copy_are_rejected() {
     let mut publisher = leader(2);
-    let gone = |name: &str| Entry::MachineRemoved { name: name.into() };
-    let task = || Entry::TaskRemoved { machine: "m-0".into(), task: "req-9/9".into(), attempt: 3 };
+    let machine_removed = |name: &str| Entry::MachineRemoved { name: name.into() };
+    let task_removed =
+        || Entry::TaskRemoved { machine: "m-0".into(), task: "req-9/9".into(), attempt: 3 };
     let end = publisher.end().index;
-    let odd = [
-        entries(end + 1, end, vec![gone("m-77")]),
-        entries(end + 1, end, vec![task()]),
+    let invalid = [
+        entries(end + 1, end, vec![machine_removed("m-77")]),
+        entries(end + 1, end, vec![task_removed()]),
         entries(end + 1, end, vec![Entry::JobRemoved { id: "req-9".into() }]),
-        // More entries than the log's end allows.
-        entries(end, end, vec![gone("m-0")]),
+        // An entry after the end that the response names.
+        entries(end, end, vec![machine_removed("m-0")]),
     ];
-    for response in odd {
+    for response in invalid {
         let mut follower = follower();
         catch_up(&mut follower, &mut publisher, at(0));
-        let refused = follower.handle_response(response.clone(), at(0));
-        assert!(refused.is_err(), "{response:?}: {refused:?}");
+        let result = follower.handle_response(response.clone(), at(0));
+        assert!(result.is_err(), "{response:?} must be rejected: {result:?}");
         assert!(follower.usable_copy(TERM + 1, at(0)).is_err());
         catch_up(&mut follower, &mut publisher, at(0));
     }
@@ -203,14 +215,14 @@
     assert_eq!(
         follower.usable_copy(TERM + 1, at(0)),
         Err(UnusableCopy::Empty),
-        "restarted a moment ago"
+        "no response has been received since the start"
     );
     catch_up(&mut follower, &mut publisher, at(1_000));
     assert!(follower.usable_copy(TERM + 1, at(9_000)).is_ok());
     assert_eq!(follower.usable_copy(TERM, at(9_000)), Err(UnusableCopy::NotEarlier(TERM)));
-    let late = at(1_001) + constants::REPLICATION_STALE;
+    let stale_at = at(1_001) + constants::REPLICATION_STALE;
     assert_eq!(
-        follower.usable_copy(TERM + 1, late),
+        follower.usable_copy(TERM + 1, stale_at),
         Err(UnusableCopy::Stale(constants::REPLICATION_STALE + Duration::from_millis(1)))
     );
 }
@@ -238,13 +250,13 @@
     let state = leader(1).state().clone();
     let digest = |state: &hookway_replication::ReplicatedState| {
         (0..constants::REPLICATION_DIGEST_RANGES)
-            .map(|r| RangeDigest::of(state, r).expect("a range").digest)
+            .map(|range| RangeDigest::of(state, range).expect("the range exists").digest)
             .collect::<Vec<_>>()
     };
-    let before = digest(&state);
+    let original = digest(&state);
     let apply = |entry: Entry| {
         let mut changed = state.clone();
-        changed.apply(entry).expect("it fits");
+        changed.apply(entry).expect("the entry applies");
         digest(&changed)
     };
     let machine = |address: &str, incarnation| Entry::Machine {
@@ -257,26 +269,26 @@
         task: hookway_replication::PlacedTask { task: "req-000001/0".into(), attempt: 0, stage },
     };
     let job = |job| Entry::Job { id: "req-000001".into(), job };
-    assert_ne!(apply(machine("127.0.0.1:1", 1)), before);
-    assert_ne!(apply(machine("127.0.0.1:9000", 2)), before);
-    assert_ne!(apply(task(Stage::Sent)), before);
-    assert_eq!(apply(task(Stage::Running)), before);
-    let plain = apply(job(ReplicatedJob::default()));
-    assert_ne!(plain, before);
+    assert_ne!(apply(machine("127.0.0.1:1", 1)), original);
+    assert_ne!(apply(machine("127.0.0.1:9000", 2)), original);
+    assert_ne!(apply(task(Stage::Sent)), original);
+    assert_eq!(apply(task(Stage::Running)), original, "the entry repeats the published state");
+    let default_job = apply(job(ReplicatedJob::default()));
+    assert_ne!(default_job, original);
     assert_ne!(
         apply(job(ReplicatedJob { consecutive_failures: 1, ..ReplicatedJob::default() })),
-        plain
+        default_job
     );
     assert_ne!(
         apply(job(ReplicatedJob { gang_attempt: Some(1), ..ReplicatedJob::default() })),
-        plain
+        default_job
     );
     assert_ne!(
         apply(job(ReplicatedJob {
             failed_machines: vec!["m-0".into()],
             ..ReplicatedJob::default()
         })),
-        plain
+        default_job
     );
     assert_eq!(RangeDigest::of(&state, constants::REPLICATION_DIGEST_RANGES), None);
 }
--- a/crates/replication/tests/images.rs
+++ b/crates/replication/tests/images.rs
@@ -16,11 +16,12 @@
     let mut follower = follower();
     catch_up(&mut follower, &mut publisher, at(0));
     // More changes than the log holds; the image takes several chunks.
-    for n in 0..constants::REPLICATION_LOG_ENTRIES {
-        let name = format!("m-{n:06}");
-        publisher.publish_machine(machine(&name), [running("req-000001/7", n as u64)].into_iter());
+    for index in 0..constants::REPLICATION_LOG_ENTRIES {
+        let name = format!("m-{index:06}");
+        publisher
+            .publish_machine(machine(&name), [running("req-000001/7", index as u64)].into_iter());
     }
-    let before = follower.metrics().images;
+    let images_before = follower.metrics().images;
     let mut chunks = 0;
     while exchange(&mut follower, &mut publisher, at(100)) == Ok(FollowOutcome::ImageChunkStored) {
         chunks += 1;
@@ -28,9 +29,12 @@
         let name = format!("late-{chunks}");
         publisher.publish_machine(machine(&name), [].into_iter());
     }
-    assert!(chunks > 3, "{chunks} chunks");
-    assert_eq!(follower.metrics().images, before + 1);
-    assert!(follower.position() < Some(publisher.end()), "the image is older than the log's end");
+    assert!(chunks > 3, "the image must take several chunks, not {chunks}");
+    assert_eq!(follower.metrics().images, images_before + 1);
+    assert!(
+        follower.position() < Some(publisher.end()),
+        "entries published during the transfer are not in the image"
+    );
     catch_up(&mut follower, &mut publisher, at(100));
 }
 
@@ -39,8 +43,9 @@
     let mut publisher = leader(2_000);
     let mut follower = follower();
     assert_eq!(exchange(&mut follower, &mut publisher, at(0)), Ok(FollowOutcome::ImageChunkStored));
-    for n in 0..=constants::REPLICATION_LOG_ENTRIES {
-        publisher.publish_machine(machine("m-0"), [running("req-000001/7", n as u64)].into_iter());
+    for attempt in 0..=constants::REPLICATION_LOG_ENTRIES {
+        let task = running("req-000001/7", attempt as u64);
+        publisher.publish_machine(machine("m-0"), [task].into_iter());
     }
     assert_eq!(exchange(&mut follower, &mut publisher, at(0)), Ok(FollowOutcome::ImageChunkStored));
     catch_up(&mut follower, &mut publisher, at(0));
@@ -50,25 +55,27 @@
 fn maximum_log_index_is_rejected() {
     let end = Position { term: TERM, index: u64::MAX };
     let mut follower = follower();
-    // The image of an empty state, said to be made there.
+    // An image of the empty state whose position claims the maximum log index.
     let FollowResponseBody::ImageChunk(chunk) =
-        leader(0).respond(&follower.request(), at(0)).expect("a response").body
+        leader(0).respond(&follower.request(), at(0)).expect("the publisher responds").body
     else {
-        panic!("an image");
+        panic!("the response must have an image chunk");
     };
     let body = FollowResponseBody::ImageChunk(ImageChunk { position: end, ..chunk });
-    follower.handle_response(FollowResponse { end, body }, at(0)).expect("nothing tells yet");
+    follower
+        .handle_response(FollowResponse { end, body }, at(0))
+        .expect("the image itself is valid");
     let entries = vec![Entry::Job { id: "req-1".into(), job: ReplicatedJob::default() }];
     let body = FollowResponseBody::Entries { after: end, entries, digest: None };
-    let refused = follower.handle_response(FollowResponse { end, body }, at(0));
-    assert!(matches!(refused, Err(FollowError::Inconsistent { .. })), "{refused:?}");
+    let result = follower.handle_response(FollowResponse { end, body }, at(0));
+    assert!(matches!(result, Err(FollowError::Inconsistent { .. })), "{result:?}");
 }
 
 #[test]
 fn duplicated_or_delayed_image_chunks_change_no_state() {
     let mut publisher = leader(3_000);
     let mut follower = follower();
-    let first = publisher.respond(&follower.request(), at(0)).expect("a response");
+    let first = publisher.respond(&follower.request(), at(0)).expect("the publisher responds");
     assert_eq!(follower.handle_response(first.clone(), at(0)), Ok(FollowOutcome::ImageChunkStored));
     assert_eq!(
         follower.handle_response(first.clone(), at(0)),
@@ -78,19 +85,19 @@
     assert_eq!(
         follower.handle_response(first, at(0)),
         Ok(FollowOutcome::EntriesApplied(0)),
-        "of the image that it has"
+        "a late chunk of the applied image changes nothing"
     );
     assert_eq!((follower.metrics().images, follower.metrics().resyncs), (1, 0));
     assert_eq!(follower.state(), publisher.state());
 }
 
-/// Whether an error is the one that a test expects.
-type Expected = fn(&FollowError) -> bool;
+/// Checks whether an error is the expected one.
+type ErrorCheck = fn(&FollowError) -> bool;
 
-/// Chunks of an image that no leader would send, with the errors that they lead to.
-fn invalid_chunks(sound: &ImageChunk) -> Vec<(ImageChunk, Expected)> {
+/// Invalid chunks of an image, each with a check of the error that it must cause.
+fn invalid_chunks(valid: &ImageChunk) -> Vec<(ImageChunk, ErrorCheck)> {
     let with = |change: &dyn Fn(&mut ImageChunk)| {
-        let mut chunk = sound.clone();
+        let mut chunk = valid.clone();
         change(&mut chunk);
         chunk
     };
@@ -128,13 +135,16 @@
 #[test]
 fn invalid_image_chunks_are_rejected_with_named_error() {
     let mut publisher = leader(2);
-    let response = publisher.respond(&follower().request(), at(0)).expect("a response");
-    let FollowResponseBody::ImageChunk(sound) = response.body else { panic!("an image") };
-    for (chunk, expected) in invalid_chunks(&sound) {
+    let response = publisher.respond(&follower().request(), at(0)).expect("the publisher responds");
+    let FollowResponseBody::ImageChunk(valid) = response.body else {
+        panic!("the response must have an image chunk")
+    };
+    for (chunk, is_expected) in invalid_chunks(&valid) {
         let mut follower = follower();
-        let odd = FollowResponse { end: response.end, body: FollowResponseBody::ImageChunk(chunk) };
-        let refused = follower.handle_response(odd, at(0)).expect_err("refused");
-        assert!(expected(&refused), "{refused:?}");
+        let response =
+            FollowResponse { end: response.end, body: FollowResponseBody::ImageChunk(chunk) };
+        let error = follower.handle_response(response, at(0)).expect_err("the chunk is invalid");
+        assert!(is_expected(&error), "unexpected error: {error:?}");
         assert!(follower.state().machines.is_empty());
         catch_up(&mut follower, &mut publisher, at(0));
     }
@@ -142,38 +152,42 @@
 
 #[test]
 fn undecodable_state_with_valid_digest_is_rejected() {
-    // The digest is that of the bytes, but the bytes are not a state.
+    // The digest matches the bytes, but they do not decode to a state.
     let bytes = vec![0xff; 64];
     let digest = xxhash_rust::xxh3::xxh3_64(&bytes);
     let position = Position { term: TERM, index: 0 };
     let chunk = ImageChunk { position, index: 0, image_bytes: 64, image_digest: digest, bytes };
     let response = FollowResponse { end: position, body: FollowResponseBody::ImageChunk(chunk) };
-    let refused = follower().handle_response(response, at(0));
+    let result = follower().handle_response(response, at(0));
     assert!(
-        matches!(refused, Err(FollowError::Image { source: ImageError::Undecodable(_), .. })),
-        "{refused:?}"
+        matches!(result, Err(FollowError::Image { source: ImageError::Undecodable(_), .. })),
+        "{result:?}"
     );
 }
 
 #[test]
 fn partial_image_transfer_keeps_previous_copy() {
-    let mut old = leader(3);
+    let mut first_leader = leader(3);
     let mut follower = follower();
-    catch_up(&mut follower, &mut old, at(0));
-    let mut new = Publisher::new(2 * TERM);
-    for n in 0..3_000 {
-        let name = format!("n-{n}");
-        new.publish_machine(machine(&name), [].into_iter());
+    catch_up(&mut follower, &mut first_leader, at(0));
+    let mut second_leader = Publisher::new(2 * TERM);
+    for index in 0..3_000 {
+        let name = format!("n-{index}");
+        second_leader.publish_machine(machine(&name), [].into_iter());
     }
     follower.observe_term(2 * TERM);
-    assert_eq!(exchange(&mut follower, &mut new, at(10)), Ok(FollowOutcome::ImageChunkStored));
-    // The new leader crashes during its image transfer: the next one has the copy of the leader before.
-    let usable = follower.usable_copy(3 * TERM, at(20)).expect("the older copy");
-    assert_eq!(usable.machines.len(), 3);
+    assert_eq!(
+        exchange(&mut follower, &mut second_leader, at(10)),
+        Ok(FollowOutcome::ImageChunkStored)
+    );
+    // The second leader crashes during its image transfer: the copy of the first leader is still usable in the next
+    // term.
+    let copy = follower.usable_copy(3 * TERM, at(20)).expect("the copy of the first leader");
+    assert_eq!(copy.machines.len(), 3);
     follower.observe_term(3 * TERM);
     assert_eq!(
         follower.request().progress,
-        FollowerProgress::Through(old.end()),
-        "chunks of it are dropped"
+        FollowerProgress::Through(first_leader.end()),
+        "the chunks of the second leader's image are dropped"
     );
 }
--- a/crates/replication/tests/promotion.rs
+++ b/crates/replication/tests/promotion.rs
@@ -1,24 +1,24 @@
-//! The phases of a failover: none without its proof.
+//! The phases of a failover, and that each is entered only on its condition.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_replication::{Action, Event, FailureDetector, Phase, Promotion, TransitionError};
 use hookway_time::MonotonicTime;
 use std::time::Duration;
 
-/// A reading of the clock.
-fn at(millis: u64) -> MonotonicTime {
-    MonotonicTime::from_millis(millis)
+/// A reading of the monotonic clock.
+fn at(time_ms: u64) -> MonotonicTime {
+    MonotonicTime::from_millis(time_ms)
 }
 
-fn ms(millis: u64) -> Duration {
-    Duration::from_millis(millis)
+fn ms(duration_ms: u64) -> Duration {
+    Duration::from_millis(duration_ms)
 }
 
 /// A standby that has been elected for a term.
 fn elected(term: u64) -> Promotion {
     let mut promotion = Promotion::default();
-    promotion.handle(Event::LeaderResponded, at(1_000)).expect("allowed");
-    promotion.handle(Event::LeaseExpired, at(6_000)).expect("allowed");
+    promotion.handle(Event::LeaderResponded, at(1_000)).expect("a valid transition");
+    promotion.handle(Event::LeaseExpired, at(6_000)).expect("a valid transition");
     assert_eq!(promotion.handle(Event::Elected { term }, at(6_100)), Ok(Action::ReadRecords));
     promotion
 }
@@ -26,48 +26,48 @@
 #[test]
 fn failover_passes_every_phase_and_records_durations() {
     let mut promotion = Promotion::default();
-    promotion.handle(Event::LeaderResponded, at(1_000)).expect("allowed");
+    promotion.handle(Event::LeaderResponded, at(1_000)).expect("a valid transition");
     assert_eq!(promotion.handle(Event::LeaderSilent, at(2_500)), Ok(Action::ReadLeader));
     assert_eq!(promotion.phase(), Phase::Suspecting);
-    promotion.handle(Event::LeaseExpired, at(5_000)).expect("allowed");
+    promotion.handle(Event::LeaseExpired, at(5_000)).expect("a valid transition");
     assert_eq!(promotion.phase(), Phase::Fencing);
     assert_eq!(promotion.handle(Event::Elected { term: 9 }, at(5_100)), Ok(Action::ReadRecords));
-    assert!(!promotion.may_dispatch(9), "nothing was read yet");
+    assert!(!promotion.may_dispatch(9), "the records have not been read yet");
     assert_eq!(promotion.handle(Event::RecordsRead { term: 9 }, at(5_200)), Ok(Action::Lead));
     assert!(promotion.may_dispatch(9) && !promotion.may_dispatch(8));
-    promotion.handle(Event::Dispatched, at(5_250)).expect("allowed");
-    promotion.handle(Event::Dispatched, at(9_999)).expect("allowed");
-    let times = promotion.metrics();
-    assert_eq!(times.whole.count(), 1, "only the first decision counts");
-    assert!(times.whole.quantile(1.0).abs_diff(ms(4_250)) < ms(50), "{}", times.whole);
-    assert!(times.detection.quantile(1.0).abs_diff(ms(4_000)) < ms(50), "{}", times.detection);
-    assert!(times.catching_up.quantile(1.0).abs_diff(ms(100)) < ms(3), "{}", times.catching_up);
+    promotion.handle(Event::Dispatched, at(5_250)).expect("a valid transition");
+    promotion.handle(Event::Dispatched, at(9_999)).expect("a valid transition");
+    let metrics = promotion.metrics();
+    assert_eq!(metrics.whole.count(), 1, "only the first dispatch ends the failover");
+    assert!(metrics.whole.quantile(1.0).abs_diff(ms(4_250)) < ms(50), "{}", metrics.whole);
+    assert!(metrics.detection.quantile(1.0).abs_diff(ms(4_000)) < ms(50), "{}", metrics.detection);
+    assert!(metrics.catching_up.quantile(1.0).abs_diff(ms(100)) < ms(3), "{}", metrics.catching_up);
 }
 
 #[test]
 fn suspicion_permits_no_decision_and_ends_when_leader_is_heard() {
     let mut promotion = Promotion::default();
-    promotion.handle(Event::LeaderSilent, at(100)).expect("allowed");
+    promotion.handle(Event::LeaderSilent, at(100)).expect("a valid transition");
     assert_eq!(
         promotion.handle(Event::LeaderSilent, at(200)),
         Ok(Action::None),
-        "it has just looked"
+        "the store was read less than LEADER_CHECK_INTERVAL ago"
     );
     assert_eq!(promotion.handle(Event::LeaderSilent, at(1_100)), Ok(Action::ReadLeader));
     assert!(!promotion.may_dispatch(0));
-    promotion.handle(Event::LeaderResponded, at(1_300)).expect("allowed");
+    promotion.handle(Event::LeaderResponded, at(1_300)).expect("a valid transition");
     assert_eq!(promotion.phase(), Phase::Following);
-    // The other standby won.
-    promotion.handle(Event::LeaderSilent, at(400)).expect("allowed");
-    promotion.handle(Event::LeaseExpired, at(500)).expect("allowed");
-    promotion.handle(Event::OtherLeader, at(600)).expect("allowed");
+    // The other standby wins the election.
+    promotion.handle(Event::LeaderSilent, at(400)).expect("a valid transition");
+    promotion.handle(Event::LeaseExpired, at(500)).expect("a valid transition");
+    promotion.handle(Event::OtherLeader, at(600)).expect("a valid transition");
     assert_eq!(promotion.phase(), Phase::Following);
 }
 
 #[test]
 fn records_read_before_election_or_in_other_term_are_rejected() {
     let mut promotion = Promotion::default();
-    promotion.handle(Event::LeaseExpired, at(50)).expect("allowed");
+    promotion.handle(Event::LeaseExpired, at(50)).expect("a valid transition");
     assert_eq!(
         promotion.handle(Event::RecordsRead { term: 4 }, at(60)),
         Err(TransitionError::OldRecords(4))
@@ -82,7 +82,7 @@
         Err(TransitionError::OldRecords(5))
     );
     assert!(!promotion.may_dispatch(4));
-    // Deposed while reading: what comes back late makes nobody a leader.
+    // Deposed while it reads records: their late arrival must not make it the leader.
     assert_eq!(promotion.handle(Event::Deposed, at(6_300)), Ok(Action::Stop));
     assert_eq!(
         promotion.handle(Event::RecordsRead { term: 4 }, at(6_400)),
@@ -94,12 +94,12 @@
 #[test]
 fn election_for_non_increasing_term_is_rejected() {
     let mut promotion = elected(8);
-    promotion.handle(Event::Deposed, at(7_000)).expect("allowed");
+    promotion.handle(Event::Deposed, at(7_000)).expect("a valid transition");
     promotion.observe_term(20);
-    for old in [8, 19, 20] {
-        let refused = promotion.handle(Event::Elected { term: old }, at(8_000));
-        assert_eq!(refused, Err(TransitionError::OldTerm { found: old, known: 20 }));
-        assert!(!promotion.may_dispatch(old));
+    for term in [8, 19, 20] {
+        let result = promotion.handle(Event::Elected { term }, at(8_000));
+        assert_eq!(result, Err(TransitionError::OldTerm { found: term, known: 20 }));
+        assert!(!promotion.may_dispatch(term));
     }
     assert_eq!(promotion.handle(Event::Elected { term: 21 }, at(8_000)), Ok(Action::ReadRecords));
 }
@@ -107,12 +107,12 @@
 #[test]
 fn deposed_leader_makes_no_decision_and_follows() {
     let mut promotion = elected(4);
-    promotion.handle(Event::RecordsRead { term: 4 }, at(6_200)).expect("allowed");
+    promotion.handle(Event::RecordsRead { term: 4 }, at(6_200)).expect("a valid transition");
     assert!(promotion.may_dispatch(4));
-    // A frame of a standby, or silence of others, changes nothing for who leads.
-    promotion.handle(Event::LeaderSilent, at(6_250)).expect("allowed");
-    promotion.handle(Event::OtherLeader, at(6_260)).expect("allowed");
-    promotion.handle(Event::LeaseExpired, at(6_270)).expect("allowed");
+    // Events that concern followers do not change the phase of a leader.
+    promotion.handle(Event::LeaderSilent, at(6_250)).expect("a valid transition");
+    promotion.handle(Event::OtherLeader, at(6_260)).expect("a valid transition");
+    promotion.handle(Event::LeaseExpired, at(6_270)).expect("a valid transition");
     assert!(promotion.may_dispatch(4));
     assert_eq!(promotion.handle(Event::Deposed, at(6_300)), Ok(Action::Stop));
     assert!(!promotion.may_dispatch(4));
@@ -123,23 +123,26 @@
 #[test]
 fn failure_detector_threshold_follows_measured_intervals() {
     let mut detector = FailureDetector::default();
-    assert!(!detector.suspects(at(60_000)), "nothing was measured");
-    for n in 0..20 {
-        detector.record_message(at(n * 200));
+    assert!(!detector.suspects(at(60_000)), "no interval has been measured");
+    for message in 0..20 {
+        detector.record_message(at(message * 200));
     }
-    let last = at(19 * 200);
-    assert!(!detector.suspects(last + ms(900)), "a lost packet is no failure");
-    assert!(detector.suspects(last + ms(1_100)));
-    // A slow network makes it patient.
+    let last_message_at = at(19 * 200);
+    assert!(
+        !detector.suspects(last_message_at + ms(900)),
+        "silence below DETECTOR_MIN_SILENCE may be a lost packet"
+    );
+    assert!(detector.suspects(last_message_at + ms(1_100)));
+    // Long and varying intervals raise the threshold.
     let mut slow = FailureDetector::default();
     let mut now = at(0);
-    for n in 0..40 {
-        now += if n % 2 == 0 { ms(200) } else { ms(2_200) };
+    for message in 0..40 {
+        now += if message % 2 == 0 { ms(200) } else { ms(2_200) };
         slow.record_message(now);
     }
     assert!(!slow.suspects(now + ms(5_000)));
     assert!(slow.suspects(now + ms(8_000)));
-    // Another leader: its pauses are not known.
+    // Nothing has been measured of a new leader.
     slow.reset();
     assert!(!slow.suspects(now + ms(60_000)));
 }
--- a/crates/replication/tests/support/mod.rs
+++ b/crates/replication/tests/support/mod.rs
@@ -7,9 +7,9 @@
 
 pub const TERM: u64 = 4_097;
 
-/// A reading of the clock.
-pub fn at(millis: u64) -> MonotonicTime {
-    MonotonicTime::from_millis(millis)
+/// A reading of the monotonic clock.
+pub fn at(time_ms: u64) -> MonotonicTime {
+    MonotonicTime::from_millis(time_ms)
 }
 
 pub fn machine(name: &str) -> MachineView<'_> {
@@ -20,12 +20,12 @@
     TaskView { task, attempt, stage: Stage::Running }
 }
 
-/// A leader with so many machines, each with a task.
+/// A leader with this number of machines, each with one task.
 pub fn leader(machines: usize) -> Publisher {
     let mut publisher = Publisher::new(TERM);
-    for n in 0..machines {
-        let (name, task) = (format!("m-{n}"), format!("req-000001/{n}"));
-        publisher.publish_machine(machine(&name), [running(&task, n as u64)].into_iter());
+    for index in 0..machines {
+        let (name, task) = (format!("m-{index}"), format!("req-000001/{index}"));
+        publisher.publish_machine(machine(&name), [running(&task, index as u64)].into_iter());
     }
     publisher
 }
@@ -36,23 +36,23 @@
     follower
 }
 
-/// One request and its response.
+/// Sends one request of the follower and handles the response.
 pub fn exchange(
     follower: &mut Follower,
     publisher: &mut Publisher,
     now: MonotonicTime,
 ) -> Result<FollowOutcome, FollowError> {
-    let response = publisher.respond(&follower.request(), now).expect("a response");
+    let response = publisher.respond(&follower.request(), now).expect("the publisher responds");
     follower.handle_response(response, now)
 }
 
-/// Asks until the follower has everything.
+/// Sends requests until the follower has applied all entries, and compares its state with the publisher's.
 pub fn catch_up(follower: &mut Follower, publisher: &mut Publisher, now: MonotonicTime) {
     for _ in 0..1_000 {
-        exchange(follower, publisher, now).expect("taken");
+        exchange(follower, publisher, now).expect("the response is valid");
         if follower.position() == Some(publisher.end()) {
             return assert_eq!(follower.state(), publisher.state());
         }
     }
-    panic!("the follower is at {:?} of {}", follower.position(), publisher.end());
+    panic!("the follower stays at {:?} of {}", follower.position(), publisher.end());
 }
