--- a/crates/hookway/tests/commands.rs
+++ b/crates/hookway/tests/commands.rs
@@ -1,17 +1,17 @@
-//! The commands of the binary, as a user calls them.
+//! Commands of the binary and their aliases.
 #![allow(clippy::expect_used, reason = "a test may fail like that")]
 
 use std::process::{Command, Output};
 
 fn hookway(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_hookway")).args(arguments).output().expect("it runs")
+    Command::new(env!("CARGO_BIN_EXE_hookway")).args(arguments).output().expect("the binary starts")
 }
 
 #[test]
 fn cancel_command_and_its_withdraw_alias_are_accepted() {
-    for word in ["cancel", "withdraw"] {
-        let output = hookway(&[word, "--server", "127.0.0.1:1", "not-an-id"]);
-        let why = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(why.contains("a job's id has the form"), "{word}: {why}");
+    for command in ["cancel", "withdraw"] {
+        let output = hookway(&[command, "--server", "127.0.0.1:1", "not-an-id"]);
+        let error = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(error.contains("a job's id has the form"), "{command}: {error}");
     }
 }
--- a/crates/hookway/tests/docs.rs
+++ b/crates/hookway/tests/docs.rs
@@ -1,43 +1,48 @@
-//! Pages that name tests name tests that exist.
+//! Checks that the tests named in docs/safety.md exist.
 //!
-//! In docs/safety.md a word in backquotes that is written in lower case with at least three underscores counts as the
-//! name of a test: tests are named by a condition and what is expected, functions and settings by two or three words
-//! (`take_pushes`, `leader_lease_s`). Paths (`ClusterState::kept_alive`) and constants (`TOKENS_PER_TERM`) don't count.
+//! A lower-case word in backquotes with at least three underscores counts as the name of a test: tests are named by a
+//! condition and the expected result, functions and settings by two or three words (`take_pushes`, `leader_lease_s`).
+//! Paths (`ClusterState::kept_alive`) and constants (`TOKENS_PER_TERM`) don't count.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-const LEAST_UNDERSCORES: usize = 3;
+/// Minimum number of underscores in the name of a test.
+const MIN_UNDERSCORES: usize = 3;
 
-fn root() -> PathBuf {
+fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Whether a word in backquotes is meant as the name of a test.
+/// Whether a word in backquotes counts as the name of a test.
 fn names_a_test(word: &str) -> bool {
-    let lower = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '_';
-    word.chars().all(lower) && word.matches('_').count() >= LEAST_UNDERSCORES
+    let in_snake_case = |character: char| {
+        character.is_ascii_lowercase() || character.is_ascii_digit() || character == '_'
+    };
+    word.chars().all(in_snake_case) && word.matches('_').count() >= MIN_UNDERSCORES
 }
 
-/// The tests that a page names. Backquotes come in pairs, so every second part is between two.
+/// The tests that a page names. Backquotes come in pairs, so every second part of the split text is in backquotes.
 fn tests_named_in(page: &str) -> BTreeSet<&str> {
     page.split('`').skip(1).step_by(2).filter(|word| names_a_test(word)).collect()
 }
 
 /// Adds the names of the functions that carry a test attribute, in all Rust files below a folder.
 fn collect_tests(folder: &Path, found: &mut BTreeSet<String>) {
-    for entry in std::fs::read_dir(folder).expect("a folder") {
-        let path = entry.expect("an entry").path();
+    for entry in std::fs::read_dir(folder).expect("the folder can be read") {
+        let path = entry.expect("the folder can be read").path();
         if path.is_dir() {
             collect_tests(&path, found);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
-            found.extend(tests_in(&std::fs::read_to_string(&path).expect("a source file")));
+            found.extend(tests_in(
+                &std::fs::read_to_string(&path).expect("the source file can be read"),
+            ));
         }
     }
 }
 
-/// The names of the functions with `#[test]` or `#[tokio::test]` before them, other attributes between.
+/// The names of functions after `#[test]` or `#[tokio::test]`, with or without other attributes between.
 fn tests_in(source: &str) -> Vec<String> {
     let mut found = Vec::new();
     let mut is_test = false;
@@ -55,11 +60,12 @@
 
 #[test]
 fn every_test_that_the_safety_page_names_exists() {
-    let page = std::fs::read_to_string(root().join("docs/safety.md")).expect("the page");
+    let page = std::fs::read_to_string(repository_root().join("docs/safety.md"))
+        .expect("docs/safety.md can be read");
     let named = tests_named_in(&page);
-    assert!(!named.is_empty(), "the page names no test that this finds");
+    assert!(!named.is_empty(), "no name of a test was found in docs/safety.md");
     let mut tests = BTreeSet::new();
-    collect_tests(&root().join("crates"), &mut tests);
+    collect_tests(&repository_root().join("crates"), &mut tests);
     let missing: Vec<&str> = named.into_iter().filter(|name| !tests.contains(*name)).collect();
     assert!(missing.is_empty(), "docs/safety.md names tests that don't exist: {missing:#?}");
 }
--- a/crates/hookway/tests/loopback_cluster/controller.rs
+++ b/crates/hookway/tests/loopback_cluster/controller.rs
@@ -41,10 +41,14 @@
         settings.with_extension("ini")
     };
     let log = settings.with_extension("log");
-    let log = std::fs::File::options().create(true).append(true).open(log).expect("a log file");
+    let log = std::fs::File::options()
+        .create(true)
+        .append(true)
+        .open(log)
+        .expect("the log file can be opened");
     let mut command = Command::new(env!("CARGO_BIN_EXE_hookway"));
     command.arg("--config").arg(settings).arg("--operator").arg(operator);
-    command.env("LOG_LEVEL", "debug").stderr(Stdio::from(log)).spawn().expect("it starts")
+    command.env("LOG_LEVEL", "debug").stderr(Stdio::from(log)).spawn().expect("the binary starts")
 }
 
 impl Controller {
@@ -63,13 +67,13 @@
     }
 
     pub fn signal(&self, signal: Signal) {
-        let id = i32::try_from(self.process.id()).expect("a process id");
-        kill(Pid::from_raw(id), signal).expect("its own process");
+        let id = i32::try_from(self.process.id()).expect("the process id fits");
+        kill(Pid::from_raw(id), signal).expect("the process is a child of the test");
     }
 
     pub fn kill(&mut self) {
-        self.process.kill().expect("its own process");
-        self.process.wait().expect("its own process");
+        self.process.kill().expect("the process is a child of the test");
+        self.process.wait().expect("the process is a child of the test");
     }
 
     pub fn restart(&mut self) {
--- a/crates/hookway/tests/loopback_cluster/mod.rs
+++ b/crates/hookway/tests/loopback_cluster/mod.rs
@@ -50,9 +50,9 @@
     pub async fn start(name: &str) -> Self {
         let store = StoreServer::default();
         store.expire_leases_by_clock();
-        let state = store.start().await.expect("a free port");
+        let store_address = store.start().await.expect("a free port");
         let folder = std::env::temp_dir().join(format!("hookway-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("the folder can be created");
         let names = ["worker-0", "worker-1", "worker-2"];
         let reserved: Vec<ReservedAddress> = (0..2 * names.len())
             .map(|_| ReservedAddress::reserve().expect("a free port"))
@@ -74,13 +74,14 @@
         let fleet = Fleet::start(config, &addresses).await.expect("free ports");
         let cloud = fleet.start_cloud().await.expect("a free port");
         let mut controllers = Vec::new();
-        for (n, name) in names.iter().enumerate() {
+        for (index, name) in names.iter().enumerate() {
             let settings = folder.join(format!("{name}.toml"));
-            let text = platform_settings(n, &names, &apis, &peers, &cloud, &state);
-            std::fs::write(&settings, text).expect("a file");
+            let text = platform_settings(index, &names, &apis, &peers, &cloud, &store_address);
+            std::fs::write(&settings, text).expect("the file can be written");
             let without_standby = "[replication]\nstandby = off\nleader_lease_s = 4.3\n";
-            std::fs::write(settings.with_extension("ini"), without_standby).expect("a file");
-            controllers.push(Controller::start(name, &apis[n], settings));
+            std::fs::write(settings.with_extension("ini"), without_standby)
+                .expect("the file can be written");
+            controllers.push(Controller::start(name, &apis[index], settings));
         }
         Self { controllers, fleet, folder, _addresses: reserved, _store: store }
     }
@@ -93,10 +94,10 @@
     /// Waits for an active leader other than this one and returns its index.
     pub async fn leader_other_than(&self, other: Option<usize>) -> usize {
         wait_for("a leader", async || {
-            for (n, controller) in self.controllers.iter().enumerate() {
+            for (index, controller) in self.controllers.iter().enumerate() {
                 let status = controller.replication_status().await;
-                if Some(n) != other && status.is_some_and(|status| status.phase == "active") {
-                    return Some(n);
+                if Some(index) != other && status.is_some_and(|status| status.phase == "active") {
+                    return Some(index);
                 }
             }
             None
@@ -109,9 +110,9 @@
         if !has_warm_standbys() {
             return;
         }
-        wait_for("a copy", async || {
-            for (n, controller) in self.controllers.iter().enumerate() {
-                let status = controller.replication_status().await.filter(|_| n != leader);
+        wait_for("a usable copy at a standby", async || {
+            for (index, controller) in self.controllers.iter().enumerate() {
+                let status = controller.replication_status().await.filter(|_| index != leader);
                 if status.is_some_and(|status| has_copy(&status, tasks)) {
                     return Some(());
                 }
@@ -129,10 +130,10 @@
         }
         wait_for("a leader that all others follow", async || {
             let mut leader = None;
-            for (n, controller) in self.controllers.iter().enumerate() {
+            for (index, controller) in self.controllers.iter().enumerate() {
                 let status = controller.replication_status().await?;
                 if status.phase == "active" {
-                    leader = Some(n);
+                    leader = Some(index);
                 } else if !has_copy(&status, tasks) {
                     return None;
                 }
@@ -157,10 +158,10 @@
             "ImageGb":0.1,"Together":false,"Spread":false,"Loaners":true,"GuessS":2,
             "SnapshotEveryS":0,"SnapshotS":0}}"#
         );
-        let spec = JobSpec::parse(text.as_bytes()).expect("a sound job");
+        let spec = JobSpec::parse(text.as_bytes()).expect("a valid job");
         let id = spec.id.clone();
         self.fleet.register_job(spec);
-        wait_for("an acceptance", async || {
+        wait_for("the acceptance of a job", async || {
             for controller in &self.controllers {
                 let api = ApiClient::new(&controller.api);
                 let request = api.submit(text.clone().into_bytes());
@@ -175,7 +176,7 @@
     }
 
     pub async fn wait_until_done(&self, id: &JobId) {
-        wait_for("the end of a job", async || {
+        wait_for("the completion of a job", async || {
             for controller in &self.controllers {
                 let api = ApiClient::new(&controller.api);
                 let request = api.status(id);
@@ -190,7 +191,7 @@
 
     /// Waits until the previous leader follows the next one.
     pub async fn wait_until_following(&self, previous: usize, next: usize) {
-        wait_for("the old controller to follow", async || {
+        wait_for("the previous leader to follow", async || {
             let status = self.controllers[previous].replication_status().await?;
             let follows = status.phase == "following" || next == previous;
             (follows && (status.copy == "usable" || !has_warm_standbys())).then_some(())
@@ -200,7 +201,7 @@
 
     /// Waits for the first task start after `moment` and returns its time.
     pub async fn first_start_after(&self, moment: Instant) -> Instant {
-        wait_for("a start", async || {
+        wait_for("a task start", async || {
             let history = self.fleet.history();
             let is_later_start =
                 |entry: &&HistoryEvent| entry.event == TaskEvent::Start && entry.at > moment;
@@ -212,31 +213,31 @@
     /// Checks that no task ran on two machines and no attempt started twice.
     pub fn assert_no_violations(&self) {
         let violations = self.fleet.violations();
-        assert!(violations.is_empty(), "{violations:?}");
+        assert!(violations.is_empty(), "tasks started twice: {violations:?}");
     }
 }
 
 fn platform_settings(
-    n: usize,
+    index: usize,
     names: &[&str],
     apis: &[String],
     peers: &[String],
     cloud: &str,
-    state: &str,
+    store: &str,
 ) -> String {
     let zones = ["a", "b", "a"];
     let mut text = format!(
         "label = \"{}\"\ndomain = \"{}\"\napi_addr = \"{}\"\npeer_bind = \"{}\"\n",
-        names[n], zones[n], apis[n], peers[n]
+        names[index], zones[index], apis[index], peers[index]
     );
-    for other in (0..names.len()).filter(|other| *other != n) {
+    for other in (0..names.len()).filter(|other| *other != index) {
         text += &format!(
             "[[siblings]]\nlabel = \"{}\"\ndomain = \"{}\"\naddress = \"{}\"\n",
             names[other], zones[other], peers[other]
         );
     }
     text + &format!(
-        "[outside]\ncloud = \"{cloud}\"\nstate = \"{state}\"\n\
+        "[outside]\ncloud = \"{cloud}\"\nstate = \"{store}\"\n\
          [settings]\nzones = [\"a\", \"b\"]\n[[settings.teams]]\nname = \"team\"\n\
          [settings.workers]\nreport_s = {}\nlease_s = {}\ngang_wait_s = 35.0\ngang_peer_s = 4.0\n\
          cancel_s = 44.0\n[settings.state]\nrps = 500.0\nwrite_rps = 200.0\nvalue_kb = 8.0\n\
@@ -251,14 +252,14 @@
     status.copy == "usable" && status.tasks >= tasks
 }
 
-/// Polls until there is a result.
+/// Polls until there is a result; fails the test after `WAIT_TIMEOUT`.
 pub async fn wait_for<T>(what: &str, poll: impl AsyncFn() -> Option<T>) -> T {
     let started_at = Instant::now();
     loop {
         if let Some(found) = poll().await {
             return found;
         }
-        assert!(started_at.elapsed() < WAIT_TIMEOUT, "{what} did not come");
+        assert!(started_at.elapsed() < WAIT_TIMEOUT, "timeout while waiting for {what}");
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/hookway/tests/standby.rs
+++ b/crates/hookway/tests/standby.rs
@@ -28,12 +28,12 @@
 async fn standby_completes_partially_placed_gang_after_leader_is_killed() {
     let mut cluster = Cluster::start("gang").await;
     // Every machine has run a task, so the leader and the standbys know all of them.
-    let first = cluster.submit(1, "array", MACHINES as u32).await;
-    cluster.wait_until_done(&first).await;
+    let array = cluster.submit(1, "array", MACHINES as u32).await;
+    cluster.wait_until_done(&array).await;
     let partitioned = MACHINES / 2..MACHINES;
     cluster.fleet.partition(partitioned.clone());
     let gang = cluster.submit(2, "group", MACHINES as u32).await;
-    let before = wait_for("half of the gang", async || {
+    let started_before = wait_for("half of the gang", async || {
         let started = cluster.fleet.started_attempts(gang.as_str());
         (started.len() == MACHINES / 2).then_some(started)
     })
@@ -45,8 +45,11 @@
     let next = cluster.leader_other_than(Some(leader)).await;
     cluster.wait_until_done(&gang).await;
     let started = cluster.fleet.started_attempts(gang.as_str());
-    assert_eq!(started.len(), MACHINES, "each task once: {started:?}");
-    assert!(started.iter().all(|(_, attempt)| *attempt == before[0].1), "{started:?}");
+    assert_eq!(started.len(), MACHINES, "each task must start exactly once: {started:?}");
+    assert!(
+        started.iter().all(|(_, attempt)| *attempt == started_before[0].1),
+        "all tasks must have the attempt that the first leader chose: {started:?}"
+    );
     cluster.assert_no_violations();
     cluster.controllers[leader].restart();
     cluster.wait_for_copy(next, 0).await;
@@ -61,12 +64,12 @@
         .unwrap_or(DEFAULT_FAILOVERS);
     let mut cluster = Cluster::start("takeovers").await;
     let (mut elections, mut first_starts) = (Vec::new(), Vec::new());
-    for n in 0..failovers {
+    for failover in 0..failovers {
         let leader = cluster.leader().await;
-        let array = cluster.submit(2 * n + 10, "array", 9).await;
-        let gang = cluster.submit(2 * n + 11, "group", 4).await;
+        let array = cluster.submit(2 * failover + 10, "array", 9).await;
+        let gang = cluster.submit(2 * failover + 11, "group", 4).await;
         cluster.wait_for_copy(leader, 1).await;
-        let paused = n % 2 == 1;
+        let paused = failover % 2 == 1;
         let failed_at = Instant::now();
         if paused {
             cluster.controllers[leader].signal(Signal::SIGSTOP);
@@ -77,7 +80,7 @@
         elections.push(failed_at.elapsed());
         let first_start = cluster.first_start_after(failed_at + IN_FLIGHT_TIME).await;
         first_starts.push(first_start - failed_at);
-        if paused && n % 4 == 3 {
+        if paused && failover % 4 == 3 {
             // The process resumes so late that all its pending requests are stale.
             cluster.wait_until_done(&array).await;
         }
