--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,4 +1,4 @@
-//! Test doubles for tests of hookway, written to the published protocol: a state service in memory and over HTTP on
+//! Test doubles for tests of hookway, which follow the published protocol: a state service in memory and over HTTP on
 //! loopback, a scripted worker, and a fleet of such workers with their cloud over HTTP.
 //!
 //! Only [`Fleet`] and [`StoreServer::expire_leases_by_clock`] depend on the real clock.
--- a/crates/testkit/src/reserved_address.rs
+++ b/crates/testkit/src/reserved_address.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 use tokio::net::TcpSocket;
 
-/// A loopback address that no other socket is given while this value lives.
+/// A loopback address that the system assigns to no other socket while this value exists.
 ///
-/// Its socket is bound but does not listen. The system therefore gives the port to nobody who asks for a free one, while
-/// a process that names the port may listen on it, and again after a restart. A port that is only looked up and closed
-/// again can be taken by any socket before the process listens.
+/// Its socket is bound but does not listen. The system therefore never assigns the port to a socket that asks for any
+/// free one, while a process that names the port can listen on it, also again after a restart. Without the bound
+/// socket, the port could be assigned to any other socket before the process listens.
 #[derive(Debug)]
 pub struct ReservedAddress {
     address: SocketAddr,
--- a/crates/testkit/src/settings.rs
+++ b/crates/testkit/src/settings.rs
@@ -2,8 +2,8 @@
 
 use hookway_wire::MachineType;
 
-/// Platform settings of a small deployment, with a field that no version knows. No process listens at the
-/// addresses.
+/// Platform settings of a small deployment, with an unknown field (`something_new`), which controllers must ignore. No
+/// process listens at the addresses.
 pub const SETTINGS: &str = r#"
 label = "worker-0"
 domain = "a"
--- a/crates/testkit/tests/reserved_address.rs
+++ b/crates/testkit/tests/reserved_address.rs
@@ -1,4 +1,4 @@
-//! Reserved addresses can be listened on, also again after a restart.
+//! A process can listen on a reserved address, also again after a restart.
 
 use hookway_testkit::ReservedAddress;
 use std::collections::BTreeSet;
@@ -9,12 +9,15 @@
     let reserved = ReservedAddress::reserve().expect("a free port");
     let address = reserved.address();
     for _ in 0..2 {
-        let listener = TcpListener::bind(address).expect("the port is reserved for it");
+        let listener = TcpListener::bind(address).expect("the port is free to listen on");
         assert_eq!(listener.local_addr().expect("bound"), address);
     }
     let others: Vec<TcpListener> =
         (0..500).map(|_| TcpListener::bind("127.0.0.1:0").expect("a free port")).collect();
     let ports: BTreeSet<u16> =
         others.iter().map(|other| other.local_addr().expect("bound").port()).collect();
-    assert!(!ports.contains(&address.port()), "{address} was given away");
+    assert!(
+        !ports.contains(&address.port()),
+        "the system gave the reserved port of {address} to another socket"
+    );
 }
