--- a/crates/constants/src/api.rs
+++ b/crates/constants/src/api.rs
@@ -4,25 +4,26 @@
 
 /// Maximum size of a request body, bytes (protocol).
 pub const BODY_LIMIT: usize = 64 * 1024;
-/// Time limit for responding to a submission. Users wait 5 s.
+/// Time limit for responding to a submission or cancellation. Below the 5 s that users wait.
 pub const SUBMIT_LIMIT: Duration = Duration::from_millis(3_500);
-/// Time limit for responding to a status request. Users wait 2 s.
+/// Time limit for responding to a status request. Below the 2 s that users wait.
 pub const STATUS_LIMIT: Duration = Duration::from_millis(1_500);
-/// Value of `Retry-After`, s.
+/// Value of `Retry-After` in responses to submissions and cancellations, s.
 pub const RETRY_AFTER_S: u32 = 1;
 /// Value of `Retry-After` for status requests, s: sooner than users would ask again, and after
 /// most failovers.
 pub const STATUS_RETRY_AFTER_S: u32 = 3;
-/// Time limit of one exchange with another controller.
+/// Time limit of a request to another controller. Short against the time limits of users' requests, of which it is
+/// a part.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(600);
 /// Maximum size of a message between controllers, bytes: a submission and its envelope.
 pub const PEER_FRAME_LIMIT: usize = 80 * 1024;
-/// Idle connections kept to each other controller.
+/// Maximum number of idle connections kept to each other controller.
 pub const PEER_IDLE: usize = 4;
 /// How long an idle connection to the store, the cloud or a controller is kept.
 pub const CLIENT_IDLE: Duration = Duration::from_millis(10_000);
 /// How long the circuit breaker of a controller, or of the store, stays open after a request
-/// without a response; then one request probes it.
+/// without a response; then one request probes it. Until then requests fail at once instead of waiting for a timeout.
 pub const CIRCUIT_BREAKER_OPEN: Duration = Duration::from_millis(1_000);
 /// Share of the socket limit for inbound connections. The rest is for the store, the cloud, other
 /// controllers and workers.
@@ -30,23 +31,25 @@
 /// An inbound connection without traffic for this many heartbeat intervals is closed: its worker
 /// is gone, or partitioned and reconnects later.
 pub const CONNECTION_IDLE_HEARTBEATS: f64 = 2.5;
-/// Minimum of that time, s. Users ask about every 5 s.
+/// Minimum of that time, s. Users repeat status requests about every 5 s.
 pub const CONNECTION_IDLE_MIN_S: f64 = 15.0;
-/// A connection with traffic within this time is not closed to make room for another: its
-/// request may be in progress.
+/// A connection with traffic within this time is not closed when the connection table is full: its request may be in
+/// progress.
 pub const CONNECTION_BUSY: Duration = Duration::from_millis(2_000);
-/// When the connection table is full, one connection in this many is closed at a time.
+/// When the connection table is full, one connection in this many is closed at a time. Several at a time, since
+/// each time the whole table is scanned.
 pub const CONNECTION_CLOSE_DIVISOR: usize = 64;
-/// Interval at which a full connection table is checked again.
+/// Interval at which a full connection table is checked again for a free entry.
 pub const CONNECTION_TABLE_RETRY: Duration = Duration::from_millis(20);
-/// Share of the socket limit that requests in progress may use.
+/// Maximum of the adaptive concurrency limit, as a share of the socket limit.
 pub const CONCURRENCY_SOCKET_SHARE: f64 = 0.25;
-/// Minimum of the adaptive concurrency limit, requests.
+/// Minimum of the adaptive concurrency limit, requests, so that slow responses never lower it to none.
 pub const MIN_CONCURRENCY: usize = 8;
 /// Latency above which the adaptive concurrency limit shrinks. Well below the 2 s that users
 /// wait.
 pub const CONCURRENCY_LATENCY_TARGET: Duration = Duration::from_millis(400);
-/// Jobs whose final state a controller keeps in memory.
+/// Maximum number of jobs whose final state a controller keeps in memory. Status requests for them need no read of the
+/// store.
 pub const FINAL_STATE_CACHE_SIZE: usize = 4_096;
-/// Messages that may queue for an actor.
+/// Maximum number of messages that queue for an actor; its senders wait beyond it.
 pub const CHANNEL_CAPACITY: usize = 1_024;
--- a/crates/constants/src/failures.rs
+++ b/crates/constants/src/failures.rs
@@ -3,21 +3,23 @@
 use std::time::Duration;
 
 /// Sum of failure weights from which a machine counts as faulty. Each job that failed there since
-/// a task last completed there weighs 1 if it runs elsewhere.
+/// a task last completed there weighs 1 if it runs elsewhere, so two such jobs are needed.
 pub const FAULTY_MACHINE_WEIGHT: f64 = 2.0;
-/// Failure weight of a job that has failed on this machine alone and run nowhere yet.
+/// Failure weight of a job that has failed on this machine only and run nowhere yet: the job or the machine may be
+/// faulty.
 pub const UNPROVEN_JOB_WEIGHT: f64 = 0.5;
-/// Machines that a job remembers to have failed on. Enough to tell that they are many.
+/// Maximum number of machines kept per job on which it failed, newest ones. Enough to show that it fails on many.
 pub const MAX_FAILED_MACHINES: usize = 16;
 /// Consecutive failures from which a gang or a daemon counts as crash-looping: it needs many
 /// machines and so meets a faulty one sooner.
 pub const GANG_MAX_FAILURES: u32 = 3;
-/// Consecutive failures after which a job with completed tasks backs off.
+/// Consecutive failures after which a job with completed tasks backs off. A job without any backs off at the first,
+/// since nothing shows that it can run.
 pub const PROVEN_JOB_MAX_FAILURES: u32 = 3;
-/// A daemon's replica that ran for this long, worked: its end causes no backoff.
+/// A daemon's replica that ran for this long counts as working: its end causes no backoff.
 pub const REPLICA_STEADY: Duration = Duration::from_millis(30_000);
-/// Failures of a daemon's replicas are forgotten after this long without another: it has no
-/// completed tasks that speak for it. Above the longest backoff with its jitter.
+/// The failure count of a daemon is reset after this long without another failure, since a daemon
+/// has no completed tasks that would reset it. Above the longest backoff with its jitter.
 pub const REPLICA_FAILURE_MEMORY: Duration = Duration::from_millis(120_000);
 /// Finished tasks from which the mean run time of a job is reliable enough to judge a machine by
 /// it.
@@ -32,13 +34,13 @@
 pub const STUCK_TASK_RATIO: f64 = 5.0;
 /// First backoff after a failed task of a job; doubled for each further failure.
 pub const FAILURE_BACKOFF: Duration = Duration::from_millis(1_000);
-/// Longest backoff.
+/// Upper bound of that backoff. Below `REPLICA_FAILURE_MEMORY`, which relies on it.
 pub const FAILURE_BACKOFF_MAX: Duration = Duration::from_millis(45_000);
-/// Maximum consecutive failures that a new leader takes over from its standby copy: backoff grows
-/// no further.
+/// Maximum count of consecutive failures that a new leader adopts from its standby copy: the backoff has reached its
+/// maximum before.
 pub const MAX_RESUMED_FAILURES: u32 = 16;
-/// Ended jobs and deleted machines that a leader remembers, so that late messages do not bring
-/// them back. Days of work, against messages that are minutes late.
+/// Maximum number of ended jobs, and of deleted machines, that a leader keeps in memory to ignore late messages about
+/// them. They cover days; messages are minutes late at most.
 pub const BOUNDED_SET_SIZE: usize = 20_000;
-/// Notes for the user that a job keeps.
+/// Maximum number of notes for the user per job; the oldest ones are dropped.
 pub const MAX_JOB_NOTES: usize = 6;
--- a/crates/constants/src/leadership.rs
+++ b/crates/constants/src/leadership.rs
@@ -27,20 +27,22 @@
 pub const ELECTION_OPERATIONS: usize = 3;
 /// Upper bound of the random delay before a controller campaigns. Spreads the candidates.
 pub const ELECTION_JITTER: Duration = Duration::from_millis(150);
-/// A controller with a usable copy of the cluster state divides its election jitter by this: it
-/// fails over fastest.
+/// A controller with a usable copy of the cluster state divides its election jitter by this, so that it most likely
+/// wins: its failover is the fastest.
 pub const WARM_STANDBY_JITTER_DIVISOR: u64 = 5;
-/// Delay before a controller that stepped down campaigns again, so that another one wins.
+/// Delay before a controller that stepped down campaigns again, so that another one wins the election: above the delay
+/// of their campaigns.
 pub const STEP_DOWN_PAUSE: Duration = Duration::from_millis(2_500);
-/// Minimum time between two step-downs for lack of heartbeats.
+/// Minimum time between two step-downs of a controller for lack of heartbeats. Limits the failovers while no controller
+/// can reach the workers.
 pub const STEP_DOWN_INTERVAL: Duration = Duration::from_millis(60_000);
-/// If the leader's timer fires this late, the process itself was paused, and silence of
-/// workers in the meantime proves nothing.
+/// If the leader's timer fires this late, the process itself was paused, and could not receive heartbeats in the
+/// meantime: their absence is no evidence against workers.
 pub const PROCESS_PAUSE: Duration = Duration::from_millis(1_000);
-/// Interval of the leader's timer.
+/// Interval of the controller actor's timer. Each tick starts the periodic work that is due.
 pub const TICK: Duration = Duration::from_millis(100);
 /// Fencing tokens per term: the term's own, and one more for each direct dispatch to a machine.
-/// Leaves room for 2^24 terms in an attempt number.
+/// Allows 2^24 terms in an attempt number.
 pub const TOKENS_PER_TERM: u64 = 4_096;
 /// Bits of an attempt number that count the attempts of one term; the bits above are the term. No
 /// leader starts 2^28 tasks.
--- a/crates/constants/src/shards.rs
+++ b/crates/constants/src/shards.rs
@@ -2,9 +2,8 @@
 
 use std::time::Duration;
 
-/// Length of a shard lease from the leader to another controller. The design starts with 15 s;
-/// a worker in a partitioned zone lives for this long plus its own lease, and partitions last a
-/// minute.
+/// Length of a shard lease from the leader to another controller. The tasks in a partitioned zone
+/// run on for this long plus the lease of their worker, and partitions last about a minute.
 pub const SHARD_LEASE: Duration = Duration::from_millis(30_000);
 /// Interval between renewals of a shard lease. Delays the proof of a lease expiry by as much.
 pub const SHARD_LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(1_000);
--- a/crates/constants/src/store.rs
+++ b/crates/constants/src/store.rs
@@ -4,11 +4,11 @@
 
 /// Time limit of a request to the store. Most take less than 10 ms, some a few hundred.
 pub const STORE_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Time limit of an extension of the leadership lease. A connection that died unnoticed must
-/// leave time for retries within one lease.
+/// Time limit of an extension of the leadership lease. A request on a connection that failed unnoticed
+/// must leave time for retries within one lease.
 pub const EXTEND_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long a watch waits on the server. Bounds how long a connection that died unnoticed
-/// hides new jobs or a lost leader.
+/// How long the server waits for events before it responds to a watch. Bounds how long a connection
+/// that failed unnoticed delays news of jobs or of the leader.
 pub const WATCH_WAIT: Duration = Duration::from_millis(5_000);
 /// Added to the waiting time of a watch before the client gives up.
 pub const WATCH_GRACE: Duration = Duration::from_millis(2_000);
@@ -17,10 +17,11 @@
 /// Share of the store's write rate that the leader may use. The rest is for submissions, which any
 /// controller writes.
 pub const LEADER_WRITE_SHARE: f64 = 0.7;
-/// Share of the store's write rate for scheduling records (the bound in the design).
+/// Share of the store's write rate for records of minimum task counts. They are hints and must not delay records that
+/// must be durable.
 pub const MIN_TASKS_WRITE_SHARE: f64 = 0.5;
-/// Relative change of a minimum task count at which its record is written again (a quarter, by the
-/// design).
+/// Relative change of a minimum task count at which its record is written again (a quarter):
+/// smaller changes are not worth a write.
 pub const MIN_TASKS_REWRITE_CHANGE: f64 = 0.25;
 /// Share of the store's request rate for the controller actor of each controller. Only the
 /// leader's uses it.
@@ -39,8 +40,8 @@
 pub const SUBMISSION_QUEUE_LIMIT: Duration = Duration::from_millis(300);
 /// Operations in the transaction that ends a job: its final state is written, its record deleted.
 pub const JOB_COMPLETION_OPERATIONS: usize = 2;
-/// Delay before a record that the store rejected on its own is retried: nothing tells when it
-/// would be accepted, and nothing else waits for it.
+/// Delay before a record is retried that the store rejected in a transaction of its own. When it would be accepted is
+/// unknown, and no other record waits for it.
 pub const REJECTED_RETRY: Duration = Duration::from_millis(5_000);
 /// Number of steps in which the start watermark of a job rises to its task count. More steps let a
 /// new leader start more of the job before reconciliation, and cost a write each.
