--- a/crates/constants/src/cloud.rs
+++ b/crates/constants/src/cloud.rs
@@ -53,7 +53,7 @@
 /// are unlikely to fail at once.
 pub const PARTITION_SHARE: f64 = 0.5;
 /// How long machines of a partitioned zone are kept after their leases expired. Machines that
-/// died leave the machine list within a minute; one that stays listed is most likely reachable again
+/// failed leave the machine list within a minute; one that stays listed is most likely reachable again
 /// later, and a new one would have to boot and fetch images.
 pub const PARTITION_SCALE_IN_DELAY: Duration = Duration::from_millis(180_000);
 /// How long a machine without heartbeats, in a zone that is not partitioned, is kept after its worker's lease has
--- a/crates/constants/src/store.rs
+++ b/crates/constants/src/store.rs
@@ -10,7 +10,7 @@
 /// How long the server waits for events before it responds to a watch. Bounds how long a connection
 /// that failed unnoticed delays news of jobs or of the leader.
 pub const WATCH_WAIT: Duration = Duration::from_millis(5_000);
-/// Added to the waiting time of a watch before the client gives up.
+/// Added to the waiting time of a watch for the time limit of its request: time for the response to arrive.
 pub const WATCH_GRACE: Duration = Duration::from_millis(2_000);
 /// Delay before a failed watch is opened again.
 pub const WATCH_RETRY: Duration = Duration::from_millis(400);
--- a/crates/policy/src/autoscaling.rs
+++ b/crates/policy/src/autoscaling.rs
@@ -159,10 +159,13 @@
 
     fn capacity_in_zone(&self, job_index: usize, zone: usize) -> u32 {
         let job = &self.cluster.jobs[job_index];
-        let in_zone = self.machines.iter().filter(|i| self.cluster.machines[**i].zone == zone);
+        let in_zone =
+            self.machines.iter().filter(|index| self.cluster.machines[**index].zone == zone);
         in_zone
-            .filter(|i| may_use(self.cluster, job_index, &self.cluster.machines[**i]))
-            .fold(0, |sum: u32, i| sum.saturating_add(self.free[*i].capacity_for(&job.request)))
+            .filter(|index| may_use(self.cluster, job_index, &self.cluster.machines[**index]))
+            .fold(0, |sum: u32, index| {
+                sum.saturating_add(self.free[*index].capacity_for(&job.request))
+            })
     }
 
     fn has_offer(&self, job: &JobView, zone: usize) -> bool {
@@ -296,8 +299,9 @@
 /// Machines with free resources for some task: running before booting, in use before empty, cheap before expensive.
 /// Expensive ones thus tend to stay idle and are scaled in.
 fn machines_with_capacity_by_price(cluster: &ClusterSnapshot, smallest: &Resources) -> Vec<usize> {
-    let mut by_price: Vec<usize> =
-        (0..cluster.machines.len()).filter(|i| cluster.machines[*i].free.fits(smallest)).collect();
+    let mut by_price: Vec<usize> = (0..cluster.machines.len())
+        .filter(|index| cluster.machines[*index].free.fits(smallest))
+        .collect();
     by_price.sort_by(|a, b| {
         let (a, b) = (&cluster.machines[*a], &cluster.machines[*b]);
         let state = |machine: &MachineView| (machine.booting, machine.placed_tasks.is_empty());
@@ -311,12 +315,12 @@
 /// One crash-looping gang at a time; one machine for all crash-looping arrays
 /// ([`Planner::add_machines_for_crash_looping_arrays`]).
 fn jobs_to_scale_for(cluster: &ClusterSnapshot) -> Vec<usize> {
-    let stranded_gang = (0..cluster.jobs.len()).find(|i| {
-        let job = &cluster.jobs[*i];
-        job.crash_looping && job.gang && job.startable > 0 && !could_ever_hold(cluster, *i)
+    let stranded_gang = (0..cluster.jobs.len()).find(|index| {
+        let job = &cluster.jobs[*index];
+        job.crash_looping && job.gang && job.startable > 0 && !could_ever_hold(cluster, *index)
     });
     let mut order: Vec<usize> = (0..cluster.jobs.len())
-        .filter(|i| !cluster.jobs[*i].crash_looping || Some(*i) == stranded_gang)
+        .filter(|index| !cluster.jobs[*index].crash_looping || Some(*index) == stranded_gang)
         .collect();
     order.sort_by(|a, b| {
         let (a, b) = (&cluster.jobs[*a], &cluster.jobs[*b]);
@@ -336,7 +340,7 @@
         .machine_types
         .iter()
         .enumerate()
-        .filter(|(i, _)| job.machine_types.get(*i).copied().unwrap_or(false))
+        .filter(|(index, _)| job.machine_types.get(*index).copied().unwrap_or(false))
         .map(|(_, machine_type)| machine_type.boot_s + machine_type.fetch_s(job.image_gb))
         .fold(f64::INFINITY, f64::min);
     if fastest.is_finite() { fastest } else { 0.0 }
--- a/crates/policy/src/scheduling_queue.rs
+++ b/crates/policy/src/scheduling_queue.rs
@@ -150,11 +150,11 @@
     fn groups(&self) -> QueueGroups {
         let startable = (0..self.jobs.len()).filter(|index| self.jobs[*index].startable > 0);
         let (crash_looping, healthy): (Vec<usize>, Vec<usize>) =
-            startable.partition(|i| self.jobs[*i].crash_looping);
+            startable.partition(|index| self.jobs[*index].crash_looping);
         let (without_objective, with_objective): (Vec<usize>, Vec<usize>) =
-            healthy.into_iter().partition(|i| has_no_objective(&self.jobs[*i]));
+            healthy.into_iter().partition(|index| has_no_objective(&self.jobs[*index]));
         let (mut awaiting_first_start, mut started): (Vec<usize>, Vec<usize>) =
-            with_objective.into_iter().partition(|i| awaits_first_start(&self.jobs[*i]));
+            with_objective.into_iter().partition(|index| awaits_first_start(&self.jobs[*index]));
         awaiting_first_start
             .sort_by(|a, b| first_start_order(&self.jobs[*a], &self.jobs[*b], self.now));
         started.sort_by(|a, b| self.by_deadline(*a, *b));
@@ -190,7 +190,8 @@
 
     /// A share of the CPUs for jobs older than `AGING_S`, oldest first, so that feasible jobs cannot starve them.
     fn push_aged(&mut self) {
-        let mut aged: Vec<usize> = (0..self.jobs.len()).filter(|i| self.is_aged(*i)).collect();
+        let mut aged: Vec<usize> =
+            (0..self.jobs.len()).filter(|index| self.is_aged(*index)).collect();
         aged.sort_by(|a, b| self.jobs[*a].submitted.total_cmp(&self.jobs[*b].submitted));
         let mut cpus = self.capacity * constants::AGING_CPU_SHARE;
         for index in aged {
@@ -232,7 +233,7 @@
             f64::from(job.startable) * job.task_time() * job.request.cpus
         };
         let mut arrays: Vec<usize> =
-            jobs.filter(|i| !self.jobs[*i].needs_all_tasks_at_once()).collect();
+            jobs.filter(|index| !self.jobs[*index].needs_all_tasks_at_once()).collect();
         arrays.sort_by(|a, b| {
             let feasible_first = self.deferred[*a].cmp(&self.deferred[*b]);
             feasible_first.then(work(*a).total_cmp(&work(*b)))
@@ -248,7 +249,7 @@
             let (a, b) = (&self.jobs[*a], &self.jobs[*b]);
             b.priority.cmp(&a.priority).then(a.submitted.total_cmp(&b.submitted))
         });
-        for &index in jobs.iter().filter(|i| self.jobs[**i].has_never_run()) {
+        for &index in jobs.iter().filter(|index| self.jobs[**index].has_never_run()) {
             self.push_leftover_entry(index, 1);
         }
         for index in jobs {
