--- a/crates/controller/src/actor/timer.rs
+++ b/crates/controller/src/actor/timer.rs
@@ -38,7 +38,7 @@
 
     /// Extends the lease of the leader's own shard, unless the cluster state forbids it at `now`.
     fn lease_own_shard(&mut self, cluster: &ClusterState, now: MonotonicTime) {
-        let lease_length = cluster.shard_lease(now);
+        let lease_length = cluster.shard_lease_length(now);
         if !lease_length.is_zero() {
             let zones = cluster.own_shard();
             self.config.shard_lessee.hold_as_leader(cluster.term(), zones, lease_length, now);
--- a/crates/controller/src/cluster_state/heartbeat_timing.rs
+++ b/crates/controller/src/cluster_state/heartbeat_timing.rs
@@ -1,7 +1,7 @@
 //! When heartbeats are expected, and what it means when they do not arrive.
 
 use super::machine::FirstListing;
-use super::{ClusterState, Machine, worker_lease_expiry};
+use super::{ClusterState, Machine, longest_worker_lease};
 use hookway_constants as constants;
 use hookway_time::MonotonicTime;
 use std::time::Duration;
@@ -47,7 +47,7 @@
     /// Whether some worker with tasks has missed its heartbeat while its lease may still be valid.
     pub fn any_heartbeat_overdue(&self, now: MonotonicTime) -> bool {
         let timeout = self.heartbeat_timeout();
-        let lease = worker_lease_expiry(&self.config.platform);
+        let lease = longest_worker_lease(&self.config.platform);
         let overdue = |machine: &Machine| {
             machine.has_reported
                 && !machine.placed_tasks.is_empty()
--- a/crates/controller/src/cluster_state/lease_expiry.rs
+++ b/crates/controller/src/cluster_state/lease_expiry.rs
@@ -1,7 +1,7 @@
 //! Expiry of workers' leases: the tasks of a worker whose lease has surely expired are gone.
 
 use super::task_removal::TaskRemoval;
-use super::{ClusterState, worker_lease_expiry};
+use super::{ClusterState, longest_worker_lease};
 use hookway_time::MonotonicTime;
 
 impl ClusterState {
@@ -29,7 +29,7 @@
     /// Whether the lease of a machine's worker has surely expired; then its tasks are removed, and its
     /// incarnation is over.
     pub(super) fn expire_lease_if_silent(&mut self, name: &str, now: MonotonicTime) -> bool {
-        let lease = worker_lease_expiry(&self.config.platform);
+        let lease = longest_worker_lease(&self.config.platform);
         let Some(machine) = self.machines.get_mut(name) else { return false };
         let (zone, answered_at) = (&machine.zone, machine.last_response_at);
         if !self.shard_lessor.worker_lease_expired(zone, answered_at, lease, now) {
--- a/crates/controller/src/cluster_state/leases.rs
+++ b/crates/controller/src/cluster_state/leases.rs
@@ -19,13 +19,13 @@
 
 /// Whether the lease of a worker that nobody answers any more ends within the time for a cancellation.
 pub fn leases_expire_within_cancellation(platform: &PlatformSettings) -> bool {
-    let lease = worker_lease_expiry(platform) + constants::CANCEL_MARGIN;
+    let lease = longest_worker_lease(platform) + constants::CANCEL_MARGIN;
     millis_f64(lease) <= platform.workers.cancel_s * 1000.0
 }
 
 /// A worker's lease with clock drift and margin: so long after the last moment when any entitled
 /// controller could have answered it, it has killed its tasks.
-pub fn worker_lease_expiry(platform: &PlatformSettings) -> Duration {
+pub fn longest_worker_lease(platform: &PlatformSettings) -> Duration {
     let drifted_ms = platform.workers.lease_s * 1000.0 * (1.0 + constants::CLOCK_DRIFT);
     Duration::from_millis(drifted_ms.ceil() as u64) + constants::WORKER_LEASE_MARGIN
 }
@@ -37,7 +37,7 @@
         renewal: &ShardLeaseRenewal,
         now: MonotonicTime,
     ) -> Option<ShardLease> {
-        let lease = self.shard_lease(now);
+        let lease = self.shard_lease_length(now);
         self.shard_lessor.renew(self.term, renewal, lease, now)
     }
 
@@ -48,7 +48,7 @@
     /// ends no later than one that was given when its user asked, before any controller was told:
     /// early enough for its worker's lease to follow. While a task of an unknown job may be anywhere,
     /// or of one whose cancellation another controller decided, no lease is given.
-    pub fn shard_lease(&self, now: MonotonicTime) -> Duration {
+    pub fn shard_lease_length(&self, now: MonotonicTime) -> Duration {
         if self.unknown_tasks > 0 || !self.reconciled(now) {
             return Duration::ZERO;
         }
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -66,7 +66,7 @@
 pub use direct_dispatch::DirectStart;
 pub use job::JobOrigin;
 pub use job_operations::{CancelOutcome, CompletedJob, JobLookup};
-pub use leases::{leases_expire_within_cancellation, max_shard_lease, worker_lease_expiry};
+pub use leases::{leases_expire_within_cancellation, longest_worker_lease, max_shard_lease};
 pub use recovery::LoadedState;
 pub use standby_feed::WarmStart;
 pub use state_probe::StateProbeRequest;
--- a/crates/controller/src/cluster_state/reconciliation.rs
+++ b/crates/controller/src/cluster_state/reconciliation.rs
@@ -1,6 +1,6 @@
 //! Reconciliation after a failover: when every task that an earlier leader may have started is known.
 
-use super::{ClusterState, worker_lease_expiry};
+use super::{ClusterState, longest_worker_lease};
 use crate::shard_lease::UNKNOWN_ZONE;
 use hookway_time::{MonotonicTime, seconds_f64};
 use std::collections::BTreeSet;
@@ -51,7 +51,7 @@
 
     /// Whether the leases of all workers without a heartbeat to this leader have surely expired.
     pub(super) fn unreconciled_leases_expired(&self, now: MonotonicTime) -> bool {
-        let lease = worker_lease_expiry(&self.config.platform);
+        let lease = longest_worker_lease(&self.config.platform);
         let last_answered_at = self.reconciliation.last_answered_at;
         self.shard_lessor.worker_lease_expired(UNKNOWN_ZONE, last_answered_at, lease, now)
     }
--- a/crates/controller/src/cluster_state/scale_in.rs
+++ b/crates/controller/src/cluster_state/scale_in.rs
@@ -1,6 +1,6 @@
 //! Scale in: which machines are cordoned and deleted, and why.
 
-use super::{ClusterState, CordonReason, JobOrigin, Machine, worker_lease_expiry};
+use super::{ClusterState, CordonReason, JobOrigin, Machine, longest_worker_lease};
 use hookway_constants as constants;
 use hookway_time::{MonotonicTime, millis_f64};
 use hookway_wire::MachineType;
@@ -121,7 +121,7 @@
         let context = ScaleInContext {
             now,
             resumed_at: self.clocks.resumed_at,
-            lease: worker_lease_expiry(&self.config.platform),
+            lease: longest_worker_lease(&self.config.platform),
             reconciled: self.reconciled(now),
             machine_types: &self.machine_types,
             idle_timeouts: self.idle_timeouts(),
@@ -158,7 +158,7 @@
             .values()
             .any(|j| j.origin == JobOrigin::EarlierTerm && j.is_active() && !j.unplaced.is_empty());
         let leases_expire_at =
-            self.reconciliation.last_answered_at + worker_lease_expiry(&self.config.platform);
+            self.reconciliation.last_answered_at + longest_worker_lease(&self.config.platform);
         let worthwhile = !self.reconciled(now)
             && inherited_waits
             && now + constants::UNRECONCILED_SCALE_IN_MIN_GAIN < leases_expire_at;
--- a/crates/controller/src/cluster_state/spare_machines.rs
+++ b/crates/controller/src/cluster_state/spare_machines.rs
@@ -2,7 +2,7 @@
 //! ready.
 
 use super::class_history::ClassHistory;
-use super::{ClusterState, Job, Machine, worker_lease_expiry};
+use super::{ClusterState, Job, Machine, longest_worker_lease};
 use hookway_policy::Resources;
 use hookway_time::MonotonicTime;
 use hookway_wire::{MachineType, PurchaseOption};
@@ -98,7 +98,7 @@
     ) -> bool {
         let history = class.history;
         let ready_s = machine_type.boot_s + machine_type.fetch_s(history.image_gb);
-        let lease = worker_lease_expiry(&self.config.platform);
+        let lease = longest_worker_lease(&self.config.platform);
         let ready_in_time = ready_s < class.start_within_s;
         !ready_in_time
             && machine.has_reported
--- a/crates/controller/tests/cluster_state/heartbeats.rs
+++ b/crates/controller/tests/cluster_state/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats: their order, lost responses, duplicates, and the isolation of a leader that receives none.
 
 use crate::harness::{LeaderHarness, at, job, ms, small_worker, test_config};
-use hookway_controller::cluster_state::worker_lease_expiry;
+use hookway_controller::cluster_state::longest_worker_lease;
 use hookway_testkit::ScriptedWorker;
 use hookway_wire::{Command, JobId};
 
@@ -70,7 +70,7 @@
     harness.cluster.handle_heartbeat(&duplicate, harness.now);
     // After the worker began its next incarnation.
     worker.expire_lease();
-    harness.now += worker_lease_expiry(&test_config().platform) + ms(1_000);
+    harness.now += longest_worker_lease(&test_config().platform) + ms(1_000);
     harness.run_rounds(&mut [&mut other]);
     harness.heartbeat(&mut worker);
     let before = harness.cluster.status(&JobId::parse("req-000001").expect("an id"));
--- a/crates/controller/tests/cluster_state/leases.rs
+++ b/crates/controller/tests/cluster_state/leases.rs
@@ -2,7 +2,7 @@
 
 use crate::harness::{LeaderHarness, at, job, ms, small_worker, test_config, timestamp};
 use crate::support::busy_zone;
-use hookway_controller::cluster_state::{CancelOutcome, worker_lease_expiry};
+use hookway_controller::cluster_state::{CancelOutcome, longest_worker_lease};
 use hookway_wire::{DirectCommands, ExitCause, JobId};
 
 #[test]
@@ -64,7 +64,7 @@
     );
     // Its lease is counted from the last response that it may have received, not from its heartbeats.
     let mut deleted = Vec::new();
-    while harness.now < partitioned_at + worker_lease_expiry(&test_config().platform) + ms(6_000) {
+    while harness.now < partitioned_at + longest_worker_lease(&test_config().platform) + ms(6_000) {
         harness.now += ms(1_000);
         let heartbeat = one_way.heartbeat();
         harness.cluster.handle_heartbeat(&heartbeat, harness.now);
@@ -103,7 +103,7 @@
     let (mut harness, mut workers) = busy_zone(3);
     let params = test_config().platform.workers;
     let full = ms(((params.cancel_s - params.lease_s) * 1000.0) as u64);
-    let lease = harness.cluster.shard_lease(harness.now);
+    let lease = harness.cluster.shard_lease_length(harness.now);
     assert!(
         lease > ms(0) && lease < full,
         "a shard lease plus a worker lease ends within cancel_s"
@@ -112,7 +112,7 @@
     harness.cluster.set_time(timestamp(cancel_requested_at));
     harness.cluster.cancel(&JobId::parse("req-000001").expect("an id"));
     assert_eq!(
-        harness.cluster.shard_lease(cancel_requested_at),
+        harness.cluster.shard_lease_length(cancel_requested_at),
         lease,
         "unchanged at the time of the request"
     );
@@ -120,7 +120,7 @@
     for elapsed in [ms(0), ms(1), ms(5_000), lease - ms(1), lease, lease + ms(1), 10 * lease] {
         let expires_at = cancel_requested_at
             + elapsed
-            + harness.cluster.shard_lease(cancel_requested_at + elapsed);
+            + harness.cluster.shard_lease_length(cancel_requested_at + elapsed);
         assert_eq!(
             expires_at,
             cancel_requested_at + lease.max(elapsed),
@@ -129,13 +129,13 @@
     }
     harness.run_rounds_all(&mut workers);
     assert_eq!(
-        harness.cluster.shard_lease(harness.now),
+        harness.cluster.shard_lease_length(harness.now),
         lease,
         "not shortened once the tasks have ended"
     );
     // The next leader does not know all cancelled jobs until every machine is reconciled.
     let next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(1_000));
-    assert_eq!(next.cluster.shard_lease(next.now), ms(0));
+    assert_eq!(next.cluster.shard_lease_length(next.now), ms(0));
 }
 
 /// Found by the simulation, 2026-12-02: the response to a state probe renews no lease, but the worker's
@@ -158,7 +158,7 @@
     assert_eq!(next.cluster.take_direct_starts(next.now).len(), 1);
     // By now the lease that an earlier leader may have renewed has expired, and the incarnation's own has
     // not.
-    next.now = at(30_000) + (worker_lease_expiry(&test_config().platform) - ms(200));
+    next.now = at(30_000) + (longest_worker_lease(&test_config().platform) - ms(200));
     next.advance(0);
     assert_eq!(
         next.cluster.summary(next.now).tasks,
@@ -197,7 +197,7 @@
     harness.now += ms(4_000);
     let heartbeat = worker.heartbeat();
     harness.cluster.handle_heartbeat(&heartbeat, harness.now);
-    let lease = worker_lease_expiry(&test_config().platform);
+    let lease = longest_worker_lease(&test_config().platform);
     assert!(last_heartbeat_at + ms(2_000) + lease < extended_at + (lease - ms(500)));
     let mut late = worker.heartbeat();
     late.sequence += 1;
--- a/crates/controller/tests/cluster_state/machine_registry.rs
+++ b/crates/controller/tests/cluster_state/machine_registry.rs
@@ -2,7 +2,7 @@
 
 use crate::harness::{LeaderHarness, at, job, listed_machine, ms, small_worker, test_config};
 use crate::support::workers;
-use hookway_controller::cluster_state::worker_lease_expiry;
+use hookway_controller::cluster_state::longest_worker_lease;
 use hookway_testkit::{MemoryStore, ScriptedWorker};
 use hookway_wire::{ExitCause, MachineState};
 
@@ -118,7 +118,7 @@
         "it stays while a worker lease may run: the next leader must see that machines are unknown"
     );
     // It is deleted once the leases of its machines have certainly expired.
-    harness.now = at(0) + worker_lease_expiry(&test_config().platform) + ms(1);
+    harness.now = at(0) + longest_worker_lease(&test_config().platform) + ms(1);
     harness.heartbeat(&mut worker);
     harness.advance(1_000);
     harness.advance(1_000);
--- a/crates/controller/tests/cluster_state/reconciliation.rs
+++ b/crates/controller/tests/cluster_state/reconciliation.rs
@@ -1,7 +1,7 @@
 //! Reconciliation after a failover: what a new leader may start before every machine is reconciled.
 
 use crate::harness::{LeaderHarness, at, job, listed_machine, ms, small_worker, test_config};
-use hookway_controller::cluster_state::worker_lease_expiry;
+use hookway_controller::cluster_state::longest_worker_lease;
 use hookway_wire::{DirectCommands, ExitCause, JobId, ListedMachine, MachineState};
 
 #[test]
@@ -22,7 +22,7 @@
         next.advance(600);
         let started_elsewhere = reachable.unfinished_tasks().contains(&lost_task)
             || idle.unfinished_tasks().contains(&lost_task);
-        let lease_expired = next.now >= at(30_000) + worker_lease_expiry(&test_config().platform);
+        let lease_expired = next.now >= at(30_000) + longest_worker_lease(&test_config().platform);
         assert!(
             !started_elsewhere || lease_expired,
             "{lost_task} started at {:?} while it may run on m-2",
--- a/crates/controller/tests/concurrent_faults.rs
+++ b/crates/controller/tests/concurrent_faults.rs
@@ -8,7 +8,7 @@
     LeaderHarness, at, job, listed_machine, ms, one_running_task, small_worker, test_config,
 };
 use hookway_controller::cluster_state::{
-    CancelOutcome, CommitResult, JobLookup, worker_lease_expiry,
+    CancelOutcome, CommitResult, JobLookup, longest_worker_lease,
 };
 use hookway_controller::records::scheduling_key;
 use hookway_testkit::{MemoryStore, ScriptedWorker};
@@ -35,7 +35,7 @@
     let mut other = small_worker("m-2", "b");
     next.run_rounds(&mut [&mut other]);
     assert_eq!(other.started_attempts, [], "the job may still run in zone a");
-    let lease = worker_lease_expiry(&test_config().platform);
+    let lease = longest_worker_lease(&test_config().platform);
     while next.now < at(30_000) + lease {
         next.run_rounds(&mut [&mut other]);
     }
@@ -326,7 +326,7 @@
             harness.commit_pending();
         }
         assert_eq!(harness.stored_final_state(&id).as_deref(), Some("withdrawn"));
-        let end = harness.now + (worker_lease_expiry(&test_config().platform) - ms(3_000));
+        let end = harness.now + (longest_worker_lease(&test_config().platform) - ms(3_000));
         let mut reachable = reachable.clone();
         while harness.now < end {
             harness.run_rounds(&mut [&mut reachable]);
--- a/crates/controller/tests/daemons.rs
+++ b/crates/controller/tests/daemons.rs
@@ -5,7 +5,7 @@
 
 use harness::{LeaderHarness, at, job, ms, small_worker, test_config};
 use hookway_constants as constants;
-use hookway_controller::cluster_state::worker_lease_expiry;
+use hookway_controller::cluster_state::longest_worker_lease;
 use hookway_testkit::ScriptedWorker;
 use hookway_time::whole_millis;
 use hookway_wire::{Command, ExitCause, JobId, JobSpec, JobState, Priority};
@@ -145,7 +145,7 @@
     let (mut lost, mut other) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     submit_running_daemon(&mut harness, &mut lost);
     harness.heartbeat(&mut other);
-    let lease_expires_at = harness.now + worker_lease_expiry(&test_config().platform);
+    let lease_expires_at = harness.now + longest_worker_lease(&test_config().platform);
     while harness.now + ms(1_000) < lease_expires_at {
         harness.heartbeat(&mut other);
         harness.advance(500);
--- a/crates/controller/tests/simulation/controllers.rs
+++ b/crates/controller/tests/simulation/controllers.rs
@@ -334,7 +334,7 @@
         }
         leader.cluster.set_time(self.moment());
         let controller = &mut self.controllers[n];
-        let lease = leader.cluster.shard_lease(now);
+        let lease = leader.cluster.shard_lease_length(now);
         if !lease.is_zero() {
             let at = controller.clock(now);
             controller.lessee.hold_as_leader(leader.term, leader.cluster.own_shard(), lease, at);
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -7,7 +7,7 @@
 
 use harness::{LeaderHarness, job, ms, small_worker, test_config};
 use hookway_constants as constants;
-use hookway_controller::cluster_state::{WarmStart, worker_lease_expiry};
+use hookway_controller::cluster_state::{WarmStart, longest_worker_lease};
 use hookway_controller::networks::Networks;
 use hookway_replication::{Entry, PlacedTask, Publisher, ReplicatedJob, ReplicatedState, Stage};
 use hookway_testkit::ScriptedWorker;
@@ -70,7 +70,7 @@
     let mut idle = vec![small_worker("m-2", "a")];
     run_rounds(&mut harness, &mut idle);
     assert!(idle[0].started_attempts.is_empty(), "the task may still run on m-1");
-    let lease_expires_at = harness.now + worker_lease_expiry(&test_config().platform);
+    let lease_expires_at = harness.now + longest_worker_lease(&test_config().platform);
     while harness.now < lease_expires_at {
         run_rounds(&mut harness, &mut idle);
     }
--- a/crates/hookway/tests/docs.rs
+++ b/crates/hookway/tests/docs.rs
@@ -1,8 +1,8 @@
 //! Checks that the tests named in docs/safety.md exist.
 //!
 //! A lower-case word in backquotes with at least three underscores counts as the name of a test: tests are named by a
-//! condition and the expected result, functions and settings by two or three words (`take_pushes`, `leader_lease_s`).
-//! Paths (`ClusterState::kept_alive`) and constants (`TOKENS_PER_TERM`) don't count.
+//! condition and the expected result, functions and settings by two or three words (`take_direct_starts`, `leader_lease_s`).
+//! Paths (`ClusterState::cancel`) and constants (`TOKENS_PER_TERM`) don't count.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use std::collections::BTreeSet;
