--- a/crates/clients/tests/requests.rs
+++ b/crates/clients/tests/requests.rs
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test]
-async fn the_state_service_is_asked_by_its_paths() {
+async fn store_requests_have_the_paths_of_the_protocol() {
     let key_value = r#"{"Key":"j/a b","V":1,"Stamp":4}"#;
     let first_page = r#"{"Pairs":[{"Key":"j/a b","V":1,"Stamp":4}],"HasNext":true,"Epoch":9}"#;
     let last_page = r#"{"Pairs":[],"Epoch":10}"#;
@@ -134,7 +134,7 @@
 }
 
 #[tokio::test]
-async fn refusals_of_the_state_service_are_told_apart_by_status_and_text() {
+async fn store_errors_are_distinguished_by_status_and_text() {
     let (address, requests) = start_server(&[
         (503, ""),
         (429, ""),
@@ -160,7 +160,7 @@
 }
 
 #[tokio::test]
-async fn the_cloud_is_asked_by_its_paths() {
+async fn cloud_requests_have_the_paths_of_the_protocol() {
     let machine_page = r#"{"Hosts":[{"NameId":"m-1","Flavor":"g8","Yard":"a","Loaners":true,"Status":"running"}],"HasNext":true}"#;
     let (address, requests) = start_server(&[
         (200, r#"{"Flavors":[]}"#),
@@ -207,7 +207,7 @@
 }
 
 #[tokio::test]
-async fn workers_get_commands_at_their_path() {
+async fn worker_commands_have_the_path_of_the_protocol() {
     let (address, requests) = start_server(&[
         (200, HEARTBEAT),
         (409, HEARTBEAT),
@@ -241,7 +241,7 @@
 }
 
 #[tokio::test]
-async fn users_ask_by_the_paths_of_the_api() {
+async fn api_requests_have_the_paths_of_the_protocol() {
     let (address, requests) = start_server(&[
         (201, JOB_STATUS),
         (200, JOB_STATUS),
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_message_that_only_later_versions_know_is_refused() {
+fn message_of_later_version_is_rejected() {
     assert!(frame::decode::<PeerRequest>(&[200, 1, 2]).is_err());
     assert!(frame::decode::<PeerRequest>(&[]).is_err());
 }
--- a/crates/hookway/tests/command_line.rs
+++ b/crates/hookway/tests/command_line.rs
@@ -94,7 +94,7 @@
 const SHOWN_STATUS: &str = "req-000412: withdrawn, 3 done, 13 running\n  team: vision\n  commanded by: worker-1\n  task 3 failed\n";
 
 #[test]
-fn each_client_word_asks_its_path_and_shows_the_answer() {
+fn each_client_command_requests_its_path_and_prints_the_response() {
     let job = TempFile::new("job.json", "{}");
     for (command, argument, expected_line) in [
         ("submit", job.path(), "POST /api/jobs HTTP/1.1"),
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_status_without_additions_is_one_line() {
+fn status_without_notes_prints_one_line() {
     let (address, _request_line) = start_api(200, r#"{"NameId":"req-000412","Status":"queued"}"#);
     let output = hookway(&["status", "--server", &address, "req-000412"]);
     let expected = "req-000412: queued, 0 done, 0 running\n";
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_refusal_is_told_on_standard_error_with_exit_code_1() {
+fn rejected_request_prints_reason_on_stderr_with_exit_code_1() {
     let (address, _request_line) = start_api(404, r#"{"error":"no such job"}"#);
     let output = hookway(&["status", "--server", &address, "req-000412"]);
     let error = "hookway: 404: no such job\n";
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn check_tells_sound_settings_from_wrong_ones() {
+fn check_accepts_valid_settings_and_names_errors() {
     let settings = TempFile::new("check.toml", SETTINGS);
     let invalid =
         TempFile::new("wrong.toml", &SETTINGS.replace("lease_s = 14.0", "lease_s = -1.0"));
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_controller_takes_operator_settings_from_its_flag_and_its_environment() {
+fn operator_settings_are_read_from_flag_or_environment() {
     let settings = TempFile::new("run.toml", SETTINGS);
     let unknown_key = TempFile::new("run.ini", "[replication]\nfollow = on\n");
     let error = format!("hookway: {}: unknown setting [replication] follow\n", unknown_key.path());
@@ -180,13 +180,13 @@
 }
 
 #[test]
-fn without_a_word_there_is_nothing_to_do_and_the_exit_code_is_1() {
+fn missing_command_ends_with_exit_code_1() {
     let error = "hookway: nothing to do: give --config FILE or a command (see --help)\n";
     assert_eq!(exit_and_output(&hookway(&[])), (Some(1), String::new(), error.into()));
 }
 
 #[test]
-fn words_and_flags_that_do_not_exist_or_lack_something_end_with_exit_code_2() {
+fn invalid_commands_and_flags_end_with_exit_code_2() {
     for arguments in [
         &["start"][..],
         &["--settings", "x"],
--- a/crates/replication/tests/promotion.rs
+++ b/crates/replication/tests/promotion.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn suspicion_permits_no_decision_and_ends_when_leader_is_heard() {
+fn suspected_leader_permits_no_decision_until_it_responds_again() {
     let mut promotion = Promotion::default();
     promotion.handle(Event::LeaderSilent, at(100)).expect("a valid transition");
     assert_eq!(
