--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -6,6 +6,7 @@
 mod api;
 mod cloud;
 mod http;
+mod json;
 mod rate_limiter;
 mod store;
 mod worker;
--- a/crates/controller/src/actor/dispatch.rs
+++ b/crates/controller/src/actor/dispatch.rs
@@ -135,7 +135,8 @@
             Ok(ScaleOutOutcome::Created(machines)) => {
                 return ClusterEvent::ScaleOutFinished { request, machines: Some(machines) };
             }
-            Ok(ScaleOutOutcome::NoCapacity) | Err(CloudError::Unexpected { .. }) => {
+            Ok(ScaleOutOutcome::NoCapacity)
+            | Err(CloudError::Unexpected { .. } | CloudError::NotEncoded { .. }) => {
                 return ClusterEvent::ScaleOutFinished { request, machines: None };
             }
             Err(error) => {
