--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -39,6 +39,10 @@
     /// The outcome is unknown: the request may have been executed, or may be later.
     #[error("no answer from the state service: {0}")]
     Unknown(HttpError),
+    /// Not sent: the caller's circuit breaker is open, since an earlier request got no response in time.
+    // Users can't tell it from that earlier request, so the text is that of its timeout.
+    #[error("no answer from the state service: no answer in time")]
+    CircuitOpen,
     /// The lease has expired or was released.
     #[error("the lease has ended")]
     NoLease,
--- a/crates/clients/tests/error_texts.rs
+++ b/crates/clients/tests/error_texts.rs
@@ -1,7 +1,7 @@
 //! The texts of errors, letter by letter: they stand in logs and in responses to users.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
-use hookway_clients::{CloudClient, CloudError, StoreClient, StoreError};
+use hookway_clients::{CloudClient, CloudError, HttpError, StoreClient, StoreError};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
@@ -39,6 +39,14 @@
     assert_eq!(cloud.to_string(), "unexpected response of the cloud (status 0): why");
 }
 
+#[test]
+fn open_circuit_breaker_is_reported_like_timeout() {
+    let address = "127.0.0.1:1".to_owned();
+    let timeout = StoreError::Unknown(HttpError::Timeout { address });
+    assert_eq!(timeout.to_string(), "no answer from the state service: no answer in time");
+    assert_eq!(StoreError::CircuitOpen.to_string(), timeout.to_string());
+}
+
 #[tokio::test]
 async fn unexpected_status_is_reported_with_body() {
     assert_eq!(store_error(418, "tea").await, "unexpected answer 418: tea");
--- a/crates/controller/src/api/job_reader.rs
+++ b/crates/controller/src/api/job_reader.rs
@@ -38,8 +38,7 @@
         if let Ok(mut breaker) = self.breaker.lock()
             && !breaker.allows_request()
         {
-            let address = store.address().to_owned();
-            return Err(StoreError::Unknown(HttpError::Timeout { address }));
+            return Err(StoreError::CircuitOpen);
         }
         let stored = read_job(store, job).await;
         if let Ok(mut breaker) = self.breaker.lock() {
--- a/crates/controller/src/records/mod.rs
+++ b/crates/controller/src/records/mod.rs
@@ -24,7 +24,7 @@
 mod progress;
 mod scheduling;
 
-pub use job::{FinalRecord, JobRecord};
+pub use job::{FinalRecord, JobRecord, team_of_job_record};
 pub use keys::{
     CLASSES_KEY, FINAL_STATES_PREFIX, JOBS_PREFIX, LEADER_KEY, LEADER_PREFIX, LEADER_TERM_KEY,
     LEADER_WATERMARKS_KEY, LEGACY_IMAGES_PREFIX, PROGRESS_PREFIX, REGISTRY_PREFIX,
