--- a/crates/controller/src/cluster_state/recovery.rs
+++ b/crates/controller/src/cluster_state/recovery.rs
@@ -4,8 +4,8 @@
 use super::machine_registry::MachineRegistry;
 use super::{CachedImage, ClassHistory, ClusterState, JobOrigin, Machine, Timestamp};
 use crate::records::{
-    ClassRecord, ImagesRecord, JobSchedulingRecord, MachineRegistryRecord, ProgressRecord,
-    SharedStartWatermarksRecord,
+    ClassRecord, ImagesRecord, JobSchedulingRecord, MachineRegistryRecord, ParsedKey,
+    ProgressRecord, SharedStartWatermarksRecord,
 };
 use hookway_time::{WallTime, millis_f64};
 use hookway_wire::{JobId, KeyValue};
@@ -35,23 +35,19 @@
     pub has_start_watermarks: bool,
 }
 
-/// The job that a record of the kind `<prefix>/<job>...` is about.
-fn job_of_key(key: &str) -> Option<JobId> {
-    key.split('/').nth(1).and_then(JobId::parse)
-}
-
 /// The jobs that have a record, whether it can be read or not: no record of a job whose own record can't be
 /// read is deleted, since a later version may read it.
 struct Accepted(HashSet<JobId>);
 
 impl Accepted {
     fn new(jobs: &[KeyValue]) -> Self {
-        Self(jobs.iter().filter_map(|kv| job_of_key(&kv.key)).collect())
+        let keys = jobs.iter().filter_map(|kv| ParsedKey::parse(&kv.key));
+        Self(keys.map(ParsedKey::into_job).collect())
     }
 
     /// Whether a record is about no accepted job that has not ended.
     fn lacks_job_of(&self, key: &str) -> bool {
-        job_of_key(key).is_none_or(|id| !self.0.contains(&id))
+        ParsedKey::parse(key).is_none_or(|parsed| !self.0.contains(&parsed.into_job()))
     }
 }
 
@@ -114,7 +110,7 @@
 
     fn load_progress(&mut self, kv: KeyValue, accepted: &Accepted) {
         let place = crate::records::parse_progress_key(&kv.key)
-            .and_then(|(id, from)| Some((self.jobs.key(&id)?, from)));
+            .and_then(|key| Some((self.jobs.key(&key.job)?, key.first_task)));
         let Some((job, from)) = place else {
             return self.remove_if_orphaned(kv.key, accepted);
         };
@@ -147,7 +143,8 @@
     }
 
     fn load_scheduling_record(&mut self, kv: KeyValue, accepted: &Accepted) {
-        let job = job_of_key(&kv.key).and_then(|id| self.jobs.by_id_mut(&id));
+        let job =
+            ParsedKey::parse(&kv.key).and_then(|parsed| self.jobs.by_id_mut(&parsed.into_job()));
         let Some(job) = job else {
             return self.remove_if_orphaned(kv.key, accepted);
         };
