--- a/crates/clients/tests/requests.rs
+++ b/crates/clients/tests/requests.rs
@@ -125,6 +125,33 @@
     );
 }
 
+#[tokio::test]
+async fn list_ends_with_last_or_empty_page_and_has_revision_of_first() {
+    let (address, served) = scripted(&[
+        (200, r#"{"Pairs":[{"Key":"a","V":1,"Stamp":4}],"HasNext":true,"Epoch":9}"#),
+        (200, r#"{"Pairs":[{"Key":"b","V":2,"Stamp":5}],"HasNext":true,"Epoch":10}"#),
+        (200, r#"{"Pairs":[{"Key":"c","V":3,"Stamp":6}],"Epoch":11}"#),
+        (200, r#"{"Pairs":[],"HasNext":true,"Epoch":12}"#),
+        (200, r#"{"Pairs":[{"Key":"a","V":1,"Stamp":4}],"HasNext":true,"Epoch":13}"#),
+        (200, r#"{"Pairs":[],"HasNext":true,"Epoch":14}"#),
+    ])
+    .await;
+    let store = StoreClient::new(&address, FAST);
+    for (expected_keys, revision) in [(vec!["a", "b", "c"], 9), (vec![], 12), (vec!["a"], 13)] {
+        let listing = store.list("").await.expect("pages");
+        let keys: Vec<&str> = listing.pairs.iter().map(|pair| pair.key.as_str()).collect();
+        assert_eq!((keys, listing.revision), (expected_keys, revision));
+    }
+    let (start, after) = ("GET /keys?Prefix=", "&After=");
+    let pages = ["", "a", "b", "", "", "a"].map(|last| match last {
+        "" => format!("{start}&Most=1000"),
+        last => format!("{start}{after}{last}&Most=1000"),
+    });
+    let requests: Vec<String> =
+        asked(served).await.iter().map(|line| line.trim_end().to_owned()).collect();
+    assert_eq!(requests, pages);
+}
+
 #[tokio::test]
 async fn refusals_of_the_state_service_are_told_apart_by_status_and_text() {
     let (address, served) = scripted(&[
