--- a/crates/clients/src/cloud.rs
+++ b/crates/clients/src/cloud.rs
@@ -1,7 +1,6 @@
 //! Client of the cloud: machine types, scale out, scale in and the machine list.
 
-use crate::http::body_contains;
-use crate::json::{JsonError, Page, decode, decode_ok, encode, read_pages, unexpected};
+use crate::http::{body_contains, quoted_body};
 use crate::rate_limiter::PERMITS_PER_REQUEST;
 use crate::{HttpClient, HttpError, HttpResponse, RateLimiter};
 use hookway_constants as constants;
@@ -9,10 +8,14 @@
     ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, ScaleOutRequest,
 };
 use hyper::{Method, StatusCode};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
 use std::sync::Arc;
 
 /// The text by which a 503 response says that the cloud has no machines left, rather than an outage.
 const NO_CAPACITY: &str = "no capacity";
+/// Status in errors about a request that could not be encoded, and so has no response.
+const NOT_SENT: u16 = 0;
 
 /// Why a request to the cloud failed.
 #[derive(Debug, thiserror::Error)]
@@ -26,35 +29,11 @@
     /// The response has an unexpected HTTP status or body.
     #[error("unexpected response of the cloud (status {status}): {reason}")]
     Unexpected {
-        /// HTTP status of the response.
+        /// HTTP status of the response; 0 if the request could not be encoded.
         status: u16,
         /// The start of the body, or what is wrong with it.
         reason: String,
     },
-    /// The request could not be encoded, so it was not sent.
-    // Logs have had this text with status 0 since before the variant existed.
-    #[error("unexpected response of the cloud (status 0): {reason}")]
-    NotEncoded {
-        /// Why not.
-        reason: String,
-    },
-}
-
-impl From<JsonError> for CloudError {
-    fn from(error: JsonError) -> Self {
-        match error {
-            JsonError::Encoding(error) => Self::NotEncoded { reason: error.to_string() },
-            JsonError::Status { status: StatusCode::SERVICE_UNAVAILABLE, .. } => {
-                Self::Unavailable(StatusCode::SERVICE_UNAVAILABLE.as_u16())
-            }
-            JsonError::Status { status, quoted_body } => {
-                Self::Unexpected { status: status.as_u16(), reason: quoted_body }
-            }
-            JsonError::Body { status, error, .. } => {
-                Self::Unexpected { status: status.as_u16(), reason: error.to_string() }
-            }
-        }
-    }
 }
 
 /// The outcome of a scale-out request.
@@ -98,6 +77,28 @@
         Ok(response)
     }
 
+    /// The error for a response whose status is not one of those that the request may have.
+    fn unexpected(response: &HttpResponse) -> CloudError {
+        let status = response.status.as_u16();
+        if response.status == StatusCode::SERVICE_UNAVAILABLE {
+            CloudError::Unavailable(status)
+        } else {
+            CloudError::Unexpected { status, reason: quoted_body(&response.body) }
+        }
+    }
+
+    fn encode<T: Serialize>(request: &T) -> Result<Vec<u8>, CloudError> {
+        serde_json::to_vec(request)
+            .map_err(|error| CloudError::Unexpected { status: NOT_SENT, reason: error.to_string() })
+    }
+
+    fn decode<T: DeserializeOwned>(response: &HttpResponse) -> Result<T, CloudError> {
+        serde_json::from_slice(&response.body).map_err(|error| CloudError::Unexpected {
+            status: response.status.as_u16(),
+            reason: error.to_string(),
+        })
+    }
+
     /// Returns all machine types with their current prices.
     ///
     /// # Errors
@@ -105,7 +106,10 @@
     /// Any [`CloudError`].
     pub async fn machine_types(&self) -> Result<Vec<MachineType>, CloudError> {
         let response = self.call(Method::GET, "/flavors", None).await?;
-        Ok(decode_ok::<MachineTypes>(&response)?.machine_types)
+        if response.status != StatusCode::OK {
+            return Err(Self::unexpected(&response));
+        }
+        Self::decode::<MachineTypes>(&response).map(|types| types.machine_types)
     }
 
     /// Creates machines.
@@ -118,17 +122,15 @@
         &self,
         request: &ScaleOutRequest,
     ) -> Result<ScaleOutOutcome, CloudError> {
-        let body = encode(request)?;
+        let body = Self::encode(request)?;
         let response = self.call(Method::POST, "/rentals", Some(body)).await?;
         match response.status {
-            StatusCode::OK => {
-                let names: MachineNames = decode(&response)?;
-                Ok(ScaleOutOutcome::Created(names.machines))
-            }
+            StatusCode::OK => Self::decode::<MachineNames>(&response)
+                .map(|names| ScaleOutOutcome::Created(names.machines)),
             StatusCode::SERVICE_UNAVAILABLE if body_contains(&response.body, NO_CAPACITY) => {
                 Ok(ScaleOutOutcome::NoCapacity)
             }
-            _ => Err(unexpected(&response).into()),
+            _ => Err(Self::unexpected(&response)),
         }
     }
 
@@ -138,9 +140,9 @@
     ///
     /// Any [`CloudError`]. After [`CloudError::Unknown`] the same request may be repeated.
     pub async fn delete(&self, machines: &[String]) -> Result<(), CloudError> {
-        let body = encode(&MachineNames { machines: machines.to_vec() })?;
+        let body = Self::encode(&MachineNames { machines: machines.to_vec() })?;
         let response = self.call(Method::POST, "/rentals/delete", Some(body)).await?;
-        if response.status == StatusCode::OK { Ok(()) } else { Err(unexpected(&response).into()) }
+        if response.status == StatusCode::OK { Ok(()) } else { Err(Self::unexpected(&response)) }
     }
 
     /// Returns all machines, read page by page.
@@ -149,32 +151,28 @@
     ///
     /// Any [`CloudError`]; the pages that were read are discarded.
     pub async fn machines(&self) -> Result<Vec<ListedMachine>, CloudError> {
-        Ok(read_pages(|after| self.machine_page(after)).await?.machines)
+        let mut all: Vec<ListedMachine> = Vec::new();
+        loop {
+            let last_id = all.last().map(|machine| machine.id.as_str());
+            let page = self.machine_page(last_id).await?;
+            let is_empty = page.machines.is_empty();
+            all.extend(page.machines);
+            if !page.has_next || is_empty {
+                return Ok(all);
+            }
+        }
     }
 
     /// Reads the page of the machine list that follows the machine `after`; the first one if `None`.
-    async fn machine_page(&self, after: Option<String>) -> Result<MachineList, CloudError> {
+    async fn machine_page(&self, after: Option<&str>) -> Result<MachineList, CloudError> {
         let mut path = format!("/rentals?Most={}", constants::LIST_PAGE);
         if let Some(after) = after {
             path.push_str(&format!("&After={after}"));
         }
         let response = self.call(Method::GET, &path, None).await?;
-        Ok(decode_ok(&response)?)
-    }
-}
-
-impl Page for MachineList {
-    type Item = ListedMachine;
-
-    fn items(&mut self) -> &mut Vec<ListedMachine> {
-        &mut self.machines
-    }
-
-    fn has_next(&self) -> bool {
-        self.has_next
-    }
-
-    fn id(machine: &ListedMachine) -> &str {
-        &machine.id
+        if response.status != StatusCode::OK {
+            return Err(Self::unexpected(&response));
+        }
+        Self::decode(&response)
     }
 }
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -6,7 +6,6 @@
 mod api;
 mod cloud;
 mod http;
-mod json;
 mod rate_limiter;
 mod store;
 mod worker;
--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -1,7 +1,6 @@
 //! Client of the state service: reads, transactions, leases and watches.
 
 use crate::http::{body_contains, quoted_body};
-use crate::json::{JsonError, Page, decode, decode_ok, encode, read_pages, unexpected};
 use crate::rate_limiter::PERMITS_PER_REQUEST;
 use crate::{HttpClient, HttpError, HttpResponse, RateLimiter};
 use hookway_constants as constants;
@@ -11,6 +10,8 @@
 };
 use hyper::{Method, StatusCode};
 use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, PercentEncode, utf8_percent_encode};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -26,6 +27,8 @@
 const EMPTY_OBJECT: &[u8] = b"{}";
 /// The text by which a 400 response to a transaction says that a lease does not exist.
 const NO_SUCH_LEASE: &str = "no such lease";
+/// Status in errors about a request that could not be encoded, and so has no response.
+const NOT_SENT: u16 = 0;
 
 /// Why a request to the state service failed.
 #[derive(Debug, thiserror::Error)]
@@ -39,10 +42,6 @@
     /// The outcome is unknown: the request may have been executed, or may be later.
     #[error("no answer from the state service: {0}")]
     Unknown(HttpError),
-    /// Not sent: the caller's circuit breaker is open, since an earlier request got no response in time.
-    // Users can't tell it from that earlier request, so the text is that of its timeout.
-    #[error("no answer from the state service: no answer in time")]
-    CircuitOpen,
     /// The lease has expired or was released.
     #[error("the lease has ended")]
     NoLease,
@@ -55,33 +54,11 @@
     /// The response has an unexpected HTTP status or body.
     #[error("unexpected answer {status}: {reason}")]
     Unexpected {
-        /// HTTP status of the response.
+        /// HTTP status of the response; 0 if the request could not be encoded.
         status: u16,
         /// The start of the body, or what is wrong with it.
         reason: String,
     },
-    /// The request could not be encoded, so it was not sent.
-    // Logs have had this text with status 0 since before the variant existed.
-    #[error("unexpected answer 0: {reason}")]
-    NotEncoded {
-        /// Why not.
-        reason: String,
-    },
-}
-
-impl From<JsonError> for StoreError {
-    fn from(error: JsonError) -> Self {
-        match error {
-            JsonError::Encoding(error) => Self::NotEncoded { reason: error.to_string() },
-            JsonError::Status { status, quoted_body } => {
-                Self::Unexpected { status: status.as_u16(), reason: quoted_body }
-            }
-            JsonError::Body { status, error, quoted_body } => Self::Unexpected {
-                status: status.as_u16(),
-                reason: format!("{error}: {quoted_body}"),
-            },
-        }
-    }
 }
 
 /// All keys with a prefix.
@@ -159,6 +136,26 @@
         }
     }
 
+    fn encode<T: Serialize>(request: &T) -> Result<Vec<u8>, StoreError> {
+        serde_json::to_vec(request)
+            .map_err(|error| StoreError::Unexpected { status: NOT_SENT, reason: error.to_string() })
+    }
+
+    fn decode<T: DeserializeOwned>(response: &HttpResponse) -> Result<T, StoreError> {
+        serde_json::from_slice(&response.body).map_err(|error| StoreError::Unexpected {
+            status: response.status.as_u16(),
+            reason: format!("{error}: {}", quoted_body(&response.body)),
+        })
+    }
+
+    /// The error for a response whose status is not one of those that the request may have.
+    fn unexpected(response: &HttpResponse) -> StoreError {
+        StoreError::Unexpected {
+            status: response.status.as_u16(),
+            reason: quoted_body(&response.body),
+        }
+    }
+
     /// Reads a key; `None` if it does not exist.
     ///
     /// # Errors
@@ -169,9 +166,9 @@
         let path = format!("/keys/{}", percent_encoded(key));
         let response = self.call(Method::GET, &path, None, constants::STORE_TIMEOUT).await?;
         match response.status {
-            StatusCode::OK => Ok(Some(decode(&response)?)),
+            StatusCode::OK => Self::decode(&response).map(Some),
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Err(unexpected(&response).into()),
+            _ => Err(Self::unexpected(&response)),
         }
     }
 
@@ -181,21 +178,34 @@
     ///
     /// Any [`StoreError`] but those of leases and watches; the pages that were read are discarded.
     pub async fn list(&self, prefix: &str) -> Result<Listing, StoreError> {
-        let all = read_pages(|after| self.list_page(prefix, after)).await?;
-        Ok(Listing { pairs: all.pairs, revision: all.revision })
+        let mut pairs: Vec<KeyValue> = Vec::new();
+        let mut first_revision = None;
+        loop {
+            let last_key = pairs.last().map(|pair| pair.key.as_str());
+            let page = self.list_page(prefix, last_key).await?;
+            let revision = *first_revision.get_or_insert(page.revision);
+            let is_empty = page.pairs.is_empty();
+            pairs.extend(page.pairs);
+            if !page.has_next || is_empty {
+                return Ok(Listing { pairs, revision });
+            }
+        }
     }
 
     /// Reads the page of keys with a prefix that follows the key `after`; the first one if `None`.
-    async fn list_page(&self, prefix: &str, after: Option<String>) -> Result<KeyPage, StoreError> {
+    async fn list_page(&self, prefix: &str, after: Option<&str>) -> Result<KeyPage, StoreError> {
         self.acquire().await?;
         let mut path = format!("/keys?Prefix={}", percent_encoded(prefix));
         if let Some(after) = after {
-            path.push_str(&format!("&After={}", percent_encoded(&after)));
+            path.push_str(&format!("&After={}", percent_encoded(after)));
         }
         path.push_str(&format!("&Most={LIST_PAGE_KEYS}"));
         let timeout = constants::STORE_TIMEOUT * LIST_TIMEOUT_FACTOR;
         let response = self.call(Method::GET, &path, None, timeout).await?;
-        Ok(decode_ok(&response)?)
+        if response.status != StatusCode::OK {
+            return Err(Self::unexpected(&response));
+        }
+        Self::decode(&response)
     }
 
     /// Commits a transaction.
@@ -206,23 +216,19 @@
     /// exist.
     pub async fn commit(&self, transaction: &Transaction) -> Result<CommitOutcome, StoreError> {
         self.acquire().await?;
-        let body = encode(transaction)?;
+        let body = Self::encode(transaction)?;
         let response =
             self.call(Method::POST, "/commit", Some(body), constants::STORE_TIMEOUT).await?;
         match response.status {
-            StatusCode::OK => {
-                let commit: CommitResponse = decode(&response)?;
-                Ok(CommitOutcome::Applied(commit.revision))
-            }
-            StatusCode::CONFLICT => {
-                let commit: CommitResponse = decode(&response)?;
-                Ok(CommitOutcome::PreconditionFailed(commit.failed))
-            }
+            StatusCode::OK => Self::decode::<CommitResponse>(&response)
+                .map(|commit| CommitOutcome::Applied(commit.revision)),
+            StatusCode::CONFLICT => Self::decode::<CommitResponse>(&response)
+                .map(|commit| CommitOutcome::PreconditionFailed(commit.failed)),
             StatusCode::BAD_REQUEST if body_contains(&response.body, NO_SUCH_LEASE) => {
                 Err(StoreError::NoLease)
             }
             StatusCode::BAD_REQUEST => Err(StoreError::Rejected(quoted_body(&response.body))),
-            _ => Err(unexpected(&response).into()),
+            _ => Err(Self::unexpected(&response)),
         }
     }
 
@@ -233,12 +239,14 @@
     /// Any [`StoreError`]. After [`StoreError::Unknown`] a lease may exist that nobody extends; it expires.
     pub async fn grant(&self, ttl: Duration) -> Result<u64, StoreError> {
         self.acquire().await?;
-        let body = encode(&LeaseGrantRequest { ttl_ms: whole_millis(ttl) })?;
+        let body = Self::encode(&LeaseGrantRequest { ttl_ms: whole_millis(ttl) })?;
         let response =
             self.call(Method::POST, "/grants", Some(body), constants::STORE_TIMEOUT).await?;
         match response.status {
-            StatusCode::OK | StatusCode::CREATED => Ok(decode::<LeaseGrant>(&response)?.lease_id),
-            _ => Err(unexpected(&response).into()),
+            StatusCode::OK | StatusCode::CREATED => {
+                Self::decode::<LeaseGrant>(&response).map(|grant| grant.lease_id)
+            }
+            _ => Err(Self::unexpected(&response)),
         }
     }
 
@@ -257,7 +265,7 @@
         match response.status {
             status if status.is_success() => Ok(()),
             StatusCode::NOT_FOUND => Err(StoreError::NoLease),
-            _ => Err(unexpected(&response).into()),
+            _ => Err(Self::unexpected(&response)),
         }
     }
 
@@ -292,23 +300,10 @@
         );
         let timeout = wait + constants::WATCH_GRACE;
         let response = self.call(Method::GET, &path, None, timeout).await?;
-        Ok(decode_ok(&response)?)
-    }
-}
-
-impl Page for KeyPage {
-    type Item = KeyValue;
-
-    fn items(&mut self) -> &mut Vec<KeyValue> {
-        &mut self.pairs
-    }
-
-    fn has_next(&self) -> bool {
-        self.has_next
-    }
-
-    fn id(pair: &KeyValue) -> &str {
-        &pair.key
+        match response.status {
+            StatusCode::OK => Self::decode(&response),
+            _ => Err(Self::unexpected(&response)),
+        }
     }
 }
 
--- a/crates/controller/src/actor/dispatch.rs
+++ b/crates/controller/src/actor/dispatch.rs
@@ -134,8 +134,7 @@
             Ok(ScaleOutOutcome::Created(machines)) => {
                 return ClusterEvent::ScaleOutFinished { request, machines: Some(machines) };
             }
-            Ok(ScaleOutOutcome::NoCapacity)
-            | Err(CloudError::Unexpected { .. } | CloudError::NotEncoded { .. }) => {
+            Ok(ScaleOutOutcome::NoCapacity) | Err(CloudError::Unexpected { .. }) => {
                 return ClusterEvent::ScaleOutFinished { request, machines: None };
             }
             Err(error) => {
--- a/crates/controller/src/api/job_reader.rs
+++ b/crates/controller/src/api/job_reader.rs
@@ -38,7 +38,8 @@
         if let Ok(mut breaker) = self.breaker.lock()
             && !breaker.allows_request()
         {
-            return Err(StoreError::CircuitOpen);
+            let address = store.address().to_owned();
+            return Err(StoreError::Unknown(HttpError::Timeout { address }));
         }
         let stored = read_job(store, job).await;
         if let Ok(mut breaker) = self.breaker.lock() {
--- a/crates/controller/src/api/mod.rs
+++ b/crates/controller/src/api/mod.rs
@@ -15,7 +15,6 @@
 use crate::job_snapshot::JobSnapshot;
 use crate::leadership::LeadershipView;
 use crate::peers::{PeerRequest, Peers};
-use crate::records::team_of_job_record;
 use crate::request_outcome::RequestOutcome;
 use crate::settings::PlatformSettings;
 use hookway_clients::{StoreClient, StoreError};
@@ -26,6 +25,9 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
+/// Where a job's record has the name of its team.
+const TEAM_IN_RECORD: &str = "/spec/Owner";
+
 /// The clients of the state service that the API uses.
 #[derive(Debug, Clone)]
 pub struct StoreClients {
@@ -124,12 +126,13 @@
 
     /// The state of a job whose record is in the state service and that no leader schedules yet.
     fn queued_snapshot(&self, job: &JobId, record: &serde_json::Value) -> JobSnapshot {
+        let team = record.pointer(TEAM_IN_RECORD).and_then(|team| team.as_str());
         JobSnapshot {
             id: job.clone(),
             state: JobState::Queued,
             done: 0,
             running: 0,
-            team: team_of_job_record(record).map(str::to_owned),
+            team: team.map(str::to_owned),
             leader: self.leader(),
             notes: vec![],
         }
--- a/crates/controller/src/cluster_state/commit_outcome.rs
+++ b/crates/controller/src/cluster_state/commit_outcome.rs
@@ -3,10 +3,10 @@
 use super::commit_queue::{CommitItem, JobPage, RegistryMember, is_leader_record};
 use super::{ClusterState, JobKey};
 use crate::records::{
-    FinalRecord, JobSchedulingRecord, ParsedKey, ProgressRecord, scheduling_key,
+    FinalRecord, JobSchedulingRecord, ProgressRecord, parse_progress_key, scheduling_key,
     shared_watermarks_key,
 };
-use hookway_wire::KeyValue;
+use hookway_wire::{JobId, KeyValue};
 
 impl ClusterState {
     /// An item is durable since this revision.
@@ -104,21 +104,24 @@
             self.commit_queue.set_mod_revision(key, value.map_or(0, |v| v.mod_revision));
             return;
         }
-        match ParsedKey::parse(key) {
-            Some(ParsedKey::FinalState(id)) => {
-                let Some(job) = self.jobs.key(&id) else { return };
+        let mut parts = key.split('/');
+        let kind = parts.next().unwrap_or_default();
+        let id = parts.next().and_then(JobId::parse);
+        let Some(job) = id.and_then(|id| self.jobs.key(&id)) else { return };
+        match kind {
+            "f" => {
                 let record =
                     value.and_then(|v| serde_json::from_value::<FinalRecord>(v.value).ok());
                 if let Some(record) = record {
                     self.complete_job(job, record);
                 }
             }
-            Some(ParsedKey::Progress(progress)) => {
-                let Some(job) = self.jobs.key(&progress.job) else { return };
+            "p" => {
+                let Some((_, first)) = parse_progress_key(key) else { return };
                 let revision = value.as_ref().map_or(0, |v| v.mod_revision);
                 let record =
                     value.and_then(|v| serde_json::from_value::<ProgressRecord>(v.value).ok());
-                self.apply_progress_record(job, progress.first_task, revision, record.as_ref());
+                self.apply_progress_record(job, first, revision, record.as_ref());
             }
             _ => {}
         }
--- a/crates/controller/src/cluster_state/recovery.rs
+++ b/crates/controller/src/cluster_state/recovery.rs
@@ -4,8 +4,8 @@
 use super::machine_registry::MachineRegistry;
 use super::{CachedImage, ClassHistory, ClusterState, JobOrigin, Machine, Timestamp};
 use crate::records::{
-    ClassRecord, ImagesRecord, JobSchedulingRecord, MachineRegistryRecord, ParsedKey,
-    ProgressRecord, SharedStartWatermarksRecord,
+    ClassRecord, ImagesRecord, JobSchedulingRecord, MachineRegistryRecord, ProgressRecord,
+    SharedStartWatermarksRecord,
 };
 use hookway_time::{WallTime, millis_f64};
 use hookway_wire::{JobId, KeyValue};
@@ -35,19 +35,23 @@
     pub has_start_watermarks: bool,
 }
 
+/// The job that a record of the kind `<prefix>/<job>...` is about.
+fn job_of_key(key: &str) -> Option<JobId> {
+    key.split('/').nth(1).and_then(JobId::parse)
+}
+
 /// The jobs that have a record, whether it can be read or not: no record of a job whose own record can't be
 /// read is deleted, since a later version may read it.
 struct Accepted(HashSet<JobId>);
 
 impl Accepted {
     fn new(jobs: &[KeyValue]) -> Self {
-        let keys = jobs.iter().filter_map(|kv| ParsedKey::parse(&kv.key));
-        Self(keys.map(ParsedKey::into_job).collect())
+        Self(jobs.iter().filter_map(|kv| job_of_key(&kv.key)).collect())
     }
 
     /// Whether a record is about no accepted job that has not ended.
     fn lacks_job_of(&self, key: &str) -> bool {
-        ParsedKey::parse(key).is_none_or(|parsed| !self.0.contains(&parsed.into_job()))
+        job_of_key(key).is_none_or(|id| !self.0.contains(&id))
     }
 }
 
@@ -110,7 +114,7 @@
 
     fn load_progress(&mut self, kv: KeyValue, accepted: &Accepted) {
         let place = crate::records::parse_progress_key(&kv.key)
-            .and_then(|key| Some((self.jobs.key(&key.job)?, key.first_task)));
+            .and_then(|(id, from)| Some((self.jobs.key(&id)?, from)));
         let Some((job, from)) = place else {
             return self.remove_if_orphaned(kv.key, accepted);
         };
@@ -143,8 +147,7 @@
     }
 
     fn load_scheduling_record(&mut self, kv: KeyValue, accepted: &Accepted) {
-        let job =
-            ParsedKey::parse(&kv.key).and_then(|parsed| self.jobs.by_id_mut(&parsed.into_job()));
+        let job = job_of_key(&kv.key).and_then(|id| self.jobs.by_id_mut(&id));
         let Some(job) = job else {
             return self.remove_if_orphaned(kv.key, accepted);
         };
--- a/crates/controller/src/records/job.rs
+++ b/crates/controller/src/records/job.rs
@@ -17,17 +17,6 @@
     pub has_start_watermark: bool,
 }
 
-/// Where the JSON of a [`JobRecord`] has the name of its team ([`JobSpec::team`]).
-const TEAM_POINTER: &str = "/spec/Owner";
-
-/// The team of a job, of the JSON of its [`JobRecord`].
-///
-/// The record is not parsed whole: a later version may have written one that this version can't parse, and its
-/// job is reported all the same, with its team if that is where it was.
-pub fn team_of_job_record(record: &serde_json::Value) -> Option<&str> {
-    record.pointer(TEAM_POINTER)?.as_str()
-}
-
 /// The value of `f/<job>`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinalRecord {
--- a/crates/controller/src/records/keys.rs
+++ b/crates/controller/src/records/keys.rs
@@ -51,75 +51,17 @@
     }
 }
 
-/// What the key of a progress record says.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ProgressKey {
-    /// The job.
-    pub job: JobId,
-    /// The first task of the record.
-    pub first_task: u32,
-}
-
-/// The key of a record about one job: `<prefix><job>`, and what may follow after a `/`.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ParsedKey {
-    /// `j/<job>`: an accepted job.
-    Job(JobId),
-    /// `f/<job>`: a final state.
-    FinalState(JobId),
-    /// `p/<job>/<page>` or `p/<job>/<page>/<task>`: progress.
-    Progress(ProgressKey),
-    /// `p/<job>` with a place that can't be read. It still is about this job, so it is not orphaned while the
-    /// job lives.
-    UnknownProgress(JobId),
-    /// `m/<job>`: hints for the next leader and a start watermark.
-    Scheduling(JobId),
-}
-
-impl ParsedKey {
-    /// Parses a key; `None` if it is not that of a record about one job.
-    pub fn parse(key: &str) -> Option<Self> {
-        let (prefix, rest) = key.split_at(key.find('/')? + 1);
-        let (job, place) = rest.split_once('/').unwrap_or((rest, ""));
-        let job = JobId::parse(job)?;
-        match prefix {
-            JOBS_PREFIX => Some(Self::Job(job)),
-            FINAL_STATES_PREFIX => Some(Self::FinalState(job)),
-            PROGRESS_PREFIX => Some(match parse_first_task(place) {
-                Some(first_task) => Self::Progress(ProgressKey { job, first_task }),
-                None => Self::UnknownProgress(job),
-            }),
-            SCHEDULING_PREFIX => Some(Self::Scheduling(job)),
-            _ => None,
-        }
-    }
-
-    /// The job that the record is about.
-    pub fn into_job(self) -> JobId {
-        match self {
-            Self::Job(job)
-            | Self::FinalState(job)
-            | Self::Progress(ProgressKey { job, .. })
-            | Self::UnknownProgress(job)
-            | Self::Scheduling(job) => job,
+/// The job and the first task of the key of a progress record.
+pub fn parse_progress_key(key: &str) -> Option<(JobId, u32)> {
+    let parts: Vec<&str> = key.strip_prefix(PROGRESS_PREFIX)?.split('/').collect();
+    let (job, first_task) = match parts.as_slice() {
+        [job, page] => {
+            (job, page.parse::<u32>().ok()?.checked_mul(constants::PROGRESS_PAGE_TASKS)?)
         }
-    }
-}
-
-/// The first task of a progress record whose key ends with `<page>` or `<page>/<task>`.
-fn parse_first_task(place: &str) -> Option<u32> {
-    match place.split_once('/') {
-        None => place.parse::<u32>().ok()?.checked_mul(constants::PROGRESS_PAGE_TASKS),
-        Some((_, first_task)) => first_task.parse().ok(),
-    }
-}
-
-/// Parses the key of a progress record.
-pub fn parse_progress_key(key: &str) -> Option<ProgressKey> {
-    match ParsedKey::parse(key)? {
-        ParsedKey::Progress(progress) => Some(progress),
-        _ => None,
-    }
+        [job, _, first_task] => (job, first_task.parse().ok()?),
+        _ => return None,
+    };
+    Some((JobId::parse(job)?, first_task))
 }
 
 /// `m/<job>`.
