--- a/crates/policy/src/scheduling_queue.rs
+++ b/crates/policy/src/scheduling_queue.rs
@@ -1,20 +1,21 @@
-//! The order in which jobs get resources.
+//! The scheduling queue: the order in which waiting jobs get resources, and how many tasks of each.
 
 use crate::min_tasks::min_tasks_by_deadline;
 use crate::{JobView, min_tasks};
 use hookway_constants as constants;
 
-/// Lower bound of a task's CPUs where they are a divisor, so that a task without CPUs does not divide by zero.
+/// Minimum CPUs of a task where they are a divisor, so that a task that requests no CPUs causes no division by zero.
 const MIN_CPUS: f64 = 0.001;
 
-/// An entry of the scheduling queue: up to `tasks` tasks of a job are to be placed.
+/// An entry of the scheduling queue: place up to `tasks` tasks of a job. A job can have several entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueEntry {
-    /// The job.
+    /// Index of the job.
     pub job: usize,
     /// Maximum number of tasks to place for this entry.
     pub tasks: u32,
-    /// Beyond the job's minimum: placed on leftover capacity.
+    /// Whether the tasks exceed the job's minimum, or belong to a job without an objective. Such tasks get only the
+    /// resources that other entries leave free.
     pub leftover: bool,
 }
 
@@ -22,40 +23,43 @@
     job.deadline.unwrap_or(f64::INFINITY)
 }
 
-/// Whether the job is late already. The minimum of a late job is all its unfinished tasks, so that after a burst a
-/// few late jobs would take all resources and make every later job late as well. Late jobs therefore come after those
-/// that can still meet their deadlines.
+/// Whether the deadline of a job has passed, or is less than `LATENESS_TASK_TIMES` task times away.
+///
+/// The minimum of a late job is all its unfinished tasks. If late jobs kept their position in the queue, a few of them
+/// would use all resources after a burst of submissions and make every later job late as well. Late jobs therefore
+/// come after those that can still meet their deadlines.
 pub(crate) fn is_late(job: &JobView, now: f64) -> bool {
     job.deadline
         .is_some_and(|deadline| now + constants::LATENESS_TASK_TIMES * job.task_time() > deadline)
 }
 
-/// How many of its start objectives a job has missed. One that has waited for longer than `START_DEADLINE_S` counts as
-/// having missed none and so precedes those that have missed some, which prevents starvation.
-fn missed_starts(job: &JobView, now: f64) -> usize {
+/// Returns how many of its start objectives a job has missed. Jobs with fewer missed objectives start first. To prevent
+/// starvation, a job that has waited for longer than `START_DEADLINE_S` counts as having missed none.
+fn missed_start_objectives(job: &JobView, now: f64) -> usize {
     if now > job.submitted + constants::START_DEADLINE_S {
         return 0;
     }
     job.start_by.iter().filter(|by| now > **by).count()
 }
 
-/// Whether a gang is partially placed: its placed tasks hold resources without working until the rest is placed, and
-/// the workers end them after a time limit.
-fn gang_awaits_rest(job: &JobView) -> bool {
+/// Whether the job is a gang of which some tasks are placed and others are not. The placed tasks hold resources without
+/// doing work until the others are placed too, and the workers end them after a time limit.
+fn is_partially_placed_gang(job: &JobView) -> bool {
     job.gang && job.startable > 0 && job.placed > 0
 }
 
-/// The order among jobs that have never run: by priority, then gangs of which a part waits for the rest, then by
-/// missed start objectives, then the oldest.
+/// Compares two jobs that wait for their first start: higher priority first, then partially placed gangs, then fewer
+/// missed start objectives, then the earlier submission.
 pub(crate) fn first_start_order(a: &JobView, b: &JobView, now: f64) -> std::cmp::Ordering {
     b.priority
         .cmp(&a.priority)
-        .then(gang_awaits_rest(b).cmp(&gang_awaits_rest(a)))
-        .then(missed_starts(a, now).cmp(&missed_starts(b, now)))
+        .then(is_partially_placed_gang(b).cmp(&is_partially_placed_gang(a)))
+        .then(missed_start_objectives(a, now).cmp(&missed_start_objectives(b, now)))
         .then(a.submitted.total_cmp(&b.submitted))
 }
 
-/// The minimum task count, with the team's estimate in place of the mean until a task has finished.
+/// Returns the minimum task count of a job with this deadline, using the team's estimate of the task time until a task
+/// has finished.
 pub(crate) fn min_tasks_or_estimate(job: &JobView, now: f64, deadline: f64) -> u32 {
     if job.mean_task_time.is_some() {
         return min_tasks(job, now);
@@ -63,21 +67,23 @@
     min_tasks_by_deadline(job.task_time(), job.unfinished, deadline - now)
 }
 
-/// Work and CPUs that a job needs to meet its deadline.
+/// The work and the CPUs that a job needs to meet its deadline.
 struct DeadlineDemand {
     job: usize,
-    /// CPU seconds left.
+    /// Work of the unfinished tasks, CPU seconds.
     work: f64,
-    /// CPUs of its minimum.
+    /// CPUs of the job's minimum task count.
     cpus: f64,
 }
 
-/// Marks jobs that can't all meet their deadlines: when the minimums together exceed `capacity` CPUs, those with
-/// the least work left are feasible, which maximizes the number of jobs in time, and the others are deferred like late
-/// ones. Earliest deadline first would make nearly all of them late one after the other.
-fn infeasible(jobs: &[JobView], now: f64, capacity: f64) -> Vec<bool> {
+/// Returns for each job whether its deadline is infeasible together with those of the other jobs.
+///
+/// When the minimums of all jobs together exceed `cpu_capacity` CPUs, the jobs with the least work left are feasible,
+/// which maximizes the number of jobs that meet their deadlines; the others are deferred like late jobs. With earliest
+/// deadline first, nearly all of them would become late one after the other.
+fn infeasible_jobs(jobs: &[JobView], now: f64, cpu_capacity: f64) -> Vec<bool> {
     let mut infeasible = vec![false; jobs.len()];
-    let mut free_cpus = capacity;
+    let mut free_cpus = cpu_capacity;
     let mut demands: Vec<DeadlineDemand> = Vec::new();
     for (index, job) in jobs.iter().enumerate() {
         if job.needs_all_tasks_at_once() {
@@ -104,24 +110,24 @@
     infeasible
 }
 
-/// Whether the job has no objective for its start or its end, that is, whether it is backfill.
+/// Whether the job is backfill: an array without an objective for its start or its end.
 pub(crate) fn has_no_objective(job: &JobView) -> bool {
     !job.needs_all_tasks_at_once() && job.deadline.is_none() && job.start_by.is_empty()
 }
 
-/// Whether the job waits for its first start. A replica of a daemon that is not running counts as such by itself,
-/// since no other replica does its work; a partially placed gang has not started.
+/// Whether the job belongs to those that wait for their first start. Daemons and gangs always do: no other replica does
+/// the work of a missing one, and a partially placed gang has not started.
 pub(crate) fn awaits_first_start(job: &JobView) -> bool {
     job.has_never_run() || job.needs_all_tasks_at_once()
 }
 
-/// Unfinished jobs with tasks to start, by their part of the queue. Entries are indexes of jobs.
+/// Indexes of the jobs with tasks to start, grouped by the part of the queue that they belong to.
 struct QueueGroups {
-    /// Jobs that wait for their first start.
+    /// Jobs that wait for their first start and have an objective, and all gangs and daemons.
     awaiting_first_start: Vec<usize>,
-    /// Jobs that have run, and have an objective.
+    /// Arrays that have an objective and have run already.
     started: Vec<usize>,
-    /// Jobs without any objective.
+    /// Backfill: arrays without any objective.
     without_objective: Vec<usize>,
     /// Jobs that have failed on every machine that ran them.
     crash_looping: Vec<usize>,
@@ -131,20 +137,21 @@
 struct QueueBuilder<'a> {
     jobs: &'a [JobView],
     now: f64,
-    /// CPUs of the machines that take tasks.
-    capacity: f64,
-    /// Per job: late, or not feasible together with the others. It comes after jobs that can meet their deadlines.
+    /// CPUs of all machines that take tasks, used ones included.
+    cpu_capacity: f64,
+    /// Per job: whether it is late, or infeasible together with the others. Deferred jobs come after those that can
+    /// meet their deadlines.
     deferred: Vec<bool>,
     queue: Vec<QueueEntry>,
 }
 
 impl<'a> QueueBuilder<'a> {
-    fn new(jobs: &'a [JobView], now: f64, capacity: f64) -> Self {
-        let mut deferred = infeasible(jobs, now, capacity);
+    fn new(jobs: &'a [JobView], now: f64, cpu_capacity: f64) -> Self {
+        let mut deferred = infeasible_jobs(jobs, now, cpu_capacity);
         for (deferred, job) in deferred.iter_mut().zip(jobs) {
             *deferred |= is_late(job, now);
         }
-        Self { jobs, now, capacity, deferred, queue: Vec::new() }
+        Self { jobs, now, cpu_capacity, deferred, queue: Vec::new() }
     }
 
     fn groups(&self) -> QueueGroups {
@@ -161,7 +168,7 @@
         QueueGroups { awaiting_first_start, started, without_objective, crash_looping }
     }
 
-    /// Feasible jobs first, then by priority, deadline and age.
+    /// Compares two jobs: feasible jobs first, then by priority, deadline and age.
     fn by_deadline(&self, a: usize, b: usize) -> std::cmp::Ordering {
         let feasible_first = self.deferred[a].cmp(&self.deferred[b]);
         let (a, b) = (&self.jobs[a], &self.jobs[b]);
@@ -179,7 +186,7 @@
         self.queue.push(QueueEntry { job, tasks, leftover: true });
     }
 
-    /// One task of each array, and all of a gang or daemon, whose minimum that is.
+    /// Adds the minimum of each job that waits for its first start: one task of an array, all of a gang or daemon.
     fn push_first_starts(&mut self, jobs: &[usize]) {
         for &index in jobs {
             let job = &self.jobs[index];
@@ -188,12 +195,13 @@
         }
     }
 
-    /// A share of the CPUs for jobs older than `AGING_S`, oldest first, so that feasible jobs cannot starve them.
+    /// Adds deferred jobs and backfill older than `AGING_S`, oldest first, so that feasible jobs cannot starve them.
+    /// Together they get `AGING_CPU_SHARE` of the CPUs, including what their placed tasks use already.
     fn push_aged(&mut self) {
         let mut aged: Vec<usize> =
             (0..self.jobs.len()).filter(|index| self.is_aged(*index)).collect();
         aged.sort_by(|a, b| self.jobs[*a].submitted.total_cmp(&self.jobs[*b].submitted));
-        let mut cpus = self.capacity * constants::AGING_CPU_SHARE;
+        let mut cpus = self.cpu_capacity * constants::AGING_CPU_SHARE;
         for index in aged {
             let job = &self.jobs[index];
             cpus -= f64::from(job.placed) * job.request.cpus;
@@ -206,6 +214,7 @@
         }
     }
 
+    /// Whether the job is older than `AGING_S` and would otherwise come after other jobs.
     fn is_aged(&self, index: usize) -> bool {
         let job = &self.jobs[index];
         let comes_after_others =
@@ -213,7 +222,7 @@
         comes_after_others && !job.crash_looping && self.now > job.submitted + constants::AGING_S
     }
 
-    /// The tasks that started jobs lack of their minimums.
+    /// Adds the tasks that started jobs need beyond their placed ones to reach their minimums.
     fn push_min_tasks(&mut self, started: &[usize]) {
         for &index in started {
             let job = &self.jobs[index];
@@ -225,8 +234,9 @@
         }
     }
 
-    /// Leftover capacity goes to the job with the least work left first: most jobs meet their deadlines that way
-    /// when there is not enough for all. Priority has been considered in the earlier entries.
+    /// Adds the remaining startable tasks of arrays: feasible jobs first, then those with the least work left, so that
+    /// as many jobs as possible meet their deadlines when there are not enough resources for all. Priority is not
+    /// considered here: the entries for the minimums take account of it.
     fn push_leftovers(&mut self, jobs: impl Iterator<Item = usize>) {
         let work = |index: usize| {
             let job = &self.jobs[index];
@@ -243,7 +253,7 @@
         }
     }
 
-    /// Backfill: one task of each job that has never run, then all tasks, by priority and age.
+    /// Adds backfill by priority and age: one task of each job that has never run, then all startable tasks.
     fn push_without_objective(&mut self, mut jobs: Vec<usize>) {
         jobs.sort_by(|a, b| {
             let (a, b) = (&self.jobs[*a], &self.jobs[*b]);
@@ -257,7 +267,7 @@
         }
     }
 
-    /// Crash-looping jobs come last, so that they take no resources from healthy ones.
+    /// Adds crash-looping jobs, which come last so that they take no resources from healthy ones.
     fn push_crash_looping(&mut self, jobs: Vec<usize>) {
         for index in jobs {
             self.push(index, self.jobs[index].startable);
@@ -265,12 +275,17 @@
     }
 }
 
-/// The scheduling queue. Within each priority: jobs that have never run, oldest first; then earliest
-/// deadline first, each up to its minimum. Leftover capacity goes to the job with the least work left. Jobs that
-/// are late, or not feasible together with the others on `capacity` CPUs, follow, and after them those without a
-/// deadline; but a share of the CPUs goes to those of them that have waited longest.
-pub fn scheduling_queue(jobs: &[JobView], now: f64, capacity: f64) -> Vec<QueueEntry> {
-    let mut builder = QueueBuilder::new(jobs, now, capacity);
+/// Returns the scheduling queue for a cluster with `cpu_capacity` CPUs in total. Its parts, in order:
+///
+/// 1. Jobs that wait for their first start, by priority, each with its minimum.
+/// 2. Deferred jobs and backfill that have waited longest, up to a share of the CPUs. A job is deferred if it is late,
+///    or infeasible together with the others on `cpu_capacity` CPUs.
+/// 3. Started jobs, up to their minimums: deferred ones last, otherwise by priority and earliest deadline.
+/// 4. The remaining tasks of the arrays of parts 1 and 3: deferred jobs last, otherwise least work left first.
+/// 5. Backfill, by priority and age.
+/// 6. Crash-looping jobs.
+pub fn scheduling_queue(jobs: &[JobView], now: f64, cpu_capacity: f64) -> Vec<QueueEntry> {
+    let mut builder = QueueBuilder::new(jobs, now, cpu_capacity);
     let groups = builder.groups();
     builder.push_first_starts(&groups.awaiting_first_start);
     builder.push_aged();
--- a/crates/policy/src/scheduling_queue/tests.rs
+++ b/crates/policy/src/scheduling_queue/tests.rs
@@ -42,7 +42,7 @@
     assert_eq!(leftover, [1, 2, 0, 3], "least work left first, the late job last");
 }
 
-/// An array with one completed task and `unfinished` others that should complete by `deadline`.
+/// Returns an array with one completed task, and `unfinished` others that should complete by `deadline`.
 fn started(unfinished: u32, deadline: f64) -> JobView {
     JobView {
         completed: 1,
@@ -56,7 +56,8 @@
 
 #[test]
 fn infeasible_deadlines_favor_jobs_with_smallest_demand() {
-    // Minimums of 10, 8 and 2 CPUs: on 10 CPUs the job with the earliest deadline would make the others late.
+    // Minimums of 10, 8 and 2 CPUs: on 10 CPUs the job with the earliest deadline would use all of them and make the
+    // other two late.
     let jobs = vec![started(10, 10.0), started(16, 20.0), started(4, 20.0)];
     let first_job = |capacity| scheduling_queue(&jobs, 0.0, capacity)[0].job;
     assert_eq!(first_job(20.0), 0, "enough CPUs for all: earliest deadline first");
@@ -73,7 +74,7 @@
 
 #[test]
 fn long_waiting_job_is_not_starved() {
-    // One late job, and 50 new ones that could use all CPUs.
+    // One late job, and 50 newer ones that could use all CPUs.
     let mut late = started(500, 5.0);
     late.submitted = 0.0;
     let now = constants::AGING_S + 1.0;
@@ -108,7 +109,8 @@
     assert_eq!(order(after_bound)[0], 0, "after START_DEADLINE_S the oldest goes first");
 }
 
-/// The placed tasks of a partially placed gang hold resources without working, and end after a time limit.
+/// The placed tasks of a partially placed gang hold resources without doing work, and the workers end them after a time
+/// limit, so the gang must be completed before another one begins.
 #[test]
 fn partially_placed_gang_precedes_older_gangs() {
     let gang = |submitted: f64, placed: u32| JobView {
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -1,100 +1,103 @@
-//! What a decision is based on: jobs, machines and teams at one moment.
+//! The scheduling snapshot: the jobs, machines and teams at one moment, as input of one scheduling round.
 
 use crate::Resources;
 use crate::resources::EPSILON;
 use hookway_wire::{MachineType, Priority};
 
-/// Lower bound of a task time and of the CPUs of a machine, so that neither divides by zero.
-const SMALLEST_DIVISOR: f64 = 0.1;
+/// Minimum of a task time (s) and of the CPUs of a machine where they are a divisor, to prevent division by zero.
+const MIN_DIVISOR: f64 = 0.1;
 
-/// A job, as the policy sees it. Times are seconds on the caller's scale.
+/// A job, as the policy sees it. Times are seconds since the caller's origin, durations are seconds.
 #[derive(Debug, Clone)]
 pub struct JobView {
-    /// Index of its team.
+    /// Index of its team in [`ClusterSnapshot::teams`].
     pub team: usize,
-    /// Priority.
+    /// Rank against other jobs: a job may preempt tasks of lower priority.
     pub priority: Priority,
-    /// A gang: all tasks start together or none does.
+    /// Whether the job is a gang: all tasks start together, or none does.
     pub gang: bool,
-    /// A daemon: its tasks (replicas) run until it is cancelled.
+    /// Whether the job is a daemon: its tasks (replicas) run until the job is cancelled.
     pub daemon: bool,
-    /// Number of tasks.
+    /// Number of tasks, completed ones included.
     pub tasks: u32,
-    /// The request of one task.
+    /// Resources that one task requests.
     pub request: Resources,
-    /// Per machine type: whether a task may run on it.
+    /// Per machine type: whether the job allows it and a task fits on an empty machine of it.
     pub machine_types: Vec<bool>,
-    /// The only allowed zone.
+    /// Index of the only zone that the job allows; `None` if it allows all. The index of a zone that does not exist
+    /// matches no machine.
     pub zone: Option<usize>,
-    /// All tasks must be in one zone.
+    /// Whether all tasks must be in the same zone.
     pub one_zone: bool,
     /// Maximum number of tasks in one zone.
     pub max_tasks_per_zone: u32,
-    /// Spot instances are allowed.
+    /// Whether tasks may run on spot machines.
     pub spot: bool,
-    /// Number of its image.
+    /// The caller's number for the job's image; equal numbers stand for the same image.
     pub image: u32,
     /// Size of the image, GB.
     pub image_gb: f64,
-    /// Tasks write checkpoints, and keep their progress when they are stopped.
+    /// Whether tasks write checkpoints and so keep their progress when they are stopped.
     pub checkpoints: bool,
     /// Time that a stopped task takes to write a checkpoint, s; 0 if it writes none.
     pub checkpoint_time: f64,
-    /// When it was submitted, s.
+    /// Time of submission, s.
     pub submitted: f64,
-    /// When it should be complete, s: its own deadline, or the objective of its class.
+    /// Time by which the job should be complete, s: its own deadline, or the objective of its class. `None` without
+    /// either.
     pub deadline: Option<f64>,
-    /// When it should have started, s: the objectives of its class, tightest first.
+    /// Times by which the job should have started, s: the objectives of its class, tightest first.
     pub start_by: Vec<f64>,
     /// The team's estimate of a task's run time, s.
     pub estimated_task_time: f64,
-    /// Completed tasks.
+    /// Number of completed tasks.
     pub completed: u32,
-    /// Mean run time of completed tasks whose run time is known, s; `None` until there is one.
+    /// Mean run time of the completed tasks whose run time is known, s; `None` until there is one.
     pub mean_task_time: Option<f64>,
-    /// Tasks that are not completed.
+    /// Number of tasks that are not completed, placed ones included.
     pub unfinished: u32,
-    /// Tasks that are placed on some machine.
+    /// Number of tasks that are placed on some machine.
     pub placed: u32,
-    /// Tasks that could be placed now.
+    /// Number of tasks that could be placed now.
     pub startable: u32,
-    /// It has failed on every machine that ran it: it is retried on leftover resources only, and preempts nothing.
+    /// Whether the job has failed on every machine that ran it. Such a job is retried only on resources that other jobs
+    /// leave free, and preempts nothing.
     pub crash_looping: bool,
-    /// Placed tasks per zone.
+    /// Number of placed tasks per zone.
     pub placed_per_zone: Vec<u32>,
-    /// Since when tasks of it have been waiting for resources, s.
+    /// Time since which tasks of the job have been waiting for resources, s.
     pub waiting_since: f64,
 }
 
 impl JobView {
-    /// Whether all its tasks are wanted at the same time, as those of a gang or a daemon are.
+    /// Whether all tasks should run at the same time, which is so for a gang and a daemon.
     pub fn needs_all_tasks_at_once(&self) -> bool {
         self.gang || self.daemon
     }
 
-    /// Whether no task of it has run or is placed.
+    /// Whether no task of the job has completed or is placed.
     pub fn has_never_run(&self) -> bool {
         self.completed == 0 && self.placed == 0
     }
 
-    /// Mean task time, s, or the team's estimate until a task has finished.
+    /// Returns the mean task time, s, or the team's estimate until a task has finished.
     pub fn task_time(&self) -> f64 {
-        self.mean_task_time.unwrap_or(self.estimated_task_time).max(SMALLEST_DIVISOR)
+        self.mean_task_time.unwrap_or(self.estimated_task_time).max(MIN_DIVISOR)
     }
 
-    /// Whether the job allows machines of this type, zone and kind.
+    /// Whether the job allows machines of this type in this zone, and spot machines if `spot` is set.
     pub fn allows(&self, machine_type: usize, zone: usize, spot: bool) -> bool {
         self.machine_types.get(machine_type).copied().unwrap_or(false)
             && self.zone.is_none_or(|only| only == zone)
             && (self.spot || !spot)
     }
 
-    /// Placed tasks in a zone.
+    /// Returns the number of placed tasks in a zone.
     pub fn placed_in(&self, zone: usize) -> u32 {
         self.placed_per_zone.get(zone).copied().unwrap_or(0)
     }
 
-    /// Whether one more task may be placed in this zone, given where the others are.
+    /// Whether one more task may be placed in this zone, given the zones of the placed tasks.
     pub fn may_use_zone(&self, zone: usize) -> bool {
         if self.placed_in(zone) >= self.max_tasks_per_zone {
             return false;
@@ -104,18 +107,18 @@
     }
 }
 
-/// A task on a machine, as far as preemption is concerned.
+/// A task that is placed on a machine. Preemption and relocation choose among these.
 #[derive(Debug, Clone)]
 pub struct PlacedTaskView {
-    /// Identifies the task to the caller; the policy only returns it.
+    /// The caller's identifier of the task, unique on its machine; the policy returns it in [`Victim`](crate::Victim).
     pub id: u64,
     /// Index of its job.
     pub job: usize,
-    /// Its request.
+    /// Resources that it requests.
     pub request: Resources,
-    /// How long it has been running, s.
+    /// Time that the task has been running, s; 0 before it runs.
     pub elapsed: f64,
-    /// It is being stopped already, so its resources become free soon.
+    /// Whether the task is being stopped already, so that its resources become free soon.
     pub terminating: bool,
 }
 
@@ -126,35 +129,36 @@
     pub machine_type: usize,
     /// Index of its zone.
     pub zone: usize,
-    /// Spot instance.
+    /// Whether the machine is a spot machine, which the cloud may reclaim.
     pub spot: bool,
-    /// All resources that it has.
+    /// Capacity: all resources of the machine, used or not.
     pub total: Resources,
-    /// Free resources.
+    /// Resources that are neither used by a placed task nor held for one.
     pub free: Resources,
-    /// Its price per hour.
+    /// Price of the machine per hour.
     pub price: f64,
-    /// Images that it holds, as far as the leader knows.
+    /// Numbers of the images in the machine's cache, as far as the leader knows ([`JobView::image`]).
     pub images: Vec<u32>,
-    /// May take new tasks.
+    /// Whether the machine may get new tasks.
     pub schedulable: bool,
-    /// Still booting: counts for the fleet, not for placement.
+    /// Whether the machine has not sent a heartbeat yet. It counts when the fleet is sized, but gets no tasks.
     pub booting: bool,
-    /// Jobs that failed here and should not be retried here.
+    /// Indexes of jobs that failed on this machine and should not be retried on it.
     pub excluded_by: Vec<usize>,
-    /// Reserved for this job.
+    /// Index of the only job that may use the machine; `None` if it is not reserved. An index that is not in
+    /// [`ClusterSnapshot::jobs`] keeps all of these jobs off the machine.
     pub reserved_for: Option<usize>,
-    /// Tasks placed on it.
+    /// Tasks on the machine, terminating ones included.
     pub placed_tasks: Vec<PlacedTaskView>,
 }
 
 impl MachineView {
-    /// Price per hour of one CPU.
+    /// Returns the price of one CPU per hour.
     pub fn cpu_price(&self) -> f64 {
-        self.price / self.total.cpus.max(SMALLEST_DIVISOR)
+        self.price / self.total.cpus.max(MIN_DIVISOR)
     }
 
-    /// What is free once the tasks that are being stopped are gone.
+    /// Returns the resources that are free once all terminating tasks have ended.
     pub(crate) fn free_after_terminations(&self) -> Resources {
         let mut free = self.free;
         for task in self.placed_tasks.iter().filter(|task| task.terminating) {
@@ -163,8 +167,8 @@
         free
     }
 
-    /// Whether the machine may take tasks of a job, as far as reservations, exclusions and the job's own constraints
-    /// go.
+    /// Whether reservations, exclusions and the constraints of the job permit its tasks on this machine, regardless of
+    /// free resources.
     pub(crate) fn eligible_for(&self, job_index: usize, job: &JobView) -> bool {
         self.reserved_for.is_none_or(|reserved| reserved == job_index)
             && !self.excluded_by.contains(&job_index)
@@ -172,28 +176,28 @@
     }
 }
 
-/// CPUs and GPUs of a guarantee or a limit; 0 means none.
+/// The CPUs and GPUs of a guarantee or a limit; 0 stands for no guarantee or no limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Quota {
-    /// CPUs.
+    /// Number of CPUs.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpus: f64,
 }
 
 /// The usage and the quotas of a team.
 #[derive(Debug, Clone, Default)]
 pub struct TeamView {
-    /// Resources of its placed tasks.
+    /// Resources of the team's placed tasks, and what is reserved for the team.
     pub used: Resources,
-    /// Guaranteed resources.
+    /// Resources that the team gets back by preemption when other teams use them.
     pub guarantee: Quota,
-    /// Maximum resources.
+    /// Maximum resources that the team may use.
     pub limit: Quota,
 }
 
 impl TeamView {
-    /// How many more tasks with this request the limit allows.
+    /// Returns how many more tasks with this request the limit allows.
     pub fn remaining_tasks(&self, request: &Resources) -> u32 {
         let left = |limit: f64, used: f64| if limit > 0.0 { limit - used } else { f64::INFINITY };
         Resources {
@@ -204,18 +208,18 @@
         .capacity_for(request)
     }
 
-    /// Whether the team has any guarantee.
+    /// Whether the team has a guarantee of CPUs or GPUs.
     pub fn has_guarantee(&self) -> bool {
         self.guarantee.cpus > 0.0 || self.guarantee.gpus > 0.0
     }
 
-    /// Whether it uses more than its guarantee.
+    /// Whether the team uses more CPUs or GPUs than its guarantee.
     pub fn exceeds_guarantee(&self) -> bool {
         self.used.cpus > self.guarantee.cpus + EPSILON
             || self.used.gpus > self.guarantee.gpus + EPSILON
     }
 
-    /// Whether `more` would still lie within the guarantee.
+    /// Whether the team has a guarantee of CPUs and would stay within its guarantee if it used `more` resources.
     pub fn guarantee_covers(&self, more: &Resources) -> bool {
         self.guarantee.cpus > 0.0
             && self.used.cpus + more.cpus <= self.guarantee.cpus + EPSILON
@@ -223,27 +227,28 @@
     }
 }
 
-/// The cluster at one moment.
+/// The scheduling snapshot: the cluster at one moment. Other types refer to jobs, machines, teams and machine types by
+/// their index here.
 #[derive(Debug, Clone, Default)]
 pub struct ClusterSnapshot {
-    /// The time, s.
+    /// Time of the snapshot, s since the caller's origin.
     pub now: f64,
     /// The lowest current price per hour of one CPU, over all machine types; 0 if unknown.
     pub cheapest_cpu_price: f64,
-    /// The request of a task of each class of gangs seen recently.
+    /// Per class of gangs seen recently: the resources that one task requests.
     pub gang_requests: Vec<Resources>,
-    /// Unfinished jobs.
+    /// Unfinished jobs, and finished or cancelled ones that still have tasks on machines.
     pub jobs: Vec<JobView>,
-    /// Machines.
+    /// Machines whose type and zone are known.
     pub machines: Vec<MachineView>,
-    /// Teams.
+    /// Teams with their usage and quotas.
     pub teams: Vec<TeamView>,
-    /// Machine types.
+    /// Machine types that the cloud offers.
     pub machine_types: Vec<MachineType>,
 }
 
 impl ClusterSnapshot {
-    /// Time until a machine has a job's image, s; 0 if it holds it, as far as the leader knows.
+    /// Returns the time to fetch a job's image to a machine, s; 0 if the machine holds it, as far as the leader knows.
     pub(crate) fn fetch_time(&self, job: &JobView, machine: &MachineView) -> f64 {
         if machine.images.contains(&job.image) {
             return 0.0;
@@ -252,7 +257,7 @@
         machine_type.map_or(0.0, |machine_type| machine_type.fetch_s(job.image_gb))
     }
 
-    /// Number of zones that have machines.
+    /// Returns the highest zone index of all machines plus one, 0 without machines: the length of a list by zone.
     pub(crate) fn zone_count(&self) -> usize {
         self.machines.iter().map(|machine| machine.zone + 1).max().unwrap_or(0)
     }
