--- a/crates/policy/src/autoscaling.rs
+++ b/crates/policy/src/autoscaling.rs
@@ -1,7 +1,7 @@
 //! How many machines of which kind the fleet should have: a plan assigns waiting tasks to the existing machines,
 //! and those that do not fit to new machines from the cheapest offers of the cloud. It places none of them.
 
-use crate::placement::{could_ever_hold, smallest_request, startable_jobs};
+use crate::placement::{fleet_could_hold, smallest_request, startable_jobs};
 use crate::{ClusterSnapshot, JobView, MachineView, Resources, desired_tasks};
 
 /// Maximum number of machines in one plan; the next round plans further ones. Bounds the time of a round.
@@ -317,7 +317,7 @@
 fn jobs_to_scale_for(cluster: &ClusterSnapshot) -> Vec<usize> {
     let stranded_gang = (0..cluster.jobs.len()).find(|index| {
         let job = &cluster.jobs[*index];
-        job.crash_looping && job.gang && job.startable > 0 && !could_ever_hold(cluster, *index)
+        job.crash_looping && job.gang && job.startable > 0 && !fleet_could_hold(cluster, *index)
     });
     let mut order: Vec<usize> = (0..cluster.jobs.len())
         .filter(|index| !cluster.jobs[*index].crash_looping || Some(*index) == stranded_gang)
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -1,53 +1,55 @@
-//! One scheduling round: which tasks start on which machines.
+//! Placement: one scheduling round decides which tasks start on which machines.
 
 mod cost;
 mod reservation;
 
-pub(crate) use reservation::could_ever_hold;
+pub(crate) use reservation::fleet_could_hold;
 
-use crate::preemption::worth_preempting;
+use crate::preemption::is_preemption_cheaper;
 use crate::{ClusterSnapshot, JobView, MachineView, QueueEntry, Resources, scheduling_queue};
 use cost::machines_by_cost;
 use hookway_constants as constants;
 use hookway_time::millis_f64;
 use reservation::reserve_machines;
 
-/// Tasks of a job that are to start.
+/// Tasks of a job to start, with their machines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Placement {
     /// Index of the job.
     pub job: usize,
-    /// The machine of each task, by index.
+    /// Index of the machine of each task; a machine occurs once for each of its tasks.
     pub machines: Vec<usize>,
 }
 
-/// A part of a team's limit that is reserved for a waiting gang.
+/// The part of a team's limit that is reserved for a waiting gang.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaReservation {
     /// Index of the team.
     pub team: usize,
-    /// Reserved resources.
+    /// Resources for all startable tasks of the gang.
     pub resources: Resources,
 }
 
 /// The result of a scheduling round.
 #[derive(Debug, Clone, Default)]
 pub struct RoundOutcome {
-    /// Tasks to start.
+    /// Tasks to start, in the order of the scheduling queue.
     pub placements: Vec<Placement>,
-    /// Queue entries of arrays, in order, with the tasks that found no resources.
+    /// Entries of the scheduling queue, in its order, with the number of tasks that found no resources. Gangs are left
+    /// out, since single tasks of them must not be placed.
     pub unplaced: Vec<QueueEntry>,
-    /// Reserved parts of teams' limits.
+    /// Reserved parts of teams' limits, at most one per team.
     pub quota_reservations: Vec<QuotaReservation>,
 }
 
-/// Runs one scheduling round: fills free resources in the order of the scheduling queue, within quotas, zones and
-/// allowed machines. The snapshot is updated with what was placed and which machines are reserved.
+/// Runs one scheduling round: assigns tasks to free resources in the order of the scheduling queue, within the limits
+/// of teams and the zone and machine constraints of jobs. Updates the snapshot with the placed tasks and the reserved
+/// machines.
 pub fn place(cluster: &mut ClusterSnapshot) -> RoundOutcome {
     let in_service = |machine: &&MachineView| machine.schedulable && !machine.booting;
-    let capacity =
+    let cpu_capacity =
         cluster.machines.iter().filter(in_service).map(|machine| machine.total.cpus).sum();
-    let queue = scheduling_queue(&cluster.jobs, cluster.now, capacity);
+    let queue = scheduling_queue(&cluster.jobs, cluster.now, cpu_capacity);
     let mut round = Round::new(cluster);
     for entry in queue {
         round.place_entry(entry);
@@ -58,11 +60,11 @@
 /// A scheduling round in progress.
 struct Round<'a> {
     cluster: &'a mut ClusterSnapshot,
-    /// A machine with less free resources can take no task.
+    /// The smallest request per resource; a machine with less free resources can take no task.
     smallest_request: Resources,
-    /// Machines that may have free resources for some task.
+    /// Indexes of the machines that may have free resources for some task.
     candidates: Vec<usize>,
-    /// Machines have been reserved for a gang; one gang at a time.
+    /// Whether this round has reserved machines for a gang, which it does for one gang at most.
     has_machine_reservation: bool,
     outcome: RoundOutcome,
 }
@@ -81,6 +83,7 @@
         }
     }
 
+    /// Places the tasks of a queue entry, or reserves resources if the entry is for a gang that does not fit.
     fn place_entry(&mut self, entry: QueueEntry) {
         let machines = &self.cluster.machines;
         self.candidates.retain(|index| machines[*index].free.fits(&self.smallest_request));
@@ -100,15 +103,16 @@
 
     /// Reserves quota and machines for a gang that found no resources.
     ///
-    /// A gang needs all its resources at once, so arrays that take whatever becomes free would starve it. Quota is
-    /// reserved immediately for the first waiting gang of a team (else tasks preempted for the gang would restart
-    /// within it), machines after `GANG_RESERVATION_DELAY`. A gang that the existing machines could never hold must not
-    /// block its team's other jobs for ever: it gets no reservations after `GANG_RESERVATION_LIMIT`.
+    /// A gang needs all its resources at once, so arrays that use whatever becomes free would starve it. Quota is
+    /// reserved immediately for the first waiting gang of a team, since tasks preempted for the gang would otherwise
+    /// restart within that quota. Machines are reserved after `GANG_RESERVATION_DELAY`. A gang that the existing
+    /// machines can't hold even when they are cleared must not block its team's other jobs indefinitely: it gets no
+    /// reservations after `GANG_RESERVATION_LIMIT`.
     fn reserve_for_gang(&mut self, job_index: usize) {
         let job = &self.cluster.jobs[job_index];
         let waited_ms = (self.cluster.now - job.waiting_since) * 1000.0;
-        let over_limit = waited_ms >= millis_f64(constants::GANG_RESERVATION_LIMIT);
-        if over_limit && !could_ever_hold(self.cluster, job_index) {
+        let waited_too_long = waited_ms >= millis_f64(constants::GANG_RESERVATION_LIMIT);
+        if waited_too_long && !fleet_could_hold(self.cluster, job_index) {
             return;
         }
         let within_quota = self.reserve_quota(job_index);
@@ -118,7 +122,8 @@
         }
     }
 
-    /// Reserves quota for a gang, one gang per team; `false` if the team's limit does not allow it now.
+    /// Reserves quota for a gang unless another gang of the team has a reservation. Returns `false` if the team's limit
+    /// does not allow the gang now; the quota is reserved in this case too.
     fn reserve_quota(&mut self, job_index: usize) -> bool {
         let job = &self.cluster.jobs[job_index];
         let reservation =
@@ -134,7 +139,7 @@
         within_limit
     }
 
-    /// The outcome; the reserved quota no longer counts as used in the snapshot.
+    /// Returns the outcome. Quota reserved during the round no longer counts as used in the snapshot.
     fn finish(self) -> RoundOutcome {
         for reservation in &self.outcome.quota_reservations {
             self.cluster.teams[reservation.team].used.subtract(&reservation.resources);
@@ -143,12 +148,12 @@
     }
 }
 
-/// Jobs with tasks to start.
+/// Returns the jobs with tasks to start.
 pub(crate) fn startable_jobs(jobs: &[JobView]) -> impl Iterator<Item = &JobView> {
     jobs.iter().filter(|job| job.startable > 0)
 }
 
-/// The smallest amount of each resource that a task of these jobs requests.
+/// Returns the smallest request of these jobs for each resource; infinite amounts without jobs.
 pub(crate) fn smallest_request<'a>(jobs: impl Iterator<Item = &'a JobView>) -> Resources {
     let infinite = Resources { cpus: f64::INFINITY, gpus: f64::INFINITY, memory_gb: f64::INFINITY };
     jobs.fold(infinite, |smallest, job| Resources {
@@ -167,7 +172,8 @@
         && job.may_use_zone(machine.zone)
 }
 
-/// Places up to `tasks` tasks of an array, or all tasks of a gang or none; the snapshot is updated.
+/// Places up to `tasks` tasks of an array or a daemon, or either all startable tasks of a gang or none. Updates the
+/// snapshot and returns the machine of each task.
 fn place_job(
     cluster: &mut ClusterSnapshot,
     job_index: usize,
@@ -191,16 +197,18 @@
     }
 }
 
-/// For a job that must be in one zone and has no task placed: the zone that holds most of it.
+/// Returns the zone with free resources for most tasks, if the job must be in one zone and has no task placed yet;
+/// otherwise `None`.
 fn zone_for_first_task(cluster: &ClusterSnapshot, job_index: usize) -> Option<usize> {
     let job = &cluster.jobs[job_index];
     if !job.one_zone || job.placed_per_zone.iter().any(|placed| *placed > 0) {
         return None;
     }
-    (0..cluster.zone_count()).max_by_key(|zone| capacity_in_zone(cluster, job_index, *zone))
+    (0..cluster.zone_count()).max_by_key(|zone| tasks_fitting_in_zone(cluster, job_index, *zone))
 }
 
-fn capacity_in_zone(cluster: &ClusterSnapshot, job_index: usize, zone: usize) -> u32 {
+/// Returns how many tasks of the job fit in the free resources of a zone.
+fn tasks_fitting_in_zone(cluster: &ClusterSnapshot, job_index: usize, zone: usize) -> u32 {
     let job = &cluster.jobs[job_index];
     cluster
         .machines
@@ -209,7 +217,7 @@
         .fold(0u32, |sum, machine| sum.saturating_add(machine.free.capacity_for(&job.request)))
 }
 
-/// Assigns up to `tasks` tasks to machines in the order of a ranking; the machine of each task.
+/// Assigns up to `tasks` tasks to machines in the order of a ranking, and returns the machine of each task.
 fn assign_tasks(
     cluster: &mut ClusterSnapshot,
     job_index: usize,
@@ -231,7 +239,7 @@
     machines
 }
 
-/// Assigns a task of the job to a machine.
+/// Assigns one task of the job to a machine in the snapshot.
 fn assign(cluster: &mut ClusterSnapshot, job_index: usize, machine: usize) {
     let request = cluster.jobs[job_index].request;
     let zone = cluster.machines[machine].zone;
@@ -247,7 +255,7 @@
     }
 }
 
-/// Assigns all `tasks` of a gang, or leaves the snapshot as it was.
+/// Assigns all `tasks` of a gang and returns their machines; or returns none and leaves the snapshot as it was.
 fn place_gang(
     cluster: &mut ClusterSnapshot,
     job_index: usize,
@@ -258,7 +266,7 @@
     let teams_before = cluster.teams.clone();
     let request = job_before.request;
     let machines = assign_tasks(cluster, job_index, tasks, ranking);
-    // The decision whether to wait needs the snapshot as it was before the assignment.
+    // Undo the assignment: the decision whether to wait needs the snapshot as it was before.
     for &index in &machines {
         cluster.machines[index].free.add(&request);
     }
@@ -276,9 +284,10 @@
     machines
 }
 
-/// Whether a gang that found resources on these machines should wait for preemption on others instead. Its tasks start
-/// together, so one image fetch delays all of them: if machines that hold the image are being cleared for the gang, or
-/// can be cleared at a lower cost than the fetch, waiting is cheaper.
+/// Whether a gang that found resources on these machines should wait for preemption on other machines instead.
+///
+/// The tasks of a gang start together, so a single image fetch delays all of them. Waiting is cheaper than the fetch if
+/// machines that hold the image are being cleared for the gang, or can be cleared at a lower cost.
 fn should_wait_for_preemption(
     cluster: &ClusterSnapshot,
     job_index: usize,
@@ -292,7 +301,7 @@
     if longest_fetch <= 0.0 || job.crash_looping {
         return false;
     }
-    // If a machine that is being cleared lacks the image, the gang has to wait for a fetch in any case: it starts now.
+    // If any machine that is being cleared lacks the image, waiting does not save the fetch: the gang starts now.
     let mut reserved = cluster
         .machines
         .iter()
@@ -301,7 +310,7 @@
     let being_cleared = reserved.peek().is_some()
         && reserved.all(|machine| cluster.fetch_time(job, machine) <= 0.0);
     let gang_cpus = job.request.cpus * f64::from(job.tasks);
-    being_cleared || worth_preempting(cluster, job_index, longest_fetch * gang_cpus)
+    being_cleared || is_preemption_cheaper(cluster, job_index, longest_fetch * gang_cpus)
 }
 
 #[cfg(test)]
--- a/crates/policy/src/placement/cost.rs
+++ b/crates/policy/src/placement/cost.rs
@@ -1,33 +1,35 @@
-//! Which machine suits a task best (bin packing).
+//! The placement cost, which ranks the machines for a task (bin packing).
 
 use super::is_usable;
 use crate::{ClusterSnapshot, JobView, MachineView};
 use hookway_constants as constants;
 
-/// Upper bound of the price penalty, in multiples of the cheapest price per CPU, so that the price does not outweigh
-/// all other costs.
+/// Upper bound of the price excess in the placement cost, in multiples of the cheapest price per CPU, so that the price
+/// does not outweigh all other costs.
 const MAX_PRICE_EXCESS: f64 = 4.0;
 
-/// How badly a machine suits a task; lower is better. Seconds of image fetch (image locality) plus
-/// penalties that keep whole machines free for work that needs them.
+/// Returns the placement cost of a task of the job on the machine, in seconds of image fetch; lower is better. The cost
+/// is the time to fetch the image (image locality) plus penalties that keep whole machines free for work that needs
+/// them.
 pub(super) fn placement_cost(
     cluster: &ClusterSnapshot,
     job: &JobView,
     machine: &MachineView,
 ) -> f64 {
     let mut cost = constants::IMAGE_MISS_PENALTY * cluster.fetch_time(job, machine);
-    // Fill machines that are in use before empty ones, small ones before large ones.
+    // Prefer machines in use to empty ones, and small machines to large ones, of which a larger share stays free.
     let share_left_free = 1.0 - job.request.dominant_share_of(&machine.free).min(1.0);
     cost += constants::LOOSE_FIT_PENALTY_S * share_left_free;
     if machine.placed_tasks.is_empty() {
         cost += constants::EMPTY_MACHINE_PENALTY_S;
     }
-    // Leave machines that a gang's task needs whole to gangs: preempting tasks there would lose their work.
-    let suits_gangs = || cluster.gang_requests.iter().any(|request| machine.total.fits(request));
-    if !job.gang && suits_gangs() {
+    // Leave machines that are large enough for a gang's task to gangs: preempting other tasks there loses their work.
+    let could_hold_gang_task =
+        || cluster.gang_requests.iter().any(|request| machine.total.fits(request));
+    if !job.gang && could_hold_gang_task() {
         cost += constants::GANG_MACHINE_PENALTY_S;
     }
-    // Expensive machines last, so that they become idle first and are scaled in.
+    // Use expensive machines last, so that they become idle first and are scaled in.
     let cheapest = cluster.cheapest_cpu_price;
     if cheapest > 0.0 {
         let excess = machine.cpu_price() / cheapest - 1.0;
@@ -42,8 +44,9 @@
     index: usize,
 }
 
-/// The candidates that the job could use, best first. Placing a task lowers the cost of its machine for the next task
-/// and leaves the cost of the others unchanged, so one ranking is enough to place any number of tasks.
+/// Returns those of the candidates that the job could use now, lowest placement cost first; only those in `zone` if one
+/// is given. Placing a task lowers the cost of its machine for the next task and leaves the cost of the other machines
+/// unchanged, so one ranking is enough to place any number of tasks.
 pub(super) fn machines_by_cost(
     cluster: &ClusterSnapshot,
     job_index: usize,
--- a/crates/policy/src/placement/reservation.rs
+++ b/crates/policy/src/placement/reservation.rs
@@ -2,41 +2,47 @@
 
 use crate::{ClusterSnapshot, JobView, MachineView, Resources};
 
-/// The resources of a machine that can become free for a job: all but those of daemons of the same or a higher
-/// priority, whose replicas neither end by themselves nor can be preempted by the job.
-fn eventual_capacity(cluster: &ClusterSnapshot, job: &JobView, machine: &MachineView) -> Resources {
-    let mut capacity = machine.total;
+/// Returns the resources of a machine that can become free for a job: all but those of daemons of the same or a higher
+/// priority, whose replicas neither end by themselves nor can be preempted by the job for its priority.
+fn obtainable_resources(
+    cluster: &ClusterSnapshot,
+    job: &JobView,
+    machine: &MachineView,
+) -> Resources {
+    let mut obtainable = machine.total;
     for task in &machine.placed_tasks {
         let other = &cluster.jobs[task.job];
         if other.daemon && other.priority >= job.priority && !task.terminating {
-            capacity.subtract(&task.request);
+            obtainable.subtract(&task.request);
         }
     }
-    capacity
+    obtainable
 }
 
-/// Whether the machines that are up or booting could hold all of a gang if nothing but daemons were on them.
-pub(crate) fn could_ever_hold(cluster: &ClusterSnapshot, job_index: usize) -> bool {
+/// Whether the machines that are schedulable or booting could hold all tasks of a gang if nothing ran on them but
+/// daemons of the same or a higher priority.
+pub(crate) fn fleet_could_hold(cluster: &ClusterSnapshot, job_index: usize) -> bool {
     let job = &cluster.jobs[job_index];
-    let mut capacity_per_zone = vec![0u32; cluster.zone_count()];
+    let mut tasks_per_zone = vec![0u32; cluster.zone_count()];
     for machine in cluster.machines.iter().filter(|machine| machine.schedulable || machine.booting)
     {
         let allowed = job.allows(machine.machine_type, machine.zone, machine.spot);
         if allowed && !machine.excluded_by.contains(&job_index) {
-            let tasks = eventual_capacity(cluster, job, machine).capacity_for(&job.request);
-            let in_zone = &mut capacity_per_zone[machine.zone];
+            let tasks = obtainable_resources(cluster, job, machine).capacity_for(&job.request);
+            let in_zone = &mut tasks_per_zone[machine.zone];
             *in_zone = in_zone.saturating_add(tasks).min(job.max_tasks_per_zone);
         }
     }
-    let capacity = if job.one_zone {
-        capacity_per_zone.into_iter().max().unwrap_or(0)
+    let fitting = if job.one_zone {
+        tasks_per_zone.into_iter().max().unwrap_or(0)
     } else {
-        capacity_per_zone.into_iter().fold(0, u32::saturating_add)
+        tasks_per_zone.into_iter().fold(0, u32::saturating_add)
     };
-    capacity >= job.tasks
+    fitting >= job.tasks
 }
 
-/// Reserves the least used machines that together can hold a waiting gang; `false` if there are not enough.
+/// Reserves the least used machines that together can hold a waiting gang. Returns `false`, and reserves none, if there
+/// are not enough.
 pub(super) fn reserve_machines(cluster: &mut ClusterSnapshot, job_index: usize) -> bool {
     let candidates = reservation_candidates(cluster, job_index);
     let zones: Vec<Option<usize>> = if cluster.jobs[job_index].one_zone {
@@ -55,14 +61,14 @@
     false
 }
 
-/// Machines that could be reserved for a job, least used first.
+/// Returns the machines that could be reserved for a job, least used first.
 fn reservation_candidates(cluster: &ClusterSnapshot, job_index: usize) -> Vec<usize> {
     let job = &cluster.jobs[job_index];
     let is_candidate = |machine: &MachineView| {
         machine.schedulable
             && !machine.booting
             && machine.eligible_for(job_index, job)
-            && eventual_capacity(cluster, job, machine).fits(&job.request)
+            && obtainable_resources(cluster, job, machine).fits(&job.request)
     };
     let mut candidates: Vec<usize> = (0..cluster.machines.len())
         .filter(|index| is_candidate(&cluster.machines[*index]))
@@ -75,7 +81,8 @@
     candidates
 }
 
-/// Machines that together hold all startable tasks of a job, in one zone if one is given.
+/// Returns the first candidates that together can hold all startable tasks of a job, only from `zone` if one is given;
+/// `None` if there are not enough.
 fn choose_machines(
     cluster: &ClusterSnapshot,
     job_index: usize,
@@ -92,7 +99,7 @@
             continue;
         }
         let allowed = job.max_tasks_per_zone.saturating_sub(tasks_per_zone[machine.zone]);
-        let fitting = eventual_capacity(cluster, job, machine).capacity_for(&job.request);
+        let fitting = obtainable_resources(cluster, job, machine).capacity_for(&job.request);
         let tasks = fitting.min(tasks_left).min(allowed);
         if tasks > 0 {
             tasks_per_zone[machine.zone] += tasks;
--- a/crates/policy/src/placement/tests.rs
+++ b/crates/policy/src/placement/tests.rs
@@ -4,7 +4,7 @@
 use crate::{Quota, TeamView, check_feasible};
 use hookway_wire::Priority;
 
-/// Reference implementation for [`place_job`]: ranks all machines again for each task.
+/// Reference implementation of [`place_job`] for arrays: ranks all machines again for each task.
 fn place_task_by_task(cluster: &mut ClusterSnapshot, job_index: usize, tasks: u32) -> Vec<usize> {
     let mut machines = Vec::new();
     for _ in 0..tasks {
@@ -58,7 +58,7 @@
     assert_eq!(place(&mut snapshot).placements, []);
     assert_eq!(
         snapshot.machines[0].free.cpus, 4.0,
-        "the resources of the partly assigned gang are free again"
+        "the resources of the partially assigned gang are free again"
     );
     let mut snapshot = cluster(vec![gang], vec![machine(0), machine(1), machine(2)]);
     assert_eq!(place(&mut snapshot).placements[0].machines.len(), 3);
@@ -101,7 +101,7 @@
 
 #[test]
 fn array_leaves_quota_and_resources_to_waiting_gang() {
-    // Quota: 4 of the team's 6 CPUs are in use, the gang needs 4; the array must not use the other 2.
+    // Quota: 4 of the team's 6 CPUs are in use and the gang needs 4, so the array must not use the other 2.
     let gang = JobView { gang: true, ..job(2.0, 2) };
     let array = JobView { placed: 4, completed: 1, mean_task_time: Some(9.0), ..job(1.0, 50) };
     let mut snapshot = cluster(vec![gang.clone(), array.clone()], vec![machine(0), machine(1)]);
@@ -182,8 +182,8 @@
     );
 }
 
-/// Admission does not know how many machines the cloud can provide, so a gang may be accepted that will never fit.
-/// Quota of its team must not stay reserved for it for ever.
+/// Admission has no information on how many machines the cloud can provide, so it may accept a gang that never fits.
+/// The quota of its team must not stay reserved for it indefinitely.
 #[test]
 fn infeasible_gang_stops_reserving_team_quota_after_time_limit() {
     let gang = JobView { gang: true, ..job(4.0, 3) };
--- a/crates/policy/src/preemption.rs
+++ b/crates/policy/src/preemption.rs
@@ -1,4 +1,4 @@
-//! Which tasks are stopped so that waiting jobs find resources.
+//! Preemption: which tasks are stopped so that waiting jobs find resources.
 
 mod deadlines;
 mod quota;
@@ -14,7 +14,7 @@
 pub(crate) use search::{ImageLocality, PricedPreemption, SearchScope, find_preemption};
 pub(crate) use victims::{Displaceable, may_preempt, victims_on_machine};
 
-/// A task to stop.
+/// A task that has to leave its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Victim {
     /// Index of its machine.
@@ -23,14 +23,14 @@
     pub task: u64,
 }
 
-/// Tasks to stop so that a job finds resources.
+/// Tasks to stop so that one job, the beneficiary, finds resources.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Preemption {
-    /// Index of the job that the resources are for.
+    /// Index of the beneficiary.
     pub job: usize,
-    /// Machines to reserve for it until it starts, by index.
+    /// Indexes of the machines to reserve for the beneficiary until it starts; empty if it needs no reservation.
     pub machines: Vec<usize>,
-    /// Tasks to stop.
+    /// Tasks to stop for the beneficiary.
     pub victims: Vec<Victim>,
 }
 
@@ -52,8 +52,11 @@
     }
 }
 
-/// Finds resources for waiting jobs that may preempt others: jobs of higher priority, and jobs within their team's
-/// guarantee. Only a job's minimum is served: a gang whole, all replicas of a daemon, an array one task per round.
+/// Plans the preemptions of one round: first of backfill, for arrays that would miss their deadlines; then for jobs
+/// that wait for their first start and have a higher priority, or are within their team's guarantee.
+///
+/// The latter get only their minimum: all tasks of a gang, all replicas of a daemon (or one, if there are not enough
+/// resources for all), one task of an array per round.
 pub fn preempt(cluster: &ClusterSnapshot) -> Vec<Preemption> {
     let mut preemptions = preempt_for_deadlines(cluster);
     let mut taken = vec![false; cluster.machines.len()];
@@ -67,7 +70,7 @@
         }
         let mut found = cheapest_preemption(cluster, job_index, tasks, &taken);
         if found.is_none() && job.daemon {
-            // Not enough for all replicas: place at least one, since each is useful by itself.
+            // There are not enough resources for all replicas: place at least one, since each is useful by itself.
             found = cheapest_preemption(cluster, job_index, 1, &taken);
         }
         if let Some(preemption) = found.filter(|found| !found.victims.is_empty()) {
@@ -80,9 +83,9 @@
     preemptions
 }
 
-/// Jobs that wait for their first start and may preempt others, in their order.
+/// Returns the jobs that wait for their first start and may preempt others, in the order in which they should start.
 fn jobs_that_may_preempt(cluster: &ClusterSnapshot) -> Vec<usize> {
-    // Only jobs above the lowest priority that is placed can preempt, unless some team has a guarantee.
+    // Unless some team has a guarantee, only jobs above the lowest priority among the placed tasks can preempt.
     let placed = cluster.machines.iter().flat_map(|machine| &machine.placed_tasks);
     let lowest = placed.map(|task| cluster.jobs[task.job].priority).min();
     let any_guarantee = cluster.teams.iter().any(TeamView::has_guarantee);
@@ -90,19 +93,20 @@
     let mut waiting: Vec<usize> = (0..cluster.jobs.len())
         .filter(|index| {
             let job = &cluster.jobs[*index];
-            (any_guarantee || outranks(job)) && waits_for_preemption(cluster, *index)
+            (any_guarantee || outranks(job)) && is_due_for_preemption(cluster, *index)
         })
         .collect();
     waiting.sort_by(|a, b| first_start_order(&cluster.jobs[*a], &cluster.jobs[*b], cluster.now));
     waiting
 }
 
-/// Whether a job has waited long enough for its first start, and no machines are reserved for it already.
-pub(crate) fn waits_for_preemption(cluster: &ClusterSnapshot, index: usize) -> bool {
+/// Whether a job has waited for its first start for at least `PREEMPT_AFTER`, and no schedulable machine is reserved
+/// for it already.
+pub(crate) fn is_due_for_preemption(cluster: &ClusterSnapshot, index: usize) -> bool {
     let job = &cluster.jobs[index];
     let not_started = if job.gang { job.startable == job.tasks } else { awaits_first_start(job) };
     let waited_s = cluster.now - job.waiting_since;
-    // A machine that was cleared for the job but takes no tasks now is nothing to wait for.
+    // A machine that was cleared for the job but is no longer schedulable does not count: the job can't start there.
     let is_cleared_for =
         |machine: &MachineView| machine.reserved_for == Some(index) && machine.schedulable;
     job.startable > 0
@@ -112,9 +116,9 @@
         && !cluster.machines.iter().any(is_cleared_for)
 }
 
-/// Whether a gang should rather preempt tasks on machines that hold its image than wait for a fetch that costs
-/// `fetch_cost` CPU seconds.
-pub(crate) fn worth_preempting(
+/// Whether preempting tasks for a gang on machines that hold its image costs less than `fetch_cost`, the CPU seconds
+/// lost by an image fetch.
+pub(crate) fn is_preemption_cheaper(
     cluster: &ClusterSnapshot,
     job_index: usize,
     fetch_cost: f64,
@@ -126,8 +130,10 @@
     found.is_some_and(|found| !found.preemption.victims.is_empty() && found.cost < fetch_cost)
 }
 
-/// The cheaper of two ways to free resources: on machines that hold the image, or on any. A gang starts together,
-/// so the longest fetch keeps the resources of all tasks idle.
+/// Returns the cheapest preemption for `tasks` tasks of a job; `None` if there is none.
+///
+/// For a gang, the cheapest preemption on machines that hold the image is compared with the cheapest on any machines.
+/// The tasks of a gang start together, so the longest fetch keeps the resources of all of them idle.
 fn cheapest_preemption(
     cluster: &ClusterSnapshot,
     job_index: usize,
--- a/crates/policy/src/preemption/deadlines.rs
+++ b/crates/policy/src/preemption/deadlines.rs
@@ -5,24 +5,24 @@
 use crate::{ClusterSnapshot, PlacedTaskView, Resources};
 use hookway_constants as constants;
 
-/// Resources of the machines, and the backfill that could be stopped there.
+/// The free resources of the machines and the backfill that could be stopped on them, as the plan uses them up.
 struct Backfill<'a> {
-    /// Per machine: free resources, those of terminating tasks included.
+    /// Per machine: unassigned resources, those of terminating tasks and of victims included.
     free: Vec<Resources>,
-    /// Per machine: tasks that could be stopped.
+    /// Per machine: backfill tasks that could be stopped and are not victims yet.
     stoppable: Vec<Vec<&'a PlacedTaskView>>,
 }
 
-/// Preempts backfill for arrays that have fewer tasks placed than their deadlines require. Backfill is tasks of lower
-/// priority without an objective that write checkpoints. Without this, tasks that run for minutes would make a burst of
-/// short ones miss their deadlines.
+/// Preempts backfill for arrays that have fewer tasks placed than their deadlines require. Only tasks of lower priority
+/// that write checkpoints are stopped. Without this, backfill tasks that run for minutes would make a burst of short
+/// tasks miss their deadlines.
 pub(super) fn preempt_for_deadlines(cluster: &ClusterSnapshot) -> Vec<Preemption> {
     let mut backfill = Backfill::of(cluster);
     if backfill.stoppable.iter().all(Vec::is_empty) {
         return Vec::new();
     }
     let mut preemptions = Vec::new();
-    for waiting in jobs_by_deadline(cluster) {
+    for waiting in waiting_arrays_by_deadline(cluster) {
         let preemption = backfill.preempt_for(cluster, waiting.job, waiting.deadline);
         if !preemption.victims.is_empty() {
             preemptions.push(preemption);
@@ -37,8 +37,8 @@
     deadline: f64,
 }
 
-/// Waiting arrays that can still meet their deadlines, earliest deadline first.
-fn jobs_by_deadline(cluster: &ClusterSnapshot) -> Vec<WaitingArray> {
+/// Returns the waiting arrays that can still meet their deadlines, earliest deadline first.
+fn waiting_arrays_by_deadline(cluster: &ClusterSnapshot) -> Vec<WaitingArray> {
     let mut waiting: Vec<WaitingArray> = Vec::new();
     for (index, job) in cluster.jobs.iter().enumerate() {
         let Some(deadline) = job.deadline else { continue };
@@ -50,7 +50,7 @@
     waiting
 }
 
-/// Whether a task is backfill that has run long enough to be stopped.
+/// Whether a task is backfill that writes checkpoints and has run long enough to be stopped.
 fn is_stoppable(cluster: &ClusterSnapshot, task: &PlacedTaskView) -> bool {
     let job = &cluster.jobs[task.job];
     let min_run_time = constants::BACKFILL_MIN_RUN_S
@@ -74,7 +74,7 @@
         Self { free, stoppable }
     }
 
-    /// Assigns the tasks that a job lacks of its minimum to free resources, and chooses victims where there are none.
+    /// Assigns the tasks missing from the job's minimum to free resources, and chooses victims where these are too few.
     fn preempt_for(
         &mut self,
         cluster: &ClusterSnapshot,
@@ -88,7 +88,7 @@
             missing = missing.min(team.remaining_tasks(&job.request));
         }
         let mut preemption = Preemption::for_job(job_index);
-        // Machines that hold the image first.
+        // Try machines that hold the image first.
         for has_image in [true, false] {
             for (index, machine) in cluster.machines.iter().enumerate() {
                 let usable = machine.images.contains(&job.image) == has_image
--- a/crates/policy/src/preemption/quota.rs
+++ b/crates/policy/src/preemption/quota.rs
@@ -1,4 +1,4 @@
-//! Preemption within a team that is at its limit.
+//! Preemption within a team whose limit does not allow a job to start.
 
 use super::victims::lost_work;
 use super::{Preemption, Victim};
@@ -6,14 +6,14 @@
 
 /// A task that could be stopped.
 struct Candidate<'a> {
-    /// Work lost by stopping it, CPU seconds.
+    /// Work lost by stopping the task, CPU seconds.
     lost_work: f64,
     machine: usize,
     task: &'a PlacedTaskView,
 }
 
-/// The team's own tasks of lower priority to stop so that its limit allows `tasks` more tasks of the job; `None` if
-/// that is not possible, or nothing has to be stopped.
+/// Chooses tasks of lower priority in the job's own team to stop, so that the team's limit allows `tasks` more tasks of
+/// the job. Returns `None` if that is not possible, or if the tasks that are terminating already are enough.
 pub(super) fn preempt_for_quota(
     cluster: &ClusterSnapshot,
     job_index: usize,
--- a/crates/policy/src/preemption/search.rs
+++ b/crates/policy/src/preemption/search.rs
@@ -1,48 +1,48 @@
-//! The cheapest set of machines to clear for a job.
+//! The search for the cheapest set of machines to clear for a job.
 
 use super::victims::{Displaceable, MachineVictims, victims_on_machine};
 use super::{Preemption, Victim};
 use crate::{ClusterSnapshot, JobView};
 
-/// Which machines a search considers.
+/// Which machines a search considers, by the images that they hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ImageLocality {
-    /// All machines.
+    /// All machines, with or without the job's image.
     Any,
-    /// Machines that hold the job's image.
+    /// Only machines that hold the job's image.
     Cached,
 }
 
-/// What a search considers.
+/// Which machines and tasks a search considers.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SearchScope<'a> {
-    /// Per machine: it is taken for another job.
+    /// Per machine: whether a plan for another job uses it already, which excludes it.
     pub taken: &'a [bool],
-    /// Which machines.
+    /// Which of the other machines are considered.
     pub locality: ImageLocality,
-    /// Which tasks may have to leave them.
+    /// Which tasks may have to leave these machines.
     pub displaceable: Displaceable<'a>,
 }
 
 impl<'a> SearchScope<'a> {
-    /// Preemption on all machines that are not taken.
+    /// Returns the scope of a preemption on all machines that are not taken.
     pub fn preemption(taken: &'a [bool]) -> Self {
         Self { taken, locality: ImageLocality::Any, displaceable: Displaceable::Preemptible }
     }
 }
 
-/// A preemption with its cost.
+/// A preemption with its cost and the machines that it frees.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct PricedPreemption {
     /// Lost work and waiting time, CPU seconds.
     pub cost: f64,
     pub preemption: Preemption,
-    /// The machine of each task, by index.
+    /// Index of the machine planned for each task of the beneficiary.
     pub task_machines: Vec<usize>,
 }
 
-/// The cheapest preemption that frees resources for `tasks` tasks of a job, within a scope. A job that must be in one
-/// zone gets the cheapest zone.
+/// Returns the cheapest preemption that frees resources for `tasks` tasks of a job within a scope, `None` if there is
+/// none. For a job that must be in one zone, all machines are in the zone with the lowest cost.
 pub(crate) fn find_preemption(
     cluster: &ClusterSnapshot,
     job_index: usize,
@@ -63,7 +63,7 @@
     cheapest
 }
 
-/// A machine that could be cleared for one task more than planned there.
+/// A machine that could be cleared for one more task than is planned on it.
 struct Candidate {
     machine: usize,
     victims: MachineVictims,
@@ -76,11 +76,13 @@
     job_index: usize,
     scope: SearchScope<'a>,
     zone: Option<usize>,
-    /// Tasks planned per machine.
+    /// Per machine: number of tasks planned on it.
     planned: Vec<u32>,
-    /// Tasks placed or planned per zone.
+    /// Per zone: number of the job's tasks that are placed or planned there.
     tasks_per_zone: Vec<u32>,
+    /// Number of tasks without a planned machine.
     tasks_left: u32,
+    /// Cost of the preemption so far, CPU seconds.
     cost: f64,
     preemption: Preemption,
 }
@@ -108,9 +110,11 @@
         }
     }
 
+    /// Plans machines for all tasks, cheapest first; `None` if there are not enough.
     fn run(mut self) -> Option<PricedPreemption> {
-        // One pass clears machines for one task each; replicas of a daemon may need further ones on the same
-        // machine, and so may a gang for which replicas move, since it has nothing else.
+        // A pass clears a machine for one task at most. Further passes clear the same machines for further tasks:
+        // replicas of a daemon may share a machine, and so may the tasks of a gang for which replicas move, since
+        // there is no other way to get resources for it.
         let moves_replicas =
             matches!(self.scope.displaceable, Displaceable::PreemptibleOrMovable(_));
         let passes = if self.job.daemon || moves_replicas { self.tasks_left } else { 1 };
@@ -136,7 +140,7 @@
         Some(PricedPreemption { cost: self.cost, preemption: self.preemption, task_machines })
     }
 
-    /// Machines that could take one task more than planned, cheapest first.
+    /// Returns the machines that could take one more task than planned, cheapest first.
     fn candidates(&self) -> Vec<Candidate> {
         let mut candidates: Vec<Candidate> = (0..self.cluster.machines.len())
             .filter(|index| self.is_candidate(*index))
@@ -154,6 +158,7 @@
         candidates
     }
 
+    /// Whether the job may use the machine, and the machine is large enough for one more task than planned.
     fn is_candidate(&self, index: usize) -> bool {
         let machine = &self.cluster.machines[index];
         let has_image = || self.cluster.fetch_time(self.job, machine) <= 0.0;
@@ -167,6 +172,7 @@
             && (self.scope.locality == ImageLocality::Any || has_image())
     }
 
+    /// Adds a candidate to the preemption, unless its zone has the maximum number of tasks already.
     fn choose(&mut self, candidate: Candidate) {
         let Candidate { machine: index, victims } = candidate;
         let machine = &self.cluster.machines[index];
@@ -175,7 +181,7 @@
             return;
         }
         self.cost += victims.cost;
-        // Whatever else fits on the machine once it is cleared goes there too.
+        // If tasks fit in what is free already, plan as many as fit; otherwise clear the machine for one task.
         let free = machine.free.capacity_for(&self.job.request).saturating_sub(self.planned[index]);
         let tasks = free.max(1).min(self.tasks_left);
         self.tasks_left -= tasks;
--- a/crates/policy/src/preemption/tests.rs
+++ b/crates/policy/src/preemption/tests.rs
@@ -3,7 +3,7 @@
 use crate::{JobView, MachineView, PlacedTaskView, Quota, Resources};
 use hookway_wire::Priority;
 
-/// A machine whose four CPUs are in use by tasks of a job.
+/// Returns a machine whose four CPUs are in use by tasks of a job.
 fn full_machine(job: usize, elapsed: f64) -> MachineView {
     let mut machine = machine(0);
     machine.free = Resources::default();
@@ -83,9 +83,10 @@
     assert_eq!(victims(&snapshot), 0, "tasks of equal priority are not preempted");
 }
 
-/// What happened (seed 7319 of the random days): a daemon whose replicas must be in one zone had one of two in zone a,
-/// and tasks were stopped for the other one in zone b four times, where it may not run. Evidence: `task preempted` for
-/// req-000019 on machines of b, each followed by 10 s in which the machine was reserved and the job waited.
+/// Guards against preemption in a zone that the job must not use. A daemon whose replicas must be in one zone had one
+/// of two in zone a, and tasks were stopped for the other one on machines of zone b four times; each time the machine
+/// stayed reserved for 10 s while the job waited. Seen with seed 7319 of the random days (`task preempted` for
+/// req-000019).
 #[test]
 fn job_bound_to_the_zone_of_its_tasks_preempts_only_there() {
     let together = JobView {
@@ -103,7 +104,7 @@
     let jobs = vec![together, higher, job(1.0, 8)];
     let mut snapshot = cluster(jobs, vec![in_zone(0, 1), in_zone(1, 2)]);
     snapshot.now = 10.0;
-    assert_eq!(preempt(&snapshot), [], "zone 1 is of no use to it");
+    assert_eq!(preempt(&snapshot), [], "the job must not use zone 1");
     snapshot.machines.push(in_zone(0, 2));
     let preemptions = preempt(&snapshot);
     assert_eq!(preemptions[0].machines, [2]);
--- a/crates/policy/src/preemption/victims.rs
+++ b/crates/policy/src/preemption/victims.rs
@@ -1,21 +1,21 @@
-//! Which tasks may be preempted on one machine, and what it costs.
+//! Which tasks may have to leave one machine for a job, and the cost of that.
 
 use crate::relocation::MovableReplicas;
 use crate::{ClusterSnapshot, PlacedTaskView};
 use hookway_constants as constants;
 
-/// Work that a checkpointing task loses at most, s: what it has done since its last checkpoint.
+/// Maximum run time that a checkpointing task loses when it is stopped, s: the time since its last checkpoint.
 const MAX_UNSAVED_S: f64 = 5.0;
 
-/// Smallest number of CPUs in the cost of a victim, so that a task without CPUs is not free.
+/// Minimum number of CPUs in the cost of a victim, so that stopping a task that requests no CPUs has a cost too.
 const MIN_VICTIM_CPUS: f64 = 0.1;
 
 /// Which tasks may leave a machine for a job.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Displaceable<'a> {
-    /// Those that the job may preempt.
+    /// Tasks that the job may preempt.
     Preemptible,
-    /// Those, and replicas that have room on other machines.
+    /// Tasks that the job may preempt, and replicas that other machines can take.
     PreemptibleOrMovable(&'a MovableReplicas),
 }
 
@@ -42,19 +42,20 @@
 /// The tasks of one machine to preempt for a job.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct MachineVictims {
-    /// Lost work and waiting time, CPU seconds.
+    /// Lost work and waiting time of the job, CPU seconds.
     pub cost: f64,
-    /// Their `id`s in [`PlacedTaskView`].
+    /// Victims by their `id` in [`PlacedTaskView`].
     pub tasks: Vec<u64>,
 }
 
-/// The work lost by stopping a task, in CPU seconds; a checkpointing task loses what it did since its last checkpoint.
+/// Returns the weighted work lost by stopping a task, in CPU seconds. A checkpointing task loses only the work since
+/// its last checkpoint.
 pub(super) fn lost_work(cluster: &ClusterSnapshot, task: &PlacedTaskView) -> f64 {
     let job = &cluster.jobs[task.job];
     let seconds = if job.checkpoints { task.elapsed.min(MAX_UNSAVED_S) } else { task.elapsed };
     // Stopping one task of a gang stops all of them.
     let tasks = if job.gang { f64::from(job.tasks) } else { 1.0 };
-    // Making a job late costs more than its work; a job that is late already has no deadline left to miss.
+    // Making a job late is worse than the lost work alone; a job that is late already can't miss its deadline again.
     let restarted_end = cluster.now + job.task_time();
     let weight = match job.deadline {
         Some(deadline) if cluster.now > deadline => constants::LATE_VICTIM_WEIGHT,
@@ -64,8 +65,8 @@
     (1.0 + seconds) * task.request.cpus.max(MIN_VICTIM_CPUS) * tasks * weight
 }
 
-/// Whether a job may preempt a task: because its priority is higher, or because its team's guarantee covers it and the
-/// other team exceeds its own.
+/// Whether a job may preempt a task: either the job has the higher priority; or it would stay within its team's
+/// guarantee, and the task belongs to another team that exceeds its own guarantee.
 pub(crate) fn may_preempt(
     cluster: &ClusterSnapshot,
     job_index: usize,
@@ -86,15 +87,15 @@
 
 /// A task that could be stopped.
 struct Candidate<'a> {
-    /// It moves to another machine. Such tasks leave only where preemption is not enough.
-    moves: bool,
-    /// Work lost by stopping it, CPU seconds.
+    /// Whether the task is a replica that moves to another machine. These leave only if preemption is not enough.
+    is_movable: bool,
+    /// Work lost by stopping the task, CPU seconds.
     lost_work: f64,
     task: &'a PlacedTaskView,
 }
 
-/// Tasks to stop on a machine so that `tasks` tasks of a job fit there, those that lose least work first; `None` if
-/// stopping all that may be stopped is not enough.
+/// Chooses tasks to stop on a machine so that `tasks` tasks of a job fit there, starting with those that lose least
+/// work; `None` if stopping all displaceable tasks is not enough.
 pub(crate) fn victims_on_machine(
     cluster: &ClusterSnapshot,
     job_index: usize,
@@ -112,13 +113,14 @@
             !task.terminating && displaceable.includes(cluster, job_index, machine_index, task)
         })
         .map(|task| Candidate {
-            moves: !may_preempt(cluster, job_index, task),
+            is_movable: !may_preempt(cluster, job_index, task),
             lost_work: lost_work(cluster, task),
             task,
         })
         .collect();
-    candidates.sort_by(|a, b| a.moves.cmp(&b.moves).then(a.lost_work.total_cmp(&b.lost_work)));
-    // A machine without the image delays the job by the fetch.
+    candidates
+        .sort_by(|a, b| a.is_movable.cmp(&b.is_movable).then(a.lost_work.total_cmp(&b.lost_work)));
+    // On a machine without the image, the job waits for the fetch.
     let mut cost = cluster.fetch_time(job, machine) * request.cpus;
     let mut victims = Vec::new();
     let mut longest_stop: f64 = 0.0;
--- a/crates/policy/src/relocation.rs
+++ b/crates/policy/src/relocation.rs
@@ -4,8 +4,8 @@
 
 use crate::placement::smallest_request;
 use crate::preemption::{
-    Displaceable, ImageLocality, SearchScope, find_preemption, may_preempt, victims_on_machine,
-    waits_for_preemption,
+    Displaceable, ImageLocality, SearchScope, find_preemption, is_due_for_preemption, may_preempt,
+    victims_on_machine,
 };
 use crate::scheduling_queue::first_start_order;
 use crate::{
@@ -94,7 +94,7 @@
             && job.startable > 0
             && cluster.now - job.waiting_since >= delay_s
             && !busy_jobs.contains(index)
-            && waits_for_preemption(cluster, *index)
+            && is_due_for_preemption(cluster, *index)
     };
     (0..cluster.jobs.len()).filter(waits).collect()
 }
