--- a/crates/policy/src/autoscaling.rs
+++ b/crates/policy/src/autoscaling.rs
@@ -1,32 +1,33 @@
-//! How many machines of which kind the fleet should have: a plan assigns waiting tasks to the existing machines,
-//! and those that do not fit to new machines from the cheapest offers of the cloud. It places none of them.
+//! Autoscaling: how many machines of which kind the fleet should have. A plan assigns waiting tasks to the existing
+//! machines, and tasks that do not fit there to new machines from the cheapest offers of the cloud. The assignment only
+//! sizes the fleet; it places no task.
 
 use crate::placement::{fleet_could_hold, smallest_request, startable_jobs};
 use crate::{ClusterSnapshot, JobView, MachineView, Resources, desired_tasks};
 
-/// Maximum number of machines in one plan; the next round plans further ones. Bounds the time of a round.
+/// Maximum number of machines that one plan adds, which bounds the duration of a round. The next round adds more.
 const MAX_PLANNED_MACHINES: usize = 64;
 
-/// Seconds of work over which boot and image fetch are spread when offers are compared.
+/// Work time over which the costs of boot and image fetch are spread when offers are compared, s.
 const NOMINAL_WORK_S: f64 = 60.0;
 
-/// A kind of machine that the cloud offers now.
+/// A kind of machine that the cloud can provide now.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineOffer {
     /// Index of the machine type.
     pub machine_type: usize,
     /// Index of the zone.
     pub zone: usize,
-    /// Spot instance rather than an ordinary one.
+    /// Whether these are spot machines rather than on-demand ones.
     pub spot: bool,
-    /// Price per hour.
+    /// Price of one machine per hour.
     pub price: f64,
 }
 
-/// Machines to add.
+/// Machines to add from one offer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScaleOut {
-    /// Index of the offer.
+    /// Index of the offer in the list given to [`plan_scaling`].
     pub offer: usize,
     /// Number of machines.
     pub count: u32,
@@ -35,28 +36,30 @@
 /// The result of an autoscaling round.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ScalingPlan {
-    /// Machines to add.
+    /// Machines to add, by offer.
     pub scale_out: Vec<ScaleOut>,
-    /// Per machine: whether some task was assigned to it.
+    /// Per existing machine: whether the plan assigned a waiting task to it.
     pub needed: Vec<bool>,
 }
 
 /// A machine that the plan adds.
 struct PlannedMachine {
+    /// Index of the offer.
     offer: usize,
+    /// Resources that no task is assigned to.
     free: Resources,
 }
 
-/// The tasks of a job that have no resources in the plan yet.
+/// The tasks of a job that the plan has not assigned to a machine yet.
 struct Shortage {
-    /// Tasks that are not assigned to a machine.
+    /// Number of tasks.
     tasks: u32,
-    /// Further tasks that each zone may hold.
+    /// Per zone: how many of the tasks it may hold.
     per_zone: Vec<u32>,
 }
 
 impl Shortage {
-    /// Assigns up to `fitting` tasks to a zone; returns how many.
+    /// Assigns up to `fitting` tasks to a zone and returns how many.
     fn assign(&mut self, fitting: u32, zone: usize) -> u32 {
         let tasks = fitting.min(self.tasks).min(self.per_zone[zone]);
         self.tasks -= tasks;
@@ -65,30 +68,30 @@
     }
 }
 
-/// Assigns the demand of one job after the other to machines.
+/// A scaling plan in progress; assigns the tasks of one job after another to machines.
 struct Planner<'a> {
     cluster: &'a ClusterSnapshot,
     offers: &'a [MachineOffer],
     zone_count: usize,
-    /// Free resources per machine, less those of assigned tasks.
+    /// Per existing machine: free resources less those of assigned tasks.
     free: Vec<Resources>,
-    /// Resources used per team, including those of assigned tasks.
+    /// Per team: used resources, including those of the tasks that the plan counts.
     used: Vec<Resources>,
-    /// Machines with free resources for some task, in the order in which they are filled.
+    /// Indexes of the machines with free resources for some task, in the order in which the plan uses them.
     machines: Vec<usize>,
     planned: Vec<PlannedMachine>,
     plan: ScalingPlan,
 }
 
-/// Plans how many machines to add, and tells which of the existing ones are needed. Tasks are first assigned to the
-/// free resources of machines that are up or booting.
+/// Plans which machines to add, and which of the existing machines are needed. Tasks are first assigned to the free
+/// resources of machines that are schedulable or booting, then to machines that the plan adds.
 pub fn plan_scaling(cluster: &ClusterSnapshot, offers: &[MachineOffer]) -> ScalingPlan {
     let smallest = smallest_request(startable_jobs(&cluster.jobs));
     let mut planner = Planner::new(cluster, offers, &smallest);
     for job_index in jobs_to_scale_for(cluster) {
-        let mut shortage = planner.shortage(job_index, &smallest);
-        planner.use_machines(job_index, &mut shortage);
-        planner.use_planned_machines(job_index, &mut shortage);
+        let mut shortage = planner.compute_shortage(job_index, &smallest);
+        planner.assign_to_existing_machines(job_index, &mut shortage);
+        planner.assign_to_planned_machines(job_index, &mut shortage);
         planner.add_machines(job_index, &mut shortage);
         if planner.planned.len() >= MAX_PLANNED_MACHINES {
             return planner.plan;
@@ -108,14 +111,15 @@
             zone_count: zones.max().map_or(0, |last| last + 1),
             free: cluster.machines.iter().map(|machine| machine.free).collect(),
             used: cluster.teams.iter().map(|team| team.used).collect(),
-            machines: machines_with_capacity_by_price(cluster, smallest),
+            machines: machines_with_free_resources(cluster, smallest),
             planned: Vec::new(),
             plan: ScalingPlan { scale_out: vec![], needed: vec![false; cluster.machines.len()] },
         }
     }
 
-    /// The tasks that a job lacks, within its team's limit; their resources count as used by the team from here on.
-    fn shortage(&mut self, job_index: usize, smallest: &Resources) -> Shortage {
+    /// Returns the tasks to provide resources for, within the limit of the job's team. Counts these resources as used
+    /// by the team, and drops machines with less free resources than `smallest`.
+    fn compute_shortage(&mut self, job_index: usize, smallest: &Resources) -> Shortage {
         let job = &self.cluster.jobs[job_index];
         let provisioning_time = provisioning_time(self.cluster, job);
         let desired = desired_tasks(job, self.cluster.now, provisioning_time);
@@ -132,8 +136,8 @@
         Shortage { tasks, per_zone: self.tasks_allowed_per_zone(job_index, tasks) }
     }
 
-    /// How many more tasks of a job each zone may hold. Without this, a gang that must spread, or stay in one zone,
-    /// would seem to fit on machines that it must not use, and no machines would be added for it.
+    /// Returns how many more tasks of a job each zone may hold. Without these bounds, a gang that must spread, or stay
+    /// in one zone, would seem to fit on machines that it must not use, and no machines would be added for it.
     fn tasks_allowed_per_zone(&self, job_index: usize, tasks: u32) -> Vec<u32> {
         let job = &self.cluster.jobs[job_index];
         let mut allowed: Vec<u32> = (0..self.zone_count)
@@ -142,12 +146,12 @@
         if !job.one_zone || job.tasks <= 1 {
             return allowed;
         }
-        // The zone that the job is in; else one with capacity for all of a gang, or a quarter of an array; else one
-        // where machines can be added.
+        // Prefer the zone that the job is in; then a zone with free resources for all tasks of a gang, or a quarter of
+        // those of an array; then one where machines can be added; then the one with most free resources.
         let enough = if job.gang { tasks } else { tasks.div_ceil(4) };
         let best = (0..self.zone_count).max_by_key(|zone| {
-            let capacity = self.capacity_in_zone(job_index, *zone).min(tasks);
-            (job.placed_in(*zone), capacity >= enough, self.has_offer(job, *zone), capacity)
+            let fitting = self.tasks_fitting_in_zone(job_index, *zone).min(tasks);
+            (job.placed_in(*zone), fitting >= enough, self.has_offer(job, *zone), fitting)
         });
         for (zone, allowed) in allowed.iter_mut().enumerate() {
             if Some(zone) != best {
@@ -157,7 +161,8 @@
         allowed
     }
 
-    fn capacity_in_zone(&self, job_index: usize, zone: usize) -> u32 {
+    /// Returns how many tasks of the job fit in the unassigned resources of a zone.
+    fn tasks_fitting_in_zone(&self, job_index: usize, zone: usize) -> u32 {
         let job = &self.cluster.jobs[job_index];
         let in_zone =
             self.machines.iter().filter(|index| self.cluster.machines[**index].zone == zone);
@@ -172,8 +177,8 @@
         self.offers.iter().any(|offer| offer.zone == zone && allows_offer(job, offer))
     }
 
-    /// Assigns tasks to machines that are up or booting.
-    fn use_machines(&mut self, job_index: usize, shortage: &mut Shortage) {
+    /// Assigns tasks to machines that are schedulable or booting.
+    fn assign_to_existing_machines(&mut self, job_index: usize, shortage: &mut Shortage) {
         let job = &self.cluster.jobs[job_index];
         for &index in &self.machines {
             let machine = &self.cluster.machines[index];
@@ -191,8 +196,8 @@
         }
     }
 
-    /// Assigns tasks to machines that the plan adds for other jobs.
-    fn use_planned_machines(&mut self, job_index: usize, shortage: &mut Shortage) {
+    /// Assigns tasks to machines that the plan already adds for other jobs.
+    fn assign_to_planned_machines(&mut self, job_index: usize, shortage: &mut Shortage) {
         let job = &self.cluster.jobs[job_index];
         for machine in &mut self.planned {
             let offer = &self.offers[machine.offer];
@@ -207,7 +212,7 @@
         }
     }
 
-    /// Adds the cheapest machines for the remaining tasks.
+    /// Adds machines for the remaining tasks, each from the offer with the lowest price per task.
     fn add_machines(&mut self, job_index: usize, shortage: &mut Shortage) {
         let job = &self.cluster.jobs[job_index];
         while shortage.tasks > 0 && self.planned.len() < MAX_PLANNED_MACHINES {
@@ -229,7 +234,8 @@
         }
     }
 
-    /// Adds one machine for crash-looping arrays if no machine that is up, booting or planned could run them.
+    /// Adds a machine for a crash-looping array that no existing or planned machine could run. One machine serves all
+    /// such arrays that it could run.
     fn add_machines_for_crash_looping_arrays(&mut self) {
         for (job_index, job) in self.cluster.jobs.iter().enumerate() {
             if !job.crash_looping || job.gang || job.startable == 0 {
@@ -250,7 +256,7 @@
         }
     }
 
-    /// The offer with the lowest price for the tasks that it would take.
+    /// Returns the offer with the lowest price per task; `None` if no offer can provide a machine for the job.
     fn cheapest_offer(&self, job: &JobView, shortage: &Shortage) -> Option<CheapestOffer> {
         let mut cheapest: Option<CheapestOffer> = None;
         for (index, offer) in self.offers.iter().enumerate() {
@@ -263,7 +269,7 @@
                 continue;
             }
             let tasks = fitting.min(shortage.tasks).min(shortage.per_zone[offer.zone]);
-            // The machine is paid for while it boots and fetches the image, too.
+            // The price is also due while the machine boots and fetches the image.
             let fetch = machine_type.fetch_s(job.image_gb);
             let overhead = 1.0 + (machine_type.boot_s + fetch) / NOMINAL_WORK_S;
             let price = offer.price * overhead / f64::from(tasks);
@@ -279,10 +285,13 @@
     }
 }
 
-/// The cheapest offer for a job.
+/// The offer with the lowest price per task for a job.
 struct CheapestOffer {
+    /// Index of the offer.
     offer: usize,
+    /// Number of tasks that fit on an empty machine.
     tasks_per_machine: u32,
+    /// Price per hour and task, including the share of boot and image fetch.
     price_per_task: f64,
 }
 
@@ -296,24 +305,25 @@
     job.allows(offer.machine_type, offer.zone, offer.spot)
 }
 
-/// Machines with free resources for some task: running before booting, in use before empty, cheap before expensive.
-/// Expensive ones thus tend to stay idle and are scaled in.
-fn machines_with_capacity_by_price(cluster: &ClusterSnapshot, smallest: &Resources) -> Vec<usize> {
-    let mut by_price: Vec<usize> = (0..cluster.machines.len())
+/// Returns the machines with free resources for some task: running before booting, in use before empty, cheap before
+/// expensive. Expensive machines thus tend to stay idle and are scaled in.
+fn machines_with_free_resources(cluster: &ClusterSnapshot, smallest: &Resources) -> Vec<usize> {
+    let mut machines: Vec<usize> = (0..cluster.machines.len())
         .filter(|index| cluster.machines[*index].free.fits(smallest))
         .collect();
-    by_price.sort_by(|a, b| {
+    machines.sort_by(|a, b| {
         let (a, b) = (&cluster.machines[*a], &cluster.machines[*b]);
         let state = |machine: &MachineView| (machine.booting, machine.placed_tasks.is_empty());
         state(a).cmp(&state(b)).then(a.cpu_price().total_cmp(&b.cpu_price()))
     });
-    by_price
+    machines
 }
 
-/// The jobs that machines may be added for, by priority and age. Nothing is added for a crash-looping job unless no
-/// machine is left that could run it: its failures may have been the machines' fault, and it must not wait for ever.
-/// One crash-looping gang at a time; one machine for all crash-looping arrays
-/// ([`Planner::add_machines_for_crash_looping_arrays`]).
+/// Returns the jobs that machines may be added for, by priority and age.
+///
+/// Machines are added for a crash-looping job only if the existing ones could not run it: the machines may have caused
+/// its failures, and it must not wait indefinitely. This is done for one crash-looping gang at a time; for
+/// crash-looping arrays see [`Planner::add_machines_for_crash_looping_arrays`].
 fn jobs_to_scale_for(cluster: &ClusterSnapshot) -> Vec<usize> {
     let stranded_gang = (0..cluster.jobs.len()).find(|index| {
         let job = &cluster.jobs[*index];
@@ -329,12 +339,14 @@
     order
 }
 
+/// Whether the plan may assign tasks of the job to an existing machine, regardless of free resources.
 fn may_use(cluster: &ClusterSnapshot, job_index: usize, machine: &MachineView) -> bool {
     (machine.schedulable || machine.booting)
         && machine.eligible_for(job_index, &cluster.jobs[job_index])
 }
 
-/// Time until a machine added now could run the job's first task, s.
+/// Returns the shortest time in which a machine added now could run a task of the job, s: boot and image fetch. 0 if
+/// the job allows no machine type.
 fn provisioning_time(cluster: &ClusterSnapshot, job: &JobView) -> f64 {
     let fastest = cluster
         .machine_types
--- a/crates/policy/src/autoscaling/tests.rs
+++ b/crates/policy/src/autoscaling/tests.rs
@@ -21,8 +21,8 @@
     crate::JobView { gang: true, ..job(3.0, tasks) }
 }
 
-/// Found by the simulation: a gang that must spread over zones waited for ever while idle machines were in one zone
-/// only.
+/// Guards against a gang that waits indefinitely: it must spread over zones, and all idle machines are in one zone.
+/// Found by the simulation.
 #[test]
 fn spread_gang_scales_out_in_other_zone() {
     let spread = crate::JobView { max_tasks_per_zone: 2, ..gang(3) };
@@ -37,7 +37,7 @@
     let snapshot = cluster(vec![one_zone.clone()], vec![machine(0), machine(1), machine(1)]);
     let offers = [0, 1].map(|zone| MachineOffer { machine_type: 0, zone, spot: false, price: 1.0 });
     assert_eq!(plan_scaling(&snapshot, &offers).scale_out, [ScaleOut { offer: 1, count: 1 }]);
-    // Zone 1 has more machines, but none can be added there: the gang needs two more in zone 0.
+    // Zone 1 has more machines, but none can be added there, so two are added in zone 0.
     assert_eq!(plan_scaling(&snapshot, &offers[..1]).scale_out, [ScaleOut { offer: 0, count: 2 }]);
     let complete = cluster(vec![one_zone], vec![machine(0), machine(1), machine(1), machine(1)]);
     assert_eq!(plan_scaling(&complete, &offers).scale_out, []);
@@ -64,8 +64,8 @@
     assert!(scaled_out(60) > 10, "zone 0 has too little capacity, and zone 1 has an offer");
 }
 
-/// Found by the simulation (seed 3502 with a partitioned zone): a job failed once through no fault of its own, all
-/// machines were lost, and none was ever added for it.
+/// Guards against a job that waits indefinitely: it failed once through no fault of its own, then all machines were
+/// lost, and none was ever added for it. Found by the simulation (seed 3502 with a partitioned zone).
 #[test]
 fn failed_job_scales_out_when_no_eligible_machine_remains() {
     let crash_looping = crate::JobView { crash_looping: true, startable: 1, ..job(3.0, 30) };
@@ -84,7 +84,7 @@
     assert_eq!(
         scaled_out(vec![crash_looping.clone()], vec![busy]),
         [],
-        "a machine exists that will become free"
+        "an existing machine could run the array once it has free resources"
     );
     let gang = crate::JobView { gang: true, startable: 3, ..crash_looping.clone() };
     let gang = crate::JobView { tasks: 3, unfinished: 3, max_tasks_per_zone: 3, ..gang };
--- a/crates/policy/src/feasibility.rs
+++ b/crates/policy/src/feasibility.rs
@@ -1,20 +1,21 @@
-//! Whether a job can run at all, however long it waits.
+//! Admission check: whether a job can run at all, however long it waits.
 
 use crate::{Resources, TeamView};
 
 /// Why a job can never run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Infeasible {
-    /// No machine type that the job allows is large enough for a task.
+    /// None of the machine types that the job allows is large enough for one task.
     #[error("a task fits no allowed machine type")]
     NoMachineType,
-    /// The tasks that must run at a time exceed the limit of the team.
+    /// The tasks that must run at the same time request more than the limit of the team.
     #[error("the job needs more than its team's limit")]
     ExceedsTeamLimit,
 }
 
-/// Checks that a task fits some allowed machine type (`machine_types`, one entry each), and that the team's limit
-/// allows the `tasks` that must run at a time: one of an array, all of a gang.
+/// Checks that a task fits some machine type (`machine_types` tells for each type whether the job allows it and a task
+/// fits), and that the team's limit allows `tasks` tasks, the number that must run at the same time: one of an array,
+/// all of a gang. Resources in use do not count.
 pub fn check_feasible(
     machine_types: &[bool],
     request: &Resources,
--- a/crates/policy/src/min_tasks.rs
+++ b/crates/policy/src/min_tasks.rs
@@ -1,12 +1,13 @@
-//! The minimum task count of a job, and how many tasks the fleet is sized for.
+//! The minimum task count of a job, and the number of its tasks that the fleet is sized for.
 
 use crate::JobView;
 use hookway_constants as constants;
 
-/// The minimum number of tasks that should run at a time so that the job meets its deadline.
+/// Returns the minimum task count: how many tasks of the job should run at the same time so that it meets its deadline.
 ///
-/// The mean time of the finished tasks times the unfinished tasks, divided by the time to the deadline. With less than
-/// one mean task time left, all unfinished tasks. Until a task has finished, the number of placed tasks.
+/// This is the mean run time of the finished tasks times the number of unfinished tasks, divided by the time to the
+/// deadline; all unfinished tasks, if less than one mean run time is left. Until a task has finished it is the number
+/// of placed tasks, afterwards 0 for a job without a deadline. For a daemon it is always all replicas.
 pub fn min_tasks(job: &JobView, now: f64) -> u32 {
     if job.daemon {
         return job.unfinished;
@@ -16,7 +17,8 @@
     min_tasks_by_deadline(mean, job.unfinished, deadline - now)
 }
 
-/// The number of tasks that must run at a time to finish `unfinished` tasks of `mean` seconds in `time_left` seconds.
+/// Returns how many tasks must run at the same time to finish `unfinished` tasks of `mean` seconds each in `time_left`
+/// seconds.
 pub(crate) fn min_tasks_by_deadline(mean: f64, unfinished: u32, time_left: f64) -> u32 {
     if time_left < mean || time_left <= 0.0 {
         return unfinished;
@@ -25,8 +27,12 @@
     ((work / time_left).ceil() as u32).min(unfinished)
 }
 
-/// Tasks that the fleet should have resources for: the minimum, with the team's estimate until a task has finished,
-/// and with `provisioning_time` seconds taken off the time left (boot and image fetch). A gang needs all its tasks.
+/// Returns the number of tasks that the fleet should have resources for: all unfinished tasks of a gang or a daemon,
+/// otherwise those that must run at the same time to meet the deadline.
+///
+/// Machines added now need `provisioning_time` seconds for boot and image fetch, which are subtracted from the time
+/// left. Until a task has finished, the team's estimate stands for the task time. A job without a deadline gets
+/// `DEFAULT_DEADLINE_FACTOR` task times from its submission, plus the provisioning time.
 pub fn desired_tasks(job: &JobView, now: f64, provisioning_time: f64) -> u32 {
     if job.needs_all_tasks_at_once() {
         return job.unfinished;
@@ -34,7 +40,7 @@
     let mean = job.task_time();
     let assumed = job.submitted + constants::DEFAULT_DEADLINE_FACTOR * mean + provisioning_time;
     let deadline = job.deadline.unwrap_or(assumed);
-    // A task can't be split: the time left holds whole task times only.
+    // A task can't be split, so only whole task times count.
     let task_times = ((deadline - now - provisioning_time) / mean).floor();
     if task_times < 1.0 {
         return job.unfinished;
@@ -43,7 +49,8 @@
     tasks.min(job.unfinished)
 }
 
-/// Whether the minimum task count has changed enough since it was stored for its record to be written again.
+/// Whether the minimum task count differs enough from the `stored` one for its record to be written again. Without a
+/// stored one, or with 0, any count above 0 does.
 pub fn min_tasks_need_rewrite(stored: Option<u32>, current: u32) -> bool {
     match stored {
         None | Some(0) => current > 0,
--- a/crates/policy/src/min_tasks/tests.rs
+++ b/crates/policy/src/min_tasks/tests.rs
@@ -21,7 +21,7 @@
 
 #[test]
 fn min_tasks_record_is_rewritten_after_change_of_one_quarter() {
-    assert!(min_tasks_need_rewrite(None, 3), "nothing is stored yet");
+    assert!(min_tasks_need_rewrite(None, 3), "no minimum is stored yet");
     assert!(!min_tasks_need_rewrite(Some(8), 9));
     assert!(min_tasks_need_rewrite(Some(8), 10));
     assert!(min_tasks_need_rewrite(Some(8), 6));
--- a/crates/policy/src/relocation.rs
+++ b/crates/policy/src/relocation.rs
@@ -1,6 +1,6 @@
-//! Relocation (descheduling): replicas of daemons that move to other machines, so that a job finds room that only they
-//! hold. A replica neither ends by itself nor is preempted by a job of the same priority, so a job that is bound to
-//! its machine's zone would wait for ever although the replica could run elsewhere.
+//! Relocation (descheduling): moves replicas of daemons to other machines, so that a job finds resources that only
+//! these replicas use. A replica neither ends by itself nor is preempted by a job of the same priority, so a job that
+//! is bound to the zone of the replica's machine would wait indefinitely although the replica could run elsewhere.
 
 use crate::placement::smallest_request;
 use crate::preemption::{
@@ -15,45 +15,48 @@
 use hookway_time::millis_f64;
 use std::collections::{HashMap, HashSet};
 
-/// A replica that moves.
+/// The move of one replica to another machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaMove {
-    /// Index of its job.
+    /// Index of the replica's job.
     pub job: usize,
-    /// The replica, where it is now.
+    /// The replica on its present machine.
     pub replica: Victim,
-    /// Index of the machine that it goes to.
+    /// Index of the machine that the replica moves to.
     pub target: usize,
-    /// Tasks of lower priority to stop on the target for it.
+    /// Tasks to preempt on the target for the replica; empty if the target has enough free resources.
     pub victims: Vec<Victim>,
 }
 
-/// Replicas that move so that a job finds room.
+/// The moves and preemptions that free resources for one job, the beneficiary.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Relocation {
-    /// Index of the job that gets the room.
+    /// Index of the beneficiary.
     pub job: usize,
-    /// The machine of each of its tasks, by index.
+    /// Index of the machine planned for each task that the beneficiary can start.
     pub task_machines: Vec<usize>,
-    /// Tasks of lower priority to stop on these machines.
+    /// Tasks to preempt on these machines.
     pub victims: Vec<Victim>,
-    /// The replicas that move away from these machines.
+    /// Moves of replicas away from these machines.
     pub moves: Vec<ReplicaMove>,
 }
 
-/// Which jobs a relocation may not begin with, and how much it may move.
+/// Limits of one call of [`relocate`].
 #[derive(Debug, Clone, Default)]
 pub struct RelocationLimits {
-    /// Jobs that get room already or of which a replica is moving, by index.
+    /// Indexes of the jobs that benefit from a relocation in progress, or of which a replica is moving. They neither
+    /// benefit from a new relocation nor move further replicas.
     pub busy_jobs: HashSet<usize>,
-    /// Maximum number of replicas that begin to move.
+    /// Maximum number of replicas that begin to move, over all relocations.
     pub max_moves: usize,
 }
 
-/// Plans relocations for gangs and daemons that neither found resources nor can preempt any. `preemptions` are those of
-/// the same round: their machines and jobs are left alone. Every replica that moves has a machine to go to, which has
-/// room for it or is cleared of lower priorities first; so each relocation ends with fewer waiting tasks than it began
-/// with, and a sequence of them ends.
+/// Plans relocations for gangs and daemons that neither found resources nor can get any by preemption. `preemptions`
+/// are those of the same round: relocations use neither their machines nor their beneficiaries.
+///
+/// For every replica that moves, the plan has a target with enough free resources, or one on which tasks of lower
+/// priority are preempted first. Each relocation therefore ends with fewer waiting tasks than it began with, and a
+/// sequence of relocations terminates.
 pub fn relocate(
     cluster: &ClusterSnapshot,
     preemptions: &[Preemption],
@@ -85,10 +88,10 @@
     relocations
 }
 
-/// Gangs and daemons that have waited for long enough.
+/// Returns the gangs and daemons that have waited for at least `RELOCATE_AFTER`, are due for preemption and not busy.
 fn waiting_jobs(cluster: &ClusterSnapshot, busy_jobs: &HashSet<usize>) -> Vec<usize> {
     let delay_s = millis_f64(constants::RELOCATE_AFTER) / 1000.0;
-    let waits = |index: &usize| {
+    let is_waiting = |index: &usize| {
         let job = &cluster.jobs[*index];
         job.needs_all_tasks_at_once()
             && job.startable > 0
@@ -96,10 +99,11 @@
             && !busy_jobs.contains(index)
             && is_due_for_preemption(cluster, *index)
     };
-    (0..cluster.jobs.len()).filter(waits).collect()
+    (0..cluster.jobs.len()).filter(is_waiting).collect()
 }
 
-/// Plans the relocation for one job: all tasks of a gang, or one replica of a daemon.
+/// Plans the relocation that lets all startable tasks of a gang, or one replica of a daemon, start; `None` if there is
+/// none, or if preemption alone is enough.
 fn relocate_for(
     cluster: &ClusterSnapshot,
     job_index: usize,
@@ -130,7 +134,7 @@
         if may_preempt(cluster, job_index, placed) {
             victims.push(victim);
         } else {
-            planner.add(victim, placed.job)?;
+            planner.plan_move(victim, placed.job)?;
         }
     }
     let task_machines = found.task_machines;
@@ -142,7 +146,7 @@
     machine.placed_tasks.iter().find(|placed| placed.id == victim.task)
 }
 
-/// A job without one of its replicas, which is in `zone`.
+/// Returns the job as it is after one of its replicas in `zone` has stopped.
 fn without_replica(job: &JobView, zone: usize) -> JobView {
     let mut job = job.clone();
     job.placed = job.placed.saturating_sub(1);
@@ -153,21 +157,22 @@
 }
 
 /// How a machine can take a replica.
-enum TargetRoom {
-    /// It has room.
-    Free,
-    /// Once these tasks of lower priority are gone.
+enum ReplicaFit {
+    /// The replica fits in the free resources.
+    Immediate,
+    /// The replica fits once these tasks, by their `id`, have been preempted.
     AfterPreemption(Vec<u64>),
 }
 
-/// How machine `index`, with so much `free`, can take a replica of `job`, which has left its place; `None` if it can't.
-fn target_room(
+/// Determines how machine `index` with the resources `free` can take a replica of `job`; `None` if it can't. `job` does
+/// not include the replica.
+fn replica_fit(
     cluster: &ClusterSnapshot,
     job_index: usize,
     job: &JobView,
     index: usize,
     free: &Resources,
-) -> Option<TargetRoom> {
+) -> Option<ReplicaFit> {
     let machine = &cluster.machines[index];
     let usable = machine.schedulable
         && !machine.booting
@@ -177,37 +182,40 @@
         return None;
     }
     if free.fits(&job.request) {
-        return Some(TargetRoom::Free);
+        return Some(ReplicaFit::Immediate);
     }
     let victims = victims_on_machine(cluster, job_index, index, 1, Displaceable::Preemptible)?;
-    // Without a task to stop, the room is there but other replicas go to it.
-    (!victims.tasks.is_empty()).then_some(TargetRoom::AfterPreemption(victims.tasks))
+    // No victims: the machine has the resources, but other replicas of the plan use them.
+    (!victims.tasks.is_empty()).then_some(ReplicaFit::AfterPreemption(victims.tasks))
 }
 
-/// Replicas of a job in one zone.
+/// The replicas of a daemon in one zone. The same machines can take any of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct ReplicaGroup {
     job: usize,
     zone: usize,
 }
 
-/// Machines that could take one replica of a group: up to two, so that there is one beside the replica's own.
+/// Up to two machines that could take one replica of a group. One of two differs from the machine that the replica is
+/// on.
 type Targets = [Option<usize>; 2];
 
-/// The replicas that a job can't preempt, and that could run on another machine.
+/// The replicas that may move to another machine for a job, with their possible targets.
 #[derive(Debug, Default)]
 pub(crate) struct MovableReplicas {
     targets: HashMap<ReplicaGroup, Targets>,
 }
 
-/// Machines that may have room for a replica, or may be cleared for one, by zone.
-struct OpenMachines {
+/// Machines that may have free resources for a replica, or may be cleared for one.
+struct PossibleTargets {
+    /// Per zone: indexes of the machines.
     by_zone: Vec<Vec<usize>>,
 }
 
-impl OpenMachines {
-    /// Of the machines that are not `taken`: those with room for the smallest replica, or with a task of a lower
-    /// priority than the highest. The others need not be looked at for each daemon, of which there may be thousands.
+impl PossibleTargets {
+    /// Finds the machines, except `taken` ones, that have free resources for the smallest replica, or a task of lower
+    /// priority than that of the highest daemon. If a team has a guarantee, any task counts. This spares a check of all
+    /// machines for each of possibly thousands of daemons.
     fn find(cluster: &ClusterSnapshot, taken: &[bool]) -> Self {
         let daemons = || cluster.jobs.iter().filter(|job| job.daemon);
         let highest = daemons().map(|job| job.priority).max();
@@ -219,16 +227,16 @@
                 any_guarantee
                     || highest.is_some_and(|highest| cluster.jobs[task.job].priority < highest)
             };
-            let open =
+            let is_possible_target =
                 machine.free.fits(&smallest) || machine.placed_tasks.iter().any(can_be_cleared);
-            if open && machine.schedulable && !machine.booting && !taken[index] {
+            if is_possible_target && machine.schedulable && !machine.booting && !taken[index] {
                 by_zone[machine.zone].push(index);
             }
         }
         Self { by_zone }
     }
 
-    /// Those in the zones that a job may use.
+    /// Returns the machines in the zones that the job may use.
     fn for_job(&self, job: &JobView) -> impl Iterator<Item = usize> {
         let zones = self.by_zone.iter().enumerate().filter(|(zone, _)| job.may_use_zone(*zone));
         let zones = zones.filter(|(zone, _)| job.zone.is_none_or(|only| only == *zone));
@@ -237,8 +245,8 @@
 }
 
 impl MovableReplicas {
-    /// Replicas on machines that the job may use, of its own priority at most. A daemon of which a replica is missing
-    /// gives none away.
+    /// Finds the replicas on machines that the job may use, of at most the job's priority. Replicas of a daemon stay if
+    /// any of its replicas is not placed.
     fn find(
         cluster: &ClusterSnapshot,
         job_index: usize,
@@ -246,7 +254,7 @@
         busy_jobs: &HashSet<usize>,
     ) -> Self {
         let job = &cluster.jobs[job_index];
-        let open = OpenMachines::find(cluster, taken);
+        let possible = PossibleTargets::find(cluster, taken);
         let mut movable = Self::default();
         for (index, machine) in cluster.machines.iter().enumerate() {
             let usable =
@@ -264,7 +272,7 @@
                 {
                     let group = ReplicaGroup { job: task.job, zone: machine.zone };
                     let targets = movable.targets.entry(group);
-                    targets.or_insert_with(|| find_targets(cluster, group, &open));
+                    targets.or_insert_with(|| find_targets(cluster, group, &possible));
                 }
             }
         }
@@ -288,13 +296,18 @@
     }
 }
 
-fn find_targets(cluster: &ClusterSnapshot, group: ReplicaGroup, open: &OpenMachines) -> Targets {
+/// Returns the first machines that could take a replica of the group.
+fn find_targets(
+    cluster: &ClusterSnapshot,
+    group: ReplicaGroup,
+    possible: &PossibleTargets,
+) -> Targets {
     let job = without_replica(&cluster.jobs[group.job], group.zone);
     let takes_replica = |index: &usize| {
         let free = &cluster.machines[*index].free;
-        target_room(cluster, group.job, &job, *index, free).is_some()
+        replica_fit(cluster, group.job, &job, *index, free).is_some()
     };
-    let mut found = open.for_job(&job).filter(takes_replica);
+    let mut found = possible.for_job(&job).filter(takes_replica);
     [found.next(), found.next()]
 }
 
@@ -303,12 +316,13 @@
     machine: usize,
     /// Time to fetch the replica's image, s.
     fetch_time: f64,
-    /// Tasks of lower priority to stop first.
+    /// Tasks to preempt first, by their `id`.
     victims: Vec<u64>,
 }
 
 impl TargetCandidate {
-    /// Whether this one is better: it has room while the other one must be cleared, or has the image sooner.
+    /// Whether this candidate is better than the other: without preemption rather than with it, then with the shorter
+    /// image fetch.
     fn precedes(&self, other: &Self) -> bool {
         let order = |candidate: &Self| (!candidate.victims.is_empty(), candidate.fetch_time);
         order(self) < order(other)
@@ -318,11 +332,12 @@
 /// Assigns the replicas of one relocation to machines.
 struct MovePlanner<'a> {
     cluster: &'a ClusterSnapshot,
-    /// Machines that take no replica: taken for others, cleared for the job, or cleared for a replica.
+    /// Per machine: whether it takes no (further) replica, since it is taken for another job, cleared for the
+    /// beneficiary, or cleared for a replica.
     closed: Vec<bool>,
-    /// What is left of machines that take replicas.
+    /// Free resources of the machines that take replicas, less those of the replicas.
     free: HashMap<usize, Resources>,
-    /// Jobs of which replicas move, with their replicas where they will be.
+    /// Jobs of which replicas move, as they are after the moves planned so far.
     jobs: HashMap<usize, JobView>,
     moves: Vec<ReplicaMove>,
 }
@@ -336,12 +351,12 @@
         Self { cluster, closed, free: HashMap::new(), jobs: HashMap::new(), moves: Vec::new() }
     }
 
-    /// Finds a machine for a replica; `None` if there is none.
-    fn add(&mut self, replica: Victim, job_index: usize) -> Option<()> {
+    /// Plans the move of a replica to the best target; `None` if there is none.
+    fn plan_move(&mut self, replica: Victim, job_index: usize) -> Option<()> {
         let cluster = self.cluster;
         let source_zone = cluster.machines[replica.machine].zone;
-        let known = self.jobs.get(&job_index).unwrap_or(&cluster.jobs[job_index]);
-        let mut job = without_replica(known, source_zone);
+        let before_move = self.jobs.get(&job_index).unwrap_or(&cluster.jobs[job_index]);
+        let mut job = without_replica(before_move, source_zone);
         let TargetCandidate { machine: target, victims, .. } = self.best_target(job_index, &job)?;
         self.closed[target] |= !victims.is_empty();
         let free = self.free.entry(target).or_insert(cluster.machines[target].free);
@@ -356,7 +371,7 @@
         Some(())
     }
 
-    /// The best machine for a replica of `job`, which has left its place.
+    /// Returns the best target for a replica of `job`, which does not include the replica.
     fn best_target(&self, job_index: usize, job: &JobView) -> Option<TargetCandidate> {
         let mut best: Option<TargetCandidate> = None;
         for (index, machine) in self.cluster.machines.iter().enumerate() {
@@ -364,10 +379,10 @@
                 continue;
             }
             let free = self.free.get(&index).unwrap_or(&machine.free);
-            let victims = match target_room(self.cluster, job_index, job, index, free) {
+            let victims = match replica_fit(self.cluster, job_index, job, index, free) {
                 None => continue,
-                Some(TargetRoom::Free) => Vec::new(),
-                Some(TargetRoom::AfterPreemption(victims)) => victims,
+                Some(ReplicaFit::Immediate) => Vec::new(),
+                Some(ReplicaFit::AfterPreemption(victims)) => victims,
             };
             let fetch_time = self.cluster.fetch_time(job, machine);
             let candidate = TargetCandidate { machine: index, fetch_time, victims };
--- a/crates/policy/src/relocation/tests.rs
+++ b/crates/policy/src/relocation/tests.rs
@@ -6,7 +6,7 @@
     JobView { daemon: true, priority: Priority::Production, ..job(1.0, replicas) }
 }
 
-/// A daemon of which all replicas are placed, so many in each zone.
+/// Returns a daemon with all replicas placed, `per_zone[i]` of them in zone `i`.
 fn placed_daemon(per_zone: [u32; 3]) -> JobView {
     let replicas = per_zone.iter().sum();
     JobView {
@@ -17,12 +17,12 @@
     }
 }
 
-/// A daemon that waits for one replica, which must run in zone 0.
+/// Returns a daemon with a single replica, which waits for resources and must run in zone 0.
 fn waiting_daemon() -> JobView {
     JobView { zone: Some(0), ..daemon(1) }
 }
 
-/// A machine with one-CPU tasks of these jobs.
+/// Returns a machine with a one-CPU task for each entry of `jobs`.
 fn machine_with(zone: usize, jobs: &[usize]) -> MachineView {
     let mut machine = machine(zone);
     let request = Resources { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn replica_moves_to_machine_with_room() {
+fn replica_moves_to_machine_with_free_resources() {
     let jobs = vec![waiting_daemon(), placed_daemon([4, 0, 0])];
     let machines = vec![machine_with(0, &[1, 1, 1, 1]), machine(1)];
     let relocations = plan(jobs, machines);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn target_is_cleared_of_lower_priority_only_where_no_machine_has_room() {
+fn target_is_cleared_of_lower_priority_only_without_free_resources_elsewhere() {
     let jobs = vec![waiting_daemon(), placed_daemon([4, 0, 0]), job(1.0, 8)];
     let full = machine_with(1, &[2, 2, 2, 2]);
     let relocations = plan(jobs.clone(), vec![machine_with(0, &[1, 1, 1, 1]), full.clone()]);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn unusable_machines_are_no_targets() {
+fn unusable_machine_is_not_a_target() {
     let unusable = |change: fn(&mut MachineView)| {
         let mut target = machine(1);
         change(&mut target);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn constraints_of_the_moving_replica_hold() {
+fn moving_replica_respects_constraints_of_its_daemon() {
     let with = |other: JobView| {
         plan(vec![waiting_daemon(), other], vec![machine_with(0, &[1, 1, 1, 1]), machine(1)])
     };
@@ -101,21 +101,21 @@
     assert_eq!(with(JobView { machine_types: vec![false], ..whole.clone() }), [], "machine types");
     assert_eq!(with(JobView { placed: 3, startable: 1, ..whole.clone() }), [], "one is missing");
     let spread = JobView { max_tasks_per_zone: 2, placed_per_zone: vec![4, 2, 0], ..whole.clone() };
-    assert_eq!(with(spread), [], "the other zone has its share");
+    assert_eq!(with(spread), [], "the other zone has its maximum already");
     assert_eq!(with(whole).len(), 1);
 }
 
 #[test]
-fn replicas_of_higher_priority_stay() {
+fn replica_of_higher_priority_does_not_move() {
     let waiting = JobView { priority: Priority::High, ..waiting_daemon() };
     let machines = || vec![machine_with(0, &[1, 1, 1, 1]), machine(1)];
     assert_eq!(plan(vec![waiting.clone(), placed_daemon([4, 0, 0])], machines()), []);
     let high = JobView { priority: Priority::High, ..placed_daemon([4, 0, 0]) };
-    assert_eq!(plan(vec![waiting, high], machines()).len(), 1, "high behind high");
+    assert_eq!(plan(vec![waiting, high], machines()).len(), 1, "equal priority moves");
 }
 
 #[test]
-fn gang_gets_room_for_all_tasks_or_none() {
+fn gang_relocation_frees_resources_for_all_tasks_or_none() {
     let gang = JobView { gang: true, daemon: false, zone: Some(0), ..daemon(3) };
     let jobs = |gang: &JobView| vec![gang.clone(), placed_daemon([4, 0, 0])];
     let full = || machine_with(0, &[1, 1, 1, 1]);
@@ -124,11 +124,15 @@
     assert_eq!(relocations[0].moves.len(), 3);
     let small_target = machine_with(1, &[1, 1]);
     let whole = placed_daemon([4, 2, 0]);
-    assert_eq!(plan(vec![gang, whole], vec![full(), small_target]), [], "room for two of three");
+    assert_eq!(
+        plan(vec![gang, whole], vec![full(), small_target]),
+        [],
+        "the target can take only two of three replicas"
+    );
 }
 
 #[test]
-fn jobs_already_relocating_and_too_many_moves_begin_nothing() {
+fn no_relocation_for_busy_or_recent_jobs_or_beyond_move_limit() {
     let jobs = vec![waiting_daemon(), placed_daemon([4, 0, 0])];
     let mut snapshot = cluster(jobs, vec![machine_with(0, &[1, 1, 1, 1]), machine(1)]);
     snapshot.now = 10.0;
@@ -142,14 +146,14 @@
     assert_eq!(
         relocate(&snapshot, &[preemption], limits.clone()),
         [],
-        "its preemption is under way"
+        "a preemption for the job is in progress"
     );
     snapshot.now = 1.0;
-    assert_eq!(relocate(&snapshot, &[], limits), [], "it has not waited for long enough");
+    assert_eq!(relocate(&snapshot, &[], limits), [], "before RELOCATE_AFTER nothing moves");
 }
 
 #[test]
-fn team_at_its_limit_moves_nothing() {
+fn no_relocation_for_job_beyond_limit_of_its_team() {
     let jobs = vec![waiting_daemon(), JobView { team: 1, ..placed_daemon([4, 0, 0]) }];
     let mut snapshot = cluster(jobs, vec![machine_with(0, &[1, 1, 1, 1]), machine(1)]);
     snapshot.now = 10.0;
--- a/crates/policy/src/test_support.rs
+++ b/crates/policy/src/test_support.rs
@@ -1,8 +1,9 @@
-//! Builders for the tests of the policy.
+//! Builders of jobs, machines and scheduling snapshots for the tests of this crate.
 
 use crate::*;
 use hookway_wire::{MachineType, Priority};
 
+/// Returns an array of the first team that has not run: 1 GB of memory per task, estimate 10 s, any zone, spot allowed.
 pub(crate) fn job(cpus: f64, tasks: u32) -> JobView {
     JobView {
         team: 0,
@@ -35,6 +36,7 @@
     }
 }
 
+/// Returns an empty on-demand machine with 4 CPUs and 16 GB of memory, without cached images.
 pub(crate) fn machine(zone: usize) -> MachineView {
     let total = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 16.0 };
     MachineView {
@@ -53,6 +55,7 @@
     }
 }
 
+/// Returns a snapshot at time 0 with one team without quotas and one machine type.
 pub(crate) fn cluster(jobs: Vec<JobView>, machines: Vec<MachineView>) -> ClusterSnapshot {
     ClusterSnapshot {
         now: 0.0,
