--- a/crates/constants/src/lib.rs
+++ b/crates/constants/src/lib.rs
@@ -1,7 +1,8 @@
-//! Every tuning constant of hookway, by concern, each with its unit and the reason for its value.
+//! The constants of hookway: time limits, intervals, bounds, shares and weights, in one module per area.
 //!
-//! Nothing here describes a particular deployment: what depends on one is derived from its settings and from the
-//! cloud's list of machine types. All constants are exported at the root of the crate.
+//! The comment or the type of a constant gives its unit. No constant describes a particular deployment: values that
+//! depend on one are derived from its settings and from the machine types that the cloud offers. All constants are
+//! exported at the root of the crate.
 
 mod api;
 mod cloud;
--- a/crates/policy/src/autoscaling.rs
+++ b/crates/policy/src/autoscaling.rs
@@ -1,6 +1,6 @@
 //! Autoscaling: how many machines of which kind the fleet should have. A plan assigns waiting tasks to the existing
-//! machines, and tasks that do not fit there to new machines from the cheapest offers of the cloud. The assignment only
-//! sizes the fleet; it places no task.
+//! machines, and tasks that do not fit there to new machines from the cheapest offers of the cloud. The assignment
+//! only sizes the fleet; it places no task.
 
 use crate::placement::{fleet_could_hold, smallest_request, startable_jobs};
 use crate::{ClusterSnapshot, JobView, MachineView, Resources, desired_tasks};
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,9 +1,9 @@
-//! The scheduling policy of hookway as pure functions: the minimum task count of a job, the scheduling queue, placement
-//! (bin packing), preemption, relocation of replicas, and autoscaling.
+//! The scheduling policy of hookway as pure functions: the minimum task count of a job, the scheduling queue,
+//! placement (bin packing), preemption, relocation of replicas, and autoscaling.
 //!
 //! Nothing here reads a clock or does I/O. Times are seconds since an origin that the caller chooses. Machines, jobs,
-//! teams and machine types are identified by their index in the [`ClusterSnapshot`] that the caller passes, zones by an
-//! index that the caller assigns. The entry points are [`place`], which runs a scheduling round, [`preempt`],
+//! teams and machine types are identified by their index in the [`ClusterSnapshot`] that the caller passes, zones by
+//! an index that the caller assigns. The entry points are [`place`], which runs a scheduling round, [`preempt`],
 //! [`relocate`] and [`plan_scaling`].
 
 mod autoscaling;
--- a/crates/policy/src/min_tasks.rs
+++ b/crates/policy/src/min_tasks.rs
@@ -3,7 +3,8 @@
 use crate::JobView;
 use hookway_constants as constants;
 
-/// Returns the minimum task count: how many tasks of the job should run at the same time so that it meets its deadline.
+/// Returns the minimum task count: how many tasks of the job should run at the same time so that it meets its
+/// deadline.
 ///
 /// This is the mean run time of the finished tasks times the number of unfinished tasks, divided by the time to the
 /// deadline; all unfinished tasks, if less than one mean run time is left. Until a task has finished it is the number
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Reserves quota for a gang unless another gang of the team has a reservation. Returns `false` if the team's limit
-    /// does not allow the gang now; the quota is reserved in this case too.
+    /// Reserves quota for a gang unless another gang of the team has a reservation. Returns `false` if the team's
+    /// limit does not allow the gang now; the quota is reserved in this case too.
     fn reserve_quota(&mut self, job_index: usize) -> bool {
         let job = &self.cluster.jobs[job_index];
         let reservation =
@@ -286,8 +286,8 @@
 
 /// Whether a gang that found resources on these machines should wait for preemption on other machines instead.
 ///
-/// The tasks of a gang start together, so a single image fetch delays all of them. Waiting is cheaper than the fetch if
-/// machines that hold the image are being cleared for the gang, or can be cleared at a lower cost.
+/// The tasks of a gang start together, so a single image fetch delays all of them. Waiting is cheaper than the fetch
+/// if machines that hold the image are being cleared for the gang, or can be cleared at a lower cost.
 fn should_wait_for_preemption(
     cluster: &ClusterSnapshot,
     job_index: usize,
--- a/crates/policy/src/placement/cost.rs
+++ b/crates/policy/src/placement/cost.rs
@@ -4,13 +4,13 @@
 use crate::{ClusterSnapshot, JobView, MachineView};
 use hookway_constants as constants;
 
-/// Upper bound of the price excess in the placement cost, in multiples of the cheapest price per CPU, so that the price
-/// does not outweigh all other costs.
+/// Upper bound of the price excess in the placement cost, in multiples of the cheapest price per CPU, so that the
+/// price does not outweigh all other costs.
 const MAX_PRICE_EXCESS: f64 = 4.0;
 
-/// Returns the placement cost of a task of the job on the machine, in seconds of image fetch; lower is better. The cost
-/// is the time to fetch the image (image locality) plus penalties that keep whole machines free for work that needs
-/// them.
+/// Returns the placement cost of a task of the job on the machine, in seconds of image fetch; lower is better. The
+/// cost is the time to fetch the image (image locality) plus penalties that keep whole machines free for work that
+/// needs them.
 pub(super) fn placement_cost(
     cluster: &ClusterSnapshot,
     job: &JobView,
@@ -44,9 +44,9 @@
     index: usize,
 }
 
-/// Returns those of the candidates that the job could use now, lowest placement cost first; only those in `zone` if one
-/// is given. Placing a task lowers the cost of its machine for the next task and leaves the cost of the other machines
-/// unchanged, so one ranking is enough to place any number of tasks.
+/// Returns those of the candidates that the job could use now, lowest placement cost first; only those in `zone` if
+/// one is given. Placing a task lowers the cost of its machine for the next task and leaves the cost of the other
+/// machines unchanged, so one ranking is enough to place any number of tasks.
 pub(super) fn machines_by_cost(
     cluster: &ClusterSnapshot,
     job_index: usize,
--- a/crates/policy/src/placement/reservation.rs
+++ b/crates/policy/src/placement/reservation.rs
@@ -41,8 +41,8 @@
     fitting >= job.tasks
 }
 
-/// Reserves the least used machines that together can hold a waiting gang. Returns `false`, and reserves none, if there
-/// are not enough.
+/// Reserves the least used machines that together can hold a waiting gang. Returns `false`, and reserves none, if
+/// there are not enough.
 pub(super) fn reserve_machines(cluster: &mut ClusterSnapshot, job_index: usize) -> bool {
     let candidates = reservation_candidates(cluster, job_index);
     let zones: Vec<Option<usize>> = if cluster.jobs[job_index].one_zone {
--- a/crates/policy/src/preemption/deadlines.rs
+++ b/crates/policy/src/preemption/deadlines.rs
@@ -13,9 +13,9 @@
     stoppable: Vec<Vec<&'a PlacedTaskView>>,
 }
 
-/// Preempts backfill for arrays that have fewer tasks placed than their deadlines require. Only tasks of lower priority
-/// that write checkpoints are stopped. Without this, backfill tasks that run for minutes would make a burst of short
-/// tasks miss their deadlines.
+/// Preempts backfill for arrays that have fewer tasks placed than their deadlines require. Only tasks of lower
+/// priority that write checkpoints are stopped. Without this, backfill tasks that run for minutes would make a burst
+/// of short tasks miss their deadlines.
 pub(super) fn preempt_for_deadlines(cluster: &ClusterSnapshot) -> Vec<Preemption> {
     let mut backfill = Backfill::of(cluster);
     if backfill.stoppable.iter().all(Vec::is_empty) {
@@ -74,7 +74,8 @@
         Self { free, stoppable }
     }
 
-    /// Assigns the tasks missing from the job's minimum to free resources, and chooses victims where these are too few.
+    /// Assigns the tasks missing from the job's minimum to free resources, and chooses victims where these are too
+    /// few.
     fn preempt_for(
         &mut self,
         cluster: &ClusterSnapshot,
--- a/crates/policy/src/preemption/quota.rs
+++ b/crates/policy/src/preemption/quota.rs
@@ -12,8 +12,8 @@
     task: &'a PlacedTaskView,
 }
 
-/// Chooses tasks of lower priority in the job's own team to stop, so that the team's limit allows `tasks` more tasks of
-/// the job. Returns `None` if that is not possible, or if the tasks that are terminating already are enough.
+/// Chooses tasks of lower priority in the job's own team to stop, so that the team's limit allows `tasks` more tasks
+/// of the job. Returns `None` if that is not possible, or if the tasks that are terminating already are enough.
 pub(super) fn preempt_for_quota(
     cluster: &ClusterSnapshot,
     job_index: usize,
--- a/crates/policy/src/relocation.rs
+++ b/crates/policy/src/relocation.rs
@@ -164,8 +164,8 @@
     AfterPreemption(Vec<u64>),
 }
 
-/// Determines how machine `index` with the resources `free` can take a replica of `job`; `None` if it can't. `job` does
-/// not include the replica.
+/// Determines how machine `index` with the resources `free` can take a replica of `job`; `None` if it can't. `job`
+/// does not include the replica.
 fn replica_fit(
     cluster: &ClusterSnapshot,
     job_index: usize,
@@ -214,8 +214,8 @@
 
 impl PossibleTargets {
     /// Finds the machines, except `taken` ones, that have free resources for the smallest replica, or a task of lower
-    /// priority than that of the highest daemon. If a team has a guarantee, any task counts. This spares a check of all
-    /// machines for each of possibly thousands of daemons.
+    /// priority than that of the highest daemon. If a team has a guarantee, any task counts. This spares a check of
+    /// all machines for each of possibly thousands of daemons.
     fn find(cluster: &ClusterSnapshot, taken: &[bool]) -> Self {
         let daemons = || cluster.jobs.iter().filter(|job| job.daemon);
         let highest = daemons().map(|job| job.priority).max();
@@ -245,8 +245,8 @@
 }
 
 impl MovableReplicas {
-    /// Finds the replicas on machines that the job may use, of at most the job's priority. Replicas of a daemon stay if
-    /// any of its replicas is not placed.
+    /// Finds the replicas on machines that the job may use, of at most the job's priority. Replicas of a daemon stay
+    /// if any of its replicas is not placed.
     fn find(
         cluster: &ClusterSnapshot,
         job_index: usize,
--- a/crates/policy/src/scheduling_queue.rs
+++ b/crates/policy/src/scheduling_queue.rs
@@ -33,8 +33,8 @@
         .is_some_and(|deadline| now + constants::LATENESS_TASK_TIMES * job.task_time() > deadline)
 }
 
-/// Returns how many of its start objectives a job has missed. Jobs with fewer missed objectives start first. To prevent
-/// starvation, a job that has waited for longer than `START_DEADLINE_S` counts as having missed none.
+/// Returns how many of its start objectives a job has missed. Jobs with fewer missed objectives start first. To
+/// prevent starvation, a job that has waited for longer than `START_DEADLINE_S` counts as having missed none.
 fn missed_start_objectives(job: &JobView, now: f64) -> usize {
     if now > job.submitted + constants::START_DEADLINE_S {
         return 0;
@@ -42,8 +42,8 @@
     job.start_by.iter().filter(|by| now > **by).count()
 }
 
-/// Whether the job is a gang of which some tasks are placed and others are not. The placed tasks hold resources without
-/// doing work until the others are placed too, and the workers end them after a time limit.
+/// Whether the job is a gang of which some tasks are placed and others are not. The placed tasks hold resources
+/// without doing work until the others are placed too, and the workers end them after a time limit.
 fn is_partially_placed_gang(job: &JobView) -> bool {
     job.gang && job.startable > 0 && job.placed > 0
 }
@@ -115,8 +115,8 @@
     !job.needs_all_tasks_at_once() && job.deadline.is_none() && job.start_by.is_empty()
 }
 
-/// Whether the job belongs to those that wait for their first start. Daemons and gangs always do: no other replica does
-/// the work of a missing one, and a partially placed gang has not started.
+/// Whether the job belongs to those that wait for their first start. Daemons and gangs always do: no other replica
+/// does the work of a missing one, and a partially placed gang has not started.
 pub(crate) fn awaits_first_start(job: &JobView) -> bool {
     job.has_never_run() || job.needs_all_tasks_at_once()
 }
--- a/crates/policy/src/scheduling_queue/tests.rs
+++ b/crates/policy/src/scheduling_queue/tests.rs
@@ -109,8 +109,8 @@
     assert_eq!(order(after_bound)[0], 0, "after START_DEADLINE_S the oldest goes first");
 }
 
-/// The placed tasks of a partially placed gang hold resources without doing work, and the workers end them after a time
-/// limit, so the gang must be completed before another one begins.
+/// The placed tasks of a partially placed gang hold resources without doing work, and the workers end them after a
+/// time limit, so the gang must be completed before another one begins.
 #[test]
 fn partially_placed_gang_precedes_older_gangs() {
     let gang = |submitted: f64, placed: u32| JobView {
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -60,8 +60,8 @@
     pub placed: u32,
     /// Number of tasks that could be placed now.
     pub startable: u32,
-    /// Whether the job has failed on every machine that ran it. Such a job is retried only on resources that other jobs
-    /// leave free, and preempts nothing.
+    /// Whether the job has failed on every machine that ran it. Such a job is retried only on resources that other
+    /// jobs leave free, and preempts nothing.
     pub crash_looping: bool,
     /// Number of placed tasks per zone.
     pub placed_per_zone: Vec<u32>,
--- a/crates/policy/src/test_support.rs
+++ b/crates/policy/src/test_support.rs
@@ -3,7 +3,8 @@
 use crate::*;
 use hookway_wire::{MachineType, Priority};
 
-/// Returns an array of the first team that has not run: 1 GB of memory per task, estimate 10 s, any zone, spot allowed.
+/// Returns an array of the first team that has not run: 1 GB of memory per task, estimate 10 s, any zone, spot
+/// allowed.
 pub(crate) fn job(cpus: f64, tasks: u32) -> JobView {
     JobView {
         team: 0,
