--- a/crates/constants/src/cloud.rs
+++ b/crates/constants/src/cloud.rs
@@ -4,7 +4,7 @@
 
 /// Time limit of a request to the cloud. Longer than that of the store, since no user waits for the cloud.
 pub const CLOUD_TIMEOUT: Duration = Duration::from_millis(6_000);
-/// Share of the cloud's request rate that a controller uses. Not all of it, since the previous leader may still have
+/// Share of the cloud's request rate that the leader uses. Not all of it, since the previous leader may still have
 /// requests in flight.
 pub const CLOUD_RATE_SHARE: f64 = 0.7;
 /// Minimum interval between reads of the machine list.
@@ -51,8 +51,8 @@
 /// Machines of a zone that miss heartbeats are deleted before their leases expire if they are at most this share of
 /// the machines in the zone. A larger share indicates a network partition.
 pub const LOST_MACHINES_MAX_SHARE: f64 = 0.25;
-/// A zone in which more than this share of the machines misses heartbeats counts as partitioned: a zone's machines are
-/// unlikely to fail all at once.
+/// A zone in which more than this share of the machines misses heartbeats counts as partitioned: most machines of
+/// a zone are unlikely to fail at once.
 pub const PARTITION_SHARE: f64 = 0.5;
 /// Time that machines of a partitioned zone are kept after their workers' leases have expired. Machines that failed
 /// leave the machine list within a minute. One that stays listed is most likely reachable again later, while a new
--- a/crates/constants/src/preemption.rs
+++ b/crates/constants/src/preemption.rs
@@ -20,8 +20,8 @@
 /// Time that a gang waits before machines are reserved for it. Long enough for tasks to end by themselves, short
 /// against the time that users wait for a gang to start.
 pub const GANG_RESERVATION_DELAY: Duration = Duration::from_millis(5_000);
-/// Time after which reservations for a gang end that the schedulable and booting machines could not hold. Longer than
-/// most boot times; shorter than the 90 s in which users expect other jobs of the gang's team to start.
+/// Time that a gang waits before its reservations end, if the schedulable and booting machines could not hold it.
+/// Longer than most boot times; shorter than the 90 s in which users expect other jobs of the gang's team to start.
 pub const GANG_RESERVATION_LIMIT: Duration = Duration::from_millis(60_000);
 /// Time from the end of reconciliation that a new leader tries to complete a gang of which only some tasks were
 /// started in an earlier term. Then the gang is restarted, since workers end tasks that wait too long for the rest of
--- a/crates/constants/src/replication.rs
+++ b/crates/constants/src/replication.rs
@@ -2,20 +2,21 @@
 
 use std::time::Duration;
 
-/// Whether controllers keep a standby copy of the leader's cluster state if the operator settings do not say.
+/// Whether controllers keep a standby copy of the leader's cluster state unless the operator settings say
+/// otherwise.
 pub const STANDBY_DEFAULT: bool = true;
 /// Interval between two requests of a standby to the leader. The standby copy lags by up to this time.
 pub const FOLLOW_INTERVAL: Duration = Duration::from_millis(200);
-/// Interval at which the leader compares its whole cluster state with what it has published. In between, it looks only
-/// at changes.
+/// Interval at which the leader compares its whole cluster state with what it has published. In between, it
+/// publishes only what changed.
 pub const FULL_PUBLISH_INTERVAL: Duration = Duration::from_millis(10_000);
 /// Interval at which a standby checks in the store whether a leader that does not respond still holds its lease.
 pub const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Maximum number of entries in the replication log: some seconds of the largest fleets. A standby that is further
 /// behind gets a replication snapshot, which costs less than as many entries.
 pub const REPLICATION_LOG_ENTRIES: usize = 16_384;
-/// Maximum size of the entries, or of a chunk of a replication snapshot, in one message, bytes. Well below
-/// [`PEER_FRAME_LIMIT`](crate::PEER_FRAME_LIMIT).
+/// Maximum size of the entries, or of a chunk of a replication snapshot, in one message between controllers, bytes.
+/// Well below [`PEER_FRAME_LIMIT`](crate::PEER_FRAME_LIMIT).
 pub const REPLICATION_CHUNK_BYTES: usize = 32 * 1024;
 /// Maximum size of a replication snapshot, bytes. A machine with its tasks takes some 200, so this is enough for
 /// 100,000 machines.
--- a/crates/policy/src/placement/reservation.rs
+++ b/crates/policy/src/placement/reservation.rs
@@ -3,7 +3,7 @@
 use crate::{ClusterSnapshot, JobView, MachineView, Resources};
 
 /// Returns the resources of a machine that can become free for a job: all but those of daemons of the same or a higher
-/// priority, whose replicas neither end by themselves nor can be preempted by the job for its priority.
+/// priority, whose replicas do not end by themselves and rank too high to be preempted.
 fn obtainable_resources(
     cluster: &ClusterSnapshot,
     job: &JobView,
--- a/crates/policy/src/placement/tests.rs
+++ b/crates/policy/src/placement/tests.rs
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn gang_waits_for_draining_machines_only_if_all_have_its_image() {
+fn gang_waits_for_reserved_machines_only_if_all_have_its_image() {
     let gang = JobView { gang: true, ..job(3.0, 2) };
     let reserved = |images: Vec<u32>, free: f64| {
         let mut machine = MachineView { images, reserved_for: Some(0), ..machine(0) };
--- a/crates/policy/src/preemption/tests.rs
+++ b/crates/policy/src/preemption/tests.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn no_further_preemption_while_machines_are_draining() {
+fn no_further_preemption_while_machines_are_reserved() {
     let gang = JobView { gang: true, priority: Priority::High, ..job(3.0, 1) };
     let mut snapshot =
         cluster(vec![gang, job(1.0, 8)], vec![full_machine(1, 30.0), full_machine(1, 3.0)]);
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -12,7 +12,7 @@
 pub struct JobView {
     /// Index of its team in [`ClusterSnapshot::teams`].
     pub team: usize,
-    /// Rank against other jobs: a job may preempt tasks of lower priority.
+    /// Importance relative to other jobs: a job may preempt tasks of lower priority.
     pub priority: Priority,
     /// Whether the job is a gang: all tasks start together, or none does.
     pub gang: bool,
