--- a/crates/controller/src/cluster_state/reconciliation.rs
+++ b/crates/controller/src/cluster_state/reconciliation.rs
@@ -1,25 +1,28 @@
-//! Reconciliation after a failover: when every task that an earlier leader may have started is known.
+//! Reconciliation after a failover: it ends once this leader knows every task that an earlier
+//! leader may have started.
 
 use super::{ClusterState, longest_worker_lease};
 use crate::shard_lease::UNKNOWN_ZONE;
 use hookway_time::{MonotonicTime, seconds_f64};
 use std::collections::BTreeSet;
 
-/// The machines that a new leader has yet to reconcile.
+/// What a new leader has yet to reconcile.
 #[derive(Debug)]
 pub(super) struct Reconciliation {
-    /// Machines of the registry whose tasks are not known yet.
+    /// Registered machines whose tasks this leader does not know yet.
     pub machines: BTreeSet<String>,
-    /// Keys of registry records that can't be read: which machines they name is not known.
+    /// Keys of unreadable registry records: the machines that they name are unknown.
     pub unreadable_records: BTreeSet<String>,
-    /// When their workers may last have been answered by another controller.
+    /// When a worker without a heartbeat to this leader may last have been answered by another
+    /// controller, or by this one as a lessee: its lease may have been extended until then.
     pub last_answered_at: MonotonicTime,
-    /// The end of the reconciliation is in the log.
+    /// Whether the end of reconciliation has been logged.
     logged: bool,
 }
 
 impl Reconciliation {
-    /// No machine is known yet; workers may have been answered until `elected_at`.
+    /// Creates an empty reconciliation of a leader that was elected at `elected_at`: until then
+    /// workers may have been answered by an earlier leader.
     pub fn new(elected_at: MonotonicTime) -> Self {
         Self {
             machines: BTreeSet::new(),
@@ -31,15 +34,18 @@
 }
 
 impl ClusterState {
-    /// Whether every task that an earlier leader may have started is known at `now`: each machine
-    /// of the registry has sent a heartbeat, is gone, or the lease of its worker has surely expired.
+    /// Whether every task that an earlier leader may have started is known at `now`: the worker of
+    /// each registered machine has sent this leader a message that names all of its tasks, the
+    /// machine has failed or no longer exists, or the lease of its worker has certainly expired.
+    /// With an unreadable registry record, reconciliation ends only when all leases of unreconciled
+    /// workers have expired.
     pub fn reconciled(&self, now: MonotonicTime) -> bool {
         let all_known = self.reconciliation.machines.is_empty()
             && self.reconciliation.unreadable_records.is_empty();
         all_known || self.unreconciled_leases_expired(now)
     }
 
-    /// Logs the end of the reconciliation, once.
+    /// Logs the end of reconciliation, once.
     pub(super) fn log_reconciliation(&mut self, now: MonotonicTime) {
         if self.reconciliation.logged || !self.reconciled(now) {
             return;
@@ -49,7 +55,8 @@
         tracing::info!(term = self.term, after_s, "reconciled with earlier terms");
     }
 
-    /// Whether the leases of all workers without a heartbeat to this leader have surely expired.
+    /// Whether the leases of all workers without a heartbeat to this leader have certainly expired
+    /// at `now`.
     pub(super) fn unreconciled_leases_expired(&self, now: MonotonicTime) -> bool {
         let lease = longest_worker_lease(&self.config.platform);
         let last_answered_at = self.reconciliation.last_answered_at;
--- a/crates/controller/src/cluster_state/recovery.rs
+++ b/crates/controller/src/cluster_state/recovery.rs
@@ -1,4 +1,5 @@
-//! Recovery: how a new leader takes in the records of earlier ones from the state service.
+//! Recovery: how a new leader restores the cluster state from the records that earlier leaders
+//! wrote to the store.
 
 use super::machine::FirstListing;
 use super::machine_registry::MachineRegistry;
@@ -13,31 +14,31 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::time::Duration;
 
-/// Taken off the age of a registration beside the errors of the two wall clocks: covers the time
-/// between a reading of a clock and its use.
+/// Subtracted from the age of a machine's registration, in addition to the errors of the two wall
+/// clocks: covers the time between a reading of a clock and its use.
 const REGISTRATION_AGE_MARGIN: Duration = Duration::from_secs(1);
 
-/// What a new leader read from the state service.
+/// The records that a new leader read from the store.
 #[derive(Debug, Clone)]
 pub struct LoadedState {
-    /// Job records: `j/`.
+    /// Job records, under the prefix `j/`: one for each accepted job that has not ended.
     pub jobs: Vec<KeyValue>,
-    /// Progress records: `p/`.
+    /// Progress records, under the prefix `p/`.
     pub progress: Vec<KeyValue>,
-    /// Scheduling records and shared start watermarks: `m/`.
+    /// Scheduling records of jobs and shared start watermark records, under the prefix `m/`.
     pub scheduling: Vec<KeyValue>,
-    /// The machine registry: `r/`.
+    /// Records of the machine registry, under the prefix `r/`.
     pub registry: Vec<KeyValue>,
-    /// Image records of version 0.1.0: `i/`.
+    /// Image records of version 0.1.0, under the prefix `i/`.
     pub images: Vec<KeyValue>,
-    /// The record of the job classes.
+    /// The record of the job classes; `None` if no leader has written one.
     pub classes: Option<KeyValue>,
-    /// The start watermarks that the leaders before recorded.
+    /// Whether the start watermarks that earlier leaders recorded are complete.
     pub stored_watermarks: StoredWatermarks,
 }
 
 impl LoadedState {
-    /// No records, with what the state service says of start watermarks.
+    /// Returns a state without records, with the given completeness of the start watermarks.
     pub fn empty(stored_watermarks: StoredWatermarks) -> Self {
         Self {
             jobs: Vec::new(),
@@ -51,13 +52,14 @@
     }
 }
 
-/// The job that a record of the kind `<prefix>/<job>...` is about.
+/// Returns the job in a key of the form `<prefix>/<job>...`; `None` if there is no valid job id.
 fn job_of_key(key: &str) -> Option<JobId> {
     key.split('/').nth(1).and_then(JobId::parse)
 }
 
-/// The jobs that have a record, whether it can be read or not: no record of a job whose own record can't be
-/// read is deleted, since a later version may read it.
+/// The accepted jobs that have not ended: those with a job record, whether this version can read it
+/// or not. The other records of a job whose job record is unreadable are kept, since a later
+/// version may be able to read it.
 struct Accepted(HashSet<JobId>);
 
 impl Accepted {
@@ -65,14 +67,15 @@
         Self(jobs.iter().filter_map(|kv| job_of_key(&kv.key)).collect())
     }
 
-    /// Whether a record is about no accepted job that has not ended.
+    /// Whether a record belongs to no accepted job, or to one that has ended.
     fn lacks_job_of(&self, key: &str) -> bool {
         job_of_key(key).is_none_or(|id| !self.0.contains(&id))
     }
 }
 
 impl ClusterState {
-    /// Takes in all records. Jobs come first, as the other records are about them.
+    /// Restores the cluster state from all records. Jobs come first, as other records refer to
+    /// them.
     pub(super) fn load(&mut self, loaded: LoadedState, at: Timestamp) {
         let leader_records =
             loaded.scheduling.iter().chain(&loaded.registry).chain(&loaded.classes);
@@ -106,8 +109,8 @@
         }
     }
 
-    /// Loads the histories of the job classes. Without them a leader that finds no job of a class would scale
-    /// in the spare machines of the class.
+    /// Loads the histories of the job classes. Without its history, a leader that finds no job of a
+    /// class would scale in the spare machines of that class.
     fn load_classes(&mut self, classes: Option<KeyValue>) {
         let classes = classes.map(|kv| serde_json::from_value(kv.value));
         match classes.transpose() {
@@ -124,7 +127,7 @@
         }
     }
 
-    /// Deletes a record of a job that has ended, or was never accepted.
+    /// Queues the deletion of a record whose job has ended or was never accepted.
     fn remove_if_orphaned(&mut self, key: String, accepted: &Accepted) {
         if accepted.lacks_job_of(&key) {
             self.commit_queue.delete_stale(key);
@@ -140,14 +143,15 @@
         match serde_json::from_value::<ProgressRecord>(kv.value) {
             Ok(record) => self.apply_progress_record(job, from, kv.mod_revision, Some(&record)),
             Err(error) => {
-                // Its completed tasks run once more, and the new record replaces just this revision.
+                // The completed tasks that it recorded run again, and the new record replaces only
+                // this revision.
                 tracing::error!(key = %kv.key, %error, "progress record can't be read");
                 self.apply_progress_record(job, from, kv.mod_revision, None);
             }
         }
     }
 
-    /// Loads a start watermark record that small jobs share; `false` if it can't be read.
+    /// Loads a start watermark record that small jobs share; `false` if it is unreadable.
     fn load_shared_watermark_record(&mut self, kv: KeyValue, number: u64) -> bool {
         match serde_json::from_value::<SharedStartWatermarksRecord>(kv.value) {
             Ok(record) => {
@@ -187,8 +191,8 @@
         }
     }
 
-    /// Sets from which task on each job was surely not started. Without a start watermark every task may have
-    /// been.
+    /// Determines for each job from which task on it was certainly never started. Without complete
+    /// start watermarks, every task of the job may have been started.
     fn load_watermarks(&mut self, stored: StoredWatermarks, shared_watermarks_complete: bool) {
         let last_leader_kept_watermarks = stored == StoredWatermarks::Complete;
         for job in self.jobs.values_mut() {
@@ -198,8 +202,10 @@
         }
     }
 
-    /// Queues records of what is assumed, so that the next leader knows it too. Until they are durable nothing
-    /// that was assumed allows a start, nor does the state service say that its watermarks are complete.
+    /// Queues start watermark records for the jobs that are assumed to have been started, so that
+    /// the next leader knows it as well. Until a job's record is durable, the assumption allows no
+    /// start of its tasks; and until all of them are, the store does not say that the watermarks
+    /// are complete.
     fn await_assumed_watermarks(&mut self, stored: StoredWatermarks, all_jobs_readable: bool) {
         let assumed = self.jobs.iter().filter(|(_, job)| job.start_watermark.is_assumed());
         let assumed: BTreeSet<JobKey> = assumed.map(|(key, _)| *key).collect();
@@ -223,8 +229,9 @@
         let record: MachineRegistryRecord = match serde_json::from_value(kv.value) {
             Ok(record) => record,
             Err(error) => {
-                // Its machines are not known: their tasks show in their heartbeats, and until their leases
-                // have expired no inherited task is started.
+                // The machines that it names are unknown. Their heartbeats report their tasks.
+                // Until the leases of their workers have expired, reconciliation does not end, and
+                // no task is started that an earlier leader may have started.
                 tracing::error!(key = %kv.key, %error, "machine registry record can't be read");
                 self.reconciliation.unreadable_records.insert(kv.key);
                 self.commit_queue.registry.unreadable(number);
@@ -240,7 +247,8 @@
         }
     }
 
-    /// Loads a machine's images as version 0.1.0 wrote them; the machine registry has them from now on.
+    /// Loads a machine's cached images from a record of version 0.1.0, and queues the deletion of
+    /// the record: from now on the machine registry holds the images.
     fn load_images(&mut self, kv: KeyValue) {
         let name = kv.key.strip_prefix(crate::records::LEGACY_IMAGES_PREFIX).unwrap_or_default();
         if let Ok(record) = serde_json::from_value::<ImagesRecord>(kv.value) {
@@ -252,7 +260,8 @@
         self.commit_queue.delete_stale(kv.key);
     }
 
-    /// Takes in small jobs that an earlier leader may have started.
+    /// Marks the small jobs that a shared start watermark record names: an earlier leader may have
+    /// started them. Queues the deletion of a record none of whose jobs is left.
     fn load_shared_watermarks(
         &mut self,
         key: String,
@@ -273,7 +282,7 @@
         self.commit_queue.shared_watermarks.loaded(number, live);
     }
 
-    /// Adds a machine of the registry.
+    /// Adds a machine that the registry names, to be reconciled.
     fn inherit_machine(
         &mut self,
         name: &str,
@@ -285,8 +294,9 @@
         machine.registered = true;
         machine.images = images;
         machine.stored_images = machine.image_ids();
-        // A machine that was registered long enough ago must be in any list from now on, or it is gone.
-        // The wall clocks may be off on either side.
+        // A machine that was registered long enough ago must appear in every machine list from now
+        // on; one that is missing no longer exists. Both wall clocks may be off: the one of the
+        // leader that registered the machine, and this one.
         if let Some(registered_at) = registered_at {
             let clock_error_ms =
                 self.config.platform.clock_off_ms * 2.0 + millis_f64(REGISTRATION_AGE_MARGIN);
--- a/crates/controller/src/cluster_state/start_watermark.rs
+++ b/crates/controller/src/cluster_state/start_watermark.rs
@@ -1,31 +1,35 @@
-//! The start watermark of a job: how far its tasks may have been started.
+//! The start watermark of a job: an upper bound, exclusive, on the indexes of the tasks that may
+//! have been started.
 //!
-//! A task is started only after the state service holds a watermark above its index. So the next
-//! leader knows which tasks no earlier leader has started, and need not wait for machines that have
-//! not sent a heartbeat yet before it starts those.
+//! A task is started only after the store durably holds a watermark above its index. So the next
+//! leader knows which tasks no earlier leader has started. It can start those without waiting for
+//! machines that have not sent a heartbeat yet.
 //!
-//! What is assumed and what is durable are kept apart. Where the records of earlier leaders can't be
-//! relied on, all tasks are assumed to have been started; that forbids starts, and allows none until
-//! a record that says the same is durable.
+//! Assumed and durable watermarks are kept apart. Where the records of earlier leaders are not
+//! reliable, all tasks are assumed to have been started. The assumption forbids starts at once; it
+//! allows starts only after a record that says the same is durable.
 
-/// The start watermark of one job. All positions are task indexes.
+/// The start watermark of one job. All bounds are task indexes.
 #[derive(Debug)]
 pub(super) struct StartWatermark {
-    /// The job was accepted by a version that keeps start watermarks.
+    /// Whether the job was accepted by a version that keeps start watermarks.
     accepted_with_watermark: bool,
-    /// Tasks below it may be started: a record in the state service says so.
+    /// Highest watermark of a durable record. Tasks below it may be started.
     durable: u32,
-    /// What the record is to say.
+    /// Watermark that the next record is to hold.
     target: u32,
-    /// Tasks from it on were not started by any earlier leader. Above `durable` it is an assumption.
+    /// No earlier leader has started a task with this index or a higher one. A value above
+    /// `durable` is assumed.
     never_started_from: u32,
-    /// The record shared with other small jobs that says that this job may have been started.
+    /// Number of the record, shared with other small jobs, that names this job as possibly started;
+    /// `None` if no shared record names it.
     shared_record: Option<u64>,
 }
 
 impl StartWatermark {
-    /// The watermark of a job none of which may have been started. `accepted_with_watermark` says that the
-    /// version that accepted the job keeps watermarks.
+    /// Creates the watermark 0, of a job none of whose tasks may have been started; loaded records
+    /// raise it. `accepted_with_watermark`: whether the version that accepted the job keeps
+    /// watermarks.
     pub fn new(accepted_with_watermark: bool) -> Self {
         Self {
             accepted_with_watermark,
@@ -36,51 +40,53 @@
         }
     }
 
-    /// Whether a task may be started: a durable record says so. An assumption does not allow it, since
-    /// the next leader would not know of it.
+    /// Whether a task may be started: a durable record has a watermark above its index. An
+    /// assumption does not allow the start, since the next leader would not know of it.
     pub fn allows_start(&self, index: u32) -> bool {
         index < self.durable
     }
 
-    /// Whether the state service says, or is to say, that a task may be started.
+    /// Whether the durable watermark, or the one still to be written, is above a task's index.
     pub fn covers(&self, index: u32) -> bool {
         index < self.highest()
     }
 
-    /// What the state service is to say next.
+    /// Returns the watermark that the next record is to hold; never below the durable one.
     pub fn highest(&self) -> u32 {
         self.durable.max(self.target)
     }
 
-    /// Tasks below `target` are to be startable.
+    /// Requests that a record make the tasks below `target` startable.
     pub fn raise_target(&mut self, target: u32) {
         self.target = target;
     }
 
-    /// Whether a record with a higher watermark is to be written.
+    /// Whether a record with a higher watermark has to be written.
     pub fn needs_record(&self) -> bool {
         self.target > self.durable
     }
 
-    /// Whether tasks count as started that no durable record names.
+    /// Whether tasks count as started that no durable record covers.
     pub fn is_assumed(&self) -> bool {
         self.never_started_from > self.durable
     }
 
-    /// A record with this watermark is durable, of this leader or an earlier one.
+    /// Records that a record with this watermark is durable, written by this leader or an earlier
+    /// one.
     pub fn record_durable(&mut self, watermark: u32) {
         self.durable = self.durable.max(watermark);
     }
 
-    /// All of the job's `tasks` may have been started, although no record says so. One is to be
-    /// written, so that the next leader knows it too.
+    /// Assumes that all of the job's `tasks` may have been started, although no durable record says
+    /// so. Requests a record of this, so that the next leader knows it as well.
     pub fn assume_all_started(&mut self, tasks: u32) {
         self.never_started_from = tasks;
         self.target = tasks;
     }
 
-    /// All records of earlier leaders are loaded. Where they can't be relied on (`complete` is false
-    /// or the job was accepted without a watermark), every one of the `tasks` may have been started.
+    /// Ends loading, once all records of earlier leaders are loaded. Where these are not reliable
+    /// (`complete` is false, or the job was accepted without a watermark), every one of the `tasks`
+    /// is assumed to have been started.
     pub fn finish_loading(&mut self, tasks: u32, complete: bool) {
         if !self.accepted_with_watermark || !complete {
             self.assume_all_started(tasks);
@@ -88,17 +94,17 @@
         self.never_started_from = self.never_started_from.max(self.durable);
     }
 
-    /// Tasks from this index on were not started by any earlier leader.
+    /// Returns the lowest index from which on no earlier leader has started any task.
     pub fn never_started_from(&self) -> u32 {
         self.never_started_from
     }
 
-    /// The number of the record that the job shares with other small jobs.
+    /// Returns the number of the record that names the job together with other small jobs.
     pub fn shared_record(&self) -> Option<u64> {
         self.shared_record
     }
 
-    /// The job is named in this shared record.
+    /// Sets the number of the shared record that names the job, or is to name it.
     pub fn set_shared_record(&mut self, number: u64) {
         self.shared_record = Some(number);
     }
--- a/crates/controller/src/cluster_state/watermark_marker.rs
+++ b/crates/controller/src/cluster_state/watermark_marker.rs
@@ -1,37 +1,38 @@
-//! The marker that says that the start watermarks in the state service are complete.
+//! The marker in the store that says that the start watermarks in the store are complete.
 //!
-//! The next leader relies on it: a task without a record then counts as never started. So it is
-//! written only once that holds. A leader that knew the records of its predecessors to be complete
-//! has written it with its election; any other one first makes durable what it assumes.
+//! The next leader relies on the marker: a task that no watermark covers then counts as never
+//! started. So the marker is written only once that holds. A leader that found the watermarks of
+//! earlier terms complete wrote the marker in the transaction of its election. Any other leader
+//! first makes its assumed watermarks durable.
 
 use super::JobKey;
 use crate::leadership::StoredWatermarks;
 use crate::records::{COMPLETE_WATERMARKS_KEY, LEADER_WATERMARKS_KEY};
 use std::collections::BTreeSet;
 
-/// How far the marker of this term has come.
+/// The progress of this term's marker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum MarkerState {
-    /// The records of this term are not loaded yet, or some job can't be read.
+    /// Not to be written: the records are not loaded yet, or some job record is unreadable.
     Withheld,
-    /// It is written once no assumed watermark is left.
+    /// To be written once no assumed watermark is left.
     Pending,
-    /// It is being written, or durable.
+    /// In a transaction, or durable.
     Sent,
 }
 
-/// The marker of this term.
+/// The completeness marker of this term, and what its writing waits for.
 #[derive(Debug)]
 pub(super) struct WatermarkMarker {
-    /// What the state service says of the records of earlier leaders.
+    /// Whether the store marks the watermarks of earlier leaders as complete.
     stored: StoredWatermarks,
-    /// Jobs that count as started without a durable record that says so.
+    /// Jobs whose tasks count as started although no durable record says so.
     assumed: BTreeSet<JobKey>,
     state: MarkerState,
 }
 
 impl WatermarkMarker {
-    /// The marker of a leader that has not loaded its records yet.
+    /// Creates the marker of a leader that has not loaded the records yet: it is withheld.
     pub fn new() -> Self {
         Self {
             stored: StoredWatermarks::Absent,
@@ -40,8 +41,9 @@
         }
     }
 
-    /// The records are loaded. `assumed`: the jobs whose watermarks are assumed. `all_readable`: no
-    /// job exists that this version can't read, and for which it could write no record.
+    /// Records that all records are loaded. `assumed`: the jobs whose watermarks are assumed.
+    /// `all_readable`: whether this version can read every job record. For an unreadable job it
+    /// could write no watermark record.
     pub fn records_loaded(
         &mut self,
         stored: StoredWatermarks,
@@ -54,17 +56,18 @@
         self.state = if may_claim { MarkerState::Pending } else { MarkerState::Withheld };
     }
 
-    /// Number of jobs whose watermarks are assumed.
+    /// Returns the number of jobs whose watermarks are assumed.
     pub fn assumed_jobs(&self) -> usize {
         self.assumed.len()
     }
 
-    /// The watermark of a job is durable, or the job has ended. `true`: it was the last assumed one.
+    /// Removes a job from the assumed ones: its watermark is durable, or it has ended. Returns
+    /// whether it was the last of them.
     pub fn resolve(&mut self, job: JobKey) -> bool {
         self.assumed.remove(&job) && self.assumed.is_empty()
     }
 
-    /// The keys to write now; none before the claim holds.
+    /// Returns the keys to write now; none before the watermarks are complete.
     pub fn due_keys(&self) -> &'static [&'static str] {
         let complete_before = self.stored == StoredWatermarks::Complete;
         match self.state {
@@ -76,12 +79,12 @@
         }
     }
 
-    /// It is in a transaction.
+    /// Records that the marker is in a transaction.
     pub fn sent(&mut self) {
         self.state = MarkerState::Sent;
     }
 
-    /// It may not be durable.
+    /// Has the marker written again, as the transaction may not have been applied.
     pub fn requeue(&mut self) {
         self.state = MarkerState::Pending;
     }
