--- a/crates/controller/src/cluster_state/acknowledgement.rs
+++ b/crates/controller/src/cluster_state/acknowledgement.rs
@@ -1,20 +1,22 @@
-//! Whether workers apply the responses to their heartbeats.
+//! Checks whether workers apply the responses to their heartbeats.
 
 use super::{ClusterState, CordonReason};
 use hookway_constants as constants;
 use hookway_time::MonotonicTime;
 use hookway_wire::Heartbeat;
 
-/// At most one machine in this many counts as few; a single one always does.
+/// Up to one in this many machines counts as few; a single machine always does.
 const FEW_MACHINES_DIVISOR: usize = 4;
 
 impl ClusterState {
-    /// Checks whether the worker applied the last response, as far as its next heartbeat shows it.
+    /// Checks whether the worker applied the last response, as far as its next heartbeat shows
+    /// that.
     ///
-    /// A worker has one heartbeat in flight and takes no response to an earlier one, so a response
-    /// without effect was not received and never will be: it extended no lease. A machine whose worker
-    /// applies several consecutive responses not at all takes no new task and is cordoned; its tasks
-    /// count until its lease has surely expired.
+    /// A worker has at most one heartbeat in flight and ignores the response to an earlier one. So
+    /// a response without effect was not received and never will be: it extended no lease. A
+    /// machine whose worker did not apply several consecutive responses gets no new task and is
+    /// cordoned. Its tasks still count as placed until the lease of its worker has certainly
+    /// expired.
     pub(super) fn check_acknowledgement(
         &mut self,
         name: &str,
@@ -32,13 +34,13 @@
             }
             return;
         }
-        // All machines are counted only when one has missed a response.
+        // Counting all machines is done only after a missed response, not for every heartbeat.
         let few_affected = self.few_machines_miss_responses();
         let backoff_until = now + self.max_heartbeat_interval();
         let Some(machine) = self.machines.get_mut(name) else { return };
         machine.unacknowledged_responses += 1;
-        // Unless it was answered since, by this controller as a lessee while its leadership was
-        // uncertain.
+        // The time is reset to that of the response before, unless this controller has answered the
+        // worker since, as a lessee while its leadership was uncertain.
         if machine.last_response_at <= expected.responded_at {
             machine.last_response_at = expected.responded_before;
         }
@@ -55,7 +57,8 @@
         }
     }
 
-    /// Whether few machines miss responses. When more do, it is this controller whose responses are late.
+    /// Whether few machines have missed several consecutive responses. If many have, the cause is
+    /// this controller, whose responses are late.
     fn few_machines_miss_responses(&self) -> bool {
         let affected = self
             .machines
--- a/crates/controller/src/cluster_state/clocks.rs
+++ b/crates/controller/src/cluster_state/clocks.rs
@@ -1,4 +1,4 @@
-//! The clocks that the cluster state is told: it reads none by itself.
+//! Clock readings that the caller passes to the cluster state, which reads no clock itself.
 
 use super::ClusterState;
 use hookway_time::{MonotonicTime, WallTime};
@@ -6,23 +6,23 @@
 /// Readings of both clocks at the same moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timestamp {
-    /// The monotonic clock.
+    /// Reading of this controller's monotonic clock.
     pub monotonic: MonotonicTime,
-    /// The wall clock.
+    /// Reading of this controller's wall clock.
     pub wall: WallTime,
 }
 
 impl Timestamp {
-    /// The reading of the wall clock at a reading of the monotonic clock; the Unix epoch if that
-    /// precedes it.
+    /// Converts a reading of the monotonic clock to the wall clock; the Unix epoch if the result
+    /// would precede it.
     pub(super) fn wall_at_monotonic(&self, monotonic: MonotonicTime) -> WallTime {
         let later_by = monotonic.saturating_duration_since(self.monotonic);
         let earlier_by = self.monotonic.saturating_duration_since(monotonic);
         (self.wall + later_by).saturating_sub(earlier_by)
     }
 
-    /// The reading of the monotonic clock at a reading of the wall clock;
-    /// [`ZERO`](MonotonicTime::ZERO) if that precedes the creation of the clock.
+    /// Converts a reading of the wall clock to the monotonic clock; [`ZERO`](MonotonicTime::ZERO)
+    /// if it precedes the creation of the monotonic clock.
     pub(super) fn monotonic_at_wall(&self, wall: WallTime) -> MonotonicTime {
         let later_by = wall.saturating_duration_since(self.wall);
         let earlier_by = self.wall.saturating_duration_since(wall);
@@ -30,48 +30,52 @@
     }
 }
 
-/// The moments that a leader's decisions refer to.
+/// The clock readings that a leader's decisions refer to.
 #[derive(Debug)]
 pub(super) struct LeaderClocks {
-    /// When this leader was elected.
+    /// Readings right after this leader was elected.
     pub elected: Timestamp,
     /// The newest reading of both clocks.
     pub latest: Timestamp,
-    /// When this leader could last not answer workers: silence before that is not the workers'.
+    /// End of the last period in which this leader could not answer workers; the election if there
+    /// was none. Silence before it does not count against the workers.
     pub resumed_at: MonotonicTime,
 }
 
 impl LeaderClocks {
-    /// The clocks of a leader that was elected at this moment.
+    /// Creates the clocks of a leader that was elected at `elected`.
     pub fn new(elected: Timestamp) -> Self {
         Self { elected, latest: elected, resumed_at: elected.monotonic }
     }
 
-    /// When this leader was elected.
+    /// Returns the monotonic reading of the election.
     pub fn elected_at(&self) -> MonotonicTime {
         self.elected.monotonic
     }
 
-    /// Since when this leader has been able to answer workers.
+    /// Returns the time since which this leader has been able to answer workers without
+    /// interruption.
     pub fn answering_since(&self) -> MonotonicTime {
         self.elected_at().max(self.resumed_at)
     }
 
-    /// The reading of the wall clock at `now`, by the newest reading of both clocks.
+    /// Returns the reading of the wall clock at `now`, derived from the newest reading of both
+    /// clocks.
     pub fn wall_at(&self, now: MonotonicTime) -> WallTime {
         self.latest.wall + now.saturating_duration_since(self.latest.monotonic)
     }
 }
 
 impl ClusterState {
-    /// Takes in a new reading of both clocks. The monotonic clock drifts from the wall clock, so over a
-    /// long term the first reading would not do for times that other controllers read.
+    /// Records a new reading of both clocks. The monotonic clock drifts from the wall clock, so
+    /// over a long term the reading at the election would be too inaccurate for times that other
+    /// controllers read.
     pub fn set_time(&mut self, at: Timestamp) {
         self.clocks.latest = at;
     }
 
-    /// The controller could not act as leader for a while, as its leadership lease was uncertain, and
-    /// can again since `now`.
+    /// Records that this controller can act as leader again at `now`, after a period in which its
+    /// leadership lease was uncertain.
     pub fn resumed(&mut self, now: MonotonicTime) {
         self.clocks.resumed_at = now;
     }
--- a/crates/controller/src/cluster_state/heartbeat.rs
+++ b/crates/controller/src/cluster_state/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Handling of a worker's heartbeat.
+//! Processing of a worker's heartbeat, and the response to it.
 
 use super::heartbeat_tasks::MessageKind;
 use super::task_removal::TaskRemoval;
@@ -7,18 +7,19 @@
 use hookway_time::{MonotonicTime, seconds_f64};
 use hookway_wire::{Command, Heartbeat, HeartbeatResponse};
 
-/// What an accepted heartbeat is, compared with what its machine has sent before.
+/// How an accepted heartbeat compares with the earlier messages of its machine.
 struct Arrival {
-    /// The worker sent it before it answered direct commands: its tasks are out of date, but the
-    /// worker waits for a response.
+    /// Whether the worker sent the heartbeat before it answered direct commands or a state probe:
+    /// the tasks in the heartbeat are outdated, but the worker waits for a response.
     outdated: bool,
-    /// The worker has restarted: the tasks of its earlier incarnation are gone.
+    /// Whether the worker has restarted: the tasks of its earlier incarnation have ended.
     new_incarnation: bool,
 }
 
 impl ClusterState {
-    /// Handles a heartbeat received at `now`. `None`: it must not be answered with status 200,
-    /// because it is old, or its incarnation or machine is surely gone.
+    /// Processes a heartbeat received at `now` and returns the response. `None`: the heartbeat must
+    /// not be answered with status 200, because it is old, the lease of its incarnation has
+    /// certainly expired, or its machine has been removed.
     pub fn handle_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -32,7 +33,8 @@
         self.expire_lease_if_silent(name, now);
         self.accept_version(heartbeat)?;
         self.check_acknowledgement(name, heartbeat, now);
-        // Once more: a response that did not arrive extended no lease, so it may have expired earlier.
+        // Checked again: a response that did not arrive extended no lease, so the lease may have
+        // expired earlier than the first check assumed.
         self.expire_lease_if_silent(name, now);
         let arrival = self.record_arrival(heartbeat, now)?;
         self.register_if_new(name, now);
@@ -53,7 +55,7 @@
         self.respond(heartbeat, responded_before, now)
     }
 
-    /// Adds the machine if this leader does not know it.
+    /// Adds the machine if it is not in the cluster state yet.
     fn add_if_unknown(&mut self, heartbeat: &Heartbeat, now: MonotonicTime) {
         if self.machines.contains_key(&heartbeat.machine) {
             return;
@@ -65,11 +67,13 @@
         self.machines.insert(heartbeat.machine.clone(), Machine::new(now));
     }
 
-    /// Records the version of a heartbeat; `None` if it is not newer than what the machine has sent.
+    /// Records the version of a heartbeat. `None`: the heartbeat is rejected as old, because it is
+    /// not newer than the newest heartbeat of its machine, or is of an earlier or expired
+    /// incarnation.
     ///
-    /// Heartbeats can arrive minutes late, and only a newer one may change the state. An incarnation
-    /// whose lease has surely expired sends none any more: such a heartbeat is late, whatever its
-    /// sequence number.
+    /// Heartbeats can arrive minutes late, and only a newer one may change the cluster state. An
+    /// incarnation whose lease has certainly expired sends no more heartbeats: one that arrives is
+    /// late, whatever its sequence number.
     fn accept_version(&mut self, heartbeat: &Heartbeat) -> Option<()> {
         let version = MessageVersion::of(heartbeat);
         let machine = self.machines.get_mut(&heartbeat.machine)?;
@@ -87,7 +91,8 @@
         Some(())
     }
 
-    /// Takes in that the machine is up, and its own properties. `None`: its lease has expired.
+    /// Records that the machine is up and, unless the heartbeat is outdated, the properties that it
+    /// reports. `None`: the lease of the incarnation has certainly expired.
     fn record_arrival(&mut self, heartbeat: &Heartbeat, now: MonotonicTime) -> Option<Arrival> {
         let name = &heartbeat.machine;
         let version = MessageVersion::of(heartbeat);
@@ -102,8 +107,8 @@
             let age_s = seconds_f64(now.saturating_duration_since(machine.created_at));
             tracing::info!(machine = %name, age_s, "machine up");
         }
-        // The lease of an incarnation that was not known may have begun just now, whenever the machine
-        // was last answered.
+        // The lease of an incarnation that was unknown until now may have begun just now, no matter
+        // when the machine was last answered.
         if new_incarnation || !machine.has_reported {
             machine.last_response_at = now;
         }
@@ -117,8 +122,9 @@
         Some(Arrival { outdated, new_incarnation })
     }
 
-    /// Adds the machine to the registry. Not before its first heartbeat: until then it has no tasks,
-    /// and the next leader need not wait for it.
+    /// Adds the machine to the registry, unless its entry is durable. This is not done before its
+    /// first heartbeat: until then the machine has no tasks, and the next leader need not wait for
+    /// it.
     fn register_if_new(&mut self, name: &str, now: MonotonicTime) {
         if self.machines.get(name).is_some_and(|machine| !machine.registered) {
             let registered_at = self.clocks.wall_at(now);
@@ -126,16 +132,18 @@
         }
     }
 
-    /// A heartbeat with this term's fencing token was sent after the worker had seen it, so it names
-    /// every task. An older one may lack tasks that the earlier leader has started since, although
-    /// it is the newest that this leader has seen.
+    /// Marks the machine as reconciled if the heartbeat has a fencing token of this term: the
+    /// worker had seen the token when it sent the heartbeat, so the heartbeat names every task. A
+    /// heartbeat with an older token may lack tasks that an earlier leader started afterwards,
+    /// although it is the newest heartbeat that this leader has seen.
     fn reconcile_machine(&mut self, heartbeat: &Heartbeat) {
         if heartbeat.fencing_token >= self.term {
             self.reconciliation.machines.remove(&heartbeat.machine);
         }
     }
 
-    /// Fills the resources that the heartbeat shows as free, so that the response has the starts.
+    /// Places tasks on the resources that the heartbeat shows as free, so that the response
+    /// contains the starts: in a scheduling round if one is due, otherwise on this machine alone.
     fn place_at_heartbeat(&mut self, name: &str, now: MonotonicTime) {
         if now >= self.last_round.at + self.round_interval() {
             self.scheduling_round(now);
@@ -144,7 +152,7 @@
         }
     }
 
-    /// The response, and what the next heartbeat shows if the worker applies it.
+    /// Returns the response, and records what the next heartbeat shows if the worker applies it.
     fn respond(
         &mut self,
         heartbeat: &Heartbeat,
--- a/crates/controller/src/cluster_state/heartbeat_tasks.rs
+++ b/crates/controller/src/cluster_state/heartbeat_tasks.rs
@@ -1,47 +1,47 @@
-//! Bringing the tasks of a machine in line with a newer message of its worker.
+//! Update of a machine's tasks from a newer message of its worker.
 
 use super::task_removal::TaskRemoval;
 use super::{CachedImage, ClusterState, EndedTask, PlacedTask, TaskPhase};
 use hookway_time::{MonotonicTime, seconds_f64};
 use hookway_wire::{ExitCause, Heartbeat, TaskId, TaskState, TaskStatus};
 
-/// How a message of a worker came about.
+/// Why a worker sent a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum MessageKind {
-    /// A heartbeat, sent by the worker itself: it has one in flight at a time.
+    /// A heartbeat, which the worker sends on its own; it has at most one in flight at a time.
     Heartbeat,
-    /// The answer to direct commands or to a state probe: the response to a heartbeat may have been on
-    /// its way to the worker when it was sent.
+    /// The answer to direct commands or to a state probe. When the worker sent it, the response to
+    /// a heartbeat may still have been on its way to the worker.
     DirectAnswer,
 }
 
-/// A placed task that has left its machine.
+/// A placed task that is no longer on its machine, and the reason for its removal.
 struct RemovedTask {
     task: PlacedTask,
     removal: TaskRemoval,
 }
 
-/// A task of the message, with its parsed id.
+/// A task that a message reports, with its parsed id.
 struct ReportedTask<'a> {
     task: TaskId,
     reported: &'a TaskStatus,
 }
 
-/// What a message says of the tasks of its machine.
+/// The changes to a machine's tasks that follow from a message of its worker.
 #[derive(Default)]
 struct TaskChanges<'a> {
-    /// Tasks that stay: reported ones first, in the order of the message.
+    /// Tasks that stay placed: first the reported ones, in the order of the message.
     kept: Vec<PlacedTask>,
     ended: Vec<EndedTask>,
     removed: Vec<RemovedTask>,
-    /// Tasks that this leader did not place there.
+    /// Reported tasks that this leader did not place on the machine.
     to_adopt: Vec<ReportedTask<'a>>,
-    /// Some start surely did not arrive and is planned again.
+    /// Whether some start certainly had no effect and never will, so that it is planned again.
     has_replanned_starts: bool,
 }
 
 impl ClusterState {
-    /// Brings the tasks of a machine in line with a message that is newer than all before.
+    /// Updates the tasks of a machine from a message that is newer than all earlier ones.
     pub(super) fn apply_reported_tasks(
         &mut self,
         name: &str,
@@ -69,7 +69,7 @@
         self.count_running(name);
     }
 
-    /// Records the images of reported tasks as used on the machine.
+    /// Records the images of reported tasks as the most recently used ones in the machine's cache.
     fn update_images(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let machine_type = self.machine_types.iter().find(|t| t.name == machine.machine_type);
@@ -143,7 +143,7 @@
     changes
 }
 
-/// A placed task that the message names.
+/// Applies the reported state of a placed task that the message names.
 fn apply_reported(
     name: &str,
     mut placed: PlacedTask,
@@ -166,7 +166,7 @@
     changes.kept.push(placed);
 }
 
-/// A placed task that the message does not name.
+/// Decides what has become of a placed task that the message does not name.
 fn apply_unreported(
     mut placed: PlacedTask,
     heartbeat: &Heartbeat,
@@ -179,11 +179,11 @@
             return;
         }
         TaskPhase::Planned => false,
-        // The command travels in a response, the worker has one heartbeat in flight at a time and takes
-        // no response to an earlier one: a newer heartbeat without the task proves that the command
-        // did not arrive and never will.
+        // The command was in the response to a heartbeat. The worker has one heartbeat in flight at
+        // a time and ignores the response to an earlier one, so a newer heartbeat without the task
+        // proves that the command did not arrive and never will.
         TaskPhase::Sent => kind == MessageKind::Heartbeat,
-        // Under a higher token the worker refuses the command, whenever it arrives.
+        // A worker that has seen a higher token refuses the command, whenever it arrives.
         TaskPhase::SentDirectly(token) => heartbeat.fencing_token > token,
     };
     if start_failed {
--- a/crates/controller/src/cluster_state/lease_expiry.rs
+++ b/crates/controller/src/cluster_state/lease_expiry.rs
@@ -1,12 +1,12 @@
-//! Expiry of workers' leases: the tasks of a worker whose lease has surely expired are gone.
+//! Expiry of workers' leases: the tasks of a worker whose lease has certainly expired have ended.
 
 use super::task_removal::TaskRemoval;
 use super::{ClusterState, longest_worker_lease};
 use hookway_time::MonotonicTime;
 
 impl ClusterState {
-    /// Time passes until `now`: tasks on machines whose lease has surely expired are removed, and
-    /// starts that wait for a silent machine are cancelled.
+    /// Removes the tasks on machines whose workers' leases have certainly expired at `now`, and
+    /// cancels starts that wait for the heartbeat of a silent machine.
     pub fn expire_leases(&mut self, now: MonotonicTime) {
         self.queue_proven_cancellations(now);
         if self.unreconciled_leases_expired(now) {
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Whether the lease of a machine's worker has surely expired; then its tasks are removed, and its
-    /// incarnation is over.
+    /// Returns whether the lease of a machine's worker has certainly expired. If so, removes the
+    /// machine's tasks and marks the incarnation of the worker as expired.
     pub(super) fn expire_lease_if_silent(&mut self, name: &str, now: MonotonicTime) -> bool {
         let lease = longest_worker_lease(&self.config.platform);
         let Some(machine) = self.machines.get_mut(name) else { return false };
--- a/crates/controller/src/cluster_state/leases.rs
+++ b/crates/controller/src/cluster_state/leases.rs
@@ -1,4 +1,4 @@
-//! Lengths of leases: of shards, which other controllers hold, and of workers.
+//! Lengths of shard leases, which other controllers hold, and of worker leases.
 
 use super::{ClusterState, ControllerConfig, Job};
 use crate::settings::PlatformSettings;
@@ -8,8 +8,8 @@
 use hookway_wire::JobState;
 use std::time::Duration;
 
-/// Maximum length of a shard lease: as configured, but so short that it and a worker's lease end
-/// within the time for a cancellation.
+/// Returns the maximum length of a shard lease: as configured, but so short that the shard lease
+/// and a worker lease after it end within the time for a cancellation.
 pub fn max_shard_lease(config: &ControllerConfig) -> Duration {
     let workers = &config.platform.workers;
     let limit_ms =
@@ -17,21 +17,23 @@
     config.operator.shard_lease.min(Duration::from_millis(limit_ms.max(0.0) as u64))
 }
 
-/// Whether the lease of a worker that nobody answers any more ends within the time for a cancellation.
+/// Whether the lease of a worker that no controller answers any more ends within the time for a
+/// cancellation.
 pub fn leases_expire_within_cancellation(platform: &PlatformSettings) -> bool {
     let lease = longest_worker_lease(platform) + constants::CANCEL_MARGIN;
     millis_f64(lease) <= platform.workers.cancel_s * 1000.0
 }
 
-/// A worker's lease with clock drift and margin: so long after the last moment when any entitled
-/// controller could have answered it, it has killed its tasks.
+/// Returns the length of a worker's lease with clock drift and margin. This long after the last
+/// moment when any entitled controller could have answered the worker, the worker has killed its
+/// tasks.
 pub fn longest_worker_lease(platform: &PlatformSettings) -> Duration {
     let drifted_ms = platform.workers.lease_s * 1000.0 * (1.0 + constants::CLOCK_DRIFT);
     Duration::from_millis(drifted_ms.ceil() as u64) + constants::WORKER_LEASE_MARGIN
 }
 
 impl ClusterState {
-    /// Another controller renews its shard lease at `now`; `None` if it gets none.
+    /// Renews the shard lease of another controller at `now`; `None` if that controller gets none.
     pub fn renew_shard_lease(
         &mut self,
         renewal: &ShardLeaseRenewal,
@@ -41,13 +43,14 @@
         self.shard_lessor.renew(self.term, renewal, lease, now)
     }
 
-    /// Length of a shard lease given at `now`.
+    /// Returns the length of a shard lease that is granted at `now`.
     ///
-    /// Tasks of a cancelled job must be gone within the time for a cancellation, also where nobody can
-    /// stop them and a lessee keeps their worker alive. So while such a task may be anywhere, a lease
-    /// ends no later than one that was given when its user asked, before any controller was told:
-    /// early enough for its worker's lease to follow. While a task of an unknown job may be anywhere,
-    /// or of one whose cancellation another controller decided, no lease is given.
+    /// Tasks of a cancelled job must have ended within the time for a cancellation, even where no
+    /// controller can reach their worker to stop them and a lessee extends its lease. So while such
+    /// a task may be on any machine, a lease ends no later than one that was granted when the user
+    /// requested the cancellation, before any controller was told of it: early enough for the lease
+    /// of the worker to end after it. No lease is granted while a task of an unknown job may be on
+    /// any machine, or a task of a job whose cancellation another controller decided.
     pub fn shard_lease_length(&self, now: MonotonicTime) -> Duration {
         if self.unknown_tasks > 0 || !self.reconciled(now) {
             return Duration::ZERO;
@@ -63,12 +66,13 @@
         self.jobs.values().filter(is_stopping).map(remaining).min().unwrap_or(max)
     }
 
-    /// Zones whose shard this leader keeps itself.
+    /// Returns the zones whose shard this leader does not lease to another controller.
     pub fn own_shard(&self) -> Vec<String> {
         self.shard_lessor.own_shard()
     }
 
-    /// This controller answered a worker as a lessee at `now`, while its leadership was uncertain.
+    /// Records that this controller answered a worker as a lessee at `now`, while its leadership
+    /// was uncertain: that extended the worker's lease.
     pub fn worker_lease_extended(&mut self, name: &str, now: MonotonicTime) {
         let last_answered_at = &mut self.reconciliation.last_answered_at;
         *last_answered_at = now.max(*last_answered_at);
--- a/crates/controller/src/cluster_state/silence.rs
+++ b/crates/controller/src/cluster_state/silence.rs
@@ -1,4 +1,4 @@
-//! Which machines and zones are silent: lost machines, and partitioned zones.
+//! Detection of lost machines and partitioned zones, from machines that send no heartbeats.
 
 use super::{ClusterState, Machine};
 use hookway_constants as constants;
@@ -6,7 +6,7 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// Machines of a zone.
+/// Numbers of machines in a zone: all that count, and those that are missing.
 #[derive(Debug, Clone, Copy, Default)]
 struct ZoneCount {
     all: usize,
@@ -19,22 +19,22 @@
         self.missing += usize::from(missing);
     }
 
-    /// Whether so few are missing that they are most likely lost. When many machines of a zone are
-    /// missing together a network is cut, and they may come back.
+    /// Whether so few machines are missing that they are most likely lost. If many machines of a
+    /// zone are missing together, the network is most likely partitioned, and they may come back.
     fn few_missing(self) -> bool {
         self.missing < self.all
             && (self.missing == 1
                 || self.missing as f64 <= self.all as f64 * constants::LOST_MACHINES_MAX_SHARE)
     }
 
-    /// Whether so many are missing that the zone is most likely partitioned.
+    /// Whether so many machines are missing that the zone is most likely partitioned.
     fn is_partitioned(self) -> bool {
         self.missing > 1 && self.missing as f64 > self.all as f64 * constants::PARTITION_SHARE
     }
 }
 
 impl ClusterState {
-    /// Counts the machines that `counts` selects, and those of them that are missing, by zone.
+    /// Counts by zone the machines that `counts` selects, and those of them that `missing` selects.
     fn count_by_zone(
         &self,
         counts: impl Fn(&Machine) -> bool,
@@ -47,13 +47,15 @@
         zones
     }
 
-    /// Time since the last response to a machine's worker, as far as this leader could answer.
+    /// Returns the time since the last response to a machine's worker. Time in which this leader
+    /// could not answer does not count.
     fn silence(&self, machine: &Machine, now: MonotonicTime) -> Duration {
         now.saturating_duration_since(machine.last_response_at.max(self.clocks.resumed_at))
     }
 
-    /// Zones that can't be reached at this moment. Nothing is added there, and their machines are kept
-    /// for a while: those that are gone are missing from the machine list.
+    /// Returns the zones that are partitioned at `now`. No machines are added there, and the
+    /// machines there are kept for a while: those that no longer exist are missing from the machine
+    /// list.
     pub(super) fn partitioned_zones(&self, now: MonotonicTime) -> HashSet<String> {
         let timeout = self.heartbeat_timeout();
         let is_silent = |machine: &Machine| {
@@ -72,15 +74,16 @@
         partitioned.map(|(zone, _)| (*zone).to_owned()).collect()
     }
 
-    /// Machines with tasks that have been silent for `patience` while most others of their zone
-    /// have not. A deletion proves their tasks gone, which the machine list and their leases do only
-    /// much later.
+    /// Returns the machines with tasks that have been silent for `patience` while most other
+    /// machines of their zone have not. Deleting such a machine proves that its tasks have ended;
+    /// the machine list and the expiry of its worker's lease prove that only much later.
     pub(super) fn silent_machines(
         &self,
         now: MonotonicTime,
         patience: Duration,
     ) -> HashSet<String> {
-        // In a partition machines fall silent one by one, each when its next heartbeat is due.
+        // In a partition, machines become silent one by one, each when its next heartbeat is due.
+        // So a machine counts as missing as soon as its heartbeat is overdue.
         let timeout = self.heartbeat_timeout();
         let zones = self
             .count_by_zone(Machine::is_live, |_, machine| self.silence(machine, now) >= timeout);
@@ -92,8 +95,8 @@
         self.lost_machines(&zones, |_, machine| lost(machine))
     }
 
-    /// Machines of the registry without a heartbeat since the failover that `gone` selects, in zones
-    /// of which most other machines have sent one.
+    /// Returns the unreconciled machines of the registry that `gone` selects, in zones with few
+    /// unreconciled machines.
     pub(super) fn unreconciled_lost_machines(
         &self,
         gone: impl Fn(&Machine) -> bool,
@@ -106,7 +109,7 @@
         self.lost_machines(&zones, |name, machine| unreconciled(name) && gone(machine))
     }
 
-    /// The machines that `lost` selects in zones of which few are missing.
+    /// Returns the machines that `lost` selects, in zones with few missing machines.
     fn lost_machines(
         &self,
         zones: &HashMap<&str, ZoneCount>,
