--- a/crates/controller/src/cluster_state/commit_items.rs
+++ b/crates/controller/src/cluster_state/commit_items.rs
@@ -1,4 +1,4 @@
-//! The records of a transaction, as they are put into it.
+//! Adds waiting items to a transaction: one function for each kind of record.
 
 use super::commit_queue::{CommitItem, JobPage, PendingCommit, RegistryMember};
 use super::machine_registry::MachineRegistry;
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 
 impl ClusterState {
-    /// Final records of jobs that end.
+    /// Adds the final records of jobs that end.
     pub(super) fn add_finished_jobs(&mut self, commit: &mut PendingCommit) {
         while commit.has_room_for(constants::JOB_COMPLETION_OPERATIONS)
             && let Some(key) = self.commit_queue.finished_jobs.pop_front()
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Registry records without which some machine takes no tasks.
+    /// Adds registry records that must be durable before some machine gets tasks.
     pub(super) fn add_registry(&mut self, commit: &mut PendingCommit) {
         while commit.has_room_for(1)
             && let Some(number) = self.commit_queue.registry.next_urgent()
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Registry records with hints for the next leader, within the budget for hints.
+    /// Adds registry records with hints for the next leader, within the budget for hints.
     pub(super) fn add_registry_hints(&mut self, commit: &mut PendingCommit, now: MonotonicTime) {
         while commit.has_room_for(1) && self.commit_queue.hint_bucket.has_token(now) {
             let Some(number) = self.commit_queue.registry.next_stale() else { break };
@@ -83,14 +83,14 @@
         commit.items.push(CommitItem::MachineRegistry { number, members });
     }
 
-    /// Progress pages with results that are not durable.
+    /// Adds progress pages with results that are not durable.
     pub(super) fn add_progress_pages(&mut self, commit: &mut PendingCommit) {
         let mut waiting = Vec::new();
         while commit.has_room_for(1)
             && let Some(JobPage { job: key, page }) = self.commit_queue.progress_pages.pop_front()
         {
             let Some(job) = self.jobs.get_mut(&key) else { continue };
-            // A job that ends, or has ended, needs no progress record.
+            // A job that is ending or has ended needs no progress record.
             if !job.is_active() {
                 job.progress.unqueue(page);
                 continue;
@@ -110,7 +110,7 @@
         self.commit_queue.progress_pages.extend(waiting);
     }
 
-    /// Start watermarks that tasks wait for.
+    /// Adds start watermark records that tasks wait for, or that make an assumed watermark durable.
     pub(super) fn add_watermark_raises(&mut self, commit: &mut PendingCommit) {
         let mut shared: BTreeMap<u64, Vec<JobKey>> = BTreeMap::new();
         while commit.has_room_for(1 + shared.len())
@@ -121,7 +121,7 @@
                 self.add_scheduling_record(commit, key);
             } else if job.is_active() {
                 let watermarks = &mut self.commit_queue.shared_watermarks;
-                // A record of an earlier leader may be larger than values may be now.
+                // A record of an earlier leader may exceed the current value limit.
                 let current = job.start_watermark.shared_record();
                 let usable = current.filter(|number| !watermarks.too_large(*number));
                 let number = usable.unwrap_or_else(|| watermarks.add(&job.id));
@@ -149,7 +149,7 @@
         commit.items.push(CommitItem::SharedWatermarks { number, jobs: waiting });
     }
 
-    /// The marker of complete start watermarks, once they are.
+    /// Adds the marker that says that the start watermarks are complete, once they are.
     pub(super) fn add_watermark_marker(&mut self, commit: &mut PendingCommit) {
         let keys = self.commit_queue.watermark_marker.due_keys();
         if keys.is_empty() || !commit.has_room_for(keys.len()) {
@@ -162,7 +162,7 @@
         self.commit_queue.watermark_marker.sent();
     }
 
-    /// Deletions of keys that nothing refers to any more.
+    /// Adds the deletions of keys that nothing refers to any more.
     pub(super) fn add_stale_keys(&mut self, commit: &mut PendingCommit) {
         while commit.has_room_for(1)
             && let Some(key) = self.commit_queue.stale_keys.pop_front()
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Scheduling records with hints for the next leader, within the budget for hints.
+    /// Adds scheduling records with hints for the next leader, within the budget for hints.
     pub(super) fn add_scheduling_records(
         &mut self,
         commit: &mut PendingCommit,
@@ -201,7 +201,7 @@
         self.commit_queue.scheduling_records.remove(&key);
     }
 
-    /// The record of all job classes, a hint for the next leader, when one of them has changed.
+    /// Adds the record of all job classes, a hint for the next leader, if one of them has changed.
     pub(super) fn add_classes(&mut self, commit: &mut PendingCommit, now: MonotonicTime) {
         if !self.commit_queue.classes_changed
             || !commit.has_room_for(1)
@@ -213,7 +213,7 @@
         let classes: BTreeMap<&String, ClassRecord> =
             self.classes.iter().map(|(name, class)| (name, class.record())).collect();
         let Ok(value) = serde_json::to_value(&classes) else { return };
-        // Where there are too many classes for one value, the next leader does without the hint.
+        // If the classes exceed the value limit, the next leader gets no hint.
         if !fits_value_limit(&value, self.config.platform.state.value_kb) {
             return;
         }
@@ -223,7 +223,8 @@
         commit.items.push(CommitItem::Classes);
     }
 
-    /// Sets a job's minimum task count, which is queued for the next leader if it changed enough.
+    /// Sets a job's minimum task count. Queues its scheduling record, as a hint for the next
+    /// leader, if the count has changed enough.
     pub(super) fn set_min_tasks(&mut self, key: JobKey, min_tasks: u32) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         job.min_tasks = min_tasks;
--- a/crates/controller/src/cluster_state/commit_outcome.rs
+++ b/crates/controller/src/cluster_state/commit_outcome.rs
@@ -1,4 +1,4 @@
-//! What the outcome of a transaction means for each of its records.
+//! Effects of a transaction's outcome on each of its items.
 
 use super::commit_queue::{CommitItem, JobPage, RegistryMember, is_leader_record};
 use super::{ClusterState, Job, JobKey};
@@ -10,7 +10,7 @@
 use hookway_wire::{JobId, KeyValue};
 
 impl ClusterState {
-    /// An item is durable since this revision.
+    /// Records that an item is durable, written at `revision`.
     pub(super) fn item_applied(&mut self, item: CommitItem, revision: u64) {
         match item {
             CommitItem::Final { job, record } => self.complete_job(job, record),
@@ -37,7 +37,8 @@
         let machines = members.iter().map(|member| member.machine.as_str());
         self.commit_queue.registry.stored(number, machines);
         for RegistryMember { machine: name, images } in members {
-            // A machine that is gone meanwhile has left its record, which is stale already.
+            // A machine that was removed meanwhile has left its record, which is already marked as
+            // stale.
             if let Some(machine) = self.machines.get_mut(&name) {
                 machine.registered = true;
                 machine.stored_images = images;
@@ -59,7 +60,8 @@
         self.resolve_assumed_watermark(key);
     }
 
-    /// Takes a job whose watermark is durable, or that has ended, off those whose watermarks are assumed.
+    /// Removes a job from those with an assumed watermark if its watermark is durable or it has
+    /// ended.
     pub(super) fn resolve_assumed_watermark(&mut self, key: JobKey) {
         let is_assumed = |job: &Job| !job.completion.is_final() && job.start_watermark.is_assumed();
         if self.jobs.get(&key).is_some_and(is_assumed) {
@@ -79,13 +81,13 @@
             }
             self.resolve_assumed_watermark(*key);
         }
-        // All of its jobs ended while it was in flight.
+        // All jobs of the record ended while the transaction was in flight.
         if self.commit_queue.shared_watermarks.jobs(number).is_none() {
             self.commit_queue.stale_keys.push_back(shared_watermarks_key(number));
         }
     }
 
-    /// An item that may not be durable returns to its queue.
+    /// Returns an item that may not be durable to its queue, if it is still needed.
     pub(super) fn requeue(&mut self, item: CommitItem) {
         match item {
             CommitItem::Final { job: key, .. } => {
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Takes in a key that was read again after a transaction without a plain outcome.
+    /// Applies a key that was read again after a transaction that was not confirmed as applied.
     pub(super) fn apply_reread(&mut self, key: &str, value: Option<KeyValue>) {
         if is_leader_record(key) {
             self.commit_queue.set_mod_revision(key, value.map_or(0, |v| v.mod_revision));
@@ -144,8 +146,9 @@
         }
     }
 
-    /// Takes in the stored progress record whose results begin at task `first`; `None`: there is none,
-    /// or it can't be read.
+    /// Applies the stored progress record whose results begin at task `first`, and queues its page
+    /// if results of the page are not durable. `record` is `None` if there is none or it is
+    /// unreadable.
     pub(super) fn apply_progress_record(
         &mut self,
         key: JobKey,
@@ -161,7 +164,7 @@
         }
     }
 
-    /// The results of a progress record are durable.
+    /// Records that the results of a progress record are durable.
     fn results_stored(
         &mut self,
         key: JobKey,
@@ -170,7 +173,7 @@
         record: Option<&ProgressRecord>,
     ) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
-        // The end of a replica is no result, whatever a record says.
+        // The end of a daemon's replica is not a result, whatever a record says.
         if job.spec.is_daemon() || first >= job.spec.tasks {
             return;
         }
@@ -191,7 +194,7 @@
         self.finish_if_complete(key);
     }
 
-    /// Queues the final record of a job once all of its tasks are completed.
+    /// Queues the final record of a job if all of its tasks are completed. Daemons never complete.
     pub(super) fn finish_if_complete(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         if job.completed == job.spec.tasks && !job.spec.is_daemon() && job.completion.finish() {
--- a/crates/controller/src/cluster_state/commit_queue.rs
+++ b/crates/controller/src/cluster_state/commit_queue.rs
@@ -1,4 +1,4 @@
-//! What the leader has to write to the state service, and its transactions.
+//! The queue of what the leader has to write to the store, and the transactions built from it.
 
 use super::JobKey;
 use super::machine_registry::MachineRegistry;
@@ -15,16 +15,17 @@
 use hookway_wire::{KeyValue, Operation, Precondition, Transaction};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// Bytes of keys and values that one transaction may hold; the limit is 64 KiB in all.
+/// Length of keys and values, bytes, from which a transaction gets no more operations; the limit
+/// for a whole transaction is 64 KiB.
 const MAX_TRANSACTION_BYTES: usize = 48 * 1024;
 
-/// What a precondition or an operation takes beside its key and value, bytes.
+/// Encoded length of a precondition or an operation without its key and value, bytes.
 const OPERATION_OVERHEAD_BYTES: usize = 32;
 
-/// What the leader has to write, and what it knows of its transactions.
+/// What the leader has to write, and what it knows about its transactions.
 #[derive(Debug)]
 pub(super) struct CommitQueue {
-    /// Holds as long as this controller leads.
+    /// Precondition that holds as long as this controller is the leader.
     pub leader_precondition: Precondition,
     /// Jobs whose final record is to be written.
     pub finished_jobs: VecDeque<JobKey>,
@@ -33,36 +34,39 @@
     pub registry: MachineRegistry,
     pub shared_watermarks: SharedStartWatermarks,
     pub watermark_marker: WatermarkMarker,
-    /// Revisions of the records that only leaders write, by key; 0, or none, if there is no record.
+    /// Revisions of the records that only leaders write, by key. A key without a record is absent.
     pub mod_revisions: HashMap<String, u64>,
-    /// Registry entries of the older format, by machine: deleted once a record has the machine.
+    /// Keys of registry entries in the older format, by machine. Deleted once a durable record
+    /// names the machine.
     pub legacy_registry_keys: HashMap<String, String>,
     /// Keys to be deleted.
     pub stale_keys: VecDeque<String>,
-    /// Jobs whose scheduling record, a hint for the next leader, is to be written.
+    /// Jobs whose scheduling record is to be written as a hint for the next leader.
     pub scheduling_records: BTreeSet<JobKey>,
-    /// The record of the job classes is to be written.
+    /// Whether the record of the job classes is to be written.
     pub classes_changed: bool,
-    /// Jobs with tasks that wait for a higher start watermark.
+    /// Jobs whose start watermark record is to be written: tasks wait for a higher watermark, or
+    /// the watermark is assumed.
     pub watermark_raises: BTreeSet<JobKey>,
-    /// Budget of all operations.
+    /// Write budget for all operations.
     pub bucket: TokenBucket,
-    /// Budget of hints for the next leader.
+    /// Write budget for hints for the next leader.
     pub hint_bucket: TokenBucket,
-    /// Maximum number of operations of a transaction, lowered when the state service rejects one.
+    /// Maximum number of operations in a transaction. Lowered when the store rejects one for its
+    /// size.
     pub max_operations: usize,
-    /// Items that were rejected by themselves, in the order of their retries.
+    /// Individually rejected items, in the order of their retries.
     pub rejected: VecDeque<DelayedItem>,
-    /// A transaction is in flight.
+    /// Whether a transaction is in flight.
     pub commit_in_flight: bool,
     /// No transaction is sent before this time.
     pub backoff_until: MonotonicTime,
-    /// A transaction showed that this controller does not lead any more.
+    /// Whether a transaction showed that this controller is no longer the leader.
     pub leadership_lost: bool,
 }
 
 impl CommitQueue {
-    /// An empty queue of a leader that was elected at `now`.
+    /// Creates the empty queue of a leader that was elected at `now`.
     pub fn new(
         platform: &PlatformSettings,
         leader_precondition: Precondition,
@@ -93,7 +97,7 @@
         }
     }
 
-    /// Sets the revision of a record that only leaders write; 0 if there is no record.
+    /// Sets the revision of a record that only leaders write; 0 means that there is no record.
     pub fn set_mod_revision(&mut self, key: &str, mod_revision: u64) {
         if mod_revision == 0 {
             self.mod_revisions.remove(key);
@@ -102,7 +106,7 @@
         }
     }
 
-    /// Whether there is a record under a key that only leaders write, as far as this leader knows.
+    /// Whether, as far as this leader knows, a record exists under a key that only leaders write.
     pub fn has_record(&self, key: &str) -> bool {
         self.mod_revisions.contains_key(key)
     }
@@ -112,38 +116,39 @@
         self.stale_keys.push_back(key);
     }
 
-    /// Moves a registry entry of the older format, of a machine registered at that time, to a record.
+    /// Queues the move of a machine's registry entry from the older format to a record.
     pub fn migrate_legacy_entry(&mut self, machine: &str, registered_at: WallTime) {
         self.legacy_registry_keys.insert(machine.to_owned(), registry_key(machine));
         self.registry.register(machine, registered_at);
     }
 }
 
-/// Whether a key is of a record that only leaders write, again and again.
+/// Whether a key belongs to a record that only leaders write, and write repeatedly.
 pub(super) fn is_leader_record(key: &str) -> bool {
     key == CLASSES_KEY || key.starts_with(SCHEDULING_PREFIX) || key.starts_with(REGISTRY_PREFIX)
 }
 
-/// A page of a job's results.
+/// A progress page: a range of a job's tasks whose results share a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct JobPage {
     pub job: JobKey,
     pub page: usize,
 }
 
-/// A machine of a registry record, with the images written for it.
+/// A machine in a registry record, with the images that were cached on it when the record was
+/// built.
 #[derive(Debug, Clone)]
 pub(super) struct RegistryMember {
     pub machine: String,
     pub images: Vec<u32>,
 }
 
-/// Something written by a transaction.
+/// An item that a transaction writes or deletes.
 #[derive(Debug, Clone)]
 pub(super) enum CommitItem {
     /// The final record of a job.
     Final { job: JobKey, record: FinalRecord },
-    /// A page of a job's results.
+    /// The record of a progress page of a job.
     ProgressPage { job: JobKey, page: usize, record: ProgressRecord },
     /// A record of the machine registry.
     MachineRegistry { number: u64, members: Vec<RegistryMember> },
@@ -151,15 +156,15 @@
     StaleKey(String),
     /// A job's minimum task count, run times and start watermark.
     Scheduling { job: JobKey, record: JobSchedulingRecord },
-    /// A record of small jobs that may be started, and those that wait for it.
+    /// A shared start watermark record of small jobs, and the jobs that wait for it.
     SharedWatermarks { number: u64, jobs: Vec<JobKey> },
     /// The record of the job classes.
     Classes,
-    /// The marker of complete start watermarks.
+    /// The marker that says that the start watermarks are complete.
     WatermarkMarker,
 }
 
-/// An item that was rejected by itself.
+/// An item that was rejected in a transaction of its own.
 #[derive(Debug, Clone)]
 pub(super) struct DelayedItem {
     /// When it is tried again.
@@ -167,64 +172,69 @@
     pub item: CommitItem,
 }
 
-/// A transaction, with what it writes.
+/// A transaction and the items that it writes.
 #[derive(Debug)]
 pub struct PendingCommit {
-    /// The transaction.
+    /// The transaction as sent to the store: its first precondition holds only while this
+    /// controller is the leader.
     pub transaction: Transaction,
     pub(super) items: Vec<CommitItem>,
     max_operations: usize,
-    /// Estimated length, bytes.
+    /// Estimated encoded length of the transaction, bytes.
     bytes: usize,
 }
 
-/// The outcome of a transaction.
+/// The outcome of a transaction, as far as the controller knows it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommitResult {
     /// Applied at this revision.
     Applied(u64),
-    /// Surely not applied; to be tried again later.
+    /// Certainly not applied; its items are tried again later.
     NotApplied,
-    /// Surely not applied, as it is larger than the state service takes; to be tried in smaller parts.
+    /// Certainly not applied, because it is larger than the store accepts; its items are tried
+    /// again in smaller transactions.
     Rejected,
-    /// Some precondition failed, or the outcome is not known. These keys were read again since.
+    /// Some precondition failed, or the outcome is unknown. Has the keys that were read again
+    /// since.
     Indeterminate(Vec<RereadKey>),
 }
 
-/// A key that was read again.
+/// A key that was read again after a transaction that was not confirmed as applied.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RereadKey {
-    /// The key.
+    /// The key in the store.
     pub key: String,
-    /// What is stored under it, if anything.
+    /// The stored value and its revision; `None` if the key does not exist.
     pub stored: Option<KeyValue>,
 }
 
 impl PendingCommit {
-    /// A transaction without operations, applied only as long as this controller leads.
+    /// Creates a transaction without operations, which is applied only while this controller is the
+    /// leader.
     pub(super) fn new(leader_precondition: Precondition, max_operations: usize) -> Self {
         let preconditions = vec![leader_precondition];
         let transaction = Transaction { preconditions, operations: vec![] };
         Self { transaction, items: vec![], max_operations, bytes: 0 }
     }
 
-    /// Whether so many more operations may be added. Their length counts as well as their number: however
-    /// many operations the state service takes at a time, a transaction has a maximum length.
+    /// Whether `operations` more operations may be added. The length counts as well as the number:
+    /// however many operations the store accepts in a transaction, the length of a transaction is
+    /// limited.
     pub(super) fn has_room_for(&self, operations: usize) -> bool {
         self.transaction.operations.len() + operations <= self.max_operations
             && self.bytes < MAX_TRANSACTION_BYTES
     }
 
-    /// Adds the precondition that a key has this revision; 0: that there is no such key.
+    /// Adds the precondition that a key has this revision; 0 means that the key does not exist.
     pub(super) fn require(&mut self, key: String, mod_revision: u64) {
         self.bytes += key.len() + OPERATION_OVERHEAD_BYTES;
         self.transaction.preconditions.push(Precondition { key, mod_revision });
     }
 
-    /// Adds the precondition that a key has the revision that this leader knows. A transaction without
-    /// an answer may be applied late, after newer ones of this leader. Without the precondition an old
-    /// start watermark or registry record would come back, and the next leader would start a task that
-    /// runs on a machine from which it has no heartbeat.
+    /// Adds the precondition that a key has the revision that this leader knows. A transaction
+    /// without a response may be applied late, after newer ones of this leader. Without the
+    /// precondition, it could restore an old start watermark or registry record, and the next
+    /// leader would start a task that runs on a machine from which it has no heartbeat.
     pub(super) fn require_known_revision(&mut self, known: &HashMap<String, u64>, key: &str) {
         self.require(key.to_owned(), known.get(key).copied().unwrap_or(0));
     }
@@ -241,7 +251,8 @@
         self.transaction.operations.push(Operation::delete(key));
     }
 
-    /// The keys that must be read again when the outcome is not plain success.
+    /// Returns the keys that must be read again if the transaction is not confirmed as applied:
+    /// those of all preconditions.
     pub fn keys(&self) -> Vec<String> {
         self.transaction.preconditions.iter().map(|p| p.key.clone()).collect()
     }
--- a/crates/controller/src/cluster_state/commits.rs
+++ b/crates/controller/src/cluster_state/commits.rs
@@ -1,4 +1,4 @@
-//! Commits to the state service: the next transaction, and what its outcome means.
+//! Commits to the store: the next transaction, and the effect of its outcome.
 
 use super::ClusterState;
 use super::commit_queue::{
@@ -8,23 +8,24 @@
 use hookway_time::MonotonicTime;
 use hookway_wire::Operation;
 
-/// What is known of a transaction that was not confirmed.
+/// What is known about a transaction that the store did not confirm as applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Unwritten {
-    /// Surely not applied.
+    /// Certainly not applied.
     NotApplied,
-    /// It may have been applied, or may still be.
+    /// It may have been applied, or may still be applied.
     Indeterminate,
 }
 
 impl ClusterState {
-    /// Whether some transaction showed that this controller does not lead any more.
+    /// Whether some transaction showed that this controller is no longer the leader.
     pub fn leadership_lost(&self) -> bool {
         self.commit_queue.leadership_lost
     }
 
-    /// The next transaction at `now`, if something waits, the write budget allows it and none is
-    /// in flight. Final records go first, since users wait for them; hints for the next leader last.
+    /// Returns the next transaction at `now`; `None` if no item waits, the write budget does not
+    /// allow a transaction, one is in flight, a backoff has not ended, or leadership is lost. Final
+    /// records come first, since users wait for them, and hints for the next leader come last.
     pub fn next_commit(&mut self, now: MonotonicTime) -> Option<PendingCommit> {
         let queue = &mut self.commit_queue;
         if queue.commit_in_flight || queue.leadership_lost || now < queue.backoff_until {
@@ -56,7 +57,7 @@
         Some(commit)
     }
 
-    /// Takes in the outcome of the transaction in flight, at `now`.
+    /// Applies the outcome of the transaction in flight, received at `now`.
     pub fn committed(&mut self, commit: PendingCommit, result: CommitResult, now: MonotonicTime) {
         self.commit_queue.commit_in_flight = false;
         match result {
@@ -87,7 +88,8 @@
         }
     }
 
-    /// A precondition failed, or the outcome is not known: the keys read again since tell what holds.
+    /// Applies the keys that were read again after a precondition failed or the outcome was
+    /// unknown: they show what the store holds.
     fn commit_indeterminate(&mut self, commit: PendingCommit, reread: Vec<RereadKey>) {
         for RereadKey { key, stored } in reread {
             if key == self.commit_queue.leader_precondition.key {
@@ -105,13 +107,13 @@
         }
     }
 
-    /// An item that may not be durable returns to its queue.
+    /// Returns an item that may not be durable to its queue.
     fn return_item(&mut self, item: CommitItem, unwritten: Unwritten) {
         self.mark_final_unwritten(&item, unwritten);
         self.requeue(item);
     }
 
-    /// If an item is a final record, its job learns what is known of the transaction.
+    /// If an item is a final record, tells its job what is known about the transaction.
     fn mark_final_unwritten(&mut self, item: &CommitItem, unwritten: Unwritten) {
         let CommitItem::Final { job, .. } = item else { return };
         let Some(job) = self.jobs.get_mut(job) else { return };
@@ -121,8 +123,9 @@
         }
     }
 
-    /// The state service rejected a transaction for its size. It is tried again in smaller parts; an
-    /// item that is rejected by itself is delayed, so that it holds up nothing else.
+    /// Processes the rejection of a transaction that the store considers too large. Its items are
+    /// tried again in smaller transactions. An item that is rejected in a transaction of its own is
+    /// delayed, so that it does not block other items.
     fn commit_rejected(&mut self, commit: PendingCommit, now: MonotonicTime) {
         self.commit_queue.backoff_until = now + constants::LEADER_RETRY;
         let operations = commit.transaction.operations.len();
@@ -140,7 +143,7 @@
         }
     }
 
-    /// Requeues the items that were rejected by themselves long enough ago.
+    /// Requeues the individually rejected items whose retry is due at `now`.
     fn retry_rejected(&mut self, now: MonotonicTime) {
         while self.commit_queue.rejected.front().is_some_and(|delayed| now >= delayed.retry_at)
             && let Some(delayed) = self.commit_queue.rejected.pop_front()
--- a/crates/controller/src/cluster_state/machine_registry.rs
+++ b/crates/controller/src/cluster_state/machine_registry.rs
@@ -1,4 +1,4 @@
-//! The machine registry: which machines may have tasks, in records shared by many machines.
+//! The machine registry: the machines that may have tasks, in records that many machines share.
 
 use super::image_numbers::NamedImage;
 use crate::records::{
@@ -8,29 +8,32 @@
 use hookway_time::WallTime;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Which record each machine is in. Many machines share one, so that hundreds of them may take their
-/// first tasks within seconds at a few writes per second.
+/// The records of the registry and the machines in each. Many machines share a record, so that
+/// hundreds of them can get their first tasks within seconds at a few writes per second.
 #[derive(Debug)]
 pub(super) struct MachineRegistry {
-    /// Maximum number of machines of a record.
+    /// Maximum number of machines in a record.
     max_entries: usize,
-    /// Machines by record, with the time of their registration.
+    /// Machines by record number, with the time of their registration.
     records: BTreeMap<u64, BTreeMap<String, WallTime>>,
-    /// The record of each machine.
+    /// Number of the record that each machine is in.
     record_of: HashMap<String, u64>,
-    /// Records whose stored version lacks a machine: written before a task starts on it.
+    /// Records whose stored version may lack a machine. No task starts on such a machine before its
+    /// record is durable.
     urgent: BTreeSet<u64>,
-    /// Records whose hints are out of date, or that name machines that are gone.
+    /// Records whose stored version has outdated hints or names machines that have left the record.
     stale: BTreeSet<u64>,
-    /// Records that can't be read. They stay as they are until the leases of their machines have surely
-    /// expired: the next leader must know that it does not know all machines.
+    /// Records that are unreadable. They stay as they are until the leases of the workers on their
+    /// machines have certainly expired: the next leader must be able to tell that it does not know
+    /// all machines.
     unreadable: BTreeSet<u64>,
-    /// Machines that move to another record, with the one whose stored version still names them.
+    /// Machines that move to another record, with the number of the record whose stored version
+    /// still names them.
     moving: HashMap<String, u64>,
 }
 
 impl MachineRegistry {
-    /// An empty registry for values of at most `value_kb` KiB.
+    /// Creates an empty registry for values of at most `value_kb` KiB.
     pub fn new(value_kb: f64) -> Self {
         let max_entries = value_kb.max(0.0) * 1024.0 / constants::REGISTRY_ENTRY_BYTES as f64;
         Self {
@@ -44,12 +47,13 @@
         }
     }
 
-    /// Takes in that a record can't be read.
+    /// Marks a record as unreadable.
     pub fn unreadable(&mut self, number: u64) {
         self.unreadable.insert(number);
     }
 
-    /// The leases of the machines in unreadable records have expired: the records count as empty.
+    /// Treats unreadable records as empty, after the leases of the workers on their machines have
+    /// expired.
     pub fn forget_unreadable(&mut self) {
         for number in std::mem::take(&mut self.unreadable) {
             self.records.entry(number).or_default();
@@ -57,11 +61,12 @@
         }
     }
 
-    /// Takes in a machine of a record that an earlier leader wrote.
+    /// Adds a machine from a record that an earlier leader wrote.
     pub fn loaded(&mut self, number: u64, machine: &str, registered_at: WallTime) {
         let members = self.records.entry(number).or_default();
         if self.record_of.contains_key(machine) {
-            // That leader was moving it between records when it ended. One of them is enough.
+            // The earlier leader was moving the machine between records when its term ended. One
+            // entry suffices.
             self.stale.insert(number);
             return;
         }
@@ -69,7 +74,7 @@
         self.record_of.insert(machine.to_owned(), number);
     }
 
-    /// Adds a machine, unless it is here already.
+    /// Adds a machine, unless the registry has it already.
     pub fn register(&mut self, machine: &str, registered_at: WallTime) {
         if self.record_of.contains_key(machine) {
             return;
@@ -78,7 +83,7 @@
         self.urgent.insert(number);
     }
 
-    /// Adds a machine to a record with room, or to a new one.
+    /// Adds a machine to a record that is not full, or to a new one. Returns the record's number.
     fn add_to_open_record(&mut self, machine: &str, registered_at: WallTime) -> u64 {
         let open = self.records.iter().find(|(_, members)| members.len() < self.max_entries);
         let number = open.map_or_else(
@@ -93,8 +98,9 @@
         number
     }
 
-    /// Divides a record that is larger than a value may be, as it was written under a larger limit. Its
-    /// surplus machines move to other records, and only once those are durable is it written again.
+    /// Divides a record that exceeds the value limit, because it was written under a larger one.
+    /// The surplus machines move to other records, and the record is written again only once those
+    /// are durable.
     pub fn split(&mut self, number: u64) {
         let Some(members) = self.records.get(&number) else { return };
         let staying = members.iter().filter(|(machine, _)| !self.moving.contains_key(*machine));
@@ -109,7 +115,8 @@
         }
     }
 
-    /// A record with these machines is durable.
+    /// Records that a record with these machines is durable: a machine that moved to it leaves its
+    /// earlier record.
     pub fn stored<'a>(&mut self, number: u64, machines: impl Iterator<Item = &'a str>) {
         for machine in machines {
             let here = self.record_of.get(machine) == Some(&number);
@@ -119,7 +126,7 @@
         }
     }
 
-    /// A record no longer names a machine.
+    /// Removes a machine from a record, which must then be written again.
     fn remove_from(&mut self, number: u64, machine: &str) {
         if let Some(members) = self.records.get_mut(&number) {
             members.remove(machine);
@@ -127,7 +134,8 @@
         self.stale.insert(number);
     }
 
-    /// Removes a machine that is gone. An entry that stays stored for a while is harmless.
+    /// Removes a machine that no longer exists. Its entry may stay in the store for a while, which
+    /// does no harm.
     pub fn remove(&mut self, machine: &str) {
         let numbers = [self.record_of.remove(machine), self.moving.remove(machine)];
         for number in numbers.into_iter().flatten() {
@@ -135,48 +143,50 @@
         }
     }
 
-    /// Takes in that the hints about a machine have changed.
+    /// Marks the record of a machine as stale, because the hints about the machine have changed.
     pub fn mark_stale(&mut self, machine: &str) {
         if let Some(number) = self.record_of.get(machine) {
             self.stale.insert(*number);
         }
     }
 
-    /// The next record that must be written before machines in it take tasks.
+    /// Removes and returns the next record that must be written before tasks start on machines in
+    /// it.
     pub fn next_urgent(&mut self) -> Option<u64> {
         let number = self.urgent.pop_first()?;
         self.stale.remove(&number);
         Some(number)
     }
 
-    /// The next record that is merely out of date.
+    /// Removes and returns the next record that is merely outdated.
     pub fn next_stale(&mut self) -> Option<u64> {
         self.stale.pop_first()
     }
 
-    /// A record may not have been written.
+    /// Queues a record again whose write may not have been applied.
     pub fn requeue(&mut self, number: u64) {
         self.urgent.insert(number);
     }
 
-    /// The machines of a record, with the times of their registration.
+    /// Returns the machines of a record, with the times of their registration.
     pub fn members(&self, number: u64) -> impl Iterator<Item = (&String, WallTime)> {
         self.records.get(&number).into_iter().flatten().map(|(machine, at)| (machine, *at))
     }
 
-    /// A record's key.
+    /// Returns the key of a record.
     pub fn key(number: u64) -> String {
         registry_key(&format!("{}{number}", constants::REGISTRY_RECORD_PREFIX))
     }
 
-    /// The number of a record, from its key without the prefix `r/`; `None` for an entry of the
-    /// format in which each machine had a key of its own.
+    /// Parses the number of a record from its key without the prefix `r/`; `None` for an entry of
+    /// the older format, in which each machine had a key of its own.
     pub fn record_number(name: &str) -> Option<u64> {
         name.strip_prefix(constants::REGISTRY_RECORD_PREFIX)?.parse().ok()
     }
 
-    /// The value of a record; `None` if its machines alone are too many for a value. `images` gives the
-    /// images cached on a machine; where they have no room they are left out.
+    /// Returns the value of a record; `None` if its machines alone exceed the value limit. `images`
+    /// returns the images cached on a machine; if the value with them exceeds the limit, all are
+    /// left out.
     pub fn record<'a>(
         &self,
         number: u64,
