--- a/crates/controller/src/cluster_state/command_dispatch.rs
+++ b/crates/controller/src/cluster_state/command_dispatch.rs
@@ -1,38 +1,40 @@
-//! Commands to workers: in responses to their heartbeats, and stops that are dispatched directly.
+//! Commands to workers: those in responses to heartbeats, and stops that are dispatched directly.
 
 use super::{ClusterState, Machine, PlacedTask, TaskPhase};
 use hookway_constants as constants;
 use hookway_time::{MonotonicTime, span_of_seconds};
 use hookway_wire::{Command, DirectCommands, ExitCause};
 
-/// Number of commands in one message from which no more starts or direct stops are added, so that its
-/// only line stays far below 64 KiB.
+/// Number of commands from which no more starts or direct stops are added to a message. Keeps the
+/// message, which is a single line, far below 64 KiB.
 const MAX_COMMANDS: usize = 400;
-/// Maximum number of commands in a response: reaps and stops may exceed the limit for starts.
+/// Maximum number of commands in a response. Reaps and stops may exceed [`MAX_COMMANDS`].
 const MAX_COMMANDS_WITH_STOPS: usize = 2 * MAX_COMMANDS;
 
-/// Stops to be sent directly to a worker.
+/// Stops to be sent directly to a worker, without waiting for its heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DirectStop {
-    /// The address of the worker.
+    /// Address where the worker listens for direct commands.
     pub address: String,
-    /// The commands that stop the tasks.
+    /// Kill commands only, under the machine's current fencing token and for its worker's
+    /// incarnation.
     pub commands: DirectCommands,
 }
 
 /// The stop of a placed task.
 struct SelectedStop {
-    /// Position in the machine's placed tasks.
+    /// Index in the machine's placed tasks.
     position: usize,
     grace_s: f64,
 }
 
 impl ClusterState {
-    /// Time for a checkpoint, s, if a placed task must be stopped; `None` if it must not.
+    /// Returns the time for a checkpoint, s, if a placed task must be stopped; `None` if it must
+    /// not.
     pub(super) fn stop_grace_s(&self, placed: &PlacedTask, now: MonotonicTime) -> Option<f64> {
         let job = placed.job.and_then(|key| self.jobs.get(&key));
         let Some(job) = job else { return Some(0.0) };
-        // Nobody has any use for a checkpoint of these.
+        // A checkpoint of such a task would never be used.
         if placed.orphaned || !job.is_active() || job.is_completed(placed.index) {
             return Some(0.0);
         }
@@ -46,19 +48,21 @@
         broken_gang.then_some(0.0)
     }
 
-    /// Whether a task may be started: its start watermark is durable.
+    /// Whether the durable start watermark of the job allows a placed task to be started.
     pub(super) fn watermark_allows_start(&self, placed: &PlacedTask) -> bool {
         let job = placed.job.and_then(|key| self.jobs.get(&key));
         job.is_some_and(|job| job.start_watermark.allows_start(placed.index))
     }
 
-    /// Whether an orphaned attempt of a task is on some machine.
+    /// Whether an orphaned attempt of the same task is on some machine.
     pub(super) fn has_orphaned_attempt(&self, placed: &PlacedTask) -> bool {
         let job = placed.job.and_then(|key| self.jobs.get(&key));
         job.is_some_and(|job| job.orphaned.contains(&placed.index))
     }
 
-    /// The commands in the response to a machine's newest heartbeat, received at `now`.
+    /// Returns the commands for the response to a machine's newest heartbeat, received at `now`,
+    /// and marks the starts among them as sent. Cancels planned starts of tasks that must be
+    /// stopped, that have an orphaned attempt on some machine, or whose machine is draining.
     pub(super) fn commands_for(&mut self, name: &str, now: MonotonicTime) -> Vec<Command> {
         let Some(machine) = self.machines.get(name) else { return Vec::new() };
         let mut commands = self.reap_commands(machine);
@@ -96,7 +100,8 @@
         commands
     }
 
-    /// Commands to reap ended tasks, except those whose result must become durable first.
+    /// Returns the commands to reap ended tasks, except those whose result must become durable
+    /// first.
     fn reap_commands(&self, machine: &Machine) -> Vec<Command> {
         let mut commands = Vec::new();
         for ended in &machine.ended_tasks {
@@ -115,8 +120,8 @@
         commands
     }
 
-    /// Stops that should not wait for the workers' heartbeats. Each is handed out once; if it gets lost,
-    /// the response to the next heartbeat has the same command.
+    /// Returns the stops that should not wait for the workers' heartbeats. Each stop is returned
+    /// once; if it is lost, the response to the next heartbeat has the same command.
     pub fn take_direct_stops(&mut self, now: MonotonicTime) -> Vec<DirectStop> {
         if !std::mem::take(&mut self.stops_due) {
             return Vec::new();
@@ -128,7 +133,8 @@
     fn take_direct_stop_of(&mut self, name: &str, now: MonotonicTime) -> Option<DirectStop> {
         let timeout = self.heartbeat_timeout();
         let machine = self.machines.get(name)?;
-        // A machine that has missed its heartbeat would only take a connection until the time limit.
+        // A connection to a machine whose heartbeat is overdue would most likely be held without
+        // effect until its time limit.
         let answered_at = machine.last_response_at.max(self.clocks.resumed_at);
         let silent = now >= answered_at + timeout;
         if !machine.has_reported || machine.address.is_empty() || silent {
--- a/crates/controller/src/cluster_state/direct_dispatch.rs
+++ b/crates/controller/src/cluster_state/direct_dispatch.rs
@@ -1,4 +1,4 @@
-//! Direct dispatch: starts that should not wait for the workers' next heartbeats.
+//! Direct dispatch of starts, which should not wait for the workers' next heartbeats.
 
 use super::heartbeat_tasks::MessageKind;
 use super::{ClusterState, Machine, MessageVersion, TaskPhase};
@@ -8,36 +8,37 @@
 use hookway_wire::{DirectCommands, Heartbeat};
 use std::collections::{BTreeSet, HashMap};
 
-/// The starts that are dispatched directly.
+/// What is to be dispatched directly, and what is in flight.
 #[derive(Debug, Default)]
 pub(super) struct DirectDispatch {
-    /// Machines with planned starts whose workers were not told yet.
+    /// Machines with planned starts that were not sent to their workers yet.
     pub machines_with_planned_starts: BTreeSet<String>,
-    /// Machines that a message with starts is in flight to, with its fencing token.
+    /// Fencing token of the message with starts in flight to each machine.
     in_flight: HashMap<String, u64>,
 }
 
 /// Starts to be sent directly to a machine's worker.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DirectStart {
-    /// The machine.
+    /// Name of the machine, as it reports itself in heartbeats.
     pub machine: String,
-    /// The address of its worker.
+    /// Address where its worker listens for direct commands.
     pub address: String,
-    /// The commands that start the tasks.
+    /// Run commands only. Every later message to the worker has a higher fencing token.
     pub commands: DirectCommands,
 }
 
-/// The planned starts of a machine that may be dispatched now.
+/// Selection of the planned starts of a machine that may be dispatched now.
 struct StartSelection {
-    /// Positions in the machine's placed tasks.
+    /// Indexes in the machine's placed tasks.
     positions: Vec<usize>,
-    /// Some task waits for its start watermark to become durable.
+    /// Whether some task waits for its start watermark to become durable.
     waits_for_watermark: bool,
 }
 
 impl DirectDispatch {
-    /// The message to a machine under this fencing token is no longer in flight; `false` if it was not.
+    /// Removes the message to a machine under this fencing token from those in flight; `false` if
+    /// it was not in flight.
     fn end(&mut self, name: &str, fencing_token: u64) -> bool {
         let in_flight = self.in_flight.get(name) == Some(&fencing_token);
         if in_flight {
@@ -48,7 +49,7 @@
 }
 
 impl Machine {
-    /// Whether the outcome of some start dispatched under this fencing token is not known.
+    /// Whether the outcome of some start dispatched under this fencing token is unknown.
     fn awaits_direct_starts(&self, fencing_token: u64) -> bool {
         let unknown = TaskPhase::SentDirectly(fencing_token);
         self.placed_tasks.iter().any(|placed| placed.phase == unknown)
@@ -56,12 +57,13 @@
 }
 
 impl ClusterState {
-    /// Starts that should not wait for their workers' next heartbeats. The outcome goes to
-    /// [`ClusterState::direct_start_sent`].
+    /// Returns the starts that should not wait for their workers' next heartbeats. The caller
+    /// passes the outcome of each to [`ClusterState::direct_start_sent`].
     ///
-    /// Such a command may arrive late, or twice, and after `reap` a second arrival would start the
-    /// task again. So the machine's fencing token rises with each: every later response, and with it
-    /// every `reap`, carries a higher one, after which the worker refuses the command.
+    /// Such a command may arrive late, or twice. After a `reap`, a second arrival would start the
+    /// task again. So the machine's fencing token is raised with each dispatch: every later
+    /// response, and with it every `reap`, carries a higher token, after which the worker refuses
+    /// the command.
     pub fn take_direct_starts(&mut self, now: MonotonicTime) -> Vec<DirectStart> {
         let mut dispatches = Vec::new();
         let names = self.direct_dispatch.machines_with_planned_starts.clone();
@@ -113,7 +115,7 @@
         Some(DirectStart { machine: name.to_owned(), address, commands })
     }
 
-    /// Selects planned starts, up to the number that one message may have.
+    /// Selects the planned starts that may be sent now, up to the maximum number in one message.
     fn select_starts(&self, machine: &Machine, now: MonotonicTime) -> StartSelection {
         let mut waits_for_watermark = false;
         let positions = machine
@@ -134,8 +136,9 @@
         StartSelection { positions, waits_for_watermark }
     }
 
-    /// Takes in the outcome of starts dispatched to a worker under `fencing_token`, at `now`. Only the first outcome
-    /// of a dispatch counts; an answer of the worker that comes later is still news of its tasks.
+    /// Processes the outcome, known at `now`, of starts dispatched to a worker under
+    /// `fencing_token`. Only the first outcome of a dispatch counts, except that a later answer of
+    /// the worker still updates its tasks.
     pub fn direct_start_sent(
         &mut self,
         name: &str,
@@ -148,8 +151,8 @@
         match delivery {
             Delivery::Executed(heartbeat) => self.apply_direct_answer(name, &heartbeat, now),
             _ if !is_first => {}
-            // This copy was refused. Whether another one was executed before shows in the next
-            // heartbeat with a higher fencing token.
+            // The worker refused this copy of the message. The next heartbeat with a higher fencing
+            // token shows whether the worker executed another copy before.
             Delivery::Refused => {}
             Delivery::NotSent => {
                 machine.back_off(now + constants::UNREACHABLE_BACKOFF);
@@ -157,7 +160,7 @@
                 tracing::debug!(machine = %name, "worker unreachable");
                 self.cancel_planned_starts(name, now);
             }
-            // A heartbeat has shown the tasks since: the worker was reached.
+            // A newer message of the worker has resolved these starts: the worker was reached.
             Delivery::Indeterminate if !machine.awaits_direct_starts(fencing_token) => {}
             Delivery::Indeterminate => {
                 machine.back_off(now + constants::UNREACHABLE_BACKOFF);
@@ -166,8 +169,8 @@
         }
     }
 
-    /// The answer of a worker to direct commands. It counts only if it is of the incarnation that was
-    /// addressed, and it extends no lease.
+    /// Applies the answer of a worker to direct commands. The answer counts only if it is of the
+    /// incarnation that was addressed, and it extends no lease.
     fn apply_direct_answer(&mut self, name: &str, heartbeat: &Heartbeat, now: MonotonicTime) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let version = MessageVersion::of(heartbeat);
@@ -181,7 +184,8 @@
         }
     }
 
-    /// Starts dispatched under `fencing_token` surely won't arrive any more.
+    /// Plans the starts dispatched under `fencing_token` again: they certainly were not and will
+    /// not be delivered.
     fn direct_start_not_sent(&mut self, name: &str, fencing_token: u64) {
         self.mark_unpublished(name);
         let Some(machine) = self.machines.get_mut(name) else { return };
--- a/crates/controller/src/cluster_state/state_probe.rs
+++ b/crates/controller/src/cluster_state/state_probe.rs
@@ -1,4 +1,4 @@
-//! State probes: how a new leader asks a worker for the tasks on its machine.
+//! State probes: requests in which a new leader asks workers for the tasks on their machines.
 
 use super::heartbeat_tasks::MessageKind;
 use super::{ClusterState, MessageVersion};
@@ -11,17 +11,17 @@
 pub(super) struct StateProbes {
     /// Number of probes in flight.
     pub in_flight: usize,
-    /// Workers without a heartbeat are probed from then on.
+    /// Time from which workers that have not shown this leader's fencing token are probed.
     pub start_at: MonotonicTime,
 }
 
 impl StateProbes {
-    /// No probes yet, of a leader that was elected at `elected_at`.
+    /// Creates the probes, none of them sent, of a leader that was elected at `elected_at`.
     pub fn new(elected_at: MonotonicTime) -> Self {
         Self { in_flight: 0, start_at: elected_at + constants::STATE_PROBE_DELAY }
     }
 
-    /// A probe has ended.
+    /// Records that one probe is no longer in flight.
     pub fn end_one(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
@@ -30,19 +30,20 @@
 /// A state probe to be sent.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StateProbeRequest {
-    /// The machine.
+    /// Name of the machine, as it is in the registry.
     pub machine: String,
-    /// The address of its worker.
+    /// Address where its worker listens for direct commands.
     pub address: String,
 }
 
-/// The state probes of one machine whose worker has not shown this leader's fencing token yet.
+/// State of the probes of one machine, which are sent while its worker has not shown this leader's
+/// fencing token.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct StateProbe {
     in_flight: bool,
-    /// Consecutive probes without an answer.
+    /// Consecutive probes without a usable answer.
     unanswered: u32,
-    /// When the last probe was sent.
+    /// When the last probe was sent; `None` before the first one.
     last_sent_at: Option<MonotonicTime>,
 }
 
@@ -52,45 +53,46 @@
         self.in_flight
     }
 
-    /// Whether another probe may be sent at `now`.
+    /// Whether another probe may be sent at `now`: none is in flight, and the last one was long
+    /// enough ago.
     pub fn due(&self, now: MonotonicTime) -> bool {
         let retry_due = |sent_at: MonotonicTime| now >= sent_at + constants::STATE_PROBE_RETRY;
         !self.in_flight && self.last_sent_at.is_none_or(retry_due)
     }
 
-    /// A probe is sent at `now`.
+    /// Records that a probe is sent at `now`.
     pub fn begin(&mut self, now: MonotonicTime) {
         self.in_flight = true;
         self.last_sent_at = Some(now);
     }
 
-    /// The worker answered the probe in flight.
+    /// Records that the worker answered the probe in flight.
     pub fn answered(&mut self) {
         self.in_flight = false;
         self.unanswered = 0;
     }
 
-    /// The probe in flight ended without a usable answer.
+    /// Records that the probe in flight ended without a usable answer.
     pub fn failed(&mut self) {
         self.in_flight = false;
         self.unanswered += 1;
     }
 
-    /// Whether the worker, or the network path to it, counts as gone: too many consecutive probes
-    /// had no answer.
+    /// Whether the worker, or the network path to it, counts as lost: too many consecutive probes
+    /// had no usable answer.
     pub fn is_unresponsive(&self) -> bool {
         !self.in_flight && self.unanswered >= constants::MAX_UNANSWERED_STATE_PROBES
     }
 }
 
 impl ClusterState {
-    /// Workers that have not shown this leader's fencing token and should be probed. The outcome goes to
-    /// [`ClusterState::state_probed`].
+    /// Returns the workers to be probed at `now`: they have not shown this leader's fencing token.
+    /// The caller passes the outcome of each probe to [`ClusterState::state_probed`].
     ///
-    /// A worker finds a new leader only after its heartbeat to the old one has failed, which takes it
-    /// some seconds for each controller that hangs, and shows the new token with the heartbeat after
-    /// that, which may be its next regular one; until all workers have, most work of earlier terms
-    /// waits.
+    /// A worker finds a new leader only after its heartbeat to the previous one has failed, which
+    /// takes some seconds for each controller that hangs. It shows the new token with the heartbeat
+    /// after that, which may be its next regular one. Until all workers have shown it, most tasks
+    /// of earlier terms can't be started.
     pub fn take_state_probes(&mut self, now: MonotonicTime) -> Vec<StateProbeRequest> {
         let room = constants::MAX_STATE_PROBES.saturating_sub(self.state_probes.in_flight);
         if now < self.state_probes.start_at {
@@ -112,11 +114,11 @@
         probes
     }
 
-    /// Takes in the answer of a probed worker, received at `now`; `None` if there was none.
+    /// Applies the answer of a probed worker, received at `now`; `None` if there was none.
     ///
-    /// With this term's fencing token it names every task: the worker refuses whatever an earlier
-    /// leader sent. It extends no lease; but the worker may be in an incarnation whose lease began
-    /// just now.
+    /// An answer with this term's fencing token names every task: the worker refuses whatever an
+    /// earlier leader sent. The answer extends no lease, but it may be the first message of an
+    /// incarnation whose lease began just now.
     pub fn state_probed(&mut self, name: &str, answer: Option<Heartbeat>, now: MonotonicTime) {
         let answer = answer.filter(|a| a.machine == name && a.fencing_token >= self.term);
         let Some(machine) = self.machines.get_mut(name) else { return };
@@ -131,8 +133,8 @@
         let Some(answer) = answer else { return };
         let version = MessageVersion::of(&answer);
         let gone = version.incarnation <= machine.expired_incarnation;
-        // A worker that has restarted tells so with its next heartbeat, which removes the tasks of its
-        // earlier incarnation.
+        // The next heartbeat of a restarted worker shows the new incarnation and removes the tasks
+        // of the earlier one.
         let restarted =
             machine.has_reported && version.incarnation != machine.newest_message.incarnation;
         let outdated = version <= machine.newest_message;
--- a/crates/controller/src/cluster_state/task_adoption.rs
+++ b/crates/controller/src/cluster_state/task_adoption.rs
@@ -1,4 +1,5 @@
-//! Adoption of tasks that a worker reports and that this leader did not place there.
+//! Task adoption: tasks that a worker reports although this leader did not place them on its
+//! machine.
 
 use super::{ClusterState, EndedTask, Job, JobKey, PlacedTask, TaskPhase, TaskPlacement};
 use hookway_constants as constants;
@@ -6,7 +7,7 @@
 use hookway_wire::{ExitCause, TaskId, TaskState, TaskStatus};
 
 impl ClusterState {
-    /// Takes in a task found on a machine.
+    /// Adopts a reported task that this leader did not place on the machine.
     pub(super) fn adopt_task(
         &mut self,
         name: &str,
@@ -22,7 +23,7 @@
         }
     }
 
-    /// The job of a task, if it is known and has a task of that index.
+    /// Returns the job of a task, if it is in the cluster state and has a task of that index.
     fn job_with_task(&self, task: &TaskId) -> Option<JobKey> {
         let key = self.jobs.key(&task.job)?;
         self.jobs.get(&key).filter(|job| task.index < job.spec.tasks).map(|_| key)
@@ -90,8 +91,9 @@
 }
 
 impl Job {
-    /// Takes in an attempt found on a machine. `false`: it is orphaned, as the task is placed elsewhere
-    /// or completed, the job is not active, or its gang has another attempt.
+    /// Adopts an attempt found on a machine as the expected one of its task. `false`: the attempt
+    /// is orphaned, because the task is placed elsewhere or completed, the job is not active, or
+    /// its gang has another attempt.
     fn adopt_attempt(&mut self, index: u32, attempt: u64) -> bool {
         let wanted = self.placements[index as usize] == TaskPlacement::Unplaced && self.is_active();
         let gang = self.spec.is_gang();
--- a/crates/controller/src/cluster_state/task_end.rs
+++ b/crates/controller/src/cluster_state/task_end.rs
@@ -1,4 +1,4 @@
-//! Ends of tasks: completions, failures and what they tell of the machine.
+//! Ends of tasks: completions, failures, and what they show about the machine.
 
 use super::commit_queue::JobPage;
 use super::{ClusterState, CordonReason, JobKey, PlacedTask};
@@ -7,12 +7,12 @@
 use hookway_wire::ExitCause;
 use std::time::Duration;
 
-/// Intervals between heartbeats: when a task ended that is reported after a longer silence is not
-/// known well enough.
+/// Heartbeat intervals of silence after which the end of a reported task is not known accurately
+/// enough for its run time.
 const KNOWN_END_INTERVALS: f64 = 2.0;
 
 impl ClusterState {
-    /// A placed task has ended on a machine.
+    /// Processes the end of a placed task on a machine.
     pub(super) fn task_ended(
         &mut self,
         name: &str,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// A task that is no replica of a daemon is done.
+    /// Completes a task that is not a replica of a daemon, and checks whether the machine is slow.
     fn task_done(&mut self, name: &str, key: JobKey, placed: &PlacedTask, now: MonotonicTime) {
         let run_time = self.known_run_time(name, placed, now);
         let mean_ms = self.jobs.get(&key).and_then(|job| job.run_times.reliable_mean_ms());
@@ -46,8 +46,9 @@
         }
     }
 
-    /// Run time of a task that ended, if it is known. After a silence nobody knows when it ended,
-    /// and of an adopted task, when it began: such times would make the mean too short.
+    /// Returns the run time of a task that ended, if it is known. After a silence it is unknown
+    /// when the task ended, and the start of an adopted task is unknown: such times would make the
+    /// mean too short.
     fn known_run_time(
         &self,
         name: &str,
@@ -63,7 +64,7 @@
         placed.running_since.filter(|_| known).map(|since| now.saturating_duration_since(since))
     }
 
-    /// An attempt ended without completing its task.
+    /// Processes the end of an attempt that did not complete its task.
     fn attempt_failed(
         &mut self,
         name: &str,
@@ -90,7 +91,8 @@
         }
     }
 
-    /// A task has completed; of a gang, all tasks have. `run_time` is its run time if known.
+    /// Marks a task as completed; for a gang, marks all tasks. `run_time` is the task's run time,
+    /// if known.
     pub(super) fn complete_task(&mut self, key: JobKey, index: u32, run_time: Option<Duration>) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         if job.completion.is_final() || job.spec.is_daemon() {
--- a/crates/controller/src/cluster_state/task_removal.rs
+++ b/crates/controller/src/cluster_state/task_removal.rs
@@ -1,22 +1,23 @@
-//! Removal of tasks from their machines: they ended, are lost, or were never started.
+//! Removal of tasks from their machines: they ended, were lost, or were never started.
 
 use super::{ClusterState, Job, PlacedTask, TaskAttempt, TaskPhase, TaskPlacement};
 use hookway_time::MonotonicTime;
 use hookway_wire::ExitCause;
 
-/// How a placed task left its machine.
+/// Why a placed task is removed from its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TaskRemoval {
-    /// Its start was never sent, or surely did not arrive.
+    /// Its start was never sent, or certainly did not arrive.
     NotStarted,
-    /// It ended there.
+    /// The worker reported its end, with this cause.
     Ended(ExitCause),
-    /// The machine, or the incarnation of its worker, is gone.
+    /// The machine, or the incarnation of its worker, no longer exists, or the worker no longer
+    /// reports the task.
     Lost,
 }
 
 impl ClusterState {
-    /// A placed task has left its machine.
+    /// Updates the job of a placed task that was removed from its machine.
     pub(super) fn remove_task(
         &mut self,
         name: &str,
@@ -59,7 +60,8 @@
         self.forget_if_removed(key);
     }
 
-    /// All tasks on a machine are gone. Starts that were never sent count as not started.
+    /// Removes all tasks from a machine on which they no longer exist. Starts that were never sent
+    /// count as not started.
     pub(super) fn remove_all_tasks(
         &mut self,
         name: &str,
@@ -77,7 +79,7 @@
         }
     }
 
-    /// A machine is proven gone.
+    /// Removes a machine that is proven to no longer exist, with its tasks and its registry entry.
     pub(super) fn remove_machine(&mut self, name: &str, now: MonotonicTime) {
         self.remove_all_tasks(name, now, TaskRemoval::Lost);
         let removed = self.machines.remove(name);
@@ -127,8 +129,9 @@
 }
 
 impl Job {
-    /// An attempt has left its machine: the task is unplaced again, unless another attempt of it is on
-    /// some machine. Whether the job's gang has lost a task, so that the other tasks must stop.
+    /// Releases an attempt that was removed from its machine: the task becomes unplaced again,
+    /// unless another attempt of it is on some machine. Returns whether the job's gang has lost a
+    /// task, so that the other tasks must be stopped.
     fn release_attempt(&mut self, placed: &PlacedTask, removal: TaskRemoval) -> bool {
         let index = placed.index;
         let mut breaks_gang = false;
@@ -141,7 +144,7 @@
             breaks_gang = self.spec.is_gang() && removal != TaskRemoval::Ended(ExitCause::Done);
             self.gang.broken |= breaks_gang;
         }
-        // An orphaned attempt on another machine counts as much as the expected one.
+        // An orphaned attempt on another machine blocks the task as much as the expected one does.
         if self.is_active()
             && self.placements[index as usize] == TaskPlacement::Unplaced
             && !self.orphaned.contains(&index)
