--- a/crates/controller/src/cluster_state/gang_repair.rs
+++ b/crates/controller/src/cluster_state/gang_repair.rs
@@ -1,4 +1,5 @@
-//! Gangs of which only a part is placed: the rest is started, or the part is stopped.
+//! Gangs of which only some tasks are placed: the other tasks are started, or the placed ones
+//! stopped.
 
 use super::startable_tasks::StartGround;
 use super::{ClusterState, Job, JobKey, TaskPlacement};
@@ -7,8 +8,8 @@
 use std::collections::HashSet;
 
 impl ClusterState {
-    /// Stops a gang that lost a task. One of which only a part was found after a failover is stopped
-    /// as well, unless that part still waits for the rest: then the rest is started.
+    /// Stops gangs that lost a task. A gang of which only some tasks were found after a failover is
+    /// stopped as well, unless these still wait for the other tasks: then the others are started.
     pub(super) fn repair_gangs(&mut self, now: MonotonicTime) {
         let reconciled = self.reconciled(now);
         let completable = if reconciled { self.completable_gangs() } else { HashSet::new() };
@@ -29,8 +30,9 @@
         }
     }
 
-    /// Gangs whose attempt that an earlier leader was starting can still be completed: the tasks
-    /// found of it wait for the rest, and none of them runs or is being stopped.
+    /// Returns the gangs whose attempt an earlier leader was starting and which can still be
+    /// completed: the tasks found of the attempt wait for the others, and none of them runs or is
+    /// being stopped.
     fn completable_gangs(&self) -> HashSet<JobKey> {
         let resumable = |job: &Job| {
             job.gang.resumed_attempt.is_some()
--- a/crates/controller/src/cluster_state/gang_state.rs
+++ b/crates/controller/src/cluster_state/gang_state.rs
@@ -1,18 +1,20 @@
-//! The attempt of a gang.
+//! The state of a gang's attempt.
 
 use hookway_time::MonotonicTime;
 
 /// The attempt in which the tasks of a gang run together. Jobs of other kinds leave it unused.
 #[derive(Debug, Default)]
 pub(super) struct GangState {
-    /// Attempt number that all tasks share.
+    /// Attempt number that all tasks share; `None` while no task of the gang is placed.
     pub attempt: Option<u64>,
-    /// The attempt that an earlier leader was starting, from the replicated state.
+    /// The attempt that an earlier leader was starting, according to the replicated state.
     pub resumed_attempt: Option<u64>,
-    /// Until then that attempt may be completed; set once all machines are reconciled.
+    /// Time until which that attempt may be completed; set after all machines are reconciled.
     pub resume_deadline: Option<MonotonicTime>,
-    /// The tasks found of that attempt wait for the other ones, which may be started.
+    /// Whether the tasks found of that attempt wait for the other ones, so that those may be
+    /// started.
     pub completing: bool,
-    /// The attempt has lost a task or is being stopped: all of its tasks must be stopped.
+    /// Whether the attempt has lost a task or is being stopped, so that all of its tasks must be
+    /// stopped.
     pub broken: bool,
 }
--- a/crates/controller/src/cluster_state/machine.rs
+++ b/crates/controller/src/cluster_state/machine.rs
@@ -1,4 +1,4 @@
-//! A machine, as the leader knows it.
+//! A machine and its tasks, as the leader knows them.
 
 use super::placed_task::{EndedTask, ExpectedHeartbeat, PlacedTask};
 use super::state_probe::StateProbe;
@@ -8,22 +8,23 @@
 use hookway_wire::Heartbeat;
 use std::time::Duration;
 
-/// Why a machine is cordoned: it takes no new task and is scaled in once it is empty.
+/// Why a machine is cordoned. A cordoned machine takes no new tasks and is scaled in once it is
+/// empty.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CordonReason {
-    /// Without a task for longer than its type's idle timeout.
+    /// It had no task for longer than the idle timeout of its type.
     Idle,
-    /// Without heartbeats for longer than its worker's lease.
+    /// It sent no heartbeat for longer than its worker's lease.
     Silent,
     /// Its worker never sent a heartbeat within the boot timeout.
     BootTimeout,
-    /// In the machine registry, but without a heartbeat since the failover.
+    /// It is in the machine registry, but has sent no heartbeat since the failover.
     Unreconciled,
-    /// Interruption notice: the cloud takes it back.
+    /// An interruption notice announced that the cloud reclaims it.
     Interrupted,
     /// The cloud lists it as failed.
     Failed,
-    /// Tasks take far longer on it than elsewhere.
+    /// Tasks take far longer on it than on other machines.
     Slow,
     /// Tasks of different jobs fail on it.
     Faulty,
@@ -47,7 +48,8 @@
     }
 }
 
-/// Orders the messages of a worker: a later incarnation, or a later one of the same incarnation.
+/// The version of a worker's message, which orders messages: first by incarnation, then by sequence
+/// number.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct MessageVersion {
     /// Incarnation of the worker.
@@ -57,105 +59,110 @@
 }
 
 impl MessageVersion {
-    /// The version of a heartbeat, or of an answer to direct commands.
+    /// Returns the version of a heartbeat, or of an answer to direct commands or a state probe.
     pub fn of(heartbeat: &Heartbeat) -> Self {
         Self { incarnation: heartbeat.incarnation, sequence: heartbeat.sequence }
     }
 }
 
-/// Since when a machine has surely been in the cloud's machine list. That may be before the monotonic
-/// clock of this process was created, so it has no reading of its own.
+/// The time since which a machine has certainly been in the cloud's machine list. This may precede
+/// the creation of this process's monotonic clock, so it can't be stored as a reading of that
+/// clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct FirstListing {
     /// When this leader learned that the machine is listed.
     pub learned_at: MonotonicTime,
-    /// How long it had surely been listed by then.
+    /// How long the machine had certainly been listed at `learned_at`.
     pub age: Duration,
 }
 
 impl FirstListing {
-    /// Whether the machine was listed more than `span` before `at`.
+    /// Whether the machine was certainly listed more than `span` before `at`.
     pub fn precedes(self, at: MonotonicTime, span: Duration) -> bool {
         self.learned_at + span < at + self.age
     }
 }
 
-/// An image in a machine's cache.
+/// A container image in a machine's cache.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct CachedImage {
-    /// The image's number.
+    /// Number that this leader gave the image.
     pub image: u32,
-    /// Its size, GB.
+    /// Size of the image, GB.
     pub size_gb: f64,
 }
 
-/// A machine.
+/// A machine of the cluster, with the state of its worker.
 #[derive(Debug)]
 pub(super) struct Machine {
     /// Machine type; empty until known.
     pub machine_type: String,
     /// Zone; empty until known.
     pub zone: String,
-    /// Spot machine.
+    /// Whether it is a spot machine.
     pub spot: bool,
     /// Address where its worker listens; empty until known.
     pub address: String,
-    /// Its worker has sent this leader a heartbeat.
+    /// Whether its worker has sent this leader a heartbeat or answered a state probe.
     pub has_reported: bool,
     /// This leader's state probes of its worker.
     pub state_probe: StateProbe,
-    /// Newest message of any kind.
+    /// Version of the newest message of any kind from its worker.
     pub newest_message: MessageVersion,
-    /// Newest heartbeat.
+    /// Version of the newest heartbeat, which answers to direct commands and state probes do not
+    /// change.
     pub newest_heartbeat: MessageVersion,
-    /// Added to the term to make its fencing token: raised with each direct dispatch of starts.
+    /// Added to the term to get the machine's fencing token. Raised with each direct dispatch of
+    /// starts.
     pub token_offset: u64,
-    /// Its next heartbeat is expected before this.
+    /// Time before which the prompt heartbeat after commands is expected. Starts wait for it
+    /// instead of a direct dispatch. [`MonotonicTime::ZERO`] if the last response had no commands.
     pub heartbeat_expected_by: MonotonicTime,
-    /// The leases of incarnations up to this one have surely expired.
+    /// The leases of incarnations up to this one have certainly expired.
     pub expired_incarnation: u64,
     /// What its next heartbeat shows if its worker has applied the last response.
     pub expected_heartbeat: ExpectedHeartbeat,
-    /// Consecutive responses that its worker surely did not apply.
+    /// Number of consecutive responses that its worker certainly did not apply.
     pub unacknowledged_responses: u32,
-    /// Last time when any entitled controller may have answered its worker, which then may have
-    /// extended its lease.
+    /// Last time at which an entitled controller may have answered its worker, which may then have
+    /// extended its lease. Answers of other controllers as lessees are not included: the shard
+    /// lessor tracks them.
     pub last_response_at: MonotonicTime,
-    /// Its entry in the machine registry is durable.
+    /// Whether its entry in the machine registry is durable.
     pub registered: bool,
-    /// When it was requested or first seen (may be corrected by its listed age).
+    /// When it was requested or first seen; earlier if the machine list shows a greater age.
     pub created_at: MonotonicTime,
-    /// Since when it has surely been in the cloud's machine list.
+    /// Since when it has certainly been in the cloud's machine list; `None` if that is unknown.
     pub first_listing: Option<FirstListing>,
-    /// Tasks on it.
+    /// Tasks that take its resources, also those whose start has not been sent yet.
     pub placed_tasks: Vec<PlacedTask>,
     /// Ended tasks that its worker still reports.
     pub ended_tasks: Vec<EndedTask>,
-    /// When the cloud takes it back.
+    /// When the cloud reclaims it, according to an interruption notice.
     pub interruption_at: Option<MonotonicTime>,
-    /// Takes no new task until then.
+    /// Time until which it takes no new task.
     pub backoff_until: MonotonicTime,
-    /// Jobs that failed on it since a task last completed on it.
+    /// Jobs whose tasks failed on it since a task last completed on it.
     pub failed_jobs: Vec<JobKey>,
-    /// Consecutive tasks that took far longer on it than others of their job.
+    /// Number of consecutive tasks that took far longer on it than other tasks of their job.
     pub consecutive_slow_tasks: u32,
-    /// Takes no new task and is scaled in once empty, for this reason.
+    /// Why it takes no new tasks and is scaled in once empty; `None` if it is not cordoned.
     pub cordon_reason: Option<CordonReason>,
-    /// Without any task since.
+    /// Time since which it has been empty; `None` while it is not empty or has not reported.
     pub idle_since: Option<MonotonicTime>,
     /// Images in its cache, least recently used first.
     pub images: Vec<CachedImage>,
     /// Images that its entry in the machine registry names, in ascending order.
     pub stored_images: Vec<u32>,
-    /// Kept for a job that tasks were preempted for.
+    /// Reservation for a job for which tasks were preempted on it.
     pub reservation: Option<MachineReservation>,
-    /// It takes new tasks only until then. [`MonotonicTime::ZERO`]: no scheduling round has admitted it
-    /// yet.
+    /// Time until which it takes new tasks. [`MonotonicTime::ZERO`] if no scheduling round has
+    /// admitted it yet.
     admitted_until: MonotonicTime,
 }
 
 impl Machine {
-    /// A machine of which nothing is known at `now`.
+    /// Creates a machine about which nothing is known at `now`.
     pub fn new(now: MonotonicTime) -> Self {
         Self {
             machine_type: String::new(),
@@ -190,8 +197,9 @@
         }
     }
 
-    /// Whether its worker should be probed at `now`: it has sent no heartbeat, or one before it
-    /// had seen this leader's fencing token, and the next one is not expected at once.
+    /// Whether the worker of an unreconciled machine should be probed at `now`: its address is
+    /// known, it is not cordoned, its next heartbeat is not expected at once, and no probe is in
+    /// flight or recent.
     pub fn needs_state_probe(&self, now: MonotonicTime) -> bool {
         let heartbeat_expected =
             self.has_reported && now < self.last_response_at + constants::PROMPT_HEARTBEAT;
@@ -201,7 +209,7 @@
             && self.cordon_reason.is_none()
     }
 
-    /// Takes the machine's own properties from its newest message, received at `now`.
+    /// Updates the machine's own properties from its newest message, received at `now`.
     pub fn update_from(&mut self, heartbeat: &Heartbeat, now: MonotonicTime) {
         self.newest_message = MessageVersion::of(heartbeat);
         self.interruption_at =
@@ -212,9 +220,9 @@
         self.spot = heartbeat.spot;
     }
 
-    /// Lets the machine take new tasks until then; a later end of an earlier admission stays. Each
-    /// scheduling round admits the machines that it knows, so heartbeats between rounds place nothing
-    /// on a machine that was added since.
+    /// Admits the machine for new tasks until `until`; a later end of an earlier admission stays.
+    /// Each scheduling round admits the machines that exist in it, so heartbeats between rounds
+    /// place no task on a machine that was added since.
     pub fn admit(&mut self, until: MonotonicTime) {
         self.admitted_until = self.admitted_until.max(until);
     }
@@ -224,12 +232,13 @@
         now < self.admitted_until
     }
 
-    /// Whether its worker has sent a heartbeat and its lease has not surely expired since.
+    /// Whether its worker has sent a heartbeat or answered a state probe, and the lease of its
+    /// newest incarnation has not certainly expired.
     pub fn is_live(&self) -> bool {
         self.has_reported && self.expired_incarnation < self.newest_message.incarnation
     }
 
-    /// It takes no new task until then, or until the later end of an earlier backoff.
+    /// Keeps new tasks off the machine until `until`; a later end of an earlier backoff stays.
     pub fn back_off(&mut self, until: MonotonicTime) {
         self.backoff_until = self.backoff_until.max(until);
     }
@@ -244,7 +253,7 @@
         self.placed_tasks.is_empty() && self.ended_tasks.is_empty()
     }
 
-    /// Updates since when it has no task, at `now`.
+    /// Updates at `now` the time since which it has been empty.
     pub fn update_idle_since(&mut self, now: MonotonicTime) {
         if !self.is_empty() {
             self.idle_since = None;
@@ -253,21 +262,22 @@
         }
     }
 
-    /// Cordons the machine unless it is cordoned already; whether it was not.
+    /// Cordons the machine unless it is cordoned already. Returns whether it was not.
     pub fn cordon(&mut self, reason: CordonReason) -> bool {
         let was_open = self.cordon_reason.is_none();
         self.cordon_reason.get_or_insert(reason);
         was_open
     }
 
-    /// The images in its cache, in ascending order.
+    /// Returns the numbers of the images in its cache, in ascending order.
     pub fn image_ids(&self) -> Vec<u32> {
         let mut images: Vec<u32> = self.images.iter().map(|cached| cached.image).collect();
         images.sort_unstable();
         images
     }
 
-    /// An image was used on it; the least recently used ones are dropped beyond `cache_gb`.
+    /// Marks an image as the most recently used one; drops the least recently used ones beyond
+    /// `cache_gb`.
     pub fn use_image(&mut self, used: CachedImage, cache_gb: f64) {
         self.images.retain(|cached| cached.image != used.image);
         self.images.push(used);
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -1,8 +1,8 @@
-//! The cluster state: jobs, machines and tasks as the leader knows them, and every decision that
-//! follows from them.
+//! The cluster state: jobs, machines and tasks as the leader knows them, and all decisions of the
+//! leader that follow from them.
 //!
-//! No I/O and no clock: the caller says what happened and when (by its monotonic clock), and
-//! carries out the returned actions.
+//! The cluster state does no I/O and reads no clock: the caller reports what happened and when, by
+//! its own clocks, and carries out the returned actions.
 
 mod acknowledgement;
 mod autoscaling;
@@ -97,27 +97,27 @@
 use state_probe::StateProbes;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-/// What does not change while a controller leads.
+/// Settings and identity of a controller, which do not change while it is the leader.
 #[derive(Debug, Clone)]
 pub struct ControllerConfig {
-    /// This controller's name.
+    /// Name of this controller, as status responses show it.
     pub controller_name: String,
-    /// This controller's zone.
+    /// Zone that this controller runs in.
     pub zone: String,
-    /// The other controllers.
+    /// The other controllers of the platform, to which shards may be leased.
     pub peers: Vec<PeerController>,
-    /// The platform's settings.
+    /// Settings of the platform.
     pub platform: PlatformSettings,
-    /// The operators' settings.
+    /// Settings of the operators.
     pub operator: OperatorSettings,
 }
 
-/// The cluster as its leader knows it.
+/// The cluster as its leader knows it, in one term.
 #[derive(Debug)]
 pub struct ClusterState {
     config: ControllerConfig,
     term: u64,
-    /// Number of the last attempt that was given out in this term.
+    /// Counter of the attempts that were numbered in this term.
     last_attempt: u64,
     clocks: LeaderClocks,
     machine_types: Vec<MachineType>,
@@ -125,36 +125,37 @@
     jobs: JobIndex,
     classes: HashMap<String, ClassHistory>,
     machines: BTreeMap<String, Machine>,
-    /// Machines that this leader knows to be gone: late heartbeats must not add them again.
+    /// Machines that this leader knows to no longer exist: late heartbeats must not add them again.
     removed_machines: BoundedSet<String>,
     /// Number of placed tasks that belong to no known job.
     unknown_tasks: usize,
     reconciliation: Reconciliation,
-    /// Which controllers may answer workers while the leader can't.
+    /// The shard leases: which controllers may extend worker leases while the leader can't.
     shard_lessor: ShardLessor,
     commit_queue: CommitQueue,
-    /// Jobs whose end has become durable and was not taken by the caller yet.
+    /// Jobs whose end has become durable and which the caller has not taken yet.
     completed_jobs: Vec<CompletedJob>,
-    /// Cancelled jobs of which it is not sure that their tasks are gone in time.
+    /// Cancelled jobs whose tasks are not yet proven to end in time, so that the cancellation can't
+    /// be confirmed.
     unproven_cancellations: BTreeSet<JobKey>,
-    /// What the last scheduling round left for heartbeats.
+    /// What the last scheduling round left for placement at heartbeats.
     last_round: LastRound,
-    /// Replicas that move so that other jobs find room.
+    /// Replicas that move so that other jobs find capacity.
     relocations: Vec<Relocation>,
     scale_outs: ScaleOutState,
-    /// Machines whose deletion is requested.
+    /// Machines whose deletion has been requested.
     scaling_in: HashSet<String>,
     direct_dispatch: DirectDispatch,
     state_probes: StateProbes,
-    /// Some task may have to be stopped whose worker was not told yet.
+    /// Whether some task may have to be stopped for which no direct stop has been returned yet.
     stops_due: bool,
     /// Machines that may have changed since changes were last published to standbys.
     unpublished_machines: HashSet<String>,
 }
 
 impl ClusterState {
-    /// The cluster state of a new leader. `at` must be read after the election was won, and
-    /// `leader_precondition` holds as long as this controller leads.
+    /// Creates the cluster state of a new leader. `at` must be read after the election was won, and
+    /// `leader_precondition` must hold as long as this controller is the leader.
     pub fn new(
         config: ControllerConfig,
         term: u64,
@@ -199,17 +200,17 @@
         cluster
     }
 
-    /// The term, which is the lowest fencing token of this leader as well.
+    /// Returns the term, which is also the lowest fencing token of this leader.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// Number of known machines.
+    /// Returns the number of machines in the cluster state.
     pub fn machine_count(&self) -> usize {
         self.machines.len()
     }
 
-    /// Replaces the machine types that the cloud offers.
+    /// Replaces the list of machine types that the cloud offers.
     pub fn set_machine_types(&mut self, machine_types: Vec<MachineType>) {
         self.machine_types = machine_types;
     }
--- a/crates/controller/src/cluster_state/standby_feed.rs
+++ b/crates/controller/src/cluster_state/standby_feed.rs
@@ -1,8 +1,8 @@
-//! What a leader publishes for warm standbys, and what a new leader takes from its replicated state.
+//! What a leader publishes for warm standbys, and what a new leader uses of its replicated state.
 //!
-//! The replicated state is a hint. It has addresses at which workers can be probed, jobs that failed
-//! wherever they were tried, and attempts of gangs that were being started. Which tasks run is known from
-//! the workers alone, and which tasks were never started from the state service alone.
+//! The replicated state is only a hint. It has addresses at which workers can be probed, jobs with
+//! consecutive failures, and attempts of gangs that were being started. Only the workers tell which
+//! tasks run, and only the store tells which tasks were never started.
 
 use super::{ClusterState, Job, Machine, TaskPhase};
 use crate::networks::Networks;
@@ -13,14 +13,14 @@
 use hookway_time::{MonotonicTime, WallTime};
 use hookway_wire::{JobId, TaskState};
 
-/// What a new leader took from its replicated state.
+/// Counts of what a new leader used of its replicated state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WarmStart {
-    /// Machines that can be probed at once.
+    /// Machines whose address became known, so that they can be probed at once.
     pub addresses: usize,
-    /// Jobs with known failures.
+    /// Jobs whose consecutive failures and backoff were restored.
     pub failing_jobs: usize,
-    /// Gangs with an attempt that was being started.
+    /// Gangs with an attempt that an earlier leader was starting.
     pub gangs: usize,
 }
 
@@ -45,14 +45,14 @@
 }
 
 impl ClusterState {
-    /// Marks a machine that may have changed.
+    /// Marks a machine as possibly changed, to be published.
     pub(super) fn mark_unpublished(&mut self, name: &str) {
         if !self.unpublished_machines.contains(name) {
             self.unpublished_machines.insert(name.to_owned());
         }
     }
 
-    /// Publishes the changes since the last call.
+    /// Publishes the changes since the last call to standbys.
     pub fn publish(&mut self, publisher: &mut Publisher) {
         for name in std::mem::take(&mut self.unpublished_machines) {
             self.publish_machine(&name, publisher);
@@ -60,7 +60,7 @@
         self.publish_jobs(publisher);
     }
 
-    /// Publishes every difference between the published state and this one.
+    /// Publishes every difference between the published state and the cluster state.
     pub fn publish_all(&mut self, publisher: &mut Publisher) {
         self.unpublished_machines.clear();
         for name in self.machines.keys() {
@@ -101,7 +101,8 @@
         });
     }
 
-    /// What the next leader should know of a job beside its records, if anything.
+    /// Returns what the next leader should know about a job in addition to its records; `None` if
+    /// nothing.
     fn replicated_job(&self, job: &Job) -> Option<ReplicatedJob> {
         let attempt =
             job.gang.attempt.filter(|_| job.spec.is_gang() && job.is_active() && !job.gang.broken);
@@ -121,8 +122,9 @@
         Some(replicated)
     }
 
-    /// Takes from the replicated state of an earlier leader what helps and can't harm. The records of the
-    /// state service have precedence: only machines and jobs that they name are considered.
+    /// Applies the parts of an earlier leader's replicated state that help this leader and can do
+    /// no harm. The store's records have precedence: only machines and jobs that they name are
+    /// considered.
     pub fn warm_start(
         &mut self,
         copy: &ReplicatedState,
