--- a/crates/controller/src/cluster_state/command_dispatch.rs
+++ b/crates/controller/src/cluster_state/command_dispatch.rs
@@ -39,13 +39,13 @@
             return Some(0.0);
         }
         if let Some(order) = placed.stop {
-            let patience = span_of_seconds(job.spec.checkpoint_s) + constants::STOP_TIMEOUT;
-            let overdue = now.saturating_duration_since(order.decided_at) > patience;
-            return Some(if overdue { 0.0 } else { order.grace_s });
+            let stop_timeout = span_of_seconds(job.spec.checkpoint_s) + constants::STOP_TIMEOUT;
+            let is_overdue = now.saturating_duration_since(order.decided_at) > stop_timeout;
+            return Some(if is_overdue { 0.0 } else { order.grace_s });
         }
-        let broken_gang =
+        let is_in_broken_gang =
             job.spec.is_gang() && (job.gang.broken || job.gang.attempt != Some(placed.attempt));
-        broken_gang.then_some(0.0)
+        is_in_broken_gang.then_some(0.0)
     }
 
     /// Whether the durable start watermark of the job allows a placed task to be started.
@@ -66,19 +66,19 @@
     pub(super) fn commands_for(&mut self, name: &str, now: MonotonicTime) -> Vec<Command> {
         let Some(machine) = self.machines.get(name) else { return Vec::new() };
         let mut commands = self.reap_commands(machine);
-        let draining = machine.is_draining();
-        let may_start = !draining && machine.registered;
+        let is_draining = machine.is_draining();
+        let can_start = !is_draining && machine.registered;
         let mut placed_tasks = machine.placed_tasks.clone();
         let mut cancelled = Vec::new();
         for placed in &mut placed_tasks {
             match (placed.phase, self.stop_grace_s(placed, now)) {
                 (TaskPhase::Planned, Some(_)) => cancelled.push(placed.task_attempt()),
-                (TaskPhase::Planned, None) if draining || self.has_orphaned_attempt(placed) => {
+                (TaskPhase::Planned, None) if is_draining || self.has_orphaned_attempt(placed) => {
                     cancelled.push(placed.task_attempt());
                 }
                 (_, Some(grace_s)) => commands.push(placed.kill_command(grace_s)),
                 (TaskPhase::Planned, None)
-                    if may_start
+                    if can_start
                         && commands.len() < MAX_COMMANDS
                         && self.watermark_allows_start(placed) =>
                 {
@@ -127,17 +127,17 @@
             return Vec::new();
         }
         let names: Vec<String> = self.machines.keys().cloned().collect();
-        names.into_iter().filter_map(|name| self.take_direct_stop_of(&name, now)).collect()
+        names.into_iter().filter_map(|name| self.take_direct_stop_for(&name, now)).collect()
     }
 
-    fn take_direct_stop_of(&mut self, name: &str, now: MonotonicTime) -> Option<DirectStop> {
+    fn take_direct_stop_for(&mut self, name: &str, now: MonotonicTime) -> Option<DirectStop> {
         let timeout = self.heartbeat_timeout();
         let machine = self.machines.get(name)?;
         // A connection to a machine whose heartbeat is overdue would most likely be held without
         // effect until its time limit.
         let answered_at = machine.last_response_at.max(self.clocks.resumed_at);
-        let silent = now >= answered_at + timeout;
-        if !machine.has_reported || machine.address.is_empty() || silent {
+        let is_silent = now >= answered_at + timeout;
+        if !machine.has_reported || machine.address.is_empty() || is_silent {
             return None;
         }
         let is_new =
--- a/crates/controller/src/cluster_state/commit_items.rs
+++ b/crates/controller/src/cluster_state/commit_items.rs
@@ -17,7 +17,7 @@
 impl ClusterState {
     /// Adds the final records of jobs that end.
     pub(super) fn add_finished_jobs(&mut self, commit: &mut PendingCommit) {
-        while commit.has_room_for(constants::JOB_COMPLETION_OPERATIONS)
+        while commit.can_add(constants::JOB_COMPLETION_OPERATIONS)
             && let Some(key) = self.commit_queue.finished_jobs.pop_front()
         {
             let Some(job) = self.jobs.get_mut(&key) else { continue };
@@ -41,8 +41,8 @@
 
     /// Adds registry records that must be durable before some machine gets tasks.
     pub(super) fn add_registry(&mut self, commit: &mut PendingCommit) {
-        while commit.has_room_for(1)
-            && let Some(number) = self.commit_queue.registry.next_urgent()
+        while commit.can_add(1)
+            && let Some(number) = self.commit_queue.registry.pop_urgent()
         {
             self.add_registry_record(commit, number);
         }
@@ -50,8 +50,8 @@
 
     /// Adds registry records with hints for the next leader, within the budget for hints.
     pub(super) fn add_registry_hints(&mut self, commit: &mut PendingCommit, now: MonotonicTime) {
-        while commit.has_room_for(1) && self.commit_queue.hint_bucket.has_token(now) {
-            let Some(number) = self.commit_queue.registry.next_stale() else { break };
+        while commit.can_add(1) && self.commit_queue.hint_bucket.has_token(now) {
+            let Some(number) = self.commit_queue.registry.pop_stale() else { break };
             self.commit_queue.hint_bucket.take(1);
             self.add_registry_record(commit, number);
         }
@@ -64,7 +64,8 @@
             self.images.named(cached)
         };
         let value_kb = self.config.platform.state.value_kb;
-        let Some(value) = self.commit_queue.registry.record(number, value_kb, cached_images) else {
+        let Some(value) = self.commit_queue.registry.record_value(number, value_kb, cached_images)
+        else {
             self.commit_queue.registry.split(number);
             return;
         };
@@ -86,7 +87,7 @@
     /// Adds progress pages with results that are not durable.
     pub(super) fn add_progress_pages(&mut self, commit: &mut PendingCommit) {
         let mut waiting = Vec::new();
-        while commit.has_room_for(1)
+        while commit.can_add(1)
             && let Some(JobPage { job: key, page }) = self.commit_queue.progress_pages.pop_front()
         {
             let Some(job) = self.jobs.get_mut(&key) else { continue };
@@ -113,7 +114,7 @@
     /// Adds start watermark records that tasks wait for, or that make an assumed watermark durable.
     pub(super) fn add_watermark_raises(&mut self, commit: &mut PendingCommit) {
         let mut shared: BTreeMap<u64, Vec<JobKey>> = BTreeMap::new();
-        while commit.has_room_for(1 + shared.len())
+        while commit.can_add(1 + shared.len())
             && let Some(key) = self.commit_queue.watermark_raises.pop_first()
         {
             let Some(job) = self.jobs.get_mut(&key) else { continue };
@@ -123,7 +124,7 @@
                 let watermarks = &mut self.commit_queue.shared_watermarks;
                 // A record of an earlier leader may exceed the current value limit.
                 let current = job.start_watermark.shared_record();
-                let usable = current.filter(|number| !watermarks.too_large(*number));
+                let usable = current.filter(|number| !watermarks.is_too_large(*number));
                 let number = usable.unwrap_or_else(|| watermarks.add(&job.id));
                 job.start_watermark.set_shared_record(number);
                 shared.entry(number).or_default().push(key);
@@ -152,19 +153,19 @@
     /// Adds the marker that says that the start watermarks are complete, once they are.
     pub(super) fn add_watermark_marker(&mut self, commit: &mut PendingCommit) {
         let keys = self.commit_queue.watermark_marker.due_keys();
-        if keys.is_empty() || !commit.has_room_for(keys.len()) {
+        if keys.is_empty() || !commit.can_add(keys.len()) {
             return;
         }
         for key in keys {
             commit.put((*key).to_owned(), last_token(self.term).into());
         }
         commit.items.push(CommitItem::WatermarkMarker);
-        self.commit_queue.watermark_marker.sent();
+        self.commit_queue.watermark_marker.mark_sent();
     }
 
     /// Adds the deletions of keys that nothing refers to any more.
     pub(super) fn add_stale_keys(&mut self, commit: &mut PendingCommit) {
-        while commit.has_room_for(1)
+        while commit.can_add(1)
             && let Some(key) = self.commit_queue.stale_keys.pop_front()
         {
             commit.delete(key.clone());
@@ -178,7 +179,7 @@
         commit: &mut PendingCommit,
         now: MonotonicTime,
     ) {
-        while commit.has_room_for(1) && self.commit_queue.hint_bucket.has_token(now) {
+        while commit.can_add(1) && self.commit_queue.hint_bucket.has_token(now) {
             let Some(key) = self.commit_queue.scheduling_records.pop_first() else { break };
             self.commit_queue.hint_bucket.take(1);
             self.add_scheduling_record(commit, key);
@@ -191,7 +192,7 @@
             min_tasks: job.min_tasks,
             run_time_count: job.run_times.count,
             run_time_sum_ms: whole_millis(job.run_times.sum),
-            start_watermark: job.start_watermark.highest(),
+            start_watermark: job.start_watermark.value_to_record(),
         };
         let Ok(value) = serde_json::to_value(&record) else { return };
         let store_key = scheduling_key(&job.id);
@@ -204,7 +205,7 @@
     /// Adds the record of all job classes, a hint for the next leader, if one of them has changed.
     pub(super) fn add_classes(&mut self, commit: &mut PendingCommit, now: MonotonicTime) {
         if !self.commit_queue.classes_changed
-            || !commit.has_room_for(1)
+            || !commit.can_add(1)
             || !self.commit_queue.hint_bucket.has_token(now)
         {
             return;
--- a/crates/controller/src/cluster_state/commit_outcome.rs
+++ b/crates/controller/src/cluster_state/commit_outcome.rs
@@ -10,8 +10,8 @@
 use hookway_wire::{JobId, KeyValue};
 
 impl ClusterState {
-    /// Records that an item is durable, written at `revision`.
-    pub(super) fn item_applied(&mut self, item: CommitItem, revision: u64) {
+    /// Applies that an item is durable: a transaction wrote it at `revision`.
+    pub(super) fn mark_item_durable(&mut self, item: CommitItem, revision: u64) {
         match item {
             CommitItem::Final { job, record } => self.complete_job(job, record),
             CommitItem::ProgressPage { job: key, page, record } => {
@@ -35,7 +35,7 @@
 
     fn registry_record_stored(&mut self, number: u64, members: Vec<RegistryMember>) {
         let machines = members.iter().map(|member| member.machine.as_str());
-        self.commit_queue.registry.stored(number, machines);
+        self.commit_queue.registry.mark_durable(number, machines);
         for RegistryMember { machine: name, images } in members {
             // A machine that was removed meanwhile has left its record, which is already marked as
             // stale.
@@ -52,7 +52,7 @@
     fn scheduling_record_stored(&mut self, key: JobKey, record: &JobSchedulingRecord) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         job.stored_min_tasks = Some(record.min_tasks);
-        job.start_watermark.record_durable(record.start_watermark);
+        job.start_watermark.mark_durable(record.start_watermark);
         if job.completion.is_final() {
             let name = scheduling_key(&job.id);
             self.commit_queue.stale_keys.push_back(name);
@@ -67,7 +67,7 @@
         if self.jobs.get(&key).is_some_and(is_assumed) {
             return;
         }
-        if self.commit_queue.watermark_marker.resolve(key) {
+        if self.commit_queue.watermark_marker.remove_assumed(key) {
             let now = self.clocks.latest.monotonic;
             let after_s = seconds_f64(now.saturating_duration_since(self.clocks.elected_at()));
             tracing::info!(term = self.term, after_s, "assumed start watermarks durable");
@@ -77,7 +77,7 @@
     fn shared_watermarks_stored(&mut self, number: u64, keys: &[JobKey]) {
         for key in keys {
             if let Some(job) = self.jobs.get_mut(key) {
-                job.start_watermark.record_durable(job.spec.tasks);
+                job.start_watermark.mark_durable(job.spec.tasks);
             }
             self.resolve_assumed_watermark(*key);
         }
--- a/crates/controller/src/cluster_state/commit_queue.rs
+++ b/crates/controller/src/cluster_state/commit_queue.rs
@@ -49,16 +49,16 @@
     /// the watermark is assumed.
     pub watermark_raises: BTreeSet<JobKey>,
     /// Write budget for all operations.
-    pub bucket: TokenBucket,
+    pub write_bucket: TokenBucket,
     /// Write budget for hints for the next leader.
     pub hint_bucket: TokenBucket,
     /// Maximum number of operations in a transaction. Lowered when the store rejects one for its
     /// size.
     pub max_operations: usize,
     /// Individually rejected items, in the order of their retries.
-    pub rejected: VecDeque<DelayedItem>,
+    pub rejected_items: VecDeque<DelayedItem>,
     /// Whether a transaction is in flight.
-    pub commit_in_flight: bool,
+    pub is_commit_in_flight: bool,
     /// No transaction is sent before this time.
     pub backoff_until: MonotonicTime,
     /// Whether a transaction showed that this controller is no longer the leader.
@@ -87,11 +87,11 @@
             scheduling_records: BTreeSet::new(),
             classes_changed: false,
             watermark_raises: BTreeSet::new(),
-            bucket: bucket(constants::LEADER_WRITE_SHARE),
+            write_bucket: bucket(constants::LEADER_WRITE_SHARE),
             hint_bucket: bucket(constants::HINT_WRITE_SHARE),
             max_operations: state.txn_ops,
-            rejected: VecDeque::new(),
-            commit_in_flight: false,
+            rejected_items: VecDeque::new(),
+            is_commit_in_flight: false,
             backoff_until: MonotonicTime::ZERO,
             leadership_lost: false,
         }
@@ -220,7 +220,7 @@
     /// Whether `operations` more operations may be added. The length counts as well as the number:
     /// however many operations the store accepts in a transaction, the length of a transaction is
     /// limited.
-    pub(super) fn has_room_for(&self, operations: usize) -> bool {
+    pub(super) fn can_add(&self, operations: usize) -> bool {
         self.transaction.operations.len() + operations <= self.max_operations
             && self.bytes < MAX_TRANSACTION_BYTES
     }
--- a/crates/controller/src/cluster_state/commits.rs
+++ b/crates/controller/src/cluster_state/commits.rs
@@ -10,7 +10,7 @@
 
 /// What is known about a transaction that the store did not confirm as applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Unwritten {
+enum UnconfirmedOutcome {
     /// Certainly not applied.
     NotApplied,
     /// It may have been applied, or may still be applied.
@@ -28,10 +28,10 @@
     /// records come first, since users wait for them, and hints for the next leader come last.
     pub fn next_commit(&mut self, now: MonotonicTime) -> Option<PendingCommit> {
         let queue = &mut self.commit_queue;
-        if queue.commit_in_flight || queue.leadership_lost || now < queue.backoff_until {
+        if queue.is_commit_in_flight || queue.leadership_lost || now < queue.backoff_until {
             return None;
         }
-        let tokens = queue.bucket.fill(now).floor() as usize;
+        let tokens = queue.write_bucket.fill(now).floor() as usize;
         self.retry_rejected(now);
         let max_operations = self.commit_queue.max_operations.min(tokens);
         if max_operations < constants::JOB_COMPLETION_OPERATIONS {
@@ -52,20 +52,20 @@
         if operations == 0 {
             return None;
         }
-        self.commit_queue.bucket.take(operations);
-        self.commit_queue.commit_in_flight = true;
+        self.commit_queue.write_bucket.take(operations);
+        self.commit_queue.is_commit_in_flight = true;
         Some(commit)
     }
 
     /// Applies the outcome of the transaction in flight, received at `now`.
     pub fn committed(&mut self, commit: PendingCommit, result: CommitResult, now: MonotonicTime) {
-        self.commit_queue.commit_in_flight = false;
+        self.commit_queue.is_commit_in_flight = false;
         match result {
             CommitResult::Applied(revision) => self.commit_applied(commit, revision),
             CommitResult::NotApplied => {
                 self.commit_queue.backoff_until = now + constants::LEADER_RETRY;
                 for item in commit.items {
-                    self.return_item(item, Unwritten::NotApplied);
+                    self.return_unconfirmed_item(item, UnconfirmedOutcome::NotApplied);
                 }
             }
             CommitResult::Rejected => self.commit_rejected(commit, now),
@@ -84,7 +84,7 @@
             }
         }
         for item in commit.items {
-            self.item_applied(item, revision);
+            self.mark_item_durable(item, revision);
         }
     }
 
@@ -103,23 +103,23 @@
             self.apply_reread(&key, stored);
         }
         for item in commit.items {
-            self.return_item(item, Unwritten::Indeterminate);
+            self.return_unconfirmed_item(item, UnconfirmedOutcome::Indeterminate);
         }
     }
 
     /// Returns an item that may not be durable to its queue.
-    fn return_item(&mut self, item: CommitItem, unwritten: Unwritten) {
-        self.mark_final_unwritten(&item, unwritten);
+    fn return_unconfirmed_item(&mut self, item: CommitItem, outcome: UnconfirmedOutcome) {
+        self.mark_final_unconfirmed(&item, outcome);
         self.requeue(item);
     }
 
     /// If an item is a final record, tells its job what is known about the transaction.
-    fn mark_final_unwritten(&mut self, item: &CommitItem, unwritten: Unwritten) {
+    fn mark_final_unconfirmed(&mut self, item: &CommitItem, outcome: UnconfirmedOutcome) {
         let CommitItem::Final { job, .. } = item else { return };
         let Some(job) = self.jobs.get_mut(job) else { return };
-        match unwritten {
-            Unwritten::NotApplied => job.completion.commit_not_applied(),
-            Unwritten::Indeterminate => job.completion.commit_indeterminate(),
+        match outcome {
+            UnconfirmedOutcome::NotApplied => job.completion.commit_not_applied(),
+            UnconfirmedOutcome::Indeterminate => job.completion.commit_indeterminate(),
         }
     }
 
@@ -131,22 +131,26 @@
         let operations = commit.transaction.operations.len();
         self.commit_queue.max_operations =
             (operations / 2).max(constants::JOB_COMPLETION_OPERATIONS);
-        let alone = commit.items.len() == 1;
+        let is_only_item = commit.items.len() == 1;
         for item in commit.items {
-            if alone {
-                self.mark_final_unwritten(&item, Unwritten::NotApplied);
+            if is_only_item {
+                self.mark_final_unconfirmed(&item, UnconfirmedOutcome::NotApplied);
                 let retry_at = now + constants::REJECTED_RETRY;
-                self.commit_queue.rejected.push_back(DelayedItem { retry_at, item });
+                self.commit_queue.rejected_items.push_back(DelayedItem { retry_at, item });
             } else {
-                self.return_item(item, Unwritten::NotApplied);
+                self.return_unconfirmed_item(item, UnconfirmedOutcome::NotApplied);
             }
         }
     }
 
     /// Requeues the individually rejected items whose retry is due at `now`.
     fn retry_rejected(&mut self, now: MonotonicTime) {
-        while self.commit_queue.rejected.front().is_some_and(|delayed| now >= delayed.retry_at)
-            && let Some(delayed) = self.commit_queue.rejected.pop_front()
+        while self
+            .commit_queue
+            .rejected_items
+            .front()
+            .is_some_and(|delayed| now >= delayed.retry_at)
+            && let Some(delayed) = self.commit_queue.rejected_items.pop_front()
         {
             self.requeue(delayed.item);
         }
--- a/crates/controller/src/cluster_state/direct_dispatch.rs
+++ b/crates/controller/src/cluster_state/direct_dispatch.rs
@@ -39,20 +39,20 @@
 impl DirectDispatch {
     /// Removes the message to a machine under this fencing token from those in flight; `false` if
     /// it was not in flight.
-    fn end(&mut self, name: &str, fencing_token: u64) -> bool {
-        let in_flight = self.in_flight.get(name) == Some(&fencing_token);
-        if in_flight {
+    fn remove_in_flight(&mut self, name: &str, fencing_token: u64) -> bool {
+        let was_in_flight = self.in_flight.get(name) == Some(&fencing_token);
+        if was_in_flight {
             self.in_flight.remove(name);
         }
-        in_flight
+        was_in_flight
     }
 }
 
 impl Machine {
     /// Whether the outcome of some start dispatched under this fencing token is unknown.
     fn awaits_direct_starts(&self, fencing_token: u64) -> bool {
-        let unknown = TaskPhase::SentDirectly(fencing_token);
-        self.placed_tasks.iter().any(|placed| placed.phase == unknown)
+        let unknown_outcome = TaskPhase::SentDirectly(fencing_token);
+        self.placed_tasks.iter().any(|placed| placed.phase == unknown_outcome)
     }
 }
 
@@ -71,12 +71,12 @@
             if self.direct_dispatch.in_flight.len() >= constants::MAX_DIRECT_DISPATCHES {
                 break;
             }
-            dispatches.extend(self.take_direct_start_of(&name, now));
+            dispatches.extend(self.take_direct_start_for(&name, now));
         }
         dispatches
     }
 
-    fn take_direct_start_of(&mut self, name: &str, now: MonotonicTime) -> Option<DirectStart> {
+    fn take_direct_start_for(&mut self, name: &str, now: MonotonicTime) -> Option<DirectStart> {
         let Some(machine) = self.machines.get(name) else {
             self.direct_dispatch.machines_with_planned_starts.remove(name);
             return None;
@@ -126,9 +126,9 @@
                 if placed.phase != TaskPhase::Planned || self.stop_grace_s(placed, now).is_some() {
                     return false;
                 }
-                let allowed = self.watermark_allows_start(placed);
-                waits_for_watermark |= !allowed;
-                allowed && !self.has_orphaned_attempt(placed)
+                let is_allowed = self.watermark_allows_start(placed);
+                waits_for_watermark |= !is_allowed;
+                is_allowed && !self.has_orphaned_attempt(placed)
             })
             .map(|(position, _)| position)
             .take(constants::DIRECT_DISPATCH_MAX_TASKS)
@@ -146,7 +146,7 @@
         delivery: Delivery,
         now: MonotonicTime,
     ) {
-        let is_first = self.direct_dispatch.end(name, fencing_token);
+        let is_first = self.direct_dispatch.remove_in_flight(name, fencing_token);
         let Some(machine) = self.machines.get_mut(name) else { return };
         match delivery {
             Delivery::Executed(heartbeat) => self.apply_direct_answer(name, &heartbeat, now),
@@ -156,7 +156,7 @@
             Delivery::Refused => {}
             Delivery::NotSent => {
                 machine.back_off(now + constants::UNREACHABLE_BACKOFF);
-                self.direct_start_not_sent(name, fencing_token);
+                self.replan_direct_starts(name, fencing_token);
                 tracing::debug!(machine = %name, "worker unreachable");
                 self.cancel_planned_starts(name, now);
             }
@@ -186,7 +186,7 @@
 
     /// Plans the starts dispatched under `fencing_token` again: they certainly were not and will
     /// not be delivered.
-    fn direct_start_not_sent(&mut self, name: &str, fencing_token: u64) {
+    fn replan_direct_starts(&mut self, name: &str, fencing_token: u64) {
         self.mark_unpublished(name);
         let Some(machine) = self.machines.get_mut(name) else { return };
         for placed in &mut machine.placed_tasks {
--- a/crates/controller/src/cluster_state/gang_repair.rs
+++ b/crates/controller/src/cluster_state/gang_repair.rs
@@ -14,16 +14,16 @@
         let reconciled = self.reconciled(now);
         let completable = if reconciled { self.completable_gangs() } else { HashSet::new() };
         for (key, job) in self.jobs.iter_mut() {
-            let partial = job.spec.is_gang()
+            let is_partial = job.spec.is_gang()
                 && job.is_active()
                 && job.placed > 0
                 && job.placements.contains(&TaskPlacement::Unplaced)
                 && job.start_ground(reconciled) != StartGround::AboveWatermark;
-            job.gang.completing = partial
+            job.gang.completing = is_partial
                 && completable.contains(key)
                 && now
                     < *job.gang.resume_deadline.get_or_insert(now + constants::GANG_RESUME_LIMIT);
-            if partial && !job.gang.completing {
+            if is_partial && !job.gang.completing {
                 self.stops_due |= !job.gang.broken;
                 job.gang.broken = true;
             }
@@ -34,7 +34,7 @@
     /// completed: the tasks found of the attempt wait for the others, and none of them runs or is
     /// being stopped.
     fn completable_gangs(&self) -> HashSet<JobKey> {
-        let resumable = |job: &Job| {
+        let is_resumable = |job: &Job| {
             job.gang.resumed_attempt.is_some()
                 && !job.unplaced.is_empty()
                 && job.gang.attempt == job.gang.resumed_attempt
@@ -42,7 +42,7 @@
                 && !job.gang.broken
         };
         let mut gangs: HashSet<JobKey> =
-            self.jobs.iter().filter(|(_, job)| resumable(job)).map(|(key, _)| *key).collect();
+            self.jobs.iter().filter(|(_, job)| is_resumable(job)).map(|(key, _)| *key).collect();
         if gangs.is_empty() {
             return gangs;
         }
--- a/crates/controller/src/cluster_state/heartbeat.rs
+++ b/crates/controller/src/cluster_state/heartbeat.rs
@@ -11,9 +11,9 @@
 struct Arrival {
     /// Whether the worker sent the heartbeat before it answered direct commands or a state probe:
     /// the tasks in the heartbeat are outdated, but the worker waits for a response.
-    outdated: bool,
+    is_outdated: bool,
     /// Whether the worker has restarted: the tasks of its earlier incarnation have ended.
-    new_incarnation: bool,
+    is_new_incarnation: bool,
 }
 
 impl ClusterState {
@@ -39,14 +39,14 @@
         let arrival = self.record_arrival(heartbeat, now)?;
         self.register_if_new(name, now);
         self.reconcile_machine(heartbeat);
-        if arrival.new_incarnation {
+        if arrival.is_new_incarnation {
             tracing::info!(
                 machine = %name, incarnation = heartbeat.incarnation,
                 "worker restarted, tasks lost"
             );
             self.remove_all_tasks(name, now, TaskRemoval::Lost);
         }
-        if !arrival.outdated {
+        if !arrival.is_outdated {
             self.apply_reported_tasks(name, heartbeat, now, MessageKind::Heartbeat);
         }
         let machine = self.machines.get_mut(name)?;
@@ -100,8 +100,8 @@
         if version.incarnation <= machine.expired_incarnation {
             return None;
         }
-        let outdated = version < machine.newest_message;
-        let new_incarnation =
+        let is_outdated = version < machine.newest_message;
+        let is_new_incarnation =
             machine.has_reported && version.incarnation > machine.newest_message.incarnation;
         if !machine.has_reported {
             let age_s = seconds_f64(now.saturating_duration_since(machine.created_at));
@@ -109,17 +109,17 @@
         }
         // The lease of an incarnation that was unknown until now may have begun just now, no matter
         // when the machine was last answered.
-        if new_incarnation || !machine.has_reported {
+        if is_new_incarnation || !machine.has_reported {
             machine.last_response_at = now;
         }
         machine.has_reported = true;
         if machine.cordon_reason == Some(CordonReason::Silent) && !self.scaling_in.contains(name) {
             machine.cordon_reason = None;
         }
-        if !outdated {
+        if !is_outdated {
             machine.update_from(heartbeat, now);
         }
-        Some(Arrival { outdated, new_incarnation })
+        Some(Arrival { is_outdated, is_new_incarnation })
     }
 
     /// Adds the machine to the registry, unless its entry is durable. This is not done before its
--- a/crates/controller/src/cluster_state/heartbeat_tasks.rs
+++ b/crates/controller/src/cluster_state/heartbeat_tasks.rs
@@ -83,7 +83,7 @@
             .collect();
         for used in used_images {
             if machine.images.last().is_none_or(|last| last.image != used.image) {
-                machine.use_image(used, cache_gb);
+                machine.mark_image_used(used, cache_gb);
             }
         }
         if machine.image_ids() != machine.stored_images {
--- a/crates/controller/src/cluster_state/heartbeat_timing.rs
+++ b/crates/controller/src/cluster_state/heartbeat_timing.rs
@@ -12,7 +12,7 @@
 /// Heartbeat intervals after which the planned starts of such a machine are cancelled, so that the
 /// tasks start elsewhere. Longer than [`MISSED_HEARTBEAT_INTERVALS`], since the response to a
 /// heartbeat that is merely late can still carry the starts.
-const PLANNED_START_INTERVALS: f64 = 2.5;
+const PLANNED_START_TIMEOUT_INTERVALS: f64 = 2.5;
 /// Minimum number of expected workers whose common silence indicates a fault of this controller: a
 /// single worker may have been lost.
 const MIN_SILENT_WORKERS: u32 = 2;
@@ -39,18 +39,18 @@
     /// heartbeat are cancelled.
     pub(super) fn planned_start_timeout(&self) -> Duration {
         let interval_s = self.config.platform.workers.heartbeat_interval_s;
-        Duration::from_millis((interval_s * (PLANNED_START_INTERVALS * 1000.0)) as u64)
+        Duration::from_millis((interval_s * (PLANNED_START_TIMEOUT_INTERVALS * 1000.0)) as u64)
     }
 
     /// Returns the time after a response from which a machine without a new heartbeat gets no new
     /// task.
-    pub(super) fn missed_heartbeat(&self) -> Duration {
+    pub(super) fn missed_heartbeat_timeout(&self) -> Duration {
         Duration::from_millis((self.heartbeat_interval_ms() * MISSED_HEARTBEAT_INTERVALS) as u64)
     }
 
     /// Whether the machine's worker has sent a heartbeat and has not missed one at `now`.
     pub(super) fn reports(&self, machine: &Machine, now: MonotonicTime) -> bool {
-        machine.has_reported && now < machine.last_response_at + self.missed_heartbeat()
+        machine.has_reported && now < machine.last_response_at + self.missed_heartbeat_timeout()
     }
 
     /// Whether the heartbeat of some worker with tasks is overdue while its lease may still be
@@ -58,13 +58,13 @@
     pub fn any_heartbeat_overdue(&self, now: MonotonicTime) -> bool {
         let timeout = self.heartbeat_timeout();
         let lease = longest_worker_lease(&self.config.platform);
-        let overdue = |machine: &Machine| {
+        let is_overdue = |machine: &Machine| {
             machine.has_reported
                 && !machine.placed_tasks.is_empty()
                 && (timeout..lease)
                     .contains(&now.saturating_duration_since(machine.last_response_at))
         };
-        self.machines.values().any(overdue)
+        self.machines.values().any(is_overdue)
     }
 
     /// Whether no worker has sent a heartbeat for several intervals although at least
@@ -78,7 +78,7 @@
             if machine.is_live() {
                 expected += 1;
                 latest = latest.max(machine.last_response_at);
-            } else if self.surely_up_but_silent(name, machine) {
+            } else if self.is_booted_but_silent(name, machine) {
                 expected += 1;
             }
         }
@@ -92,11 +92,12 @@
 
     /// Whether an unreconciled machine of the registry has sent this leader no heartbeat although
     /// it was in the machine list so long before the election that it must have booted.
-    fn surely_up_but_silent(&self, name: &str, machine: &Machine) -> bool {
+    fn is_booted_but_silent(&self, name: &str, machine: &Machine) -> bool {
         let elected_at = self.clocks.elected_at();
-        let booted = |listing: FirstListing| listing.precedes(elected_at, constants::BOOT_CERTAIN);
+        let is_booted =
+            |listing: FirstListing| listing.precedes(elected_at, constants::BOOT_CERTAIN);
         !machine.has_reported
-            && machine.first_listing.is_some_and(booted)
+            && machine.first_listing.is_some_and(is_booted)
             && self.reconciliation.machines.contains(name)
     }
 
--- a/crates/controller/src/cluster_state/lease_expiry.rs
+++ b/crates/controller/src/cluster_state/lease_expiry.rs
@@ -10,7 +10,7 @@
     pub fn expire_leases(&mut self, now: MonotonicTime) {
         self.queue_proven_cancellations(now);
         if self.unreconciled_leases_expired(now) {
-            self.commit_queue.registry.forget_unreadable();
+            self.commit_queue.registry.treat_unreadable_as_empty();
         }
         let start_timeout = self.planned_start_timeout();
         let names: Vec<String> = self.machines.keys().cloned().collect();
--- a/crates/controller/src/cluster_state/leases.rs
+++ b/crates/controller/src/cluster_state/leases.rs
@@ -52,7 +52,7 @@
     /// of the worker to end after it. No lease is granted while a task of an unknown job may be on
     /// any machine, or a task of a job whose cancellation another controller decided.
     pub fn shard_lease_length(&self, now: MonotonicTime) -> Duration {
-        if self.unknown_tasks > 0 || !self.reconciled(now) {
+        if self.unknown_job_tasks > 0 || !self.reconciled(now) {
             return Duration::ZERO;
         }
         let max = max_shard_lease(&self.config);
--- a/crates/controller/src/cluster_state/machine.rs
+++ b/crates/controller/src/cluster_state/machine.rs
@@ -201,10 +201,10 @@
     /// known, it is not cordoned, its next heartbeat is not expected at once, and no probe is in
     /// flight or recent.
     pub fn needs_state_probe(&self, now: MonotonicTime) -> bool {
-        let heartbeat_expected =
+        let is_heartbeat_expected =
             self.has_reported && now < self.last_response_at + constants::PROMPT_HEARTBEAT;
-        self.state_probe.due(now)
-            && !heartbeat_expected
+        self.state_probe.is_due(now)
+            && !is_heartbeat_expected
             && !self.address.is_empty()
             && self.cordon_reason.is_none()
     }
@@ -264,9 +264,9 @@
 
     /// Cordons the machine unless it is cordoned already. Returns whether it was not.
     pub fn cordon(&mut self, reason: CordonReason) -> bool {
-        let was_open = self.cordon_reason.is_none();
+        let was_uncordoned = self.cordon_reason.is_none();
         self.cordon_reason.get_or_insert(reason);
-        was_open
+        was_uncordoned
     }
 
     /// Returns the numbers of the images in its cache, in ascending order.
@@ -278,7 +278,7 @@
 
     /// Marks an image as the most recently used one; drops the least recently used ones beyond
     /// `cache_gb`.
-    pub fn use_image(&mut self, used: CachedImage, cache_gb: f64) {
+    pub fn mark_image_used(&mut self, used: CachedImage, cache_gb: f64) {
         self.images.retain(|cached| cached.image != used.image);
         self.images.push(used);
         let mut total_gb: f64 = self.images.iter().map(|cached| cached.size_gb).sum();
--- a/crates/controller/src/cluster_state/machine/tests.rs
+++ b/crates/controller/src/cluster_state/machine/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn machine_is_in_the_shard_until_its_admission_ends() {
+fn machine_is_admitted_until_its_latest_admission_ends() {
     let mut machine = Machine::new(at(0));
     assert!(!machine.is_admitted(at(0)), "a new machine is not admitted");
     machine.admit(at(15_000));
--- a/crates/controller/src/cluster_state/machine_registry.rs
+++ b/crates/controller/src/cluster_state/machine_registry.rs
@@ -48,13 +48,13 @@
     }
 
     /// Marks a record as unreadable.
-    pub fn unreadable(&mut self, number: u64) {
+    pub fn mark_unreadable(&mut self, number: u64) {
         self.unreadable.insert(number);
     }
 
     /// Treats unreadable records as empty, after the leases of the workers on their machines have
     /// expired.
-    pub fn forget_unreadable(&mut self) {
+    pub fn treat_unreadable_as_empty(&mut self) {
         for number in std::mem::take(&mut self.unreadable) {
             self.records.entry(number).or_default();
             self.stale.insert(number);
@@ -62,7 +62,7 @@
     }
 
     /// Adds a machine from a record that an earlier leader wrote.
-    pub fn loaded(&mut self, number: u64, machine: &str, registered_at: WallTime) {
+    pub fn add_loaded(&mut self, number: u64, machine: &str, registered_at: WallTime) {
         let members = self.records.entry(number).or_default();
         if self.record_of.contains_key(machine) {
             // The earlier leader was moving the machine between records when its term ended. One
@@ -115,12 +115,12 @@
         }
     }
 
-    /// Records that a record with these machines is durable: a machine that moved to it leaves its
-    /// earlier record.
-    pub fn stored<'a>(&mut self, number: u64, machines: impl Iterator<Item = &'a str>) {
+    /// Marks a record with these machines as durable: a machine that moved to it leaves its earlier
+    /// record.
+    pub fn mark_durable<'a>(&mut self, number: u64, machines: impl Iterator<Item = &'a str>) {
         for machine in machines {
-            let here = self.record_of.get(machine) == Some(&number);
-            if here && let Some(source) = self.moving.remove(machine) {
+            let is_in_record = self.record_of.get(machine) == Some(&number);
+            if is_in_record && let Some(source) = self.moving.remove(machine) {
                 self.remove_from(source, machine);
             }
         }
@@ -152,14 +152,14 @@
 
     /// Removes and returns the next record that must be written before tasks start on machines in
     /// it.
-    pub fn next_urgent(&mut self) -> Option<u64> {
+    pub fn pop_urgent(&mut self) -> Option<u64> {
         let number = self.urgent.pop_first()?;
         self.stale.remove(&number);
         Some(number)
     }
 
     /// Removes and returns the next record that is merely outdated.
-    pub fn next_stale(&mut self) -> Option<u64> {
+    pub fn pop_stale(&mut self) -> Option<u64> {
         self.stale.pop_first()
     }
 
@@ -187,7 +187,7 @@
     /// Returns the value of a record; `None` if its machines alone exceed the value limit. `images`
     /// returns the images cached on a machine; if the value with them exceeds the limit, all are
     /// left out.
-    pub fn record<'a>(
+    pub fn record_value<'a>(
         &self,
         number: u64,
         value_kb: f64,
--- a/crates/controller/src/cluster_state/machine_registry/tests.rs
+++ b/crates/controller/src/cluster_state/machine_registry/tests.rs
@@ -7,7 +7,7 @@
     number: u64,
     stored: &mut BTreeMap<u64, BTreeSet<String>>,
 ) -> bool {
-    let Some(value) = registry.record(number, SMALL_VALUE_KB, |_| Vec::new()) else {
+    let Some(value) = registry.record_value(number, SMALL_VALUE_KB, |_| Vec::new()) else {
         registry.split(number);
         return false;
     };
@@ -15,7 +15,7 @@
     let machines: Vec<String> =
         registry.members(number).map(|(machine, _)| machine.clone()).collect();
     stored.insert(number, machines.iter().cloned().collect());
-    registry.stored(number, machines.iter().map(String::as_str));
+    registry.mark_durable(number, machines.iter().map(String::as_str));
     true
 }
 
@@ -25,11 +25,11 @@
     let machines: BTreeSet<String> = (0..64).map(|n| format!("m-{n:06}")).collect();
     let mut stored = BTreeMap::from([(3, machines.clone())]);
     for machine in &machines {
-        registry.loaded(3, machine, WallTime::from_unix_millis(1_764_654_219_000));
+        registry.add_loaded(3, machine, WallTime::from_unix_millis(1_764_654_219_000));
     }
     registry.mark_stale("m-000001");
     for _ in 0..40 {
-        let Some(number) = registry.next_stale() else { break };
+        let Some(number) = registry.pop_stale() else { break };
         write_record(&mut registry, number, &mut stored);
         let registered: BTreeSet<String> = stored.values().flatten().cloned().collect();
         assert_eq!(registered, machines, "every machine is in a stored record after each write");
@@ -46,12 +46,12 @@
 fn machine_removed_while_moving_leaves_both_records() {
     let mut registry = MachineRegistry::new(SMALL_VALUE_KB);
     for n in 0..64 {
-        registry.loaded(0, &format!("m-{n:06}"), WallTime::from_unix_millis(1));
+        registry.add_loaded(0, &format!("m-{n:06}"), WallTime::from_unix_millis(1));
     }
     registry.split(0);
     registry.remove("m-000063");
     let mut stored = BTreeMap::new();
-    while let Some(number) = registry.next_stale() {
+    while let Some(number) = registry.pop_stale() {
         write_record(&mut registry, number, &mut stored);
     }
     assert!(!stored.values().any(|machines: &BTreeSet<String>| machines.contains("m-000063")));
@@ -61,9 +61,9 @@
 #[test]
 fn machine_in_two_records_after_crash_stays_in_one() {
     let mut registry = MachineRegistry::new(SMALL_VALUE_KB);
-    registry.loaded(0, "m-000001", WallTime::from_unix_millis(1));
-    registry.loaded(1, "m-000001", WallTime::from_unix_millis(1));
-    assert_eq!(registry.next_stale(), Some(1));
+    registry.add_loaded(0, "m-000001", WallTime::from_unix_millis(1));
+    registry.add_loaded(1, "m-000001", WallTime::from_unix_millis(1));
+    assert_eq!(registry.pop_stale(), Some(1));
     assert_eq!(registry.members(1).count(), 0);
     registry.remove("m-000001");
     assert_eq!(registry.members(0).count(), 0);
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -128,7 +128,7 @@
     /// Machines that this leader knows to no longer exist: late heartbeats must not add them again.
     removed_machines: BoundedSet<String>,
     /// Number of placed tasks that belong to no known job.
-    unknown_tasks: usize,
+    unknown_job_tasks: usize,
     reconciliation: Reconciliation,
     /// The shard leases: which controllers may extend worker leases while the leader can't.
     shard_lessor: ShardLessor,
@@ -174,7 +174,7 @@
             classes: HashMap::new(),
             machines: BTreeMap::new(),
             removed_machines: BoundedSet::new(constants::BOUNDED_SET_SIZE),
-            unknown_tasks: 0,
+            unknown_job_tasks: 0,
             reconciliation: Reconciliation::new(at.monotonic),
             shard_lessor: ShardLessor::new(
                 &config.zone,
@@ -196,7 +196,7 @@
             unpublished_machines: HashSet::new(),
             config,
         };
-        cluster.load(loaded, at);
+        cluster.load_records(loaded, at);
         cluster
     }
 
--- a/crates/controller/src/cluster_state/reconciliation.rs
+++ b/crates/controller/src/cluster_state/reconciliation.rs
@@ -17,7 +17,7 @@
     /// controller, or by this one as a lessee: its lease may have been extended until then.
     pub last_answered_at: MonotonicTime,
     /// Whether the end of reconciliation has been logged.
-    logged: bool,
+    is_end_logged: bool,
 }
 
 impl Reconciliation {
@@ -28,7 +28,7 @@
             machines: BTreeSet::new(),
             unreadable_records: BTreeSet::new(),
             last_answered_at: elected_at,
-            logged: false,
+            is_end_logged: false,
         }
     }
 }
@@ -47,10 +47,10 @@
 
     /// Logs the end of reconciliation, once.
     pub(super) fn log_reconciliation(&mut self, now: MonotonicTime) {
-        if self.reconciliation.logged || !self.reconciled(now) {
+        if self.reconciliation.is_end_logged || !self.reconciled(now) {
             return;
         }
-        self.reconciliation.logged = true;
+        self.reconciliation.is_end_logged = true;
         let after_s = seconds_f64(now.saturating_duration_since(self.clocks.elected_at()));
         tracing::info!(term = self.term, after_s, "reconciled with earlier terms");
     }
--- a/crates/controller/src/cluster_state/recovery.rs
+++ b/crates/controller/src/cluster_state/recovery.rs
@@ -53,42 +53,42 @@
 }
 
 /// Returns the job in a key of the form `<prefix>/<job>...`; `None` if there is no valid job id.
-fn job_of_key(key: &str) -> Option<JobId> {
+fn job_id_in_key(key: &str) -> Option<JobId> {
     key.split('/').nth(1).and_then(JobId::parse)
 }
 
 /// The accepted jobs that have not ended: those with a job record, whether this version can read it
 /// or not. The other records of a job whose job record is unreadable are kept, since a later
 /// version may be able to read it.
-struct Accepted(HashSet<JobId>);
+struct JobsWithRecord(HashSet<JobId>);
 
-impl Accepted {
+impl JobsWithRecord {
     fn new(jobs: &[KeyValue]) -> Self {
-        Self(jobs.iter().filter_map(|kv| job_of_key(&kv.key)).collect())
+        Self(jobs.iter().filter_map(|kv| job_id_in_key(&kv.key)).collect())
     }
 
     /// Whether a record belongs to no accepted job, or to one that has ended.
-    fn lacks_job_of(&self, key: &str) -> bool {
-        job_of_key(key).is_none_or(|id| !self.0.contains(&id))
+    fn lacks_job_in_key(&self, key: &str) -> bool {
+        job_id_in_key(key).is_none_or(|id| !self.0.contains(&id))
     }
 }
 
 impl ClusterState {
     /// Restores the cluster state from all records. Jobs come first, as other records refer to
     /// them.
-    pub(super) fn load(&mut self, loaded: LoadedState, at: Timestamp) {
+    pub(super) fn load_records(&mut self, loaded: LoadedState, at: Timestamp) {
         let leader_records =
             loaded.scheduling.iter().chain(&loaded.registry).chain(&loaded.classes);
         leader_records.for_each(|kv| self.commit_queue.set_mod_revision(&kv.key, kv.mod_revision));
         self.load_classes(loaded.classes);
-        let accepted = Accepted::new(&loaded.jobs);
+        let jobs_with_record = JobsWithRecord::new(&loaded.jobs);
         let job_records = loaded.jobs.len();
         for kv in loaded.jobs {
             self.add_job(&kv.key, kv.value, at, JobOrigin::EarlierTerm);
         }
         let all_jobs_readable = self.jobs.len() == job_records;
         for kv in loaded.progress {
-            self.load_progress(kv, &accepted);
+            self.load_progress(kv, &jobs_with_record);
         }
         let mut shared_watermarks_complete = true;
         for kv in loaded.scheduling {
@@ -96,16 +96,16 @@
                 Some(number) => {
                     shared_watermarks_complete &= self.load_shared_watermark_record(kv, number)
                 }
-                None => self.load_scheduling_record(kv, &accepted),
+                None => self.load_scheduling_record(kv, &jobs_with_record),
             }
         }
-        self.load_watermarks(loaded.stored_watermarks, shared_watermarks_complete);
-        self.await_assumed_watermarks(loaded.stored_watermarks, all_jobs_readable);
+        self.finish_loading_watermarks(loaded.stored_watermarks, shared_watermarks_complete);
+        self.queue_assumed_watermarks(loaded.stored_watermarks, all_jobs_readable);
         for kv in loaded.registry {
             self.load_registry_record(kv, at);
         }
         for kv in loaded.images {
-            self.load_images(kv);
+            self.load_legacy_images(kv);
         }
     }
 
@@ -128,17 +128,17 @@
     }
 
     /// Queues the deletion of a record whose job has ended or was never accepted.
-    fn remove_if_orphaned(&mut self, key: String, accepted: &Accepted) {
-        if accepted.lacks_job_of(&key) {
+    fn remove_if_orphaned(&mut self, key: String, jobs_with_record: &JobsWithRecord) {
+        if jobs_with_record.lacks_job_in_key(&key) {
             self.commit_queue.delete_stale(key);
         }
     }
 
-    fn load_progress(&mut self, kv: KeyValue, accepted: &Accepted) {
+    fn load_progress(&mut self, kv: KeyValue, jobs_with_record: &JobsWithRecord) {
         let place = crate::records::parse_progress_key(&kv.key)
             .and_then(|(id, from)| Some((self.jobs.key(&id)?, from)));
         let Some((job, from)) = place else {
-            return self.remove_if_orphaned(kv.key, accepted);
+            return self.remove_if_orphaned(kv.key, jobs_with_record);
         };
         match serde_json::from_value::<ProgressRecord>(kv.value) {
             Ok(record) => self.apply_progress_record(job, from, kv.mod_revision, Some(&record)),
@@ -163,23 +163,23 @@
                     key = %kv.key, %error,
                     "shared start watermarks can't be read, all small jobs count as started"
                 );
-                self.commit_queue.shared_watermarks.loaded(number, BTreeSet::new());
+                self.commit_queue.shared_watermarks.add_loaded(number, BTreeSet::new());
                 false
             }
         }
     }
 
-    fn load_scheduling_record(&mut self, kv: KeyValue, accepted: &Accepted) {
-        let job = job_of_key(&kv.key).and_then(|id| self.jobs.by_id_mut(&id));
+    fn load_scheduling_record(&mut self, kv: KeyValue, jobs_with_record: &JobsWithRecord) {
+        let job = job_id_in_key(&kv.key).and_then(|id| self.jobs.by_id_mut(&id));
         let Some(job) = job else {
-            return self.remove_if_orphaned(kv.key, accepted);
+            return self.remove_if_orphaned(kv.key, jobs_with_record);
         };
         match serde_json::from_value::<JobSchedulingRecord>(kv.value) {
             Ok(record) => {
                 job.stored_min_tasks = Some(record.min_tasks);
                 job.run_times.count = record.run_time_count;
                 job.run_times.sum = Duration::from_millis(record.run_time_sum_ms);
-                job.start_watermark.record_durable(record.start_watermark);
+                job.start_watermark.mark_durable(record.start_watermark);
             }
             Err(error) => {
                 tracing::error!(
@@ -193,11 +193,14 @@
 
     /// Determines for each job from which task on it was certainly never started. Without complete
     /// start watermarks, every task of the job may have been started.
-    fn load_watermarks(&mut self, stored: StoredWatermarks, shared_watermarks_complete: bool) {
-        let last_leader_kept_watermarks = stored == StoredWatermarks::Complete;
+    fn finish_loading_watermarks(
+        &mut self,
+        stored: StoredWatermarks,
+        shared_watermarks_complete: bool,
+    ) {
+        let watermarks_complete = stored == StoredWatermarks::Complete;
         for job in self.jobs.values_mut() {
-            let complete =
-                last_leader_kept_watermarks && (shared_watermarks_complete || !job.is_small());
+            let complete = watermarks_complete && (shared_watermarks_complete || !job.is_small());
             job.start_watermark.finish_loading(job.spec.tasks, complete);
         }
     }
@@ -206,7 +209,7 @@
     /// the next leader knows it as well. Until a job's record is durable, the assumption allows no
     /// start of its tasks; and until all of them are, the store does not say that the watermarks
     /// are complete.
-    fn await_assumed_watermarks(&mut self, stored: StoredWatermarks, all_jobs_readable: bool) {
+    fn queue_assumed_watermarks(&mut self, stored: StoredWatermarks, all_jobs_readable: bool) {
         let assumed = self.jobs.iter().filter(|(_, job)| job.start_watermark.is_assumed());
         let assumed: BTreeSet<JobKey> = assumed.map(|(key, _)| *key).collect();
         tracing::info!(
@@ -222,7 +225,7 @@
         let Some(number) = MachineRegistry::record_number(name) else {
             let at_ms = kv.value.get("at_ms").and_then(serde_json::Value::as_u64);
             let registered_at = at_ms.map(WallTime::from_unix_millis);
-            self.inherit_machine(name, registered_at, Vec::new(), at);
+            self.add_registered_machine(name, registered_at, Vec::new(), at);
             self.commit_queue.migrate_legacy_entry(name, registered_at.unwrap_or(at.wall));
             return;
         };
@@ -234,7 +237,7 @@
                 // no task is started that an earlier leader may have started.
                 tracing::error!(key = %kv.key, %error, "machine registry record can't be read");
                 self.reconciliation.unreadable_records.insert(kv.key);
-                self.commit_queue.registry.unreadable(number);
+                self.commit_queue.registry.mark_unreadable(number);
                 return;
             }
         };
@@ -242,14 +245,14 @@
         for (machine, entry) in record.machines {
             let cached = entry.images.iter().filter_map(|i| images.get(*i).copied()).collect();
             let registered_at = WallTime::from_unix_millis(entry.registered_at_ms);
-            self.inherit_machine(&machine, Some(registered_at), cached, at);
-            self.commit_queue.registry.loaded(number, &machine, registered_at);
+            self.add_registered_machine(&machine, Some(registered_at), cached, at);
+            self.commit_queue.registry.add_loaded(number, &machine, registered_at);
         }
     }
 
     /// Loads a machine's cached images from a record of version 0.1.0, and queues the deletion of
     /// the record: from now on the machine registry holds the images.
-    fn load_images(&mut self, kv: KeyValue) {
+    fn load_legacy_images(&mut self, kv: KeyValue) {
         let name = kv.key.strip_prefix(crate::records::LEGACY_IMAGES_PREFIX).unwrap_or_default();
         if let Ok(record) = serde_json::from_value::<ImagesRecord>(kv.value) {
             let images = self.images.of_record(&record.images);
@@ -271,7 +274,7 @@
         let mut live = BTreeSet::new();
         for id in record.jobs {
             if let Some(job) = self.jobs.by_id_mut(&id) {
-                job.start_watermark.record_durable(job.spec.tasks);
+                job.start_watermark.mark_durable(job.spec.tasks);
                 job.start_watermark.set_shared_record(number);
                 live.insert(id);
             }
@@ -279,11 +282,11 @@
         if live.is_empty() {
             self.commit_queue.delete_stale(key);
         }
-        self.commit_queue.shared_watermarks.loaded(number, live);
+        self.commit_queue.shared_watermarks.add_loaded(number, live);
     }
 
     /// Adds a machine that the registry names, to be reconciled.
-    fn inherit_machine(
+    fn add_registered_machine(
         &mut self,
         name: &str,
         registered_at: Option<WallTime>,
--- a/crates/controller/src/cluster_state/shared_watermarks.rs
+++ b/crates/controller/src/cluster_state/shared_watermarks.rs
@@ -29,13 +29,13 @@
     }
 
     /// Whether a record names more jobs than fit the value limit.
-    pub fn too_large(&self, number: u64) -> bool {
+    pub fn is_too_large(&self, number: u64) -> bool {
         self.records.get(&number).is_some_and(|jobs| jobs.len() > self.max_jobs)
     }
 
     /// Adds a record that an earlier leader wrote. An unreadable one is added without jobs, so that
     /// its number is not used again.
-    pub fn loaded(&mut self, number: u64, jobs: BTreeSet<JobId>) {
+    pub fn add_loaded(&mut self, number: u64, jobs: BTreeSet<JobId>) {
         self.current = self.current.max(number + 1);
         self.records.insert(number, jobs);
     }
--- a/crates/controller/src/cluster_state/shared_watermarks/tests.rs
+++ b/crates/controller/src/cluster_state/shared_watermarks/tests.rs
@@ -4,7 +4,7 @@
 fn watermark_record_is_deleted_after_its_last_job_and_number_not_reused() {
     let mut watermarks = SharedStartWatermarks::new(8.0);
     let id = |n: usize| JobId::parse(&format!("req-{n:06}")).unwrap();
-    watermarks.loaded(3, BTreeSet::from([id(999)]));
+    watermarks.add_loaded(3, BTreeSet::from([id(999)]));
     let numbers: Vec<u64> =
         (0..=constants::SHARED_WATERMARK_MAX_JOBS).map(|n| watermarks.add(&id(n))).collect();
     assert_eq!((numbers[0], numbers[constants::SHARED_WATERMARK_MAX_JOBS]), (4, 5));
@@ -31,6 +31,6 @@
     let jobs = watermarks.jobs(number).cloned().unwrap();
     let record = crate::records::SharedStartWatermarksRecord { jobs };
     assert!(serde_json::to_string(&record).unwrap().len() <= 1024);
-    watermarks.loaded(7, (0..60).map(longest_id).collect());
-    assert!(watermarks.too_large(7) && !watermarks.too_large(number));
+    watermarks.add_loaded(7, (0..60).map(longest_id).collect());
+    assert!(watermarks.is_too_large(7) && !watermarks.is_too_large(number));
 }
--- a/crates/controller/src/cluster_state/silence.rs
+++ b/crates/controller/src/cluster_state/silence.rs
@@ -14,14 +14,14 @@
 }
 
 impl ZoneCount {
-    fn add(&mut self, missing: bool) {
+    fn add(&mut self, is_missing: bool) {
         self.all += 1;
-        self.missing += usize::from(missing);
+        self.missing += usize::from(is_missing);
     }
 
     /// Whether so few machines are missing that they are most likely lost. If many machines of a
     /// zone are missing together, the network is most likely partitioned, and they may come back.
-    fn few_missing(self) -> bool {
+    fn has_few_missing(self) -> bool {
         self.missing < self.all
             && (self.missing == 1
                 || self.missing as f64 <= self.all as f64 * constants::LOST_MACHINES_MAX_SHARE)
@@ -34,15 +34,16 @@
 }
 
 impl ClusterState {
-    /// Counts by zone the machines that `counts` selects, and those of them that `missing` selects.
+    /// Counts by zone the machines that `is_counted` selects, and those of them that `is_missing`
+    /// selects.
     fn count_by_zone(
         &self,
-        counts: impl Fn(&Machine) -> bool,
-        missing: impl Fn(&str, &Machine) -> bool,
+        is_counted: impl Fn(&Machine) -> bool,
+        is_missing: impl Fn(&str, &Machine) -> bool,
     ) -> HashMap<&str, ZoneCount> {
         let mut zones: HashMap<&str, ZoneCount> = HashMap::new();
-        for (name, machine) in self.machines.iter().filter(|(_, machine)| counts(machine)) {
-            zones.entry(&machine.zone).or_default().add(missing(name, machine));
+        for (name, machine) in self.machines.iter().filter(|(_, machine)| is_counted(machine)) {
+            zones.entry(&machine.zone).or_default().add(is_missing(name, machine));
         }
         zones
     }
@@ -74,51 +75,52 @@
         partitioned.map(|(zone, _)| (*zone).to_owned()).collect()
     }
 
-    /// Returns the machines with tasks that have been silent for `patience` while most other
+    /// Returns the machines with tasks that have been silent for `min_silence` while most other
     /// machines of their zone have not. Deleting such a machine proves that its tasks have ended;
     /// the machine list and the expiry of its worker's lease prove that only much later.
     pub(super) fn silent_machines(
         &self,
         now: MonotonicTime,
-        patience: Duration,
+        min_silence: Duration,
     ) -> HashSet<String> {
         // In a partition, machines become silent one by one, each when its next heartbeat is due.
         // So a machine counts as missing as soon as its heartbeat is overdue.
         let timeout = self.heartbeat_timeout();
         let zones = self
             .count_by_zone(Machine::is_live, |_, machine| self.silence(machine, now) >= timeout);
-        let lost = |machine: &Machine| {
+        let is_lost = |machine: &Machine| {
             machine.is_live()
-                && self.silence(machine, now) >= patience
+                && self.silence(machine, now) >= min_silence
                 && !machine.placed_tasks.is_empty()
         };
-        self.lost_machines(&zones, |_, machine| lost(machine))
+        self.lost_machines(&zones, |_, machine| is_lost(machine))
     }
 
-    /// Returns the unreconciled machines of the registry that `gone` selects, in zones with few
+    /// Returns the unreconciled machines of the registry that `is_lost` selects, in zones with few
     /// unreconciled machines.
     pub(super) fn unreconciled_lost_machines(
         &self,
-        gone: impl Fn(&Machine) -> bool,
+        is_lost: impl Fn(&Machine) -> bool,
     ) -> HashSet<String> {
-        let unreconciled = |name: &str| self.reconciliation.machines.contains(name);
+        let is_unreconciled = |name: &str| self.reconciliation.machines.contains(name);
         let zones = self.count_by_zone(
             |machine| machine.has_reported || !machine.zone.is_empty(),
-            |name, _| unreconciled(name),
+            |name, _| is_unreconciled(name),
         );
-        self.lost_machines(&zones, |name, machine| unreconciled(name) && gone(machine))
+        self.lost_machines(&zones, |name, machine| is_unreconciled(name) && is_lost(machine))
     }
 
-    /// Returns the machines that `lost` selects, in zones with few missing machines.
+    /// Returns the machines that `is_lost` selects, in zones with few missing machines.
     fn lost_machines(
         &self,
         zones: &HashMap<&str, ZoneCount>,
-        lost: impl Fn(&str, &Machine) -> bool,
+        is_lost: impl Fn(&str, &Machine) -> bool,
     ) -> HashSet<String> {
-        let few_missing = |zone: &str| zones.get(zone).is_some_and(|count| count.few_missing());
+        let has_few_missing =
+            |zone: &str| zones.get(zone).is_some_and(|count| count.has_few_missing());
         self.machines
             .iter()
-            .filter(|(name, machine)| lost(name, machine) && few_missing(&machine.zone))
+            .filter(|(name, machine)| is_lost(name, machine) && has_few_missing(&machine.zone))
             .map(|(name, _)| name.clone())
             .collect()
     }
--- a/crates/controller/src/cluster_state/standby_feed.rs
+++ b/crates/controller/src/cluster_state/standby_feed.rs
@@ -31,7 +31,7 @@
     }
 }
 
-fn stage(phase: TaskPhase) -> Stage {
+fn replication_stage(phase: TaskPhase) -> Stage {
     match phase {
         TaskPhase::Planned => Stage::Planned,
         TaskPhase::Sent | TaskPhase::SentDirectly(_) => Stage::Sent,
@@ -82,20 +82,20 @@
         let tasks = machine.placed_tasks.iter().map(|placed| TaskView {
             task: &placed.task,
             attempt: placed.attempt,
-            stage: stage(placed.phase),
+            stage: replication_stage(placed.phase),
         });
         publisher.publish_machine(view, tasks);
     }
 
     fn publish_jobs(&self, publisher: &mut Publisher) {
-        let mut shown = 0;
+        let mut published = 0;
         for job in self.jobs.values() {
             if let Some(replicated) = self.replicated_job(job) {
-                shown += 1;
+                published += 1;
                 publisher.publish_job(job.id.as_str(), replicated);
             }
         }
-        publisher.retain_jobs(shown, |id| {
+        publisher.retain_jobs(published, |id| {
             let job = JobId::parse(id).and_then(|id| self.jobs.by_id(&id));
             job.is_some_and(|job| self.replicated_job(job).is_some())
         });
@@ -127,25 +127,25 @@
     /// considered.
     pub fn warm_start(
         &mut self,
-        copy: &ReplicatedState,
+        replicated_state: &ReplicatedState,
         workers: &Networks,
         now: MonotonicTime,
     ) -> WarmStart {
-        let mut taken = WarmStart::default();
-        for (name, known) in &copy.machines {
+        let mut restored = WarmStart::default();
+        for (name, known) in &replicated_state.machines {
             let Some(machine) = self.machines.get_mut(name) else { continue };
             let needs_address = !machine.has_reported && machine.address.is_empty();
             if needs_address && workers.allow_socket(&known.address) {
                 machine.address.clone_from(&known.address);
-                taken.addresses += 1;
+                restored.addresses += 1;
             }
         }
-        for (id, replicated) in &copy.jobs {
+        for (id, replicated) in &replicated_state.jobs {
             let job = JobId::parse(id).and_then(|id| self.jobs.by_id_mut(&id));
             let Some(job) = job else { continue };
             if job.spec.is_gang() && replicated.gang_attempt.is_some() {
                 job.gang.resumed_attempt = replicated.gang_attempt;
-                taken.gangs += 1;
+                restored.gangs += 1;
             }
             if replicated.consecutive_failures > 0 && job.failures.consecutive == 0 {
                 let latest = now + constants::FAILURE_BACKOFF_MAX;
@@ -158,12 +158,12 @@
                 job.backoff_until = elected.monotonic_at_wall(paused_until).min(latest);
                 let kept = replicated.failed_machines.iter().take(constants::MAX_FAILED_MACHINES);
                 job.failures.machines = kept.cloned().collect();
-                taken.failing_jobs += 1;
+                restored.failing_jobs += 1;
             }
         }
-        if taken.addresses > 0 {
+        if restored.addresses > 0 {
             self.state_probes.start_at = now;
         }
-        taken
+        restored
     }
 }
--- a/crates/controller/src/cluster_state/start_watermark.rs
+++ b/crates/controller/src/cluster_state/start_watermark.rs
@@ -48,11 +48,11 @@
 
     /// Whether the durable watermark, or the one still to be written, is above a task's index.
     pub fn covers(&self, index: u32) -> bool {
-        index < self.highest()
+        index < self.value_to_record()
     }
 
     /// Returns the watermark that the next record is to hold; never below the durable one.
-    pub fn highest(&self) -> u32 {
+    pub fn value_to_record(&self) -> u32 {
         self.durable.max(self.target)
     }
 
@@ -71,9 +71,9 @@
         self.never_started_from > self.durable
     }
 
-    /// Records that a record with this watermark is durable, written by this leader or an earlier
-    /// one.
-    pub fn record_durable(&mut self, watermark: u32) {
+    /// Marks this watermark as durable: a record with it, of this leader or an earlier one, is
+    /// stored.
+    pub fn mark_durable(&mut self, watermark: u32) {
         self.durable = self.durable.max(watermark);
     }
 
--- a/crates/controller/src/cluster_state/startable_tasks.rs
+++ b/crates/controller/src/cluster_state/startable_tasks.rs
@@ -46,11 +46,11 @@
         // machine that has not sent a heartbeat. So may tasks that use an unknown part of a team's
         // quota.
         let reconciled = self.reconciled(now);
-        let quota_uncertain = has_quota && (!reconciled || self.unknown_tasks > 0);
-        if quota_uncertain || now < job.backoff_until {
+        let is_quota_uncertain = has_quota && (!reconciled || self.unknown_job_tasks > 0);
+        if is_quota_uncertain || now < job.backoff_until {
             return 0;
         }
-        let startable = startable(job);
+        let startable = startable_if_reconciled(job);
         // Tasks at or above the start watermark were never started, so they are on none of those
         // machines. But where a job's tasks must be together, or must not all be together, tasks
         // that may be on those machines decide where the others may start: then none is started.
@@ -66,7 +66,7 @@
 }
 
 /// Returns the number of tasks that may be started if all machines are reconciled.
-fn startable(job: &Job) -> u32 {
+fn startable_if_reconciled(job: &Job) -> u32 {
     if !job.is_active() {
         return 0;
     }
@@ -74,9 +74,9 @@
     if job.spec.is_gang() {
         // A new attempt starts only with all tasks unplaced: tasks of an earlier attempt stay
         // placed until they exit.
-        let whole = job.placed == 0 && unplaced == job.spec.tasks;
+        let is_unstarted = job.placed == 0 && unplaced == job.spec.tasks;
         let completing = job.gang.completing && !job.gang.broken;
-        return if whole || completing { unplaced } else { 0 };
+        return if is_unstarted || completing { unplaced } else { 0 };
     }
     if job.is_crash_looping() { unplaced.min(1).saturating_sub(job.placed) } else { unplaced }
 }
--- a/crates/controller/src/cluster_state/state_probe.rs
+++ b/crates/controller/src/cluster_state/state_probe.rs
@@ -22,7 +22,7 @@
     }
 
     /// Records that one probe is no longer in flight.
-    pub fn end_one(&mut self) {
+    pub fn decrement_in_flight(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 }
@@ -55,25 +55,25 @@
 
     /// Whether another probe may be sent at `now`: none is in flight, and the last one was long
     /// enough ago.
-    pub fn due(&self, now: MonotonicTime) -> bool {
-        let retry_due = |sent_at: MonotonicTime| now >= sent_at + constants::STATE_PROBE_RETRY;
-        !self.in_flight && self.last_sent_at.is_none_or(retry_due)
+    pub fn is_due(&self, now: MonotonicTime) -> bool {
+        let is_retry_due = |sent_at: MonotonicTime| now >= sent_at + constants::STATE_PROBE_RETRY;
+        !self.in_flight && self.last_sent_at.is_none_or(is_retry_due)
     }
 
     /// Records that a probe is sent at `now`.
-    pub fn begin(&mut self, now: MonotonicTime) {
+    pub fn mark_sent(&mut self, now: MonotonicTime) {
         self.in_flight = true;
         self.last_sent_at = Some(now);
     }
 
     /// Records that the worker answered the probe in flight.
-    pub fn answered(&mut self) {
+    pub fn record_answer(&mut self) {
         self.in_flight = false;
         self.unanswered = 0;
     }
 
     /// Records that the probe in flight ended without a usable answer.
-    pub fn failed(&mut self) {
+    pub fn record_failure(&mut self) {
         self.in_flight = false;
         self.unanswered += 1;
     }
@@ -94,18 +94,18 @@
     /// after that, which may be its next regular one. Until all workers have shown it, most tasks
     /// of earlier terms can't be started.
     pub fn take_state_probes(&mut self, now: MonotonicTime) -> Vec<StateProbeRequest> {
-        let room = constants::MAX_STATE_PROBES.saturating_sub(self.state_probes.in_flight);
+        let free_slots = constants::MAX_STATE_PROBES.saturating_sub(self.state_probes.in_flight);
         if now < self.state_probes.start_at {
             return Vec::new();
         }
         let mut probes = Vec::new();
         for name in &self.reconciliation.machines {
-            if probes.len() >= room {
+            if probes.len() >= free_slots {
                 break;
             }
             let Some(machine) = self.machines.get_mut(name) else { continue };
             if machine.needs_state_probe(now) {
-                machine.state_probe.begin(now);
+                machine.state_probe.mark_sent(now);
                 let (machine, address) = (name.clone(), machine.address.clone());
                 probes.push(StateProbeRequest { machine, address });
             }
@@ -124,21 +124,21 @@
         let Some(machine) = self.machines.get_mut(name) else { return };
         if machine.state_probe.is_in_flight() {
             if answer.is_some() {
-                machine.state_probe.answered();
+                machine.state_probe.record_answer();
             } else {
-                machine.state_probe.failed();
+                machine.state_probe.record_failure();
             }
-            self.state_probes.end_one();
+            self.state_probes.decrement_in_flight();
         }
         let Some(answer) = answer else { return };
         let version = MessageVersion::of(&answer);
-        let gone = version.incarnation <= machine.expired_incarnation;
+        let is_expired = version.incarnation <= machine.expired_incarnation;
         // The next heartbeat of a restarted worker shows the new incarnation and removes the tasks
         // of the earlier one.
-        let restarted =
+        let has_restarted =
             machine.has_reported && version.incarnation != machine.newest_message.incarnation;
-        let outdated = version <= machine.newest_message;
-        if gone || machine.cordon_reason.is_some() || restarted || outdated {
+        let is_outdated = version <= machine.newest_message;
+        if is_expired || machine.cordon_reason.is_some() || has_restarted || is_outdated {
             return;
         }
         if !machine.has_reported {
--- a/crates/controller/src/cluster_state/task_adoption.rs
+++ b/crates/controller/src/cluster_state/task_adoption.rs
@@ -54,10 +54,10 @@
         now: MonotonicTime,
     ) {
         let Some(machine) = self.machines.get_mut(name) else { return };
-        let earlier_term = reported.attempt >> constants::ATTEMPT_COUNTER_BITS < self.term;
+        let is_from_earlier_term = reported.attempt >> constants::ATTEMPT_COUNTER_BITS < self.term;
         let mut orphaned = true;
         if let Some(job) = key.and_then(|key| self.jobs.get_mut(&key)) {
-            if earlier_term && index >= job.start_watermark.never_started_from() {
+            if is_from_earlier_term && index >= job.start_watermark.never_started_from() {
                 let attempt = reported.attempt;
                 tracing::error!(
                     job = %job.id, machine = %name, index, attempt,
@@ -68,7 +68,7 @@
             self.stops_due |= orphaned;
             job.count_placed(self.config.platform.zone(&machine.zone));
         } else {
-            self.unknown_tasks += 1;
+            self.unknown_job_tasks += 1;
         }
         tracing::debug!(
             machine = %name, task = %reported.task, attempt = reported.attempt, orphaned,
@@ -95,13 +95,15 @@
     /// is orphaned, because the task is placed elsewhere or completed, the job is not active, or
     /// its gang has another attempt.
     fn adopt_attempt(&mut self, index: u32, attempt: u64) -> bool {
-        let wanted = self.placements[index as usize] == TaskPlacement::Unplaced && self.is_active();
-        let gang = self.spec.is_gang();
-        let same_gang = !gang || self.gang.attempt.is_none_or(|expected| expected == attempt);
-        let adopted = wanted && same_gang;
+        let is_wanted =
+            self.placements[index as usize] == TaskPlacement::Unplaced && self.is_active();
+        let is_gang = self.spec.is_gang();
+        let is_gang_attempt =
+            !is_gang || self.gang.attempt.is_none_or(|expected| expected == attempt);
+        let adopted = is_wanted && is_gang_attempt;
         if adopted {
             self.placements[index as usize] = TaskPlacement::Placed;
-            if gang {
+            if is_gang {
                 self.gang.attempt = Some(attempt);
             }
         } else {
--- a/crates/controller/src/cluster_state/task_end.rs
+++ b/crates/controller/src/cluster_state/task_end.rs
@@ -13,7 +13,7 @@
 
 impl ClusterState {
     /// Processes the end of a placed task on a machine.
-    pub(super) fn task_ended(
+    pub(super) fn process_task_end(
         &mut self,
         name: &str,
         key: JobKey,
@@ -21,24 +21,31 @@
         cause: ExitCause,
         now: MonotonicTime,
     ) {
-        let daemon = self.jobs.get(&key).is_some_and(|job| job.spec.is_daemon());
-        if cause == ExitCause::Done && !daemon {
-            self.task_done(name, key, placed, now);
+        let is_daemon = self.jobs.get(&key).is_some_and(|job| job.spec.is_daemon());
+        if cause == ExitCause::Done && !is_daemon {
+            self.complete_done_task(name, key, placed, now);
         } else {
-            self.attempt_failed(name, key, placed, cause, now);
+            self.record_failed_attempt(name, key, placed, cause, now);
         }
     }
 
     /// Completes a task that is not a replica of a daemon, and checks whether the machine is slow.
-    fn task_done(&mut self, name: &str, key: JobKey, placed: &PlacedTask, now: MonotonicTime) {
+    fn complete_done_task(
+        &mut self,
+        name: &str,
+        key: JobKey,
+        placed: &PlacedTask,
+        now: MonotonicTime,
+    ) {
         let run_time = self.known_run_time(name, placed, now);
         let mean_ms = self.jobs.get(&key).and_then(|job| job.run_times.reliable_mean_ms());
         self.complete_task(key, placed.index, run_time);
         let Some(machine) = self.machines.get_mut(name) else { return };
         machine.failed_jobs.clear();
         let (Some(run_time), Some(mean_ms)) = (run_time, mean_ms) else { return };
-        let slow = millis_f64(run_time) > mean_ms * constants::SLOW_TASK_RATIO;
-        machine.consecutive_slow_tasks = if slow { machine.consecutive_slow_tasks + 1 } else { 0 };
+        let is_slow = millis_f64(run_time) > mean_ms * constants::SLOW_TASK_RATIO;
+        machine.consecutive_slow_tasks =
+            if is_slow { machine.consecutive_slow_tasks + 1 } else { 0 };
         if machine.consecutive_slow_tasks >= constants::SLOW_TASKS
             && machine.cordon(CordonReason::Slow)
         {
@@ -58,14 +65,14 @@
         let answered_at =
             self.machines.get(name).map_or(MonotonicTime::ZERO, |m| m.last_response_at);
         let silence = now.saturating_duration_since(answered_at);
-        let after_silence =
+        let is_after_silence =
             millis_f64(silence) > KNOWN_END_INTERVALS * self.heartbeat_interval_ms();
-        let known = !after_silence && !placed.adopted;
-        placed.running_since.filter(|_| known).map(|since| now.saturating_duration_since(since))
+        let is_known = !is_after_silence && !placed.adopted;
+        placed.running_since.filter(|_| is_known).map(|since| now.saturating_duration_since(since))
     }
 
     /// Processes the end of an attempt that did not complete its task.
-    fn attempt_failed(
+    fn record_failed_attempt(
         &mut self,
         name: &str,
         key: JobKey,
@@ -99,9 +106,9 @@
             return;
         }
         job.failures.consecutive = 0;
-        let gang = job.spec.is_gang();
-        self.stops_due |= gang || !job.orphaned.is_empty();
-        let completed = if gang { 0..job.spec.tasks } else { index..index + 1 };
+        let is_gang = job.spec.is_gang();
+        self.stops_due |= is_gang || !job.orphaned.is_empty();
+        let completed = if is_gang { 0..job.spec.tasks } else { index..index + 1 };
         for i in completed {
             if !job.mark_completed(i) {
                 continue;
--- a/crates/controller/src/cluster_state/task_removal.rs
+++ b/crates/controller/src/cluster_state/task_removal.rs
@@ -26,7 +26,7 @@
         now: MonotonicTime,
     ) {
         let Some(key) = placed.job else {
-            self.unknown_tasks = self.unknown_tasks.saturating_sub(1);
+            self.unknown_job_tasks = self.unknown_job_tasks.saturating_sub(1);
             return;
         };
         let machine = self.machines.get(name);
@@ -41,7 +41,7 @@
                     machine = %name, task = %placed.task, attempt = placed.attempt, ?cause,
                     "task ended"
                 );
-                self.task_ended(name, key, placed, cause, now);
+                self.process_task_end(name, key, placed, cause, now);
             }
             TaskRemoval::Lost => {
                 tracing::info!(
@@ -84,7 +84,7 @@
         self.remove_all_tasks(name, now, TaskRemoval::Lost);
         let removed = self.machines.remove(name);
         if removed.is_some_and(|machine| machine.state_probe.is_in_flight()) {
-            self.state_probes.end_one();
+            self.state_probes.decrement_in_flight();
         }
         self.commit_queue.registry.remove(name);
         self.reconciliation.machines.remove(name);
--- a/crates/controller/src/cluster_state/watermark_marker.rs
+++ b/crates/controller/src/cluster_state/watermark_marker.rs
@@ -42,18 +42,18 @@
     }
 
     /// Records that all records are loaded. `assumed`: the jobs whose watermarks are assumed.
-    /// `all_readable`: whether this version can read every job record. For an unreadable job it
-    /// could write no watermark record.
+    /// `all_jobs_readable`: whether this version can read every job record. For an unreadable job
+    /// it could write no watermark record.
     pub fn records_loaded(
         &mut self,
         stored: StoredWatermarks,
         assumed: BTreeSet<JobKey>,
-        all_readable: bool,
+        all_jobs_readable: bool,
     ) {
         self.stored = stored;
         self.assumed = assumed;
-        let may_claim = stored == StoredWatermarks::Complete || all_readable;
-        self.state = if may_claim { MarkerState::Pending } else { MarkerState::Withheld };
+        let can_become_complete = stored == StoredWatermarks::Complete || all_jobs_readable;
+        self.state = if can_become_complete { MarkerState::Pending } else { MarkerState::Withheld };
     }
 
     /// Returns the number of jobs whose watermarks are assumed.
@@ -63,7 +63,7 @@
 
     /// Removes a job from the assumed ones: its watermark is durable, or it has ended. Returns
     /// whether it was the last of them.
-    pub fn resolve(&mut self, job: JobKey) -> bool {
+    pub fn remove_assumed(&mut self, job: JobKey) -> bool {
         self.assumed.remove(&job) && self.assumed.is_empty()
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// Records that the marker is in a transaction.
-    pub fn sent(&mut self) {
+    pub fn mark_sent(&mut self) {
         self.state = MarkerState::Sent;
     }
 
