--- a/crates/controller/src/cluster_state/acknowledgement.rs
+++ b/crates/controller/src/cluster_state/acknowledgement.rs
@@ -39,8 +39,10 @@
         let backoff_until = now + self.max_heartbeat_interval();
         let Some(machine) = self.machines.get_mut(name) else { return };
         machine.unacknowledged_responses += 1;
-        // The time is reset to that of the response before, unless this controller has answered the
-        // worker since, as a lessee while its leadership was uncertain.
+        // The response extended no lease, so the time is reset to that of the response
+        // before it. That
+        // is not done if this controller has answered the worker since, as a lessee while its
+        // leadership was uncertain.
         if machine.last_response_at <= expected.responded_at {
             machine.last_response_at = expected.responded_before;
         }
--- a/crates/controller/src/cluster_state/commit_outcome.rs
+++ b/crates/controller/src/cluster_state/commit_outcome.rs
@@ -10,7 +10,7 @@
 use hookway_wire::{JobId, KeyValue};
 
 impl ClusterState {
-    /// Applies that an item is durable: a transaction wrote it at `revision`.
+    /// Processes an item that became durable: a transaction wrote it at `revision`.
     pub(super) fn mark_item_durable(&mut self, item: CommitItem, revision: u64) {
         match item {
             CommitItem::Final { job, record } => self.complete_job(job, record),
--- a/crates/controller/src/cluster_state/commits.rs
+++ b/crates/controller/src/cluster_state/commits.rs
@@ -13,7 +13,7 @@
 enum UnconfirmedOutcome {
     /// Certainly not applied.
     NotApplied,
-    /// It may have been applied, or may still be applied.
+    /// Possibly applied, or still to be applied.
     Indeterminate,
 }
 
--- a/crates/controller/src/cluster_state/gang_repair.rs
+++ b/crates/controller/src/cluster_state/gang_repair.rs
@@ -9,7 +9,8 @@
 
 impl ClusterState {
     /// Stops gangs that lost a task. A gang of which only some tasks were found after a failover is
-    /// stopped as well, unless these still wait for the other tasks: then the others are started.
+    /// stopped as well, unless these still wait for the other tasks and the resume deadline has not
+    /// passed: then the others are started.
     pub(super) fn repair_gangs(&mut self, now: MonotonicTime) {
         let reconciled = self.reconciled(now);
         let completable = if reconciled { self.completable_gangs() } else { HashSet::new() };
--- a/crates/controller/src/cluster_state/heartbeat_timing.rs
+++ b/crates/controller/src/cluster_state/heartbeat_timing.rs
@@ -68,8 +68,8 @@
     }
 
     /// Whether no worker has sent a heartbeat for several intervals although at least
-    /// [`MIN_SILENT_WORKERS`] should have: this controller may be partitioned from the workers
-    /// alone, while another controller can still reach them.
+    /// `MIN_SILENT_WORKERS` should have: this controller may be partitioned from the workers alone,
+    /// while another controller can still reach them.
     pub fn all_workers_silent(&self, now: MonotonicTime) -> bool {
         let since = self.clocks.answering_since();
         let mut expected = 0u32;
--- a/crates/controller/src/cluster_state/leases.rs
+++ b/crates/controller/src/cluster_state/leases.rs
@@ -72,7 +72,7 @@
     }
 
     /// Records that this controller answered a worker as a lessee at `now`, while its leadership
-    /// was uncertain: that extended the worker's lease.
+    /// was uncertain: the answer may have extended the worker's lease.
     pub fn worker_lease_extended(&mut self, name: &str, now: MonotonicTime) {
         let last_answered_at = &mut self.reconciliation.last_answered_at;
         *last_answered_at = now.max(*last_answered_at);
--- a/crates/controller/src/cluster_state/machine.rs
+++ b/crates/controller/src/cluster_state/machine.rs
@@ -12,23 +12,23 @@
 /// empty.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CordonReason {
-    /// It had no task for longer than the idle timeout of its type.
+    /// The machine had no task for longer than the idle timeout of its type.
     Idle,
-    /// It sent no heartbeat for longer than its worker's lease.
+    /// The machine sent no heartbeat for longer than its worker's lease.
     Silent,
-    /// Its worker never sent a heartbeat within the boot timeout.
+    /// The worker sent no heartbeat within the boot timeout.
     BootTimeout,
-    /// It is in the machine registry, but has sent no heartbeat since the failover.
+    /// The machine is in the machine registry, but has sent no heartbeat since the failover.
     Unreconciled,
-    /// An interruption notice announced that the cloud reclaims it.
+    /// An interruption notice announced that the cloud reclaims the machine.
     Interrupted,
-    /// The cloud lists it as failed.
+    /// The cloud lists the machine as failed.
     Failed,
-    /// Tasks take far longer on it than on other machines.
+    /// Tasks take far longer on the machine than on other machines.
     Slow,
-    /// Tasks of different jobs fail on it.
+    /// Tasks of different jobs fail on the machine.
     Faulty,
-    /// Its heartbeats arrive, but its worker applies no response.
+    /// Heartbeats arrive, but the worker applies no response.
     Unacknowledged,
 }
 
--- a/crates/controller/src/cluster_state/start_watermark/tests.rs
+++ b/crates/controller/src/cluster_state/start_watermark/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn inherited_job_without_complete_watermarks_counts_as_started_once_durable() {
+fn earlier_job_without_complete_watermarks_counts_as_started_once_durable() {
     for (accepted_with_watermark, complete) in [(true, false), (false, true), (false, false)] {
         let mut watermark = StartWatermark::new(accepted_with_watermark);
         watermark.mark_durable(3);
--- a/crates/controller/src/cluster_state/task_removal.rs
+++ b/crates/controller/src/cluster_state/task_removal.rs
@@ -7,9 +7,9 @@
 /// Why a placed task is removed from its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TaskRemoval {
-    /// Its start was never sent, or certainly did not arrive.
+    /// The start was never sent, or certainly did not arrive.
     NotStarted,
-    /// The worker reported its end, with this cause.
+    /// The worker reported the end of the task, with this cause.
     Ended(ExitCause),
     /// The machine, or the incarnation of its worker, no longer exists, or the worker no longer
     /// reports the task.
--- a/crates/controller/src/cluster_state/watermark_marker.rs
+++ b/crates/controller/src/cluster_state/watermark_marker.rs
@@ -13,7 +13,8 @@
 /// The progress of this term's marker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum MarkerState {
-    /// Not to be written: the records are not loaded yet, or some job record is unreadable.
+    /// Not to be written: the records are not loaded yet, or an unreadable job record keeps the
+    /// watermarks from becoming complete.
     Withheld,
     /// To be written once no assumed watermark is left.
     Pending,
