--- a/crates/controller/src/cluster_state/gang_repair.rs
+++ b/crates/controller/src/cluster_state/gang_repair.rs
@@ -1,4 +1,5 @@
-//! Gangs of which only a part is placed: the rest is started, or the part is stopped.
+//! Gangs of which only some tasks are placed: the other tasks are started, or the placed ones
+//! stopped.
 
 use super::startable_tasks::StartGround;
 use super::{ClusterState, Job, JobKey, TaskPlacement};
@@ -7,32 +8,34 @@
 use std::collections::HashSet;
 
 impl ClusterState {
-    /// Stops a gang that lost a task. One of which only a part was found after a failover is stopped
-    /// as well, unless that part still waits for the rest: then the rest is started.
+    /// Stops gangs that lost a task. A gang of which only some tasks were found after a failover is
+    /// stopped as well, unless these still wait for the other tasks and the resume deadline has not
+    /// passed: then the others are started.
     pub(super) fn repair_gangs(&mut self, now: MonotonicTime) {
         let reconciled = self.reconciled(now);
         let completable = if reconciled { self.completable_gangs() } else { HashSet::new() };
         for (key, job) in self.jobs.iter_mut() {
-            let partial = job.spec.is_gang()
+            let is_partial = job.spec.is_gang()
                 && job.is_active()
                 && job.placed > 0
                 && job.placements.contains(&TaskPlacement::Unplaced)
                 && job.start_ground(reconciled) != StartGround::AboveWatermark;
-            job.gang.completing = partial
+            job.gang.completing = is_partial
                 && completable.contains(key)
                 && now
                     < *job.gang.resume_deadline.get_or_insert(now + constants::GANG_RESUME_LIMIT);
-            if partial && !job.gang.completing {
+            if is_partial && !job.gang.completing {
                 self.stops_due |= !job.gang.broken;
                 job.gang.broken = true;
             }
         }
     }
 
-    /// Gangs whose attempt that an earlier leader was starting can still be completed: the tasks
-    /// found of it wait for the rest, and none of them runs or is being stopped.
+    /// Returns the gangs whose attempt an earlier leader was starting and which can still be
+    /// completed: the tasks found of the attempt wait for the others, and none of them runs or is
+    /// being stopped.
     fn completable_gangs(&self) -> HashSet<JobKey> {
-        let resumable = |job: &Job| {
+        let is_resumable = |job: &Job| {
             job.gang.resumed_attempt.is_some()
                 && !job.unplaced.is_empty()
                 && job.gang.attempt == job.gang.resumed_attempt
@@ -40,7 +43,7 @@
                 && !job.gang.broken
         };
         let mut gangs: HashSet<JobKey> =
-            self.jobs.iter().filter(|(_, job)| resumable(job)).map(|(key, _)| *key).collect();
+            self.jobs.iter().filter(|(_, job)| is_resumable(job)).map(|(key, _)| *key).collect();
         if gangs.is_empty() {
             return gangs;
         }
--- a/crates/controller/src/cluster_state/recovery.rs
+++ b/crates/controller/src/cluster_state/recovery.rs
@@ -1,4 +1,5 @@
-//! Recovery: how a new leader takes in the records of earlier ones from the state service.
+//! Recovery: how a new leader restores the cluster state from the records that earlier leaders
+//! wrote to the store.
 
 use super::machine::FirstListing;
 use super::machine_registry::MachineRegistry;
@@ -13,31 +14,31 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::time::Duration;
 
-/// Taken off the age of a registration beside the errors of the two wall clocks: covers the time
-/// between a reading of a clock and its use.
+/// Subtracted from the age of a machine's registration, in addition to the errors of the two wall
+/// clocks: covers the time between a reading of a clock and its use.
 const REGISTRATION_AGE_MARGIN: Duration = Duration::from_secs(1);
 
-/// What a new leader read from the state service.
+/// The records that a new leader read from the store.
 #[derive(Debug, Clone)]
 pub struct LoadedState {
-    /// Job records: `j/`.
+    /// Job records, under the prefix `j/`: one for each accepted job that has not ended.
     pub jobs: Vec<KeyValue>,
-    /// Progress records: `p/`.
+    /// Progress records, under the prefix `p/`.
     pub progress: Vec<KeyValue>,
-    /// Scheduling records and shared start watermarks: `m/`.
+    /// Scheduling records of jobs and shared start watermark records, under the prefix `m/`.
     pub scheduling: Vec<KeyValue>,
-    /// The machine registry: `r/`.
+    /// Records of the machine registry, under the prefix `r/`.
     pub registry: Vec<KeyValue>,
-    /// Image records of version 0.1.0: `i/`.
+    /// Image records of version 0.1.0, under the prefix `i/`.
     pub images: Vec<KeyValue>,
-    /// The record of the job classes.
+    /// The record of the job classes; `None` if no leader has written one.
     pub classes: Option<KeyValue>,
-    /// The start watermarks that the leaders before recorded.
+    /// Whether the start watermarks that earlier leaders recorded are complete.
     pub stored_watermarks: StoredWatermarks,
 }
 
 impl LoadedState {
-    /// No records, with what the state service says of start watermarks.
+    /// Returns a state without records, with the given completeness of the start watermarks.
     pub fn empty(stored_watermarks: StoredWatermarks) -> Self {
         Self {
             jobs: Vec::new(),
@@ -51,41 +52,43 @@
     }
 }
 
-/// The job that a record of the kind `<prefix>/<job>...` is about.
-fn job_of_key(key: &str) -> Option<JobId> {
+/// Returns the job in a key of the form `<prefix>/<job>...`; `None` if there is no valid job id.
+fn job_id_in_key(key: &str) -> Option<JobId> {
     key.split('/').nth(1).and_then(JobId::parse)
 }
 
-/// The jobs that have a record, whether it can be read or not: no record of a job whose own record can't be
-/// read is deleted, since a later version may read it.
-struct Accepted(HashSet<JobId>);
+/// The accepted jobs that have not ended: those with a job record, whether this version can read it
+/// or not. The other records of a job whose job record is unreadable are kept, since a later
+/// version may be able to read it.
+struct JobsWithRecord(HashSet<JobId>);
 
-impl Accepted {
+impl JobsWithRecord {
     fn new(jobs: &[KeyValue]) -> Self {
-        Self(jobs.iter().filter_map(|kv| job_of_key(&kv.key)).collect())
+        Self(jobs.iter().filter_map(|kv| job_id_in_key(&kv.key)).collect())
     }
 
-    /// Whether a record is about no accepted job that has not ended.
-    fn lacks_job_of(&self, key: &str) -> bool {
-        job_of_key(key).is_none_or(|id| !self.0.contains(&id))
+    /// Whether a record belongs to no accepted job, or to one that has ended.
+    fn lacks_job_in_key(&self, key: &str) -> bool {
+        job_id_in_key(key).is_none_or(|id| !self.0.contains(&id))
     }
 }
 
 impl ClusterState {
-    /// Takes in all records. Jobs come first, as the other records are about them.
-    pub(super) fn load(&mut self, loaded: LoadedState, at: Timestamp) {
+    /// Restores the cluster state from all records. Jobs come first, as other records refer to
+    /// them.
+    pub(super) fn load_records(&mut self, loaded: LoadedState, at: Timestamp) {
         let leader_records =
             loaded.scheduling.iter().chain(&loaded.registry).chain(&loaded.classes);
         leader_records.for_each(|kv| self.commit_queue.set_mod_revision(&kv.key, kv.mod_revision));
         self.load_classes(loaded.classes);
-        let accepted = Accepted::new(&loaded.jobs);
+        let jobs_with_record = JobsWithRecord::new(&loaded.jobs);
         let job_records = loaded.jobs.len();
         for kv in loaded.jobs {
             self.add_job(&kv.key, kv.value, at, JobOrigin::EarlierTerm);
         }
         let all_jobs_readable = self.jobs.len() == job_records;
         for kv in loaded.progress {
-            self.load_progress(kv, &accepted);
+            self.load_progress(kv, &jobs_with_record);
         }
         let mut shared_watermarks_complete = true;
         for kv in loaded.scheduling {
@@ -93,21 +96,21 @@
                 Some(number) => {
                     shared_watermarks_complete &= self.load_shared_watermark_record(kv, number)
                 }
-                None => self.load_scheduling_record(kv, &accepted),
+                None => self.load_scheduling_record(kv, &jobs_with_record),
             }
         }
-        self.load_watermarks(loaded.stored_watermarks, shared_watermarks_complete);
-        self.await_assumed_watermarks(loaded.stored_watermarks, all_jobs_readable);
+        self.finish_loading_watermarks(loaded.stored_watermarks, shared_watermarks_complete);
+        self.queue_assumed_watermarks(loaded.stored_watermarks, all_jobs_readable);
         for kv in loaded.registry {
             self.load_registry_record(kv, at);
         }
         for kv in loaded.images {
-            self.load_images(kv);
+            self.load_legacy_images(kv);
         }
     }
 
-    /// Loads the histories of the job classes. Without them a leader that finds no job of a class would scale
-    /// in the spare machines of the class.
+    /// Loads the histories of the job classes. Without its history, a leader that finds no job of a
+    /// class would scale in the spare machines of that class.
     fn load_classes(&mut self, classes: Option<KeyValue>) {
         let classes = classes.map(|kv| serde_json::from_value(kv.value));
         match classes.transpose() {
@@ -124,30 +127,31 @@
         }
     }
 
-    /// Deletes a record of a job that has ended, or was never accepted.
-    fn remove_if_orphaned(&mut self, key: String, accepted: &Accepted) {
-        if accepted.lacks_job_of(&key) {
+    /// Queues the deletion of a record whose job has ended or was never accepted.
+    fn remove_if_orphaned(&mut self, key: String, jobs_with_record: &JobsWithRecord) {
+        if jobs_with_record.lacks_job_in_key(&key) {
             self.commit_queue.delete_stale(key);
         }
     }
 
-    fn load_progress(&mut self, kv: KeyValue, accepted: &Accepted) {
+    fn load_progress(&mut self, kv: KeyValue, jobs_with_record: &JobsWithRecord) {
         let place = crate::records::parse_progress_key(&kv.key)
             .and_then(|(id, from)| Some((self.jobs.key(&id)?, from)));
         let Some((job, from)) = place else {
-            return self.remove_if_orphaned(kv.key, accepted);
+            return self.remove_if_orphaned(kv.key, jobs_with_record);
         };
         match serde_json::from_value::<ProgressRecord>(kv.value) {
             Ok(record) => self.apply_progress_record(job, from, kv.mod_revision, Some(&record)),
             Err(error) => {
-                // Its completed tasks run once more, and the new record replaces just this revision.
+                // The completed tasks that it recorded run again, and the new record replaces only
+                // this revision.
                 tracing::error!(key = %kv.key, %error, "progress record can't be read");
                 self.apply_progress_record(job, from, kv.mod_revision, None);
             }
         }
     }
 
-    /// Loads a start watermark record that small jobs share; `false` if it can't be read.
+    /// Loads a start watermark record that small jobs share; `false` if it is unreadable.
     fn load_shared_watermark_record(&mut self, kv: KeyValue, number: u64) -> bool {
         match serde_json::from_value::<SharedStartWatermarksRecord>(kv.value) {
             Ok(record) => {
@@ -159,23 +163,23 @@
                     key = %kv.key, %error,
                     "shared start watermarks can't be read, all small jobs count as started"
                 );
-                self.commit_queue.shared_watermarks.loaded(number, BTreeSet::new());
+                self.commit_queue.shared_watermarks.add_loaded(number, BTreeSet::new());
                 false
             }
         }
     }
 
-    fn load_scheduling_record(&mut self, kv: KeyValue, accepted: &Accepted) {
-        let job = job_of_key(&kv.key).and_then(|id| self.jobs.by_id_mut(&id));
+    fn load_scheduling_record(&mut self, kv: KeyValue, jobs_with_record: &JobsWithRecord) {
+        let job = job_id_in_key(&kv.key).and_then(|id| self.jobs.by_id_mut(&id));
         let Some(job) = job else {
-            return self.remove_if_orphaned(kv.key, accepted);
+            return self.remove_if_orphaned(kv.key, jobs_with_record);
         };
         match serde_json::from_value::<JobSchedulingRecord>(kv.value) {
             Ok(record) => {
                 job.stored_min_tasks = Some(record.min_tasks);
                 job.run_times.count = record.run_time_count;
                 job.run_times.sum = Duration::from_millis(record.run_time_sum_ms);
-                job.start_watermark.record_durable(record.start_watermark);
+                job.start_watermark.mark_durable(record.start_watermark);
             }
             Err(error) => {
                 tracing::error!(
@@ -187,20 +191,25 @@
         }
     }
 
-    /// Sets from which task on each job was surely not started. Without a start watermark every task may have
-    /// been.
-    fn load_watermarks(&mut self, stored: StoredWatermarks, shared_watermarks_complete: bool) {
-        let last_leader_kept_watermarks = stored == StoredWatermarks::Complete;
+    /// Determines for each job from which task on it was certainly never started. Without complete
+    /// start watermarks, every task of the job may have been started.
+    fn finish_loading_watermarks(
+        &mut self,
+        stored: StoredWatermarks,
+        shared_watermarks_complete: bool,
+    ) {
+        let watermarks_complete = stored == StoredWatermarks::Complete;
         for job in self.jobs.values_mut() {
-            let complete =
-                last_leader_kept_watermarks && (shared_watermarks_complete || !job.is_small());
+            let complete = watermarks_complete && (shared_watermarks_complete || !job.is_small());
             job.start_watermark.finish_loading(job.spec.tasks, complete);
         }
     }
 
-    /// Queues records of what is assumed, so that the next leader knows it too. Until they are durable nothing
-    /// that was assumed allows a start, nor does the state service say that its watermarks are complete.
-    fn await_assumed_watermarks(&mut self, stored: StoredWatermarks, all_jobs_readable: bool) {
+    /// Queues start watermark records for the jobs that are assumed to have been started, so that
+    /// the next leader knows it as well. Until a job's record is durable, the assumption allows no
+    /// start of its tasks; and until all of them are, the store does not say that the watermarks
+    /// are complete.
+    fn queue_assumed_watermarks(&mut self, stored: StoredWatermarks, all_jobs_readable: bool) {
         let assumed = self.jobs.iter().filter(|(_, job)| job.start_watermark.is_assumed());
         let assumed: BTreeSet<JobKey> = assumed.map(|(key, _)| *key).collect();
         tracing::info!(
@@ -216,18 +225,19 @@
         let Some(number) = MachineRegistry::record_number(name) else {
             let at_ms = kv.value.get("at_ms").and_then(serde_json::Value::as_u64);
             let registered_at = at_ms.map(WallTime::from_unix_millis);
-            self.inherit_machine(name, registered_at, Vec::new(), at);
+            self.add_registered_machine(name, registered_at, Vec::new(), at);
             self.commit_queue.migrate_legacy_entry(name, registered_at.unwrap_or(at.wall));
             return;
         };
         let record: MachineRegistryRecord = match serde_json::from_value(kv.value) {
             Ok(record) => record,
             Err(error) => {
-                // Its machines are not known: their tasks show in their heartbeats, and until their leases
-                // have expired no inherited task is started.
+                // The machines that it names are unknown. Their heartbeats report their tasks.
+                // Until the leases of their workers have expired, reconciliation does not end, and
+                // no task is started that an earlier leader may have started.
                 tracing::error!(key = %kv.key, %error, "machine registry record can't be read");
                 self.reconciliation.unreadable_records.insert(kv.key);
-                self.commit_queue.registry.unreadable(number);
+                self.commit_queue.registry.mark_unreadable(number);
                 return;
             }
         };
@@ -235,13 +245,14 @@
         for (machine, entry) in record.machines {
             let cached = entry.images.iter().filter_map(|i| images.get(*i).copied()).collect();
             let registered_at = WallTime::from_unix_millis(entry.registered_at_ms);
-            self.inherit_machine(&machine, Some(registered_at), cached, at);
-            self.commit_queue.registry.loaded(number, &machine, registered_at);
+            self.add_registered_machine(&machine, Some(registered_at), cached, at);
+            self.commit_queue.registry.add_loaded(number, &machine, registered_at);
         }
     }
 
-    /// Loads a machine's images as version 0.1.0 wrote them; the machine registry has them from now on.
-    fn load_images(&mut self, kv: KeyValue) {
+    /// Loads a machine's cached images from a record of version 0.1.0, and queues the deletion of
+    /// the record: from now on the machine registry holds the images.
+    fn load_legacy_images(&mut self, kv: KeyValue) {
         let name = kv.key.strip_prefix(crate::records::LEGACY_IMAGES_PREFIX).unwrap_or_default();
         if let Ok(record) = serde_json::from_value::<ImagesRecord>(kv.value) {
             let images = self.images.of_record(&record.images);
@@ -252,7 +263,8 @@
         self.commit_queue.delete_stale(kv.key);
     }
 
-    /// Takes in small jobs that an earlier leader may have started.
+    /// Marks the small jobs that a shared start watermark record names: an earlier leader may have
+    /// started them. Queues the deletion of a record none of whose jobs is left.
     fn load_shared_watermarks(
         &mut self,
         key: String,
@@ -262,7 +274,7 @@
         let mut live = BTreeSet::new();
         for id in record.jobs {
             if let Some(job) = self.jobs.by_id_mut(&id) {
-                job.start_watermark.record_durable(job.spec.tasks);
+                job.start_watermark.mark_durable(job.spec.tasks);
                 job.start_watermark.set_shared_record(number);
                 live.insert(id);
             }
@@ -270,11 +282,11 @@
         if live.is_empty() {
             self.commit_queue.delete_stale(key);
         }
-        self.commit_queue.shared_watermarks.loaded(number, live);
+        self.commit_queue.shared_watermarks.add_loaded(number, live);
     }
 
-    /// Adds a machine of the registry.
-    fn inherit_machine(
+    /// Adds a machine that the registry names, to be reconciled.
+    fn add_registered_machine(
         &mut self,
         name: &str,
         registered_at: Option<WallTime>,
@@ -285,8 +297,9 @@
         machine.registered = true;
         machine.images = images;
         machine.stored_images = machine.image_ids();
-        // A machine that was registered long enough ago must be in any list from now on, or it is gone.
-        // The wall clocks may be off on either side.
+        // A machine that was registered long enough ago must appear in every machine list from now
+        // on; one that is missing no longer exists. Both wall clocks may be off: the one of the
+        // leader that registered the machine, and this one.
         if let Some(registered_at) = registered_at {
             let clock_error_ms =
                 self.config.platform.clock_off_ms * 2.0 + millis_f64(REGISTRATION_AGE_MARGIN);
--- a/crates/controller/src/cluster_state/task_adoption.rs
+++ b/crates/controller/src/cluster_state/task_adoption.rs
@@ -1,4 +1,5 @@
-//! Adoption of tasks that a worker reports and that this leader did not place there.
+//! Task adoption: tasks that a worker reports although this leader did not place them on its
+//! machine.
 
 use super::{ClusterState, EndedTask, Job, JobKey, PlacedTask, TaskPhase, TaskPlacement};
 use hookway_constants as constants;
@@ -6,7 +7,7 @@
 use hookway_wire::{ExitCause, TaskId, TaskState, TaskStatus};
 
 impl ClusterState {
-    /// Takes in a task found on a machine.
+    /// Adopts a reported task that this leader did not place on the machine.
     pub(super) fn adopt_task(
         &mut self,
         name: &str,
@@ -22,7 +23,7 @@
         }
     }
 
-    /// The job of a task, if it is known and has a task of that index.
+    /// Returns the job of a task, if it is in the cluster state and has a task of that index.
     fn job_with_task(&self, task: &TaskId) -> Option<JobKey> {
         let key = self.jobs.key(&task.job)?;
         self.jobs.get(&key).filter(|job| task.index < job.spec.tasks).map(|_| key)
@@ -53,10 +54,10 @@
         now: MonotonicTime,
     ) {
         let Some(machine) = self.machines.get_mut(name) else { return };
-        let earlier_term = reported.attempt >> constants::ATTEMPT_COUNTER_BITS < self.term;
+        let is_from_earlier_term = reported.attempt >> constants::ATTEMPT_COUNTER_BITS < self.term;
         let mut orphaned = true;
         if let Some(job) = key.and_then(|key| self.jobs.get_mut(&key)) {
-            if earlier_term && index >= job.start_watermark.never_started_from() {
+            if is_from_earlier_term && index >= job.start_watermark.never_started_from() {
                 let attempt = reported.attempt;
                 tracing::error!(
                     job = %job.id, machine = %name, index, attempt,
@@ -67,7 +68,7 @@
             self.stops_due |= orphaned;
             job.count_placed(self.config.platform.zone(&machine.zone));
         } else {
-            self.unknown_tasks += 1;
+            self.unknown_job_tasks += 1;
         }
         tracing::debug!(
             machine = %name, task = %reported.task, attempt = reported.attempt, orphaned,
@@ -90,16 +91,19 @@
 }
 
 impl Job {
-    /// Takes in an attempt found on a machine. `false`: it is orphaned, as the task is placed elsewhere
-    /// or completed, the job is not active, or its gang has another attempt.
+    /// Adopts an attempt found on a machine as the expected one of its task. `false`: the attempt
+    /// is orphaned, because the task is placed elsewhere or completed, the job is not active, or
+    /// its gang has another attempt.
     fn adopt_attempt(&mut self, index: u32, attempt: u64) -> bool {
-        let wanted = self.placements[index as usize] == TaskPlacement::Unplaced && self.is_active();
-        let gang = self.spec.is_gang();
-        let same_gang = !gang || self.gang.attempt.is_none_or(|expected| expected == attempt);
-        let adopted = wanted && same_gang;
+        let is_wanted =
+            self.placements[index as usize] == TaskPlacement::Unplaced && self.is_active();
+        let is_gang = self.spec.is_gang();
+        let is_gang_attempt =
+            !is_gang || self.gang.attempt.is_none_or(|expected| expected == attempt);
+        let adopted = is_wanted && is_gang_attempt;
         if adopted {
             self.placements[index as usize] = TaskPlacement::Placed;
-            if gang {
+            if is_gang {
                 self.gang.attempt = Some(attempt);
             }
         } else {
--- a/crates/controller/src/cluster_state/task_removal.rs
+++ b/crates/controller/src/cluster_state/task_removal.rs
@@ -1,22 +1,23 @@
-//! Removal of tasks from their machines: they ended, are lost, or were never started.
+//! Removal of tasks from their machines: they ended, were lost, or were never started.
 
 use super::{ClusterState, Job, PlacedTask, TaskAttempt, TaskPhase, TaskPlacement};
 use hookway_time::MonotonicTime;
 use hookway_wire::ExitCause;
 
-/// How a placed task left its machine.
+/// Why a placed task is removed from its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TaskRemoval {
-    /// Its start was never sent, or surely did not arrive.
+    /// The start was never sent, or certainly did not arrive.
     NotStarted,
-    /// It ended there.
+    /// The worker reported the end of the task, with this cause.
     Ended(ExitCause),
-    /// The machine, or the incarnation of its worker, is gone.
+    /// The machine, or the incarnation of its worker, no longer exists, or the worker no longer
+    /// reports the task.
     Lost,
 }
 
 impl ClusterState {
-    /// A placed task has left its machine.
+    /// Updates the job of a placed task that was removed from its machine.
     pub(super) fn remove_task(
         &mut self,
         name: &str,
@@ -25,7 +26,7 @@
         now: MonotonicTime,
     ) {
         let Some(key) = placed.job else {
-            self.unknown_tasks = self.unknown_tasks.saturating_sub(1);
+            self.unknown_job_tasks = self.unknown_job_tasks.saturating_sub(1);
             return;
         };
         let machine = self.machines.get(name);
@@ -40,7 +41,7 @@
                     machine = %name, task = %placed.task, attempt = placed.attempt, ?cause,
                     "task ended"
                 );
-                self.task_ended(name, key, placed, cause, now);
+                self.process_task_end(name, key, placed, cause, now);
             }
             TaskRemoval::Lost => {
                 tracing::info!(
@@ -59,7 +60,8 @@
         self.forget_if_removed(key);
     }
 
-    /// All tasks on a machine are gone. Starts that were never sent count as not started.
+    /// Removes all tasks from a machine on which they no longer exist. Starts that were never sent
+    /// count as not started.
     pub(super) fn remove_all_tasks(
         &mut self,
         name: &str,
@@ -77,12 +79,12 @@
         }
     }
 
-    /// A machine is proven gone.
+    /// Removes a machine that is proven to no longer exist, with its tasks and its registry entry.
     pub(super) fn remove_machine(&mut self, name: &str, now: MonotonicTime) {
         self.remove_all_tasks(name, now, TaskRemoval::Lost);
         let removed = self.machines.remove(name);
         if removed.is_some_and(|machine| machine.state_probe.is_in_flight()) {
-            self.state_probes.end_one();
+            self.state_probes.decrement_in_flight();
         }
         self.commit_queue.registry.remove(name);
         self.reconciliation.machines.remove(name);
@@ -127,8 +129,9 @@
 }
 
 impl Job {
-    /// An attempt has left its machine: the task is unplaced again, unless another attempt of it is on
-    /// some machine. Whether the job's gang has lost a task, so that the other tasks must stop.
+    /// Releases an attempt that was removed from its machine: the task becomes unplaced again,
+    /// unless another attempt of it is on some machine. Returns whether the job's gang has lost a
+    /// task, so that the other tasks must be stopped.
     fn release_attempt(&mut self, placed: &PlacedTask, removal: TaskRemoval) -> bool {
         let index = placed.index;
         let mut breaks_gang = false;
@@ -141,7 +144,7 @@
             breaks_gang = self.spec.is_gang() && removal != TaskRemoval::Ended(ExitCause::Done);
             self.gang.broken |= breaks_gang;
         }
-        // An orphaned attempt on another machine counts as much as the expected one.
+        // An orphaned attempt on another machine blocks the task as much as the expected one does.
         if self.is_active()
             && self.placements[index as usize] == TaskPlacement::Unplaced
             && !self.orphaned.contains(&index)
