--- a/crates/controller/src/cluster_state/completion.rs
+++ b/crates/controller/src/cluster_state/completion.rs
@@ -20,8 +20,8 @@
     NotSent,
     /// One is in flight, and no earlier one can still be applied.
     InFlight,
-    /// The outcome of some transaction is unknown: it may still be applied at any time, whatever the
-    /// outcome of later ones.
+    /// The outcome of some transaction is unknown: it may still be applied at any time, whatever
+    /// the outcome of later ones.
     Indeterminate,
 }
 
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Returns when the user asked this leader to cancel the job; `None` if the user did not, or asked
-    /// another controller.
+    /// Returns when the user asked this leader to cancel the job; `None` if the user did not, or
+    /// asked another controller.
     pub fn cancel_requested_at(&self) -> Option<MonotonicTime> {
         match self.0 {
             Phase::Ending { intended: IntendedEnd::Cancelled { requested_at }, .. } => {
@@ -99,8 +99,8 @@
         self.begin_ending(IntendedEnd::Done)
     }
 
-    /// Decides at `now` that the job ends as cancelled, since its user asked for it. Returns `false`,
-    /// and changes nothing, if an end is decided already.
+    /// Decides at `now` that the job ends as cancelled, since its user asked for it. Returns
+    /// `false`, and changes nothing, if an end is decided already.
     pub fn request_cancel(&mut self, now: MonotonicTime) -> bool {
         self.begin_ending(IntendedEnd::Cancelled { requested_at: now })
     }
@@ -113,8 +113,9 @@
         was_active
     }
 
-    /// Records that a transaction with the final record is about to be sent, and returns the state to
-    /// write. Returns `None` if there is nothing to write: the job is active, or its end is durable.
+    /// Records that a transaction with the final record is about to be sent, and returns the state
+    /// to write. Returns `None` if there is nothing to write: the job is active, or its end is
+    /// durable.
     pub fn begin_commit(&mut self) -> Option<JobState> {
         let state = self.end_state();
         let Phase::Ending { commit, .. } = &mut self.0 else { return None };
@@ -142,8 +143,8 @@
         }
     }
 
-    /// Records that a final record is durable, whichever controller decided the end. Returns `false`
-    /// if that was known already.
+    /// Records that a final record is durable, whichever controller decided the end. Returns
+    /// `false` if that was known already.
     pub fn complete(&mut self, record: FinalRecord) -> bool {
         if self.is_final() {
             return false;
--- a/crates/controller/src/cluster_state/job_operations.rs
+++ b/crates/controller/src/cluster_state/job_operations.rs
@@ -10,8 +10,8 @@
 pub enum JobLookup {
     /// The status of a job in the cluster state.
     Known(JobStatus),
-    /// The transaction with the final record is in flight, or its outcome is unknown: only the store
-    /// can tell whether the job has ended.
+    /// The transaction with the final record is in flight, or its outcome is unknown: only the
+    /// store can tell whether the job has ended.
     CommitInFlight,
     /// The job is not in the cluster state: it has ended, was not seen yet, or was never accepted.
     UnknownJob,
@@ -89,10 +89,10 @@
         }
     }
 
-    /// Queues the final records of those cancelled jobs whose tasks are certain to end within the time
-    /// for a cancellation. Usually these are all of them: a shard lease ends in time, and a worker's
-    /// lease is shorter than that time. Where a worker's lease is longer, all machines must be
-    /// reconciled and the job's tasks must have left their machines first.
+    /// Queues the final records of those cancelled jobs whose tasks are certain to end within the
+    /// time for a cancellation. Usually these are all of them: a shard lease ends in time, and a
+    /// worker's lease is shorter than that time. Where a worker's lease is longer, all machines
+    /// must be reconciled and the job's tasks must have left their machines first.
     pub(super) fn queue_proven_cancellations(&mut self, now: MonotonicTime) {
         if self.unproven_cancellations.is_empty() {
             return;
--- a/crates/controller/src/cluster_state/placed_task.rs
+++ b/crates/controller/src/cluster_state/placed_task.rs
@@ -7,13 +7,14 @@
 /// How far the start of a placed task has progressed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TaskPhase {
-    /// The start is decided but was not sent to the worker, so it can be cancelled without a command.
+    /// The start is decided but was not sent to the worker, so it can be cancelled without a
+    /// command.
     Planned,
-    /// The command was sent in the response to the worker's last heartbeat. The next heartbeat shows
-    /// whether it arrived.
+    /// The command was sent in the response to the worker's last heartbeat. The next heartbeat
+    /// shows whether it arrived.
     Sent,
-    /// The command was dispatched directly to the worker with this fencing token, and its outcome is
-    /// unknown. It may still arrive until the worker has seen a higher token.
+    /// The command was dispatched directly to the worker with this fencing token, and its outcome
+    /// is unknown. It may still arrive until the worker has seen a higher token.
     SentDirectly(u64),
     /// The worker has reported the task in this state.
     Reported(TaskState),
@@ -47,8 +48,8 @@
 /// An attempt of a task that occupies resources of a machine.
 #[derive(Debug, Clone)]
 pub(super) struct PlacedTask {
-    /// Key of the task's job; `None` if the cluster state does not have the job, most likely because
-    /// it has ended.
+    /// Key of the task's job; `None` if the cluster state does not have the job, most likely
+    /// because it has ended.
     pub job: Option<JobKey>,
     /// Task id in the form of the protocol: `<job id>/<index>`.
     pub task: String,
--- a/crates/controller/src/cluster_state/placement.rs
+++ b/crates/controller/src/cluster_state/placement.rs
@@ -1,11 +1,12 @@
-//! Placing tasks on machines, stopping them, and preempting them for other jobs.
+//! Places tasks on machines, stops them, and preempts them for other jobs.
 
 use super::{ClusterState, JobKey, PlacedTask, StopOrder, TaskPhase, TaskPlacement};
 use hookway_constants as constants;
 use hookway_time::MonotonicTime;
 
 impl ClusterState {
-    /// Places one unplaced task of a job on each of `machines`, as long as there is one.
+    /// Places one unplaced task of a job on each of `machines`, until the job has none left that
+    /// may be started. A machine that is named several times gets several tasks.
     pub(super) fn place_tasks(&mut self, key: JobKey, machines: &[String], now: MonotonicTime) {
         let reconciled = self.reconciled(now);
         let Some(job) = self.jobs.get_mut(&key) else { return };
@@ -24,8 +25,8 @@
                 job.unplaced.insert(index);
                 continue;
             };
-            // An attempt number is never used twice: the term is its upper part, and no two leaders
-            // share a term.
+            // Attempt numbers are unique: their upper bits are the term, which no two leaders
+            // share.
             let attempt = job.gang.attempt.filter(|_| gang).unwrap_or_else(|| {
                 self.last_attempt += 1;
                 (self.term << constants::ATTEMPT_COUNTER_BITS) + self.last_attempt
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Stops the task at `position` of a machine's placed tasks, and its whole gang with it, with time
-    /// for a checkpoint.
+    /// Decides to stop the task at `position` in a machine's placed tasks, and its whole gang with
+    /// it. Tasks that write checkpoints get time for one. An earlier decision to stop a task stays.
     pub(super) fn stop_task(&mut self, name: &str, position: usize, now: MonotonicTime) {
         let machine = self.machines.get(name);
         let Some(placed) = machine.and_then(|m| m.placed_tasks.get(position)) else { return };
@@ -80,7 +81,8 @@
         }
     }
 
-    /// Stops a task so that job `beneficiary` can start in its place.
+    /// Stops the task at `position` in a machine's placed tasks so that job `beneficiary` can start
+    /// in its place, and tells the user of the victim.
     pub(super) fn preempt_task(
         &mut self,
         name: &str,
--- a/crates/controller/src/cluster_state/relocation.rs
+++ b/crates/controller/src/cluster_state/relocation.rs
@@ -1,11 +1,14 @@
-//! Relocations under way: replicas of daemons that move to other machines so that a job finds room
-//! (`hookway_policy::relocate`).
+//! Relocations in progress: replicas of daemons that move to other machines to make capacity for
+//! another job. `hookway_policy::relocate` plans them.
 //!
-//! A relocation takes two steps. While the machines that the replicas go to are cleared, nothing is stopped for it. Once
-//! each has room, the replicas are stopped, at most one of a daemon at a time, and started there. The room at both ends
-//! is held for as long: it counts as used for everybody else, as does a moving replica's part of its team's limit. A
-//! relocation ends when the job has its room, or when its reason is gone. It lives in the memory of a leader; a replica
-//! that was stopped and not started yet is started by the next leader like any other.
+//! A relocation has two steps. While lower-priority tasks are cleared from the machines that the
+//! replicas move to (the targets), no replica is stopped. Once every target has the free resources,
+//! the replicas are stopped, at most one of a daemon at a time, and started on their targets. Until
+//! then the resources on the targets and on the machines that the job will use are held: they count
+//! as used for all other jobs, and a stopped replica still counts against its team's limit. A
+//! relocation ends when the job is placed and its stopped replicas are started, or when its purpose
+//! is gone. Only the leader's memory has it: a replica that was stopped and not started again is
+//! started by the next leader like any unplaced task.
 
 use super::snapshot::SchedulingSnapshot;
 use super::{ClusterState, JobKey, Machine, TaskAttempt};
@@ -13,66 +16,66 @@
 use hookway_policy::{Preemption, RelocationLimits, Resources, Victim, relocate};
 use hookway_time::MonotonicTime;
 
-/// A task on a machine.
+/// An attempt of a task on a machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct TaskOnMachine {
-    /// The machine.
     machine: String,
-    /// The attempt.
     attempt: TaskAttempt,
 }
 
-/// How far a replica has moved.
+/// Progress of the move of one replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum MoveStep {
-    /// The machine that it goes to may have to be cleared first.
+    /// The replica still runs; its target may have to be cleared first.
     AwaitsRoom,
-    /// Its stop is decided.
+    /// The stop of the replica is decided.
     Stopping,
 }
 
-/// A replica that moves.
+/// The move of one replica of a daemon.
 #[derive(Debug, Clone)]
 struct ReplicaMove {
-    /// Its job.
+    /// Key of the daemon.
     job: JobKey,
-    /// Index of the replica.
+    /// Task index of the replica.
     index: u32,
-    /// The replica where it is.
+    /// The attempt that is to be stopped, and its machine.
     from: TaskOnMachine,
-    /// The machine that it goes to.
+    /// Name of the target machine.
     to: String,
     step: MoveStep,
 }
 
-/// Replicas that move so that a job finds room.
+/// A relocation in progress: moves of replicas that make capacity for a job.
 #[derive(Debug, Clone)]
 pub(super) struct Relocation {
-    /// The job that gets the room.
+    /// Key of the job that the relocation makes capacity for, the beneficiary.
     job: JobKey,
-    /// The machine of each of its tasks; none once its reason is gone and only replicas that were stopped have to be
-    /// started.
+    /// Machine for each task of the beneficiary that is to be placed. Empty once they are placed or
+    /// the purpose of the relocation is gone, so that only stopped replicas have to be started.
     room: Vec<String>,
-    /// Tasks of lower priority to stop together with the replicas.
+    /// Lower-priority tasks on the beneficiary's machines, to be stopped when the replicas are.
     victims: Vec<TaskOnMachine>,
     moves: Vec<ReplicaMove>,
-    /// It is given up then.
+    /// The relocation is given up at this time.
     deadline: MonotonicTime,
 }
 
-/// Why a relocation ends without its job getting the room.
+/// Why a relocation ends before its beneficiary is placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum EndReason {
-    /// The job has ended, was cancelled, is backing off or has found room elsewhere.
+    /// The job does not have that many tasks to start any more: it has ended, was cancelled, backs
+    /// off, or was placed elsewhere.
     JobNotWaiting,
-    /// A machine takes no tasks any more.
+    /// A machine of the job, or a target, is gone, draining or misses its heartbeats.
     MachineUnusable,
-    /// A step took too long.
+    /// A step exceeded [`constants::RELOCATION_STEP_TIMEOUT`].
     TimedOut,
 }
 
 impl Relocation {
-    /// Its job has its room, or does not need it any more.
+    /// Drops everything but the replicas that must be started again, since the beneficiary is
+    /// placed or is not to be placed here any more.
     fn keep_only_stopped_replicas(&mut self) {
         self.room.clear();
         self.victims.clear();
@@ -85,7 +88,8 @@
 }
 
 impl ClusterState {
-    /// Resources of a machine that are held for replicas that come and for jobs that get room.
+    /// Returns the resources of a machine that relocations hold for moving replicas and for
+    /// beneficiaries.
     pub(super) fn resources_held_on(&self, name: &str) -> Resources {
         let mut held = Resources::default();
         for relocation in &self.relocations {
@@ -100,7 +104,8 @@
         held
     }
 
-    /// What teams need for replicas that were stopped and not started yet, as pairs of a team's index and a request.
+    /// Returns the team index and the request of each moving replica that is stopped and not
+    /// started again yet.
     pub(super) fn quota_of_moving_replicas(&self) -> impl Iterator<Item = (usize, Resources)> {
         let moves = self.relocations.iter().flat_map(|relocation| &relocation.moves);
         moves.filter_map(|moving| {
@@ -109,7 +114,8 @@
         })
     }
 
-    /// Begins relocations for jobs that the round found no room for, on the round's snapshot.
+    /// Plans and begins relocations for jobs that the round found no free resources for, based on
+    /// the scheduling snapshot of the round. `preemptions` are those of the same round.
     pub(super) fn begin_relocations(
         &mut self,
         snapshot: &SchedulingSnapshot,
@@ -166,12 +172,13 @@
         for moving in &relocation.moves {
             tracing::info!(
                 job = %job.id, replica = %moving.from.attempt.task, from = %moving.from.machine,
-                to = %moving.to, "replica to move so that job finds room"
+                to = %moving.to, "replica to move to make capacity for job"
             );
         }
     }
 
-    /// The attempt that a victim of the snapshot is.
+    /// Returns the attempt that a victim in the snapshot refers to; `None` if it has left its
+    /// machine.
     fn task_on_machine(
         &self,
         snapshot: &SchedulingSnapshot,
@@ -183,7 +190,8 @@
         Some(TaskOnMachine { machine, attempt })
     }
 
-    /// Position of an attempt in its machine's placed tasks; `None` if it is not there any more.
+    /// Returns the position of an attempt in its machine's placed tasks; `None` if it has left the
+    /// machine.
     fn position_of(&self, task: &TaskOnMachine) -> Option<usize> {
         let placed_tasks = &self.machines.get(&task.machine)?.placed_tasks;
         placed_tasks.iter().position(|placed| {
@@ -196,7 +204,7 @@
         Some(self.machines.get(&task.machine)?.placed_tasks.get(position)?.index)
     }
 
-    /// Advances the relocations under way at `now`, and ends those whose reason is gone.
+    /// Advances the relocations in progress at `now`, and ends those whose purpose is gone.
     pub(super) fn advance_relocations(&mut self, now: MonotonicTime) {
         let steps =
             [Self::end_without_reason, Self::start_replicas, Self::start_job, Self::stop_replicas];
@@ -204,18 +212,19 @@
             let mut relocation = self.relocations[at].clone();
             for step in steps {
                 step(self, &mut relocation, now);
-                // What it holds from now on counts in the next step.
+                // The next step must see the resources that the relocation holds after this one.
                 self.relocations[at] = relocation.clone();
             }
         }
         self.relocations.retain(|relocation| !relocation.is_finished());
     }
 
-    /// Gives up a relocation whose reason is gone; replicas that were stopped for it are still started.
+    /// Gives up a relocation whose purpose is gone. Replicas that were stopped for it are still
+    /// started on their targets, until the deadline has passed.
     fn end_without_reason(&mut self, relocation: &mut Relocation, now: MonotonicTime) {
         if let Some(reason) = self.end_reason(relocation, now) {
             let job = self.jobs.get(&relocation.job).map(|job| &job.id);
-            tracing::info!(?job, ?reason, "relocation ended without room for the job");
+            tracing::info!(?job, ?reason, "relocation ended without capacity for the job");
             relocation.keep_only_stopped_replicas();
         }
         if relocation.room.is_empty() && now >= relocation.deadline {
@@ -223,7 +232,8 @@
         }
     }
 
-    /// Why a relocation must end; `None` while it goes on, or once only its replicas have to be started.
+    /// Returns why a relocation must be given up; `None` if it need not be, or if only stopped
+    /// replicas have to be started.
     fn end_reason(&self, relocation: &Relocation, now: MonotonicTime) -> Option<EndReason> {
         if relocation.room.is_empty() {
             return None;
@@ -247,8 +257,10 @@
         (now >= relocation.deadline).then_some(EndReason::TimedOut)
     }
 
-    /// Decides the stops of replicas whose targets have room, once all of the relocation have. One replica of a daemon
-    /// at a time, and only while all others of it are placed.
+    /// Decides to stop the replicas of a relocation once all its targets have the resources that
+    /// are held there. One replica of a daemon is stopped at a time, and only while all of the
+    /// daemon's replicas are placed. The relocation's other victims are stopped along with the
+    /// replicas.
     fn stop_replicas(&mut self, relocation: &mut Relocation, now: MonotonicTime) {
         if !relocation.moves.iter().all(|moving| self.has_held_room(&moving.to)) {
             return;
@@ -292,14 +304,15 @@
         self.stop_task(&moving.from.machine, position, now);
     }
 
-    /// Starts replicas that have left their machines on those that they go to.
+    /// Starts stopped replicas on their targets once they have left their machines.
     fn start_replicas(&mut self, relocation: &mut Relocation, now: MonotonicTime) {
         let mut moves = std::mem::take(&mut relocation.moves);
         moves.retain(|moving| {
             if self.position_of(&moving.from).is_some() {
                 return true;
             }
-            // One that ended by itself, has no need to run, or runs already is no concern of the relocation.
+            // The relocation drops a replica that ended without being stopped, that need not be
+            // started any more, or whose target can't be used: it is placed like any other task.
             let ended_by_itself = moving.step == MoveStep::AwaitsRoom;
             if ended_by_itself || !self.may_start_replica(moving, now) {
                 return false;
@@ -315,7 +328,7 @@
         relocation.moves = moves;
     }
 
-    /// Whether a replica that was stopped waits for its start, and its target is there for it.
+    /// Whether a stopped replica still waits to be started and its target can be used for it.
     fn may_start_replica(&self, moving: &ReplicaMove, now: MonotonicTime) -> bool {
         let waits = self.jobs.get(&moving.job).is_some_and(|job| {
             job.unplaced.contains(&moving.index) && self.startable_now(job, now) > 0
@@ -326,7 +339,7 @@
             && self.zones_allow(moving.job, std::slice::from_ref(&moving.to))
     }
 
-    /// Starts the tasks of the job once all their room is free.
+    /// Places the tasks of the beneficiary once the resources held for all of them are free.
     fn start_job(&mut self, relocation: &mut Relocation, now: MonotonicTime) {
         let room = &relocation.room;
         let ready = !room.is_empty()
@@ -339,7 +352,7 @@
         }
     }
 
-    /// Whether the constraints of a job allow one task more on each of these machines.
+    /// Whether the zone constraints of a job allow one more task on each of these machines.
     fn zones_allow(&self, key: JobKey, machines: &[String]) -> bool {
         let Some(job) = self.jobs.get(&key) else { return false };
         let mut view = self.job_view(job, 0);
@@ -353,14 +366,15 @@
         })
     }
 
-    /// Whether the limit of a job's team allows so many tasks more.
+    /// Whether the limit of a job's team allows `tasks` more tasks.
     fn quota_allows(&self, key: JobKey, tasks: usize) -> bool {
         let Some(job) = self.jobs.get(&key) else { return false };
         let teams = self.team_views();
         teams.get(job.team).is_none_or(|team| team.remaining_tasks(&job.request) as usize >= tasks)
     }
 
-    /// Whether a machine has all the room that is held on it.
+    /// Whether a machine has all the resources that relocations hold on it: nothing that is placed
+    /// there uses them.
     fn has_held_room(&self, name: &str) -> bool {
         let Some(machine) = self.machines.get(name) else { return false };
         let machine_type = self.machine_types.iter().find(|t| t.name == machine.machine_type);
@@ -371,7 +385,8 @@
         })
     }
 
-    /// Whether a machine takes tasks now, and has all the room that is held on it.
+    /// Whether a machine may take tasks at `now` and has all the resources that relocations hold on
+    /// it.
     fn can_start_on(&self, name: &str, now: MonotonicTime) -> bool {
         let takes_tasks = |machine: &Machine| {
             !machine.is_draining()
--- a/crates/controller/src/cluster_state/reservation.rs
+++ b/crates/controller/src/cluster_state/reservation.rs
@@ -1,31 +1,32 @@
-//! Machines that are kept for jobs that tasks were preempted for, and what ends that.
+//! Reservations of machines for the jobs that tasks were preempted for.
 
 use super::{ClusterState, JobKey, Machine};
 use hookway_time::MonotonicTime;
 
-/// A machine that takes no tasks but those of one job, for which tasks were preempted there.
+/// Reserves a machine for the job that tasks were preempted for there: it takes no other tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct MachineReservation {
-    /// The job.
+    /// Key of the only job whose tasks the machine takes.
     pub job: JobKey,
-    /// When the reservation ends at the latest. Placing the job's tasks there ends it, and whatever
-    /// [`ClusterState::release_reservations`] finds.
+    /// When the reservation ends at the latest. It ends sooner when a task of the job is placed on
+    /// the machine, or when [`ClusterState::release_reservations`] finds that it serves no purpose.
     pub until: MonotonicTime,
 }
 
 /// Why a reservation ends before the job has used it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReleaseReason {
-    /// The job has ended, was cancelled, is backing off or has found room elsewhere.
+    /// The job has no task to start: it has ended, was cancelled, backs off, or was placed
+    /// elsewhere.
     JobNotWaiting,
-    /// The machine is to be scaled in, is reclaimed or is silent.
+    /// The machine is cordoned, has an interruption notice, or misses its heartbeats.
     MachineUnusable,
-    /// The stops took too long.
+    /// The victims did not stop in time.
     TimedOut,
 }
 
 impl ClusterState {
-    /// Ends the reservations at `now` whose reason is gone.
+    /// Ends the reservations that serve no purpose any more at `now`.
     pub(super) fn release_reservations(&mut self, now: MonotonicTime) {
         let mut released = Vec::new();
         for (name, machine) in &self.machines {
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Why a reservation must end; `None` if it stays.
+    /// Returns why a reservation must end; `None` if it stays.
     fn release_reason(
         &self,
         machine: &Machine,
--- a/crates/controller/src/cluster_state/scheduling_round.rs
+++ b/crates/controller/src/cluster_state/scheduling_round.rs
@@ -1,4 +1,5 @@
-//! The scheduling round: stops what must stop, places tasks and preempts for those without room.
+//! The scheduling round: stops tasks that must not go on, places tasks, and preempts others for
+//! tasks that no machine has free resources for.
 
 use super::snapshot::SchedulingSnapshot;
 use super::{ClusterState, JobKey, MachineReservation};
@@ -8,36 +9,36 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// Lower bound of the share of the core that rounds may take, against division by zero.
+/// Lower bound of the CPU share available to rounds, to avoid a division by zero.
 const MIN_CORE_SHARE: f64 = 0.001;
 
-/// Tasks of a job that the last round found no room for.
+/// Tasks of a job that the last round found no free resources for.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct UnplacedDemand {
-    /// The job.
+    /// Key of the job that the tasks belong to.
     pub job: JobKey,
-    /// Number of tasks that may still be placed.
+    /// Number of tasks that heartbeats may still place before the next round.
     pub tasks: u32,
-    /// Beyond the job's minimum task count: placed on leftover capacity only.
+    /// The tasks exceed the job's minimum task count, so they are placed as backfill only.
     pub leftover: bool,
 }
 
-/// What the last scheduling round left for heartbeats until the next one.
+/// Results of the last scheduling round that placement at heartbeats uses until the next one.
 #[derive(Debug, Default)]
 pub(super) struct LastRound {
-    /// When it took place; [`MonotonicTime::ZERO`] before the first one.
+    /// When the round took place; [`MonotonicTime::ZERO`] before the first one.
     pub at: MonotonicTime,
-    /// Tasks without room, in the order of the scheduling queue.
+    /// Tasks that were not placed for lack of free resources, in the order of the scheduling queue.
     pub unplaced: Vec<UnplacedDemand>,
-    /// Parts of teams' quotas reserved for gangs that wait.
+    /// Parts of teams' quotas that are reserved for waiting gangs.
     pub quota_reservations: Vec<QuotaReservation>,
-    /// Machines reserved for gangs that wait.
+    /// Names of the machines reserved for a job that tasks were preempted for, or for a waiting gang.
     pub reserved_machines: HashSet<String>,
 }
 
 impl ClusterState {
-    /// Minimum interval between two rounds: the estimated cost of a round, divided by the share
-    /// of the core that rounds may take.
+    /// Returns the minimum interval between two rounds: the estimated CPU time of a round, divided
+    /// by the share of a core that rounds may use.
     pub fn round_interval(&self) -> Duration {
         let machines = self.machines.len() as f64;
         let waiting_jobs =
@@ -50,7 +51,7 @@
             .clamp(constants::HEARTBEAT_ROUND_INTERVAL, constants::MAX_ROUND_INTERVAL)
     }
 
-    /// One scheduling round at `now`.
+    /// Runs one scheduling round at `now`.
     pub fn scheduling_round(&mut self, now: MonotonicTime) {
         self.last_round.at = now;
         self.expire_leases(now);
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Admits every machine for new tasks, for the length of a shard lease.
+    /// Allows every known machine to take new tasks for the length of a shard lease.
     fn admit_machines(&mut self, now: MonotonicTime) {
         let until = now + self.config.operator.shard_lease;
         for machine in self.machines.values_mut() {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Computes the minimum task counts of jobs with a deadline and a known task time.
+    /// Updates the minimum task counts of the jobs with a deadline and a known mean task time.
     fn update_min_tasks(&mut self, snapshot: &SchedulingSnapshot) {
         for (key, job) in snapshot.job_keys.iter().zip(&snapshot.cluster.jobs) {
             if job.deadline.is_some() && job.mean_task_time.is_some() {
@@ -93,7 +94,8 @@
         }
     }
 
-    /// Places what has room, and keeps what has none for heartbeats.
+    /// Places the tasks that free resources suffice for, and keeps the other ones and the
+    /// reservations of the round for placement at heartbeats.
     fn place_startable_tasks(&mut self, snapshot: &mut SchedulingSnapshot, now: MonotonicTime) {
         let placed = place(&mut snapshot.cluster);
         let unplaced = |entry: &QueueEntry| UnplacedDemand {
@@ -115,8 +117,8 @@
         }
     }
 
-    /// Stops tasks of lower priority for jobs without room, and reserves their machines. Where that is not enough,
-    /// replicas begin to move.
+    /// Preempts tasks for jobs that found no free resources, and reserves the machines of the
+    /// victims for those jobs. Where preemption is not enough, relocations begin.
     fn preempt_for_unplaced_tasks(&mut self, snapshot: &SchedulingSnapshot, now: MonotonicTime) {
         let until = now + constants::PREEMPTED_MACHINE_RESERVATION;
         let preemptions = preempt(&snapshot.cluster);
--- a/crates/controller/src/cluster_state/snapshot.rs
+++ b/crates/controller/src/cluster_state/snapshot.rs
@@ -1,4 +1,4 @@
-//! The scheduling snapshot: jobs, machines and teams as the policy sees them.
+//! The scheduling snapshot: jobs, machines and teams as input of the scheduling policy.
 
 use super::{ClusterState, Job, JobKey, Machine, PlacedTask};
 use hookway_policy::{
@@ -8,29 +8,30 @@
 use hookway_wire::PurchaseOption;
 use std::collections::HashMap;
 
-/// Lower bound of the CPUs of a machine type, against division by zero.
+/// Lower bound of the CPUs of a machine type, to avoid a division by zero.
 const MIN_CPUS: f64 = 0.1;
 
-/// A cluster snapshot for the policy, with what its indexes stand for.
+/// A cluster snapshot for the policy, with the keys and names that its indexes refer to.
 pub(super) struct SchedulingSnapshot {
-    /// What the policy sees.
+    /// Input of the policy; it refers to jobs and machines by index.
     pub cluster: ClusterSnapshot,
-    /// The job of each job index.
+    /// Key of each job, by job index.
     pub job_keys: Vec<JobKey>,
-    /// The machine of each machine index.
+    /// Name of each machine, by machine index.
     pub machine_names: Vec<String>,
 }
 
-/// What placed tasks leave of a machine.
+/// The unused part of a machine.
 pub(super) struct FreeResources {
-    /// Resources that no task of a known job takes, and that are held for none.
+    /// Capacity less the requests of placed tasks of known jobs and less what relocations hold.
     pub free: Resources,
-    /// Some task belongs to no known job: what it takes is not known.
+    /// Some placed task belongs to no known job, so what it uses is unknown and not subtracted.
     pub has_unknown_tasks: bool,
 }
 
 impl ClusterState {
-    /// What placed tasks, and those that room is held for, leave of a machine's `total` resources.
+    /// Returns what is left of a machine's capacity `total` after its placed tasks and the
+    /// resources that relocations hold on it.
     pub(super) fn free_resources(
         &self,
         name: &str,
@@ -49,7 +50,8 @@
         FreeResources { free, has_unknown_tasks }
     }
 
-    /// The cluster as the policy sees it at `now`.
+    /// Creates the scheduling snapshot at `now`. Jobs whose end is durable are left out once they
+    /// have no task on a machine, and machines while their type or zone is unknown.
     pub(super) fn scheduling_snapshot(&self, now: MonotonicTime) -> SchedulingSnapshot {
         let mut job_indexes: HashMap<JobKey, usize> = HashMap::new();
         let mut job_keys = Vec::new();
@@ -81,7 +83,7 @@
         SchedulingSnapshot { cluster, job_keys, machine_names }
     }
 
-    /// The lowest price of a CPU per hour, on demand or spot; 0 if there is no machine type.
+    /// Returns the lowest hourly price of a CPU, on demand or spot; 0 if there is no machine type.
     fn cheapest_cpu_price(&self) -> f64 {
         let cheapest = self
             .machine_types
@@ -95,7 +97,8 @@
         if cheapest.is_finite() { cheapest } else { 0.0 }
     }
 
-    /// The teams with the resources that their tasks take.
+    /// Returns the quotas and the usage of each team. Usage includes replicas that a relocation has
+    /// stopped and not started again yet.
     pub(super) fn team_views(&self) -> Vec<TeamView> {
         let mut teams: Vec<TeamView> = self
             .config
@@ -121,7 +124,7 @@
         teams
     }
 
-    /// A job as the policy sees it, with `startable` tasks to place.
+    /// Returns the policy's view of a job that has `startable` tasks to place.
     pub(super) fn job_view(&self, job: &Job, startable: u32) -> JobView {
         let machine_types = self
             .machine_types
@@ -132,7 +135,7 @@
                     && Resources::of_machine_type(offered).fits(&job.request)
             })
             .collect();
-        // A zone that is not in the settings matches no machine.
+        // A zone that is not in the settings must match no machine.
         let zone = job.spec.zone.as_ref();
         let zone = zone.map(|name| self.config.platform.zone(name).unwrap_or(usize::MAX));
         JobView {
@@ -166,7 +169,7 @@
         }
     }
 
-    /// A machine as the policy sees it; `None` if its type or zone is not known.
+    /// Returns the policy's view of a machine; `None` if its type or zone is unknown.
     fn machine_view(
         &self,
         name: &str,
@@ -216,7 +219,8 @@
         })
     }
 
-    /// A placed task as the policy sees it; `None` if its job is not in the snapshot.
+    /// Returns the policy's view of a placed task, with `id` as its position on the machine; `None`
+    /// if its job is not in the snapshot.
     fn placed_task_view(
         &self,
         id: u64,
