--- a/crates/controller/src/cluster_state/autoscaling.rs
+++ b/crates/controller/src/cluster_state/autoscaling.rs
@@ -1,5 +1,5 @@
-//! The autoscaling round: adds machines for demand without room, and removes machines that are not
-//! needed or not usable.
+//! The autoscaling round: requests machines for demand that exceeds the free resources, and deletes
+//! machines that are not needed or not usable.
 
 use super::ClusterState;
 use hookway_constants as constants;
@@ -11,15 +11,16 @@
 /// A request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ScalingAction {
-    /// Add machines; the outcome goes to [`ClusterState::scale_out_finished`].
+    /// Requests machines; the caller reports the outcome to [`ClusterState::scale_out_finished`].
     ScaleOut(ScaleOutRequest),
-    /// Delete machines; the outcome goes to [`ClusterState::scale_in_finished`] once the cloud has
-    /// confirmed it, else to [`ClusterState::scale_in_failed`].
+    /// Deletes the machines with these names. The caller reports the outcome to
+    /// [`ClusterState::scale_in_finished`] once the cloud has confirmed the deletion, and otherwise
+    /// to [`ClusterState::scale_in_failed`].
     ScaleIn(Vec<String>),
 }
 
 impl ClusterState {
-    /// One autoscaling round at `now`.
+    /// Runs one autoscaling round at `now`, and returns the requests to send to the cloud.
     pub fn autoscaling_round(&mut self, now: MonotonicTime) -> Vec<ScalingAction> {
         if self.machine_types.is_empty() {
             return Vec::new();
--- a/crates/controller/src/cluster_state/bounded_set.rs
+++ b/crates/controller/src/cluster_state/bounded_set.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{HashSet, VecDeque};
 
-/// The most recently inserted members of a set. Older members are dropped, so that memory stays
-/// bounded over a long term.
+/// Keeps the most recently inserted members of a set. Older members are dropped, so that memory use
+/// stays bounded over a long term.
 #[derive(Debug)]
 pub(super) struct BoundedSet<T> {
     members: HashSet<T>,
@@ -12,12 +12,13 @@
 }
 
 impl<T: Clone + Eq + std::hash::Hash> BoundedSet<T> {
-    /// An empty set of at most `capacity` members.
+    /// Creates an empty set of at most `capacity` members.
     pub fn new(capacity: usize) -> Self {
         Self { members: HashSet::new(), insertion_order: VecDeque::new(), capacity }
     }
 
-    /// Inserts a member; the oldest one is dropped when the capacity is exceeded.
+    /// Inserts a member, and drops the oldest one if the capacity is exceeded. Inserting a member
+    /// again does not make it newer.
     pub fn insert(&mut self, member: T) {
         if self.members.insert(member.clone()) {
             self.insertion_order.push_back(member);
@@ -29,7 +30,7 @@
         }
     }
 
-    /// Whether the set still contains a member.
+    /// Whether the set contains a member: it was inserted and has not been dropped since.
     pub fn contains<Q>(&self, member: &Q) -> bool
     where
         T: std::borrow::Borrow<Q>,
--- a/crates/controller/src/cluster_state/class_history.rs
+++ b/crates/controller/src/cluster_state/class_history.rs
@@ -1,4 +1,4 @@
-//! What the leader has seen of each job class.
+//! The requests and the demand that the leader has seen of each job class.
 
 use crate::records::ClassRecord;
 use hookway_constants as constants;
@@ -7,32 +7,32 @@
 use hookway_wire::JobSpec;
 use std::collections::{HashSet, VecDeque};
 
-/// Number of machines that a class needed at a time.
+/// Number of machines that a class needed at one moment.
 #[derive(Debug, Clone, Copy)]
 struct Demand {
     at: MonotonicTime,
     machines: usize,
 }
 
-/// What the leader has seen of a job class.
+/// Requests, constraints and recent demand of the jobs of one class.
 #[derive(Debug, Clone)]
 pub(super) struct ClassHistory {
-    /// Largest request of a task.
+    /// Maximum request of a task, separately for each resource.
     pub request: Resources,
-    /// Size of the largest image, GB.
+    /// Size of the largest image of the class, GB.
     pub image_gb: f64,
-    /// Its images.
+    /// Numeric ids of the images that jobs of the class used in this term.
     pub images: HashSet<u32>,
-    /// Whether its jobs may use spot machines.
+    /// Whether all jobs of the class may use spot machines.
     pub spot: bool,
-    /// Whether its jobs are gangs.
+    /// Whether the first job of the class was a gang; later jobs do not change this.
     pub gangs: bool,
-    /// Recent demand, oldest first.
+    /// Demand within the last [`constants::DEMAND_WINDOW`], oldest first.
     demand: VecDeque<Demand>,
 }
 
 impl ClassHistory {
-    /// The history of a class as the state service has it.
+    /// Creates the history from the record of the class in the store.
     pub fn from_record(record: &ClassRecord) -> Self {
         Self {
             request: record.request,
@@ -44,7 +44,8 @@
         }
     }
 
-    /// The history of a class before its first job, which decides whether the class has gangs.
+    /// Creates the history of a class that has had no job before `spec`, which decides whether the
+    /// class counts as one of gangs.
     pub fn before_first_job(spec: &JobSpec) -> Self {
         Self::from_record(&ClassRecord {
             request: Resources::of_task(spec),
@@ -54,7 +55,8 @@
         })
     }
 
-    /// What the next leader should know of the class.
+    /// Returns the record of the class that is stored for the next leader. Images and demand are
+    /// not part of it.
     pub fn record(&self) -> ClassRecord {
         ClassRecord {
             request: self.request,
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Takes in a job of the class.
+    /// Adds a job to the history.
     pub fn add_job(&mut self, spec: &JobSpec, image: u32) {
         let request = Resources::of_task(spec);
         self.request.cpus = self.request.cpus.max(request.cpus);
@@ -75,7 +77,8 @@
         self.spot &= spec.spot;
     }
 
-    /// Records the number of machines needed at `now`, and drops what is too old.
+    /// Records the number of machines needed at `now`, and drops demand that is older than
+    /// [`constants::DEMAND_WINDOW`].
     pub fn record_demand(&mut self, machines: usize, now: MonotonicTime) {
         self.demand.push_back(Demand { at: now, machines });
         let is_old = |demand: &Demand| now > demand.at + constants::DEMAND_WINDOW;
@@ -84,7 +87,8 @@
         }
     }
 
-    /// The largest recent demand, machines.
+    /// Returns the largest number of machines needed at one moment of the demand window; 0 if no
+    /// demand is recorded.
     pub fn peak_demand(&self) -> usize {
         self.demand.iter().map(|demand| demand.machines).max().unwrap_or(0)
     }
--- a/crates/controller/src/cluster_state/draining.rs
+++ b/crates/controller/src/cluster_state/draining.rs
@@ -1,21 +1,22 @@
-//! Moving tasks off machines: draining, and restarting stuck tasks elsewhere.
+//! Moves tasks to other machines: drains machines, and restarts stuck tasks elsewhere.
 
 use super::{ClusterState, CordonReason, Job, Machine, PlacedTask};
 use hookway_constants as constants;
 use hookway_time::{MonotonicTime, millis_f64};
 use std::time::Duration;
 
-/// A task on a machine.
+/// Position of a task on a machine.
 struct TaskPosition {
     machine: String,
-    /// Index in the machine's placed tasks.
+    /// Index into the machine's placed tasks.
     index: usize,
 }
 
 impl ClusterState {
-    /// Drains cordoned machines and those with an interruption notice: tasks that can write a
-    /// checkpoint are stopped in time, and tasks without any progress are moved. The other tasks run
-    /// on, for they may finish first.
+    /// Drains cordoned machines and those with an interruption notice. Tasks that can write a
+    /// checkpoint, replicas of daemons, tasks without any progress, and tasks that can't finish
+    /// before the cloud takes the machine back are stopped and start elsewhere. Other tasks run on,
+    /// because they may finish first.
     pub(super) fn drain_machines(&mut self, now: MonotonicTime) {
         let mut to_stop = Vec::new();
         for (name, machine) in self.machines.iter().filter(|(_, m)| m.is_draining()) {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Whether a task on a draining machine is stopped, to start elsewhere.
+    /// Whether a task on a draining machine is to be stopped so that it starts elsewhere.
     fn moves_when_drained(
         &self,
         machine: &Machine,
@@ -38,7 +39,7 @@
         now: MonotonicTime,
     ) -> bool {
         let Some(job) = placed.job.and_then(|key| self.jobs.get(&key)) else { return false };
-        // A task that can't finish before the machine is gone starts elsewhere the sooner.
+        // A task that can't finish before the interruption is better restarted elsewhere at once.
         let ran = placed
             .running_since
             .map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
@@ -47,15 +48,15 @@
             && job.run_times.reliable_mean_ms().zip(remaining).is_some_and(
                 |(mean_ms, remaining)| mean_ms - millis_f64(ran) > millis_f64(remaining),
             );
-        // A replica of a daemon never finishes first.
+        // A replica of a daemon does not finish by itself.
         placed.phase.is_before_run()
             || job.spec.checkpoints()
             || job.spec.is_daemon()
             || cannot_finish
     }
 
-    /// Restarts tasks that run many times longer than others of their job: their machine is most
-    /// likely faulty, so it is cordoned, and they run elsewhere.
+    /// Restarts tasks elsewhere that have run many times longer than the mean of their job. Their
+    /// machine is most likely faulty, so it is cordoned.
     pub(super) fn restart_stuck_tasks(&mut self, now: MonotonicTime) {
         for task in self.stuck_tasks(now) {
             let Some(machine) = self.machines.get_mut(&task.machine) else { continue };
@@ -91,7 +92,7 @@
         let independent = |job: &&Job| !job.spec.is_gang() && !job.spec.is_daemon();
         let job = placed.job.and_then(|key| self.jobs.get(&key)).filter(independent);
         let Some(job) = job else { return false };
-        // Once only: a task that is long wherever it runs must be able to finish.
+        // A task is restarted only once: one that runs long on any machine must be able to finish.
         if job.restarted_tasks.contains(&placed.index) {
             return false;
         }
--- a/crates/controller/src/cluster_state/failure_attribution.rs
+++ b/crates/controller/src/cluster_state/failure_attribution.rs
@@ -1,56 +1,58 @@
-//! Failure attribution: whether an error is due to the job or to the machine.
+//! Failure attribution: decides whether an error is due to the job or to the machine.
 //!
-//! When one job fails on many machines the job is faulty, when many jobs fail on one machine the
-//! machine is. A faulty job is tried again with growing backoff, one task at a time, and neither
-//! cordons machines nor takes anything from jobs that work; one that met a faulty machine is restarted
-//! elsewhere at once.
+//! A job that fails on many machines is faulty; a machine on which many jobs fail is faulty. A
+//! faulty job is retried with growing backoff, one task at a time. It neither causes machines to be
+//! cordoned nor takes resources from jobs that work. A job that works and met a faulty machine is
+//! restarted elsewhere without backoff.
 
 use super::{ClusterState, CordonReason, Job, JobKey};
 use hookway_constants as constants;
 use hookway_time::{MonotonicTime, whole_millis};
 use std::time::Duration;
 
-/// The backoff after failures is doubled at most this many times, so that no number of failures
-/// overflows it.
+/// Maximum number of doublings of the backoff after failures, so that no number of failures makes
+/// it overflow.
 const MAX_BACKOFF_DOUBLINGS: u32 = 10;
-/// The jitter of a backoff is below the backoff divided by this: enough to spread jobs that fail
-/// together, little against the backoff itself.
+/// The jitter of a backoff is less than the backoff divided by this: enough to spread the retries
+/// of jobs that fail together, and small compared with the backoff.
 const JITTER_DIVISOR: u64 = 4;
-/// Number of different jitters.
+/// Number of different jitter values.
 const JITTER_STEPS: u64 = 100;
 
 impl Job {
-    /// Whether it fails wherever it is tried: no task has completed, and no more of them run than there
-    /// are machines that it failed on.
+    /// Whether the job fails wherever it is tried: it has failed often enough in a row, no task has
+    /// completed, and no more of its tasks run than there are machines that it failed on.
     pub fn is_crash_looping(&self) -> bool {
         let max_failures =
             if self.spec.needs_all_tasks_at_once() { constants::GANG_MAX_FAILURES } else { 1 };
         self.failures.consecutive >= max_failures && self.unproven()
     }
 
-    /// Whether nothing shows that it can run at all.
+    /// Whether there is no evidence that the job can run at all.
     fn unproven(&self) -> bool {
         self.completed == 0 && self.running as usize <= self.failures.machines.len()
     }
 
-    /// Weight of an error of this job in the attribution to the machine that it happened on.
+    /// Returns the weight of a failure of this job as evidence that the machine is faulty, from 0
+    /// to 1.
     fn failure_weight(&self) -> f64 {
         if !self.unproven() {
             return 1.0;
         }
-        // On one machine only, so far: either may be faulty.
+        // While the job has failed on one machine only, either may be faulty.
         if self.failures.machines.len() == 1 { constants::UNPROVEN_JOB_WEIGHT } else { 0.0 }
     }
 
-    /// Whether it should not be tried again on a machine, out of so many: on one of those that it failed on
-    /// last, and never on more than half of all.
+    /// Whether the job must not be retried on the machine `name` because it failed there. Only the
+    /// newest failures exclude their machines, so that at most half of all `machines` are excluded.
     pub fn excludes_machine(&self, name: &str, machines: usize) -> bool {
         let max_excluded = machines / 2;
         self.failures.machines.iter().rev().take(max_excluded).any(|machine| machine == name)
     }
 
-    /// A task of it, placed at `placed_at`, has failed on a machine. Errors of tasks that were placed
-    /// before the last error count with that one: they are one try.
+    /// Records that a task placed at `placed_at` failed on a machine, and backs the job off if
+    /// needed. Failures of tasks that were placed before the last counted failure belong to the
+    /// same try and are not counted again.
     fn record_failure(&mut self, machine: &str, placed_at: MonotonicTime, now: MonotonicTime) {
         self.failures.add_machine(machine);
         if self.failures.consecutive > 0 && placed_at <= self.failures.last_at {
@@ -77,12 +79,12 @@
         }
     }
 
-    /// Time until the job is tried again after its last failure.
+    /// Returns the time from the last failure until the job is retried.
     fn failure_backoff(&self) -> Duration {
         let doublings = (self.failures.consecutive - 1).min(MAX_BACKOFF_DOUBLINGS);
         let backoff = constants::FAILURE_BACKOFF * (1 << doublings);
         let backoff = backoff.min(constants::FAILURE_BACKOFF_MAX);
-        // Jobs that were submitted together with the same fault shall not all be tried together.
+        // Jobs with the same fault that were submitted together should not all be retried together.
         let spread = |sum: u64, byte: u8| sum.wrapping_mul(31).wrapping_add(u64::from(byte));
         let spread = self.id.as_str().bytes().fold(u64::from(self.failures.consecutive), spread);
         let max_jitter_ms = whole_millis(backoff) / JITTER_DIVISOR;
@@ -90,7 +92,8 @@
         backoff + Duration::from_millis(jitter_ms)
     }
 
-    /// A replica of a daemon is done. It is started again, after a backoff if it ended at once.
+    /// Records that a replica of a daemon exited with success. It is started again; an early exit
+    /// counts as a failure and may delay that by a backoff.
     pub(super) fn replica_completed(
         &mut self,
         machine: &str,
@@ -107,8 +110,9 @@
 }
 
 impl ClusterState {
-    /// Forgets the failures of daemons with a replica that has run for a while: they have no completed tasks
-    /// that would show that they work.
+    /// Clears the failures of daemons with a replica that has run for
+    /// [`constants::REPLICA_STEADY`]. A daemon has no completed tasks that would show that it
+    /// works.
     pub(super) fn reset_steady_daemons(&mut self, now: MonotonicTime) {
         let failed = |job: &Job| job.spec.is_daemon() && job.failures.consecutive > 0;
         if !self.jobs.values().any(failed) {
@@ -123,7 +127,8 @@
         }
     }
 
-    /// A task of job `key`, placed at `placed_at`, has failed on a machine.
+    /// Records that a task of job `key`, placed at `placed_at`, failed on a machine, and cordons
+    /// the machine if enough jobs failed there.
     pub(super) fn attribute_failure(
         &mut self,
         name: &str,
--- a/crates/controller/src/cluster_state/failure_history.rs
+++ b/crates/controller/src/cluster_state/failure_history.rs
@@ -1,22 +1,24 @@
-//! The failures of a job's tasks.
+//! Consecutive failures of a job, and the machines where its tasks failed.
 
 use hookway_constants as constants;
 use hookway_time::MonotonicTime;
 use std::collections::VecDeque;
 
-/// The failures of a job's tasks since one of them last succeeded.
+/// Failures of one job's tasks.
 #[derive(Debug, Default)]
 pub(super) struct FailureHistory {
-    /// Consecutive tries that ended with an error.
+    /// Consecutive tries that failed. A completed task resets the count but not the machines.
     pub consecutive: u32,
-    /// When the last of those ended.
+    /// When the last counted try failed.
     pub last_at: MonotonicTime,
-    /// The machines that tasks failed on last, oldest first.
+    /// Machines where tasks failed, in the order in which they were added; at most
+    /// [`constants::MAX_FAILED_MACHINES`].
     pub machines: VecDeque<String>,
 }
 
 impl FailureHistory {
-    /// Adds a machine that a task failed on; the oldest one is dropped when there are too many.
+    /// Adds a machine where a task failed, unless it is listed already. Beyond the maximum the
+    /// oldest one is dropped.
     pub fn add_machine(&mut self, name: &str) {
         if self.machines.iter().any(|machine| machine == name) {
             return;
@@ -27,7 +29,7 @@
         self.machines.push_back(name.to_owned());
     }
 
-    /// Forgets the failures and their machines.
+    /// Resets the count and removes all machines.
     pub fn clear(&mut self) {
         self.consecutive = 0;
         self.machines.clear();
--- a/crates/controller/src/cluster_state/image_numbers.rs
+++ b/crates/controller/src/cluster_state/image_numbers.rs
@@ -1,19 +1,20 @@
-//! Numbers that stand for the names of images.
+//! Numeric ids for image names, so that comparing images is cheap.
 
 use super::CachedImage;
 use crate::records::ImageRecord;
 use std::collections::HashMap;
 
-/// An image by its name.
+/// A cached image under its name instead of its numeric id.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct NamedImage<'a> {
-    /// The image's name.
+    /// Name of the image, as jobs and the machine registry give it.
     pub name: &'a str,
-    /// Its size, GB.
+    /// Size of the image, GB.
     pub size_gb: f64,
 }
 
-/// The images that this leader has seen. An image keeps its number for the whole term.
+/// Assigns a numeric id to each image that this leader has seen. An image keeps its id for the
+/// term.
 #[derive(Debug, Default)]
 pub(super) struct ImageNumbers {
     numbers: HashMap<String, u32>,
@@ -21,7 +22,7 @@
 }
 
 impl ImageNumbers {
-    /// The number of an image, which is new if the image is.
+    /// Returns the numeric id of an image; an image that was not seen before gets the next one.
     pub fn number(&mut self, name: &str) -> u32 {
         let next = self.numbers.len() as u32;
         let number = *self.numbers.entry(name.to_owned()).or_insert(next);
@@ -31,7 +32,7 @@
         number
     }
 
-    /// Cached images with their names.
+    /// Returns the cached images with their names; ids that were not assigned are left out.
     pub fn named(&self, cached: &[CachedImage]) -> Vec<NamedImage<'_>> {
         let named = |cached: &CachedImage| {
             let name = self.names.get(cached.image as usize)?;
@@ -40,7 +41,7 @@
         cached.iter().filter_map(named).collect()
     }
 
-    /// The images of a record.
+    /// Returns the images of a registry record with their numeric ids.
     pub fn of_record(&mut self, images: &[ImageRecord]) -> Vec<CachedImage> {
         let mut cached = |image: &ImageRecord| CachedImage {
             image: self.number(&image.name),
--- a/crates/controller/src/cluster_state/job_index.rs
+++ b/crates/controller/src/cluster_state/job_index.rs
@@ -6,20 +6,20 @@
 use hookway_wire::JobId;
 use std::collections::{BTreeMap, HashMap};
 
-/// The jobs that are not final, or whose tasks have not all left their machines. Every job has one
-/// key, and is found by its id as long as it is here.
+/// The jobs whose end is not durable yet, or that still have tasks on machines. Each has one key
+/// and one id.
 #[derive(Debug)]
 pub(super) struct JobIndex {
     jobs: BTreeMap<JobKey, Job>,
     keys: HashMap<JobId, JobKey>,
-    /// Jobs that ended in this term: a late event must not add them again.
+    /// Jobs whose end became durable in this term: a late event must not add them again.
     ended: BoundedSet<JobId>,
-    /// Number of the last key that was given out.
+    /// Number of the last key that was assigned.
     last_key: u64,
 }
 
 impl JobIndex {
-    /// An index without jobs.
+    /// Creates an index without jobs.
     pub fn new() -> Self {
         Self {
             jobs: BTreeMap::new(),
@@ -29,12 +29,13 @@
         }
     }
 
-    /// Whether a job is here, or ended in this term.
+    /// Whether the index contains a job with this id, or did so earlier in this term and it has
+    /// ended.
     pub fn has_seen(&self, id: &JobId) -> bool {
         self.keys.contains_key(id) || self.ended.contains(id)
     }
 
-    /// Adds a job under the id of its record's key.
+    /// Adds a job and assigns its key. `id` is the id in the store key of the job's record.
     pub fn add(&mut self, id: JobId, job: Job) {
         self.last_key += 1;
         let key = JobKey::new(self.last_key);
@@ -42,70 +43,71 @@
         self.jobs.insert(key, job);
     }
 
-    /// The end of a job is durable: it must not be added again.
+    /// Records that the end of a job is durable, so that it is not added again.
     pub fn mark_ended(&mut self, id: &JobId) {
         self.ended.insert(id.clone());
     }
 
-    /// Removes a job.
+    /// Removes a job; its key is not assigned again.
     pub fn remove(&mut self, key: JobKey) {
         if let Some(job) = self.jobs.remove(&key) {
             self.keys.remove(&job.id);
         }
     }
 
-    /// The key of a job.
+    /// Returns the key of the job with this id; `None` if the index does not contain it.
     pub fn key(&self, id: &JobId) -> Option<JobKey> {
         self.keys.get(id).copied()
     }
 
-    /// The job with this key.
+    /// Returns the job with this key; `None` if it was removed.
     pub fn get(&self, key: &JobKey) -> Option<&Job> {
         self.jobs.get(key)
     }
 
-    /// The job with this key.
+    /// Returns the job with this key for modification; `None` if it was removed.
     pub fn get_mut(&mut self, key: &JobKey) -> Option<&mut Job> {
         self.jobs.get_mut(key)
     }
 
-    /// The job with this id.
+    /// Returns the job with this id; `None` if the index does not contain it.
     pub fn by_id(&self, id: &JobId) -> Option<&Job> {
         self.get(&self.key(id)?)
     }
 
-    /// The job with this id.
+    /// Returns the job with this id for modification; `None` if the index does not contain it.
     pub fn by_id_mut(&mut self, id: &JobId) -> Option<&mut Job> {
         let key = self.key(id)?;
         self.get_mut(&key)
     }
 
-    /// Number of jobs.
+    /// Returns the number of jobs, including ended ones that still have tasks on machines.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Whether there is no job.
+    /// Whether the index contains no job.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// All jobs, in the order in which they were added.
+    /// Iterates over all jobs with their keys, in the order in which they were added.
     pub fn iter(&self) -> impl Iterator<Item = (&JobKey, &Job)> {
         self.jobs.iter()
     }
 
-    /// All jobs, in the order in which they were added.
+    /// Iterates over all jobs with their keys for modification, in the order in which they were
+    /// added.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&JobKey, &mut Job)> {
         self.jobs.iter_mut()
     }
 
-    /// All jobs, in the order in which they were added.
+    /// Iterates over all jobs, in the order in which they were added.
     pub fn values(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values()
     }
 
-    /// All jobs, in the order in which they were added.
+    /// Iterates over all jobs for modification, in the order in which they were added.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Job> {
         self.jobs.values_mut()
     }
--- a/crates/controller/src/cluster_state/machine_fill.rs
+++ b/crates/controller/src/cluster_state/machine_fill.rs
@@ -1,4 +1,5 @@
-//! Filling a machine at its heartbeat with tasks that had no room in the last scheduling round.
+//! Placement at a heartbeat: fills a machine with tasks that the last scheduling round found no
+//! free resources for.
 
 use super::ClusterState;
 use super::scheduling_round::UnplacedDemand;
@@ -7,12 +8,12 @@
 use hookway_policy::{JobView, Resources};
 use hookway_time::MonotonicTime;
 
-/// A machine with free resources.
+/// A machine that may take tasks, and its free resources.
 struct FillTarget<'a> {
     name: &'a str,
-    /// Index of its machine type.
+    /// Index of the machine's type.
     machine_type: usize,
-    /// Index of its zone.
+    /// Index of the machine's zone.
     zone: usize,
     spot: bool,
     free: Resources,
@@ -21,7 +22,7 @@
 
 impl ClusterState {
     /// Fills the free resources of a machine that has just sent a heartbeat, in the order of the
-    /// last round's queue. Leftover demand whose image is cached there precedes other leftovers.
+    /// last round's queue. Backfill whose image the machine has cached precedes other backfill.
     pub(super) fn fill_machine(&mut self, name: &str, now: MonotonicTime) {
         if self.last_round.unplaced.is_empty() {
             return;
@@ -51,7 +52,7 @@
         self.last_round.unplaced = unplaced;
     }
 
-    /// The machine, if it may take tasks now.
+    /// Returns the machine with its free resources; `None` if it may not take tasks at `now`.
     fn fill_target<'a>(&self, name: &'a str, now: MonotonicTime) -> Option<FillTarget<'a>> {
         let machine = self.machines.get(name)?;
         if self.last_round.reserved_machines.contains(name)
@@ -82,7 +83,7 @@
         self.jobs.get(&demand.job).is_some_and(|job| target.images.contains(&job.image))
     }
 
-    /// Number of tasks of a demand that may be placed on the machine now.
+    /// Returns how many tasks of a demand may be placed on the machine at `now`.
     fn tasks_to_fill(
         &self,
         target: &FillTarget<'_>,
@@ -115,7 +116,8 @@
             .min(self.tasks_within_quota(&view))
     }
 
-    /// Number of tasks of a job that its team's quota allows, less what is reserved for gangs.
+    /// Returns how many more tasks of a job its team's limit allows, not counting the part that is
+    /// reserved for waiting gangs.
     fn tasks_within_quota(&self, job: &JobView) -> u32 {
         let has_quota = self.config.platform.teams.get(job.team).is_some_and(Team::limited);
         let team = has_quota.then(|| self.team_views().into_iter().nth(job.team)).flatten();
--- a/crates/controller/src/cluster_state/machine_list.rs
+++ b/crates/controller/src/cluster_state/machine_list.rs
@@ -1,4 +1,4 @@
-//! Reconciliation with the cloud's machine list.
+//! Applies the cloud's machine list to the cluster state.
 
 use super::machine::FirstListing;
 use super::task_removal::TaskRemoval;
@@ -10,7 +10,8 @@
 use std::time::Duration;
 
 impl ClusterState {
-    /// Takes in the machine list, requested at `asked` and received at `now`.
+    /// Applies a machine list that was requested at `asked` and received at `now`: adds and updates
+    /// listed machines, and removes those that no longer exist.
     pub fn machines_listed(
         &mut self,
         list: &[ListedMachine],
@@ -28,8 +29,9 @@
         }
     }
 
-    /// Adds a listed machine that this leader does not know. `false`: it has failed before this leader
-    /// knew it, so there is nothing more to update. It stays listed until it is deleted.
+    /// Adds a listed machine unless this leader knows it. Returns `false` if the machine failed
+    /// before this leader knew it, so that there is nothing more to update; the cloud lists a
+    /// failed machine until it is deleted.
     fn add_listed_machine(&mut self, listed: &ListedMachine, now: MonotonicTime) -> bool {
         let name = &listed.id;
         if self.machines.contains_key(name) {
@@ -47,7 +49,7 @@
         !failed
     }
 
-    /// Takes in what the list says of a known machine.
+    /// Updates a known machine from its entry in the list.
     fn update_listed(&mut self, listed: &ListedMachine, now: MonotonicTime) {
         let name = &listed.id;
         let Some(machine) = self.machines.get_mut(name) else { return };
@@ -72,9 +74,10 @@
         }
     }
 
-    /// Machines that are gone, as a list requested at `asked` lacks them. Once listed, a machine
-    /// stays listed until it is gone; but a list may be older than the one before, by up to twice the
-    /// list's lag.
+    /// Returns the machines that no longer exist, because a list requested at `asked` lacks them. A
+    /// listed machine stays listed for as long as it exists, but a list may be older than the
+    /// previous one by up to twice the lag of lists. So only machines that were listed for longer
+    /// count.
     fn machines_missing_from(&self, list: &[ListedMachine], asked: MonotonicTime) -> Vec<String> {
         let lag_ms =
             self.config.platform.cloud.list_lag_s * 1000.0 * constants::UNLISTED_LAG_FACTOR;
--- a/crates/controller/src/cluster_state/progress.rs
+++ b/crates/controller/src/cluster_state/progress.rs
@@ -1,52 +1,57 @@
-//! Which results of a job are durable, and the records that have them.
+//! Tracks which results of a job are durable, and the progress records that store them.
 //!
-//! A record has the results of a page of tasks. Where values may be large, a page has
-//! [`constants::PROGRESS_PAGE_TASKS`] tasks. Where they may not, it has a part of that many; the first part
-//! keeps the key of the whole, and the others have the number of their first task in theirs. A record that
-//! was written under a larger limit stays readable; it is overwritten once the other parts are stored.
+//! A record stores the results of one page of tasks. If the store allows large values, a page has
+//! [`constants::PROGRESS_PAGE_TASKS`] tasks (a full page). Otherwise a full page is divided into
+//! smaller pages: the first of them keeps the key of the full page, and the keys of the others also
+//! contain the index of their first task. A record that was written under a larger limit stays
+//! readable; it is overwritten only once the results of the other smaller pages have records of
+//! their own.
 
 use crate::records::{ProgressRecord, progress_key};
 use hookway_constants as constants;
 use hookway_wire::JobId;
 use std::ops::Range;
 
-/// Characters of a progress record beside its bits, and those that base64 may add.
+/// Bytes of a progress record that encode no results: the JSON around the bits, and base64 padding.
 const ENVELOPE_BYTES: f64 = 32.0;
-/// Tasks whose results take three bytes, which are four characters in base64.
+/// Results that one base64 character encodes: 24 of them take three bytes, which are four
+/// characters.
 const TASKS_PER_CHARACTER: f64 = 6.0;
 
-/// A progress record.
+/// State of the progress record of one page.
 #[derive(Debug, Clone, Default)]
 struct Page {
-    /// Revision of its record; 0 if there is none.
+    /// Modification revision of the record in the store; 0 if there is no record.
     mod_revision: u64,
-    /// It is queued to be written.
+    /// The page is queued to be written.
     queued: bool,
-    /// The stored record has results of other pages too, which must be stored in their own records first.
+    /// The stored record also has results of other pages, which need records of their own before it
+    /// is overwritten.
     spans_other_pages: bool,
 }
 
-/// The content of a stored record.
+/// Results that a stored record contains.
 #[derive(Debug, PartialEq, Eq)]
 pub struct StoredResults {
-    /// Tasks whose results it has.
+    /// Indexes of the completed tasks in the record.
     pub done: Vec<u32>,
-    /// Pages whose results it has although they have records of their own: those must be written.
+    /// Other pages of which the record has results: their own records must be written.
     pub pages_to_write: Vec<usize>,
 }
 
-/// The stored results of one job.
+/// The durable results of one job, and the state of its progress records.
 #[derive(Debug)]
 pub struct Progress {
     tasks: u32,
-    /// Tasks of a page.
+    /// Number of tasks per page.
     page_tasks: u32,
-    /// Whether the result of each task is durable.
+    /// Whether the result of each task is durable, by task index.
     durable: Vec<bool>,
     pages: Vec<Page>,
 }
 
-/// Tasks whose results fit into one value: a power of two, so that pages divide those of larger values.
+/// Returns the number of tasks per page whose results fit into one value. It is a full page divided
+/// by a power of two, so that page boundaries under a larger limit remain page boundaries.
 fn tasks_per_page(value_kb: f64) -> u32 {
     let max_tasks = (value_kb * 1024.0 - ENVELOPE_BYTES) * TASKS_PER_CHARACTER;
     let mut tasks = constants::PROGRESS_PAGE_TASKS;
@@ -57,59 +62,61 @@
 }
 
 impl Progress {
-    /// Nothing stored yet, of a job with so many tasks, in values of at most `value_kb` KiB.
+    /// Creates the state of a job with `tasks` tasks and no stored results, in a store whose values
+    /// have at most `value_kb` KiB.
     pub fn new(tasks: u32, value_kb: f64) -> Self {
         let page_tasks = tasks_per_page(value_kb);
         let pages = vec![Page::default(); tasks.div_ceil(page_tasks) as usize];
         Self { tasks, page_tasks, durable: vec![false; tasks as usize], pages }
     }
 
-    /// Whether a task's result is stored.
+    /// Whether the store has the result of the task with this index.
     pub fn is_durable(&self, index: u32) -> bool {
         self.durable.get(index as usize).copied().unwrap_or(false)
     }
 
-    /// The page that a task's result goes to.
+    /// Returns the index of the page that a task belongs to.
     pub fn page_of(&self, index: u32) -> usize {
         (index / self.page_tasks) as usize
     }
 
-    /// The tasks of a page.
+    /// Returns the task indexes of a page.
     pub fn range(&self, page: usize) -> Range<u32> {
         let from = page as u32 * self.page_tasks;
         from..(from + self.page_tasks).min(self.tasks)
     }
 
-    /// Queues a page to be written; `false` if it is queued already.
+    /// Marks a page as queued to be written. Returns `false` if it was queued already or there is
+    /// no such page.
     pub fn queue(&mut self, page: usize) -> bool {
         self.pages.get_mut(page).is_some_and(|c| !std::mem::replace(&mut c.queued, true))
     }
 
-    /// A page is not queued any more: it is being written, or needs no record.
+    /// Marks a page as not queued: its record is being written or is not needed.
     pub fn unqueue(&mut self, page: usize) {
         if let Some(page) = self.pages.get_mut(page) {
             page.queued = false;
         }
     }
 
-    /// The revision of a page's record; 0 if there is none.
+    /// Returns the modification revision of a page's record; 0 if the store has none.
     pub fn mod_revision(&self, page: usize) -> u64 {
         self.pages.get(page).map_or(0, |c| c.mod_revision)
     }
 
-    /// The key of a page's record.
+    /// Returns the store key of a page's record.
     pub fn key(&self, id: &JobId, page: usize) -> String {
         progress_key(id, page as u32 * self.page_tasks)
     }
 
-    /// The keys of all stored records.
+    /// Returns the store keys of all stored records of the job.
     pub fn stored_keys(&self, id: &JobId) -> Vec<String> {
         let stored = |page: &usize| self.pages[*page].mod_revision != 0;
         (0..self.pages.len()).filter(stored).map(|page| self.key(id, page)).collect()
     }
 
-    /// Whether a page's record must not be overwritten yet: it has results of other pages that are not stored
-    /// in records of their own.
+    /// Whether a page's record must not be overwritten yet, because it has results of other pages
+    /// that are not stored in records of their own.
     pub fn must_wait(&self, page: usize) -> bool {
         let spans_other_pages = self.pages.get(page).is_some_and(|c| c.spans_other_pages);
         spans_other_pages
@@ -121,8 +128,8 @@
             })
     }
 
-    /// Takes in the stored record whose results begin at task `from`, with its revision (`None`: there is no
-    /// such record).
+    /// Applies a stored record whose results begin at task `from`, and returns its results.
+    /// `record` is `None` if there is no such record; `mod_revision` is 0 then.
     pub fn learn(
         &mut self,
         from: u32,
@@ -151,7 +158,7 @@
         StoredResults { done, pages_to_write: others }
     }
 
-    /// The pages that one record has where values may be large, but for the first of them.
+    /// Returns the pages after `first` that a record of a full page beginning there also covers.
     fn rest_of_full_page(&self, first: usize) -> Range<usize> {
         let pages = (constants::PROGRESS_PAGE_TASKS / self.page_tasks) as usize;
         first + 1..(first + pages).min(self.pages.len())
--- a/crates/controller/src/cluster_state/run_times.rs
+++ b/crates/controller/src/cluster_state/run_times.rs
@@ -1,31 +1,32 @@
-//! The run times of a job's tasks.
+//! Mean run time of a job's tasks.
 
 use hookway_constants as constants;
 use hookway_time::millis_f64;
 use std::time::Duration;
 
-/// The known run times of completed tasks.
+/// Sum and count of the known run times of a job's completed tasks.
 #[derive(Debug, Default)]
 pub(super) struct RunTimes {
-    /// Their sum.
+    /// Sum of the known run times.
     pub sum: Duration,
-    /// Their number.
+    /// Number of completed tasks with a known run time.
     pub count: u32,
 }
 
 impl RunTimes {
-    /// Adds the run time of a task.
+    /// Adds the run time of a completed task.
     pub fn add(&mut self, run_time: Duration) {
         self.sum += run_time;
         self.count += 1;
     }
 
-    /// Their mean, ms.
+    /// Returns the mean run time, ms; `None` while no run time is known.
     pub fn mean_ms(&self) -> Option<f64> {
         (self.count > 0).then(|| millis_f64(self.sum) / f64::from(self.count))
     }
 
-    /// Their mean, ms, once there are enough to judge a machine by it.
+    /// Returns the mean run time, ms, once it is reliable enough to call a machine slow by it: from
+    /// [`constants::RELIABLE_MEAN_TASKS`] run times on.
     pub fn reliable_mean_ms(&self) -> Option<f64> {
         self.mean_ms().filter(|_| self.count >= constants::RELIABLE_MEAN_TASKS)
     }
--- a/crates/controller/src/cluster_state/scale_in.rs
+++ b/crates/controller/src/cluster_state/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scale in: which machines are cordoned and deleted, and why.
+//! Scale in: decides which machines are cordoned and deleted, and why.
 
 use super::{ClusterState, CordonReason, JobOrigin, Machine, longest_worker_lease};
 use hookway_constants as constants;
@@ -7,40 +7,45 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// Boot time of a machine whose type is not known: longer than that of most types.
+/// Assumed boot time of a machine of unknown type: longer than that of most types.
 const UNKNOWN_TYPE_BOOT: Duration = Duration::from_secs(60);
 
-/// What the scale-in decisions of one round depend on.
+/// Inputs of the scale-in decisions of one round.
 struct ScaleInContext<'a> {
     now: MonotonicTime,
-    /// When this leader could last not answer workers: silence before that is not the machines'.
+    /// When this leader could last not answer workers. The machines are not to blame for silence
+    /// before that.
     resumed_at: MonotonicTime,
-    /// Time after which the lease of a worker without a response has surely expired.
+    /// Time after the last response from which the lease of a worker is certain to have expired.
     lease: Duration,
     reconciled: bool,
     machine_types: &'a [MachineType],
-    /// Idle timeout by machine type.
+    /// Idle timeout by name of the machine type.
     idle_timeouts: HashMap<String, Duration>,
-    /// Machines that the demand makes use of.
+    /// Machines that the autoscaling plan needs for the demand.
     needed: &'a HashSet<&'a str>,
-    /// Zones that are partitioned.
+    /// Names of the partitioned zones.
     partitioned: &'a HashSet<String>,
-    /// Machines that stay although idle.
+    /// Machines to keep although they may be idle.
     spares: HashSet<String>,
-    /// Machines with tasks that are silent while most others of their zone are not.
+    /// Machines with tasks that are silent while most other machines of their zone are not.
     silent: HashSet<String>,
-    /// Likewise, machines without a heartbeat since the failover.
+    /// Machines to delete because they sent no heartbeat since the failover, while most other machines
+    /// of their zone did.
     unreconciled: HashSet<String>,
 }
 
 impl ScaleInContext<'_> {
-    /// Why a machine is to be cordoned, or is cordoned already; `None` if it stays.
+    /// Returns why a machine is to be cordoned or stay cordoned; `None` if it is not to be
+    /// cordoned.
     fn cordon_reason(&self, name: &str, machine: &Machine) -> Option<CordonReason> {
-        // Deleting a machine proves its tasks gone, sooner than the expiry of its lease would.
+        // Deleting the machine proves that its tasks have ended, sooner than the expiry of the
+        // lease.
         if self.silent.contains(name) {
             return Some(CordonReason::Silent);
         }
-        // Tasks of earlier terms wait for machines without a heartbeat.
+        // Until these machines are reconciled or deleted, tasks of earlier terms can't be
+        // restarted.
         if self.unreconciled.contains(name) {
             return Some(CordonReason::Unreconciled);
         }
@@ -58,7 +63,8 @@
             .or_else(|| interrupted.then_some(CordonReason::Interrupted))
     }
 
-    /// Whether the machine may be deleted once it is cordoned. Tasks on a silent machine do not keep it.
+    /// Whether a cordoned machine may be deleted: it is empty, or it is silent and its tasks are
+    /// given up.
     fn is_deletable(&self, name: &str, machine: &Machine) -> bool {
         self.silent.contains(name) || machine.is_empty()
     }
@@ -82,7 +88,8 @@
             && !self.spares.contains(name)
     }
 
-    /// Whether the machine's lease expired so long ago that it is not expected back.
+    /// Whether the lease of the machine's worker expired so long ago that the machine is not expected
+    /// to come back.
     fn is_silent(&self, machine: &Machine) -> bool {
         let silent_since = machine.last_response_at.max(self.resumed_at);
         let delay = if self.is_partitioned(machine) {
@@ -94,8 +101,8 @@
             && self.now >= silent_since + self.lease + delay
     }
 
-    /// Whether the machine has had time enough to boot, without a heartbeat. One of the machine
-    /// registry has been up.
+    /// Whether the machine has sent no heartbeat although it had enough time to boot. A machine in
+    /// the machine registry has booted before.
     fn boot_timed_out(&self, machine: &Machine) -> bool {
         let machine_type = self.machine_types.iter().find(|t| t.name == machine.machine_type);
         let boot_ms = machine_type.map_or(millis_f64(UNKNOWN_TYPE_BOOT), |t| t.boot_s * 1000.0);
@@ -109,7 +116,7 @@
 }
 
 impl ClusterState {
-    /// Cordons machines, and returns those to delete now.
+    /// Updates which machines are cordoned, and returns the names of those to delete now.
     pub(super) fn machines_to_scale_in(
         &mut self,
         now: MonotonicTime,
@@ -148,10 +155,11 @@
         surplus
     }
 
-    /// Machines without a heartbeat since the failover to delete now: none unless inherited jobs wait
-    /// for them and the deletion gains time against the expiry of their leases. `patience` is the
-    /// time for a worker to send a heartbeat, to try each controller with one that hangs among them,
-    /// and to send another heartbeat with the new fencing token.
+    /// Returns the machines without a heartbeat since the failover that are to be deleted now.
+    /// There are none unless jobs of earlier terms wait for them and the deletion is sooner than
+    /// the expiry of their leases. `patience` covers the time for a worker to send a heartbeat, to
+    /// try each controller while one of them hangs, and to send another heartbeat with the new
+    /// fencing token.
     fn unreconciled_to_delete(&self, now: MonotonicTime, patience: Duration) -> HashSet<String> {
         let inherited_waits = self
             .jobs
@@ -171,15 +179,16 @@
         })
     }
 
-    /// How long a machine of each type may be idle.
+    /// Returns the idle timeout of each machine type, by name.
     fn idle_timeouts(&self) -> HashMap<String, Duration> {
         let timeout = |t: &MachineType| (t.name.clone(), self.idle_timeout(t));
         self.machine_types.iter().map(timeout).collect()
     }
 
-    /// How long a machine of this type may be idle. As in ski rental, keeping it costs as much as
-    /// replacing it once it has been idle for as long as a new one takes to boot and to fetch an
-    /// image, which is time paid for without work.
+    /// Returns how long a machine of this type may be idle before it is scaled in: the operator's
+    /// setting, or a multiple of the time that a new machine takes to boot and to fetch an image.
+    /// As in the ski rental problem, an idle machine has by then cost as much as replacing it,
+    /// since that time is paid for without work.
     fn idle_timeout(&self, machine_type: &MachineType) -> Duration {
         let sizes_gb: Vec<f64> = self.jobs.values().map(|job| job.spec.image_gb).collect();
         let mean_gb = if sizes_gb.is_empty() {
@@ -192,14 +201,15 @@
         self.config.operator.idle_timeout.unwrap_or(Duration::from_millis(default_ms))
     }
 
-    /// The cloud confirmed a deletion: the machines and all tasks on them are gone.
+    /// Removes machines whose deletion the cloud has confirmed, and all tasks on them.
     pub fn scale_in_finished(&mut self, names: &[String], now: MonotonicTime) {
         for name in names {
             self.remove_machine(name, now);
         }
     }
 
-    /// A deletion failed or its outcome is not known: it will be requested again.
+    /// Records that a deletion failed or that its outcome is unknown: it is requested again in a
+    /// later round if the machine is still to be deleted.
     pub fn scale_in_failed(&mut self, names: &[String]) {
         for name in names {
             self.scaling_in.remove(name);
--- a/crates/controller/src/cluster_state/scale_out.rs
+++ b/crates/controller/src/cluster_state/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale out: which machines the cloud may be asked for, and the requests in flight.
+//! Scale out: decides what to request from the cloud, and tracks the requests in flight.
 
 use super::{ClusterState, Machine};
 use hookway_constants as constants;
@@ -7,11 +7,11 @@
 use hookway_wire::ScaleOutRequest;
 use std::collections::{HashMap, HashSet};
 
-/// Scale-out requests that may be in flight, however few the cloud takes in a second: one that is
-/// answered late must not hold up all others.
+/// Lower bound of the number of scale-out requests that may be in flight, however low the cloud's
+/// rate limit is: a request that is answered late must not block all others.
 const MIN_PENDING_REQUESTS: f64 = 2.0;
 
-/// Machines that the cloud offers under the same conditions.
+/// Machines of one type, zone and purchase option, which share the cloud's capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct CapacityPool {
     /// Index of the machine type.
@@ -21,7 +21,7 @@
     spot: bool,
 }
 
-/// A scale-out request in flight.
+/// A scale-out request that the cloud has not answered.
 #[derive(Debug, Clone)]
 struct PendingScaleOut {
     request_id: String,
@@ -29,26 +29,26 @@
     count: u32,
 }
 
-/// The scale-out requests in flight, and the pools that had no capacity of late.
+/// The scale-out requests in flight, and the pools that recently had no capacity.
 #[derive(Debug, Default)]
 pub(super) struct ScaleOutState {
-    /// Number of requests of this term.
+    /// Number of requests made in this term; the last part of the newest request id.
     last_request: u64,
     pending: Vec<PendingScaleOut>,
-    /// Pools without capacity, and until when they are not asked again.
+    /// Pools without capacity, with the time until which nothing is requested from them.
     unavailable_until: HashMap<CapacityPool, MonotonicTime>,
 }
 
 impl ScaleOutState {
-    /// Whether a pool may be asked for machines: it had capacity, and no request is in flight. What a
-    /// request brings counts as booting machines, and more requests before its answer would only
-    /// queue up.
+    /// Whether machines may be requested from a pool: it did not recently lack capacity, and no
+    /// request for it is in flight. The machines of a request in flight count as booting, and more
+    /// requests before its answer would only queue up.
     fn may_request(&self, pool: CapacityPool, now: MonotonicTime) -> bool {
         let unavailable = self.unavailable_until.get(&pool).is_some_and(|until| now < *until);
         !unavailable && !self.pending.iter().any(|pending| pending.pool == pool)
     }
 
-    /// Ends a request in flight; `None` if there is no such request.
+    /// Removes and returns the request in flight with this id; `None` if there is none.
     fn take(&mut self, request_id: &str) -> Option<PendingScaleOut> {
         let position = self.pending.iter().position(|p| p.request_id == request_id)?;
         Some(self.pending.swap_remove(position))
@@ -56,7 +56,7 @@
 }
 
 impl ClusterState {
-    /// What the cloud may be asked for at `now`, outside of `partitioned` zones.
+    /// Returns the machines that may be requested at `now`, leaving out `partitioned` zones.
     pub(super) fn offers(
         &self,
         partitioned: &HashSet<String>,
@@ -80,7 +80,7 @@
         offers
     }
 
-    /// The machines of the requests in flight, as the policy sees them.
+    /// Returns the policy's view of the machines that are requested and not yet known, as booting.
     pub(super) fn pending_machine_views(&self) -> Vec<MachineView> {
         let mut views = Vec::new();
         for PendingScaleOut { pool, count, .. } in &self.scale_outs.pending {
@@ -104,8 +104,9 @@
         views
     }
 
-    /// The requests for the machines of a plan. `planned_machines` are those that the plan has taken
-    /// into account.
+    /// Creates the requests for the machines of a plan, within the operator's limit on the number
+    /// of machines. `planned_machines` is the number of machines that the plan has taken into
+    /// account, including those of requests in flight.
     pub(super) fn request_scale_out(
         &mut self,
         plan: &ScalingPlan,
@@ -115,8 +116,8 @@
         let machines = planned_machines.max(self.machines.len());
         let room = self.config.operator.max_machines.saturating_sub(machines);
         let mut remaining = u32::try_from(room).unwrap_or(u32::MAX);
-        // No more requests than the cloud takes within about a second: one that waits in a queue is out
-        // of date when its turn comes.
+        // No more requests are in flight than the cloud accepts within about a second: a request
+        // that waits in a queue is out of date by the time it is sent.
         let max_pending = self.config.platform.cloud.rps.max(MIN_PENDING_REQUESTS) as usize;
         let mut requests = Vec::new();
         for scale_out in &plan.scale_out {
@@ -129,10 +130,10 @@
         requests
     }
 
-    /// A request for `count` machines, in flight from now on.
+    /// Creates a request for `count` machines, which counts as in flight from now on.
     fn new_request(&mut self, offer: &MachineOffer, count: u32) -> ScaleOutRequest {
         self.scale_outs.last_request += 1;
-        // Never used again by any controller: the term is part of the id.
+        // The term makes the id unique among all controllers.
         let request_id = format!("h-{}-{}", self.term, self.scale_outs.last_request);
         let request = ScaleOutRequest {
             request_id: request_id.clone(),
@@ -151,7 +152,8 @@
         request
     }
 
-    /// The cloud answered a scale-out request at `now`. `None`: no capacity.
+    /// Applies the cloud's answer, received at `now`, to a scale-out request. `machines` has the
+    /// names of the new machines, and is `None` if the pool had no capacity.
     pub fn scale_out_finished(
         &mut self,
         request: &ScaleOutRequest,
--- a/crates/controller/src/cluster_state/scheduling_round.rs
+++ b/crates/controller/src/cluster_state/scheduling_round.rs
@@ -32,7 +32,8 @@
     pub unplaced: Vec<UnplacedDemand>,
     /// Parts of teams' quotas that are reserved for waiting gangs.
     pub quota_reservations: Vec<QuotaReservation>,
-    /// Names of the machines reserved for a job that tasks were preempted for, or for a waiting gang.
+    /// Names of the machines reserved for a job that tasks were preempted for, or for a waiting
+    /// gang.
     pub reserved_machines: HashSet<String>,
 }
 
--- a/crates/controller/src/cluster_state/service_level_objectives.rs
+++ b/crates/controller/src/cluster_state/service_level_objectives.rs
@@ -3,18 +3,19 @@
 use crate::settings::PlatformSettings;
 use hookway_wire::JobSpec;
 
-/// When a job should start and be complete, in s after its submission.
+/// When a job should start and be complete, in seconds after its submission.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ServiceLevelObjectives {
-    /// When it should be complete.
+    /// When the job should be complete; `None` if it has no deadline.
     pub deadline_s: Option<f64>,
-    /// When it should have started, tightest objective first.
+    /// When the job should have started, tightest objective first; empty without an objective.
     pub start_s: Vec<f64>,
 }
 
 impl ServiceLevelObjectives {
-    /// A job's own deadline, or what the platform's objectives promise its class. A daemon has none:
-    /// all of its replicas are wanted all the time, and a late one is wanted no less.
+    /// Returns the objectives of a job. The job's own deadline precedes the one that the platform's
+    /// objectives imply for its class. A daemon has no objectives: all its replicas are wanted all
+    /// the time, and a late one no less.
     pub fn of_job(spec: &JobSpec, platform: &PlatformSettings) -> Self {
         if spec.is_daemon() {
             return Self::default();
@@ -22,7 +23,8 @@
         let mut start_s: Vec<f64> = class_objectives(platform, spec, "wait").collect();
         start_s.sort_by(f64::total_cmp);
         let finished_s = class_objectives(platform, spec, "finished").next();
-        // All tasks of an array have started in time if the last ones end a task time later.
+        // If the last tasks of an array end one task time after the start objective, all have
+        // started in time.
         let started_s = start_s.first().filter(|_| !spec.is_gang()).map(|s| s + spec.estimate_s);
         let implied_s = match (finished_s, started_s) {
             (Some(finished_s), Some(started_s)) => Some(finished_s.min(started_s)),
@@ -32,7 +34,7 @@
     }
 }
 
-/// The platform's objectives of one kind for a job's class, s.
+/// Returns the time limits of the platform's objectives of one kind for a job's class, s.
 fn class_objectives<'a>(
     platform: &'a PlatformSettings,
     spec: &'a JobSpec,
--- a/crates/controller/src/cluster_state/spare_machines.rs
+++ b/crates/controller/src/cluster_state/spare_machines.rs
@@ -1,5 +1,5 @@
-//! Spare machines: kept although idle, for classes whose jobs must start sooner than a new machine is
-//! ready.
+//! Spare machines: idle machines that are kept for job classes whose jobs must start sooner than a
+//! new machine would be ready.
 
 use super::class_history::ClassHistory;
 use super::{ClusterState, Job, Machine, longest_worker_lease};
@@ -8,24 +8,25 @@
 use hookway_wire::{MachineType, PurchaseOption};
 use std::collections::HashSet;
 
-/// A class with an objective for its start.
+/// A job class with an objective for the start of its jobs.
 struct SpareClass<'a> {
     name: &'a str,
     history: &'a ClassHistory,
-    /// Time within which its jobs should start, s.
+    /// Time within which jobs of the class should start, s.
     start_within_s: f64,
 }
 
-/// A machine that can serve as a spare of a class.
+/// A machine that can serve as a spare for a class.
 struct Candidate<'a> {
     name: &'a str,
-    /// Number of the class's images in its cache.
+    /// Number of the class's images that the machine has cached.
     cached_images: usize,
     price: f64,
 }
 
 impl ClusterState {
-    /// Records how many machines each class needs at `now`.
+    /// Records how many machines each class needs at `now` for all unfinished tasks of its active
+    /// jobs that are not crash-looping.
     pub(super) fn record_demand(&mut self, now: MonotonicTime) {
         for (name, class) in &mut self.classes {
             let tasks: u32 = self
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Machines that stay although idle.
+    /// Returns the names of the machines to keep although they may be idle.
     pub(super) fn spare_machines(&self, now: MonotonicTime) -> HashSet<String> {
         let objectives = self.config.platform.objectives.iter();
         objectives
@@ -56,8 +57,9 @@
             .collect()
     }
 
-    /// The spares of a class: as many as it needed at a time of late, less those that run its tasks,
-    /// and one in any case. Those with most of the class's images come first, then the cheapest.
+    /// Returns the spares of a class: as many as its peak demand within the demand window, less the
+    /// machines that have its tasks, but at least one. Machines with more of the class's images
+    /// cached are preferred, then cheaper ones.
     fn spare_machines_of(&self, class: &SpareClass<'_>, now: MonotonicTime) -> Vec<String> {
         let mut candidates: Vec<Candidate<'_>> = Vec::new();
         let mut busy_machines = 0;
@@ -80,7 +82,7 @@
         candidates.into_iter().take(kept).map(|candidate| candidate.name.to_owned()).collect()
     }
 
-    /// Whether a machine has a task of the class.
+    /// Whether a task of the class is placed on the machine.
     fn runs_class(&self, machine: &Machine, class: &str) -> bool {
         machine.placed_tasks.iter().any(|placed| {
             let job = placed.job.and_then(|key| self.jobs.get(&key));
@@ -88,7 +90,8 @@
         })
     }
 
-    /// Whether a machine can take the class's tasks, and a new one would be ready too late.
+    /// Whether a machine is up and can take the class's tasks, and a new machine of its type would
+    /// be ready too late.
     fn is_spare_candidate(
         &self,
         machine: &Machine,
--- a/crates/controller/src/cluster_state/summary.rs
+++ b/crates/controller/src/cluster_state/summary.rs
@@ -1,24 +1,25 @@
-//! A summary of the cluster, for the log.
+//! One-line summary of the cluster for the log.
 
 use super::ClusterState;
 use hookway_time::MonotonicTime;
 
-/// The state of the cluster in one line of the log.
+/// Counts of jobs, machines, tasks and CPUs at one moment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Summary {
-    /// Unfinished jobs.
+    /// Jobs in the cluster state, including ended ones that still have tasks on machines.
     pub jobs: usize,
-    /// Of these, jobs that count as started although no durable record says so.
+    /// Jobs among them whose tasks are assumed to have been started although no durable record says
+    /// so.
     pub assumed_started: usize,
-    /// Machines, booting ones included.
+    /// Machines, including booting ones.
     pub machines: usize,
-    /// Machines that are up.
+    /// Machines of a known type and zone that are not booting.
     pub up: usize,
-    /// Placed tasks.
+    /// Tasks that occupy resources of a machine.
     pub tasks: usize,
     /// CPUs of the machines that are up.
     pub cpus: f64,
-    /// CPUs that placed tasks take.
+    /// CPUs of the machines that are up that tasks use or relocations hold.
     pub placed: f64,
     /// CPUs that startable tasks are waiting for.
     pub waiting: f64,
@@ -37,7 +38,7 @@
 }
 
 impl ClusterState {
-    /// A summary of the cluster at `now`.
+    /// Returns the summary of the cluster at `now`.
     pub fn summary(&self, now: MonotonicTime) -> Summary {
         let cluster = self.scheduling_snapshot(now).cluster;
         let up = || cluster.machines.iter().filter(|machine| !machine.booting);
--- a/crates/controller/src/cluster_state/token_bucket.rs
+++ b/crates/controller/src/cluster_state/token_bucket.rs
@@ -1,27 +1,28 @@
-//! A budget of operations that is refilled at a steady rate.
+//! A token bucket: limits the rate of operations while allowing short bursts.
 
 use hookway_time::{MonotonicTime, seconds_f64};
 
-/// Tokens that a bucket saves up at least, however low its rate: a transaction that ends a job has
-/// two operations.
+/// Minimum capacity of a bucket in tokens, however low its rate: the transaction that ends a job
+/// has two operations.
 const MIN_CAPACITY: f64 = 2.0;
 
-/// Tokens that are refilled at a rate and saved up for a second, but at least two.
+/// Tokens that are refilled at a steady rate, up to those of one second but at least
+/// [`MIN_CAPACITY`].
 #[derive(Debug)]
 pub(super) struct TokenBucket {
     rate_per_s: f64,
     tokens: f64,
-    /// When it was last refilled.
+    /// When the bucket was last refilled.
     filled_at: MonotonicTime,
 }
 
 impl TokenBucket {
-    /// A full bucket at `now`.
+    /// Creates a bucket that is full at `now`.
     pub fn new(rate_per_s: f64, now: MonotonicTime) -> Self {
         Self { rate_per_s, tokens: rate_per_s.max(MIN_CAPACITY), filled_at: now }
     }
 
-    /// Refills the bucket at `now`; the number of tokens.
+    /// Refills the bucket at `now`, and returns the number of tokens in it.
     pub fn fill(&mut self, now: MonotonicTime) -> f64 {
         let elapsed_s = seconds_f64(now.saturating_duration_since(self.filled_at));
         let filled = self.tokens + elapsed_s * self.rate_per_s;
@@ -30,12 +31,12 @@
         self.tokens
     }
 
-    /// Refills the bucket at `now`; whether it has a token.
+    /// Refills the bucket at `now`, and returns whether it has a token.
     pub fn has_token(&mut self, now: MonotonicTime) -> bool {
         self.fill(now) >= 1.0
     }
 
-    /// Takes tokens.
+    /// Removes tokens for operations that are sent.
     pub fn take(&mut self, tokens: usize) {
         self.tokens -= tokens as f64;
     }
