--- a/crates/controller/src/cluster_state/bounded_set/tests.rs
+++ b/crates/controller/src/cluster_state/bounded_set/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn recent_set_evicts_only_oldest_members() {
-    let mut recent = BoundedSet::new(2);
+fn bounded_set_drops_only_oldest_members() {
+    let mut set = BoundedSet::new(2);
     for n in [1, 2, 2, 3] {
-        recent.insert(n);
+        set.insert(n);
     }
-    assert_eq!([1, 2, 3].map(|n| recent.contains(&n)), [false, true, true]);
+    assert_eq!([1, 2, 3].map(|n| set.contains(&n)), [false, true, true]);
 }
--- a/crates/controller/src/cluster_state/class_history.rs
+++ b/crates/controller/src/cluster_state/class_history.rs
@@ -24,9 +24,9 @@
     /// Numeric ids of the images that jobs of the class used in this term.
     pub images: HashSet<u32>,
     /// Whether all jobs of the class may use spot machines.
-    pub spot: bool,
+    pub allows_spot: bool,
     /// Whether the first job of the class was a gang; later jobs do not change this.
-    pub gangs: bool,
+    pub has_gangs: bool,
     /// Demand within the last [`constants::DEMAND_WINDOW`], oldest first.
     demand: VecDeque<Demand>,
 }
@@ -39,8 +39,8 @@
             image_gb: record.image_gb,
             images: HashSet::new(),
             demand: VecDeque::new(),
-            spot: record.spot,
-            gangs: record.gangs,
+            allows_spot: record.spot,
+            has_gangs: record.gangs,
         }
     }
 
@@ -61,8 +61,8 @@
         ClassRecord {
             request: self.request,
             image_gb: self.image_gb,
-            spot: self.spot,
-            gangs: self.gangs,
+            spot: self.allows_spot,
+            gangs: self.has_gangs,
         }
     }
 
@@ -74,7 +74,7 @@
         self.request.memory_gb = self.request.memory_gb.max(request.memory_gb);
         self.image_gb = self.image_gb.max(spec.image_gb);
         self.images.insert(image);
-        self.spot &= spec.spot;
+        self.allows_spot &= spec.spot;
     }
 
     /// Records the number of machines needed at `now`, and drops demand that is older than
--- a/crates/controller/src/cluster_state/failure_attribution.rs
+++ b/crates/controller/src/cluster_state/failure_attribution.rs
@@ -25,18 +25,18 @@
     pub fn is_crash_looping(&self) -> bool {
         let max_failures =
             if self.spec.needs_all_tasks_at_once() { constants::GANG_MAX_FAILURES } else { 1 };
-        self.failures.consecutive >= max_failures && self.unproven()
+        self.failures.consecutive >= max_failures && self.is_unproven()
     }
 
     /// Whether there is no evidence that the job can run at all.
-    fn unproven(&self) -> bool {
+    fn is_unproven(&self) -> bool {
         self.completed == 0 && self.running as usize <= self.failures.machines.len()
     }
 
     /// Returns the weight of a failure of this job as evidence that the machine is faulty, from 0
     /// to 1.
     fn failure_weight(&self) -> f64 {
-        if !self.unproven() {
+        if !self.is_unproven() {
             return 1.0;
         }
         // While the job has failed on one machine only, either may be faulty.
@@ -64,7 +64,7 @@
         }
         self.failures.last_at = now;
         self.failures.consecutive += 1;
-        let proven = self.completed > 0 || self.spec.is_daemon() && !self.unproven();
+        let proven = self.completed > 0 || self.spec.is_daemon() && !self.is_unproven();
         if proven && self.failures.consecutive < constants::PROVEN_JOB_MAX_FAILURES {
             return;
         }
--- a/crates/controller/src/cluster_state/job.rs
+++ b/crates/controller/src/cluster_state/job.rs
@@ -58,7 +58,7 @@
     /// Number of zones in the platform settings.
     pub zones: usize,
     /// Maximum size of a value in the store, KiB.
-    pub value_kb: f64,
+    pub max_value_kb: f64,
     /// Whether earlier leaders may have started some of the job's tasks.
     pub origin: JobOrigin,
 }
@@ -153,7 +153,7 @@
             unplaced: (0..spec.tasks).collect(),
             orphaned: Vec::new(),
             completed: 0,
-            progress: Progress::new(spec.tasks, context.value_kb),
+            progress: Progress::new(spec.tasks, context.max_value_kb),
             placed: 0,
             running: 0,
             placed_per_zone: vec![0; context.zones],
--- a/crates/controller/src/cluster_state/job_intake.rs
+++ b/crates/controller/src/cluster_state/job_intake.rs
@@ -37,16 +37,16 @@
             team: team.unwrap_or(0),
             image,
             zones: platform.zones.len(),
-            value_kb: platform.state.value_kb,
+            max_value_kb: platform.state.value_kb,
             origin,
         };
-        self.add_to_class(&record.spec, image);
+        self.update_class_history(&record.spec, image);
         self.jobs.add(id, Job::new(record, &objectives, &context, at));
     }
 
     /// Adds a job to the history of its class, and queues the record of the classes if that changes
     /// it.
-    fn add_to_class(&mut self, spec: &JobSpec, image: u32) {
+    fn update_class_history(&mut self, spec: &JobSpec, image: u32) {
         let before = self.classes.get(&spec.class).map(ClassHistory::record);
         let class = self
             .classes
--- a/crates/controller/src/cluster_state/machine_fill.rs
+++ b/crates/controller/src/cluster_state/machine_fill.rs
@@ -29,10 +29,10 @@
         }
         let Some(mut target) = self.fill_target(name, now) else { return };
         let mut unplaced = std::mem::take(&mut self.last_round.unplaced);
-        for cached_leftovers_only in [true, false] {
+        for cached_backfill_only in [true, false] {
             for demand in &mut unplaced {
-                if cached_leftovers_only
-                    && demand.leftover
+                if cached_backfill_only
+                    && demand.is_backfill
                     && !self.has_cached_image(&target, demand)
                 {
                     continue;
--- a/crates/controller/src/cluster_state/machine_list.rs
+++ b/crates/controller/src/cluster_state/machine_list.rs
@@ -10,20 +10,20 @@
 use std::time::Duration;
 
 impl ClusterState {
-    /// Applies a machine list that was requested at `asked` and received at `now`: adds and updates
+    /// Applies a machine list that was requested at `requested_at` and received at `now`: adds and updates
     /// listed machines, and removes those that no longer exist.
     pub fn machines_listed(
         &mut self,
         list: &[ListedMachine],
-        asked: MonotonicTime,
+        requested_at: MonotonicTime,
         now: MonotonicTime,
     ) {
         for listed in list {
             if !self.removed_machines.contains(&listed.id) && self.add_listed_machine(listed, now) {
-                self.update_listed(listed, now);
+                self.update_from_list(listed, now);
             }
         }
-        for name in self.machines_missing_from(list, asked) {
+        for name in self.machines_missing_from(list, requested_at) {
             tracing::info!(machine = %name, "machine not listed any more");
             self.remove_machine(&name, now);
         }
@@ -50,7 +50,7 @@
     }
 
     /// Updates a known machine from its entry in the list.
-    fn update_listed(&mut self, listed: &ListedMachine, now: MonotonicTime) {
+    fn update_from_list(&mut self, listed: &ListedMachine, now: MonotonicTime) {
         let name = &listed.id;
         let Some(machine) = self.machines.get_mut(name) else { return };
         if !machine.has_reported {
@@ -74,17 +74,21 @@
         }
     }
 
-    /// Returns the machines that no longer exist, because a list requested at `asked` lacks them. A
+    /// Returns the machines that no longer exist, because a list requested at `requested_at` lacks them. A
     /// listed machine stays listed for as long as it exists, but a list may be older than the
     /// previous one by up to twice the lag of lists. So only machines that were listed for longer
     /// count.
-    fn machines_missing_from(&self, list: &[ListedMachine], asked: MonotonicTime) -> Vec<String> {
+    fn machines_missing_from(
+        &self,
+        list: &[ListedMachine],
+        requested_at: MonotonicTime,
+    ) -> Vec<String> {
         let lag_ms =
             self.config.platform.cloud.list_lag_s * 1000.0 * constants::UNLISTED_LAG_FACTOR;
         let lag = Duration::from_millis(lag_ms as u64);
         let listed: HashSet<&str> = list.iter().map(|machine| machine.id.as_str()).collect();
         let must_be_listed = |machine: &Machine| {
-            machine.first_listing.is_some_and(|listing| listing.precedes(asked, lag))
+            machine.first_listing.is_some_and(|listing| listing.precedes(requested_at, lag))
         };
         self.machines
             .iter()
--- a/crates/controller/src/cluster_state/progress.rs
+++ b/crates/controller/src/cluster_state/progress.rs
@@ -52,8 +52,8 @@
 
 /// Returns the number of tasks per page whose results fit into one value. It is a full page divided
 /// by a power of two, so that page boundaries under a larger limit remain page boundaries.
-fn tasks_per_page(value_kb: f64) -> u32 {
-    let max_tasks = (value_kb * 1024.0 - ENVELOPE_BYTES) * TASKS_PER_CHARACTER;
+fn tasks_per_page(max_value_kb: f64) -> u32 {
+    let max_tasks = (max_value_kb * 1024.0 - ENVELOPE_BYTES) * TASKS_PER_CHARACTER;
     let mut tasks = constants::PROGRESS_PAGE_TASKS;
     while tasks > constants::PROGRESS_PAGE_MIN_TASKS && f64::from(tasks) > max_tasks {
         tasks /= 2;
@@ -63,9 +63,9 @@
 
 impl Progress {
     /// Creates the state of a job with `tasks` tasks and no stored results, in a store whose values
-    /// have at most `value_kb` KiB.
-    pub fn new(tasks: u32, value_kb: f64) -> Self {
-        let page_tasks = tasks_per_page(value_kb);
+    /// have at most `max_value_kb` KiB.
+    pub fn new(tasks: u32, max_value_kb: f64) -> Self {
+        let page_tasks = tasks_per_page(max_value_kb);
         let pages = vec![Page::default(); tasks.div_ceil(page_tasks) as usize];
         Self { tasks, page_tasks, durable: vec![false; tasks as usize], pages }
     }
@@ -129,7 +129,8 @@
     }
 
     /// Applies a stored record whose results begin at task `from`, and returns its results.
-    /// `record` is `None` if there is no such record; `mod_revision` is 0 then.
+    /// `record` is `None` if there is no such record, with a `mod_revision` of 0, or if it can't be
+    /// parsed.
     pub fn learn(
         &mut self,
         from: u32,
--- a/crates/controller/src/cluster_state/progress/tests.rs
+++ b/crates/controller/src/cluster_state/progress/tests.rs
@@ -9,10 +9,10 @@
 #[test]
 fn progress_page_is_divided_only_under_small_value_limit() {
     let large = Progress::new(40_000, 8.0);
-    let keys: Vec<String> = (0..3).map(|chunk| large.key(&id(), chunk)).collect();
+    let keys: Vec<String> = (0..3).map(|page| large.key(&id(), page)).collect();
     assert_eq!(keys, ["p/req-000001/0", "p/req-000001/1", "p/req-000001/2"]);
     let small = Progress::new(40_000, SMALL_VALUE_KB);
-    let keys: Vec<String> = (0..3).map(|chunk| small.key(&id(), chunk)).collect();
+    let keys: Vec<String> = (0..3).map(|page| small.key(&id(), page)).collect();
     assert_eq!(keys, ["p/req-000001/0", "p/req-000001/0/8192", "p/req-000001/1"]);
     let all_completed: Vec<bool> = small.range(0).map(|_| true).collect();
     let length = serde_json::to_string(&ProgressRecord::new(&all_completed)).unwrap().len();
--- a/crates/controller/src/cluster_state/relocation.rs
+++ b/crates/controller/src/cluster_state/relocation.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum MoveStep {
     /// The replica still runs; its target may have to be cleared first.
-    AwaitsRoom,
+    AwaitingTarget,
     /// The stop of the replica is decided.
     Stopping,
 }
@@ -53,7 +53,7 @@
     job: JobKey,
     /// Machine for each task of the beneficiary that is to be placed. Empty once they are placed or
     /// the purpose of the relocation is gone, so that only stopped replicas have to be started.
-    room: Vec<String>,
+    task_machines: Vec<String>,
     /// Lower-priority tasks on the beneficiary's machines, to be stopped when the replicas are.
     victims: Vec<TaskOnMachine>,
     moves: Vec<ReplicaMove>,
@@ -63,7 +63,7 @@
 
 /// Why a relocation ends before its beneficiary is placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum EndReason {
+enum AbortReason {
     /// The job does not have that many tasks to start any more: it has ended, was cancelled, backs
     /// off, or was placed elsewhere.
     JobNotWaiting,
@@ -77,13 +77,13 @@
     /// Drops everything but the replicas that must be started again, since the beneficiary is
     /// placed or is not to be placed here any more.
     fn keep_only_stopped_replicas(&mut self) {
-        self.room.clear();
+        self.task_machines.clear();
         self.victims.clear();
         self.moves.retain(|moving| moving.step == MoveStep::Stopping);
     }
 
     fn is_finished(&self) -> bool {
-        self.room.is_empty() && self.moves.is_empty()
+        self.task_machines.is_empty() && self.moves.is_empty()
     }
 }
 
@@ -93,9 +93,10 @@
     pub(super) fn resources_held_on(&self, name: &str) -> Resources {
         let mut held = Resources::default();
         for relocation in &self.relocations {
-            let room = relocation.room.iter().map(|machine| (relocation.job, machine));
+            let task_machines =
+                relocation.task_machines.iter().map(|machine| (relocation.job, machine));
             let moves = relocation.moves.iter().map(|moving| (moving.job, &moving.to));
-            for (key, _) in room.chain(moves).filter(|(_, machine)| *machine == name) {
+            for (key, _) in task_machines.chain(moves).filter(|(_, machine)| *machine == name) {
                 if let Some(job) = self.jobs.get(&key) {
                     held.add(&job.request);
                 }
@@ -151,23 +152,23 @@
         for replica_move in planned.moves {
             let key = snapshot.job_keys[replica_move.job];
             let Some(from) = self.task_on_machine(snapshot, &replica_move.replica) else { return };
-            let Some(index) = self.index_of(&from) else { return };
+            let Some(index) = self.task_index(&from) else { return };
             let to = name(replica_move.target);
             for Victim { machine, task } in replica_move.victims {
                 self.preempt_task(&name(machine), task as usize, key, now);
             }
-            moves.push(ReplicaMove { job: key, index, from, to, step: MoveStep::AwaitsRoom });
+            moves.push(ReplicaMove { job: key, index, from, to, step: MoveStep::AwaitingTarget });
         }
         let victims = planned.victims.iter();
         let victims = victims.filter_map(|victim| self.task_on_machine(snapshot, victim)).collect();
-        let room = planned.task_machines.into_iter().map(name).collect();
+        let task_machines = planned.task_machines.into_iter().map(name).collect();
         let deadline = now + constants::RELOCATION_STEP_TIMEOUT;
-        let relocation = Relocation { job, room, victims, moves, deadline };
-        self.log_begin(&relocation);
+        let relocation = Relocation { job, task_machines, victims, moves, deadline };
+        self.log_moves(&relocation);
         self.relocations.push(relocation);
     }
 
-    fn log_begin(&self, relocation: &Relocation) {
+    fn log_moves(&self, relocation: &Relocation) {
         let Some(job) = self.jobs.get(&relocation.job) else { return };
         for moving in &relocation.moves {
             tracing::info!(
@@ -199,7 +200,7 @@
         })
     }
 
-    fn index_of(&self, task: &TaskOnMachine) -> Option<u32> {
+    fn task_index(&self, task: &TaskOnMachine) -> Option<u32> {
         let position = self.position_of(task)?;
         Some(self.machines.get(&task.machine)?.placed_tasks.get(position)?.index)
     }
@@ -207,7 +208,7 @@
     /// Advances the relocations in progress at `now`, and ends those whose purpose is gone.
     pub(super) fn advance_relocations(&mut self, now: MonotonicTime) {
         let steps =
-            [Self::end_without_reason, Self::start_replicas, Self::start_job, Self::stop_replicas];
+            [Self::abort_if_obsolete, Self::start_replicas, Self::start_job, Self::stop_replicas];
         for at in 0..self.relocations.len() {
             let mut relocation = self.relocations[at].clone();
             for step in steps {
@@ -221,40 +222,39 @@
 
     /// Gives up a relocation whose purpose is gone. Replicas that were stopped for it are still
     /// started on their targets, until the deadline has passed.
-    fn end_without_reason(&mut self, relocation: &mut Relocation, now: MonotonicTime) {
-        if let Some(reason) = self.end_reason(relocation, now) {
+    fn abort_if_obsolete(&mut self, relocation: &mut Relocation, now: MonotonicTime) {
+        if let Some(reason) = self.abort_reason(relocation, now) {
             let job = self.jobs.get(&relocation.job).map(|job| &job.id);
             tracing::info!(?job, ?reason, "relocation ended without capacity for the job");
             relocation.keep_only_stopped_replicas();
         }
-        if relocation.room.is_empty() && now >= relocation.deadline {
+        if relocation.task_machines.is_empty() && now >= relocation.deadline {
             relocation.moves.clear();
         }
     }
 
     /// Returns why a relocation must be given up; `None` if it need not be, or if only stopped
     /// replicas have to be started.
-    fn end_reason(&self, relocation: &Relocation, now: MonotonicTime) -> Option<EndReason> {
-        if relocation.room.is_empty() {
+    fn abort_reason(&self, relocation: &Relocation, now: MonotonicTime) -> Option<AbortReason> {
+        if relocation.task_machines.is_empty() {
             return None;
         }
-        let waiting = self
-            .jobs
-            .get(&relocation.job)
-            .is_some_and(|job| self.startable_now(job, now) as usize >= relocation.room.len());
+        let waiting = self.jobs.get(&relocation.job).is_some_and(|job| {
+            self.startable_now(job, now) as usize >= relocation.task_machines.len()
+        });
         if !waiting {
-            return Some(EndReason::JobNotWaiting);
+            return Some(AbortReason::JobNotWaiting);
         }
-        let awaiting = |moving: &&ReplicaMove| moving.step == MoveStep::AwaitsRoom;
+        let awaiting = |moving: &&ReplicaMove| moving.step == MoveStep::AwaitingTarget;
         let targets = relocation.moves.iter().filter(awaiting).map(|moving| &moving.to);
         let unusable = |name: &String| {
             let machine = self.machines.get(name);
             machine.is_none_or(|machine| machine.is_draining() || !self.reports(machine, now))
         };
-        if relocation.room.iter().chain(targets).any(unusable) {
-            return Some(EndReason::MachineUnusable);
+        if relocation.task_machines.iter().chain(targets).any(unusable) {
+            return Some(AbortReason::MachineUnusable);
         }
-        (now >= relocation.deadline).then_some(EndReason::TimedOut)
+        (now >= relocation.deadline).then_some(AbortReason::TimedOut)
     }
 
     /// Decides to stop the replicas of a relocation once all its targets have the resources that
@@ -262,7 +262,7 @@
     /// daemon's replicas are placed. The relocation's other victims are stopped along with the
     /// replicas.
     fn stop_replicas(&mut self, relocation: &mut Relocation, now: MonotonicTime) {
-        if !relocation.moves.iter().all(|moving| self.has_held_room(&moving.to)) {
+        if !relocation.moves.iter().all(|moving| self.has_held_resources(&moving.to)) {
             return;
         }
         let mut moves = std::mem::take(&mut relocation.moves);
@@ -272,7 +272,7 @@
             let one_is_stopping = moves
                 .iter()
                 .any(|other| other.job == moving.job && other.step == MoveStep::Stopping);
-            if moving.step != MoveStep::AwaitsRoom || !complete || one_is_stopping {
+            if moving.step != MoveStep::AwaitingTarget || !complete || one_is_stopping {
                 continue;
             }
             if let Some(position) = self.position_of(&moving.from) {
@@ -313,7 +313,7 @@
             }
             // The relocation drops a replica that ended without being stopped, that need not be
             // started any more, or whose target can't be used: it is placed like any other task.
-            let ended_by_itself = moving.step == MoveStep::AwaitsRoom;
+            let ended_by_itself = moving.step == MoveStep::AwaitingTarget;
             if ended_by_itself || !self.may_start_replica(moving, now) {
                 return false;
             }
@@ -341,13 +341,13 @@
 
     /// Places the tasks of the beneficiary once the resources held for all of them are free.
     fn start_job(&mut self, relocation: &mut Relocation, now: MonotonicTime) {
-        let room = &relocation.room;
-        let ready = !room.is_empty()
-            && room.iter().all(|machine| self.can_start_on(machine, now))
-            && self.zones_allow(relocation.job, room)
-            && self.quota_allows(relocation.job, room.len());
+        let task_machines = &relocation.task_machines;
+        let ready = !task_machines.is_empty()
+            && task_machines.iter().all(|machine| self.can_start_on(machine, now))
+            && self.zones_allow(relocation.job, task_machines)
+            && self.quota_allows(relocation.job, task_machines.len());
         if ready {
-            self.place_tasks(relocation.job, room, now);
+            self.place_tasks(relocation.job, task_machines, now);
             relocation.keep_only_stopped_replicas();
         }
     }
@@ -375,7 +375,7 @@
 
     /// Whether a machine has all the resources that relocations hold on it: nothing that is placed
     /// there uses them.
-    fn has_held_room(&self, name: &str) -> bool {
+    fn has_held_resources(&self, name: &str) -> bool {
         let Some(machine) = self.machines.get(name) else { return false };
         let machine_type = self.machine_types.iter().find(|t| t.name == machine.machine_type);
         machine_type.is_some_and(|machine_type| {
@@ -395,6 +395,6 @@
                 && machine.is_admitted(now)
                 && self.reports(machine, now)
         };
-        self.machines.get(name).is_some_and(takes_tasks) && self.has_held_room(name)
+        self.machines.get(name).is_some_and(takes_tasks) && self.has_held_resources(name)
     }
 }
--- a/crates/controller/src/cluster_state/scale_in.rs
+++ b/crates/controller/src/cluster_state/scale_in.rs
@@ -44,15 +44,15 @@
         if self.silent.contains(name) {
             return Some(CordonReason::Silent);
         }
-        // Until these machines are reconciled or deleted, tasks of earlier terms can't be
-        // restarted.
+        // Tasks that earlier leaders may have started there can't be restarted before it is known
+        // whether they still run.
         if self.unreconciled.contains(name) {
             return Some(CordonReason::Unreconciled);
         }
         if self.boot_timed_out(machine) {
             return Some(CordonReason::BootTimeout);
         }
-        if self.is_silent(machine) {
+        if self.is_long_silent(machine) {
             return Some(CordonReason::Silent);
         }
         let interrupted =
@@ -90,7 +90,7 @@
 
     /// Whether the lease of the machine's worker expired so long ago that the machine is not expected
     /// to come back.
-    fn is_silent(&self, machine: &Machine) -> bool {
+    fn is_long_silent(&self, machine: &Machine) -> bool {
         let silent_since = machine.last_response_at.max(self.resumed_at);
         let delay = if self.is_partitioned(machine) {
             constants::PARTITION_SCALE_IN_DELAY
--- a/crates/controller/src/cluster_state/scale_out.rs
+++ b/crates/controller/src/cluster_state/scale_out.rs
@@ -49,7 +49,7 @@
     }
 
     /// Removes and returns the request in flight with this id; `None` if there is none.
-    fn take(&mut self, request_id: &str) -> Option<PendingScaleOut> {
+    fn remove(&mut self, request_id: &str) -> Option<PendingScaleOut> {
         let position = self.pending.iter().position(|p| p.request_id == request_id)?;
         Some(self.pending.swap_remove(position))
     }
@@ -114,8 +114,8 @@
         planned_machines: usize,
     ) -> Vec<ScaleOutRequest> {
         let machines = planned_machines.max(self.machines.len());
-        let room = self.config.operator.max_machines.saturating_sub(machines);
-        let mut remaining = u32::try_from(room).unwrap_or(u32::MAX);
+        let allowed = self.config.operator.max_machines.saturating_sub(machines);
+        let mut remaining = u32::try_from(allowed).unwrap_or(u32::MAX);
         // No more requests are in flight than the cloud accepts within about a second: a request
         // that waits in a queue is out of date by the time it is sent.
         let max_pending = self.config.platform.cloud.rps.max(MIN_PENDING_REQUESTS) as usize;
@@ -160,7 +160,7 @@
         machines: Option<Vec<String>>,
         now: MonotonicTime,
     ) {
-        let Some(pending) = self.scale_outs.take(&request.request_id) else { return };
+        let Some(pending) = self.scale_outs.remove(&request.request_id) else { return };
         let added = machines.as_ref().map_or(0, Vec::len);
         tracing::info!(
             request = %pending.request_id, added, requested = pending.count, "scale out finished"
--- a/crates/controller/src/cluster_state/scheduling_round.rs
+++ b/crates/controller/src/cluster_state/scheduling_round.rs
@@ -20,7 +20,7 @@
     /// Number of tasks that heartbeats may still place before the next round.
     pub tasks: u32,
     /// The tasks exceed the job's minimum task count, so they are placed as backfill only.
-    pub leftover: bool,
+    pub is_backfill: bool,
 }
 
 /// Results of the last scheduling round that placement at heartbeats uses until the next one.
@@ -102,7 +102,7 @@
         let unplaced = |entry: &QueueEntry| UnplacedDemand {
             job: snapshot.job_keys[entry.job],
             tasks: entry.tasks,
-            leftover: entry.leftover,
+            is_backfill: entry.leftover,
         };
         self.last_round.unplaced = placed.unplaced.iter().map(unplaced).collect();
         self.last_round.quota_reservations = placed.quota_reservations;
--- a/crates/controller/src/cluster_state/snapshot.rs
+++ b/crates/controller/src/cluster_state/snapshot.rs
@@ -74,7 +74,12 @@
         let cluster = ClusterSnapshot {
             now: now.as_seconds_f64(),
             cheapest_cpu_price: self.cheapest_cpu_price(),
-            gang_requests: self.classes.values().filter(|c| c.gangs).map(|c| c.request).collect(),
+            gang_requests: self
+                .classes
+                .values()
+                .filter(|c| c.has_gangs)
+                .map(|c| c.request)
+                .collect(),
             jobs,
             machines,
             teams: self.team_views(),
--- a/crates/controller/src/cluster_state/spare_machines.rs
+++ b/crates/controller/src/cluster_state/spare_machines.rs
@@ -66,7 +66,7 @@
         for (name, machine) in &self.machines {
             let machine_type = self.machine_types.iter().find(|t| t.name == machine.machine_type);
             let Some(machine_type) = machine_type else { continue };
-            if self.runs_class(machine, class.name) {
+            if self.has_task_of_class(machine, class.name) {
                 busy_machines += 1;
             } else if self.is_spare_candidate(machine, machine_type, class, now) {
                 let images = &class.history.images;
@@ -83,7 +83,7 @@
     }
 
     /// Whether a task of the class is placed on the machine.
-    fn runs_class(&self, machine: &Machine, class: &str) -> bool {
+    fn has_task_of_class(&self, machine: &Machine, class: &str) -> bool {
         machine.placed_tasks.iter().any(|placed| {
             let job = placed.job.and_then(|key| self.jobs.get(&key));
             job.is_some_and(|job| job.spec.class == class)
@@ -106,7 +106,7 @@
         !ready_in_time
             && machine.has_reported
             && !machine.is_draining()
-            && (!machine.spot || history.spot)
+            && (!machine.spot || history.allows_spot)
             && Resources::of_machine_type(machine_type).fits(&history.request)
             && now < machine.last_response_at + lease
     }
