--- a/crates/controller/src/cluster_state/completion.rs
+++ b/crates/controller/src/cluster_state/completion.rs
@@ -82,7 +82,7 @@
     }
 
     /// Returns when the user asked this leader to cancel the job; `None` if the user did not, or
-    /// asked another controller.
+    /// if another controller decided the cancellation.
     pub fn cancel_requested_at(&self) -> Option<MonotonicTime> {
         match self.0 {
             Phase::Ending { intended: IntendedEnd::Cancelled { requested_at }, .. } => {
--- a/crates/controller/src/cluster_state/failure_attribution.rs
+++ b/crates/controller/src/cluster_state/failure_attribution.rs
@@ -85,10 +85,10 @@
         let backoff = constants::FAILURE_BACKOFF * (1 << doublings);
         let backoff = backoff.min(constants::FAILURE_BACKOFF_MAX);
         // Jobs with the same fault that were submitted together should not all be retried together.
-        let spread = |sum: u64, byte: u8| sum.wrapping_mul(31).wrapping_add(u64::from(byte));
-        let spread = self.id.as_str().bytes().fold(u64::from(self.failures.consecutive), spread);
+        let add_byte = |sum: u64, byte: u8| sum.wrapping_mul(31).wrapping_add(u64::from(byte));
+        let hash = self.id.as_str().bytes().fold(u64::from(self.failures.consecutive), add_byte);
         let max_jitter_ms = whole_millis(backoff) / JITTER_DIVISOR;
-        let jitter_ms = max_jitter_ms * (spread % JITTER_STEPS) / JITTER_STEPS;
+        let jitter_ms = max_jitter_ms * (hash % JITTER_STEPS) / JITTER_STEPS;
         backoff + Duration::from_millis(jitter_ms)
     }
 
--- a/crates/controller/src/cluster_state/image_numbers.rs
+++ b/crates/controller/src/cluster_state/image_numbers.rs
@@ -1,4 +1,4 @@
-//! Numeric ids for image names, so that comparing images is cheap.
+//! Numeric ids for image names.
 
 use super::CachedImage;
 use crate::records::ImageRecord;
--- a/crates/controller/src/cluster_state/job_index.rs
+++ b/crates/controller/src/cluster_state/job_index.rs
@@ -29,8 +29,7 @@
         }
     }
 
-    /// Whether the index contains a job with this id, or did so earlier in this term and it has
-    /// ended.
+    /// Whether the index contains a job with this id, or one ended in this term.
     pub fn has_seen(&self, id: &JobId) -> bool {
         self.keys.contains_key(id) || self.ended.contains(id)
     }
--- a/crates/controller/src/cluster_state/placement.rs
+++ b/crates/controller/src/cluster_state/placement.rs
@@ -82,7 +82,7 @@
     }
 
     /// Stops the task at `position` in a machine's placed tasks so that job `beneficiary` can start
-    /// in its place, and tells the user of the victim.
+    /// in its place, and adds a note for the user of the preempted job.
     pub(super) fn preempt_task(
         &mut self,
         name: &str,
--- a/crates/controller/src/cluster_state/relocation.rs
+++ b/crates/controller/src/cluster_state/relocation.rs
@@ -57,7 +57,7 @@
     /// Lower-priority tasks on the beneficiary's machines, to be stopped when the replicas are.
     victims: Vec<TaskOnMachine>,
     moves: Vec<ReplicaMove>,
-    /// The relocation is given up at this time.
+    /// The relocation is given up at this time; each stop of a replica extends it.
     deadline: MonotonicTime,
 }
 
--- a/crates/controller/src/cluster_state/scale_in.rs
+++ b/crates/controller/src/cluster_state/scale_in.rs
@@ -30,8 +30,8 @@
     spares: HashSet<String>,
     /// Machines with tasks that are silent while most other machines of their zone are not.
     silent: HashSet<String>,
-    /// Machines to delete because they sent no heartbeat since the failover, while most other machines
-    /// of their zone did.
+    /// Machines to delete because they sent no heartbeat since the failover, while most other
+    /// machines of their zone did.
     unreconciled: HashSet<String>,
 }
 
@@ -88,8 +88,8 @@
             && !self.spares.contains(name)
     }
 
-    /// Whether the lease of the machine's worker expired so long ago that the machine is not expected
-    /// to come back.
+    /// Whether the lease of the machine's worker expired so long ago that the machine is not
+    /// expected to come back.
     fn is_long_silent(&self, machine: &Machine) -> bool {
         let silent_since = machine.last_response_at.max(self.resumed_at);
         let delay = if self.is_partitioned(machine) {
@@ -124,7 +124,7 @@
         partitioned: &HashSet<String>,
     ) -> Vec<String> {
         self.record_demand(now);
-        let patience = self.max_heartbeat_interval() + constants::UNRECONCILED_SCALE_IN;
+        let max_silence = self.max_heartbeat_interval() + constants::UNRECONCILED_SCALE_IN;
         let context = ScaleInContext {
             now,
             resumed_at: self.clocks.resumed_at,
@@ -135,8 +135,8 @@
             needed,
             partitioned,
             spares: self.spare_machines(now),
-            silent: self.silent_machines(now, patience),
-            unreconciled: self.unreconciled_to_delete(now, patience),
+            silent: self.silent_machines(now, max_silence),
+            unreconciled: self.unreconciled_to_delete(now, max_silence),
         };
         let mut surplus = Vec::new();
         for (name, machine) in &mut self.machines {
@@ -157,23 +157,23 @@
 
     /// Returns the machines without a heartbeat since the failover that are to be deleted now.
     /// There are none unless jobs of earlier terms wait for them and the deletion is sooner than
-    /// the expiry of their leases. `patience` covers the time for a worker to send a heartbeat, to
-    /// try each controller while one of them hangs, and to send another heartbeat with the new
+    /// the expiry of their leases. `max_silence` covers the time for a worker to send a heartbeat,
+    /// to try each controller while one of them hangs, and to send another heartbeat with the new
     /// fencing token.
-    fn unreconciled_to_delete(&self, now: MonotonicTime, patience: Duration) -> HashSet<String> {
-        let inherited_waits = self
+    fn unreconciled_to_delete(&self, now: MonotonicTime, max_silence: Duration) -> HashSet<String> {
+        let earlier_job_waits = self
             .jobs
             .values()
             .any(|j| j.origin == JobOrigin::EarlierTerm && j.is_active() && !j.unplaced.is_empty());
         let leases_expire_at =
             self.reconciliation.last_answered_at + longest_worker_lease(&self.config.platform);
         let worthwhile = !self.reconciled(now)
-            && inherited_waits
+            && earlier_job_waits
             && now + constants::UNRECONCILED_SCALE_IN_MIN_GAIN < leases_expire_at;
         if !worthwhile {
             return HashSet::new();
         }
-        let overdue = now >= self.clocks.answering_since() + patience;
+        let overdue = now >= self.clocks.answering_since() + max_silence;
         self.unreconciled_lost_machines(|machine| {
             overdue || !machine.has_reported && machine.state_probe.is_unresponsive()
         })
--- a/crates/controller/src/cluster_state/service_level_objectives.rs
+++ b/crates/controller/src/cluster_state/service_level_objectives.rs
@@ -15,7 +15,7 @@
 impl ServiceLevelObjectives {
     /// Returns the objectives of a job. The job's own deadline precedes the one that the platform's
     /// objectives imply for its class. A daemon has no objectives: all its replicas are wanted all
-    /// the time, and a late one no less.
+    /// the time, and a late one is wanted no less.
     pub fn of_job(spec: &JobSpec, platform: &PlatformSettings) -> Self {
         if spec.is_daemon() {
             return Self::default();
--- a/crates/controller/src/cluster_state/snapshot.rs
+++ b/crates/controller/src/cluster_state/snapshot.rs
@@ -187,7 +187,7 @@
         let zone = self.config.platform.zone(&machine.zone)?;
         let total = Resources::of_machine_type(&self.machine_types[machine_type]);
         let FreeResources { free, has_unknown_tasks } = self.free_resources(name, machine, total);
-        let closed = machine.is_draining() || has_unknown_tasks;
+        let takes_no_tasks = machine.is_draining() || has_unknown_tasks;
         let placed_tasks = machine
             .placed_tasks
             .iter()
@@ -211,11 +211,11 @@
             free,
             price: self.machine_types[machine_type].price(PurchaseOption::from_spot(machine.spot)),
             images: machine.images.iter().map(|cached| cached.image).collect(),
-            schedulable: !closed
+            schedulable: !takes_no_tasks
                 && self.reports(machine, now)
                 && now >= machine.backoff_until
                 && machine.is_admitted(now),
-            booting: !machine.has_reported && !closed,
+            booting: !machine.has_reported && !takes_no_tasks,
             excluded_by,
             reserved_for: machine
                 .reservation
