--- a/crates/controller/src/leadership/campaign.rs
+++ b/crates/controller/src/leadership/campaign.rs
@@ -1,25 +1,28 @@
-//! What a campaign for leadership reads from the state service, and the transaction that wins it.
+//! What a candidate reads from the store before an election, and the transaction that wins it.
 
 use crate::records::{COMPLETE_WATERMARKS_KEY, LEADER_KEY, LEADER_TERM_KEY, LeaderRecord};
 use hookway_constants as constants;
 use hookway_wire::{KeyValue, Operation, Precondition, Transaction};
 use std::fmt;
 
-/// What the state service says about the start watermarks that the leaders before a term kept.
+/// Whether the start watermarks that the leaders of earlier terms stored are complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoredWatermarks {
-    /// Every task that may have been started lies below a durable watermark.
+    /// Every task that may have been started has an index below the durable watermark of its job.
+    /// Also the case before the first term, when no task can have been started.
     Complete,
-    /// No leader has made them complete yet.
+    /// No leader has recorded complete watermarks yet.
     Absent,
-    /// They were complete in an earlier term than the last one.
+    /// Complete watermarks were recorded for an earlier term, but not for the last one.
     Outdated,
 }
 
 impl StoredWatermarks {
-    /// What the keys below `lead/` say. A leader that lost the response to its election reads them
-    /// afterwards: the election wrote the marker of its own term only if the records before were
-    /// complete.
+    /// Derives the state of the watermarks from `keys`, the keys below `lead/`.
+    ///
+    /// A leader that did not receive the response to its election reads them after the election.
+    /// The result is the same: the election marked the watermarks of its own term as complete only
+    /// if those of all earlier terms were.
     pub fn read(keys: &[KeyValue]) -> Self {
         let value = |key: &str| keys.iter().find(|pair| pair.key == key).map(|pair| &pair.value);
         match (value(LEADER_TERM_KEY), value(COMPLETE_WATERMARKS_KEY)) {
@@ -40,24 +43,24 @@
     }
 }
 
-/// The last fencing token of a term.
+/// Returns the last fencing token of the term that begins with the token `term`.
 pub fn last_token(term: u64) -> u64 {
     term + constants::TOKENS_PER_TERM - 1
 }
 
-/// The state that a campaign starts from: nobody leads.
+/// The contents of the keys below `lead/` while there is no leader. An election builds on them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Vacancy {
-    /// The highest fencing token of all terms so far.
+    /// The highest fencing token of all terms so far; 0 before the first term.
     last_token: u64,
-    /// The revision of `lead/term`; 0: the key does not exist.
+    /// The revision at which `lead/term` was last written; 0 if the key does not exist.
     term_revision: u64,
     /// Whether the start watermarks of all terms so far are complete.
     pub stored_watermarks: StoredWatermarks,
 }
 
 impl Vacancy {
-    /// The vacancy that the keys below `lead/` describe.
+    /// Parses `keys`, the keys below `lead/`. Assumes that there is no leader.
     pub fn read(keys: &[KeyValue]) -> Self {
         let term = keys.iter().find(|pair| pair.key == LEADER_TERM_KEY);
         Self {
@@ -67,19 +70,22 @@
         }
     }
 
-    /// The term that follows.
+    /// Returns the term that the next election begins, which is also its first fencing token.
     pub fn next_term(&self) -> u64 {
         self.last_token + 1
     }
 
-    /// The transaction that wins the election: it writes the leader record and reserves the fencing
-    /// tokens of the term, which `lead/term` records up to the last one. If the start watermarks are
-    /// complete they stay so, as no start precedes its watermark; otherwise only the new leader can
-    /// make them complete, after its election.
+    /// Returns the transaction that wins the election. It writes the leader record, attached to the
+    /// lease `lease_id`, and reserves all fencing tokens of the term by writing the last one to
+    /// `lead/term`.
+    ///
+    /// If the start watermarks are complete, the transaction marks them as complete for the new
+    /// term too: they stay complete, because no task is started before its watermark is durable.
+    /// Otherwise only the new leader can make them complete, after its election.
     ///
     /// # Errors
     ///
-    /// The record can't be serialized.
+    /// Fails if the leader record can't be serialized.
     pub fn election(
         &self,
         leader: &LeaderRecord,
--- a/crates/controller/src/leadership/clock.rs
+++ b/crates/controller/src/leadership/clock.rs
@@ -1,11 +1,12 @@
-//! The clocks of this process.
+//! The monotonic clock and the wall clock of this process.
 
 use crate::cluster_state::Timestamp;
 use hookway_time::{MonotonicTime, WallTime, whole_millis};
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The monotonic clock of this process, together with the wall clock.
+/// Reads the clocks of this process. Its monotonic time begins when it is created; copies share
+/// that beginning.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     started_at: Instant,
@@ -23,18 +24,19 @@
         MonotonicTime::from_millis(whole_millis(self.started_at.elapsed()))
     }
 
-    /// The instant at which this clock reads `at`; the present if that is past.
+    /// Converts a reading of this clock into an [`Instant`]; returns the present if `at` has
+    /// passed.
     pub fn instant_at(&self, at: MonotonicTime) -> Instant {
         Instant::now() + at.saturating_duration_since(self.now())
     }
 
-    /// Reads both clocks.
+    /// Reads the monotonic clock and the wall clock, one right after the other.
     pub fn timestamp(&self) -> Timestamp {
         Timestamp { monotonic: self.now(), wall: wall_clock() }
     }
 }
 
-/// Reads the wall clock; the Unix epoch if it is set before that.
+/// Reads the wall clock. Returns the Unix epoch if the clock is set to an earlier time.
 pub fn wall_clock() -> WallTime {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     WallTime::from_unix_millis(whole_millis(since_epoch))
--- a/crates/controller/src/leadership/election.rs
+++ b/crates/controller/src/leadership/election.rs
@@ -1,4 +1,4 @@
-//! The actor that campaigns for leadership, extends the leadership lease and detects its loss.
+//! The election actor: campaigns for leadership, extends the leadership lease and detects its loss.
 
 use super::campaign::{StoredWatermarks, Vacancy};
 use super::clock::Clock;
@@ -16,32 +16,33 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::sleep;
 
-/// What the election actor needs, and shares with the rest of the controller.
+/// The dependencies of the election actor, some of them shared with the rest of the controller.
 #[derive(Debug)]
 pub struct LeadershipConfig {
-    /// The name of this controller.
+    /// The name of this controller, unique in the cluster. One process at a time runs under it.
     pub controller_name: String,
-    /// The client of the state service.
+    /// The client of the store, with a request rate of its own.
     pub store: StoreClient,
-    /// The clock that lease expiries are computed on.
+    /// The clock on which lease expiries are computed; the controller actor must use a copy of it.
     pub clock: Clock,
-    /// The lease of the current term, updated by this actor.
+    /// The lease of the current term. This actor updates it; the controller actor reads it.
     pub lease: Arc<LeadershipLease>,
-    /// Where this actor publishes who leads.
+    /// The channel on which this actor publishes who leads.
     pub view: watch::Sender<LeadershipView>,
-    /// Notified by the controller actor to give up the leadership.
+    /// Notified by the controller actor when this controller should give up its leadership.
     pub resign_requested: Arc<Notify>,
-    /// Notified when the leader has been silent for unusually long. The actor then reads the
-    /// leader key at once, because a watch whose connection broke unnoticed delivers no event.
+    /// Notified when the leader has been silent for unusually long. The election actor then reads
+    /// the leader key at once, because a watch whose connection broke unnoticed delivers no event.
     pub leader_suspected: Arc<Notify>,
-    /// Length of the leadership lease.
+    /// The length of the leadership lease, as it is requested from the store.
     pub lease_length: Duration,
-    /// Whether this controller has a usable copy of the cluster state. It then campaigns before
-    /// the controllers without one.
+    /// Whether this controller has a usable copy of the cluster state. If so, its delay before a
+    /// campaign is shorter than that of controllers without one.
     pub has_warm_copy: Arc<AtomicBool>,
 }
 
-/// The election actor.
+/// The election actor. It runs on a thread of its own, so that a long scheduling round does not
+/// delay the extension of the lease.
 #[derive(Debug)]
 pub struct Leadership {
     config: LeadershipConfig,
@@ -49,39 +50,40 @@
     nonce: u64,
 }
 
-/// What the state service records about the leader.
+/// The leadership according to the store.
 enum LeaderState {
     Elected(ElectedLeader),
     Vacant(Vacancy),
 }
 
-/// The leader key and its metadata.
+/// The leader record, and the metadata of its key.
 struct ElectedLeader {
     record: LeaderRecord,
     mod_revision: u64,
     lease_id: Option<u64>,
-    /// The revision of the reading, which later changes come after.
+    /// The revision of the store at which the key was read. Later changes have higher revisions.
     read_at_revision: u64,
-    /// The start watermarks before its term, if it is this process.
+    /// Whether the start watermarks of the terms before this leader's were complete. Valid only if
+    /// the leader is this process.
     stored_watermarks: StoredWatermarks,
 }
 
 /// Why a term ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TermEnd {
-    /// The controller actor gave the leadership up.
+    /// The controller actor gave up the leadership.
     Resigned,
-    /// The state service has no such lease any more.
+    /// The store no longer has the lease.
     LeaseExpired,
 }
 
 impl Leadership {
-    /// Creates the actor; nothing happens before it runs.
+    /// Creates the actor. It does nothing until [`run`](Self::run) is called.
     pub fn new(config: LeadershipConfig) -> Self {
         Self { config, nonce: rand::rng().random() }
     }
 
-    /// Runs until the process ends.
+    /// Follows or campaigns, depending on who leads, until the process ends.
     pub async fn run(mut self) {
         loop {
             match self.read_leader().await {
@@ -99,23 +101,25 @@
         }
     }
 
-    /// Handles an elected leader: this process, an earlier process of this controller, or another
-    /// controller.
+    /// Acts on an elected leader: leads if it is this process, revokes the lease of an earlier
+    /// process of this controller, or watches another controller.
     async fn leader_found(&mut self, leader: ElectedLeader) {
         let record = leader.record;
         if record.controller_name == self.config.controller_name
             && let Some(lease_id) = leader.lease_id
         {
             if record.nonce == self.nonce {
-                // The transaction of this process, whose response was lost. When the lease was
-                // granted is unknown, so it counts as expired until the first extension.
+                // This process won the election but did not receive the response. It is unknown
+                // here when the lease was granted, so the lease counts as expired until its first
+                // extension.
                 let watermarks = leader.stored_watermarks;
                 let term = new_term(&record, leader.mod_revision, lease_id, watermarks);
                 self.lead(term, None).await;
                 self.nonce = rand::rng().random();
             } else {
-                // One process at a time runs under this name, so the leader is an earlier process
-                // that has ended. Its requests in flight carry its precondition and fail.
+                // Only one process at a time runs under this name, so the leader is an earlier
+                // process that has ended. Its transactions that are still in flight carry the
+                // precondition of its term and fail once its lease is revoked.
                 tracing::info!(lease_id, "revoking the lease of the previous process");
                 if self.config.store.release(lease_id).await.is_err() {
                     sleep(constants::LEADER_RETRY).await;
@@ -131,7 +135,9 @@
         self.watch_leader(leader.read_at_revision).await;
     }
 
-    /// The delay before this controller campaigns. Random, so that not all campaign at once.
+    /// Returns the delay before this controller campaigns. It is random, so that the controllers do
+    /// not all campaign at once, and shorter for a controller with a usable copy of the cluster
+    /// state.
     fn election_delay(&self) -> Duration {
         let jitter_ms = rand::rng().random_range(0..=whole_millis(constants::ELECTION_JITTER));
         if self.config.has_warm_copy.load(Ordering::Relaxed) {
@@ -141,8 +147,8 @@
         }
     }
 
-    /// Publishes that there is no leader. The name of the last one stays: it is the best guess of
-    /// whom to ask.
+    /// Publishes that there is no leader. The view keeps the name of the previous leader, which is
+    /// the best guess where to send requests.
     fn publish_vacancy(&self) {
         self.config.view.send_if_modified(|view| view.leader_term.take().is_some());
     }
@@ -155,7 +161,7 @@
         });
     }
 
-    /// Reads who leads or, if nobody does, what a campaign starts from.
+    /// Reads the leader record or, if there is none, what an election needs.
     async fn read_leader(&self) -> Result<LeaderState, StoreError> {
         let store = &self.config.store;
         let Listing { pairs, revision } = store.list(LEADER_PREFIX).await?;
@@ -163,7 +169,7 @@
             && let Ok(record) = serde_json::from_value::<LeaderRecord>(pair.value.clone())
         {
             let mut pair = pair.clone();
-            // A list may omit the lease, which only the owner of the key needs.
+            // A list response may omit the lease id, which only the owner of the key needs.
             if pair.lease_id.is_none()
                 && record.controller_name == self.config.controller_name
                 && let Some(full) = store.get(LEADER_KEY).await?
@@ -181,8 +187,8 @@
         Ok(LeaderState::Vacant(Vacancy::read(&pairs)))
     }
 
-    /// Watches the leader key from `revision` on, until it changes, the watch fails, or the leader
-    /// is suspected.
+    /// Watches the leader key for changes after `revision`. Returns when it changes, the watch
+    /// fails, or the leader is suspected to have failed.
     async fn watch_leader(&self, mut revision: u64) {
         loop {
             let watch = self.config.store.watch(LEADER_PREFIX, revision, constants::WATCH_WAIT);
@@ -210,7 +216,7 @@
         }
     }
 
-    /// Tries to win the next term, and leads it if this succeeds.
+    /// Tries to win the next term and, if this succeeds, leads until the term ends.
     async fn campaign(&self, vacancy: &Vacancy) {
         let store = &self.config.store;
         let sent_at = self.config.clock.now();
@@ -236,7 +242,8 @@
             Ok(CommitOutcome::PreconditionFailed(_)) => {
                 let _ = store.release(lease_id).await;
             }
-            // Whether it was applied is unknown; the next reading of the leader key shows it by the nonce.
+            // It is unknown whether the transaction was applied. The next read of the leader key
+            // tells, by the nonce in the leader record.
             Err(error) => {
                 tracing::debug!(%error, term = record.term, "campaigning failed");
                 sleep(constants::LEADER_RETRY).await;
@@ -244,8 +251,9 @@
         }
     }
 
-    /// Leads `term` until its lease is lost. `expires_at`: the expiry of its lease;
-    /// `None`: unknown, so the lease is extended at once.
+    /// Leads a term until its lease is lost or this controller resigns. `expires_at` is the expiry
+    /// of the lease; `None` if it is unknown: the lease then counts as expired and is extended at
+    /// once.
     async fn lead(&self, leader_term: LeaderTerm, expires_at: Option<MonotonicTime>) {
         let LeaderTerm { term, lease_id, stored_watermarks, .. } = leader_term;
         let response = if expires_at.is_some() { "received" } else { "lost" };
@@ -264,12 +272,13 @@
         self.publish(LeadershipView::default());
         let _ = self.config.store.release(lease_id).await;
         if end == TermEnd::Resigned {
-            // Another controller is to win the next term.
+            // Leaves the next term to another controller.
             sleep(constants::STEP_DOWN_PAUSE).await;
         }
     }
 
-    /// Extends the lease of `term` again and again, first after `delay`, until it is lost.
+    /// Extends the lease of `term` periodically, first after `delay`, until it is lost or this
+    /// controller resigns.
     async fn extend_until_lost(&self, term: u64, lease_id: u64, mut delay: Duration) -> TermEnd {
         loop {
             tokio::select! {
@@ -292,7 +301,8 @@
     }
 }
 
-/// The term of a leader record that was written at `mod_revision`.
+/// Returns the term of `record`, which was written at `mod_revision`. Durable writes of the term
+/// have the precondition that the leader key still has this revision.
 fn new_term(
     record: &LeaderRecord,
     mod_revision: u64,
--- a/crates/controller/src/leadership/lease.rs
+++ b/crates/controller/src/leadership/lease.rs
@@ -1,4 +1,4 @@
-//! The leadership lease, as the leader itself computes it.
+//! The leadership lease, with its expiry as the leader itself computes it.
 
 use crate::clock_drift::earliest_expiry;
 use hookway_constants as constants;
@@ -8,31 +8,31 @@
 
 /// The term that this controller leads, and a lower bound on the expiry of its lease.
 ///
-/// The election actor updates it; whoever acts as the leader checks it right before each effect.
+/// The election actor updates it. The controller actor checks it before it decides, and background
+/// tasks check it right before each effect that neither a fencing token nor a precondition guards.
 #[derive(Debug, Default)]
 pub struct LeadershipLease {
     current: Mutex<TermLease>,
 }
 
-/// The lease of one term.
 #[derive(Debug, Default)]
 struct TermLease {
     term: u64,
-    /// Zero: expired.
+    /// A lower bound; zero if the lease counts as expired.
     expires_at: MonotonicTime,
 }
 
 impl LeadershipLease {
     /// Whether this controller may act as the leader of `term` at `now`.
     ///
-    /// A lease of a later term does not authorize decisions based on the state of an earlier one:
-    /// another controller may have led in between.
+    /// A lease of a later term does not authorize decisions that are based on the cluster state of
+    /// an earlier term: another controller may have led in between.
     pub fn holds(&self, term: u64, now: MonotonicTime) -> bool {
         now < self.expires_at(term)
     }
 
-    /// The expiry of the lease of `term`, as far as it is known now; zero if this controller does not
-    /// lead that term.
+    /// Returns the expiry of the lease of `term` according to the extensions so far; zero if this
+    /// controller does not lead that term.
     pub fn expires_at(&self, term: u64) -> MonotonicTime {
         match self.current.lock() {
             Ok(lease) if lease.term == term => lease.expires_at,
@@ -40,21 +40,22 @@
         }
     }
 
-    /// Records the lease of `term`: it expires at `expires_at` or later.
+    /// Records that the lease of `term` does not expire before `expires_at`.
     pub(super) fn set(&self, term: u64, expires_at: MonotonicTime) {
         if let Ok(mut lease) = self.current.lock() {
             *lease = TermLease { term, expires_at };
         }
     }
 
-    /// Ends the lease of `term` for this controller.
+    /// Records that this controller may no longer act as the leader of `term`.
     pub(super) fn revoke(&self, term: u64) {
         self.set(term, MonotonicTime::ZERO);
     }
 }
 
-/// The earliest expiry of a lease of length `ttl` whose request was sent at `sent_at`, less clock
-/// drift and a safety margin.
+/// Returns the expiry that the leader assumes for a lease of length `ttl` that was granted or
+/// extended by a request sent at `sent_at`: the earliest possible one, clock drift included, less a
+/// safety margin.
 pub fn lease_expiry(sent_at: MonotonicTime, ttl: Duration) -> MonotonicTime {
     earliest_expiry(sent_at, ttl).saturating_sub(constants::LEADER_MARGIN)
 }
--- a/crates/controller/src/leadership/lease/tests.rs
+++ b/crates/controller/src/leadership/lease/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A reading of the clock, ms.
+/// Returns the reading of the monotonic clock at `millis`.
 fn at(millis: u64) -> MonotonicTime {
     MonotonicTime::from_millis(millis)
 }
@@ -14,8 +14,9 @@
     assert!(!lease.holds(1, at(5_700)), "clock drift and margin shorten the lease");
 }
 
-/// The election thread extends the lease, the controller actor schedules: while a round of an earlier term
-/// still runs, this controller may have lost that term and won a later one.
+/// The election actor extends the lease on one thread while the controller actor schedules on
+/// another. During a scheduling round of an earlier term, this controller may lose that term and
+/// win a later one.
 #[test]
 fn lease_of_later_term_does_not_authorize_earlier_term() {
     let lease = LeadershipLease::default();
--- a/crates/controller/src/leadership/mod.rs
+++ b/crates/controller/src/leadership/mod.rs
@@ -1,13 +1,14 @@
-//! Leader election: at most one leader at a time, by a leased key in the state service.
+//! Leader election: a leased key in the store ensures that there is at most one leader at a time.
 //!
-//! `lead/now` is attached to the leader's lease and names the leader; `lead/term` only grows. One
-//! transaction writes both, on the preconditions that there is no leader and that the term is
-//! unchanged since it was read.
+//! The key `lead/now` is attached to the leader's lease and names the leader; the value of
+//! `lead/term` only grows. One transaction writes both keys. Its preconditions are that there is no
+//! leader and that `lead/term` has not changed since the candidate read it.
 //!
-//! The leader computes the expiry of its lease from the time before each request was sent, on its
-//! monotonic clock, and subtracts clock drift and a safety margin. After that expiry it answers no
-//! heartbeat and makes no decision until an extension succeeds. After an outage of the state
-//! service leases have their full length again, so the leader can often continue its term.
+//! The leader measures its lease on its own monotonic clock, from before the request that granted
+//! or extended the lease was sent, and subtracts clock drift and a safety margin. After this
+//! computed expiry it neither answers heartbeats as the leader nor makes decisions until an
+//! extension succeeds. After an outage of the store all leases have their full length again, so the
+//! leader can often continue its term.
 
 mod campaign;
 mod clock;
--- a/crates/controller/src/leadership/term.rs
+++ b/crates/controller/src/leadership/term.rs
@@ -1,28 +1,30 @@
-//! A term of leadership, and what a controller knows about the current leader.
+//! A term won by this controller, and a controller's view of the current leader.
 
 use super::campaign::StoredWatermarks;
 use hookway_wire::Precondition;
 
-/// A term that this controller won.
+/// A term for which this controller was elected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaderTerm {
-    /// The number of the term, which is its first fencing token too.
+    /// The number of the term, which is also its first fencing token.
     pub term: u64,
-    /// The precondition of every durable write of this term: the leader key is unchanged.
+    /// The precondition of every durable write of this term: the leader key has not changed since
+    /// the election.
     pub precondition: Precondition,
-    /// The id of the lease that the leader key is attached to.
+    /// The id, in the store, of the lease that the leader key is attached to.
     pub lease_id: u64,
-    /// The start watermarks of jobs that the leaders before recorded.
+    /// Whether the start watermarks of earlier terms were complete when this term began.
     pub stored_watermarks: StoredWatermarks,
 }
 
 /// What this controller knows about the current leader.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LeadershipView {
-    /// The name of the leader that was seen last.
+    /// The name of the last known leader, which may have lost its term since; `None` before the
+    /// first and after the end of a term of this controller.
     pub leader: Option<String>,
-    /// The leader's term; `None` while the state service records no leader.
+    /// The leader's term; `None` while the store has no leader record.
     pub leader_term: Option<u64>,
-    /// The term of this controller; `None` while it does not lead.
+    /// The term that this controller leads; `None` while it does not lead.
     pub own_term: Option<LeaderTerm>,
 }
--- a/crates/controller/src/shard_lease/lessee.rs
+++ b/crates/controller/src/shard_lease/lessee.rs
@@ -1,4 +1,5 @@
-//! A controller's own side: the shard that it has leased, and its answers to workers.
+//! The lessee's side of a shard lease: the shard that this controller has leased, and its responses
+//! to the workers of that shard.
 
 use super::messages::{ShardLease, ShardLeaseAcknowledgement, ShardLeaseRenewal};
 use crate::clock_drift::earliest_expiry;
@@ -10,38 +11,39 @@
 /// A lessee's response to a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkerLeaseExtension {
-    /// The response for the worker.
+    /// The response to send to the worker.
     pub response: HeartbeatResponse,
-    /// It must be sent before this time, when the shard lease expires.
+    /// The expiry of the shard lease. The response must be sent before this time.
     pub valid_until: MonotonicTime,
 }
 
-/// A shard lease that this controller has.
 #[derive(Debug, Clone)]
 struct LeasedShard {
     term: u64,
     zones: Vec<String>,
-    /// The earliest expiry.
+    /// The earliest possible expiry, as this controller must assume it.
     expires_at: MonotonicTime,
 }
 
-/// The shard lease of this controller. All times are of its monotonic clock.
+/// The shard lease of this controller, and its contact with the leader. All times are readings of
+/// this controller's monotonic clock.
 #[derive(Debug)]
 pub struct ShardLessee {
     controller: String,
     process_nonce: u64,
-    /// After this long without the leader, it answers workers itself.
+    /// How long this controller waits without contact with the leader before it answers workers
+    /// itself.
     leader_timeout: Duration,
     shard: Option<LeasedShard>,
     acknowledged: Option<ShardLeaseAcknowledgement>,
     last_leader_contact_at: MonotonicTime,
-    /// When it last extended a worker lease.
+    /// When this process last extended a worker lease; `None` if it never did.
     last_extension_at: Option<MonotonicTime>,
 }
 
 impl ShardLessee {
-    /// Creates the state of a process that has just started. `process_nonce` distinguishes it from
-    /// earlier processes of the same name.
+    /// Creates the state of a process that has just started, which has no shard lease.
+    /// `process_nonce` distinguishes it from earlier processes of the same controller.
     pub fn new(controller: &str, process_nonce: u64, leader_timeout: Duration) -> Self {
         Self {
             controller: controller.to_owned(),
@@ -54,7 +56,8 @@
         }
     }
 
-    /// The renewal to send to the leader at `now`. The clock began when the process started.
+    /// Returns the renewal to send to the leader at `now`. The readings of the clock count from the
+    /// start of the process, so `now` is also the uptime.
     pub fn renewal(&self, now: MonotonicTime) -> ShardLeaseRenewal {
         ShardLeaseRenewal {
             controller: self.controller.clone(),
@@ -67,11 +70,12 @@
         }
     }
 
-    /// Takes the leader's response to a renewal that was sent at `sent_at`.
+    /// Applies the leader's response to a renewal that was sent at `sent_at`. Drops the lease of
+    /// another term.
     pub fn lease_granted(&mut self, lease: ShardLease, sent_at: MonotonicTime, now: MonotonicTime) {
         let shard_term = self.shard.as_ref().map(|shard| shard.term);
         let known_term = shard_term.max(self.acknowledged.map(|acknowledged| acknowledged.term));
-        // The response of an earlier leader proves no contact with the present one.
+        // A response of an earlier leader does not prove contact with the current one.
         if known_term.is_some_and(|term| lease.term < term) {
             return;
         }
@@ -93,8 +97,8 @@
         }
     }
 
-    /// Leases the leader's own shard to itself, for `length`. This controller leads, and its leadership lease
-    /// holds at `now`.
+    /// Leases the leader's own shard to itself for `length`. The caller ensures that this
+    /// controller leads `term` and that its leadership lease holds at `now`.
     pub fn hold_as_leader(
         &mut self,
         term: u64,
@@ -107,24 +111,25 @@
         self.shard = Some(LeasedShard { term, zones, expires_at: earliest_expiry(now, length) });
     }
 
-    /// Drops the shard lease of an earlier leader: this controller was elected for `term`.
+    /// Drops the shard lease of an earlier term, because this controller was elected for `term`.
     pub fn leadership_won(&mut self, term: u64) {
         self.shard = Some(LeasedShard { term, zones: vec![], expires_at: MonotonicTime::ZERO });
         self.acknowledged = None;
     }
 
-    /// Whether the leader was reachable recently. If not, workers had better look for the lessee of
-    /// their shard than be redirected to a leader that does not answer.
+    /// Whether this controller has had contact with the leader within the timeout. If not, workers
+    /// should look for the lessee of their shard instead of being redirected to a leader that does
+    /// not answer.
     pub fn leader_reachable(&self, now: MonotonicTime) -> bool {
         now < self.last_leader_contact_at + self.leader_timeout
     }
 
-    /// The response that extends the lease of a worker of this shard while the leader is
-    /// unreachable. `None` if this controller must not give one, or need not: a worker without
-    /// unfinished tasks loses nothing, and continues to look for the leader.
+    /// Returns the response that extends the lease of a worker of this shard while the leader is
+    /// unreachable. Returns `None` if this controller must not extend the lease, or need not: a
+    /// worker without unfinished tasks loses nothing, and continues to look for the leader.
     ///
-    /// `job_finished` tells whether a job is durably finished. That cannot change, so stopping its
-    /// tasks needs no authority beyond the one to respond.
+    /// `job_finished` tells whether a job is durably finished. A finished job stays finished, so
+    /// stopping its tasks needs no authority beyond the one to respond.
     pub fn extend_worker_lease(
         &mut self,
         heartbeat: &Heartbeat,
@@ -133,7 +138,7 @@
     ) -> Option<WorkerLeaseExtension> {
         let shard = self.shard.as_ref().filter(|shard| now < shard.expires_at)?;
         let in_shard = shard.zones.contains(&heartbeat.zone);
-        // A token above the range of the term belongs to a later leader.
+        // A token above the token range of the shard lease's term belongs to a later leader.
         let token_known = heartbeat.fencing_token < shard.term + constants::TOKENS_PER_TERM;
         let has_tasks = heartbeat.tasks.iter().any(|task| task.state != TaskState::Ended);
         if self.leader_reachable(now) || !in_shard || !token_known || !has_tasks {
@@ -149,7 +154,7 @@
     }
 }
 
-/// The commands that stop the reported tasks of finished jobs.
+/// Returns the commands that stop the reported tasks of finished jobs, without a grace period.
 fn kill_commands(heartbeat: &Heartbeat, job_finished: impl Fn(&JobId) -> bool) -> Vec<Command> {
     let stops = |status: &&TaskStatus| {
         status.state != TaskState::Ended
@@ -163,12 +168,12 @@
     heartbeat.tasks.iter().filter(stops).map(kill).collect()
 }
 
-/// How long a lessee waits for the leader before it answers workers itself: half of what the
-/// worker lease leaves after the longest heartbeat interval (both in s).
+/// Returns how long a lessee waits without contact with the leader before it answers workers
+/// itself: half of what remains of the worker lease after the longest heartbeat interval.
 ///
-/// A worker that lost the leader right after a heartbeat must be answered within its lease, with as
-/// much time left for its retries. A failover must be complete by then, so that workers go straight
-/// to the new leader.
+/// A worker that loses contact with the leader right after a heartbeat must be answered within its
+/// lease; the other half of the remainder is for its retries. A failover must be complete by the
+/// end of this timeout, so that workers are redirected straight to the new leader.
 pub fn leader_timeout(heartbeat_interval_s: f64, worker_lease_s: f64) -> Duration {
     let longest_interval_s = heartbeat_interval_s * constants::MAX_HEARTBEAT_INTERVAL_FACTOR;
     let slack_s = (worker_lease_s - longest_interval_s).max(0.0);
--- a/crates/controller/src/shard_lease/lessor.rs
+++ b/crates/controller/src/shard_lease/lessor.rs
@@ -1,5 +1,5 @@
-//! The leader's side: which controller has which shard, and until when it may have extended worker
-//! leases.
+//! The leader's side of shard leases: which controller has leased which shard, and until when each
+//! may have extended worker leases.
 
 use super::messages::{ShardLease, ShardLeaseRenewal};
 use crate::clock_drift::{latest_expiry, latest_past};
@@ -8,39 +8,47 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The zone of a worker that has not sent a heartbeat to this leader.
+/// Stands for the zone of a worker that has not sent a heartbeat to this leader, so that its zone
+/// is not known.
 pub const UNKNOWN_ZONE: &str = "";
 
-/// What the leader knows about another controller. All times are of the leader's monotonic clock.
+/// What the leader knows about the shard leases of another controller. All times are readings of
+/// the leader's monotonic clock.
 #[derive(Debug, Default)]
 struct LesseeState {
     zone: String,
-    /// The process that acknowledged a lease of this term.
+    /// The process that last acknowledged a lease of this term; `None` if none has yet.
     process_nonce: Option<u64>,
-    /// The latest expiry of its lease, of this term or an earlier one.
+    /// The latest possible expiry of the controller's shard lease, whether of this term or an
+    /// earlier one.
     lease_expires_at: MonotonicTime,
-    /// Up to this time its extensions of worker leases are known from its renewals.
+    /// Up to this time, the renewals account for all worker lease extensions of the controller.
     accounted_until: MonotonicTime,
-    /// The latest of the extensions that are known; none followed until `accounted_until`.
+    /// The latest possible time of the last known extension. No other one followed until
+    /// `accounted_until`.
     last_extension_at: MonotonicTime,
 }
 
 impl LesseeState {
-    /// A controller that may have a lease of an earlier leader until `lease_expires_at`.
+    /// Creates the state of a controller that may have a shard lease of an earlier leader until
+    /// `lease_expires_at`.
     fn of_earlier_term(zone: String, lease_expires_at: MonotonicTime) -> Self {
         Self { zone, lease_expires_at, ..Self::default() }
     }
 
-    /// Whether it may extend worker leases after the time up to which it is accounted for.
+    /// Whether the controller may extend worker leases, or may have done so, after the time up to
+    /// which its extensions are known.
     fn may_extend(&self) -> bool {
         self.lease_expires_at > self.accounted_until
     }
 
-    /// Accounts for what a renewal states. Returns whether it was proven to come from the running
-    /// process after it dropped the leases of earlier terms; only then a lease may be granted.
+    /// Applies the report in a renewal. Returns whether the renewal is proven to come from the
+    /// running process, after that process dropped the leases of earlier terms. Only then may a
+    /// lease be granted.
     fn account_for(&mut self, renewal: &ShardLeaseRenewal, term: u64, now: MonotonicTime) -> bool {
-        // Renewals can arrive late, and after the end of their process. Only one that acknowledges
-        // a lease of this term was certainly sent in it, by the process that runs now.
+        // A renewal can arrive late, even after the end of the process that sent it. Only a renewal
+        // that acknowledges a lease of this term was certainly sent in this term, by a process that
+        // received that lease.
         let acknowledged = renewal
             .acknowledged
             .filter(|lease| lease.term == term)
@@ -48,7 +56,8 @@
             .filter(|granted_at| *granted_at <= now);
         let Some(granted_at) = acknowledged else { return false };
         let other_process = self.process_nonce != Some(renewal.process_nonce);
-        // A late renewal of an earlier process: the running one has acknowledged a later lease.
+        // This is a late renewal of an earlier process: the running process has acknowledged a
+        // lease that was granted at the same time or later.
         if other_process && self.process_nonce.is_some() && granted_at <= self.accounted_until {
             return false;
         }
@@ -57,8 +66,9 @@
             self.last_extension_at = self.last_extension_at.max(extended_at);
         }
         if other_process {
-            // This process has dropped the leases of other terms. The previous process of this name
-            // had ended when this one started.
+            // This process has dropped the leases of other terms. The previous process of this
+            // controller had ended when this one started, so it extended no worker lease
+            // afterwards.
             let started_at = latest_past(now, Duration::from_millis(renewal.uptime_ms));
             self.last_extension_at =
                 self.last_extension_at.max(self.lease_expires_at.min(started_at));
@@ -70,19 +80,20 @@
     }
 }
 
-/// The leader's record of who may have extended worker leases.
+/// The leader's record of the shard leases of its term, and of the controllers that may have
+/// extended worker leases.
 #[derive(Debug)]
 pub struct ShardLessor {
     own_zone: String,
     zones: Vec<String>,
-    /// By the name of the controller.
+    /// All other controllers, by name.
     lessees: BTreeMap<String, LesseeState>,
 }
 
 impl ShardLessor {
-    /// Creates the record of a leader that was elected at `elected_at` at the latest, with these
-    /// other controllers. Earlier leaders granted their leases, of at most `lease_length`, before
-    /// that time.
+    /// Creates the record of a leader that was elected at `elected_at` or earlier. `controllers`
+    /// are the other controllers, `zones` all zones of the cluster. Earlier leaders granted their
+    /// shard leases, whose length is at most `lease_length`, before `elected_at`.
     pub fn new(
         own_zone: &str,
         controllers: &[PeerController],
@@ -102,7 +113,9 @@
         }
     }
 
-    /// Handles a renewal; `None` if it comes from an unknown controller. `lease_length` is at most the length that this record was created with.
+    /// Responds to a renewal; `None` if it comes from an unknown controller. The response grants a
+    /// lease only if its length is not zero. `lease_length` must not exceed the length that this
+    /// record was created with.
     pub fn renew(
         &mut self,
         term: u64,
@@ -111,7 +124,7 @@
         now: MonotonicTime,
     ) -> Option<ShardLease> {
         let zone = self.lessees.get(&renewal.controller)?.zone.clone();
-        // A shard has one lessee at a time, and the shard of the leader's own zone is the leader's.
+        // A shard has at most one lessee at a time. The leader keeps the shard of its own zone.
         let leasable = zone != self.own_zone
             && self.zones.contains(&zone)
             && !self.leased_to_other(&zone, &renewal.controller, now);
@@ -127,7 +140,8 @@
         Some(lease)
     }
 
-    /// Whether a controller other than `controller` may have the shard of `zone` at `now`.
+    /// Whether a controller other than `controller` may hold a lease of this term on the shard of
+    /// `zone` at `now`.
     fn leased_to_other(&self, zone: &str, controller: &str, now: MonotonicTime) -> bool {
         self.lessees.iter().any(|(name, lessee)| {
             name != controller
@@ -137,7 +151,8 @@
         })
     }
 
-    /// The zones of the leader's own shard: its own zone, and those without a controller.
+    /// Returns the zones of the leader's own shard: its own zone, and the zones without a
+    /// controller.
     pub fn own_shard(&self) -> Vec<String> {
         let own = |zone: &&String| **zone == self.own_zone || !self.has_lessee(zone);
         self.zones.iter().filter(own).cloned().collect()
@@ -148,8 +163,10 @@
     }
 
     /// Whether the lease of a worker has certainly expired at `now`: no controller extended it for
-    /// `worker_lease`, which includes clock drift and margin. The leader last answered the worker at `last_response_at`. `zone` is
-    /// [`UNKNOWN_ZONE`] if it is not known: then those of all lessees count.
+    /// a span of `worker_lease`, which includes clock drift and a margin.
+    ///
+    /// `last_response_at` is when the leader last answered the worker. If `zone` is
+    /// [`UNKNOWN_ZONE`], the extensions of all lessees count.
     pub fn worker_lease_expired(
         &self,
         zone: &str,
@@ -158,7 +175,8 @@
         now: MonotonicTime,
     ) -> bool {
         let zone_has_controller = self.own_zone == zone || self.has_lessee(zone);
-        // The shard of a zone without a controller was leased by earlier leaders, to any of them.
+        // Each leader leases the shard of a zone without a controller to itself, and any of the
+        // other controllers may have been an earlier leader.
         let may_have_shard = |lessee: &&LesseeState| !zone_has_controller || lessee.zone == zone;
         let mut last_extension_at = last_response_at;
         let mut all_accounted_until = now;
@@ -171,7 +189,7 @@
             }
         }
         let expired_while_all_accounted = last_extension_at + worker_lease <= all_accounted_until;
-        // Whoever extended it unseen did so before the latest expiry of a shard lease.
+        // An extension that is not known yet happened before the latest expiry of a shard lease.
         let latest_extension_at = last_extension_at.max(last_shard_expiry);
         let expired_after_every_shard_lease = latest_extension_at + worker_lease <= now;
         expired_while_all_accounted || expired_after_every_shard_lease
--- a/crates/controller/src/shard_lease/mod.rs
+++ b/crates/controller/src/shard_lease/mod.rs
@@ -1,19 +1,21 @@
-//! Shard leases: which controller may extend the worker leases of a zone while the leader cannot.
+//! Shard leases: they entitle one controller to extend the worker leases of a zone while the leader
+//! cannot.
 //!
-//! The leader leases the shard of a zone, which is all its machines, to a controller in that zone.
-//! While the leader is reachable, the lessee redirects workers to it. When the leader has been
-//! unreachable for a while (the zone is partitioned, or the leader has no leadership lease because
-//! the state service is unavailable), the lessee answers the heartbeats of its shard with the
-//! fencing token that the worker reports: worker leases are extended and tasks continue, nothing is
-//! started, and only tasks of durably finished jobs are stopped. It stops when its shard lease
-//! expires.
+//! The shard of a zone consists of all machines in the zone. The leader leases it to a controller
+//! in that zone, the lessee. While the leader is reachable, the lessee redirects workers to it. The
+//! leader can become unreachable because the zone is partitioned, or because it has no leadership
+//! lease while the store is unavailable. After a timeout, the lessee then answers the heartbeats of
+//! the workers of its shard itself, with the higher one of the fencing token that the worker
+//! reports and that of the term of the shard lease. This extends the worker leases, so that tasks
+//! continue. The lessee starts no task and stops only tasks of durably finished jobs. It no longer
+//! answers workers once its shard lease has expired.
 //!
 //! No leader may assume that a task has ended while a lessee may have extended the lease of its
-//! worker. [`ShardLessor`] computes this from what lessees state in each renewal and, for silent
-//! ones, from the latest expiry of their leases. docs/safety.md has the proof.
+//! worker. [`ShardLessor`] computes how long that may be from what lessees report in each renewal
+//! and, for silent lessees, from the latest expiry of their leases. docs/safety.md has the proof.
 //!
-//! All times are of the monotonic clock of the controller that uses them; only the messages between
-//! controllers carry plain milliseconds.
+//! All times are readings of the monotonic clock of the controller that uses them; only the
+//! messages between controllers carry plain milliseconds.
 
 mod lessee;
 mod lessor;
--- a/crates/controller/src/shard_lease/tests.rs
+++ b/crates/controller/src/shard_lease/tests.rs
@@ -129,8 +129,8 @@
     ));
 }
 
-/// A cancellation is durable: a shard lessee that knows of it stops the tasks while the leader is unreachable.
-/// The extension names the time until which its response may be sent.
+/// A cancellation is durable: a shard lessee that knows of it stops the tasks while the leader is
+/// unreachable. The extension names the time until which its response may be sent.
 #[test]
 fn shard_lessee_stops_tasks_of_finished_jobs_and_starts_none() {
     let (mut lessor, mut lessee) = (lessor(at(0)), ShardLessee::new("one", 1, ms(8_000)));
@@ -201,7 +201,8 @@
     }
     let late_renewal = lessee.renewal(at(3_500));
     assert!(lessee.extend_worker_lease(&heartbeat("b", 5), at(20_000), |_| false).is_some());
-    // Delayed renewals neither end the shard lease nor prove that no worker lease was extended since.
+    // Delayed renewals neither end the shard lease nor prove that no worker lease was extended
+    // since.
     for delayed in [&first_renewal, &late_renewal] {
         lessor.renew(5, delayed, LEASE, at(30_000));
         assert!(!lessor.worker_lease_expired(
@@ -245,7 +246,8 @@
         "a new process assumes that the leader is reachable"
     );
     assert!(!without_lease.leader_reachable(at(4_000)));
-    // Another controller of its zone holds the shard lease; the leader's response still proves contact.
+    // Another controller of its zone holds the shard lease; the leader's response still proves
+    // contact.
     renew_shard_lease(&mut lessor, &mut ShardLessee::new("one", 1, ms(4_000)), at(9_000));
     without_lease.lease_granted(
         ShardLease { term: 5, granted_at_ms: 1, zones: vec![], lease_ms: 0 },
--- a/crates/controller/src/standby.rs
+++ b/crates/controller/src/standby.rs
@@ -1,5 +1,6 @@
-//! A controller as a warm standby: its copy of the leader's cluster state, the detection of a silent
-//! leader, and the steps of a failover to this controller. Owned by the controller actor.
+//! The standby role of a controller: it keeps a copy of the leader's cluster state, detects a
+//! silent leader, and tracks the steps of a failover to this controller. The controller actor owns
+//! this state.
 
 use crate::leadership::LeadershipView;
 use hookway_replication::{
@@ -12,39 +13,40 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use tokio::sync::Notify;
 
-/// What a standby shares with the election actor.
+/// Signals from a standby to the election actor. Clones share them.
 #[derive(Debug, Clone, Default)]
 pub struct StandbySignals {
-    /// Notified when the leader has been silent for unusually long.
+    /// Notified when the leader has been silent for unusually long, so that the leader key is read
+    /// at once.
     pub leader_suspected: Arc<Notify>,
-    /// Whether this controller has a usable copy of the cluster state.
+    /// Whether this controller has a usable copy of the cluster state. Updated before each
+    /// replication request.
     pub has_warm_copy: Arc<AtomicBool>,
 }
 
-/// Whether a controller keeps a copy of the leader's cluster state.
+/// Whether a controller keeps a copy of the leader's cluster state while it does not lead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StandbyMode {
-    /// It follows the leader.
+    /// The controller follows the leader and keeps a copy.
     Warm,
-    /// It reads the records of the state service after a failover.
+    /// The controller keeps no copy. After a failover it has only the records in the store.
     Cold,
 }
 
-/// The state of a controller as a standby, and during a failover to it.
+/// The state of a controller that follows a leader, and of a failover to this controller.
 #[derive(Debug)]
 pub struct Standby {
     controller_name: String,
     mode: StandbyMode,
     follower: Follower,
     detector: FailureDetector,
-    /// The steps of a failover, which apply in both modes.
+    /// The state machine of a failover. It is used in both modes.
     promotion: Promotion,
     signals: StandbySignals,
     /// `None` before the first leader, and while this controller leads.
     followed_leader: Option<FollowedLeader>,
 }
 
-/// The leader that this controller follows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct FollowedLeader {
     name: String,
@@ -52,7 +54,8 @@
 }
 
 impl Standby {
-    /// Creates the state of a controller whose process has just started.
+    /// Creates the state of a controller whose process has just started. It has no copy and follows
+    /// nobody yet.
     pub fn new(controller_name: &str, mode: StandbyMode, signals: StandbySignals) -> Self {
         Self {
             controller_name: controller_name.to_owned(),
@@ -65,7 +68,8 @@
         }
     }
 
-    /// Handles a change of the leadership. This controller's own terms come by [`elected`](Self::elected) and
+    /// Handles a change of the leadership while this controller does not lead. The beginning and
+    /// end of its own terms are reported by [`elected`](Self::elected) and
     /// [`deposed`](Self::deposed).
     pub fn view_changed(&mut self, view: &LeadershipView, now: MonotonicTime) {
         if view.own_term.is_some() {
@@ -77,7 +81,7 @@
         }
     }
 
-    /// The leader, if it is another controller.
+    /// Returns the current leader, if there is one and it is another controller.
     fn other_leader(&self, view: &LeadershipView) -> Option<FollowedLeader> {
         let name = view.leader.clone().filter(|name| *name != self.controller_name)?;
         Some(FollowedLeader { name, term: view.leader_term? })
@@ -88,14 +92,14 @@
         self.follower.observe_term(leader.term);
         self.handle(Event::OtherLeader, now);
         if self.followed_leader.as_ref() != Some(&leader) {
-            // The intervals between another leader's responses are not known yet.
+            // The intervals between the new leader's responses have not been measured yet.
             self.detector.reset();
             self.followed_leader = Some(leader);
         }
     }
 
-    /// The next request to the leader; `None` if this controller does not follow. It is called periodically, so it
-    /// also checks how long the leader has been silent.
+    /// Returns the next replication request to the leader; `None` in cold mode. Because it is
+    /// called periodically, it also checks whether the leader has been silent for too long.
     pub fn next_request(&mut self, now: MonotonicTime) -> Option<FollowRequest> {
         if self.mode == StandbyMode::Cold {
             return None;
@@ -107,7 +111,7 @@
         Some(self.follower.request())
     }
 
-    /// Handles the leader's response to a request.
+    /// Applies the leader's response to a replication request to the copy.
     pub fn handle_response(&mut self, response: FollowResponse, now: MonotonicTime) {
         match self.follower.handle_response(response, now) {
             Ok(outcome) => {
@@ -115,42 +119,47 @@
                 self.handle(Event::LeaderResponded, now);
                 self.log_outcome(&outcome);
             }
-            Err(error) => tracing::info!(%error, "replication interrupted, fetching an image"),
+            Err(error) => {
+                tracing::info!(%error, "replication interrupted, fetching a replication snapshot")
+            }
         }
     }
 
-    /// Logs images only: entries come several times a second.
+    /// Logs only replication snapshots: log entries arrive several times a second.
     fn log_outcome(&self, outcome: &FollowOutcome) {
         let FollowOutcome::ImageApplied { differing } = outcome else { return };
         let state = self.follower.state();
         tracing::info!(
             machines = state.machines.len(),
             tasks = state.task_count(),
-            "replication image applied"
+            "replication snapshot applied"
         );
         if !differing.is_empty() {
             tracing::error!(differing = differing.join(", "), "replicated copy was inconsistent");
         }
     }
 
-    /// The state service has recorded this controller as the leader of `term`. Returns `false` if it
-    /// must not lead, because a later term is known.
+    /// Begins the failover to this controller, which the store has recorded as the leader of
+    /// `term`. Returns `false` if the controller must not lead, because this or a later term is
+    /// known already.
     pub fn elected(&mut self, term: u64, now: MonotonicTime) -> bool {
         self.advance(Event::Elected { term }, now) == Some(Action::ReadRecords)
     }
 
-    /// The records have been read, by a read that began in `term`. Returns `false` if the term has
-    /// ended since.
+    /// Makes this controller the active leader, after it has read the records of earlier leaders.
+    /// The read began in `term`. Returns `false` if that term has ended since.
     pub fn records_read(&mut self, term: u64, now: MonotonicTime) -> bool {
         self.advance(Event::RecordsRead { term }, now) == Some(Action::Lead)
     }
 
-    /// Whether the failover has reached the step in which the leader of `term` decides.
+    /// Whether the failover has reached the step in which this controller may decide as the leader
+    /// of `term`. This does not check the leadership lease.
     pub fn may_decide(&self, term: u64) -> bool {
         self.promotion.may_dispatch(term)
     }
 
-    /// A command that starts a task was dispatched. The first one of a term ends the failover.
+    /// Records that a command that starts a task was dispatched. The first one of a term completes
+    /// the failover.
     pub fn start_dispatched(&mut self, now: MonotonicTime) {
         let completed_before = self.promotion.metrics().whole.count();
         self.handle(Event::Dispatched, now);
@@ -160,18 +169,19 @@
         }
     }
 
-    /// This controller does not lead any more.
+    /// Returns to following, because this controller no longer leads.
     pub fn deposed(&mut self, now: MonotonicTime) {
         self.handle(Event::Deposed, now);
         self.detector.reset();
         self.followed_leader = None;
     }
 
-    /// The copy of an earlier leader's cluster state, for the leader of `term`.
+    /// Returns the copy of an earlier leader's cluster state, for this controller as the leader of
+    /// `term`.
     ///
     /// # Errors
     ///
-    /// An [`UnusableCopy`] that says why there is none; [`UnusableCopy::Empty`] in a controller that keeps no copy.
+    /// Returns the reason why there is no usable copy; [`UnusableCopy::Empty`] in cold mode.
     pub fn copy(&self, term: u64, now: MonotonicTime) -> Result<&ReplicatedState, UnusableCopy> {
         if self.mode == StandbyMode::Cold {
             return Err(UnusableCopy::Empty);
@@ -179,12 +189,13 @@
         self.follower.usable_copy(term, now)
     }
 
-    /// The copy, for the leader of any later term.
+    /// Returns the copy, for the leader of any later term.
     fn usable_copy(&self, now: MonotonicTime) -> Result<&ReplicatedState, UnusableCopy> {
         self.copy(u64::MAX, now)
     }
 
-    /// Advances the failover, and notifies the election actor if the leader is suspected.
+    /// Advances the failover, and notifies the election actor if the leader is suspected to have
+    /// failed.
     fn handle(&mut self, event: Event, now: MonotonicTime) {
         if self.advance(event, now) == Some(Action::ReadLeader) {
             tracing::info!("leader suspected, reading the leader key");
@@ -192,7 +203,8 @@
         }
     }
 
-    /// Advances the failover; `None` if the event is of a wrong term.
+    /// Advances the failover and returns the action that follows; `None` if the event is of a wrong
+    /// term.
     fn advance(&mut self, event: Event, now: MonotonicTime) -> Option<Action> {
         match self.promotion.handle(event, now) {
             Ok(action) => Some(action),
@@ -203,7 +215,7 @@
         }
     }
 
-    /// The state of replication, for operators.
+    /// Returns the state of replication and the durations of failovers, for operators.
     pub fn status(&self, now: MonotonicTime) -> ReplicationStatus {
         let metrics = self.follower.metrics();
         let position = self.follower.position();
