--- a/crates/controller/src/actor/dispatch.rs
+++ b/crates/controller/src/actor/dispatch.rs
@@ -1,5 +1,5 @@
-//! Carries out the decisions of the cluster state in background tasks: commits, direct commands and
-//! state probes to workers, and scaling actions at the cloud.
+//! Carries out the decisions of the cluster state in background tasks: commits to the store, direct
+//! dispatch and state probes to workers, and scaling actions of the cloud.
 
 use super::ControllerActor;
 use super::messages::{ClusterEvent, ControllerEvent};
@@ -15,11 +15,11 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Delay before a failed request to the cloud is retried.
+/// Delay after a failed request to the cloud, before it is retried or reported as failed.
 const CLOUD_RETRY: Duration = Duration::from_secs(1);
 
 impl ControllerActor {
-    /// Sends the direct commands and the transaction that are due.
+    /// Sends the direct dispatches and the transaction that are due, if the leadership lease holds.
     pub(super) fn dispatch(&mut self, active: &mut ActiveTerm) {
         let now = self.config.clock.now();
         if !active.tasks.authority.holds_at(now) {
@@ -50,7 +50,8 @@
         timers: &mut TermTimers,
         now: MonotonicTime,
     ) {
-        // Every heartbeat dispatches, and most machines with planned starts wait for a commit.
+        // Every heartbeat calls this function, and most machines with planned starts wait for a
+        // commit, so searching for starts each time would be wasted work.
         if !timers.direct_dispatch.take_due(constants::DIRECT_DISPATCH_INTERVAL, now) {
             return;
         }
@@ -61,7 +62,8 @@
         for DirectStart { machine, address, commands } in starts {
             let (workers, authority) = (self.config.workers.clone(), tasks.authority.clone());
             tasks.spawn_event(async move {
-                // A start that was queued while the process was paused must not be sent.
+                // The lease may have expired since this task was queued, for example while the
+                // process was paused. Then the start must not be sent.
                 let delivery = if authority.holds() {
                     workers.send(&address, &commands).await
                 } else {
@@ -88,7 +90,8 @@
         });
     }
 
-    /// Requests the tasks of machines whose workers have not sent a heartbeat to this leader yet.
+    /// Asks workers that have not shown this leader's fencing token yet what they run, if the
+    /// leadership lease holds.
     pub(super) fn send_state_probes(&self, active: &mut ActiveTerm, now: MonotonicTime) {
         if !active.tasks.authority.holds_at(now) {
             return;
@@ -117,8 +120,9 @@
     }
 }
 
-/// Requests machines until the outcome is known. After an unclear outcome the same request, with the
-/// same id, returns the machines that were started, or starts them.
+/// Requests machines until the outcome is known, and pauses while the leadership lease has expired.
+/// After an unclear outcome it repeats the request with the same id, to which the cloud responds
+/// with the machines that it has started already, or starts them now.
 async fn scale_out(
     cloud: CloudClient,
     authority: Authority,
@@ -145,7 +149,8 @@
     }
 }
 
-/// Deletes machines, unless a later leader may have placed tasks on them by now.
+/// Deletes machines, unless the leadership lease has expired: a later leader may have placed tasks
+/// on them since.
 async fn scale_in(cloud: CloudClient, authority: Authority, machines: Vec<String>) -> ClusterEvent {
     let deleted = if !authority.holds() {
         false
--- a/crates/controller/src/actor/events.rs
+++ b/crates/controller/src/actor/events.rs
@@ -1,4 +1,4 @@
-//! Handling of the events that the background tasks of a term report.
+//! Handles the events that the background tasks of a term report.
 
 use super::ControllerActor;
 use super::messages::{ClusterEvent, ControllerEvent};
@@ -41,7 +41,7 @@
             }
             ClusterEvent::ScaleOutFinished { request, machines } => {
                 cluster.scale_out_finished(&request, machines, now);
-                // Capacity that was refused is requested elsewhere at the next tick.
+                // If the cloud has refused the machines, the next tick requests capacity elsewhere.
                 active.timers.autoscaling.make_due();
             }
             ClusterEvent::ScaleInFinished { machines, deleted: true } => {
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Creates the cluster state of the term from the records that were read.
+    /// Creates the cluster state of the term from the records in the store, and starts to watch for
+    /// jobs accepted after `revision`.
     fn state_loaded(
         &mut self,
         active: &mut ActiveTerm,
@@ -91,7 +92,8 @@
         self.spawn_job_watch(active, revision);
     }
 
-    /// Completes the cluster state from this controller's copy of the previous leader's.
+    /// Completes the cluster state from this controller's copy of the previous leader's cluster
+    /// state. A controller without a usable copy starts from the records alone.
     fn warm_start(&self, cluster: &mut ClusterState, now: MonotonicTime) {
         let term = cluster.term();
         match self.config.standby.copy(term, now) {
@@ -104,18 +106,19 @@
         }
     }
 
-    /// Replies to the users who wait for the end of jobs that a commit made durable.
+    /// Caches the final states that a commit has made durable, and replies to the users who wait
+    /// for the cancellation of these jobs.
     fn finish_jobs(&self, active: &mut ActiveTerm) {
         let Some(cluster) = &mut active.cluster else { return };
         for CompletedJob { id, record } in cluster.take_completed_jobs() {
-            // The cluster state drops the job, and its user requests the status once more. Without
-            // the cache each of these requests would take two reads of the state service.
+            // The cluster state no longer has the job, but its user will request the status once
+            // more. Without the cache, each of these requests would take two reads of the store.
             self.config.final_states.remember(&record.status(&id).into());
             active.pending_cancellations.job_finished(&id, &record);
         }
     }
 
-    /// Resigns if a transaction showed that another controller leads.
+    /// Gives up the leadership if a transaction has shown that this controller no longer leads.
     fn resign_if_leadership_lost(&self, active: &ActiveTerm) {
         if active.cluster.as_ref().is_some_and(ClusterState::leadership_lost) {
             self.config.resign_requested.notify_one();
--- a/crates/controller/src/actor/messages.rs
+++ b/crates/controller/src/actor/messages.rs
@@ -1,4 +1,4 @@
-//! Requests to the controller actor, and the events that its background tasks report.
+//! The requests to the controller actor, and the events that its background tasks report to it.
 
 use crate::cluster_state::{CancelOutcome, CommitResult, JobLookup, LoadedState, PendingCommit};
 use crate::shard_lease::{ShardLease, ShardLeaseRenewal};
@@ -11,153 +11,140 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The sender of a reply; `None`: this controller does not lead, or has no answer.
+/// Sends the reply to a request. The reply is `None` if this controller does not lead or has no
+/// answer.
 pub type Reply<T> = oneshot::Sender<Option<T>>;
 
 /// A request to the controller actor.
 #[derive(Debug)]
 pub enum ControllerRequest {
-    /// A worker's heartbeat.
+    /// Process a worker's heartbeat, as the leader or as the lessee of the worker's shard.
     Heartbeat {
-        /// The heartbeat.
+        /// The heartbeat as it was received.
         heartbeat: Heartbeat,
-        /// Receives the response.
+        /// Receives the response for the worker, or why there is none.
         reply: oneshot::Sender<HeartbeatReply>,
     },
-    /// Look up the state of a job.
+    /// Look up the status of a job in the leader's cluster state.
     Status {
-        /// The job.
+        /// The id of the job.
         job: JobId,
-        /// Receives what the leader knows.
+        /// Receives what the leader knows about the job.
         reply: Reply<JobLookup>,
     },
-    /// Cancel a job. A decision that has to be written is replied to once it is durable.
+    /// Cancel a job. If the cancellation has to be written to the store, the reply follows once it
+    /// is durable.
     Cancel {
-        /// The job.
+        /// The id of the job.
         job: JobId,
-        /// Receives the outcome.
+        /// Receives the outcome; [`CancelOutcome::Pending`] if the store is unavailable.
         reply: Reply<CancelOutcome>,
     },
-    /// Add a job whose record was found in the state service.
+    /// Add a job whose record was found in the store to the leader's cluster state.
     AdoptJob {
-        /// The term of this controller before the record was read. A record that was read in an
-        /// earlier term is ignored: its job may have finished since.
+        /// The term that this controller led before the record was read. A record that was read in
+        /// an earlier term is ignored, because its job may have finished since.
         read_in_term: Option<u64>,
-        /// The key of the record.
+        /// The key of the job record, which has the id of the job.
         key: String,
-        /// The record.
+        /// The job record as JSON.
         value: serde_json::Value,
-        /// Confirms that the request was handled.
+        /// Confirms that the request was processed, also if the record was ignored.
         reply: Reply<()>,
     },
-    /// Another controller renews its shard lease.
+    /// Renew the shard lease of another controller.
     RenewShardLease {
-        /// The renewal.
+        /// The renewal that the other controller sent.
         renewal: ShardLeaseRenewal,
-        /// Receives the lease.
+        /// Receives the lease, whose length is 0 if none is granted.
         reply: Reply<ShardLease>,
     },
-    /// Prepare a renewal of the shard lease of this controller. `None` in the reply: it leads.
+    /// Prepare a renewal of the shard lease of this controller. The reply is `None` if it leads.
     PrepareShardLeaseRenewal(Reply<PreparedRenewal>),
-    /// The leader's response to a renewal of this controller.
+    /// Apply the leader's response to a renewal of this controller.
     ShardLeaseGranted {
-        /// The lease.
+        /// The lease, whose length is 0 if none was granted.
         lease: ShardLease,
-        /// When the renewal was sent, see [`PreparedRenewal`].
+        /// When the renewal was sent: [`PreparedRenewal::sent_at`].
         sent_at: MonotonicTime,
     },
-    /// A standby requests the replication entries that its copy lacks.
+    /// Answer a standby that requests the replication log entries that its copy lacks.
     Follow {
-        /// The request.
+        /// The request, which says how far the copy has got.
         request: FollowRequest,
-        /// Receives the entries.
+        /// Receives the entries, or a part of a replication snapshot.
         reply: Reply<FollowResponse>,
     },
-    /// Prepare the next replication request of this controller. `None` in the reply: it leads, or
+    /// Prepare the next replication request of this controller. The reply is `None` if it leads or
     /// keeps no copy.
     PrepareFollow(Reply<FollowRequest>),
-    /// The leader's response to a replication request of this controller.
+    /// Apply the leader's response to a replication request of this controller.
     Followed(FollowResponse),
-    /// The state of replication.
+    /// Report the state of replication and the durations of failovers.
     ReplicationStatus(Reply<ReplicationStatus>),
 }
 
 /// A renewal of a shard lease that is ready to be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PreparedRenewal {
-    /// The renewal.
+    /// The renewal to send to the leader.
     pub renewal: ShardLeaseRenewal,
-    /// The time on the monotonic clock of this controller.
+    /// When the renewal was prepared, on the monotonic clock of this controller. The lease counts
+    /// from this time.
     pub sent_at: MonotonicTime,
 }
 
-/// The reply to a heartbeat.
+/// The reply of the controller actor to a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatReply {
-    /// Respond to the worker.
+    /// Respond to the worker, which extends its lease.
     Respond {
-        /// The response.
+        /// The response, with the fencing token and the commands.
         response: HeartbeatResponse,
         /// The response must be sent before this time. The process can be paused between the
-        /// decision and the response, and another controller may lead by then.
+        /// decision and the sending of the response, and another controller may lead by then.
         valid_until: Instant,
     },
-    /// Redirect the worker to the leader, if its name is known.
+    /// Redirect the worker to the leader of this name. `None` if no leader is known, if it has not
+    /// been reachable recently, or if it is this controller.
     Redirect(Option<String>),
-    /// No response: this controller lacks the authority, or the heartbeat is outdated.
+    /// Do not respond: this controller lacks the authority, or the heartbeat is outdated.
     Unavailable,
 }
 
-/// What a background task of a term reports to the controller actor.
+/// An event that a background task of a term reports to the controller actor.
 pub(super) enum ControllerEvent {
-    /// All records of the state service have been read, at this revision.
+    /// All records in the store that a new leader needs have been read. Jobs accepted after
+    /// `revision` may be missing.
     StateLoaded { state: LoadedState, revision: u64 },
-    /// The state service does not respond, or rejects the requests of this controller: pending
-    /// writes will wait for long.
+    /// The store does not respond, or rejects the requests of this controller. Pending writes may
+    /// have to wait for a long time.
     StoreUnavailable,
-    /// The watch for jobs fell behind; all jobs are read again.
+    /// The store no longer has the events that the watch for jobs would continue from, so all jobs
+    /// are read again.
     WatchTruncated,
-    /// An event for the cluster state.
+    /// An event that changes the cluster state.
     Cluster(ClusterEvent),
 }
 
-/// An event for the cluster state.
+/// An event that changes the cluster state. It is dropped if the records have not been read yet.
 pub(super) enum ClusterEvent {
-    /// A job was accepted.
-    JobAdded {
-        key: String,
-        value: serde_json::Value,
-    },
-    /// A transaction has been applied or has failed.
-    CommitFinished {
-        commit: PendingCommit,
-        result: CommitResult,
-    },
-    /// `machines`: `None` if the cloud had no capacity or rejected the request.
-    ScaleOutFinished {
-        request: ScaleOutRequest,
-        machines: Option<Vec<String>>,
-    },
-    /// `deleted`: whether the cloud confirmed the deletion.
-    ScaleInFinished {
-        machines: Vec<String>,
-        deleted: bool,
-    },
-    MachinesListed {
-        machines: Vec<ListedMachine>,
-        requested_at: MonotonicTime,
-    },
-    /// Commands were sent to a machine outside of its heartbeats.
-    DirectStartSent {
-        machine: String,
-        fencing_token: u64,
-        delivery: Delivery,
-    },
-    /// `heartbeat`: `None` if the worker did not answer.
-    StateProbed {
-        machine: String,
-        heartbeat: Option<Heartbeat>,
-    },
+    /// The record of an accepted job was found. The cluster state may know the job already.
+    JobAdded { key: String, value: serde_json::Value },
+    /// A transaction was applied, was not applied, or has an unclear outcome after which its keys
+    /// were read again.
+    CommitFinished { commit: PendingCommit, result: CommitResult },
+    /// The outcome of a scale-out is known. `machines` is `None` if the cloud had no capacity or
+    /// rejected the request.
+    ScaleOutFinished { request: ScaleOutRequest, machines: Option<Vec<String>> },
+    /// A scale-in has ended. `deleted` says whether the cloud confirmed the deletion.
+    ScaleInFinished { machines: Vec<String>, deleted: bool },
+    /// The cloud has listed its machines in response to a request sent at `requested_at`.
+    MachinesListed { machines: Vec<ListedMachine>, requested_at: MonotonicTime },
+    /// A direct dispatch of starts to a machine has ended; `delivery` is its outcome.
+    DirectStartSent { machine: String, fencing_token: u64, delivery: Delivery },
+    /// A state probe of a machine has ended. `heartbeat` is `None` if the worker did not answer.
+    StateProbed { machine: String, heartbeat: Option<Heartbeat> },
 }
 
 impl From<ClusterEvent> for ControllerEvent {
--- a/crates/controller/src/actor/mod.rs
+++ b/crates/controller/src/actor/mod.rs
@@ -1,10 +1,11 @@
-//! The controller actor. While this controller leads, the actor owns the cluster state and carries
-//! out its decisions at the state service, the cloud and the workers. Otherwise it answers requests
-//! as a follower.
+//! The controller actor. While this controller leads, the actor owns the cluster state and sends
+//! the decisions of the cluster state to the store, the cloud and the workers. Otherwise it answers
+//! requests as a follower.
 //!
-//! One loop handles everything in turn: changes of leadership, requests (`requests`), events of
-//! background tasks (`events`) and the periodic duties of a leader (`timer`). Nothing in it waits
-//! for I/O: that is done by background tasks of the term (`dispatch`, `store_io`), which end with it.
+//! One loop handles all inputs in turn: changes of leadership, requests (`requests`), events from
+//! background tasks (`events`) and the periodic work of a leader (`timer`). The loop never waits
+//! for I/O. Background tasks (`dispatch`, `store_io`) do the I/O; they belong to a term and are
+//! aborted when it ends.
 
 mod dispatch;
 mod events;
@@ -34,52 +35,55 @@
 /// The machine types that the cloud offers; `None` until they have been read.
 pub type MachineTypes = Option<Arc<Vec<MachineType>>>;
 
-/// What the controller actor needs, and shares with the rest of the controller.
+/// The dependencies of the controller actor, some of them shared with the rest of the controller.
 #[derive(Debug)]
 pub struct ControllerActorConfig {
-    /// The configuration of the cluster state.
+    /// The configuration that each new cluster state gets, with the name and zone of this
+    /// controller.
     pub cluster: ControllerConfig,
-    /// The client of the state service.
+    /// The client of the store, with a request rate of its own.
     pub store: StoreClient,
-    /// The client of the cloud.
+    /// The client of the cloud, for scaling and for the machine list.
     pub cloud: CloudClient,
-    /// The client of the workers.
+    /// The client of all workers, for direct dispatch and state probes.
     pub workers: WorkerClient,
-    /// The clock of this process.
+    /// The clock of this process. Leadership lease expiries must be readings of a copy of it.
     pub clock: Clock,
-    /// The leadership lease, updated by the election actor.
+    /// The leadership lease. The election actor updates it.
     pub lease: Arc<LeadershipLease>,
-    /// Who leads, published by the election actor.
+    /// The current leader, published by the election actor.
     pub view: watch::Receiver<LeadershipView>,
-    /// Notified when this controller gives up its leadership.
+    /// The controller actor notifies the election actor through it to give up the leadership.
     pub resign_requested: Arc<Notify>,
-    /// The machine types.
+    /// The machine types that the cloud offers, read periodically.
     pub machine_types: watch::Receiver<MachineTypes>,
-    /// The requests.
+    /// Requests from the API, from other controllers and from `leader_sync`.
     pub requests: mpsc::Receiver<ControllerRequest>,
-    /// The final states of jobs, shared with the API.
+    /// The final states of jobs, shared with the API, which answers status requests from them.
     pub final_states: Arc<FinalStateCache>,
-    /// The shard lease of this controller.
+    /// The shard lease of this controller, which it may use while it does not lead, too.
     pub shard_lessee: ShardLessee,
-    /// The copy of the leader's cluster state, and the steps of a failover.
+    /// The copy of the leader's cluster state, and the state of a failover to this controller.
     pub standby: Standby,
 }
 
-/// The controller actor.
+/// The controller actor. It has a thread of its own; see [`ControllerHandle`] for how to reach it.
 #[derive(Debug)]
 pub struct ControllerActor {
     config: ControllerActorConfig,
-    /// When this controller last stepped down for lack of heartbeats.
+    /// When this controller last stepped down because it received no heartbeats; `None` if it never
+    /// did.
     stepped_down_at: Option<MonotonicTime>,
 }
 
 impl ControllerActor {
-    /// Creates the actor; nothing happens before it runs.
+    /// Creates the actor. It does nothing until [`run`](Self::run) is called.
     pub fn new(config: ControllerActorConfig) -> Self {
         Self { config, stepped_down_at: None }
     }
 
-    /// Runs until the process ends.
+    /// Leads or answers requests as a follower until a channel is closed, that is, until the
+    /// process ends.
     pub async fn run(mut self) {
         loop {
             let view = self.config.view.borrow_and_update().clone();
@@ -99,11 +103,12 @@
         }
     }
 
-    /// Leads until the term ends; gives the leadership back if a later term is known already.
+    /// Leads until the term ends. Gives up the leadership at once if this or a later term is known
+    /// already.
     async fn lead(&mut self, leader_term: LeaderTerm) {
         if !self.config.standby.elected(leader_term.term, self.config.clock.now()) {
             self.config.resign_requested.notify_one();
-            // Until the election actor has released the leadership.
+            // Waits until the election actor has given up the leadership.
             let _ = self.config.view.changed().await;
             return;
         }
@@ -111,7 +116,7 @@
         self.config.standby.deposed(self.config.clock.now());
     }
 
-    /// The loop of a leader. Returns when the term has ended or a channel is closed.
+    /// Runs the event loop of a leader. Returns when the term has ended or a channel is closed.
     async fn lead_term(&mut self, leader_term: LeaderTerm) {
         self.config.shard_lessee.leadership_won(leader_term.term);
         let (events, mut event_receiver) = mpsc::channel(constants::CHANNEL_CAPACITY);
--- a/crates/controller/src/actor/requests.rs
+++ b/crates/controller/src/actor/requests.rs
@@ -1,4 +1,4 @@
-//! Handling of requests, as a follower and as the leader.
+//! Handles requests to the controller actor, as a follower and as the leader.
 
 use super::ControllerActor;
 use super::messages::{ControllerRequest, HeartbeatReply, PreparedRenewal, Reply};
@@ -9,7 +9,7 @@
 use hookway_wire::{Command, Heartbeat, HeartbeatResponse, ReplicationStatus};
 
 impl ControllerActor {
-    /// Handles a request while another controller leads, or none.
+    /// Handles a request while another controller leads or no controller does.
     pub(super) fn handle_as_follower(&mut self, request: ControllerRequest) {
         let now = self.config.clock.now();
         match request {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Handles a request in a term of this controller.
+    /// Handles a request while this controller leads.
     pub(super) fn handle_as_leader(&mut self, active: &mut ActiveTerm, request: ControllerRequest) {
         let now = self.config.clock.now();
         let may_decide = active.may_decide(now);
@@ -79,7 +79,7 @@
             ControllerRequest::Follow { request, reply } => {
                 let _ = reply.send(active.publication.answer(cluster, &request, now));
             }
-            // A leader leases its own shard, and follows nobody.
+            // A leader leases its own shard to itself, and does not follow another controller.
             ControllerRequest::PrepareShardLeaseRenewal(reply) => decline(reply),
             ControllerRequest::PrepareFollow(reply) => decline(reply),
             ControllerRequest::ShardLeaseGranted { .. } | ControllerRequest::Followed(_) => {}
@@ -87,8 +87,9 @@
         }
     }
 
-    /// Handles a request in a term of this controller, while it has not read the records yet or its
-    /// lease has expired.
+    /// Handles a request in a term of this controller while it must not decide: it has not read the
+    /// records yet, or its leadership lease has expired, or decisions are still suspended after
+    /// that.
     fn handle_without_authority(
         &mut self,
         active: &mut ActiveTerm,
@@ -112,7 +113,8 @@
         }
     }
 
-    /// The reply that sends a worker to the leader, if that is another controller and reachable.
+    /// Returns the reply that redirects a worker to the leader. It names the leader only if that is
+    /// another controller and has been reachable recently.
     fn redirect(&self, now: MonotonicTime) -> HeartbeatReply {
         let reachable = self.config.shard_lessee.leader_reachable(now);
         let leader = self.config.view.borrow().leader.clone().filter(|_| reachable);
@@ -120,7 +122,8 @@
         HeartbeatReply::Redirect(leader.filter(|name| name != own_name))
     }
 
-    /// The reply of this controller as the lessee of a shard, if it may and should give one.
+    /// Returns the reply of this controller as the lessee of the worker's shard; `None` if it must
+    /// not extend the worker's lease or need not.
     fn extend_worker_lease(
         &mut self,
         heartbeat: &Heartbeat,
@@ -141,7 +144,7 @@
     }
 }
 
-/// Sends a reply. The requester may have given up; then nobody needs it.
+/// Sends a reply. It is dropped if the requester has stopped waiting for it.
 fn answer<T>(reply: Reply<T>, value: T) {
     let _ = reply.send(Some(value));
 }
--- a/crates/controller/src/actor/store_io.rs
+++ b/crates/controller/src/actor/store_io.rs
@@ -1,4 +1,4 @@
-//! Reads, watches and transactions at the state service, for the background tasks of a term.
+//! Reads, watches and transactions of the store, for the background tasks of a term.
 
 use super::ControllerActor;
 use super::messages::{ClusterEvent, ControllerEvent};
@@ -17,7 +17,8 @@
 use tokio::time::sleep;
 
 impl ControllerActor {
-    /// Reads the records that a new leader needs, and retries until this succeeds.
+    /// Spawns a task that reads the records that a new leader needs, and retries until this
+    /// succeeds.
     pub(super) fn spawn_state_load(&self, active: &mut ActiveTerm) {
         let (store, events) = (self.config.store.clone(), active.tasks.events.clone());
         let (term, stored_watermarks) = (active.term(), active.leader_term.stored_watermarks);
@@ -31,7 +32,7 @@
                         return;
                     }
                     Err(error) => {
-                        tracing::debug!(%error, "reading the cluster state failed");
+                        tracing::debug!(%error, "reading the records failed");
                         sleep(constants::LEADER_RETRY).await;
                     }
                 }
@@ -39,7 +40,7 @@
         });
     }
 
-    /// Watches for jobs that are accepted after `revision`.
+    /// Spawns a task that watches for jobs that are accepted after `revision`.
     pub(super) fn spawn_job_watch(&self, active: &mut ActiveTerm, revision: u64) {
         let (store, events) = (self.config.store.clone(), active.tasks.events.clone());
         active.tasks.spawn(async move {
@@ -48,17 +49,18 @@
     }
 }
 
-/// The receiver of the events of a term no longer exists.
+/// The term has ended: the receiver of its events no longer exists.
 struct TermEnded;
 
-/// All records that a new leader needs.
+/// The records that a new leader needs.
 struct StateRead {
     state: LoadedState,
-    /// Jobs that are not in `state` come after this revision.
+    /// The revision of the store at which the jobs were read. Jobs accepted later are not in
+    /// `state`.
     revision: u64,
 }
 
-/// Reads all records that a new leader needs.
+/// Reads all records that a new leader needs, the jobs first.
 async fn load_state(
     store: &StoreClient,
     stored_watermarks: StoredWatermarks,
@@ -135,10 +137,10 @@
     events.send(event).await.map_err(|_| TermEnded)
 }
 
-/// Commits a transaction. If its outcome is unclear, reads its keys again.
+/// Commits a transaction. If a precondition fails or the outcome is unclear, reads the keys of the
+/// transaction again.
 ///
-/// `unavailable` is called when the state service does not respond, or rejects the requests of this
-/// controller.
+/// Calls `unavailable` when the store does not respond, or rejects the requests of this controller.
 pub(super) async fn commit_and_reread(
     store: &StoreClient,
     commit: &PendingCommit,
@@ -168,7 +170,8 @@
     CommitResult::Indeterminate(reread)
 }
 
-/// Reads a key, and retries until this succeeds.
+/// Reads a key, and retries until this succeeds. Calls `unavailable` after each failure, except
+/// when the store limits the request rate.
 async fn reread_key(store: &StoreClient, key: String, unavailable: &impl Fn()) -> RereadKey {
     loop {
         match store.get(&key).await {
--- a/crates/controller/src/actor/term.rs
+++ b/crates/controller/src/actor/term.rs
@@ -1,5 +1,5 @@
-//! The state of one term of leadership. It is dropped when the term ends, and its background tasks
-//! are aborted with it.
+//! The state of the controller actor in one term that it leads. When the term ends, the state is
+//! dropped, which aborts the background tasks of the term.
 
 use super::MachineTypes;
 use super::messages::{ClusterEvent, ControllerEvent, Reply};
@@ -19,15 +19,16 @@
 /// A term that this controller leads.
 pub(super) struct ActiveTerm {
     pub(super) leader_term: LeaderTerm,
-    /// `None` until the records of the state service have been read.
+    /// `None` until the records in the store have been read.
     pub(super) cluster: Option<ClusterState>,
     pub(super) publication: Publication,
     pub(super) tasks: TermTasks,
     pub(super) pending_cancellations: PendingCancellations,
     pub(super) timers: TermTimers,
-    /// The lease had expired when the timer last fired. No decision is made until it holds again.
+    /// Whether the leadership lease had expired at the last tick. No decision is made until a tick
+    /// finds that the lease holds again.
     pub(super) suspended: bool,
-    /// The machine types that the cluster state has.
+    /// The machine types that were last passed to the cluster state.
     pub(super) machine_types: MachineTypes,
 }
 
@@ -62,10 +63,11 @@
     }
 }
 
-/// The authority to act as the leader of a term.
+/// The authority to act as the leader of a term, which ends with the leadership lease.
 ///
-/// Every effect that no fencing token and no precondition guards must check it right before, in the
-/// task that carries it out: the process may have been paused since the decision.
+/// An effect that neither a fencing token nor a precondition guards needs a check of the authority
+/// right before it, in the task that carries it out: the process may have been paused since the
+/// decision.
 #[derive(Debug, Clone)]
 pub(super) struct Authority {
     term: u64,
@@ -82,13 +84,13 @@
         self.lease.holds(self.term, now)
     }
 
-    /// When it expires, as far as is known now.
+    /// Returns the expiry of the leadership lease according to the extensions so far.
     pub(super) fn expires_at(&self) -> MonotonicTime {
         self.lease.expires_at(self.term)
     }
 }
 
-/// The background tasks of a term, and what they are given.
+/// The background tasks of a term, with the authority and the event channel that they get.
 pub(super) struct TermTasks {
     pub(super) authority: Authority,
     pub(super) events: mpsc::Sender<ControllerEvent>,
@@ -104,7 +106,7 @@
         self.tasks.spawn(task);
     }
 
-    /// Spawns a task that reports one event when it is done.
+    /// Spawns a task that reports its result to the controller actor as an event.
     pub(super) fn spawn_event(
         &mut self,
         task: impl Future<Output = ClusterEvent> + Send + 'static,
@@ -113,34 +115,35 @@
         self.spawn(async move { drop(events.send(task.await.into()).await) });
     }
 
-    /// Releases the memory of tasks that are done.
+    /// Releases the memory of background tasks that have ended.
     pub(super) fn reap_finished(&mut self) {
         while self.tasks.try_join_next().is_some() {}
     }
 }
 
-/// The periodic duties of a leader.
+/// The timers of a leader's periodic work.
 #[derive(Debug, Default)]
 pub(super) struct TermTimers {
     pub(super) last_tick_at: MonotonicTime,
     pub(super) scheduling: Periodic,
     pub(super) autoscaling: Periodic,
-    /// When the machine list was last requested; `None`: not in this term.
+    /// When the machine list was last requested; `None` if it was not requested in this term.
     pub(super) last_machine_list_at: Option<MonotonicTime>,
     pub(super) summary: Periodic,
     pub(super) direct_dispatch: Periodic,
 }
 
-/// A duty that is carried out at intervals.
+/// The timer of work that is done at intervals.
 #[derive(Debug, Default)]
 pub(super) struct Periodic {
-    /// When it was last carried out; the creation of the clock if it was not yet in this term.
+    /// When the work was last done; [`MonotonicTime::ZERO`] if it was not done in this term, or is
+    /// due at once.
     last_at: MonotonicTime,
 }
 
 impl Periodic {
-    /// Whether `interval` has passed since it was last carried out. If so, it counts as carried out at
-    /// `now`.
+    /// Returns whether the work is due: `interval` has passed since it was last done. If so, the
+    /// interval starts again at `now`.
     pub(super) fn take_due(&mut self, interval: Duration, now: MonotonicTime) -> bool {
         let due = now >= self.last_at + interval;
         if due {
@@ -149,13 +152,13 @@
         due
     }
 
-    /// Makes it due at once.
+    /// Makes the work due at once.
     pub(super) fn make_due(&mut self) {
         self.last_at = MonotonicTime::ZERO;
     }
 }
 
-/// The replication log that standbys follow.
+/// The replication log that standbys follow, with the timers of its updates.
 pub(super) struct Publication {
     publisher: Publisher,
     publish: Periodic,
@@ -168,14 +171,16 @@
         Self { publisher, publish: Periodic::default(), full_publish: Periodic::default() }
     }
 
-    /// Answers a standby; `None` if its request is invalid.
+    /// Responds to the request of a standby, after adding recent changes of the cluster state to
+    /// the log. Returns `None` if the request is invalid.
     pub(super) fn answer(
         &mut self,
         cluster: &mut ClusterState,
         request: &FollowRequest,
         now: MonotonicTime,
     ) -> Option<FollowResponse> {
-        // Standbys ask one after the other: one comparison of the cluster state serves them all.
+        // The standbys send their requests one after the other. One comparison of the cluster state
+        // with the log serves them all.
         if self.publish.take_due(constants::FOLLOW_INTERVAL / 2, now) {
             if self.full_publish.take_due(constants::FULL_PUBLISH_INTERVAL, now) {
                 cluster.publish_all(&mut self.publisher);
@@ -191,7 +196,7 @@
     }
 }
 
-/// The users whose cancellations are not durable yet.
+/// The replies to users whose cancellations are not durable yet.
 #[derive(Debug, Default)]
 pub(super) struct PendingCancellations {
     replies: HashMap<JobId, Vec<Reply<CancelOutcome>>>,
@@ -202,15 +207,16 @@
         self.replies.entry(job).or_default().push(reply);
     }
 
-    /// Answers the users of a job whose final state is durable.
+    /// Replies to the users who wait for the cancellation of a job whose final state is now
+    /// durable.
     pub(super) fn job_finished(&mut self, job: &JobId, record: &FinalRecord) {
         for reply in self.replies.remove(job).unwrap_or_default() {
             let _ = reply.send(Some(CancelOutcome::Final(record.status(job))));
         }
     }
 
-    /// Answers all users that their cancellations are pending, so that they retry later. The
-    /// decisions stay in the commit queue.
+    /// Replies to all users that their cancellations are pending, so that they retry later. The
+    /// cancellations stay in the commit queue.
     pub(super) fn store_unavailable(&mut self) {
         for reply in self.replies.drain().flat_map(|(_, replies)| replies) {
             let _ = reply.send(Some(CancelOutcome::Pending));
--- a/crates/controller/src/actor/timer.rs
+++ b/crates/controller/src/actor/timer.rs
@@ -1,4 +1,4 @@
-//! The periodic duties of a leader.
+//! The periodic work of a leader.
 
 use super::messages::ClusterEvent;
 use super::term::{ActiveTerm, TermTasks, TermTimers};
@@ -12,7 +12,7 @@
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 
 impl ControllerActor {
-    /// Carries out what is due. Called every `TICK`, later if the actor is busy.
+    /// Does the periodic work that is due. Called every `TICK`, or later if the actor is busy.
     pub(super) fn tick(&mut self, active: &mut ActiveTerm) {
         let now = self.config.clock.now();
         debug_assert!(active.cluster.is_none() || self.config.standby.may_decide(active.term()));
@@ -36,7 +36,8 @@
         self.dispatch(active);
     }
 
-    /// Extends the lease of the leader's own shard, unless the cluster state forbids it at `now`.
+    /// Leases the leader's own shard to this controller, unless the cluster state allows no shard
+    /// lease at `now`. The caller ensures that the leadership lease holds at `now`.
     fn lease_own_shard(&mut self, cluster: &ClusterState, now: MonotonicTime) {
         let lease_length = cluster.shard_lease_length(now);
         if !lease_length.is_zero() {
@@ -45,8 +46,9 @@
         }
     }
 
-    /// Gives up the leadership if no worker sends heartbeats any more: this controller may be
-    /// partitioned from the workers. Not too often, since the workers may be the cause.
+    /// Gives up the leadership if no worker sends heartbeats any more, because this controller may
+    /// be partitioned from the workers. Does so at most once per `STEP_DOWN_INTERVAL`, because the
+    /// workers may be the cause. Returns whether it gave up the leadership.
     fn step_down_if_isolated(&mut self, cluster: &ClusterState, now: MonotonicTime) -> bool {
         let allowed = self
             .stepped_down_at
@@ -85,8 +87,9 @@
         }
     }
 
-    /// Requests the list of machines from the cloud: sooner if a heartbeat is overdue, because the
-    /// list shows whether the machine still exists; later for large fleets, whose list takes long.
+    /// Requests the list of machines from the cloud. It does so sooner if a heartbeat is overdue,
+    /// because the list shows whether the machine still exists, and later for large fleets, whose
+    /// list takes longer to read.
     fn request_machine_list(
         &self,
         cluster: &ClusterState,
@@ -119,11 +122,11 @@
     }
 }
 
-/// Suspends decisions while the leadership lease has expired, and resumes them when it holds.
+/// Suspends decisions while the leadership lease has expired, and resumes them when it holds again.
 /// Returns whether decisions may be made at `now`.
 ///
-/// After a suspension, or a pause of the process, the cluster state restarts its heartbeat timeouts:
-/// workers may have sent heartbeats that could not be received.
+/// After a suspension or a pause of the process, the cluster state restarts its heartbeat timeouts,
+/// because workers may have sent heartbeats that this controller could not receive.
 fn suspend_or_resume(active: &mut ActiveTerm, now: MonotonicTime) -> bool {
     let (term, lease_holds) = (active.term(), active.tasks.authority.holds_at(now));
     let Some(cluster) = &mut active.cluster else { return false };
--- a/crates/controller/src/concurrency_limiter.rs
+++ b/crates/controller/src/concurrency_limiter.rs
@@ -1,16 +1,16 @@
-//! A limit on requests in progress that adapts to measured latency.
+//! An adaptive limit on the number of requests in progress.
 
 use hookway_constants as constants;
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// Factor of the limit after a slow response.
+/// The limit is multiplied by this factor after each slow response.
 const DECREASE_FACTOR: f64 = 0.95;
-/// How much the limit grows in the course of as many fast responses as it admits requests.
+/// The limit grows by this many requests over as many fast responses as the limit itself.
 const INCREASE: f64 = 1.0;
 
-/// Additive increase while responses are fast, multiplicative decrease while they are slow, between
-/// `MIN_CONCURRENCY` and a maximum.
+/// Limits the number of requests in progress by their latency: additive increase after fast
+/// responses, multiplicative decrease after slow ones, between `MIN_CONCURRENCY` and a maximum.
 #[derive(Debug)]
 pub struct ConcurrencyLimiter {
     max_limit: f64,
@@ -23,18 +23,19 @@
     limit: f64,
 }
 
-/// Permission for one request, which is in progress until this is dropped.
+/// The permission for one request. The request counts as in progress until the permit is dropped.
 #[derive(Debug)]
 pub struct Permit<'a>(&'a ConcurrencyLimiter);
 
 impl ConcurrencyLimiter {
-    /// Creates a limiter whose limit starts at its maximum, `max_requests`.
+    /// Creates a limiter whose limit starts at its maximum, `max_requests` or `MIN_CONCURRENCY` if
+    /// that is higher.
     pub fn new(max_requests: usize) -> Self {
         let max_limit = max_requests.max(constants::MIN_CONCURRENCY) as f64;
         Self { max_limit, state: Mutex::new(LimiterState { in_progress: 0, limit: max_limit }) }
     }
 
-    /// Admits a request; `None` if the limit is reached.
+    /// Admits a request; returns `None` if the limit is reached.
     pub fn try_acquire(&self) -> Option<Permit<'_>> {
         let mut state = self.state.lock().ok()?;
         if state.in_progress as f64 >= state.limit {
@@ -44,7 +45,8 @@
         Some(Permit(self))
     }
 
-    /// Adapts the limit to the latency of a request.
+    /// Adapts the limit to the latency of a completed request. It is slow if the latency exceeds
+    /// `CONCURRENCY_LATENCY_TARGET`.
     pub fn record_latency(&self, latency: Duration) {
         let Ok(mut state) = self.state.lock() else { return };
         let adapted = if latency > constants::CONCURRENCY_LATENCY_TARGET {
--- a/crates/controller/src/connection_table.rs
+++ b/crates/controller/src/connection_table.rs
@@ -1,9 +1,10 @@
-//! The inbound connections of a controller, limited by its number of sockets.
+//! The inbound connections of a controller, whose number is limited by the sockets of its machine.
 //!
-//! Each worker keeps one connection to the leader, users keep theirs, and a network partition leaves
-//! connections whose other side is gone. When the table is full, the connections that have been idle
-//! longest are closed: a worker or user opens a new one when needed. The remaining sockets are for
-//! the state service, the cloud, the other controllers and direct commands to workers.
+//! Each worker keeps a connection to the leader open, users keep theirs open, and a network
+//! partition leaves connections whose peer can no longer be reached. When the table is full, the
+//! connections that have been idle longest are closed; a worker or user opens a new one when
+//! needed. The remaining sockets are for the store, the cloud, the other controllers and direct
+//! dispatch to workers.
 
 use hookway_constants as constants;
 use hookway_time::{MonotonicTime, whole_millis};
@@ -15,7 +16,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The policy that admits inbound connections and closes idle ones.
+/// The policy of the HTTP server that admits inbound connections and closes idle ones. Clones share
+/// one table.
 #[derive(Clone)]
 pub struct ConnectionTable {
     table: Arc<Connections>,
@@ -23,8 +25,8 @@
 }
 
 impl ConnectionTable {
-    /// Creates a table for `max_connections`, at least one. A connection without traffic for
-    /// `idle_timeout` is closed in any case.
+    /// Creates a table for at most `max_connections` connections (one, if that is zero). A
+    /// connection without traffic for `idle_timeout` is closed even if the table is not full.
     pub fn new(max_connections: usize, idle_timeout: Duration) -> Self {
         let table = Connections {
             created_at: Instant::now(),
@@ -39,8 +41,9 @@
         Self { table: Arc::new(table), config }
     }
 
-    /// Creates the table of a machine with `max_sockets`, a share of which stays for outbound
-    /// connections. The idle timeout exceeds the longest heartbeat interval of a worker.
+    /// Creates the table of a controller whose machine has `max_sockets` sockets, a share of which
+    /// is reserved for outbound connections. The idle timeout exceeds the longest interval between
+    /// two heartbeats of a worker.
     pub fn for_machine(max_sockets: usize, heartbeat_interval_s: f64) -> Self {
         let max_connections = (max_sockets as f64 * constants::INBOUND_SOCKET_SHARE) as usize;
         let idle_timeout_s = (heartbeat_interval_s * constants::CONNECTION_IDLE_HEARTBEATS)
@@ -48,7 +51,7 @@
         Self::new(max_connections, Duration::from_secs_f64(idle_timeout_s))
     }
 
-    /// The number of connections that hold a socket.
+    /// Returns the number of connections that hold a socket, including those that are being closed.
     pub fn open_connections(&self) -> usize {
         self.table.held_sockets.load(Ordering::Relaxed)
     }
@@ -56,7 +59,8 @@
 
 #[async_trait]
 impl FusePolicy for ConnectionTable {
-    /// Delays a new connection while the table is full; never refuses it.
+    /// Delays a new connection while the table is full, and closes idle connections meanwhile.
+    /// Never refuses a connection.
     async fn decide(&self, _: &FuseInfo) -> FuseAction {
         while self.open_connections() >= self.table.max_connections {
             self.table.close_idle(self.table.now());
@@ -87,14 +91,14 @@
     open: Mutex<HashMap<u64, OpenConnection>>,
 }
 
-/// A connection that can be closed.
+/// A connection that has not been closed by [`Connections::close_idle`].
 struct OpenConnection {
     last_traffic: Arc<TrafficTime>,
     ctrl: ConnCtrl,
 }
 
-/// When a connection last had traffic, by [`Connections::now`]. Atomic, since every read and write of
-/// every connection sets it.
+/// When a connection last had traffic, as a reading of [`Connections::now`]. It is atomic because
+/// every read and write of every connection sets it.
 #[derive(Debug)]
 struct TrafficTime(AtomicU64);
 
@@ -113,13 +117,13 @@
 }
 
 impl Connections {
-    /// The time since the table was created.
+    /// Returns the time since the table was created.
     fn now(&self) -> MonotonicTime {
         MonotonicTime::from_millis(whole_millis(self.created_at.elapsed()))
     }
 
-    /// Closes the connections that have been idle longest, several at a time to make the scan of the
-    /// whole table worthwhile.
+    /// Closes the connections that have been idle longest, except those with traffic in the last
+    /// `CONNECTION_BUSY`. Closes several at a time, because each call scans the whole table.
     fn close_idle(&self, now: MonotonicTime) {
         let Ok(mut open) = self.open.lock() else { return };
         let mut idle: Vec<(MonotonicTime, u64)> = open
@@ -137,7 +141,8 @@
     }
 }
 
-/// Observes the traffic of a connection. When its stream is dropped, it leaves the table.
+/// Observes the traffic of a connection. It is dropped together with the stream of the connection,
+/// and then removes the connection from the table.
 struct ConnectionActivity {
     id: u64,
     table: Arc<Connections>,
--- a/crates/controller/src/connection_table/tests.rs
+++ b/crates/controller/src/connection_table/tests.rs
@@ -10,8 +10,8 @@
     }
 }
 
-/// A full socket table must neither end the process nor refuse users while connections to partitioned peers
-/// occupy it.
+/// While connections to partitioned peers fill the table, the controller must neither run out of
+/// sockets nor refuse users.
 #[tokio::test]
 async fn full_connection_table_closes_only_longest_idle_connection() {
     let connections = ConnectionTable::new(4, Duration::from_secs(20));
@@ -20,7 +20,7 @@
         let control = ConnCtrl::new();
         let observer = connections.observe(&info(), &control);
         open_connections.push((control, observer));
-        // The first connection has been idle for longest, the last one is busy.
+        // The first connection has been idle longest; the last one is busy.
         let open = connections.table.open.lock().unwrap();
         open[&n].last_traffic.set(MonotonicTime::from_millis(n * 10_000));
     }
--- a/crates/controller/src/final_state_cache.rs
+++ b/crates/controller/src/final_state_cache.rs
@@ -1,4 +1,4 @@
-//! A cache of final job states, which never change.
+//! A cache of the final states of jobs. A final state never changes, so no entry becomes outdated.
 
 use crate::job_snapshot::JobSnapshot;
 use hookway_constants as constants;
@@ -6,8 +6,9 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::Mutex;
 
-/// The final states that this controller has learned, up to `FINAL_STATE_CACHE_SIZE`. The oldest
-/// entry is evicted first. Shared by the API and the controller actor.
+/// The final states of jobs that this controller knows, up to `FINAL_STATE_CACHE_SIZE` of them. The
+/// entry that was inserted first is evicted first. The API and the controller actor share the
+/// cache.
 #[derive(Debug, Default)]
 pub struct FinalStateCache {
     entries: Mutex<Entries>,
@@ -16,22 +17,22 @@
 #[derive(Debug, Default)]
 struct Entries {
     snapshots: HashMap<JobId, JobSnapshot>,
-    /// The jobs in the order of their insertion.
+    /// The cached jobs; the first one to be evicted comes first.
     insertion_order: VecDeque<JobId>,
 }
 
 impl FinalStateCache {
-    /// The final state of a job, if it is cached.
+    /// Returns the final state of a job, if it is cached.
     pub fn get(&self, job: &JobId) -> Option<JobSnapshot> {
         self.entries.lock().ok()?.snapshots.get(job).cloned()
     }
 
-    /// Whether a job is known to be finished.
+    /// Whether a job is known to have finished. A finished job may have been evicted.
     pub fn contains(&self, job: &JobId) -> bool {
         self.entries.lock().is_ok_and(|entries| entries.snapshots.contains_key(job))
     }
 
-    /// Caches the state of a job if it is final.
+    /// Caches the state of a job if it is final; ignores any other state.
     pub fn remember(&self, snapshot: &JobSnapshot) {
         if !snapshot.state.is_final() {
             return;
--- a/crates/controller/src/leader_sync.rs
+++ b/crates/controller/src/leader_sync.rs
@@ -1,5 +1,5 @@
-//! What a controller periodically requests from the leader: its shard lease, and the replication
-//! entries that its copy of the cluster state lacks.
+//! The periodic requests of a controller to the leader: it renews its shard lease, and fetches the
+//! replication log entries that its copy of the cluster state lacks.
 
 use crate::actor::{ControllerHandle, ControllerRequest, PreparedRenewal};
 use crate::frame;
@@ -10,22 +10,22 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// The periodic exchange of a controller with the leader.
+/// Exchanges messages with the leader periodically while another controller leads.
 #[derive(Debug, Clone)]
 pub struct LeaderSync {
-    /// The name of this controller.
+    /// The name of this controller, which is never a leader to send requests to.
     pub controller_name: String,
-    /// The actor of this controller.
+    /// Sends requests to the controller actor, which owns the shard lease and the copy.
     pub controller: ControllerHandle,
-    /// The other controllers.
+    /// The connections to the other controllers.
     pub peers: Arc<Peers>,
-    /// Who leads.
+    /// The current leader, published by the election actor.
     pub view: watch::Receiver<LeadershipView>,
 }
 
 impl LeaderSync {
-    /// Renews the shard lease of this controller while another one leads and is reachable. Runs
-    /// until the process ends.
+    /// Renews the shard lease of this controller while another controller leads and is reachable.
+    /// Runs until the process ends.
     pub async fn renew_shard_lease(self) {
         loop {
             sleep(constants::SHARD_LEASE_RENEWAL_INTERVAL).await;
@@ -45,14 +45,14 @@
         }
     }
 
-    /// Keeps this controller's copy of the cluster state current while another one leads and
-    /// publishes its cluster state. Runs until the process ends.
+    /// Keeps this controller's copy of the cluster state current while another controller leads and
+    /// is of a version that publishes its cluster state. Runs until the process ends.
     pub async fn follow_leader(self) {
         loop {
             sleep(constants::FOLLOW_INTERVAL).await;
             let prepare = ControllerRequest::PrepareFollow;
             let Some(request) = self.controller.request(prepare).await else { continue };
-            // The responses to shard lease renewals tell the leader's version.
+            // The version of the leader is known from its responses to shard lease renewals.
             let publishes =
                 |leader: &String| self.peers.version(leader) >= Some(frame::REPLICATION);
             let Some(leader) = self.other_leader().filter(publishes) else { continue };
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The leader, if it is another controller.
+    /// Returns the name of the last known leader, if it is another controller.
     fn other_leader(&self) -> Option<String> {
         self.view.borrow().leader.clone().filter(|leader| *leader != self.controller_name)
     }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,10 +1,10 @@
 //! The controller of hookway as a library.
 //!
-//! [`ClusterState`] is the leader's model of jobs and machines. It does no I/O and reads no clock, so
-//! a test can apply any sequence of events to it. Around it are the actors and services of a
-//! controller: the election of the leader (`leadership`), the actor that owns the cluster state while
-//! the controller leads (`actor`), the API for users and workers (`api`, `http`) and the protocol
-//! between controllers (`peers`, `leader_sync`).
+//! [`ClusterState`] is the leader's model of jobs and machines. It does no I/O and reads no clock,
+//! so a test can apply any sequence of events to it. The actors and services of a controller
+//! surround it: the election of the leader (`leadership`), the actor that owns the cluster state
+//! while the controller leads (`actor`), the API for users and workers (`api`, `http`) and the
+//! protocol between controllers (`peers`, `leader_sync`).
 
 pub mod actor;
 pub mod api;
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -1,4 +1,4 @@
-//! Assembles a controller and runs it.
+//! Creates the actors and services of a controller, connects them and runs them.
 
 use crate::actor::{
     ControllerActor, ControllerActorConfig, ControllerHandle, ControllerRequest, MachineTypes,
@@ -26,20 +26,24 @@
 /// Why a controller could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// An address can't be listened on.
+    /// An address of the platform settings can't be listened on.
     #[error("can't listen on {address}: {reason}")]
     Listen {
-        /// The address.
+        /// The address, as in the settings.
         address: String,
-        /// The error of the operating system.
+        /// The error message of the failed attempt.
         reason: String,
     },
-    /// The thread of an actor can't be started.
+    /// The thread of an actor, or its runtime, can't be started.
     #[error("can't start a thread: {0}")]
     Thread(#[source] std::io::Error),
 }
 
 /// Runs a controller until the process ends.
+///
+/// # Errors
+///
+/// Fails if an address can't be listened on or a thread can't be started.
 pub async fn run(settings: Settings, operator: OperatorSettings) -> Result<(), StartError> {
     let listeners = Listeners::bind(&settings).await?;
     let (view_sender, view) = watch::channel(LeadershipView::default());
@@ -48,8 +52,8 @@
     let controller = ControllerHandle::new(request_sender);
     let parts = Parts::new(settings, operator, view, machine_types);
 
-    // The lease must be extended and users answered however long a scheduling round takes, so each
-    // of the actors has a thread of its own.
+    // However long a scheduling round takes, the leadership lease must be extended and users must
+    // be answered. So each actor has a thread of its own.
     run_on_thread("leadership", parts.leadership(view_sender).run())?;
     run_on_thread("controller", parts.controller_actor(requests).run())?;
     tokio::spawn(read_machine_types(parts.cloud.clone(), machine_types_sender));
@@ -70,7 +74,7 @@
     Ok(())
 }
 
-/// The sockets that a controller listens on.
+/// The sockets that a controller listens on: for workers and users, and for other controllers.
 struct Listeners {
     api: TcpAcceptor,
     peers: tokio::net::TcpListener,
@@ -93,7 +97,7 @@
     }
 }
 
-/// What several actors and services of a controller share.
+/// The settings, clients and channels that the actors and services of a controller share.
 struct Parts {
     settings: Settings,
     operator: OperatorSettings,
@@ -133,7 +137,7 @@
         }
     }
 
-    /// A client of the state service with this share of the request rate.
+    /// Creates a client of the store that may use `rate_share` of this controller's request rate.
     fn store_client(&self, rate_share: f64) -> StoreClient {
         let rps = self.settings.platform.state.rps * rate_share;
         StoreClient::new(&self.settings.endpoints.state, rps)
@@ -221,7 +225,7 @@
     }
 }
 
-/// Logs the quotas of teams and the service level objectives.
+/// Logs the quotas of teams and the service-level objectives, once at the start.
 fn log_platform_settings(platform: &PlatformSettings) {
     for team in &platform.teams {
         tracing::info!(
@@ -243,7 +247,7 @@
     }
 }
 
-/// Runs an actor on a thread of its own until the process ends.
+/// Runs an actor on a thread of its own, with its own runtime, until the process ends.
 fn run_on_thread(
     name: &str,
     actor: impl Future<Output = ()> + Send + 'static,
