--- a/crates/controller/src/actor/dispatch.rs
+++ b/crates/controller/src/actor/dispatch.rs
@@ -4,7 +4,7 @@
 use super::ControllerActor;
 use super::messages::{ClusterEvent, ControllerEvent};
 use super::store_io::commit_and_reread;
-use super::term::{ActiveTerm, Authority, TermTasks, TermTimers};
+use super::term::{ActiveTerm, Authority, BackgroundTasks, TermTimers};
 use crate::cluster_state::{
     ClusterState, DirectStart, DirectStop, ScalingAction, StateProbeRequest,
 };
@@ -22,37 +22,39 @@
     /// Sends the direct dispatches and the transaction that are due, if the leadership lease holds.
     pub(super) fn dispatch(&mut self, active: &mut ActiveTerm) {
         let now = self.config.clock.now();
-        if !active.tasks.authority.holds_at(now) {
+        if !active.background_tasks.authority.holds_at(now) {
             return;
         }
-        let ActiveTerm { cluster: Some(cluster), tasks, timers, .. } = active else { return };
-        self.send_direct_stops(cluster, tasks, now);
-        self.send_direct_starts(cluster, tasks, timers, now);
-        self.send_next_commit(cluster, tasks, now);
+        let ActiveTerm { cluster: Some(cluster), background_tasks, timers, .. } = active else {
+            return;
+        };
+        self.send_direct_stops(cluster, background_tasks, now);
+        self.send_direct_starts(cluster, background_tasks, timers, now);
+        self.send_next_commit(cluster, background_tasks, now);
     }
 
     fn send_direct_stops(
         &self,
         cluster: &mut ClusterState,
-        tasks: &mut TermTasks,
+        background_tasks: &mut BackgroundTasks,
         now: MonotonicTime,
     ) {
         for DirectStop { address, commands } in cluster.take_direct_stops(now) {
             let workers = self.config.workers.clone();
-            tasks.spawn(async move { workers.stop(&address, &commands).await });
+            background_tasks.spawn(async move { workers.stop(&address, &commands).await });
         }
     }
 
     fn send_direct_starts(
         &mut self,
         cluster: &mut ClusterState,
-        tasks: &mut TermTasks,
+        background_tasks: &mut BackgroundTasks,
         timers: &mut TermTimers,
         now: MonotonicTime,
     ) {
         // Every heartbeat calls this function, and most machines with planned starts wait for a
         // commit, so searching for starts each time would be wasted work.
-        if !timers.direct_dispatch.take_due(constants::DIRECT_DISPATCH_INTERVAL, now) {
+        if !timers.direct_dispatch.restart_if_due(constants::DIRECT_DISPATCH_INTERVAL, now) {
             return;
         }
         let starts = cluster.take_direct_starts(now);
@@ -60,8 +62,9 @@
             self.config.standby.start_dispatched(now);
         }
         for DirectStart { machine, address, commands } in starts {
-            let (workers, authority) = (self.config.workers.clone(), tasks.authority.clone());
-            tasks.spawn_event(async move {
+            let (workers, authority) =
+                (self.config.workers.clone(), background_tasks.authority.clone());
+            background_tasks.spawn_event(async move {
                 // The lease may have expired since this task was queued, for example while the
                 // process was paused. Then the start must not be sent.
                 let delivery = if authority.holds() {
@@ -78,14 +81,14 @@
     fn send_next_commit(
         &self,
         cluster: &mut ClusterState,
-        tasks: &mut TermTasks,
+        background_tasks: &mut BackgroundTasks,
         now: MonotonicTime,
     ) {
         let Some(commit) = cluster.next_commit(now) else { return };
-        let (store, events) = (self.config.store.clone(), tasks.events.clone());
-        tasks.spawn_event(async move {
-            let unavailable = || drop(events.try_send(ControllerEvent::StoreUnavailable));
-            let result = commit_and_reread(&store, &commit, unavailable).await;
+        let (store, events) = (self.config.store.clone(), background_tasks.events.clone());
+        background_tasks.spawn_event(async move {
+            let report_unavailable = || drop(events.try_send(ControllerEvent::StoreUnavailable));
+            let result = commit_and_reread(&store, &commit, report_unavailable).await;
             ClusterEvent::CommitFinished { commit, result }
         });
     }
@@ -93,28 +96,37 @@
     /// Asks workers that have not shown this leader's fencing token yet what they run, if the
     /// leadership lease holds.
     pub(super) fn send_state_probes(&self, active: &mut ActiveTerm, now: MonotonicTime) {
-        if !active.tasks.authority.holds_at(now) {
+        if !active.background_tasks.authority.holds_at(now) {
             return;
         }
-        let ActiveTerm { cluster: Some(cluster), tasks, .. } = active else { return };
-        let term = tasks.term();
+        let ActiveTerm { cluster: Some(cluster), background_tasks, .. } = active else { return };
+        let term = background_tasks.term();
         for StateProbeRequest { machine, address } in cluster.take_state_probes(now) {
             let workers = self.config.workers.clone();
-            tasks.spawn_event(async move {
+            background_tasks.spawn_event(async move {
                 let heartbeat = workers.probe_state(&address, term).await;
                 ClusterEvent::StateProbed { machine, heartbeat }
             });
         }
     }
 
-    pub(super) fn spawn_scaling_action(&self, tasks: &mut TermTasks, action: ScalingAction) {
-        let (cloud, authority) = (self.config.cloud.clone(), tasks.authority.clone());
+    pub(super) fn spawn_scaling_action(
+        &self,
+        background_tasks: &mut BackgroundTasks,
+        action: ScalingAction,
+    ) {
+        let (cloud, authority) = (self.config.cloud.clone(), background_tasks.authority.clone());
         match action {
             ScalingAction::ScaleOut(request) => {
-                tasks.spawn_event(scale_out(cloud, authority, tasks.term(), request));
+                background_tasks.spawn_event(scale_out(
+                    cloud,
+                    authority,
+                    background_tasks.term(),
+                    request,
+                ));
             }
             ScalingAction::ScaleIn(machines) => {
-                tasks.spawn_event(scale_in(cloud, authority, machines));
+                background_tasks.spawn_event(scale_in(cloud, authority, machines));
             }
         }
     }
--- a/crates/controller/src/actor/events.rs
+++ b/crates/controller/src/actor/events.rs
@@ -10,8 +10,8 @@
     pub(super) fn handle_event(&mut self, active: &mut ActiveTerm, event: ControllerEvent) {
         let at = self.config.clock.timestamp();
         match event {
-            ControllerEvent::StateLoaded { state, revision } => {
-                self.state_loaded(active, state, revision, at);
+            ControllerEvent::RecordsRead { state, revision } => {
+                self.records_read(active, state, revision, at);
             }
             ControllerEvent::StoreUnavailable => active.pending_cancellations.store_unavailable(),
             ControllerEvent::WatchTruncated => {
@@ -66,7 +66,7 @@
 
     /// Creates the cluster state of the term from the records in the store, and starts to watch for
     /// jobs accepted after `revision`.
-    fn state_loaded(
+    fn records_read(
         &mut self,
         active: &mut ActiveTerm,
         state: LoadedState,
--- a/crates/controller/src/actor/messages.rs
+++ b/crates/controller/src/actor/messages.rs
@@ -116,7 +116,7 @@
 pub(super) enum ControllerEvent {
     /// All records in the store that a new leader needs have been read. Jobs accepted after
     /// `revision` may be missing.
-    StateLoaded { state: LoadedState, revision: u64 },
+    RecordsRead { state: LoadedState, revision: u64 },
     /// The store does not respond, or rejects the requests of this controller. Pending writes may
     /// have to wait for a long time.
     StoreUnavailable,
--- a/crates/controller/src/actor/mod.rs
+++ b/crates/controller/src/actor/mod.rs
@@ -122,7 +122,7 @@
         let (events, mut event_receiver) = mpsc::channel(constants::CHANNEL_CAPACITY);
         let mut active =
             ActiveTerm::new(leader_term, &self.config.lease, self.config.clock, events);
-        self.spawn_state_load(&mut active);
+        self.spawn_record_read(&mut active);
         let mut timer = tokio::time::interval(constants::TICK);
         timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
@@ -143,7 +143,7 @@
                 },
                 _ = timer.tick() => self.tick(&mut active),
             }
-            active.tasks.reap_finished();
+            active.background_tasks.reap_finished();
         }
     }
 }
--- a/crates/controller/src/actor/requests.rs
+++ b/crates/controller/src/actor/requests.rs
@@ -32,7 +32,9 @@
             ControllerRequest::PrepareFollow(reply) => {
                 let _ = reply.send(self.config.standby.next_request(now));
             }
-            ControllerRequest::Followed(answer) => self.config.standby.handle_response(answer, now),
+            ControllerRequest::Followed(response) => {
+                self.config.standby.handle_response(response, now)
+            }
             ControllerRequest::ReplicationStatus(reply) => self.replication_status(reply, now),
         }
     }
@@ -46,7 +48,8 @@
         };
         match request {
             ControllerRequest::Heartbeat { heartbeat, reply } => {
-                let valid_until = self.config.clock.instant_at(active.tasks.authority.expires_at());
+                let valid_until =
+                    self.config.clock.instant_at(active.background_tasks.authority.expires_at());
                 let response = cluster.handle_heartbeat(&heartbeat, now);
                 if response.as_ref().is_some_and(starts_a_task) {
                     self.config.standby.start_dispatched(now);
@@ -77,7 +80,7 @@
                 let _ = reply.send(cluster.renew_shard_lease(&renewal, now));
             }
             ControllerRequest::Follow { request, reply } => {
-                let _ = reply.send(active.publication.answer(cluster, &request, now));
+                let _ = reply.send(active.replication.respond(cluster, &request, now));
             }
             // A leader leases its own shard to itself, and does not follow another controller.
             ControllerRequest::PrepareShardLeaseRenewal(reply) => decline(reply),
--- a/crates/controller/src/actor/store_io.rs
+++ b/crates/controller/src/actor/store_io.rs
@@ -19,15 +19,15 @@
 impl ControllerActor {
     /// Spawns a task that reads the records that a new leader needs, and retries until this
     /// succeeds.
-    pub(super) fn spawn_state_load(&self, active: &mut ActiveTerm) {
-        let (store, events) = (self.config.store.clone(), active.tasks.events.clone());
+    pub(super) fn spawn_record_read(&self, active: &mut ActiveTerm) {
+        let (store, events) = (self.config.store.clone(), active.background_tasks.events.clone());
         let (term, stored_watermarks) = (active.term(), active.leader_term.stored_watermarks);
-        active.tasks.spawn(async move {
+        active.background_tasks.spawn(async move {
             loop {
-                match load_state(&store, stored_watermarks).await {
-                    Ok(StateRead { state, revision }) => {
-                        log_read(term, revision, &state);
-                        let loaded = ControllerEvent::StateLoaded { state, revision };
+                match read_records(&store, stored_watermarks).await {
+                    Ok(RecordsAtRevision { state, revision }) => {
+                        log_records_read(term, revision, &state);
+                        let loaded = ControllerEvent::RecordsRead { state, revision };
                         let _ = events.send(loaded).await;
                         return;
                     }
@@ -42,8 +42,8 @@
 
     /// Spawns a task that watches for jobs that are accepted after `revision`.
     pub(super) fn spawn_job_watch(&self, active: &mut ActiveTerm, revision: u64) {
-        let (store, events) = (self.config.store.clone(), active.tasks.events.clone());
-        active.tasks.spawn(async move {
+        let (store, events) = (self.config.store.clone(), active.background_tasks.events.clone());
+        active.background_tasks.spawn(async move {
             let Err(TermEnded) = watch_jobs(store, events, revision).await;
         });
     }
@@ -53,7 +53,7 @@
 struct TermEnded;
 
 /// The records that a new leader needs.
-struct StateRead {
+struct RecordsAtRevision {
     state: LoadedState,
     /// The revision of the store at which the jobs were read. Jobs accepted later are not in
     /// `state`.
@@ -61,10 +61,10 @@
 }
 
 /// Reads all records that a new leader needs, the jobs first.
-async fn load_state(
+async fn read_records(
     store: &StoreClient,
     stored_watermarks: StoredWatermarks,
-) -> Result<StateRead, StoreError> {
+) -> Result<RecordsAtRevision, StoreError> {
     let jobs = store.list(JOBS_PREFIX).await?;
     let state = LoadedState {
         jobs: jobs.pairs,
@@ -75,10 +75,10 @@
         classes: store.get(CLASSES_KEY).await?,
         stored_watermarks,
     };
-    Ok(StateRead { state, revision: jobs.revision })
+    Ok(RecordsAtRevision { state, revision: jobs.revision })
 }
 
-fn log_read(term: u64, revision: u64, state: &LoadedState) {
+fn log_records_read(term: u64, revision: u64, state: &LoadedState) {
     tracing::info!(
         term,
         revision,
@@ -101,7 +101,7 @@
                 revision = revision.max(response.revision);
                 for event in response.events {
                     if let WatchEvent::Put { key, value, .. } = event {
-                        job_added(&events, key, value).await?;
+                        send_job_added(&events, key, value).await?;
                     }
                 }
             }
@@ -111,7 +111,7 @@
                     Ok(jobs) => {
                         revision = jobs.revision;
                         for job in jobs.pairs {
-                            job_added(&events, job.key, job.value).await?;
+                            send_job_added(&events, job.key, job.value).await?;
                         }
                     }
                     Err(error) => {
@@ -128,7 +128,7 @@
     }
 }
 
-async fn job_added(
+async fn send_job_added(
     events: &mpsc::Sender<ControllerEvent>,
     key: String,
     value: serde_json::Value,
@@ -140,17 +140,18 @@
 /// Commits a transaction. If a precondition fails or the outcome is unclear, reads the keys of the
 /// transaction again.
 ///
-/// Calls `unavailable` when the store does not respond, or rejects the requests of this controller.
+/// Calls `report_unavailable` when the store does not respond, or rejects the requests of this
+/// controller.
 pub(super) async fn commit_and_reread(
     store: &StoreClient,
     commit: &PendingCommit,
-    unavailable: impl Fn(),
+    report_unavailable: impl Fn(),
 ) -> CommitResult {
     let operations = commit.transaction.operations.len();
     match store.commit(&commit.transaction).await {
         Ok(CommitOutcome::Applied(revision)) => return CommitResult::Applied(revision),
         Err(StoreError::Unavailable) => {
-            unavailable();
+            report_unavailable();
             return CommitResult::NotApplied;
         }
         Err(StoreError::TooMany) => return CommitResult::NotApplied,
@@ -165,21 +166,21 @@
     }
     let mut reread = Vec::new();
     for key in commit.keys() {
-        reread.push(reread_key(store, key, &unavailable).await);
+        reread.push(reread_key(store, key, &report_unavailable).await);
     }
     CommitResult::Indeterminate(reread)
 }
 
-/// Reads a key, and retries until this succeeds. Calls `unavailable` after each failure, except
-/// when the store limits the request rate.
-async fn reread_key(store: &StoreClient, key: String, unavailable: &impl Fn()) -> RereadKey {
+/// Reads a key, and retries until this succeeds. Calls `report_unavailable` after each failure,
+/// except when the store limits the request rate.
+async fn reread_key(store: &StoreClient, key: String, report_unavailable: &impl Fn()) -> RereadKey {
     loop {
         match store.get(&key).await {
             Ok(stored) => return RereadKey { key, stored },
             Err(error) => {
                 tracing::debug!(key, %error, "reading a key again failed");
                 if !matches!(error, StoreError::TooMany) {
-                    unavailable();
+                    report_unavailable();
                 }
                 sleep(constants::LEADER_RETRY).await;
             }
--- a/crates/controller/src/actor/term.rs
+++ b/crates/controller/src/actor/term.rs
@@ -21,8 +21,8 @@
     pub(super) leader_term: LeaderTerm,
     /// `None` until the records in the store have been read.
     pub(super) cluster: Option<ClusterState>,
-    pub(super) publication: Publication,
-    pub(super) tasks: TermTasks,
+    pub(super) replication: ReplicationPublisher,
+    pub(super) background_tasks: BackgroundTasks,
     pub(super) pending_cancellations: PendingCancellations,
     pub(super) timers: TermTimers,
     /// Whether the leadership lease had expired at the last tick. No decision is made until a tick
@@ -43,8 +43,8 @@
         let authority = Authority { term, lease: lease.clone(), clock };
         Self {
             cluster: None,
-            publication: Publication::new(term),
-            tasks: TermTasks { authority, events, tasks: JoinSet::new() },
+            replication: ReplicationPublisher::new(term),
+            background_tasks: BackgroundTasks { authority, events, tasks: JoinSet::new() },
             pending_cancellations: PendingCancellations::default(),
             timers: TermTimers { last_tick_at: clock.now(), ..TermTimers::default() },
             suspended: false,
@@ -59,7 +59,7 @@
 
     /// Whether this controller may decide as the leader of this term at `now`.
     pub(super) fn may_decide(&self, now: MonotonicTime) -> bool {
-        self.tasks.authority.holds_at(now) && !self.suspended
+        self.background_tasks.authority.holds_at(now) && !self.suspended
     }
 }
 
@@ -91,13 +91,13 @@
 }
 
 /// The background tasks of a term, with the authority and the event channel that they get.
-pub(super) struct TermTasks {
+pub(super) struct BackgroundTasks {
     pub(super) authority: Authority,
     pub(super) events: mpsc::Sender<ControllerEvent>,
     tasks: JoinSet<()>,
 }
 
-impl TermTasks {
+impl BackgroundTasks {
     pub(super) fn term(&self) -> u64 {
         self.authority.term
     }
@@ -125,31 +125,31 @@
 #[derive(Debug, Default)]
 pub(super) struct TermTimers {
     pub(super) last_tick_at: MonotonicTime,
-    pub(super) scheduling: Periodic,
-    pub(super) autoscaling: Periodic,
+    pub(super) scheduling: IntervalTimer,
+    pub(super) autoscaling: IntervalTimer,
     /// When the machine list was last requested; `None` if it was not requested in this term.
     pub(super) last_machine_list_at: Option<MonotonicTime>,
-    pub(super) summary: Periodic,
-    pub(super) direct_dispatch: Periodic,
+    pub(super) summary: IntervalTimer,
+    pub(super) direct_dispatch: IntervalTimer,
 }
 
 /// The timer of work that is done at intervals.
 #[derive(Debug, Default)]
-pub(super) struct Periodic {
+pub(super) struct IntervalTimer {
     /// When the work was last done; [`MonotonicTime::ZERO`] if it was not done in this term, or is
     /// due at once.
     last_at: MonotonicTime,
 }
 
-impl Periodic {
+impl IntervalTimer {
     /// Returns whether the work is due: `interval` has passed since it was last done. If so, the
     /// interval starts again at `now`.
-    pub(super) fn take_due(&mut self, interval: Duration, now: MonotonicTime) -> bool {
-        let due = now >= self.last_at + interval;
-        if due {
+    pub(super) fn restart_if_due(&mut self, interval: Duration, now: MonotonicTime) -> bool {
+        let is_due = now >= self.last_at + interval;
+        if is_due {
             self.last_at = now;
         }
-        due
+        is_due
     }
 
     /// Makes the work due at once.
@@ -159,21 +159,25 @@
 }
 
 /// The replication log that standbys follow, with the timers of its updates.
-pub(super) struct Publication {
+pub(super) struct ReplicationPublisher {
     publisher: Publisher,
-    publish: Periodic,
-    full_publish: Periodic,
+    publish_timer: IntervalTimer,
+    full_publish_timer: IntervalTimer,
 }
 
-impl Publication {
+impl ReplicationPublisher {
     fn new(term: u64) -> Self {
         let publisher = Publisher::new(term);
-        Self { publisher, publish: Periodic::default(), full_publish: Periodic::default() }
+        Self {
+            publisher,
+            publish_timer: IntervalTimer::default(),
+            full_publish_timer: IntervalTimer::default(),
+        }
     }
 
     /// Responds to the request of a standby, after adding recent changes of the cluster state to
     /// the log. Returns `None` if the request is invalid.
-    pub(super) fn answer(
+    pub(super) fn respond(
         &mut self,
         cluster: &mut ClusterState,
         request: &FollowRequest,
@@ -181,18 +185,18 @@
     ) -> Option<FollowResponse> {
         // The standbys send their requests one after the other. One comparison of the cluster state
         // with the log serves them all.
-        if self.publish.take_due(constants::FOLLOW_INTERVAL / 2, now) {
-            if self.full_publish.take_due(constants::FULL_PUBLISH_INTERVAL, now) {
+        if self.publish_timer.restart_if_due(constants::FOLLOW_INTERVAL / 2, now) {
+            if self.full_publish_timer.restart_if_due(constants::FULL_PUBLISH_INTERVAL, now) {
                 cluster.publish_all(&mut self.publisher);
             } else {
                 cluster.publish(&mut self.publisher);
             }
         }
-        let answer = self.publisher.respond(request, now);
-        if let Err(error) = &answer {
+        let response = self.publisher.respond(request, now);
+        if let Err(error) = &response {
             tracing::error!(standby = request.follower, %error, "answering a standby failed");
         }
-        answer.ok()
+        response.ok()
     }
 }
 
--- a/crates/controller/src/actor/timer.rs
+++ b/crates/controller/src/actor/timer.rs
@@ -1,7 +1,7 @@
 //! The periodic work of a leader.
 
 use super::messages::ClusterEvent;
-use super::term::{ActiveTerm, TermTasks, TermTimers};
+use super::term::{ActiveTerm, BackgroundTasks, TermTimers};
 use super::{ControllerActor, MachineTypes};
 use crate::cluster_state::ClusterState;
 use hookway_constants as constants;
@@ -19,7 +19,9 @@
         if !suspend_or_resume(active, now) {
             return;
         }
-        let ActiveTerm { cluster: Some(cluster), tasks, timers, machine_types, .. } = active else {
+        let ActiveTerm { cluster: Some(cluster), background_tasks, timers, machine_types, .. } =
+            active
+        else {
             return;
         };
         self.lease_own_shard(cluster, now);
@@ -29,9 +31,9 @@
         }
         self.update_machine_types(cluster, machine_types);
         run_scheduling_round(cluster, timers, now);
-        self.run_autoscaling_round(cluster, tasks, timers, now);
+        self.run_autoscaling_round(cluster, background_tasks, timers, now);
         log_summary(cluster, timers, now);
-        self.request_machine_list(cluster, tasks, timers, now);
+        self.request_machine_list(cluster, background_tasks, timers, now);
         self.send_state_probes(active, now);
         self.dispatch(active);
     }
@@ -50,16 +52,16 @@
     /// be partitioned from the workers. Does so at most once per `STEP_DOWN_INTERVAL`, because the
     /// workers may be the cause. Returns whether it gave up the leadership.
     fn step_down_if_isolated(&mut self, cluster: &ClusterState, now: MonotonicTime) -> bool {
-        let allowed = self
+        let is_allowed = self
             .stepped_down_at
             .is_none_or(|last_at| now >= last_at + constants::STEP_DOWN_INTERVAL);
-        let steps_down = cluster.all_workers_silent(now) && allowed;
-        if steps_down {
+        let should_step_down = cluster.all_workers_silent(now) && is_allowed;
+        if should_step_down {
             tracing::info!(term = cluster.term(), "stepping down: no worker sends heartbeats");
             self.stepped_down_at = Some(now);
             self.config.resign_requested.notify_one();
         }
-        steps_down
+        should_step_down
     }
 
     fn update_machine_types(&self, cluster: &mut ClusterState, known: &mut MachineTypes) {
@@ -75,14 +77,14 @@
     fn run_autoscaling_round(
         &self,
         cluster: &mut ClusterState,
-        tasks: &mut TermTasks,
+        background_tasks: &mut BackgroundTasks,
         timers: &mut TermTimers,
         now: MonotonicTime,
     ) {
         let interval = constants::AUTOSCALING_INTERVAL.max(2 * cluster.round_interval());
-        if timers.autoscaling.take_due(interval, now) {
+        if timers.autoscaling.restart_if_due(interval, now) {
             for action in cluster.autoscaling_round(now) {
-                self.spawn_scaling_action(tasks, action);
+                self.spawn_scaling_action(background_tasks, action);
             }
         }
     }
@@ -93,23 +95,23 @@
     fn request_machine_list(
         &self,
         cluster: &ClusterState,
-        tasks: &mut TermTasks,
+        background_tasks: &mut BackgroundTasks,
         timers: &mut TermTimers,
         now: MonotonicTime,
     ) {
         let shortest = constants::CLOUD_LIST_INTERVAL;
         let machine_count = u32::try_from(cluster.machine_count()).unwrap_or(u32::MAX);
         let interval = shortest + constants::CLOUD_LIST_PER_MACHINE * machine_count;
-        let due =
+        let is_due =
             |interval| timers.last_machine_list_at.is_none_or(|last_at| now >= last_at + interval);
-        let wanted_sooner = due(shortest) && cluster.any_heartbeat_overdue(now);
-        if !(due(interval) || wanted_sooner) {
+        let is_needed_sooner = is_due(shortest) && cluster.any_heartbeat_overdue(now);
+        if !(is_due(interval) || is_needed_sooner) {
             return;
         }
         timers.last_machine_list_at = Some(now);
         let (cloud, clock, events) =
-            (self.config.cloud.clone(), self.config.clock, tasks.events.clone());
-        tasks.spawn(async move {
+            (self.config.cloud.clone(), self.config.clock, background_tasks.events.clone());
+        background_tasks.spawn(async move {
             let requested_at = clock.now();
             match cloud.machines().await {
                 Ok(machines) => {
@@ -128,7 +130,7 @@
 /// After a suspension or a pause of the process, the cluster state restarts its heartbeat timeouts,
 /// because workers may have sent heartbeats that this controller could not receive.
 fn suspend_or_resume(active: &mut ActiveTerm, now: MonotonicTime) -> bool {
-    let (term, lease_holds) = (active.term(), active.tasks.authority.holds_at(now));
+    let (term, lease_holds) = (active.term(), active.background_tasks.authority.holds_at(now));
     let Some(cluster) = &mut active.cluster else { return false };
     if !lease_holds {
         if !active.suspended {
@@ -151,13 +153,13 @@
 
 fn run_scheduling_round(cluster: &mut ClusterState, timers: &mut TermTimers, now: MonotonicTime) {
     let interval = cluster.round_interval().max(constants::SCHEDULING_INTERVAL);
-    if timers.scheduling.take_due(interval, now) {
+    if timers.scheduling.restart_if_due(interval, now) {
         cluster.scheduling_round(now);
     }
 }
 
 fn log_summary(cluster: &ClusterState, timers: &mut TermTimers, now: MonotonicTime) {
-    if timers.summary.take_due(SUMMARY_INTERVAL, now) {
+    if timers.summary.restart_if_due(SUMMARY_INTERVAL, now) {
         let summary = cluster.summary(now);
         tracing::info!(term = cluster.term(), cluster = %summary, "cluster summary");
     }
--- a/crates/controller/src/circuit_breaker.rs
+++ b/crates/controller/src/circuit_breaker.rs
@@ -24,10 +24,10 @@
     /// request is a probe, and no other one is allowed for `CIRCUIT_BREAKER_OPEN`.
     pub(crate) fn allows_request(&mut self) -> bool {
         let Some(opened_at) = self.opened_at.as_mut() else { return true };
-        let probes = opened_at.elapsed() >= constants::CIRCUIT_BREAKER_OPEN;
-        if probes {
+        let is_probe = opened_at.elapsed() >= constants::CIRCUIT_BREAKER_OPEN;
+        if is_probe {
             *opened_at = Instant::now();
         }
-        probes
+        is_probe
     }
 }
--- a/crates/controller/src/concurrency_limiter.rs
+++ b/crates/controller/src/concurrency_limiter.rs
@@ -7,7 +7,7 @@
 /// The limit is multiplied by this factor after each slow response.
 const DECREASE_FACTOR: f64 = 0.95;
 /// The limit grows by this many requests over as many fast responses as the limit itself.
-const INCREASE: f64 = 1.0;
+const ADDITIVE_INCREASE: f64 = 1.0;
 
 /// Limits the number of requests in progress by their latency: additive increase after fast
 /// responses, multiplicative decrease after slow ones, between `MIN_CONCURRENCY` and a maximum.
@@ -52,7 +52,7 @@
         let adapted = if latency > constants::CONCURRENCY_LATENCY_TARGET {
             state.limit * DECREASE_FACTOR
         } else {
-            state.limit + INCREASE / state.limit.max(1.0)
+            state.limit + ADDITIVE_INCREASE / state.limit.max(1.0)
         };
         state.limit = adapted.clamp(constants::MIN_CONCURRENCY as f64, self.max_limit);
     }
--- a/crates/controller/src/connection_table/tests.rs
+++ b/crates/controller/src/connection_table/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use salvo::fuse::TransProto;
 
-fn info() -> FuseInfo {
+fn fuse_info() -> FuseInfo {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
     FuseInfo {
         trans_proto: TransProto::Tcp,
@@ -18,7 +18,7 @@
     let mut open_connections = Vec::new();
     for n in 0..4u64 {
         let control = ConnCtrl::new();
-        let observer = connections.observe(&info(), &control);
+        let observer = connections.observe(&fuse_info(), &control);
         open_connections.push((control, observer));
         // The first connection has been idle longest; the last one is busy.
         let open = connections.table.open.lock().unwrap();
@@ -36,7 +36,7 @@
     );
     open_connections.remove(0);
     assert_eq!(connections.open_connections(), 3);
-    assert!(matches!(connections.decide(&info()).await, FuseAction::Accept(_)));
+    assert!(matches!(connections.decide(&fuse_info()).await, FuseAction::Accept(_)));
     connections.table.close_idle(MonotonicTime::from_millis(10_000) + almost_busy);
     assert!(
         open_connections.iter().all(|(control, _)| !control.is_aborted()),
--- a/crates/controller/src/leader_sync.rs
+++ b/crates/controller/src/leader_sync.rs
@@ -57,7 +57,7 @@
                 |leader: &String| self.peers.version(leader) >= Some(frame::REPLICATION);
             let Some(leader) = self.other_leader().filter(publishes) else { continue };
             match self.peers.follow(&leader, request).await {
-                Ok(answer) => self.controller.notify(ControllerRequest::Followed(answer)).await,
+                Ok(response) => self.controller.notify(ControllerRequest::Followed(response)).await,
                 Err(error) => tracing::debug!(leader, %error, "following the leader failed"),
             }
         }
--- a/crates/controller/src/leadership/election.rs
+++ b/crates/controller/src/leadership/election.rs
@@ -113,7 +113,7 @@
                 // here when the lease was granted, so the lease counts as expired until its first
                 // extension.
                 let watermarks = leader.stored_watermarks;
-                let term = new_term(&record, leader.mod_revision, lease_id, watermarks);
+                let term = term_of_record(&record, leader.mod_revision, lease_id, watermarks);
                 self.lead(term, None).await;
                 self.nonce = rand::rng().random();
             } else {
@@ -236,7 +236,7 @@
         match store.commit(&election).await {
             Ok(CommitOutcome::Applied(revision)) => {
                 let expires_at = lease_expiry(sent_at, self.config.lease_length);
-                let term = new_term(&record, revision, lease_id, vacancy.stored_watermarks);
+                let term = term_of_record(&record, revision, lease_id, vacancy.stored_watermarks);
                 self.lead(term, Some(expires_at)).await;
             }
             Ok(CommitOutcome::PreconditionFailed(_)) => {
@@ -303,7 +303,7 @@
 
 /// Returns the term of `record`, which was written at `mod_revision`. Durable writes of the term
 /// have the precondition that the leader key still has this revision.
-fn new_term(
+fn term_of_record(
     record: &LeaderRecord,
     mod_revision: u64,
     lease_id: u64,
--- a/crates/controller/src/leadership/lease/tests.rs
+++ b/crates/controller/src/leadership/lease/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn leadership_lease_counts_from_before_the_request() {
+fn leadership_lease_is_measured_from_before_request() {
     let lease = LeadershipLease::default();
     assert!(!lease.holds(1, at(0)));
     lease.set(1, lease_expiry(at(1_000), Duration::from_secs(5)));
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -50,25 +50,26 @@
     let (machine_types_sender, machine_types) = watch::channel(None);
     let (request_sender, requests) = mpsc::channel(constants::CHANNEL_CAPACITY);
     let controller = ControllerHandle::new(request_sender);
-    let parts = Parts::new(settings, operator, view, machine_types);
+    let components = Components::new(settings, operator, view, machine_types);
 
     // However long a scheduling round takes, the leadership lease must be extended and users must
     // be answered. So each actor has a thread of its own.
-    run_on_thread("leadership", parts.leadership(view_sender).run())?;
-    run_on_thread("controller", parts.controller_actor(requests).run())?;
-    tokio::spawn(read_machine_types(parts.cloud.clone(), machine_types_sender));
-    let sync = parts.leader_sync(controller.clone());
+    run_on_thread("leadership", components.leadership(view_sender).run())?;
+    run_on_thread("controller", components.controller_actor(requests).run())?;
+    tokio::spawn(read_machine_types(components.cloud.clone(), machine_types_sender));
+    let sync = components.leader_sync(controller.clone());
     tokio::spawn(sync.clone().renew_shard_lease());
     tokio::spawn(sync.follow_leader());
-    let api = Arc::new(parts.api(controller));
-    let networks = parts.operator.replication.controller_networks.clone();
+    let api = Arc::new(components.api(controller));
+    let networks = components.operator.replication.controller_networks.clone();
     tokio::spawn(peers::serve(listeners.peers, api.clone(), networks));
 
-    log_platform_settings(&parts.settings.platform);
-    let (controller, address) = (&parts.settings.controller_name, &parts.settings.api_addr);
+    log_platform_settings(&components.settings.platform);
+    let (controller, address) =
+        (&components.settings.controller_name, &components.settings.api_addr);
     tracing::info!(controller, address, "serving");
     Server::new(listeners.api)
-        .fuse_policy(parts.connection_table())
+        .fuse_policy(components.connection_table())
         .serve(http::service(api))
         .await;
     Ok(())
@@ -82,23 +83,23 @@
 
 impl Listeners {
     async fn bind(settings: &Settings) -> Result<Self, StartError> {
-        let failed = |address: &str, reason: String| StartError::Listen {
+        let listen_error = |address: &str, reason: String| StartError::Listen {
             address: address.to_owned(),
             reason,
         };
         let peers = tokio::net::TcpListener::bind(&settings.peer_bind)
             .await
-            .map_err(|error| failed(&settings.peer_bind, error.to_string()))?;
+            .map_err(|error| listen_error(&settings.peer_bind, error.to_string()))?;
         let api = TcpListener::new(settings.api_addr.clone())
             .try_bind()
             .await
-            .map_err(|error| failed(&settings.api_addr, error.to_string()))?;
+            .map_err(|error| listen_error(&settings.api_addr, error.to_string()))?;
         Ok(Self { api, peers })
     }
 }
 
 /// The settings, clients and channels that the actors and services of a controller share.
-struct Parts {
+struct Components {
     settings: Settings,
     operator: OperatorSettings,
     clock: Clock,
@@ -112,7 +113,7 @@
     machine_types: watch::Receiver<MachineTypes>,
 }
 
-impl Parts {
+impl Components {
     fn new(
         settings: Settings,
         operator: OperatorSettings,
--- a/crates/controller/src/shard_lease/lessee.rs
+++ b/crates/controller/src/shard_lease/lessee.rs
@@ -156,7 +156,7 @@
 
 /// Returns the commands that stop the reported tasks of finished jobs, without a grace period.
 fn kill_commands(heartbeat: &Heartbeat, job_finished: impl Fn(&JobId) -> bool) -> Vec<Command> {
-    let stops = |status: &&TaskStatus| {
+    let should_stop = |status: &&TaskStatus| {
         status.state != TaskState::Ended
             && TaskId::parse(&status.task).is_some_and(|task| job_finished(&task.job))
     };
@@ -165,7 +165,7 @@
         attempt: status.attempt,
         grace_s: 0.0,
     };
-    heartbeat.tasks.iter().filter(stops).map(kill).collect()
+    heartbeat.tasks.iter().filter(should_stop).map(kill).collect()
 }
 
 /// Returns how long a lessee waits without contact with the leader before it answers workers
--- a/crates/controller/src/shard_lease/lessor.rs
+++ b/crates/controller/src/shard_lease/lessor.rs
@@ -2,7 +2,7 @@
 //! may have extended worker leases.
 
 use super::messages::{ShardLease, ShardLeaseRenewal};
-use crate::clock_drift::{latest_expiry, latest_past};
+use crate::clock_drift::{latest_expiry, latest_time_ago};
 use crate::settings::PeerController;
 use hookway_time::{MonotonicTime, whole_millis};
 use std::collections::BTreeMap;
@@ -23,9 +23,9 @@
     /// earlier one.
     lease_expires_at: MonotonicTime,
     /// Up to this time, the renewals account for all worker lease extensions of the controller.
-    accounted_until: MonotonicTime,
+    extensions_known_until: MonotonicTime,
     /// The latest possible time of the last known extension. No other one followed until
-    /// `accounted_until`.
+    /// `extensions_known_until`.
     last_extension_at: MonotonicTime,
 }
 
@@ -38,14 +38,19 @@
 
     /// Whether the controller may extend worker leases, or may have done so, after the time up to
     /// which its extensions are known.
-    fn may_extend(&self) -> bool {
-        self.lease_expires_at > self.accounted_until
+    fn may_have_unknown_extensions(&self) -> bool {
+        self.lease_expires_at > self.extensions_known_until
     }
 
     /// Applies the report in a renewal. Returns whether the renewal is proven to come from the
     /// running process, after that process dropped the leases of earlier terms. Only then may a
     /// lease be granted.
-    fn account_for(&mut self, renewal: &ShardLeaseRenewal, term: u64, now: MonotonicTime) -> bool {
+    fn apply_renewal(
+        &mut self,
+        renewal: &ShardLeaseRenewal,
+        term: u64,
+        now: MonotonicTime,
+    ) -> bool {
         // A renewal can arrive late, even after the end of the process that sent it. Only a renewal
         // that acknowledges a lease of this term was certainly sent in this term, by a process that
         // received that lease.
@@ -55,27 +60,30 @@
             .map(|lease| MonotonicTime::from_millis(lease.granted_at_ms))
             .filter(|granted_at| *granted_at <= now);
         let Some(granted_at) = acknowledged else { return false };
-        let other_process = self.process_nonce != Some(renewal.process_nonce);
+        let is_other_process = self.process_nonce != Some(renewal.process_nonce);
         // This is a late renewal of an earlier process: the running process has acknowledged a
         // lease that was granted at the same time or later.
-        if other_process && self.process_nonce.is_some() && granted_at <= self.accounted_until {
+        if is_other_process
+            && self.process_nonce.is_some()
+            && granted_at <= self.extensions_known_until
+        {
             return false;
         }
         if let Some(age_ms) = renewal.extended_ago_ms {
-            let extended_at = latest_past(now, Duration::from_millis(age_ms));
+            let extended_at = latest_time_ago(now, Duration::from_millis(age_ms));
             self.last_extension_at = self.last_extension_at.max(extended_at);
         }
-        if other_process {
+        if is_other_process {
             // This process has dropped the leases of other terms. The previous process of this
             // controller had ended when this one started, so it extended no worker lease
             // afterwards.
-            let started_at = latest_past(now, Duration::from_millis(renewal.uptime_ms));
+            let started_at = latest_time_ago(now, Duration::from_millis(renewal.uptime_ms));
             self.last_extension_at =
                 self.last_extension_at.max(self.lease_expires_at.min(started_at));
             self.process_nonce = Some(renewal.process_nonce);
             self.lease_expires_at = MonotonicTime::ZERO;
         }
-        self.accounted_until = self.accounted_until.max(granted_at);
+        self.extensions_known_until = self.extensions_known_until.max(granted_at);
         true
     }
 }
@@ -125,13 +133,13 @@
     ) -> Option<ShardLease> {
         let zone = self.lessees.get(&renewal.controller)?.zone.clone();
         // A shard has at most one lessee at a time. The leader keeps the shard of its own zone.
-        let leasable = zone != self.own_zone
+        let is_leasable = zone != self.own_zone
             && self.zones.contains(&zone)
-            && !self.leased_to_other(&zone, &renewal.controller, now);
+            && !self.is_leased_to_other(&zone, &renewal.controller, now);
         let lessee = self.lessees.get_mut(&renewal.controller)?;
         let mut lease =
             ShardLease { term, granted_at_ms: now.as_millis(), zones: vec![], lease_ms: 0 };
-        if lessee.account_for(renewal, term, now) && leasable && !lease_length.is_zero() {
+        if lessee.apply_renewal(renewal, term, now) && is_leasable && !lease_length.is_zero() {
             lease.lease_ms = whole_millis(lease_length);
             lease.zones.push(zone);
             let expires_at = latest_expiry(now, lease_length);
@@ -142,7 +150,7 @@
 
     /// Whether a controller other than `controller` may hold a lease of this term on the shard of
     /// `zone` at `now`.
-    fn leased_to_other(&self, zone: &str, controller: &str, now: MonotonicTime) -> bool {
+    fn is_leased_to_other(&self, zone: &str, controller: &str, now: MonotonicTime) -> bool {
         self.lessees.iter().any(|(name, lessee)| {
             name != controller
                 && lessee.process_nonce.is_some()
@@ -154,8 +162,8 @@
     /// Returns the zones of the leader's own shard: its own zone, and the zones without a
     /// controller.
     pub fn own_shard(&self) -> Vec<String> {
-        let own = |zone: &&String| **zone == self.own_zone || !self.has_lessee(zone);
-        self.zones.iter().filter(own).cloned().collect()
+        let is_own = |zone: &&String| **zone == self.own_zone || !self.has_lessee(zone);
+        self.zones.iter().filter(is_own).cloned().collect()
     }
 
     fn has_lessee(&self, zone: &str) -> bool {
@@ -179,19 +187,21 @@
         // other controllers may have been an earlier leader.
         let may_have_shard = |lessee: &&LesseeState| !zone_has_controller || lessee.zone == zone;
         let mut last_extension_at = last_response_at;
-        let mut all_accounted_until = now;
+        let mut all_extensions_known_until = now;
         let mut last_shard_expiry = MonotonicTime::ZERO;
         for lessee in self.lessees.values().filter(may_have_shard) {
             last_extension_at = last_extension_at.max(lessee.last_extension_at);
-            if lessee.may_extend() {
-                all_accounted_until = all_accounted_until.min(lessee.accounted_until);
+            if lessee.may_have_unknown_extensions() {
+                all_extensions_known_until =
+                    all_extensions_known_until.min(lessee.extensions_known_until);
                 last_shard_expiry = last_shard_expiry.max(lessee.lease_expires_at);
             }
         }
-        let expired_while_all_accounted = last_extension_at + worker_lease <= all_accounted_until;
+        let expired_while_all_known =
+            last_extension_at + worker_lease <= all_extensions_known_until;
         // An extension that is not known yet happened before the latest expiry of a shard lease.
         let latest_extension_at = last_extension_at.max(last_shard_expiry);
-        let expired_after_every_shard_lease = latest_extension_at + worker_lease <= now;
-        expired_while_all_accounted || expired_after_every_shard_lease
+        let expired_after_all_shard_leases = latest_extension_at + worker_lease <= now;
+        expired_while_all_known || expired_after_all_shard_leases
     }
 }
--- a/crates/controller/src/shard_lease/tests.rs
+++ b/crates/controller/src/shard_lease/tests.rs
@@ -9,26 +9,27 @@
 const LEASE: Duration = Duration::from_secs(30);
 const WORKER_LEASE: Duration = Duration::from_secs(22);
 
-/// A reading of the clock, ms.
+/// Returns the reading of a monotonic clock at `millis`.
 fn at(millis: u64) -> MonotonicTime {
     MonotonicTime::from_millis(millis)
 }
 
-/// A span, ms.
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-fn lessor(won_at: MonotonicTime) -> ShardLessor {
+/// Creates the record of a leader in zone a, with lessees in zones b and c. Zone d has no controller.
+fn lessor(elected_at: MonotonicTime) -> ShardLessor {
     let peers = [("one", "b"), ("two", "c")].map(|(name, zone)| PeerController {
         name: name.to_owned(),
         zone: zone.to_owned(),
         address: String::new(),
     });
     let zones = ["a", "b", "c", "d"].map(str::to_owned);
-    ShardLessor::new("a", &peers, &zones, LEASE, won_at)
+    ShardLessor::new("a", &peers, &zones, LEASE, elected_at)
 }
 
+/// Returns the heartbeat of a worker that runs one task.
 fn heartbeat(zone: &str, fencing_token: u64) -> Heartbeat {
     Heartbeat {
         machine: "m-1".into(),
@@ -50,14 +51,14 @@
     }
 }
 
-/// One renewal request and its response, without delay.
+/// Renews the shard lease in term 5; the request and the response take no time.
 fn renew_shard_lease(lessor: &mut ShardLessor, lessee: &mut ShardLessee, now: MonotonicTime) {
     let lease = lessor.renew(5, &lessee.renewal(now), LEASE, now).unwrap();
     lessee.lease_granted(lease, now, now);
 }
 
 #[test]
-fn connected_shard_lessee_delays_lease_expiry_by_at_most_one_renewal() {
+fn connected_shard_lessee_delays_lease_expiry_by_at_most_one_renewal_interval() {
     let (mut lessor, mut lessee) = (lessor(at(0)), ShardLessee::new("one", 1, ms(8_000)));
     for now in (0..60_000).step_by(1_000) {
         renew_shard_lease(&mut lessor, &mut lessee, at(now));
@@ -107,7 +108,7 @@
     assert_eq!(
         lessee.extend_worker_lease(&heartbeat("b", later_token), at(11_000), |_| false),
         None,
-        "a worker of a later leader gets no extension"
+        "a worker with a token of a later leader gets no extension"
     );
     assert!(lessee.extend_worker_lease(&heartbeat("b", 7), at(31_900), |_| false).is_some());
     assert_eq!(
@@ -115,7 +116,7 @@
         None,
         "its shard lease has expired"
     );
-    // The leader's last response to the worker was at 1 s, its last to the lessee at 2 s.
+    // The leader last answered the worker at 1 s and the lessee at 2 s.
     assert!(!lessor.worker_lease_expired("b", at(1_000), WORKER_LEASE, at(32_000) + WORKER_LEASE));
     assert!(lessor.worker_lease_expired("b", at(1_000), WORKER_LEASE, at(32_100) + WORKER_LEASE));
     // Once reconnected, the lessee reports its last lease extension.
@@ -129,8 +130,8 @@
     ));
 }
 
-/// A cancellation is durable: a shard lessee that knows of it stops the tasks while the leader is
-/// unreachable. The extension names the time until which its response may be sent.
+/// A shard lessee that knows the durable final state of a job stops the job's tasks while the leader
+/// is unreachable. The extension names the time until which its response may be sent.
 #[test]
 fn shard_lessee_stops_tasks_of_finished_jobs_and_starts_none() {
     let (mut lessor, mut lessee) = (lessor(at(0)), ShardLessee::new("one", 1, ms(8_000)));
@@ -150,7 +151,7 @@
 }
 
 #[test]
-fn new_leader_counts_earlier_shard_leases_until_lessees_drop_them() {
+fn new_leader_assumes_earlier_shard_leases_until_lessees_drop_them() {
     let mut lessor = lessor(at(100_000));
     assert!(!lessor.worker_lease_expired(
         "b",
@@ -170,11 +171,11 @@
     );
     assert!(
         !lessor.worker_lease_expired("", at(100_000), WORKER_LEASE, at(100_000) + WORKER_LEASE),
-        "a machine of unknown zone may be in any shard"
+        "a machine whose zone is unknown may be in any shard"
     );
     assert!(
         !lessor.worker_lease_expired("d", at(100_000), WORKER_LEASE, at(100_000) + WORKER_LEASE),
-        "a zone without a controller may be in any shard"
+        "any controller may have led earlier and held the shard of a zone without a controller"
     );
     let mut lessee = ShardLessee::new("one", 1, ms(8_000));
     lessee.hold_as_leader(1, vec!["b".into()], LEASE, at(90_000));
@@ -193,7 +194,7 @@
 }
 
 #[test]
-fn delayed_renewals_and_those_of_dead_processes_prove_no_expiry() {
+fn renewals_that_are_delayed_or_of_ended_processes_do_not_prove_expiry() {
     let (mut lessor, mut lessee) = (lessor(at(0)), ShardLessee::new("one", 1, ms(8_000)));
     let first_renewal = lessee.renewal(at(500));
     for now in [1_000, 2_000, 3_000] {
@@ -212,13 +213,17 @@
             at(1_000) + WORKER_LEASE + ms(5_000)
         ));
     }
-    // A renewal of an ended process; it arrives after the new process has acknowledged a grant.
+    // A renewal of the process that ends now. It arrives after the new process has acknowledged a
+    // lease.
     let renewal_of_ended_process = lessee.renewal(at(21_000));
-    // A new process: the earlier one may have extended worker leases until this one started.
+    // The controller restarts. Its earlier process may have extended worker leases until then.
     let mut next_process = ShardLessee::new("one", 2, ms(8_000));
     let first_response =
         lessor.renew(5, &next_process.renewal(at(1_000)), LEASE, at(36_000)).unwrap();
-    assert_eq!(first_response.lease_ms, 0, "no shard lease before it has acknowledged a grant");
+    assert_eq!(
+        first_response.lease_ms, 0,
+        "no shard lease before it has acknowledged a response of this term"
+    );
     next_process.lease_granted(first_response, at(1_000), at(1_000));
     lessor.renew(5, &next_process.renewal(at(2_000)), LEASE, at(37_000));
     assert!(!lessor.worker_lease_expired(
@@ -238,7 +243,7 @@
 }
 
 #[test]
-fn controller_without_leader_contact_redirects_no_worker_to_it() {
+fn controller_without_leader_contact_does_not_redirect_workers_to_leader() {
     let mut lessor = lessor(at(0));
     let mut without_lease = ShardLessee::new("three", 9, ms(4_000));
     assert!(
@@ -246,8 +251,8 @@
         "a new process assumes that the leader is reachable"
     );
     assert!(!without_lease.leader_reachable(at(4_000)));
-    // Another controller of its zone holds the shard lease; the leader's response still proves
-    // contact.
+    // Another controller of its zone holds the shard lease. A response of the leader that grants no
+    // lease still proves contact.
     renew_shard_lease(&mut lessor, &mut ShardLessee::new("one", 1, ms(4_000)), at(9_000));
     without_lease.lease_granted(
         ShardLease { term: 5, granted_at_ms: 1, zones: vec![], lease_ms: 0 },
--- a/crates/controller/src/standby.rs
+++ b/crates/controller/src/standby.rs
@@ -77,7 +77,7 @@
         }
         match self.other_leader(view) {
             Some(leader) => self.follow(leader, now),
-            None => self.handle(Event::LeaseExpired, now),
+            None => self.advance_and_notify(Event::LeaseExpired, now),
         }
     }
 
@@ -90,7 +90,7 @@
     fn follow(&mut self, leader: FollowedLeader, now: MonotonicTime) {
         self.promotion.observe_term(leader.term);
         self.follower.observe_term(leader.term);
-        self.handle(Event::OtherLeader, now);
+        self.advance_and_notify(Event::OtherLeader, now);
         if self.followed_leader.as_ref() != Some(&leader) {
             // The intervals between the new leader's responses have not been measured yet.
             self.detector.reset();
@@ -105,7 +105,7 @@
             return None;
         }
         if self.detector.suspects(now) {
-            self.handle(Event::LeaderSilent, now);
+            self.advance_and_notify(Event::LeaderSilent, now);
         }
         self.signals.has_warm_copy.store(self.usable_copy(now).is_ok(), Ordering::Relaxed);
         Some(self.follower.request())
@@ -116,7 +116,7 @@
         match self.follower.handle_response(response, now) {
             Ok(outcome) => {
                 self.detector.record_message(now);
-                self.handle(Event::LeaderResponded, now);
+                self.advance_and_notify(Event::LeaderResponded, now);
                 self.log_outcome(&outcome);
             }
             Err(error) => {
@@ -162,7 +162,7 @@
     /// the failover.
     pub fn start_dispatched(&mut self, now: MonotonicTime) {
         let completed_before = self.promotion.metrics().whole.count();
-        self.handle(Event::Dispatched, now);
+        self.advance_and_notify(Event::Dispatched, now);
         let duration = &self.promotion.metrics().whole;
         if duration.count() > completed_before {
             tracing::info!(%duration, "failover complete: first task start dispatched");
@@ -171,7 +171,7 @@
 
     /// Returns to following, because this controller no longer leads.
     pub fn deposed(&mut self, now: MonotonicTime) {
-        self.handle(Event::Deposed, now);
+        self.advance_and_notify(Event::Deposed, now);
         self.detector.reset();
         self.followed_leader = None;
     }
@@ -196,7 +196,7 @@
 
     /// Advances the failover, and notifies the election actor if the leader is suspected to have
     /// failed.
-    fn handle(&mut self, event: Event, now: MonotonicTime) {
+    fn advance_and_notify(&mut self, event: Event, now: MonotonicTime) {
         if self.advance(event, now) == Some(Action::ReadLeader) {
             tracing::info!("leader suspected, reading the leader key");
             self.signals.leader_suspected.notify_one();
