--- a/crates/controller/src/actor/mod.rs
+++ b/crates/controller/src/actor/mod.rs
@@ -53,7 +53,7 @@
     pub lease: Arc<LeadershipLease>,
     /// The current leader, published by the election actor.
     pub view: watch::Receiver<LeadershipView>,
-    /// The controller actor notifies the election actor through it to give up the leadership.
+    /// Notified by the controller actor when this controller should give up its leadership.
     pub resign_requested: Arc<Notify>,
     /// The machine types that the cloud offers, read periodically.
     pub machine_types: watch::Receiver<MachineTypes>,
@@ -61,7 +61,7 @@
     pub requests: mpsc::Receiver<ControllerRequest>,
     /// The final states of jobs, shared with the API, which answers status requests from them.
     pub final_states: Arc<FinalStateCache>,
-    /// The shard lease of this controller, which it may use while it does not lead, too.
+    /// The shard lease of this controller, granted by itself as the leader or by another leader.
     pub shard_lessee: ShardLessee,
     /// The copy of the leader's cluster state, and the state of a failover to this controller.
     pub standby: Standby,
--- a/crates/controller/src/leader_sync.rs
+++ b/crates/controller/src/leader_sync.rs
@@ -13,7 +13,7 @@
 /// Exchanges messages with the leader periodically while another controller leads.
 #[derive(Debug, Clone)]
 pub struct LeaderSync {
-    /// The name of this controller, which is never a leader to send requests to.
+    /// The name of this controller, which sends no request to itself.
     pub controller_name: String,
     /// Sends requests to the controller actor, which owns the shard lease and the copy.
     pub controller: ControllerHandle,
--- a/crates/controller/src/leadership/lease.rs
+++ b/crates/controller/src/leadership/lease.rs
@@ -10,6 +10,7 @@
 ///
 /// The election actor updates it. The controller actor checks it before it decides, and background
 /// tasks check it right before each effect that neither a fencing token nor a precondition guards.
+/// A response to a heartbeat must be sent before the expiry.
 #[derive(Debug, Default)]
 pub struct LeadershipLease {
     current: Mutex<TermLease>,
