--- a/crates/controller/src/shard_lease/tests.rs
+++ b/crates/controller/src/shard_lease/tests.rs
@@ -18,7 +18,8 @@
     Duration::from_millis(millis)
 }
 
-/// Creates the record of a leader in zone a, with lessees in zones b and c. Zone d has no controller.
+/// Creates the record of a leader in zone a, with lessees in zones b and c. Zone d has no
+/// controller.
 fn lessor(elected_at: MonotonicTime) -> ShardLessor {
     let peers = [("one", "b"), ("two", "c")].map(|(name, zone)| PeerController {
         name: name.to_owned(),
@@ -130,8 +131,8 @@
     ));
 }
 
-/// A shard lessee that knows the durable final state of a job stops the job's tasks while the leader
-/// is unreachable. The extension names the time until which its response may be sent.
+/// A shard lessee that knows the durable final state of a job stops the job's tasks while the
+/// leader is unreachable. The extension names the time until which its response may be sent.
 #[test]
 fn shard_lessee_stops_tasks_of_finished_jobs_and_starts_none() {
     let (mut lessor, mut lessee) = (lessor(at(0)), ShardLessee::new("one", 1, ms(8_000)));
--- a/crates/controller/src/standby.rs
+++ b/crates/controller/src/standby.rs
@@ -43,7 +43,8 @@
     /// The state machine of a failover. It is used in both modes.
     promotion: Promotion,
     signals: StandbySignals,
-    /// `None` before the first leader, and while this controller leads.
+    /// The other controller that this one followed last. `None` before the first one, and after a
+    /// term of this controller until another controller leads.
     followed_leader: Option<FollowedLeader>,
 }
 
@@ -120,7 +121,7 @@
                 self.log_outcome(&outcome);
             }
             Err(error) => {
-                tracing::info!(%error, "replication interrupted, fetching a replication snapshot")
+                tracing::info!(%error, "replication response rejected, requesting again")
             }
         }
     }
