--- a/crates/controller/src/actor/dispatch.rs
+++ b/crates/controller/src/actor/dispatch.rs
@@ -1,10 +1,10 @@
-//! Carries out the decisions of the cluster state in background tasks: commits, direct commands and
-//! state probes to workers, and scaling actions at the cloud.
+//! Carries out the decisions of the cluster state in background tasks: commits to the store, direct
+//! dispatch and state probes to workers, and scaling actions of the cloud.
 
 use super::ControllerActor;
 use super::messages::{ClusterEvent, ControllerEvent};
 use super::store_io::commit_and_reread;
-use super::term::{ActiveTerm, Authority, TermTasks, TermTimers};
+use super::term::{ActiveTerm, Authority, BackgroundTasks, TermTimers};
 use crate::cluster_state::{
     ClusterState, DirectStart, DirectStop, ScalingAction, StateProbeRequest,
 };
@@ -15,43 +15,46 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Delay before a failed request to the cloud is retried.
+/// Delay after a failed request to the cloud, before it is retried or reported as failed.
 const CLOUD_RETRY: Duration = Duration::from_secs(1);
 
 impl ControllerActor {
-    /// Sends the direct commands and the transaction that are due.
+    /// Sends the direct dispatches and the transaction that are due, if the leadership lease holds.
     pub(super) fn dispatch(&mut self, active: &mut ActiveTerm) {
         let now = self.config.clock.now();
-        if !active.tasks.authority.holds_at(now) {
+        if !active.background_tasks.authority.holds_at(now) {
             return;
         }
-        let ActiveTerm { cluster: Some(cluster), tasks, timers, .. } = active else { return };
-        self.send_direct_stops(cluster, tasks, now);
-        self.send_direct_starts(cluster, tasks, timers, now);
-        self.send_next_commit(cluster, tasks, now);
+        let ActiveTerm { cluster: Some(cluster), background_tasks, timers, .. } = active else {
+            return;
+        };
+        self.send_direct_stops(cluster, background_tasks, now);
+        self.send_direct_starts(cluster, background_tasks, timers, now);
+        self.send_next_commit(cluster, background_tasks, now);
     }
 
     fn send_direct_stops(
         &self,
         cluster: &mut ClusterState,
-        tasks: &mut TermTasks,
+        background_tasks: &mut BackgroundTasks,
         now: MonotonicTime,
     ) {
         for DirectStop { address, commands } in cluster.take_direct_stops(now) {
             let workers = self.config.workers.clone();
-            tasks.spawn(async move { workers.stop(&address, &commands).await });
+            background_tasks.spawn(async move { workers.stop(&address, &commands).await });
         }
     }
 
     fn send_direct_starts(
         &mut self,
         cluster: &mut ClusterState,
-        tasks: &mut TermTasks,
+        background_tasks: &mut BackgroundTasks,
         timers: &mut TermTimers,
         now: MonotonicTime,
     ) {
-        // Every heartbeat dispatches, and most machines with planned starts wait for a commit.
-        if !timers.direct_dispatch.take_due(constants::DIRECT_DISPATCH_INTERVAL, now) {
+        // Every heartbeat calls this function, and most machines with planned starts wait for a
+        // commit, so searching for starts each time would be wasted work.
+        if !timers.direct_dispatch.restart_if_due(constants::DIRECT_DISPATCH_INTERVAL, now) {
             return;
         }
         let starts = cluster.take_direct_starts(now);
@@ -59,9 +62,11 @@
             self.config.standby.start_dispatched(now);
         }
         for DirectStart { machine, address, commands } in starts {
-            let (workers, authority) = (self.config.workers.clone(), tasks.authority.clone());
-            tasks.spawn_event(async move {
-                // A start that was queued while the process was paused must not be sent.
+            let (workers, authority) =
+                (self.config.workers.clone(), background_tasks.authority.clone());
+            background_tasks.spawn_event(async move {
+                // The lease may have expired since this task was queued, for example while the
+                // process was paused. Then the start must not be sent.
                 let delivery = if authority.holds() {
                     workers.send(&address, &commands).await
                 } else {
@@ -76,49 +81,60 @@
     fn send_next_commit(
         &self,
         cluster: &mut ClusterState,
-        tasks: &mut TermTasks,
+        background_tasks: &mut BackgroundTasks,
         now: MonotonicTime,
     ) {
         let Some(commit) = cluster.next_commit(now) else { return };
-        let (store, events) = (self.config.store.clone(), tasks.events.clone());
-        tasks.spawn_event(async move {
-            let unavailable = || drop(events.try_send(ControllerEvent::StoreUnavailable));
-            let result = commit_and_reread(&store, &commit, unavailable).await;
+        let (store, events) = (self.config.store.clone(), background_tasks.events.clone());
+        background_tasks.spawn_event(async move {
+            let report_unavailable = || drop(events.try_send(ControllerEvent::StoreUnavailable));
+            let result = commit_and_reread(&store, &commit, report_unavailable).await;
             ClusterEvent::CommitFinished { commit, result }
         });
     }
 
-    /// Requests the tasks of machines whose workers have not sent a heartbeat to this leader yet.
+    /// Asks workers that have not shown this leader's fencing token yet what they run, if the
+    /// leadership lease holds.
     pub(super) fn send_state_probes(&self, active: &mut ActiveTerm, now: MonotonicTime) {
-        if !active.tasks.authority.holds_at(now) {
+        if !active.background_tasks.authority.holds_at(now) {
             return;
         }
-        let ActiveTerm { cluster: Some(cluster), tasks, .. } = active else { return };
-        let term = tasks.term();
+        let ActiveTerm { cluster: Some(cluster), background_tasks, .. } = active else { return };
+        let term = background_tasks.term();
         for StateProbeRequest { machine, address } in cluster.take_state_probes(now) {
             let workers = self.config.workers.clone();
-            tasks.spawn_event(async move {
+            background_tasks.spawn_event(async move {
                 let heartbeat = workers.probe_state(&address, term).await;
                 ClusterEvent::StateProbed { machine, heartbeat }
             });
         }
     }
 
-    pub(super) fn spawn_scaling_action(&self, tasks: &mut TermTasks, action: ScalingAction) {
-        let (cloud, authority) = (self.config.cloud.clone(), tasks.authority.clone());
+    pub(super) fn spawn_scaling_action(
+        &self,
+        background_tasks: &mut BackgroundTasks,
+        action: ScalingAction,
+    ) {
+        let (cloud, authority) = (self.config.cloud.clone(), background_tasks.authority.clone());
         match action {
             ScalingAction::ScaleOut(request) => {
-                tasks.spawn_event(scale_out(cloud, authority, tasks.term(), request));
+                background_tasks.spawn_event(scale_out(
+                    cloud,
+                    authority,
+                    background_tasks.term(),
+                    request,
+                ));
             }
             ScalingAction::ScaleIn(machines) => {
-                tasks.spawn_event(scale_in(cloud, authority, machines));
+                background_tasks.spawn_event(scale_in(cloud, authority, machines));
             }
         }
     }
 }
 
-/// Requests machines until the outcome is known. After an unclear outcome the same request, with the
-/// same id, returns the machines that were started, or starts them.
+/// Requests machines until the outcome is known, and pauses while the leadership lease has expired.
+/// After an unclear outcome it repeats the request with the same id, to which the cloud responds
+/// with the machines that it has started already, or starts them now.
 async fn scale_out(
     cloud: CloudClient,
     authority: Authority,
@@ -145,7 +161,8 @@
     }
 }
 
-/// Deletes machines, unless a later leader may have placed tasks on them by now.
+/// Deletes machines, unless the leadership lease has expired: a later leader may have placed tasks
+/// on them since.
 async fn scale_in(cloud: CloudClient, authority: Authority, machines: Vec<String>) -> ClusterEvent {
     let deleted = if !authority.holds() {
         false
--- a/crates/controller/src/actor/requests.rs
+++ b/crates/controller/src/actor/requests.rs
@@ -1,4 +1,4 @@
-//! Handling of requests, as a follower and as the leader.
+//! Handles requests to the controller actor, as a follower and as the leader.
 
 use super::ControllerActor;
 use super::messages::{ControllerRequest, HeartbeatReply, PreparedRenewal, Reply};
@@ -9,7 +9,7 @@
 use hookway_wire::{Command, Heartbeat, HeartbeatResponse, ReplicationStatus};
 
 impl ControllerActor {
-    /// Handles a request while another controller leads, or none.
+    /// Handles a request while another controller leads or no controller does.
     pub(super) fn handle_as_follower(&mut self, request: ControllerRequest) {
         let now = self.config.clock.now();
         match request {
@@ -32,12 +32,14 @@
             ControllerRequest::PrepareFollow(reply) => {
                 let _ = reply.send(self.config.standby.next_request(now));
             }
-            ControllerRequest::Followed(answer) => self.config.standby.handle_response(answer, now),
+            ControllerRequest::Followed(response) => {
+                self.config.standby.handle_response(response, now)
+            }
             ControllerRequest::ReplicationStatus(reply) => self.replication_status(reply, now),
         }
     }
 
-    /// Handles a request in a term of this controller.
+    /// Handles a request while this controller leads.
     pub(super) fn handle_as_leader(&mut self, active: &mut ActiveTerm, request: ControllerRequest) {
         let now = self.config.clock.now();
         let may_decide = active.may_decide(now);
@@ -46,7 +48,8 @@
         };
         match request {
             ControllerRequest::Heartbeat { heartbeat, reply } => {
-                let valid_until = self.config.clock.instant_at(active.tasks.authority.expires_at());
+                let valid_until =
+                    self.config.clock.instant_at(active.background_tasks.authority.expires_at());
                 let response = cluster.handle_heartbeat(&heartbeat, now);
                 if response.as_ref().is_some_and(starts_a_task) {
                     self.config.standby.start_dispatched(now);
@@ -77,9 +80,9 @@
                 let _ = reply.send(cluster.renew_shard_lease(&renewal, now));
             }
             ControllerRequest::Follow { request, reply } => {
-                let _ = reply.send(active.publication.answer(cluster, &request, now));
+                let _ = reply.send(active.replication.respond(cluster, &request, now));
             }
-            // A leader leases its own shard, and follows nobody.
+            // A leader leases its own shard to itself, and does not follow another controller.
             ControllerRequest::PrepareShardLeaseRenewal(reply) => decline(reply),
             ControllerRequest::PrepareFollow(reply) => decline(reply),
             ControllerRequest::ShardLeaseGranted { .. } | ControllerRequest::Followed(_) => {}
@@ -87,8 +90,9 @@
         }
     }
 
-    /// Handles a request in a term of this controller, while it has not read the records yet or its
-    /// lease has expired.
+    /// Handles a request in a term of this controller while it must not decide: it has not read the
+    /// records yet, or its leadership lease has expired, or decisions are still suspended after
+    /// that.
     fn handle_without_authority(
         &mut self,
         active: &mut ActiveTerm,
@@ -112,7 +116,8 @@
         }
     }
 
-    /// The reply that sends a worker to the leader, if that is another controller and reachable.
+    /// Returns the reply that redirects a worker to the leader. It names the leader only if that is
+    /// another controller and has been reachable recently.
     fn redirect(&self, now: MonotonicTime) -> HeartbeatReply {
         let reachable = self.config.shard_lessee.leader_reachable(now);
         let leader = self.config.view.borrow().leader.clone().filter(|_| reachable);
@@ -120,7 +125,8 @@
         HeartbeatReply::Redirect(leader.filter(|name| name != own_name))
     }
 
-    /// The reply of this controller as the lessee of a shard, if it may and should give one.
+    /// Returns the reply of this controller as the lessee of the worker's shard; `None` if it must
+    /// not extend the worker's lease or need not.
     fn extend_worker_lease(
         &mut self,
         heartbeat: &Heartbeat,
@@ -141,7 +147,7 @@
     }
 }
 
-/// Sends a reply. The requester may have given up; then nobody needs it.
+/// Sends a reply. It is dropped if the requester has stopped waiting for it.
 fn answer<T>(reply: Reply<T>, value: T) {
     let _ = reply.send(Some(value));
 }
--- a/crates/controller/src/actor/store_io.rs
+++ b/crates/controller/src/actor/store_io.rs
@@ -1,4 +1,4 @@
-//! Reads, watches and transactions at the state service, for the background tasks of a term.
+//! Reads, watches and transactions of the store, for the background tasks of a term.
 
 use super::ControllerActor;
 use super::messages::{ClusterEvent, ControllerEvent};
@@ -17,21 +17,22 @@
 use tokio::time::sleep;
 
 impl ControllerActor {
-    /// Reads the records that a new leader needs, and retries until this succeeds.
-    pub(super) fn spawn_state_load(&self, active: &mut ActiveTerm) {
-        let (store, events) = (self.config.store.clone(), active.tasks.events.clone());
+    /// Spawns a task that reads the records that a new leader needs, and retries until this
+    /// succeeds.
+    pub(super) fn spawn_record_read(&self, active: &mut ActiveTerm) {
+        let (store, events) = (self.config.store.clone(), active.background_tasks.events.clone());
         let (term, stored_watermarks) = (active.term(), active.leader_term.stored_watermarks);
-        active.tasks.spawn(async move {
+        active.background_tasks.spawn(async move {
             loop {
-                match load_state(&store, stored_watermarks).await {
-                    Ok(StateRead { state, revision }) => {
-                        log_read(term, revision, &state);
-                        let loaded = ControllerEvent::StateLoaded { state, revision };
+                match read_records(&store, stored_watermarks).await {
+                    Ok(RecordsAtRevision { state, revision }) => {
+                        log_records_read(term, revision, &state);
+                        let loaded = ControllerEvent::RecordsRead { state, revision };
                         let _ = events.send(loaded).await;
                         return;
                     }
                     Err(error) => {
-                        tracing::debug!(%error, "reading the cluster state failed");
+                        tracing::debug!(%error, "reading the records failed");
                         sleep(constants::LEADER_RETRY).await;
                     }
                 }
@@ -39,30 +40,31 @@
         });
     }
 
-    /// Watches for jobs that are accepted after `revision`.
+    /// Spawns a task that watches for jobs that are accepted after `revision`.
     pub(super) fn spawn_job_watch(&self, active: &mut ActiveTerm, revision: u64) {
-        let (store, events) = (self.config.store.clone(), active.tasks.events.clone());
-        active.tasks.spawn(async move {
+        let (store, events) = (self.config.store.clone(), active.background_tasks.events.clone());
+        active.background_tasks.spawn(async move {
             let Err(TermEnded) = watch_jobs(store, events, revision).await;
         });
     }
 }
 
-/// The receiver of the events of a term no longer exists.
+/// The term has ended: the receiver of its events no longer exists.
 struct TermEnded;
 
-/// All records that a new leader needs.
-struct StateRead {
+/// The records that a new leader needs.
+struct RecordsAtRevision {
     state: LoadedState,
-    /// Jobs that are not in `state` come after this revision.
+    /// The revision of the store at which the jobs were read. Jobs accepted later are not in
+    /// `state`.
     revision: u64,
 }
 
-/// Reads all records that a new leader needs.
-async fn load_state(
+/// Reads all records that a new leader needs, the jobs first.
+async fn read_records(
     store: &StoreClient,
     stored_watermarks: StoredWatermarks,
-) -> Result<StateRead, StoreError> {
+) -> Result<RecordsAtRevision, StoreError> {
     let jobs = store.list(JOBS_PREFIX).await?;
     let state = LoadedState {
         jobs: jobs.pairs,
@@ -73,10 +75,10 @@
         classes: store.get(CLASSES_KEY).await?,
         stored_watermarks,
     };
-    Ok(StateRead { state, revision: jobs.revision })
+    Ok(RecordsAtRevision { state, revision: jobs.revision })
 }
 
-fn log_read(term: u64, revision: u64, state: &LoadedState) {
+fn log_records_read(term: u64, revision: u64, state: &LoadedState) {
     tracing::info!(
         term,
         revision,
@@ -99,7 +101,7 @@
                 revision = revision.max(response.revision);
                 for event in response.events {
                     if let WatchEvent::Put { key, value, .. } = event {
-                        job_added(&events, key, value).await?;
+                        send_job_added(&events, key, value).await?;
                     }
                 }
             }
@@ -109,7 +111,7 @@
                     Ok(jobs) => {
                         revision = jobs.revision;
                         for job in jobs.pairs {
-                            job_added(&events, job.key, job.value).await?;
+                            send_job_added(&events, job.key, job.value).await?;
                         }
                     }
                     Err(error) => {
@@ -126,7 +128,7 @@
     }
 }
 
-async fn job_added(
+async fn send_job_added(
     events: &mpsc::Sender<ControllerEvent>,
     key: String,
     value: serde_json::Value,
@@ -135,20 +137,21 @@
     events.send(event).await.map_err(|_| TermEnded)
 }
 
-/// Commits a transaction. If its outcome is unclear, reads its keys again.
+/// Commits a transaction. If a precondition fails or the outcome is unclear, reads the keys of the
+/// transaction again.
 ///
-/// `unavailable` is called when the state service does not respond, or rejects the requests of this
+/// Calls `report_unavailable` when the store does not respond, or rejects the requests of this
 /// controller.
 pub(super) async fn commit_and_reread(
     store: &StoreClient,
     commit: &PendingCommit,
-    unavailable: impl Fn(),
+    report_unavailable: impl Fn(),
 ) -> CommitResult {
     let operations = commit.transaction.operations.len();
     match store.commit(&commit.transaction).await {
         Ok(CommitOutcome::Applied(revision)) => return CommitResult::Applied(revision),
         Err(StoreError::Unavailable) => {
-            unavailable();
+            report_unavailable();
             return CommitResult::NotApplied;
         }
         Err(StoreError::TooMany) => return CommitResult::NotApplied,
@@ -163,20 +166,21 @@
     }
     let mut reread = Vec::new();
     for key in commit.keys() {
-        reread.push(reread_key(store, key, &unavailable).await);
+        reread.push(reread_key(store, key, &report_unavailable).await);
     }
     CommitResult::Indeterminate(reread)
 }
 
-/// Reads a key, and retries until this succeeds.
-async fn reread_key(store: &StoreClient, key: String, unavailable: &impl Fn()) -> RereadKey {
+/// Reads a key, and retries until this succeeds. Calls `report_unavailable` after each failure,
+/// except when the store limits the request rate.
+async fn reread_key(store: &StoreClient, key: String, report_unavailable: &impl Fn()) -> RereadKey {
     loop {
         match store.get(&key).await {
             Ok(stored) => return RereadKey { key, stored },
             Err(error) => {
                 tracing::debug!(key, %error, "reading a key again failed");
                 if !matches!(error, StoreError::TooMany) {
-                    unavailable();
+                    report_unavailable();
                 }
                 sleep(constants::LEADER_RETRY).await;
             }
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -1,4 +1,4 @@
-//! Assembles a controller and runs it.
+//! Creates the actors and services of a controller, connects them and runs them.
 
 use crate::actor::{
     ControllerActor, ControllerActorConfig, ControllerHandle, ControllerRequest, MachineTypes,
@@ -26,51 +26,56 @@
 /// Why a controller could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// An address can't be listened on.
+    /// An address of the platform settings can't be listened on.
     #[error("can't listen on {address}: {reason}")]
     Listen {
-        /// The address.
+        /// The address, as in the settings.
         address: String,
-        /// The error of the operating system.
+        /// The error message of the failed attempt.
         reason: String,
     },
-    /// The thread of an actor can't be started.
+    /// The thread of an actor, or its runtime, can't be started.
     #[error("can't start a thread: {0}")]
     Thread(#[source] std::io::Error),
 }
 
 /// Runs a controller until the process ends.
+///
+/// # Errors
+///
+/// Fails if an address can't be listened on or a thread can't be started.
 pub async fn run(settings: Settings, operator: OperatorSettings) -> Result<(), StartError> {
     let listeners = Listeners::bind(&settings).await?;
     let (view_sender, view) = watch::channel(LeadershipView::default());
     let (machine_types_sender, machine_types) = watch::channel(None);
     let (request_sender, requests) = mpsc::channel(constants::CHANNEL_CAPACITY);
     let controller = ControllerHandle::new(request_sender);
-    let parts = Parts::new(settings, operator, view, machine_types);
+    let components = Components::new(settings, operator, view, machine_types);
 
-    // The lease must be extended and users answered however long a scheduling round takes, so each
-    // of the actors has a thread of its own.
-    run_on_thread("leadership", parts.leadership(view_sender).run())?;
-    run_on_thread("controller", parts.controller_actor(requests).run())?;
-    tokio::spawn(read_machine_types(parts.cloud.clone(), machine_types_sender));
-    let sync = parts.leader_sync(controller.clone());
+    // However long a scheduling round takes, the leadership lease must be extended and users must
+    // be answered. So each actor has a thread of its own.
+    run_on_thread("leadership", components.leadership(view_sender).run())?;
+    run_on_thread("controller", components.controller_actor(requests).run())?;
+    tokio::spawn(read_machine_types(components.cloud.clone(), machine_types_sender));
+    let sync = components.leader_sync(controller.clone());
     tokio::spawn(sync.clone().renew_shard_lease());
     tokio::spawn(sync.follow_leader());
-    let api = Arc::new(parts.api(controller));
-    let networks = parts.operator.replication.controller_networks.clone();
+    let api = Arc::new(components.api(controller));
+    let networks = components.operator.replication.controller_networks.clone();
     tokio::spawn(peers::serve(listeners.peers, api.clone(), networks));
 
-    log_platform_settings(&parts.settings.platform);
-    let (controller, address) = (&parts.settings.controller_name, &parts.settings.api_addr);
+    log_platform_settings(&components.settings.platform);
+    let (controller, address) =
+        (&components.settings.controller_name, &components.settings.api_addr);
     tracing::info!(controller, address, "serving");
     Server::new(listeners.api)
-        .fuse_policy(parts.connection_table())
+        .fuse_policy(components.connection_table())
         .serve(http::service(api))
         .await;
     Ok(())
 }
 
-/// The sockets that a controller listens on.
+/// The sockets that a controller listens on: for workers and users, and for other controllers.
 struct Listeners {
     api: TcpAcceptor,
     peers: tokio::net::TcpListener,
@@ -78,23 +83,23 @@
 
 impl Listeners {
     async fn bind(settings: &Settings) -> Result<Self, StartError> {
-        let failed = |address: &str, reason: String| StartError::Listen {
+        let listen_error = |address: &str, reason: String| StartError::Listen {
             address: address.to_owned(),
             reason,
         };
         let peers = tokio::net::TcpListener::bind(&settings.peer_bind)
             .await
-            .map_err(|error| failed(&settings.peer_bind, error.to_string()))?;
+            .map_err(|error| listen_error(&settings.peer_bind, error.to_string()))?;
         let api = TcpListener::new(settings.api_addr.clone())
             .try_bind()
             .await
-            .map_err(|error| failed(&settings.api_addr, error.to_string()))?;
+            .map_err(|error| listen_error(&settings.api_addr, error.to_string()))?;
         Ok(Self { api, peers })
     }
 }
 
-/// What several actors and services of a controller share.
-struct Parts {
+/// The settings, clients and channels that the actors and services of a controller share.
+struct Components {
     settings: Settings,
     operator: OperatorSettings,
     clock: Clock,
@@ -108,7 +113,7 @@
     machine_types: watch::Receiver<MachineTypes>,
 }
 
-impl Parts {
+impl Components {
     fn new(
         settings: Settings,
         operator: OperatorSettings,
@@ -133,7 +138,7 @@
         }
     }
 
-    /// A client of the state service with this share of the request rate.
+    /// Creates a client of the store that may use `rate_share` of this controller's request rate.
     fn store_client(&self, rate_share: f64) -> StoreClient {
         let rps = self.settings.platform.state.rps * rate_share;
         StoreClient::new(&self.settings.endpoints.state, rps)
@@ -221,7 +226,7 @@
     }
 }
 
-/// Logs the quotas of teams and the service level objectives.
+/// Logs the quotas of teams and the service-level objectives, once at the start.
 fn log_platform_settings(platform: &PlatformSettings) {
     for team in &platform.teams {
         tracing::info!(
@@ -243,7 +248,7 @@
     }
 }
 
-/// Runs an actor on a thread of its own until the process ends.
+/// Runs an actor on a thread of its own, with its own runtime, until the process ends.
 fn run_on_thread(
     name: &str,
     actor: impl Future<Output = ()> + Send + 'static,
