--- a/crates/replication/examples/embedded.rs
+++ b/crates/replication/examples/embedded.rs
@@ -1,5 +1,5 @@
-//! A program that embeds a warm standby without the hookway daemon: a leader publishes its tasks, a follower copies
-//! them, the leader falls silent, and the follower is promoted phase by phase.
+//! A program that embeds a warm standby without the hookway binary: a leader publishes its tasks, a follower copies
+//! them, the leader stops responding, and the follower's controller becomes the leader phase by phase.
 //!
 //!     cargo run -p hookway-replication --example embedded
 
@@ -13,7 +13,7 @@
 const NEW_TERM: u64 = 2;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    // The program has to elect the leader itself, for example by a lease in a store as hookway does.
+    // The embedding program elects the leader, for example with a lease in a store as hookway does.
     let mut publisher = Publisher::new(OLD_TERM);
     let mut follower = Follower::new("standby");
     follower.observe_term(OLD_TERM);
@@ -27,7 +27,7 @@
         let machine = MachineView { name: "box-1", address: "127.0.0.1:9000", incarnation: 1 };
         let tasks = [TaskView { task: &task, attempt: round, stage: Stage::Running }];
         publisher.publish_machine(machine, tasks.into_iter());
-        // The program has to transport these two messages.
+        // The embedding program transports the request and the response.
         let request = follower.request();
         let response = publisher.respond(&request, now)?;
         follower.handle_response(response, now)?;
--- a/crates/replication/src/detector.rs
+++ b/crates/replication/src/detector.rs
@@ -1,21 +1,21 @@
-//! Failure detection by the measured intervals between the leader's messages.
+//! Failure detection from the intervals between the leader's messages.
 
 use hookway_constants as constants;
 use hookway_time::{MonotonicTime, millis_f64};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Suspects a leader that is silent for much longer than the usual interval between its messages. A suspicion is
-/// no proof of failure: a paused or partitioned leader is silent as well.
+/// A failure detector that suspects a leader whose silence is much longer than the usual interval between its
+/// messages. A suspicion does not prove a failure: a paused or partitioned leader is silent as well.
 #[derive(Debug, Default)]
 pub struct FailureDetector {
-    /// The newest intervals between two messages; the oldest comes first.
+    /// The latest intervals between two messages, oldest first; at most `DETECTOR_WINDOW`.
     intervals: VecDeque<Duration>,
     last_message_at: Option<MonotonicTime>,
 }
 
 impl FailureDetector {
-    /// Records a message of the leader at `now`.
+    /// Records a message of the leader, received at `now`.
     pub fn record_message(&mut self, now: MonotonicTime) {
         if let Some(last) = self.last_message_at {
             self.record_interval(now.saturating_duration_since(last));
@@ -30,18 +30,18 @@
         self.intervals.push_back(interval);
     }
 
-    /// Discards all measurements, because the leader has changed.
+    /// Discards all recorded intervals. Called when the leader changes, because they say nothing about another leader.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// Time of the last message; `None` before the first.
+    /// Returns the time of the last message; `None` before the first one.
     pub fn last_message_at(&self) -> Option<MonotonicTime> {
         self.last_message_at
     }
 
-    /// Longest silence without suspicion: the mean of the intervals plus several standard deviations. `None` until
-    /// enough intervals have been measured.
+    /// Returns the longest silence without suspicion: the mean of the intervals plus `DETECTOR_DEVIATIONS` standard
+    /// deviations, but at least `DETECTOR_MIN_SILENCE`. `None` below `DETECTOR_MIN_SAMPLES` recorded intervals.
     pub fn silence_limit(&self) -> Option<Duration> {
         if self.intervals.len() < constants::DETECTOR_MIN_SAMPLES {
             return None;
--- a/crates/replication/src/digest.rs
+++ b/crates/replication/src/digest.rs
@@ -1,23 +1,23 @@
-//! Digests of ranges of the state, by which a follower detects that its copy has diverged.
+//! Digests of ranges of the replicated state, by which a follower detects that its copy has diverged.
 
 use crate::state::{ReplicatedJob, ReplicatedMachine, ReplicatedState};
 use hookway_constants::REPLICATION_DIGEST_RANGES as RANGES;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
 
-/// Digest of the machines and jobs in one range. Their names are distributed over the ranges by hash.
+/// Digest of the machines and jobs in one range. A hash of its name or id assigns each machine and job to a range.
 ///
 /// Old and new controllers must compute the same digests, so what is hashed, and in which order, never changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RangeDigest {
-    /// Index of the range, counted from 0.
+    /// Index of the range, from 0 to `REPLICATION_DIGEST_RANGES` - 1.
     pub range: u32,
-    /// XXH3 digest of the range.
+    /// XXH3 digest (64 bits) of the machines and then the jobs in the range, each in the order of their names.
     pub digest: u64,
 }
 
 impl RangeDigest {
-    /// Computes the digest of one range of a state; `None` if there is no such range.
+    /// Computes the digest of one range of `state`; `None` if the index is not that of a range.
     pub fn of(state: &ReplicatedState, range: u32) -> Option<Self> {
         if range >= RANGES {
             return None;
@@ -55,12 +55,12 @@
     }
 }
 
-/// Index of the range that a name belongs to.
+/// Returns the index of the range that a machine name or job id belongs to.
 fn range_of(name: &str) -> u32 {
     (xxh3_64(name.as_bytes()) % u64::from(RANGES)) as u32
 }
 
-/// Hashes a text after its length, so that different sequences of texts have different input.
+/// Hashes the length of a text before the text, so that different sequences of texts never hash the same bytes.
 fn hash_text(hasher: &mut Xxh3, text: &str) {
     hasher.update(&(text.len() as u64).to_le_bytes());
     hasher.update(text.as_bytes());
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -3,52 +3,52 @@
 use crate::state::{PlacedTask, ReplicatedJob};
 use serde::{Deserialize, Serialize};
 
-/// A change of the leader's cluster state. Entries are idempotent: each one holds the value after the change.
+/// A change of the leader's cluster state. Each entry holds the value after the change, not a difference.
 ///
 /// The order of the variants and of their fields is a wire format: new variants are added at the end, and existing
 /// ones keep their fields.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// A machine was added, or the address or incarnation of its worker changed.
+    /// A machine was added, or the address or incarnation of its worker changed. The tasks on it are unchanged.
     Machine {
-        /// Name of the machine.
+        /// Unique name of the machine.
         name: String,
-        /// Address (`host:port`) of its worker.
+        /// Address (`host:port`) of the machine's worker.
         address: String,
-        /// Incarnation of its worker.
+        /// Incarnation of the machine's worker.
         incarnation: u64,
     },
     /// A machine was removed, with all tasks on it.
     MachineRemoved {
-        /// Name of the machine.
+        /// Unique name of the machine.
         name: String,
     },
     /// A task was placed on a machine, or its stage changed.
     Task {
-        /// Name of the machine.
+        /// Name of the machine that the task is placed on.
         machine: String,
-        /// The task with its new stage.
+        /// The task and attempt, with the new stage.
         task: PlacedTask,
     },
     /// A task was removed from its machine.
     TaskRemoved {
-        /// Name of the machine.
+        /// Name of the machine that the task was placed on.
         machine: String,
-        /// Id of the task.
+        /// Id of the task in the form `req-000412/3`.
         task: String,
-        /// Number of the attempt.
+        /// Number of the removed attempt.
         attempt: u64,
     },
-    /// The state of a job that no record holds changed.
+    /// The part of a job's state that is not in the store changed, or the job was added.
     Job {
-        /// Id of the job.
+        /// Id of the job in the form `req-000412`.
         id: String,
-        /// The state after the change.
+        /// The job's state after the change.
         job: ReplicatedJob,
     },
-    /// A job ended.
+    /// A job was removed because the leader no longer publishes it.
     JobRemoved {
-        /// Id of the job.
+        /// Id of the job in the form `req-000412`.
         id: String,
     },
 }
--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -1,4 +1,4 @@
-//! A follower: a standby's copy of the leader's cluster state, kept up to date by entries and images.
+//! A follower: a standby's copy of the leader's cluster state, kept up to date by entries and snapshots.
 
 use crate::digest::RangeDigest;
 use crate::entry::Entry;
@@ -12,70 +12,71 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// Why a response was rejected. A response of another term, or one that does not continue the copy, is ignored;
-/// after any other error the copy is not trusted any more, and the follower requests an image.
+/// Why a response was rejected. A response of another term, or one that does not continue the copy, is ignored.
+/// After any other error the copy counts as diverged, and the follower requests a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FollowError {
-    /// The response is of an earlier term than the leader's.
+    /// The response is of an earlier term than the current leader's.
     #[error("response of term {found}, but term {known} is known")]
     OldTerm {
         /// Term of the response.
         found: u64,
-        /// Term of the leader according to the state service.
+        /// Term of the leader according to the store.
         known: u64,
     },
-    /// The response is of a later term than the state service has recorded.
+    /// The response is of a later term than the one recorded in the store.
     #[error("response of term {found}, but the leader's term is {known}")]
     FutureTerm {
         /// Term of the response.
         found: u64,
-        /// Term of the leader according to the state service.
+        /// Term of the leader according to the store.
         known: u64,
     },
-    /// The entries do not continue the copy.
+    /// The entries begin after the position of the copy, or there is no copy that they could continue.
     #[error("entries after {found}, but {}", describe_copy(expected))]
     Gap {
         /// Position of the copy; `None` without a copy.
         expected: Option<Position>,
-        /// Position before the first entry.
+        /// Position that the first entry follows.
         found: Position,
     },
-    /// The response is inconsistent: its content is after the end of the log that it names, or of another term.
+    /// The response contradicts itself: its content lies beyond the end of the log that it names, or is of another
+    /// term than that end.
     #[error("content up to {last}, but the log ends at {end}")]
     Inconsistent {
-        /// Position of the last entry, or of the image.
+        /// Position of the last entry, or of the snapshot.
         last: Position,
-        /// End of the log.
+        /// End of the leader's log according to the response.
         end: Position,
     },
     /// An entry cannot be applied to the copy.
     #[error("entry {position}: {source}")]
     Entry {
-        /// Position of the entry.
+        /// Position of the entry in the log.
         position: Position,
-        /// Reason.
+        /// What the copy lacks.
         source: ApplyError,
     },
     /// The digest of a range of the copy differs from the leader's.
     #[error("range {range} differs from the leader's at {position}")]
     Diverged {
-        /// Index of the range.
+        /// Index of the range, counted from 0.
         range: u32,
-        /// Position of the digest.
+        /// Position at which the digests were compared.
         position: Position,
     },
-    /// A chunk of an image is invalid.
-    #[error("image of {position}: {source}")]
+    /// A snapshot chunk is invalid.
+    #[error("snapshot of {position}: {source}")]
     Image {
-        /// Position of the log at which the image was made.
+        /// Position of the log at which the snapshot was taken.
         position: Position,
-        /// Reason.
+        /// Why the chunk is invalid.
         source: ImageError,
     },
 }
 
 impl FollowError {
-    /// Whether the copy is still valid: the response says nothing about it.
+    /// Whether the copy remains valid after the error, because the response says nothing about the copy.
     fn keeps_copy(&self) -> bool {
         matches!(self, Self::OldTerm { .. } | Self::FutureTerm { .. } | Self::Gap { .. })
     }
@@ -88,16 +89,17 @@
     }
 }
 
-/// The effect of a response on the copy.
+/// The effect of an accepted response on the copy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FollowOutcome {
-    /// This number of new entries was applied; 0 if the response is delayed or duplicated.
+    /// This number of new entries was applied; 0 if there are none, or the response was delayed or duplicated.
     EntriesApplied(usize),
-    /// A chunk of an image was stored.
+    /// A snapshot chunk was stored; further chunks are missing.
     ImageChunkStored,
-    /// The last chunk of an image was received, and the image replaced the copy.
+    /// The last chunk of a snapshot was received, and the snapshot has replaced the copy.
     ImageApplied {
-        /// If the previous copy had diverged: the first machines and jobs that were wrong in it.
+        /// Machines and jobs that were wrong in a diverged copy, at most `REPLICATION_MAX_NAMED_DIFFERENCES` of them.
+        /// Empty if the previous copy had not diverged, or was of another term.
         differing: Vec<String>,
     },
 }
@@ -105,16 +107,16 @@
 /// Why a new leader cannot use a copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum UnusableCopy {
-    /// There is no copy.
+    /// There is no copy: no snapshot has been received since the start, or the controller keeps no copy.
     #[error("no copy")]
     Empty,
-    /// The copy is not of an earlier term than the new leader's: the term of the copy.
+    /// The copy is not of an earlier term than the new leader's. Holds the term of the copy.
     #[error("the copy is of term {0}, which is not earlier")]
     NotEarlier(u64),
-    /// The copy differs from the leader's state.
+    /// The copy is known to differ from the leader's state, or a response was invalid.
     #[error("the copy has diverged")]
     Diverged,
-    /// The leader's last response is too old: its age.
+    /// The leader's last response is too old. Holds its age, or [`Duration::MAX`] without one.
     #[error("the copy is {} ms old", whole_millis(*.0))]
     Stale(Duration),
 }
@@ -126,19 +128,20 @@
     state: ReplicatedState,
     /// Position of the copy; `None` without a copy.
     position: Option<Position>,
-    /// The image that is being received, if any.
+    /// The snapshot that is being received, if any.
     assembly: Option<ImageAssembly>,
-    /// Term of the leader according to the state service.
+    /// Term of the leader according to the store; 0 before the first one is known.
     leader_term: u64,
-    /// The copy is known to be wrong. It is kept to name the differences once an image has been received.
+    /// Whether the copy is known or suspected to be wrong. Such a copy is kept to name the differences once a snapshot
+    /// has been received.
     diverged: bool,
-    /// Time of the leader's last response.
+    /// Time of the last response that was of the leader's term when it arrived.
     last_response_at: Option<MonotonicTime>,
     metrics: FollowerMetrics,
 }
 
 impl Follower {
-    /// Creates a follower without a copy. `name` is that of its controller.
+    /// Creates a follower without a copy. `name` is the name of its controller.
     pub fn new(name: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -152,7 +155,7 @@
         }
     }
 
-    /// The next request to the leader.
+    /// Returns the next request to the leader.
     pub fn request(&self) -> FollowRequest {
         let progress = match (&self.assembly, self.position) {
             (Some(assembly), _) => FollowerProgress::ReceivingImage {
@@ -165,8 +168,8 @@
         FollowRequest { follower: self.name.clone(), progress }
     }
 
-    /// Records the term of the leader according to the state service. Responses of other terms are rejected from
-    /// now on.
+    /// Records the term of the leader according to the store. Responses of other terms are rejected from now on, and
+    /// a partially received snapshot of another term is discarded.
     pub fn observe_term(&mut self, term: u64) {
         if term != self.leader_term {
             self.leader_term = term;
@@ -174,11 +177,11 @@
         }
     }
 
-    /// Applies the leader's response at `now`.
+    /// Applies a response of the leader, received at `now`.
     ///
     /// # Errors
     ///
-    /// A [`FollowError`]; see there for its effect on the copy.
+    /// A [`FollowError`], whose documentation says what happens to the copy.
     pub fn handle_response(
         &mut self,
         response: FollowResponse,
@@ -201,7 +204,7 @@
         outcome
     }
 
-    /// Checks that a response is of the leader's term according to the state service.
+    /// Checks that the term of a response is the leader's term according to the store.
     fn check_term(&self, found: u64) -> Result<(), FollowError> {
         let known = self.leader_term;
         match found.cmp(&known) {
@@ -211,19 +214,19 @@
         }
     }
 
-    /// Makes the follower request an image.
+    /// Marks the copy as diverged, so that the follower requests a snapshot.
     fn distrust_copy(&mut self) {
         self.metrics.resyncs += 1;
         self.assembly = None;
         self.diverged = true;
     }
 
-    /// Position of the copy if it can be continued in this term.
+    /// Returns the position of the copy if entries of `term` can continue it.
     fn position_in(&self, term: u64) -> Option<Position> {
         self.position.filter(|position| position.term == term && !self.diverged)
     }
 
-    /// Number of entries that the copy is behind the end of the log.
+    /// Returns the number of entries by which the copy is behind the end of the log.
     fn lag_entries(&self, end: Position) -> u64 {
         match self.position_in(end.term) {
             Some(position) => end.index.saturating_sub(position.index),
@@ -241,7 +244,7 @@
         let applied_before = self.applied_after(after)?;
         let last = last_position(after, entries.len(), end)?;
         let Some(new_entries) = entries.len().checked_sub(applied_before) else {
-            // A delayed response: its digest is of an older state than the copy's.
+            // The response was delayed: its digest is of an older state than the copy.
             return Ok(FollowOutcome::EntriesApplied(0));
         };
         for (previous_index, entry) in (after.index..).zip(entries).skip(applied_before) {
@@ -253,8 +256,8 @@
         Ok(FollowOutcome::EntriesApplied(new_entries))
     }
 
-    /// Number of entries after this position that have been applied: a delayed or duplicated response begins with
-    /// them.
+    /// Returns the number of entries after `after` that have already been applied. A delayed or duplicated response
+    /// begins with such entries.
     fn applied_after(&self, after: Position) -> Result<usize, FollowError> {
         self.position_in(after.term)
             .and_then(|position| position.index.checked_sub(after.index))
@@ -262,7 +265,7 @@
             .ok_or(FollowError::Gap { expected: self.position, found: after })
     }
 
-    /// Compares the copy, which is at this position, with the leader's digest of one range.
+    /// Compares the copy, which is at `position`, with the leader's digest of one range.
     fn compare_digest(
         &self,
         digest: Option<RangeDigest>,
@@ -299,7 +302,7 @@
         Ok(FollowOutcome::ImageApplied { differing })
     }
 
-    /// Whether a chunk was received before, or the copy is at least as recent as its image.
+    /// Whether a chunk was received before, or the copy is at least as recent as the chunk's snapshot.
     fn is_duplicate(&self, chunk: &ImageChunk) -> bool {
         match &self.assembly {
             Some(assembly) => assembly.matches(chunk) && chunk.index < assembly.next_chunk,
@@ -310,12 +313,12 @@
         }
     }
 
-    /// Adds a chunk to the image that is being received. Returns the state once the image is complete.
+    /// Adds a chunk to the snapshot that is being received. Returns the state once the snapshot is complete.
     fn assemble(&mut self, chunk: ImageChunk) -> Result<Option<ReplicatedState>, ImageError> {
         let current = self.assembly.take().filter(|assembly| assembly.matches(&chunk));
         let mut assembly = match current {
             Some(assembly) => assembly,
-            // The first chunk of another image: the leader could not continue the previous one.
+            // The first chunk of another snapshot: the leader no longer serves the previous one.
             None => ImageAssembly::begin(&chunk)?,
         };
         let state = assembly.add(chunk)?;
@@ -325,8 +328,8 @@
         Ok(state)
     }
 
-    /// The first machines and jobs that were wrong in a diverged copy, by an image of the same term. Images of other
-    /// terms differ for good reasons as well.
+    /// Returns the first machines and jobs in which a diverged copy differs from a snapshot of the same term. A
+    /// snapshot of another term also differs for legitimate reasons.
     fn differing_from(&self, image: &ReplicatedState, position: Position) -> Vec<String> {
         let same_term = self.position.is_some_and(|copy| copy.term == position.term);
         if !self.diverged || !same_term {
@@ -335,22 +338,23 @@
         self.state.differing(image, constants::REPLICATION_MAX_NAMED_DIFFERENCES)
     }
 
-    /// Position of the copy; `None` without a copy.
+    /// Returns the position of the copy; `None` without a copy.
     pub fn position(&self) -> Option<Position> {
         self.position
     }
 
-    /// The copy, whether it is usable or not.
+    /// Returns the copy, whether it is usable or not; empty without a copy.
     pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
-    /// Metrics of this follower.
+    /// Returns the replication lag and the counts of snapshots and resynchronizations.
     pub fn metrics(&self) -> &FollowerMetrics {
         &self.metrics
     }
 
-    /// Returns the copy for this controller as the new leader of `term`. It is a hint and proves nothing.
+    /// Returns the copy if this controller, as the new leader of `term`, may use it at `now`. The copy is a hint and
+    /// proves nothing.
     ///
     /// # Errors
     ///
@@ -376,7 +380,8 @@
     }
 }
 
-/// Position of the last of `count` entries after a position, if the log can have them.
+/// Returns the position of the last of `count` entries after `after`, unless that is beyond the end of the log or of
+/// another term.
 fn last_position(after: Position, count: usize, end: Position) -> Result<Position, FollowError> {
     let last_index = after.index.checked_add(count as u64);
     let last = Position { index: last_index.unwrap_or(u64::MAX), ..after };
--- a/crates/replication/src/image.rs
+++ b/crates/replication/src/image.rs
@@ -1,5 +1,5 @@
-//! State images: the whole replicated state, sent in chunks to a follower whose missing entries are no
-//! longer in the log.
+//! Replication snapshots: copies of the whole replicated state, sent in chunks to a follower whose missing
+//! entries are no longer in the log.
 
 use crate::position::Position;
 use crate::state::ReplicatedState;
@@ -8,67 +8,67 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Why an image cannot be made or applied.
+/// Why a snapshot cannot be taken or applied.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ImageError {
-    /// The image is larger than the limit: its size in bytes.
-    #[error("the image has {0} bytes, above the limit of {limit}", limit = constants::REPLICATION_IMAGE_LIMIT)]
+    /// The snapshot is larger than the limit. Holds its size in bytes.
+    #[error("the snapshot has {0} bytes, above the limit of {limit}", limit = constants::REPLICATION_IMAGE_LIMIT)]
     TooLarge(u64),
-    /// A chunk is not the next one.
-    #[error("chunk {found} of the image instead of chunk {expected}")]
+    /// A chunk is not the one that has to follow the received ones.
+    #[error("chunk {found} of the snapshot instead of chunk {expected}")]
     OutOfOrder {
-        /// Index of the next chunk.
+        /// Index of the chunk that the assembly needs next.
         expected: u32,
         /// Index of the received chunk.
         found: u32,
     },
-    /// A chunk is empty, above the size limit, or exceeds the image: its size in bytes.
-    #[error("a chunk of {0} bytes is empty, above the limit or beyond the end of the image")]
+    /// A chunk is empty, larger than the limit, or exceeds the snapshot. Holds its size in bytes.
+    #[error("a chunk of {0} bytes is empty, above the limit or beyond the end of the snapshot")]
     ChunkLength(usize),
-    /// The digest of the received bytes differs from that of the image.
-    #[error("the digest of the image does not match")]
+    /// The digest of the received bytes differs from the one that the chunks name.
+    #[error("the digest of the snapshot does not match")]
     DigestMismatch,
-    /// The state cannot be encoded: the reason.
+    /// The state cannot be encoded. Holds the codec's reason.
     #[error("the state cannot be encoded: {0}")]
     Unencodable(String),
-    /// The received bytes are not a state: the reason.
-    #[error("the image cannot be decoded: {0}")]
+    /// The received bytes do not decode to a state. Holds the reason.
+    #[error("the snapshot cannot be decoded: {0}")]
     Undecodable(String),
 }
 
-/// A chunk of a state image.
+/// A chunk of a replication snapshot.
 ///
 /// The fields and their order are a wire format, which never changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ImageChunk {
-    /// Position of the log at which the image was made.
+    /// Position of the log at which the snapshot was taken.
     pub position: Position,
     /// Index of the chunk, counted from 0.
     pub index: u32,
-    /// Size of the whole image in bytes.
+    /// Size of the whole encoded snapshot in bytes.
     pub image_bytes: u64,
-    /// XXH3 digest of the whole image.
+    /// XXH3 digest (64 bits) of the whole encoded snapshot.
     pub image_digest: u64,
-    /// The bytes of this chunk.
+    /// The bytes of this chunk, from 1 to `REPLICATION_CHUNK_BYTES`.
     pub bytes: Vec<u8>,
 }
 
-/// An encoded state as of one position of the log.
+/// A replication snapshot: the encoded state as of one position of the log.
 #[derive(Debug)]
 pub(crate) struct Image {
     pub position: Position,
-    /// When the image was made.
     pub made_at: MonotonicTime,
     digest: u64,
     bytes: Vec<u8>,
 }
 
 impl Image {
-    /// Encodes a state.
+    /// Takes a snapshot of a state that is at `position` of the log.
     ///
     /// # Errors
     ///
-    /// [`ImageError::TooLarge`] above the size limit, [`ImageError::Unencodable`] if it cannot be encoded.
+    /// [`ImageError::TooLarge`] if the encoded state exceeds the size limit, [`ImageError::Unencodable`] if the state
+    /// cannot be encoded.
     pub fn new(
         state: &ReplicatedState,
         position: Position,
@@ -79,7 +79,7 @@
         Ok(Self { position, made_at: now, digest, bytes })
     }
 
-    /// Returns a chunk; `None` after the last one.
+    /// Returns the chunk with an index; `None` after the last one.
     pub fn chunk(&self, index: u32) -> Option<ImageChunk> {
         let bytes = self.bytes.chunks(constants::REPLICATION_CHUNK_BYTES).nth(index as usize)?;
         Some(ImageChunk {
@@ -92,12 +92,12 @@
     }
 }
 
-/// A partially received image.
+/// A partially received snapshot.
 #[derive(Debug)]
 pub(crate) struct ImageAssembly {
-    /// Position of the log at which the image was made.
+    /// Position of the log at which the snapshot was taken.
     pub position: Position,
-    /// Index of the next chunk.
+    /// Index of the next missing chunk.
     pub next_chunk: u32,
     image_bytes: u64,
     image_digest: u64,
@@ -105,11 +105,11 @@
 }
 
 impl ImageAssembly {
-    /// Starts the assembly of the image that a chunk belongs to, without adding the chunk.
+    /// Starts the assembly of the snapshot that a chunk belongs to, without adding the chunk.
     ///
     /// # Errors
     ///
-    /// [`ImageError::TooLarge`] above the size limit.
+    /// [`ImageError::TooLarge`] if the snapshot exceeds the size limit.
     pub fn begin(chunk: &ImageChunk) -> Result<Self, ImageError> {
         if chunk.image_bytes > constants::REPLICATION_IMAGE_LIMIT as u64 {
             return Err(ImageError::TooLarge(chunk.image_bytes));
@@ -123,14 +123,14 @@
         })
     }
 
-    /// Whether a chunk belongs to this image.
+    /// Whether a chunk belongs to this snapshot.
     pub fn matches(&self, chunk: &ImageChunk) -> bool {
         chunk.position == self.position
             && chunk.image_bytes == self.image_bytes
             && chunk.image_digest == self.image_digest
     }
 
-    /// Adds the next chunk. Returns the decoded state once the image is complete.
+    /// Adds the next chunk. Returns the decoded state once the snapshot is complete.
     ///
     /// # Errors
     ///
@@ -148,7 +148,7 @@
         decode(&self.bytes).map(Some)
     }
 
-    /// Checks that a chunk is the next one, and that its size is possible.
+    /// Checks that a chunk is the next one, and that its size fits the limit and the missing bytes.
     fn check_next(&self, chunk: &ImageChunk) -> Result<(), ImageError> {
         if chunk.index != self.next_chunk {
             return Err(ImageError::OutOfOrder { expected: self.next_chunk, found: chunk.index });
@@ -161,13 +161,13 @@
         Ok(())
     }
 
-    /// Number of bytes that have not been received.
+    /// Returns the number of bytes that have not been received.
     fn missing_bytes(&self) -> u64 {
         self.image_bytes - self.bytes.len() as u64
     }
 }
 
-/// Encodes a state, up to the size limit.
+/// Encodes a state; fails above the size limit.
 fn encode(state: &ReplicatedState) -> Result<Vec<u8>, ImageError> {
     let bytes = bincode::serde::encode_to_vec(state, codec())
         .map_err(|error| ImageError::Unencodable(error.to_string()))?;
@@ -186,7 +186,8 @@
     Ok(state)
 }
 
-/// The codec of images. Its limit keeps forged lengths from allocating more memory than an image can need.
+/// Returns the codec of snapshots. Its limit prevents forged lengths from allocating more memory than a snapshot can
+/// need.
 fn codec() -> impl bincode::config::Config {
     bincode::config::standard().with_limit::<{ constants::REPLICATION_IMAGE_LIMIT }>()
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -4,8 +4,11 @@
 //! [`Follower`] requests missing entries, applies them to its copy and verifies the copy by digests. The
 //! [`FailureDetector`] suspects a silent leader, and [`Promotion`] is the state machine of a failover.
 //!
-//! A follower's copy is a hint: it shortens the recovery of a new leader, but proves nothing. The state
-//! service decides who is the leader; heartbeats and expired leases prove what runs on which machine.
+//! A follower's copy is a hint: it shortens the recovery of a new leader, but proves nothing. The store
+//! decides which controller is the leader; heartbeats and expired leases prove what runs on which machine.
+//!
+//! A replication snapshot ("snapshot" in this crate) is a copy of the whole replicated state as of one position
+//! of the log. The leader sends it in chunks to a follower whose missing entries are no longer in the log.
 //!
 //! The crate does no I/O and reads no clock: callers pass the time and transport the messages.
 
--- a/crates/replication/src/log.rs
+++ b/crates/replication/src/log.rs
@@ -4,8 +4,8 @@
 use crate::position::Position;
 use std::collections::VecDeque;
 
-/// The newest entries of one term. Older entries are dropped even if a follower still needs them: a slow
-/// follower receives an image instead, so that it never delays the leader.
+/// The newest entries of one term. The log drops older entries even if a follower still needs them: a slow
+/// follower receives a snapshot instead, so that it never delays the leader.
 #[derive(Debug)]
 pub struct ReplicationLog {
     term: u64,
@@ -16,12 +16,12 @@
 }
 
 impl ReplicationLog {
-    /// Creates an empty log that keeps the newest `max_entries` entries.
+    /// Creates an empty log of `term` that keeps the newest `max_entries` entries.
     pub fn new(term: u64, max_entries: usize) -> Self {
         Self { term, last_index: 0, entries: VecDeque::new(), max_entries }
     }
 
-    /// Position of the last entry.
+    /// Returns the position of the last entry; its index is 0 before the first entry.
     pub fn end(&self) -> Position {
         Position { term: self.term, index: self.last_index }
     }
@@ -35,12 +35,12 @@
         }
     }
 
-    /// Index of the last dropped entry; 0 if none was dropped.
+    /// Returns the index of the last dropped entry; 0 if none was dropped.
     fn last_dropped_index(&self) -> u64 {
         self.last_index - self.entries.len() as u64
     }
 
-    /// Whether the log still has all entries after a position.
+    /// Whether the log still has all entries after a position of the same term.
     pub fn covers(&self, after: Position) -> bool {
         after.term == self.term
             && (self.last_dropped_index()..=self.last_index).contains(&after.index)
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -6,31 +6,31 @@
 use crate::position::Position;
 use serde::{Deserialize, Serialize};
 
-/// How much of the leader's state a follower has.
+/// The part of the leader's state that a follower already has.
 ///
 /// The order of the variants and of their fields is a wire format: new variants are added at the end, and existing
 /// ones keep their fields.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FollowerProgress {
-    /// No valid copy.
+    /// The follower has no valid copy and needs a snapshot.
     Empty,
-    /// All entries up to this position.
+    /// The follower has applied all entries up to and including this position.
     Through(Position),
-    /// The first chunks of a state image.
+    /// The follower has received the first chunks of a replication snapshot.
     ReceivingImage {
-        /// Position of the log at which the image was made.
+        /// Position of the log at which the snapshot was taken.
         position: Position,
-        /// Index of the next chunk, counted from 0.
+        /// Index of the next missing chunk, counted from 0.
         next_chunk: u32,
     },
 }
 
-/// A follower's request for entries or for a chunk of an image. It acknowledges everything before.
+/// A follower's request for entries or for a snapshot chunk. Its progress acknowledges what the follower has received.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowRequest {
-    /// Name of the follower.
+    /// Name of the follower's controller.
     pub follower: String,
-    /// How much of the leader's state the follower has.
+    /// What the follower has received, and so what the leader sends next.
     pub progress: FollowerProgress,
 }
 
@@ -40,24 +40,25 @@
 /// ones keep their fields.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FollowResponseBody {
-    /// The entries after a position, limited by the size of a message.
+    /// The entries after a position, as many as fit into one message.
     Entries {
-        /// Position before the first of the entries.
+        /// Position that the first entry follows.
         after: Position,
         /// The entries, in the order of the log.
         entries: Vec<Entry>,
-        /// Digest of one range of the state after these entries; `None` in most responses.
+        /// Digest of one range of the state after these entries. `None` if entries remain to be sent, or the last
+        /// digest was sent less than the digest interval ago.
         digest: Option<RangeDigest>,
     },
-    /// The next chunk of a state image.
+    /// The next chunk of a replication snapshot.
     ImageChunk(ImageChunk),
 }
 
 /// The leader's response to a [`FollowRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowResponse {
-    /// End of the leader's log. Its term is the leader's term.
+    /// Position of the last entry of the leader's log. Its term is the leader's term.
     pub end: Position,
-    /// The entries or the chunk that the follower needs next.
+    /// The entries or the snapshot chunk that the follower needs next.
     pub body: FollowResponseBody,
 }
--- a/crates/replication/src/metrics.rs
+++ b/crates/replication/src/metrics.rs
@@ -5,17 +5,18 @@
 use hookway_time::{MonotonicTime, whole_millis};
 use std::time::Duration;
 
-/// Histogram of durations, with a resolution of 1 ms. Shorter durations are counted as 1 ms.
+/// Histogram of durations in ms, with two significant digits. Durations below 1 ms count as 1 ms, and those above
+/// `MAX_RECORDED_DURATION` as that limit.
 ///
-/// The histogram is allocated with the first duration: most controllers never complete a failover.
+/// The memory is allocated when the first duration is recorded: most controllers never complete a failover.
 #[derive(Debug, Clone, Default)]
 pub struct DurationHistogram(Option<Histogram<u32>>);
 
 impl DurationHistogram {
-    /// Records a duration.
+    /// Adds a duration to the histogram.
     pub fn record(&mut self, duration: Duration) {
         if self.0.is_none() {
-            // The bounds are constants that are valid, so this does not fail.
+            // The bounds are valid constants, so this does not fail.
             let longest_ms = whole_millis(constants::MAX_RECORDED_DURATION);
             self.0 = Histogram::new_with_bounds(1, longest_ms, 2).ok();
         }
@@ -24,12 +25,12 @@
         }
     }
 
-    /// Number of recorded durations.
+    /// Returns the number of recorded durations.
     pub fn count(&self) -> u64 {
         self.0.as_ref().map_or(0, Histogram::len)
     }
 
-    /// Quantile of the durations, for `quantile` from 0 to 1; zero if there are none.
+    /// Returns a quantile of the durations; `quantile` is from 0 to 1. Zero if no duration was recorded.
     pub fn quantile(&self, quantile: f64) -> Duration {
         let millis = self.0.as_ref().map_or(0, |histogram| histogram.value_at_quantile(quantile));
         Duration::from_millis(millis)
@@ -44,23 +45,23 @@
     }
 }
 
-/// Metrics of a follower.
+/// Metrics of a follower: its replication lag, snapshots and resynchronizations.
 #[derive(Debug, Clone, Default)]
 pub struct FollowerMetrics {
-    /// Replication lag at the leader's last response, in log entries.
+    /// Replication lag at the last accepted response of the leader, in log entries.
     pub lag_entries: u64,
     /// Time at which the copy became incomplete; `None` while it is complete.
     incomplete_since: Option<MonotonicTime>,
-    /// Durations of the past periods in which the copy was incomplete.
+    /// Durations of the past periods in which the copy was incomplete; the current one is not included.
     pub lag: DurationHistogram,
-    /// Number of images applied.
+    /// Number of snapshots applied since the start of the process.
     pub images: u64,
-    /// Number of rejected responses after which the follower needed a new image.
+    /// Number of rejected responses after which the follower needed a new snapshot.
     pub resyncs: u64,
 }
 
 impl FollowerMetrics {
-    /// Records by how many entries the copy is behind the leader's log at `now`.
+    /// Records the number of entries by which the copy is behind the leader's log at `now`.
     pub(crate) fn record_lag(&mut self, lag_entries: u64, now: MonotonicTime) {
         self.lag_entries = lag_entries;
         if lag_entries > 0 {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Time since the copy became incomplete; zero while it is complete.
+    /// Returns the time since the copy became incomplete; zero while it is complete.
     pub fn current_lag(&self, now: MonotonicTime) -> Duration {
         self.incomplete_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
@@ -79,24 +80,25 @@
 /// Durations of the failovers to this controller, by phase.
 #[derive(Debug, Clone, Default)]
 pub struct FailoverMetrics {
-    /// From the previous leader's last message to the expiry of its lease.
+    /// From the previous leader's last response to the expiry of its lease, or to the election if this controller did
+    /// not observe the expiry.
     pub detection: DurationHistogram,
-    /// From the expiry of the lease to the election.
+    /// From the expiry of the previous leader's lease to the election of this controller.
     pub election: DurationHistogram,
-    /// From the election until all records were read.
+    /// From the election until all records in the store were read.
     pub catching_up: DurationHistogram,
-    /// From then to the first dispatch.
+    /// From the end of reading the records to the first dispatch of a task start.
     pub first_dispatch: DurationHistogram,
-    /// The whole failover: from the previous leader's last message to the first dispatch.
+    /// The whole failover: from the previous leader's last response to the first dispatch of a task start.
     pub whole: DurationHistogram,
 }
 
-/// The times of a failover that has ended with its first dispatch.
+/// The times of a failover that was completed by the first dispatch of a task start.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct CompletedFailover {
-    /// Last response of the previous leader; `None` if this controller got none.
+    /// Time of the previous leader's last response; `None` if this controller received none.
     pub leader_responded_at: Option<MonotonicTime>,
-    /// Expiry of the previous leader's lease; `None` if this controller did not see it.
+    /// Time at which this controller observed the expiry of the previous leader's lease; `None` if it did not.
     pub lease_expired_at: Option<MonotonicTime>,
     pub elected_at: MonotonicTime,
     pub records_read_at: MonotonicTime,
@@ -104,7 +106,7 @@
 }
 
 impl FailoverMetrics {
-    /// Records the durations of a failover, as far as its times are known.
+    /// Records the durations of a failover whose start and end times are known.
     pub(crate) fn record(&mut self, failover: &CompletedFailover) {
         let &CompletedFailover { elected_at, records_read_at, dispatched_at, .. } = failover;
         if let Some(responded_at) = failover.leader_responded_at {
--- a/crates/replication/src/position.rs
+++ b/crates/replication/src/position.rs
@@ -2,12 +2,12 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A position in the log of one leader term. Displayed as `term/index`.
+/// A position in the replication log of one leader term, displayed as `term/index`. Ordered by term, then by index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Position {
-    /// Term of the leader that wrote the log.
+    /// Term of the leader that writes the log.
     pub term: u64,
-    /// Index of the last entry up to this position, counted from 1; 0 before the first entry.
+    /// Index of the entry at this position, counted from 1; 0 before the first entry.
     pub index: u64,
 }
 
--- a/crates/replication/src/promotion.rs
+++ b/crates/replication/src/promotion.rs
@@ -1,65 +1,68 @@
-//! The state machine of a failover. Each transition needs its proof, and no phase can be skipped.
+//! The state machine of a failover.
+//!
+//! A controller becomes active only after it was elected for a later term than all known ones and has read all
+//! records since that election.
 
 use crate::metrics::{CompletedFailover, FailoverMetrics};
 use hookway_constants as constants;
 use hookway_time::MonotonicTime;
 
-/// Phase of a controller between standby and leader.
+/// Phase of a controller on its way from standby to leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// It follows the leader, or waits for one.
+    /// The controller follows the leader, or does not know one yet.
     Following,
-    /// The leader is silent for unusually long. The only consequence is a read of the leadership record.
+    /// The leader has been silent for unusually long. The only consequence is a read of the leadership record.
     Suspecting,
-    /// The leader's lease has expired in the state service, and earlier on the leader's own clock: its term has
+    /// The leader's lease has expired in the store, and before that on the leader's own clock, so the leader's term has
     /// ended. A new leader has to be elected.
     Fencing,
-    /// Elected for this term, whose fencing token is higher than all earlier ones. The records of earlier leaders
-    /// are being read; the read began after the election.
+    /// The controller is elected for this term, whose fencing token is higher than all earlier ones. It reads the
+    /// records of earlier leaders; the read began after the election.
     CatchingUp(u64),
-    /// It is the leader of this term and dispatches tasks.
+    /// The controller is the leader of this term and dispatches tasks.
     Active(u64),
 }
 
 /// An event that may change the phase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// The leader responded to a request.
+    /// The leader responded to a replication request.
     LeaderResponded,
-    /// The leader is silent for unusually long.
+    /// The failure detector suspects the leader.
     LeaderSilent,
-    /// According to the state service there is no leader.
+    /// According to the store there is no leader.
     LeaseExpired,
-    /// According to the state service another controller is the leader.
+    /// According to the store another controller is the leader.
     OtherLeader,
-    /// The state service has recorded this controller as the leader of a term.
+    /// The store has recorded this controller as the leader of a term.
     Elected {
-        /// The term.
+        /// Term of the election; it must be later than every known term.
         term: u64,
     },
-    /// All records were read.
+    /// All records in the store were read.
     RecordsRead {
-        /// Term in which the read began.
+        /// Term in which the read of the records began.
         term: u64,
     },
-    /// A task start was dispatched. Only the first one of a term counts.
+    /// A task start was dispatched. Only the first one after a failover has an effect.
     Dispatched,
-    /// This controller has lost the leadership.
+    /// This controller no longer is the leader.
     Deposed,
 }
 
-/// Why a transition is not allowed. The phase is then unchanged.
+/// Why an event was rejected. The phase is then unchanged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum TransitionError {
-    /// The term is not later than the latest known one.
+    /// The term of an election is not later than the latest known term.
     #[error("term {found} does not come after term {known}")]
     OldTerm {
-        /// Term of the event.
+        /// Term of the election.
         found: u64,
-        /// Latest known term.
+        /// Latest term that this controller was elected for or has observed.
         known: u64,
     },
-    /// The read of the records began in a term of which this controller is not the elected leader.
+    /// The read of the records began in this term, but the controller is not catching up in it.
     #[error("records read in term {0}, of which this controller is not the elected leader")]
     OldRecords(u64),
 }
@@ -67,19 +70,19 @@
 /// What the caller has to do after an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// Nothing.
+    /// The caller has nothing to do.
     None,
-    /// Read the leadership record in the state service now.
+    /// Read the leadership record in the store now.
     ReadLeader,
-    /// Read the records of earlier leaders.
+    /// Read the records of earlier leaders in the store.
     ReadRecords,
-    /// Start to act as the leader.
+    /// Start to act as the leader: the controller may dispatch tasks.
     Lead,
     /// Stop acting as the leader.
     Stop,
 }
 
-/// The state machine of a failover.
+/// The state machine of a failover to this controller.
 #[derive(Debug)]
 pub struct Promotion {
     phase: Phase,
@@ -89,12 +92,12 @@
     metrics: FailoverMetrics,
 }
 
-/// Times of the failover in progress, for its metrics.
+/// Times of the failover in progress, from which its metrics are computed.
 #[derive(Debug, Default)]
 struct FailoverTimes {
-    /// Time of the leader's last response.
+    /// Time of the previous leader's last response; kept when a suspicion proves false.
     leader_responded_at: Option<MonotonicTime>,
-    /// When the suspicion last led to a read of the leadership record.
+    /// Time of the last read of the leadership record because of a suspicion.
     suspected_at: Option<MonotonicTime>,
     lease_expired_at: Option<MonotonicTime>,
     elected_at: Option<MonotonicTime>,
@@ -113,7 +116,7 @@
 }
 
 impl Promotion {
-    /// The current phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
@@ -123,22 +126,22 @@
         self.phase == Phase::Active(term)
     }
 
-    /// Durations of the failovers to this controller.
+    /// Returns the durations of the completed failovers to this controller.
     pub fn metrics(&self) -> &FailoverMetrics {
         &self.metrics
     }
 
-    /// Records the term of another controller.
+    /// Records the term of another leader. This controller can then be elected for later terms only.
     pub fn observe_term(&mut self, term: u64) {
         self.term = self.term.max(term);
     }
 
-    /// Handles an event at `now`, and returns what the caller has to do. Events that mean nothing in the current
-    /// phase are ignored.
+    /// Applies an event that occurred at `now`, and returns what the caller has to do. Most events have no effect in
+    /// phases that they do not apply to.
     ///
     /// # Errors
     ///
-    /// A [`TransitionError`] if the event is of a wrong term.
+    /// A [`TransitionError`] if the term of the event does not permit the transition.
     pub fn handle(&mut self, event: Event, now: MonotonicTime) -> Result<Action, TransitionError> {
         let action = match event {
             Event::LeaderResponded => self.leader_responded(now),
@@ -175,8 +178,8 @@
         Action::ReadLeader
     }
 
-    /// Whether the leadership record may be read once more: an earlier read may have come just before the lease
-    /// expired.
+    /// Whether the leadership record may be read once more. Repeated reads are needed because an earlier read may have
+    /// preceded the expiry of the lease.
     fn may_read_leader_again(&self, now: MonotonicTime) -> bool {
         let interval_over = |last_read| now >= last_read + constants::LEADER_CHECK_INTERVAL;
         self.times.suspected_at.is_none_or(interval_over)
@@ -228,7 +231,8 @@
         if was_elected { Action::Stop } else { Action::None }
     }
 
-    /// Completes the failover with its first dispatch. Later ones find no times of a failover.
+    /// Completes the failover with the first dispatch. Later dispatches have no effect, because the times of the
+    /// failover have been reset.
     fn dispatched(&mut self, now: MonotonicTime) -> Action {
         if let Some(failover) = self.failover_completed_at(now) {
             self.metrics.record(&failover);
@@ -237,6 +241,7 @@
         Action::None
     }
 
+    /// Returns the times of the failover if a dispatch at `now` completes it.
     fn failover_completed_at(&self, now: MonotonicTime) -> Option<CompletedFailover> {
         let Phase::Active(_) = self.phase else { return None };
         Some(CompletedFailover {
--- a/crates/replication/src/publisher.rs
+++ b/crates/replication/src/publisher.rs
@@ -11,48 +11,49 @@
 use hookway_time::MonotonicTime;
 use std::collections::BTreeMap;
 
-/// The current state of a task on a machine.
+/// The current state of an attempt on a machine, as the leader knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TaskView<'a> {
-    /// Id of the task.
+    /// Id of the task in the form `req-000412/3`.
     pub task: &'a str,
-    /// Number of the attempt.
+    /// Number of the attempt, unique among the leaders of all terms.
     pub attempt: u64,
-    /// Progress of the attempt.
+    /// How far the attempt has progressed.
     pub stage: Stage,
 }
 
-/// The current state of a machine.
+/// The current state of a machine, as the leader knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MachineView<'a> {
-    /// Name of the machine.
+    /// Unique name of the machine.
     pub name: &'a str,
-    /// Address (`host:port`) of its worker.
+    /// Address (`host:port`) of the machine's worker.
     pub address: &'a str,
-    /// Incarnation of its worker.
+    /// Incarnation of the machine's worker.
     pub incarnation: u64,
 }
 
-/// Publishes changes of the leader's cluster state. The leader may publish a machine or job as often as it likes:
-/// only differences from the last published state become entries. Publishing everything periodically bounds the
-/// time for which a change can be missed.
+/// Publishes changes of the leader's cluster state to its followers.
+///
+/// The leader may publish a machine or job as often as it likes: only differences from the last published state
+/// become entries. Publishing everything periodically bounds the time for which a change can be missed.
 #[derive(Debug)]
 pub struct Publisher {
-    /// The published state: that of a follower that has applied the whole log.
+    /// The published state, which a follower that has applied the whole log has as well.
     state: ReplicatedState,
     log: ReplicationLog,
-    /// The image that followers are receiving, if any.
+    /// The snapshot that is sent to followers; `None` before the first one is needed.
     image: Option<Image>,
-    /// Progress of the comparison of digests, by name of the follower.
+    /// Which digest is sent next and when, by the name of the follower.
     digests: BTreeMap<String, DigestSchedule>,
 }
 
-/// Progress of the comparison of digests with one follower.
+/// Which digest is sent next to one follower, and when.
 #[derive(Debug, Default)]
 struct DigestSchedule {
-    /// Index of the range that is compared next.
+    /// Index of the range whose digest is sent next.
     next_range: u32,
-    /// When the last digest was sent; the clock's start before the first.
+    /// Time of the last digest; [`MonotonicTime::ZERO`] before the first one.
     last_sent_at: MonotonicTime,
 }
 
@@ -67,24 +68,24 @@
         }
     }
 
-    /// Position of the last entry.
+    /// Returns the position of the last published entry.
     pub fn end(&self) -> Position {
         self.log.end()
     }
 
-    /// The published state: that of a follower that has applied the whole log.
+    /// Returns the published state, which a follower that has applied the whole log has as well.
     pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
     fn append(&mut self, entry: Entry) {
-        // Every entry is a difference from this state, so it can always be applied.
+        // Every entry is derived from a difference to this state, so it can always be applied.
         if self.state.apply(entry.clone()).is_ok() {
             self.log.append(entry);
         }
     }
 
-    /// Publishes a machine with all tasks on it.
+    /// Publishes a machine and the complete set of its tasks.
     pub fn publish_machine<'a>(
         &mut self,
         view: MachineView<'_>,
@@ -116,7 +117,7 @@
         let Some(published) = self.state.machines.get(machine) else { return };
         let is_published =
             |task: TaskView<'_>| published.stage(task.task, task.attempt) == Some(task.stage);
-        // Most machines have not changed: no entries are built for them.
+        // Most machines have not changed, so this check avoids building entries for them.
         let same_count = tasks.clone().count() == published.tasks().len();
         if same_count && tasks.clone().all(is_published) {
             return;
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Publishes the removal of a machine. Does nothing if the machine was never published.
+    /// Publishes the removal of a machine and its tasks. Does nothing if the machine was never published.
     pub fn remove_machine(&mut self, name: &str) {
         if self.state.machines.contains_key(name) {
             self.append(Entry::MachineRemoved { name: name.to_owned() });
@@ -140,15 +141,15 @@
         removed.iter().for_each(|name| self.remove_machine(name));
     }
 
-    /// Publishes the state of a job that no record holds.
+    /// Publishes the part of a job's state that is not in the store.
     pub fn publish_job(&mut self, id: &str, job: ReplicatedJob) {
         if self.state.jobs.get(id) != Some(&job) {
             self.append(Entry::Job { id: id.to_owned(), job });
         }
     }
 
-    /// Removes all published jobs for which `exists` is false. `count` is the number of jobs for which it is true;
-    /// if as many are published, nothing is checked.
+    /// Removes all published jobs for which `exists` is false. `count` is the number of jobs for which `exists` is
+    /// true, all of which must have been published: if no other job is published, the check is skipped.
     pub fn retain_jobs(&mut self, count: usize, exists: impl Fn(&str) -> bool) {
         if self.state.jobs.len() == count {
             return;
@@ -160,12 +161,12 @@
         }
     }
 
-    /// Responds to a follower at `now`: with entries if the log has all that are missing, else with a chunk of an
-    /// image.
+    /// Returns the response to a follower's request at `now`: entries if the log still has all missing ones, otherwise
+    /// a snapshot chunk.
     ///
     /// # Errors
     ///
-    /// An [`ImageError`] if the state is too large for an image.
+    /// An [`ImageError`] if the state is too large for a snapshot or cannot be encoded.
     pub fn respond(
         &mut self,
         request: &FollowRequest,
@@ -178,7 +179,7 @@
         Ok(FollowResponse { end: self.log.end(), body })
     }
 
-    /// The entries that a follower lacks; `None` if it needs an image.
+    /// Returns the entries that a follower lacks; `None` if it needs a snapshot.
     fn missing_entries(
         &mut self,
         request: &FollowRequest,
@@ -190,7 +191,7 @@
         }
     }
 
-    /// The entries after a position, limited by the size of a message; `None` if the log does not have them.
+    /// Returns the entries after a position, as many as fit into one message; `None` if the log no longer has them.
     fn entries_after(
         &mut self,
         follower: &str,
@@ -206,13 +207,13 @@
             }
             entries.push(entry.clone());
         }
-        // The digest is of the state at the end of the log, so only a follower that gets there can compare it.
+        // The digest is of the state at the end of the log, so only a follower that reaches the end can compare it.
         let is_complete = after.index + entries.len() as u64 == self.log.end().index;
         let digest = if is_complete { self.next_digest(follower, now) } else { None };
         Some(FollowResponseBody::Entries { after, entries, digest })
     }
 
-    /// The digest of the next range, if the follower has received none for the digest interval.
+    /// Returns the digest of the next range, unless one was sent to the follower within the digest interval.
     fn next_digest(&mut self, follower: &str, now: MonotonicTime) -> Option<RangeDigest> {
         let schedule = self.digests.entry(follower.to_owned()).or_default();
         if now < schedule.last_sent_at + constants::REPLICATION_DIGEST_INTERVAL {
@@ -224,7 +225,7 @@
         digest
     }
 
-    /// The chunk of an image that a follower needs next.
+    /// Returns the snapshot chunk that a follower needs next.
     fn image_chunk(
         &mut self,
         progress: FollowerProgress,
@@ -242,14 +243,15 @@
         }
     }
 
-    /// A chunk of the current image; `None` if the image is of another position, the log does not continue it any
-    /// more, or there is no such chunk.
+    /// Returns a chunk of the current snapshot; `None` if the snapshot is of another position, the log no longer has
+    /// the entries after the snapshot, or the index is beyond the last chunk.
     fn chunk_of_current_image(&self, position: Position, index: u32) -> Option<ImageChunk> {
         let image = self.image.as_ref().filter(|image| image.position == position)?;
         if self.log.covers(position) { image.chunk(index) } else { None }
     }
 
-    /// The first chunk of an image that the log continues: the current image while it is young, else a new one.
+    /// Returns the first chunk of the current snapshot, or of a new one if the current snapshot has reached the
+    /// end of its lifetime or the log no longer has the entries after it.
     fn first_chunk(&mut self, now: MonotonicTime) -> Result<ImageChunk, ImageError> {
         let log = &self.log;
         let is_young = |image: &Image| {
@@ -265,7 +267,7 @@
     }
 }
 
-/// Entries that turn the published tasks of a machine into the current ones. Removals come first.
+/// Returns the entries that turn the published tasks of a machine into the current ones, removals first.
 fn task_entries<'a>(
     machine: &str,
     published: &ReplicatedMachine,
@@ -290,9 +292,9 @@
     removals.chain(changes).collect()
 }
 
-/// Upper estimate of the encoded size of an entry, in bytes.
+/// Returns an upper estimate of the encoded size of an entry, in bytes.
 fn max_encoded_bytes(entry: &Entry) -> usize {
-    /// Numbers, lengths and the variant of an entry, or the numbers of a job's state.
+    /// Upper estimate of the encoded variant, lengths and numbers of an entry, and of the numbers of a job's state.
     const FIXED_BYTES: usize = 32;
     let variable_bytes = match entry {
         Entry::Machine { name, address, .. } => name.len() + address.len(),
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -4,32 +4,32 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Progress of a placed task.
+/// Progress of an attempt of a placed task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Stage {
-    /// Placed; the start command has not been sent.
+    /// The task is placed; its start command has not been sent.
     Planned,
     /// The start command was sent.
     Sent,
-    /// The worker has accepted the task, which is not running yet.
+    /// The worker has accepted the task, which is not yet running.
     Accepted,
-    /// The task is running.
+    /// The worker reports the task as running.
     Running,
 }
 
-/// A task on a machine.
+/// A task placed on a machine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacedTask {
     /// Id of the task in the form `req-000412/3`.
     pub task: String,
-    /// Number of the attempt.
+    /// Number of the attempt; no two leaders use the same number. All tasks of a gang share one.
     pub attempt: u64,
-    /// Progress of the attempt.
+    /// How far the attempt has progressed.
     pub stage: Stage,
 }
 
 impl PlacedTask {
-    /// By what the tasks of a machine are sorted.
+    /// Returns the sort key of the tasks of a machine.
     fn key(&self) -> (&str, u64) {
         (&self.task, self.attempt)
     }
@@ -38,31 +38,31 @@
 /// A machine with the tasks on it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedMachine {
-    /// Address (`host:port`) of its worker.
+    /// Address (`host:port`) of the machine's worker.
     pub address: String,
-    /// Incarnation of its worker.
+    /// Incarnation of the machine's worker.
     pub incarnation: u64,
-    /// Tasks on the machine, sorted by task and attempt.
+    /// Sorted by task and attempt.
     tasks: Vec<PlacedTask>,
 }
 
 impl ReplicatedMachine {
-    /// Tasks on the machine, sorted by task and attempt.
+    /// Returns the tasks on the machine, sorted by task and attempt.
     pub fn tasks(&self) -> &[PlacedTask] {
         &self.tasks
     }
 
-    /// Stage of a task; `None` if this attempt is not on the machine.
+    /// Returns the stage of a task; `None` if this attempt is not on the machine.
     pub fn stage(&self, task: &str, attempt: u64) -> Option<Stage> {
         self.search(task, attempt).ok().map(|index| self.tasks[index].stage)
     }
 
-    /// Index of a task, or the index at which it would be inserted.
+    /// Returns the index of a task, or as an error the index at which it would be inserted.
     fn search(&self, task: &str, attempt: u64) -> Result<usize, usize> {
         self.tasks.binary_search_by(|placed| placed.key().cmp(&(task, attempt)))
     }
 
-    /// Adds a task, or replaces its stage.
+    /// Adds a task, or replaces the stage of an attempt that is already on the machine.
     fn put(&mut self, task: PlacedTask) {
         match self.search(&task.task, task.attempt) {
             Ok(index) => self.tasks[index] = task,
@@ -80,25 +80,25 @@
     }
 }
 
-/// The state of a job that no record holds.
+/// The part of a job's state that the leader keeps in memory only, not in the store.
 ///
 /// The fields and their order are a wire format, which never changes. Times are Unix time by the leader's wall
 /// clock, since the monotonic clocks of two controllers can't be compared.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedJob {
-    /// Attempt that all tasks of a gang share.
+    /// Attempt number that all tasks of a gang share; `None` if no attempt has been assigned or the job is no gang.
     pub gang_attempt: Option<u64>,
-    /// Number of consecutive attempts that ended with an error.
+    /// Number of consecutive attempts that ended with an error; 0 after a success.
     pub consecutive_failures: u32,
-    /// Time of the last of these errors, in ms.
+    /// Unix time of the last of these errors, in ms.
     pub last_failure_unix_ms: u64,
-    /// Time before which no task of the job is started, in ms.
+    /// Unix time until which no task of the job is started, in ms.
     pub backoff_until_unix_ms: u64,
-    /// Names of the machines on which tasks of the job failed last.
+    /// Names of the machines on which tasks of the job failed recently.
     pub failed_machines: Vec<String>,
 }
 
-/// Why an entry cannot be applied: it changes something that the copy does not have.
+/// Why an entry cannot be applied: it changes or removes something that the copy does not have.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
     /// The copy has no machine of this name.
@@ -107,11 +107,11 @@
     /// The copy does not have this attempt on the machine.
     #[error("no attempt {attempt} of {task} on {machine}")]
     UnknownTask {
-        /// Name of the machine.
+        /// Name of the machine, which the copy has.
         machine: String,
-        /// Id of the task.
+        /// Id of the task in the form `req-000412/3`.
         task: String,
-        /// Number of the attempt.
+        /// Number of the missing attempt.
         attempt: u64,
     },
     /// The copy has no job with this id.
@@ -124,18 +124,19 @@
 /// The fields and their order are a wire format, which never changes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// Machines by name.
+    /// Published machines by name, including those without tasks.
     pub machines: BTreeMap<String, ReplicatedMachine>,
-    /// Job states by job id.
+    /// Published states of jobs by job id.
     pub jobs: BTreeMap<String, ReplicatedJob>,
 }
 
 impl ReplicatedState {
-    /// Applies an entry.
+    /// Applies an entry to this state.
     ///
     /// # Errors
     ///
-    /// An [`ApplyError`] if the entry does not fit; the state is then unchanged.
+    /// An [`ApplyError`] if the entry refers to a machine, task or job that the state does not have; the state is then
+    /// unchanged.
     pub fn apply(&mut self, entry: Entry) -> Result<(), ApplyError> {
         match entry {
             Entry::Machine { name, address, incarnation } => {
@@ -166,12 +167,13 @@
         self.machines.get_mut(name).ok_or_else(|| ApplyError::UnknownMachine(name.to_owned()))
     }
 
-    /// Number of tasks on all machines.
+    /// Returns the number of tasks on all machines.
     pub fn task_count(&self) -> usize {
         self.machines.values().map(|machine| machine.tasks.len()).sum()
     }
 
-    /// Names of machines and ids of jobs that differ between two states, at most `limit` of them.
+    /// Returns the names of machines and ids of jobs that differ between two states, at most `limit` of them and the
+    /// machines first.
     pub fn differing(&self, other: &Self, limit: usize) -> Vec<String> {
         let machines = differing_keys(&self.machines, &other.machines);
         let jobs = differing_keys(&self.jobs, &other.jobs);
@@ -179,7 +181,7 @@
     }
 }
 
-/// Keys whose values differ, or that are only in one of the maps.
+/// Returns the keys whose values differ, or that are in only one of the maps.
 fn differing_keys<'a, V: PartialEq>(
     left: &'a BTreeMap<String, V>,
     right: &'a BTreeMap<String, V>,
--- a/crates/replication/tests/following.rs
+++ b/crates/replication/tests/following.rs
@@ -1,4 +1,4 @@
-//! A follower of a publisher: entries, lost, delayed, duplicated and invalid responses, and digests.
+//! A follower that applies a publisher's entries: lost, delayed, duplicated and invalid responses, and digests.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 mod support;
@@ -34,11 +34,15 @@
     publisher.publish_job("req-000002", ReplicatedJob::default());
     publisher.retain_jobs(1, |id| id == "req-000001");
     catch_up(&mut follower, &mut publisher, at(200));
-    assert_eq!(follower.metrics().images, 1, "the log had all entries, no second image was sent");
+    assert_eq!(
+        follower.metrics().images,
+        1,
+        "the log had all entries, so no second snapshot was sent"
+    );
     assert_eq!(follower.state().machines.len(), 2);
     assert_eq!(follower.state().machines["m-0"].stage("req-000001/0", 9), Some(Stage::Running));
     assert_eq!(follower.state().jobs["req-000001"].consecutive_failures, 2);
-    // Nothing has changed, so nothing is published.
+    // Nothing has changed, so publishing the machine again adds no entry.
     let end_before = publisher.end();
     publisher.publish_machine(restarted, [running("req-000001/0", 9)].into_iter());
     assert_eq!(publisher.end(), end_before, "an unchanged machine adds no entry");
@@ -83,7 +87,7 @@
         follower.handle_response(response.clone(), at(0)),
         Ok(FollowOutcome::EntriesApplied(0))
     );
-    // The next response is lost; the one after it has the entries of both.
+    // The next response is lost; the one after it contains the entries of both.
     publisher.publish_machine(machine("m-8"), [].into_iter());
     let lost = publisher.respond(&follower.request(), at(0)).expect("the publisher responds");
     publisher.publish_machine(machine("m-7"), [].into_iter());
@@ -91,8 +95,8 @@
         exchange(&mut follower, &mut publisher, at(0)),
         Ok(FollowOutcome::EntriesApplied(2))
     );
-    // The lost response arrives late and changes nothing. Of a response that begins at an earlier position, only the
-    // new entries are applied.
+    // The response that seemed lost arrives late and changes nothing. If a response begins before the position of the
+    // copy, only its new entries are applied.
     assert_eq!(follower.handle_response(lost, at(0)), Ok(FollowOutcome::EntriesApplied(0)));
     publisher.remove_machine("m-7");
     let progress = FollowerProgress::Through(response.end);
@@ -100,7 +104,7 @@
     let overlapping = publisher.respond(&request, at(0)).expect("the publisher responds");
     assert_eq!(follower.handle_response(overlapping, at(0)), Ok(FollowOutcome::EntriesApplied(1)));
     assert_eq!(follower.state(), publisher.state());
-    // Entries that begin after the end of the copy are rejected, and requested again from its position.
+    // Entries that begin after the position of the copy are rejected; the follower requests the missing ones.
     let end = publisher.end().index;
     let beyond = follower.handle_response(entries(end + 9, end + 8, vec![]), at(0));
     assert!(matches!(beyond, Err(FollowError::Gap { .. })), "{beyond:?}");
@@ -116,7 +120,7 @@
     let mut new_leader = Publisher::new(2 * TERM);
     new_leader.publish_machine(machine("m-0"), [].into_iter());
     follower.observe_term(2 * TERM);
-    // The deposed leader was paused and continues to publish.
+    // The deposed leader was paused during the election and continues to publish.
     deposed.publish_machine(machine("m-0"), [running("req-000001/5", 77)].into_iter());
     let late = deposed.respond(&follower.request(), at(10)).expect("the publisher responds");
     assert_eq!(
@@ -143,7 +147,7 @@
     assert_eq!(
         follower.metrics().images,
         1,
-        "the follower kept its copy and needed no second image"
+        "the follower kept its copy and needed no second snapshot"
     );
 }
 
@@ -178,7 +182,7 @@
         Err(UnusableCopy::Diverged),
         "a diverged copy must not be used at a failover"
     );
-    let replaced = exchange(&mut follower, &mut publisher, now).expect("an image of one chunk");
+    let replaced = exchange(&mut follower, &mut publisher, now).expect("a snapshot of one chunk");
     let FollowOutcome::ImageApplied { differing } = replaced else { panic!("{replaced:?}") };
     assert!(differing.contains(&"m-7".to_owned()), "{differing:?}");
     catch_up(&mut follower, &mut publisher, now);
@@ -195,7 +199,7 @@
         entries(end + 1, end, vec![machine_removed("m-77")]),
         entries(end + 1, end, vec![task_removed()]),
         entries(end + 1, end, vec![Entry::JobRemoved { id: "req-9".into() }]),
-        // An entry after the end that the response names.
+        // An entry beyond the end of the log that the response names.
         entries(end, end, vec![machine_removed("m-0")]),
     ];
     for response in invalid {
--- a/crates/replication/tests/images.rs
+++ b/crates/replication/tests/images.rs
@@ -1,4 +1,4 @@
-//! State images: transfer in chunks, duplicated, invalid and interrupted transfers.
+//! Replication snapshots: transfer in chunks, and duplicated, invalid and interrupted transfers.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 mod support;
@@ -15,7 +15,7 @@
     let mut publisher = leader(1);
     let mut follower = follower();
     catch_up(&mut follower, &mut publisher, at(0));
-    // More changes than the log holds; the image takes several chunks.
+    // Publishes more changes than the log holds, on so many machines that the snapshot takes several chunks.
     for index in 0..constants::REPLICATION_LOG_ENTRIES {
         let name = format!("m-{index:06}");
         publisher
@@ -29,11 +29,11 @@
         let name = format!("late-{chunks}");
         publisher.publish_machine(machine(&name), [].into_iter());
     }
-    assert!(chunks > 3, "the image must take several chunks, not {chunks}");
+    assert!(chunks > 3, "the snapshot must take several chunks, not {chunks}");
     assert_eq!(follower.metrics().images, images_before + 1);
     assert!(
         follower.position() < Some(publisher.end()),
-        "entries published during the transfer are not in the image"
+        "entries published during the transfer are not in the snapshot"
     );
     catch_up(&mut follower, &mut publisher, at(100));
 }
@@ -55,16 +55,16 @@
 fn maximum_log_index_is_rejected() {
     let end = Position { term: TERM, index: u64::MAX };
     let mut follower = follower();
-    // An image of the empty state whose position claims the maximum log index.
+    // A snapshot of the empty state whose position has the maximum log index.
     let FollowResponseBody::ImageChunk(chunk) =
         leader(0).respond(&follower.request(), at(0)).expect("the publisher responds").body
     else {
-        panic!("the response must have an image chunk");
+        panic!("the response must have a snapshot chunk");
     };
     let body = FollowResponseBody::ImageChunk(ImageChunk { position: end, ..chunk });
     follower
         .handle_response(FollowResponse { end, body }, at(0))
-        .expect("the image itself is valid");
+        .expect("the snapshot itself is valid");
     let entries = vec![Entry::Job { id: "req-1".into(), job: ReplicatedJob::default() }];
     let body = FollowResponseBody::Entries { after: end, entries, digest: None };
     let result = follower.handle_response(FollowResponse { end, body }, at(0));
@@ -85,7 +85,7 @@
     assert_eq!(
         follower.handle_response(first, at(0)),
         Ok(FollowOutcome::EntriesApplied(0)),
-        "a late chunk of the applied image changes nothing"
+        "a late chunk of the applied snapshot changes nothing"
     );
     assert_eq!((follower.metrics().images, follower.metrics().resyncs), (1, 0));
     assert_eq!(follower.state(), publisher.state());
@@ -94,7 +94,7 @@
 /// Checks whether an error is the expected one.
 type ErrorCheck = fn(&FollowError) -> bool;
 
-/// Invalid chunks of an image, each with a check of the error that it must cause.
+/// Returns invalid snapshot chunks, each with a check of the error that it must cause.
 fn invalid_chunks(valid: &ImageChunk) -> Vec<(ImageChunk, ErrorCheck)> {
     let with = |change: &dyn Fn(&mut ImageChunk)| {
         let mut chunk = valid.clone();
@@ -137,7 +137,7 @@
     let mut publisher = leader(2);
     let response = publisher.respond(&follower().request(), at(0)).expect("the publisher responds");
     let FollowResponseBody::ImageChunk(valid) = response.body else {
-        panic!("the response must have an image chunk")
+        panic!("the response must have a snapshot chunk")
     };
     for (chunk, is_expected) in invalid_chunks(&valid) {
         let mut follower = follower();
@@ -180,14 +180,14 @@
         exchange(&mut follower, &mut second_leader, at(10)),
         Ok(FollowOutcome::ImageChunkStored)
     );
-    // The second leader crashes during its image transfer: the copy of the first leader is still usable in the next
-    // term.
+    // The second leader crashes during its snapshot transfer: the copy of the first leader is still usable in the
+    // next term.
     let copy = follower.usable_copy(3 * TERM, at(20)).expect("the copy of the first leader");
     assert_eq!(copy.machines.len(), 3);
     follower.observe_term(3 * TERM);
     assert_eq!(
         follower.request().progress,
         FollowerProgress::Through(first_leader.end()),
-        "the chunks of the second leader's image are dropped"
+        "the chunks of the second leader's snapshot are dropped"
     );
 }
--- a/crates/replication/tests/promotion.rs
+++ b/crates/replication/tests/promotion.rs
@@ -1,11 +1,11 @@
-//! The phases of a failover, and that each is entered only on its condition.
+//! The phases of a failover, the conditions of the transitions between them, and the failure detector.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_replication::{Action, Event, FailureDetector, Phase, Promotion, TransitionError};
 use hookway_time::MonotonicTime;
 use std::time::Duration;
 
-/// A reading of the monotonic clock.
+/// Returns the reading of the monotonic clock at this time.
 fn at(time_ms: u64) -> MonotonicTime {
     MonotonicTime::from_millis(time_ms)
 }
@@ -14,7 +14,7 @@
     Duration::from_millis(duration_ms)
 }
 
-/// A standby that has been elected for a term.
+/// Returns a standby that has been elected for a term and has yet to read the records.
 fn elected(term: u64) -> Promotion {
     let mut promotion = Promotion::default();
     promotion.handle(Event::LeaderResponded, at(1_000)).expect("a valid transition");
@@ -51,13 +51,13 @@
     assert_eq!(
         promotion.handle(Event::LeaderSilent, at(200)),
         Ok(Action::None),
-        "the store was read less than LEADER_CHECK_INTERVAL ago"
+        "the leadership record was read less than LEADER_CHECK_INTERVAL ago"
     );
     assert_eq!(promotion.handle(Event::LeaderSilent, at(1_100)), Ok(Action::ReadLeader));
     assert!(!promotion.may_dispatch(0));
     promotion.handle(Event::LeaderResponded, at(1_300)).expect("a valid transition");
     assert_eq!(promotion.phase(), Phase::Following);
-    // The other standby wins the election.
+    // Another standby wins the election.
     promotion.handle(Event::LeaderSilent, at(400)).expect("a valid transition");
     promotion.handle(Event::LeaseExpired, at(500)).expect("a valid transition");
     promotion.handle(Event::OtherLeader, at(600)).expect("a valid transition");
@@ -82,7 +82,7 @@
         Err(TransitionError::OldRecords(5))
     );
     assert!(!promotion.may_dispatch(4));
-    // Deposed while it reads records: their late arrival must not make it the leader.
+    // The controller is deposed while it reads the records: when the read ends, it must not become the leader.
     assert_eq!(promotion.handle(Event::Deposed, at(6_300)), Ok(Action::Stop));
     assert_eq!(
         promotion.handle(Event::RecordsRead { term: 4 }, at(6_400)),
@@ -109,7 +109,7 @@
     let mut promotion = elected(4);
     promotion.handle(Event::RecordsRead { term: 4 }, at(6_200)).expect("a valid transition");
     assert!(promotion.may_dispatch(4));
-    // Events that concern followers do not change the phase of a leader.
+    // Events about another leader do not change the phase of an active leader.
     promotion.handle(Event::LeaderSilent, at(6_250)).expect("a valid transition");
     promotion.handle(Event::OtherLeader, at(6_260)).expect("a valid transition");
     promotion.handle(Event::LeaseExpired, at(6_270)).expect("a valid transition");
@@ -142,7 +142,7 @@
     }
     assert!(!slow.suspects(now + ms(5_000)));
     assert!(slow.suspects(now + ms(8_000)));
-    // Nothing has been measured of a new leader.
+    // After a change of the leader no interval has been measured.
     slow.reset();
     assert!(!slow.suspects(now + ms(60_000)));
 }
--- a/crates/replication/tests/support/mod.rs
+++ b/crates/replication/tests/support/mod.rs
@@ -5,9 +5,10 @@
 };
 use hookway_time::MonotonicTime;
 
+/// Term of the leader that tests start with.
 pub const TERM: u64 = 4_097;
 
-/// A reading of the monotonic clock.
+/// Returns the reading of the monotonic clock at this time.
 pub fn at(time_ms: u64) -> MonotonicTime {
     MonotonicTime::from_millis(time_ms)
 }
@@ -20,7 +21,7 @@
     TaskView { task, attempt, stage: Stage::Running }
 }
 
-/// A leader with this number of machines, each with one task.
+/// Returns the publisher of a leader with this number of machines, each with one task.
 pub fn leader(machines: usize) -> Publisher {
     let mut publisher = Publisher::new(TERM);
     for index in 0..machines {
@@ -36,7 +37,7 @@
     follower
 }
 
-/// Sends one request of the follower and handles the response.
+/// Sends one request of the follower and applies the response.
 pub fn exchange(
     follower: &mut Follower,
     publisher: &mut Publisher,
