--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -2,7 +2,7 @@
 
 use crate::digest::RangeDigest;
 use crate::entry::Entry;
-use crate::image::{ImageAssembly, ImageChunk, ImageError};
+use crate::image::{ImageChunk, SnapshotAssembly, SnapshotError};
 use crate::message::{FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress};
 use crate::metrics::FollowerMetrics;
 use crate::position::Position;
@@ -67,17 +67,17 @@
     },
     /// A snapshot chunk is invalid.
     #[error("snapshot of {position}: {source}")]
-    Image {
+    Snapshot {
         /// Position of the log at which the snapshot was taken.
         position: Position,
         /// Why the chunk is invalid.
-        source: ImageError,
+        source: SnapshotError,
     },
 }
 
 impl FollowError {
     /// Whether the copy remains valid after the error, because the response says nothing about the copy.
-    fn keeps_copy(&self) -> bool {
+    fn leaves_copy_valid(&self) -> bool {
         matches!(self, Self::OldTerm { .. } | Self::FutureTerm { .. } | Self::Gap { .. })
     }
 }
@@ -95,7 +95,7 @@
     /// This number of new entries was applied; 0 if there are none, or the response was delayed or duplicated.
     EntriesApplied(usize),
     /// A snapshot chunk was stored; further chunks are missing.
-    ImageChunkStored,
+    SnapshotChunkStored,
     /// The last chunk of a snapshot was received, and the snapshot has replaced the copy.
     ImageApplied {
         /// Machines and jobs that were wrong in a diverged copy, at most `REPLICATION_MAX_NAMED_DIFFERENCES` of them.
@@ -129,7 +129,7 @@
     /// Position of the copy; `None` without a copy.
     position: Option<Position>,
     /// The snapshot that is being received, if any.
-    assembly: Option<ImageAssembly>,
+    assembly: Option<SnapshotAssembly>,
     /// Term of the leader according to the store; 0 before the first one is known.
     leader_term: u64,
     /// Whether the copy is known or suspected to be wrong. Such a copy is kept to name the differences once a snapshot
@@ -194,12 +194,12 @@
             FollowResponseBody::Entries { after, entries, digest } => {
                 self.apply_entries(end, after, entries, digest)
             }
-            FollowResponseBody::ImageChunk(chunk) => self.add_image_chunk(end, chunk),
+            FollowResponseBody::ImageChunk(chunk) => self.add_snapshot_chunk(end, chunk),
         };
         match &outcome {
             Ok(_) => self.metrics.record_lag(self.lag_entries(end), now),
-            Err(error) if error.keeps_copy() => {}
-            Err(_) => self.distrust_copy(),
+            Err(error) if error.leaves_copy_valid() => {}
+            Err(_) => self.start_resync(),
         }
         outcome
     }
@@ -215,20 +215,20 @@
     }
 
     /// Marks the copy as diverged, so that the follower requests a snapshot.
-    fn distrust_copy(&mut self) {
+    fn start_resync(&mut self) {
         self.metrics.resyncs += 1;
         self.assembly = None;
         self.diverged = true;
     }
 
     /// Returns the position of the copy if entries of `term` can continue it.
-    fn position_in(&self, term: u64) -> Option<Position> {
+    fn continuable_position(&self, term: u64) -> Option<Position> {
         self.position.filter(|position| position.term == term && !self.diverged)
     }
 
     /// Returns the number of entries by which the copy is behind the end of the log.
     fn lag_entries(&self, end: Position) -> u64 {
-        match self.position_in(end.term) {
+        match self.continuable_position(end.term) {
             Some(position) => end.index.saturating_sub(position.index),
             None => end.index,
         }
@@ -259,7 +259,7 @@
     /// Returns the number of entries after `after` that have already been applied. A delayed or duplicated response
     /// begins with such entries.
     fn applied_after(&self, after: Position) -> Result<usize, FollowError> {
-        self.position_in(after.term)
+        self.continuable_position(after.term)
             .and_then(|position| position.index.checked_sub(after.index))
             .map(|applied| usize::try_from(applied).unwrap_or(usize::MAX))
             .ok_or(FollowError::Gap { expected: self.position, found: after })
@@ -272,14 +272,14 @@
         position: Position,
     ) -> Result<(), FollowError> {
         match digest {
-            Some(leaders) if RangeDigest::of(&self.state, leaders.range) != Some(leaders) => {
-                Err(FollowError::Diverged { range: leaders.range, position })
+            Some(expected) if RangeDigest::of(&self.state, expected.range) != Some(expected) => {
+                Err(FollowError::Diverged { range: expected.range, position })
             }
             _ => Ok(()),
         }
     }
 
-    fn add_image_chunk(
+    fn add_snapshot_chunk(
         &mut self,
         end: Position,
         chunk: ImageChunk,
@@ -292,8 +292,8 @@
             return Ok(FollowOutcome::EntriesApplied(0));
         }
         let received =
-            self.assemble(chunk).map_err(|source| FollowError::Image { position, source })?;
-        let Some(state) = received else { return Ok(FollowOutcome::ImageChunkStored) };
+            self.assemble(chunk).map_err(|source| FollowError::Snapshot { position, source })?;
+        let Some(state) = received else { return Ok(FollowOutcome::SnapshotChunkStored) };
         let differing = self.differing_from(&state, position);
         self.state = state;
         self.position = Some(position);
@@ -307,19 +307,19 @@
         match &self.assembly {
             Some(assembly) => assembly.matches(chunk) && chunk.index < assembly.next_chunk,
             None => {
-                let image = chunk.position;
-                self.position_in(image.term).is_some_and(|copy| copy >= image)
+                let snapshot = chunk.position;
+                self.continuable_position(snapshot.term).is_some_and(|copy| copy >= snapshot)
             }
         }
     }
 
     /// Adds a chunk to the snapshot that is being received. Returns the state once the snapshot is complete.
-    fn assemble(&mut self, chunk: ImageChunk) -> Result<Option<ReplicatedState>, ImageError> {
+    fn assemble(&mut self, chunk: ImageChunk) -> Result<Option<ReplicatedState>, SnapshotError> {
         let current = self.assembly.take().filter(|assembly| assembly.matches(&chunk));
         let mut assembly = match current {
             Some(assembly) => assembly,
             // The first chunk of another snapshot: the leader no longer serves the previous one.
-            None => ImageAssembly::begin(&chunk)?,
+            None => SnapshotAssembly::begin(&chunk)?,
         };
         let state = assembly.add(chunk)?;
         if state.is_none() {
@@ -330,12 +330,12 @@
 
     /// Returns the first machines and jobs in which a diverged copy differs from a snapshot of the same term. A
     /// snapshot of another term also differs for legitimate reasons.
-    fn differing_from(&self, image: &ReplicatedState, position: Position) -> Vec<String> {
+    fn differing_from(&self, snapshot: &ReplicatedState, position: Position) -> Vec<String> {
         let same_term = self.position.is_some_and(|copy| copy.term == position.term);
         if !self.diverged || !same_term {
             return Vec::new();
         }
-        self.state.differing(image, constants::REPLICATION_MAX_NAMED_DIFFERENCES)
+        self.state.differing(snapshot, constants::REPLICATION_MAX_NAMED_DIFFERENCES)
     }
 
     /// Returns the position of the copy; `None` without a copy.
--- a/crates/replication/src/image.rs
+++ b/crates/replication/src/image.rs
@@ -10,7 +10,7 @@
 
 /// Why a snapshot cannot be taken or applied.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum ImageError {
+pub enum SnapshotError {
     /// The snapshot is larger than the limit. Holds its size in bytes.
     #[error("the snapshot has {0} bytes, above the limit of {limit}", limit = constants::REPLICATION_IMAGE_LIMIT)]
     TooLarge(u64),
@@ -55,28 +55,28 @@
 
 /// A replication snapshot: the encoded state as of one position of the log.
 #[derive(Debug)]
-pub(crate) struct Image {
+pub(crate) struct Snapshot {
     pub position: Position,
-    pub made_at: MonotonicTime,
+    pub taken_at: MonotonicTime,
     digest: u64,
     bytes: Vec<u8>,
 }
 
-impl Image {
+impl Snapshot {
     /// Takes a snapshot of a state that is at `position` of the log.
     ///
     /// # Errors
     ///
-    /// [`ImageError::TooLarge`] if the encoded state exceeds the size limit, [`ImageError::Unencodable`] if the state
+    /// [`SnapshotError::TooLarge`] if the encoded state exceeds the size limit, [`SnapshotError::Unencodable`] if the state
     /// cannot be encoded.
     pub fn new(
         state: &ReplicatedState,
         position: Position,
         now: MonotonicTime,
-    ) -> Result<Self, ImageError> {
+    ) -> Result<Self, SnapshotError> {
         let bytes = encode(state)?;
         let digest = xxh3_64(&bytes);
-        Ok(Self { position, made_at: now, digest, bytes })
+        Ok(Self { position, taken_at: now, digest, bytes })
     }
 
     /// Returns the chunk with an index; `None` after the last one.
@@ -94,7 +94,7 @@
 
 /// A partially received snapshot.
 #[derive(Debug)]
-pub(crate) struct ImageAssembly {
+pub(crate) struct SnapshotAssembly {
     /// Position of the log at which the snapshot was taken.
     pub position: Position,
     /// Index of the next missing chunk.
@@ -104,15 +104,15 @@
     bytes: Vec<u8>,
 }
 
-impl ImageAssembly {
+impl SnapshotAssembly {
     /// Starts the assembly of the snapshot that a chunk belongs to, without adding the chunk.
     ///
     /// # Errors
     ///
-    /// [`ImageError::TooLarge`] if the snapshot exceeds the size limit.
-    pub fn begin(chunk: &ImageChunk) -> Result<Self, ImageError> {
+    /// [`SnapshotError::TooLarge`] if the snapshot exceeds the size limit.
+    pub fn begin(chunk: &ImageChunk) -> Result<Self, SnapshotError> {
         if chunk.image_bytes > constants::REPLICATION_IMAGE_LIMIT as u64 {
-            return Err(ImageError::TooLarge(chunk.image_bytes));
+            return Err(SnapshotError::TooLarge(chunk.image_bytes));
         }
         Ok(Self {
             position: chunk.position,
@@ -134,8 +134,8 @@
     ///
     /// # Errors
     ///
-    /// Any [`ImageError`]; the assembly must then be discarded.
-    pub fn add(&mut self, chunk: ImageChunk) -> Result<Option<ReplicatedState>, ImageError> {
+    /// Any [`SnapshotError`]; the assembly must then be discarded.
+    pub fn add(&mut self, chunk: ImageChunk) -> Result<Option<ReplicatedState>, SnapshotError> {
         self.check_next(&chunk)?;
         self.bytes.extend(chunk.bytes);
         self.next_chunk += 1;
@@ -143,20 +143,23 @@
             return Ok(None);
         }
         if xxh3_64(&self.bytes) != self.image_digest {
-            return Err(ImageError::DigestMismatch);
+            return Err(SnapshotError::DigestMismatch);
         }
         decode(&self.bytes).map(Some)
     }
 
     /// Checks that a chunk is the next one, and that its size fits the limit and the missing bytes.
-    fn check_next(&self, chunk: &ImageChunk) -> Result<(), ImageError> {
+    fn check_next(&self, chunk: &ImageChunk) -> Result<(), SnapshotError> {
         if chunk.index != self.next_chunk {
-            return Err(ImageError::OutOfOrder { expected: self.next_chunk, found: chunk.index });
+            return Err(SnapshotError::OutOfOrder {
+                expected: self.next_chunk,
+                found: chunk.index,
+            });
         }
         let length = chunk.bytes.len();
         let is_too_long = length > constants::REPLICATION_CHUNK_BYTES;
         if length == 0 || is_too_long || length as u64 > self.missing_bytes() {
-            return Err(ImageError::ChunkLength(length));
+            return Err(SnapshotError::ChunkLength(length));
         }
         Ok(())
     }
@@ -168,20 +171,20 @@
 }
 
 /// Encodes a state; fails above the size limit.
-fn encode(state: &ReplicatedState) -> Result<Vec<u8>, ImageError> {
+fn encode(state: &ReplicatedState) -> Result<Vec<u8>, SnapshotError> {
     let bytes = bincode::serde::encode_to_vec(state, codec())
-        .map_err(|error| ImageError::Unencodable(error.to_string()))?;
+        .map_err(|error| SnapshotError::Unencodable(error.to_string()))?;
     if bytes.len() > constants::REPLICATION_IMAGE_LIMIT {
-        return Err(ImageError::TooLarge(bytes.len() as u64));
+        return Err(SnapshotError::TooLarge(bytes.len() as u64));
     }
     Ok(bytes)
 }
 
-fn decode(bytes: &[u8]) -> Result<ReplicatedState, ImageError> {
+fn decode(bytes: &[u8]) -> Result<ReplicatedState, SnapshotError> {
     let (state, decoded_bytes) = bincode::serde::decode_from_slice(bytes, codec())
-        .map_err(|error| ImageError::Undecodable(error.to_string()))?;
+        .map_err(|error| SnapshotError::Undecodable(error.to_string()))?;
     if decoded_bytes != bytes.len() {
-        return Err(ImageError::Undecodable("trailing bytes after the state".into()));
+        return Err(SnapshotError::Undecodable("trailing bytes after the state".into()));
     }
     Ok(state)
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -29,7 +29,7 @@
 pub use digest::RangeDigest;
 pub use entry::Entry;
 pub use follower::{FollowError, FollowOutcome, Follower, UnusableCopy};
-pub use image::{ImageChunk, ImageError};
+pub use image::{ImageChunk, SnapshotError};
 pub use log::ReplicationLog;
 pub use message::{FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress};
 pub use metrics::{DurationHistogram, FailoverMetrics, FollowerMetrics};
--- a/crates/replication/src/promotion.rs
+++ b/crates/replication/src/promotion.rs
@@ -98,7 +98,7 @@
     /// Time of the previous leader's last response; kept when a suspicion proves false.
     leader_responded_at: Option<MonotonicTime>,
     /// Time of the last read of the leadership record because of a suspicion.
-    suspected_at: Option<MonotonicTime>,
+    leadership_read_at: Option<MonotonicTime>,
     lease_expired_at: Option<MonotonicTime>,
     elected_at: Option<MonotonicTime>,
     records_read_at: Option<MonotonicTime>,
@@ -165,24 +165,24 @@
     }
 
     fn leader_silent(&mut self, now: MonotonicTime) -> Action {
-        let must_read_leader = match self.phase {
+        let should_read_leader = match self.phase {
             Phase::Following => true,
-            Phase::Suspecting => self.may_read_leader_again(now),
+            Phase::Suspecting => self.can_read_leader_again(now),
             Phase::Fencing | Phase::CatchingUp(_) | Phase::Active(_) => false,
         };
-        if !must_read_leader {
+        if !should_read_leader {
             return Action::None;
         }
         self.phase = Phase::Suspecting;
-        self.times.suspected_at = Some(now);
+        self.times.leadership_read_at = Some(now);
         Action::ReadLeader
     }
 
     /// Whether the leadership record may be read once more. Repeated reads are needed because an earlier read may have
     /// preceded the expiry of the lease.
-    fn may_read_leader_again(&self, now: MonotonicTime) -> bool {
-        let interval_over = |last_read| now >= last_read + constants::LEADER_CHECK_INTERVAL;
-        self.times.suspected_at.is_none_or(interval_over)
+    fn can_read_leader_again(&self, now: MonotonicTime) -> bool {
+        let has_interval_passed = |last_read| now >= last_read + constants::LEADER_CHECK_INTERVAL;
+        self.times.leadership_read_at.is_none_or(has_interval_passed)
     }
 
     fn lease_expired(&mut self, now: MonotonicTime) -> Action {
--- a/crates/replication/src/publisher.rs
+++ b/crates/replication/src/publisher.rs
@@ -2,7 +2,7 @@
 
 use crate::digest::RangeDigest;
 use crate::entry::Entry;
-use crate::image::{Image, ImageChunk, ImageError};
+use crate::image::{ImageChunk, Snapshot, SnapshotError};
 use crate::log::ReplicationLog;
 use crate::message::{FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress};
 use crate::position::Position;
@@ -43,9 +43,9 @@
     state: ReplicatedState,
     log: ReplicationLog,
     /// The snapshot that is sent to followers; `None` before the first one is needed.
-    image: Option<Image>,
+    snapshot: Option<Snapshot>,
     /// Which digest is sent next and when, by the name of the follower.
-    digests: BTreeMap<String, DigestSchedule>,
+    digest_schedules: BTreeMap<String, DigestSchedule>,
 }
 
 /// Which digest is sent next to one follower, and when.
@@ -63,8 +63,8 @@
         Self {
             state: ReplicatedState::default(),
             log: ReplicationLog::new(term, constants::REPLICATION_LOG_ENTRIES),
-            image: None,
-            digests: BTreeMap::new(),
+            snapshot: None,
+            digest_schedules: BTreeMap::new(),
         }
     }
 
@@ -118,8 +118,8 @@
         let is_published =
             |task: TaskView<'_>| published.stage(task.task, task.attempt) == Some(task.stage);
         // Most machines have not changed, so this check avoids building entries for them.
-        let same_count = tasks.clone().count() == published.tasks().len();
-        if same_count && tasks.clone().all(is_published) {
+        let has_same_count = tasks.clone().count() == published.tasks().len();
+        if has_same_count && tasks.clone().all(is_published) {
             return;
         }
         for entry in task_entries(machine, published, tasks) {
@@ -148,10 +148,10 @@
         }
     }
 
-    /// Removes all published jobs for which `exists` is false. `count` is the number of jobs for which `exists` is
-    /// true, all of which must have been published: if no other job is published, the check is skipped.
-    pub fn retain_jobs(&mut self, count: usize, exists: impl Fn(&str) -> bool) {
-        if self.state.jobs.len() == count {
+    /// Removes all published jobs for which `exists` is false. `existing_jobs` is the number of jobs for which `exists`
+    /// is true, all of which must have been published: if no other job is published, the check is skipped.
+    pub fn retain_jobs(&mut self, existing_jobs: usize, exists: impl Fn(&str) -> bool) {
+        if self.state.jobs.len() == existing_jobs {
             return;
         }
         let removed: Vec<String> =
@@ -166,15 +166,15 @@
     ///
     /// # Errors
     ///
-    /// An [`ImageError`] if the state is too large for a snapshot or cannot be encoded.
+    /// An [`SnapshotError`] if the state is too large for a snapshot or cannot be encoded.
     pub fn respond(
         &mut self,
         request: &FollowRequest,
         now: MonotonicTime,
-    ) -> Result<FollowResponse, ImageError> {
+    ) -> Result<FollowResponse, SnapshotError> {
         let body = match self.missing_entries(request, now) {
             Some(entries) => entries,
-            None => FollowResponseBody::ImageChunk(self.image_chunk(request.progress, now)?),
+            None => FollowResponseBody::ImageChunk(self.snapshot_chunk(request.progress, now)?),
         };
         Ok(FollowResponse { end: self.log.end(), body })
     }
@@ -215,7 +215,7 @@
 
     /// Returns the digest of the next range, unless one was sent to the follower within the digest interval.
     fn next_digest(&mut self, follower: &str, now: MonotonicTime) -> Option<RangeDigest> {
-        let schedule = self.digests.entry(follower.to_owned()).or_default();
+        let schedule = self.digest_schedules.entry(follower.to_owned()).or_default();
         if now < schedule.last_sent_at + constants::REPLICATION_DIGEST_INTERVAL {
             return None;
         }
@@ -226,14 +226,14 @@
     }
 
     /// Returns the snapshot chunk that a follower needs next.
-    fn image_chunk(
+    fn snapshot_chunk(
         &mut self,
         progress: FollowerProgress,
         now: MonotonicTime,
-    ) -> Result<ImageChunk, ImageError> {
+    ) -> Result<ImageChunk, SnapshotError> {
         let next_chunk = match progress {
             FollowerProgress::ReceivingImage { position, next_chunk } => {
-                self.chunk_of_current_image(position, next_chunk)
+                self.chunk_of_current_snapshot(position, next_chunk)
             }
             FollowerProgress::Empty | FollowerProgress::Through(_) => None,
         };
@@ -245,25 +245,25 @@
 
     /// Returns a chunk of the current snapshot; `None` if the snapshot is of another position, the log no longer has
     /// the entries after the snapshot, or the index is beyond the last chunk.
-    fn chunk_of_current_image(&self, position: Position, index: u32) -> Option<ImageChunk> {
-        let image = self.image.as_ref().filter(|image| image.position == position)?;
-        if self.log.covers(position) { image.chunk(index) } else { None }
+    fn chunk_of_current_snapshot(&self, position: Position, index: u32) -> Option<ImageChunk> {
+        let snapshot = self.snapshot.as_ref().filter(|snapshot| snapshot.position == position)?;
+        if self.log.covers(position) { snapshot.chunk(index) } else { None }
     }
 
     /// Returns the first chunk of the current snapshot, or of a new one if the current snapshot has reached the
     /// end of its lifetime or the log no longer has the entries after it.
-    fn first_chunk(&mut self, now: MonotonicTime) -> Result<ImageChunk, ImageError> {
+    fn first_chunk(&mut self, now: MonotonicTime) -> Result<ImageChunk, SnapshotError> {
         let log = &self.log;
-        let is_young = |image: &Image| {
-            now < image.made_at + constants::REPLICATION_IMAGE_LIFETIME
-                && log.covers(image.position)
+        let is_reusable = |snapshot: &Snapshot| {
+            now < snapshot.taken_at + constants::REPLICATION_IMAGE_LIFETIME
+                && log.covers(snapshot.position)
         };
-        let image = match self.image.take().filter(is_young) {
-            Some(image) => image,
-            None => Image::new(&self.state, self.log.end(), now)?,
+        let snapshot = match self.snapshot.take().filter(is_reusable) {
+            Some(snapshot) => snapshot,
+            None => Snapshot::new(&self.state, self.log.end(), now)?,
         };
         // An encoded state is never empty, so there is a first chunk.
-        self.image.insert(image).chunk(0).ok_or(ImageError::ChunkLength(0))
+        self.snapshot.insert(snapshot).chunk(0).ok_or(SnapshotError::ChunkLength(0))
     }
 }
 
--- a/crates/replication/tests/following.rs
+++ b/crates/replication/tests/following.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn delayed_duplicated_or_lost_responses_cause_no_image_transfer() {
+fn delayed_duplicated_or_lost_responses_cause_no_snapshot_transfer() {
     let mut publisher = leader(2);
     let mut follower = follower();
     catch_up(&mut follower, &mut publisher, at(0));
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn term_unknown_to_state_service_is_rejected_and_discarded() {
+fn term_unknown_to_store_is_rejected_and_discarded() {
     let mut publisher = leader(1);
     let mut follower = follower();
     catch_up(&mut follower, &mut publisher, at(0));
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn reasons_against_copy_have_the_texts_that_operators_see() {
+fn reasons_of_unusable_copy_have_the_texts_that_operators_see() {
     let texts = [
         UnusableCopy::Empty,
         UnusableCopy::NotEarlier(TERM),
--- a/crates/replication/tests/images.rs
+++ b/crates/replication/tests/images.rs
@@ -6,12 +6,12 @@
 use hookway_constants as constants;
 use hookway_replication::{
     Entry, FollowError, FollowOutcome, FollowResponse, FollowResponseBody, FollowerProgress,
-    ImageChunk, ImageError, Position, Publisher, ReplicatedJob,
+    ImageChunk, Position, Publisher, ReplicatedJob, SnapshotError,
 };
 use support::{TERM, at, catch_up, exchange, follower, leader, machine, running};
 
 #[test]
-fn follower_behind_log_gets_image_then_remaining_entries() {
+fn follower_behind_log_gets_snapshot_then_remaining_entries() {
     let mut publisher = leader(1);
     let mut follower = follower();
     catch_up(&mut follower, &mut publisher, at(0));
@@ -21,16 +21,17 @@
         publisher
             .publish_machine(machine(&name), [running("req-000001/7", index as u64)].into_iter());
     }
-    let images_before = follower.metrics().images;
+    let snapshots_before = follower.metrics().images;
     let mut chunks = 0;
-    while exchange(&mut follower, &mut publisher, at(100)) == Ok(FollowOutcome::ImageChunkStored) {
+    while exchange(&mut follower, &mut publisher, at(100)) == Ok(FollowOutcome::SnapshotChunkStored)
+    {
         chunks += 1;
         // The leader publishes more changes during the transfer.
         let name = format!("late-{chunks}");
         publisher.publish_machine(machine(&name), [].into_iter());
     }
     assert!(chunks > 3, "the snapshot must take several chunks, not {chunks}");
-    assert_eq!(follower.metrics().images, images_before + 1);
+    assert_eq!(follower.metrics().images, snapshots_before + 1);
     assert!(
         follower.position() < Some(publisher.end()),
         "entries published during the transfer are not in the snapshot"
@@ -39,15 +40,21 @@
 }
 
 #[test]
-fn image_transfer_behind_log_restarts() {
+fn snapshot_transfer_behind_log_restarts() {
     let mut publisher = leader(2_000);
     let mut follower = follower();
-    assert_eq!(exchange(&mut follower, &mut publisher, at(0)), Ok(FollowOutcome::ImageChunkStored));
+    assert_eq!(
+        exchange(&mut follower, &mut publisher, at(0)),
+        Ok(FollowOutcome::SnapshotChunkStored)
+    );
     for attempt in 0..=constants::REPLICATION_LOG_ENTRIES {
         let task = running("req-000001/7", attempt as u64);
         publisher.publish_machine(machine("m-0"), [task].into_iter());
     }
-    assert_eq!(exchange(&mut follower, &mut publisher, at(0)), Ok(FollowOutcome::ImageChunkStored));
+    assert_eq!(
+        exchange(&mut follower, &mut publisher, at(0)),
+        Ok(FollowOutcome::SnapshotChunkStored)
+    );
     catch_up(&mut follower, &mut publisher, at(0));
 }
 
@@ -72,11 +79,14 @@
 }
 
 #[test]
-fn duplicated_or_delayed_image_chunks_change_no_state() {
+fn duplicated_or_delayed_snapshot_chunks_change_no_state() {
     let mut publisher = leader(3_000);
     let mut follower = follower();
     let first = publisher.respond(&follower.request(), at(0)).expect("the publisher responds");
-    assert_eq!(follower.handle_response(first.clone(), at(0)), Ok(FollowOutcome::ImageChunkStored));
+    assert_eq!(
+        follower.handle_response(first.clone(), at(0)),
+        Ok(FollowOutcome::SnapshotChunkStored)
+    );
     assert_eq!(
         follower.handle_response(first.clone(), at(0)),
         Ok(FollowOutcome::EntriesApplied(0))
@@ -103,25 +113,28 @@
     };
     vec![
         (with(&|chunk| chunk.bytes[3] ^= 1), |error| {
-            matches!(error, FollowError::Image { source: ImageError::DigestMismatch, .. })
+            matches!(error, FollowError::Snapshot { source: SnapshotError::DigestMismatch, .. })
         }),
         (with(&|chunk| chunk.image_digest ^= 1), |error| {
-            matches!(error, FollowError::Image { source: ImageError::DigestMismatch, .. })
+            matches!(error, FollowError::Snapshot { source: SnapshotError::DigestMismatch, .. })
         }),
         (with(&|chunk| chunk.index = 4), |error| {
             matches!(
                 error,
-                FollowError::Image { source: ImageError::OutOfOrder { expected: 0, found: 4 }, .. }
+                FollowError::Snapshot {
+                    source: SnapshotError::OutOfOrder { expected: 0, found: 4 },
+                    ..
+                }
             )
         }),
         (with(&|chunk| chunk.image_bytes = u64::MAX), |error| {
-            matches!(error, FollowError::Image { source: ImageError::TooLarge(u64::MAX), .. })
+            matches!(error, FollowError::Snapshot { source: SnapshotError::TooLarge(u64::MAX), .. })
         }),
         (with(&|chunk| chunk.bytes.clear()), |error| {
-            matches!(error, FollowError::Image { source: ImageError::ChunkLength(0), .. })
+            matches!(error, FollowError::Snapshot { source: SnapshotError::ChunkLength(0), .. })
         }),
         (with(&|chunk| chunk.bytes.resize(constants::REPLICATION_CHUNK_BYTES + 1, 0)), |error| {
-            matches!(error, FollowError::Image { source: ImageError::ChunkLength(_), .. })
+            matches!(error, FollowError::Snapshot { source: SnapshotError::ChunkLength(_), .. })
         }),
         (with(&|chunk| chunk.position.index += 1_000), |error| {
             matches!(error, FollowError::Inconsistent { .. })
@@ -133,7 +146,7 @@
 }
 
 #[test]
-fn invalid_image_chunks_are_rejected_with_named_error() {
+fn invalid_snapshot_chunks_are_rejected_with_named_error() {
     let mut publisher = leader(2);
     let response = publisher.respond(&follower().request(), at(0)).expect("the publisher responds");
     let FollowResponseBody::ImageChunk(valid) = response.body else {
@@ -160,13 +173,13 @@
     let response = FollowResponse { end: position, body: FollowResponseBody::ImageChunk(chunk) };
     let result = follower().handle_response(response, at(0));
     assert!(
-        matches!(result, Err(FollowError::Image { source: ImageError::Undecodable(_), .. })),
+        matches!(result, Err(FollowError::Snapshot { source: SnapshotError::Undecodable(_), .. })),
         "{result:?}"
     );
 }
 
 #[test]
-fn partial_image_transfer_keeps_previous_copy() {
+fn partial_snapshot_transfer_keeps_previous_copy() {
     let mut first_leader = leader(3);
     let mut follower = follower();
     catch_up(&mut follower, &mut first_leader, at(0));
@@ -178,7 +191,7 @@
     follower.observe_term(2 * TERM);
     assert_eq!(
         exchange(&mut follower, &mut second_leader, at(10)),
-        Ok(FollowOutcome::ImageChunkStored)
+        Ok(FollowOutcome::SnapshotChunkStored)
     );
     // The second leader crashes during its snapshot transfer: the copy of the first leader is still usable in the
     // next term.
