--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -2,10 +2,10 @@
 
 use crate::digest::RangeDigest;
 use crate::entry::Entry;
-use crate::image::{ImageChunk, SnapshotAssembly, SnapshotError};
 use crate::message::{FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress};
 use crate::metrics::FollowerMetrics;
 use crate::position::Position;
+use crate::snapshot::{ImageChunk, SnapshotAssembly, SnapshotError};
 use crate::state::{ApplyError, ReplicatedState};
 use hookway_constants as constants;
 use hookway_time::{MonotonicTime, whole_millis};
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -2,8 +2,8 @@
 
 use crate::digest::RangeDigest;
 use crate::entry::Entry;
-use crate::image::ImageChunk;
 use crate::position::Position;
+use crate::snapshot::ImageChunk;
 use serde::{Deserialize, Serialize};
 
 /// The part of the leader's state that a follower already has.
--- a/crates/replication/src/publisher.rs
+++ b/crates/replication/src/publisher.rs
@@ -2,10 +2,10 @@
 
 use crate::digest::RangeDigest;
 use crate::entry::Entry;
-use crate::image::{ImageChunk, Snapshot, SnapshotError};
 use crate::log::ReplicationLog;
 use crate::message::{FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress};
 use crate::position::Position;
+use crate::snapshot::{ImageChunk, Snapshot, SnapshotError};
 use crate::state::{PlacedTask, ReplicatedJob, ReplicatedMachine, ReplicatedState, Stage};
 use hookway_constants as constants;
 use hookway_time::MonotonicTime;
