--- a/crates/clients/src/api.rs
+++ b/crates/clients/src/api.rs
@@ -8,18 +8,18 @@
 /// Timeout of a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a request of a user failed.
+/// Why a request to the API failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ApiError {
-    /// There was no response.
+    /// There was no response, or the request was not sent.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The service rejected the request.
+    /// The controller rejected the request.
     #[error("{status}: {reason}")]
     Refused {
         /// HTTP status of the response.
         status: u16,
-        /// The reason that the service gives.
+        /// The reason in the response, or the whole body if it is not an error body.
         reason: String,
     },
     /// The body of the response is not a job status.
@@ -27,7 +27,7 @@
     InvalidResponse(String),
 }
 
-/// A user's client of the API.
+/// A client of hookway's API, as users' commands need it.
 #[derive(Debug, Clone)]
 pub struct ApiClient {
     http: HttpClient,
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     ///
-    /// [`ApiError::Refused`] if the job is invalid or the service unavailable.
+    /// Any [`ApiError`]; [`ApiError::Refused`] if the job is invalid or the controller cannot accept it.
     pub async fn submit(&self, job: Vec<u8>) -> Result<JobStatus, ApiError> {
         self.request(Method::POST, "/api/jobs", Some(job)).await
     }
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     ///
-    /// [`ApiError::Refused`] with status 404 if there is no such job.
+    /// Any [`ApiError`]; [`ApiError::Refused`] with status 404 if there is no such job.
     pub async fn status(&self, job: &JobId) -> Result<JobStatus, ApiError> {
         self.request(Method::GET, &format!("/api/jobs/{job}"), None).await
     }
@@ -79,7 +79,7 @@
     ///
     /// # Errors
     ///
-    /// [`ApiError::Refused`] with status 404 if there is no such job.
+    /// Any [`ApiError`]; [`ApiError::Refused`] with status 404 if there is no such job.
     pub async fn cancel(&self, job: &JobId) -> Result<JobStatus, ApiError> {
         self.request(Method::POST, &format!("/api/jobs/{job}/withdraw"), Some(b"{}".to_vec())).await
     }
--- a/crates/clients/src/cloud.rs
+++ b/crates/clients/src/cloud.rs
@@ -1,4 +1,4 @@
-//! Client of the cloud: machine types, scale out, scale in and the machine list.
+//! Client of the cloud: machine types, creation and deletion of machines, and the machine list.
 
 use crate::http::{body_contains, quoted_body};
 use crate::rate_limiter::PERMITS_PER_REQUEST;
@@ -12,15 +12,15 @@
 use serde::de::DeserializeOwned;
 use std::sync::Arc;
 
-/// The text by which a 503 response says that the cloud has no machines left, rather than an outage.
+/// Text in the body of a 503 response that reports missing capacity rather than an outage.
 const NO_CAPACITY: &str = "no capacity";
-/// Status in errors about a request that could not be encoded, and so has no response.
-const NOT_SENT: u16 = 0;
+/// Status in errors about requests that were not sent because they could not be encoded.
+const NO_STATUS: u16 = 0;
 
 /// Why a request to the cloud failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CloudError {
-    /// Not executed, because of an outage or the rate limit: the HTTP status.
+    /// The request was not executed, because of an outage or the rate limit of the cloud. Holds the HTTP status.
     #[error("the cloud is unavailable (status {0})")]
     Unavailable(u16),
     /// The outcome is unknown: the request may have been executed, or may be later.
@@ -31,7 +31,7 @@
     Unexpected {
         /// HTTP status of the response; 0 if the request could not be encoded.
         status: u16,
-        /// The start of the body, or what is wrong with it.
+        /// The start of the response body, or why it cannot be decoded.
         reason: String,
     },
 }
@@ -45,7 +45,7 @@
     NoCapacity,
 }
 
-/// A client of the cloud that limits its request rate.
+/// A client of the cloud that limits its request rate. Clones share the rate limit.
 #[derive(Debug, Clone)]
 pub struct CloudClient {
     http: HttpClient,
@@ -53,7 +53,8 @@
 }
 
 impl CloudClient {
-    /// Creates a client of `address` (`host:port`) that sends at most `requests_per_s` requests per second.
+    /// Creates a client of the cloud at `address` (`host:port`) that sends at most `requests_per_s` requests per
+    /// second; requests above the rate wait.
     pub fn new(address: &str, requests_per_s: f64) -> Self {
         let rate_limiter = Arc::new(RateLimiter::new(requests_per_s));
         Self { http: HttpClient::new(address), rate_limiter }
@@ -77,7 +78,7 @@
         Ok(response)
     }
 
-    /// The error for a response whose status is not one of those that the request may have.
+    /// Returns the error for a response with a status that the request does not provide for.
     fn unexpected(response: &HttpResponse) -> CloudError {
         let status = response.status.as_u16();
         if response.status == StatusCode::SERVICE_UNAVAILABLE {
@@ -88,8 +89,10 @@
     }
 
     fn encode<T: Serialize>(request: &T) -> Result<Vec<u8>, CloudError> {
-        serde_json::to_vec(request)
-            .map_err(|error| CloudError::Unexpected { status: NOT_SENT, reason: error.to_string() })
+        serde_json::to_vec(request).map_err(|error| CloudError::Unexpected {
+            status: NO_STATUS,
+            reason: error.to_string(),
+        })
     }
 
     fn decode<T: DeserializeOwned>(response: &HttpResponse) -> Result<T, CloudError> {
@@ -112,12 +115,12 @@
         Self::decode::<MachineTypes>(&response).map(|types| types.machine_types)
     }
 
-    /// Creates machines.
+    /// Creates machines of one type in one zone.
     ///
     /// # Errors
     ///
-    /// Any [`CloudError`]. After [`CloudError::Unknown`] the same request may be repeated: it is idempotent
-    /// by its id.
+    /// Any [`CloudError`]. After [`CloudError::Unknown`] the same request may be repeated: its id makes it
+    /// idempotent.
     pub async fn scale_out(
         &self,
         request: &ScaleOutRequest,
@@ -134,7 +137,7 @@
         }
     }
 
-    /// Deletes machines. After `Ok` the machines are gone, and all tasks on them.
+    /// Deletes machines. After `Ok` neither the machines nor the tasks on them exist any more.
     ///
     /// # Errors
     ///
@@ -149,7 +152,7 @@
     ///
     /// # Errors
     ///
-    /// Any [`CloudError`]; the pages that were read are discarded.
+    /// Any [`CloudError`]. The pages that were already read are discarded.
     pub async fn machines(&self) -> Result<Vec<ListedMachine>, CloudError> {
         let mut all: Vec<ListedMachine> = Vec::new();
         loop {
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Reads the page of the machine list that follows the machine `after`; the first one if `None`.
+    /// Reads the page of the machine list that begins after the machine `after`; the first page if `None`.
     async fn machine_page(&self, after: Option<&str>) -> Result<MachineList, CloudError> {
         let mut path = format!("/rentals?Most={}", constants::LIST_PAGE);
         if let Some(after) = after {
--- a/crates/clients/src/http.rs
+++ b/crates/clients/src/http.rs
@@ -8,12 +8,12 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use std::time::Duration;
 
-/// Idle connections that a client keeps to each address unless it is built for workers.
+/// Maximum idle connections to each address in the default pool.
 const MAX_IDLE_CONNECTIONS: usize = 8;
-/// Longest part of an unexpected body that an error text quotes, in bytes.
+/// Maximum length of the part of an unexpected body that an error text quotes, in bytes.
 const MAX_QUOTED_BYTES: usize = 200;
 
-/// The start of a response body, for an error text.
+/// Returns the start of a response body, for an error text.
 pub(crate) fn quoted_body(body: &[u8]) -> String {
     String::from_utf8_lossy(&body[..body.len().min(MAX_QUOTED_BYTES)]).into_owned()
 }
@@ -29,13 +29,13 @@
     /// There was no response before the timeout. The request may have been executed, or may be later.
     #[error("no answer in time")]
     Timeout {
-        /// Address of the server.
+        /// Address of the server (`host:port`).
         address: String,
     },
     /// No connection was established, so the request was not sent.
     #[error("no connection: {reason}")]
     NotSent {
-        /// Address of the server.
+        /// Address of the server (`host:port`).
         address: String,
         /// Reason given by the HTTP library.
         reason: String,
@@ -43,7 +43,7 @@
     /// The connection failed after it was established. The request may have been executed.
     #[error("connection failed: {reason}")]
     Connection {
-        /// Address of the server.
+        /// Address of the server (`host:port`).
         address: String,
         /// Reason given by the HTTP library.
         reason: String,
@@ -51,7 +51,7 @@
     /// The request could not be built, so it was not sent.
     #[error("bad request: {reason}")]
     InvalidRequest {
-        /// Address of the server.
+        /// Address of the server (`host:port`).
         address: String,
         /// Reason given by the HTTP library.
         reason: String,
@@ -61,9 +61,9 @@
 /// A response whose body was read completely.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HttpResponse {
-    /// Status of the response.
+    /// HTTP status of the response.
     pub status: StatusCode,
-    /// Body of the response.
+    /// The whole body of the response; empty if it has none.
     pub body: Bytes,
 }
 
@@ -99,7 +99,7 @@
         Self { address: address.to_owned(), client: self.client.clone() }
     }
 
-    /// Address of the server (`host:port`).
+    /// Returns the address of the server (`host:port`).
     pub fn address(&self) -> &str {
         &self.address
     }
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -1,6 +1,6 @@
-//! HTTP clients of the state service, the cloud and the workers, and of hookway's API for users.
+//! HTTP clients of the store, the cloud and the workers, and of hookway's API for users.
 //!
-//! Every call has a timeout. Errors tell a request without response from a rejected one, because a
+//! Every call has a timeout. Errors distinguish a request without response from a rejected one, because a
 //! request without response may have been executed, or may be executed later.
 
 mod api;
--- a/crates/clients/src/rate_limiter.rs
+++ b/crates/clients/src/rate_limiter.rs
@@ -1,12 +1,12 @@
-//! Limit on the rate of requests to a service.
+//! A limit on the rate of a client's requests to a service.
 
 use std::sync::Mutex;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Lowest rate that a limiter accepts, in permits per second; keeps waiting times finite.
+/// Minimum rate of a limiter, in permits per second: at rate 0 the waiting times would be infinite.
 const MIN_PERMITS_PER_S: f64 = 0.1;
-/// Smallest capacity of the bucket, in permits: a request of one permit must fit.
+/// Minimum capacity of a bucket, in permits: a request that needs one permit must be able to proceed.
 const MIN_BURST_PERMITS: f64 = 1.0;
 
 /// Permits that a client acquires for each request.
@@ -19,28 +19,28 @@
     bucket: Mutex<Bucket>,
 }
 
-/// Level of a token bucket. It is negative while acquired permits have yet to be refilled.
+/// The fill level of a token bucket, which is negative while acquired permits have yet to be refilled.
 #[derive(Debug)]
 struct Bucket {
     permits: f64,
     updated_at: Instant,
 }
 
-/// Permits that a full bucket holds: those of one second.
+/// Returns the number of permits in a full bucket: those of one second, but at least [`MIN_BURST_PERMITS`].
 fn bucket_capacity(permits_per_s: f64) -> f64 {
     permits_per_s.max(MIN_BURST_PERMITS)
 }
 
 impl RateLimiter {
-    /// Creates a limiter with a full bucket. Rates below 0.1 permits per second are raised to that.
+    /// Creates a limiter with a full bucket. Rates below 0.1 permits per second are raised to 0.1.
     pub fn new(permits_per_s: f64) -> Self {
         let permits_per_s = permits_per_s.max(MIN_PERMITS_PER_S);
         let bucket = Bucket { permits: bucket_capacity(permits_per_s), updated_at: Instant::now() };
         Self { permits_per_s, bucket: Mutex::new(bucket) }
     }
 
-    /// Acquires `permits` at once, even below zero, and returns how long the caller has to wait before
-    /// it may use them.
+    /// Acquires `permits` at once, even if the level of the bucket becomes negative, and returns how long the
+    /// caller has to wait before it may use them.
     pub fn acquire_now(&self, permits: f64) -> Duration {
         let Ok(mut bucket) = self.bucket.lock() else { return Duration::ZERO };
         let now = Instant::now();
--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -1,4 +1,4 @@
-//! Client of the state service: reads, transactions, leases and watches.
+//! Client of the store: reads, transactions, leases and watches.
 
 use crate::http::{body_contains, quoted_body};
 use crate::rate_limiter::PERMITS_PER_REQUEST;
@@ -19,36 +19,37 @@
 const ENCODED_CHARACTERS: &AsciiSet =
     &NON_ALPHANUMERIC.remove(b'/').remove(b'-').remove(b'_').remove(b'.').remove(b'~');
 
-/// Keys in a page of a range read.
+/// Maximum keys in a page of a range read.
 const LIST_PAGE_KEYS: u32 = 1_000;
-/// Timeout of a page of a range read, as a multiple of that of other requests: pages are large.
+/// Timeout of the request for a page, as a multiple of the timeout of other requests: pages are large.
 const LIST_TIMEOUT_FACTOR: u32 = 2;
-/// Body of requests whose path says it all.
+/// JSON body of requests that have no parameters besides those in the path.
 const EMPTY_OBJECT: &[u8] = b"{}";
-/// The text by which a 400 response to a transaction says that a lease does not exist.
+/// Text in the body of a 400 response to a transaction that attaches a key to a lease which does not exist.
 const NO_SUCH_LEASE: &str = "no such lease";
-/// Status in errors about a request that could not be encoded, and so has no response.
-const NOT_SENT: u16 = 0;
+/// Status in errors about requests that were not sent because they could not be encoded.
+const NO_STATUS: u16 = 0;
 
-/// Why a request to the state service failed.
+/// Why a request to the store failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// Not executed: the service has an outage, or rejects this controller's requests.
+    /// The request was not executed: the store has an outage, or rejects this controller's requests.
     #[error("the state service is not available")]
     Unavailable,
-    /// Not executed: above the rate limit of the service, or of this client ([`StoreClient::with_queue_limit`]).
+    /// The request was not executed: it exceeds the rate limit of the store, or would wait too long for that of this
+    /// client ([`StoreClient::with_queue_limit`]).
     #[error("the state service is asked too often")]
     TooMany,
     /// The outcome is unknown: the request may have been executed, or may be later.
     #[error("no answer from the state service: {0}")]
     Unknown(HttpError),
-    /// The lease has expired or was released.
+    /// The lease does not exist: it has expired or was released.
     #[error("the lease has ended")]
     NoLease,
-    /// The changes that the watch asked for are compacted.
+    /// The store has compacted the changes that the watch requested.
     #[error("the revision is too old")]
     TooOld,
-    /// Not executed: the request is invalid or too large. The response body, shortened.
+    /// The request was not executed because it is invalid or too large. Holds the start of the response body.
     #[error("refused by the state service: {0}")]
     Rejected(String),
     /// The response has an unexpected HTTP status or body.
@@ -56,30 +57,30 @@
     Unexpected {
         /// HTTP status of the response; 0 if the request could not be encoded.
         status: u16,
-        /// The start of the body, or what is wrong with it.
+        /// The start of the response body, or why it cannot be decoded.
         reason: String,
     },
 }
 
-/// All keys with a prefix.
+/// The result of a range read: all keys with a prefix.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Listing {
-    /// The key-value pairs, in the order of their keys.
+    /// The key-value pairs, sorted by key.
     pub pairs: Vec<KeyValue>,
-    /// Revision of the store at the first page, so that a watch from there misses no change.
+    /// Revision of the store at the read of the first page, so that a watch from this revision misses no change.
     pub revision: u64,
 }
 
 /// The outcome of a transaction that has a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// All operations were applied, at this revision.
+    /// All operations were applied; the store then had this revision.
     Applied(u64),
     /// No operation was applied: the preconditions on these keys failed.
     PreconditionFailed(Vec<String>),
 }
 
-/// A client of the state service that limits its request rate.
+/// A client of the store that limits its request rate. Clones share the rate limit.
 #[derive(Debug, Clone)]
 pub struct StoreClient {
     http: HttpClient,
@@ -88,20 +89,20 @@
 }
 
 impl StoreClient {
-    /// Creates a client of `address` (`host:port`) that sends at most `requests_per_s` requests per second;
-    /// requests above the rate wait.
+    /// Creates a client of the store at `address` (`host:port`) that sends at most `requests_per_s` requests per
+    /// second; requests above the rate wait.
     pub fn new(address: &str, requests_per_s: f64) -> Self {
         let rate_limiter = Arc::new(RateLimiter::new(requests_per_s));
         Self { http: HttpClient::new(address), rate_limiter, queue_limit: None }
     }
 
-    /// Returns the client with a limit on the time that a request waits for the rate limiter: above it
-    /// the request fails at once with [`StoreError::TooMany`].
+    /// Returns the client with a limit on the time that a request waits for the rate limiter. A request that
+    /// would wait longer fails at once with [`StoreError::TooMany`].
     pub fn with_queue_limit(self, queue_limit: Duration) -> Self {
         Self { queue_limit: Some(queue_limit), ..self }
     }
 
-    /// Address of the state service (`host:port`).
+    /// Returns the address of the store (`host:port`).
     pub fn address(&self) -> &str {
         self.http.address()
     }
@@ -137,8 +138,10 @@
     }
 
     fn encode<T: Serialize>(request: &T) -> Result<Vec<u8>, StoreError> {
-        serde_json::to_vec(request)
-            .map_err(|error| StoreError::Unexpected { status: NOT_SENT, reason: error.to_string() })
+        serde_json::to_vec(request).map_err(|error| StoreError::Unexpected {
+            status: NO_STATUS,
+            reason: error.to_string(),
+        })
     }
 
     fn decode<T: DeserializeOwned>(response: &HttpResponse) -> Result<T, StoreError> {
@@ -148,7 +151,7 @@
         })
     }
 
-    /// The error for a response whose status is not one of those that the request may have.
+    /// Returns the error for a response with a status that the request does not provide for.
     fn unexpected(response: &HttpResponse) -> StoreError {
         StoreError::Unexpected {
             status: response.status.as_u16(),
@@ -160,7 +163,7 @@
     ///
     /// # Errors
     ///
-    /// Any [`StoreError`] but those of leases and watches.
+    /// Any [`StoreError`] except those of leases and watches.
     pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, StoreError> {
         self.acquire().await?;
         let path = format!("/keys/{}", percent_encoded(key));
@@ -176,7 +179,7 @@
     ///
     /// # Errors
     ///
-    /// Any [`StoreError`] but those of leases and watches; the pages that were read are discarded.
+    /// Any [`StoreError`] except those of leases and watches. The pages that were already read are discarded.
     pub async fn list(&self, prefix: &str) -> Result<Listing, StoreError> {
         let mut pairs: Vec<KeyValue> = Vec::new();
         let mut first_revision = None;
@@ -192,7 +195,7 @@
         }
     }
 
-    /// Reads the page of keys with a prefix that follows the key `after`; the first one if `None`.
+    /// Reads the page of keys with a prefix that begins after the key `after`; the first page if `None`.
     async fn list_page(&self, prefix: &str, after: Option<&str>) -> Result<KeyPage, StoreError> {
         self.acquire().await?;
         let mut path = format!("/keys?Prefix={}", percent_encoded(prefix));
@@ -236,7 +239,8 @@
     ///
     /// # Errors
     ///
-    /// Any [`StoreError`]. After [`StoreError::Unknown`] a lease may exist that nobody extends; it expires.
+    /// Any [`StoreError`]. After [`StoreError::Unknown`] a lease may exist whose id nobody knows; it expires,
+    /// because nobody extends it.
     pub async fn grant(&self, ttl: Duration) -> Result<u64, StoreError> {
         self.acquire().await?;
         let body = Self::encode(&LeaseGrantRequest { ttl_ms: whole_millis(ttl) })?;
@@ -250,12 +254,12 @@
         }
     }
 
-    /// Extends a lease by its time to live. The request takes its permit of the rate limiter without
-    /// waiting, before all other requests.
+    /// Extends a lease by its time to live. The request acquires a permit of the rate limiter without waiting,
+    /// ahead of all waiting requests.
     ///
     /// # Errors
     ///
-    /// [`StoreError::NoLease`] if the lease does not exist, else any [`StoreError`].
+    /// [`StoreError::NoLease`] if the lease does not exist, otherwise any other [`StoreError`].
     pub async fn extend(&self, lease_id: u64) -> Result<(), StoreError> {
         let _ = self.rate_limiter.acquire_now(PERMITS_PER_REQUEST);
         let path = format!("/grants/{lease_id}/extend");
@@ -269,23 +273,23 @@
         }
     }
 
-    /// Releases a lease, so that its keys are deleted. Does not use the rate limiter.
+    /// Releases a lease, so that its keys are deleted. The request bypasses the rate limiter.
     ///
     /// # Errors
     ///
     /// [`StoreError::Unavailable`], [`StoreError::TooMany`], [`StoreError::TooOld`] or
-    /// [`StoreError::Unknown`]; other statuses count as success.
+    /// [`StoreError::Unknown`]; any other status of the response counts as success.
     pub async fn release(&self, lease_id: u64) -> Result<(), StoreError> {
         let path = format!("/grants/{lease_id}");
         self.call(Method::DELETE, &path, None, constants::STORE_TIMEOUT).await?;
         Ok(())
     }
 
-    /// Waits up to `wait` for changes of keys with a prefix after the revision `after`.
+    /// Waits up to `wait` for changes after the revision `after` of keys with a prefix.
     ///
     /// # Errors
     ///
-    /// [`StoreError::TooOld`] if that revision is compacted, else any [`StoreError`].
+    /// [`StoreError::TooOld`] if the store has compacted that revision, otherwise any other [`StoreError`].
     pub async fn watch(
         &self,
         prefix: &str,
@@ -307,7 +311,7 @@
     }
 }
 
-/// A key or prefix as a URL spells it.
+/// Returns a key or prefix with percent-encoding, for a URL.
 fn percent_encoded(key: &str) -> PercentEncode<'_> {
     utf8_percent_encode(key, ENCODED_CHARACTERS)
 }
--- a/crates/clients/src/worker.rs
+++ b/crates/clients/src/worker.rs
@@ -1,4 +1,4 @@
-//! Client of the workers, for commands that do not wait for a heartbeat.
+//! Client of the workers, for direct dispatch: commands sent without waiting for a heartbeat.
 
 use crate::{HttpClient, HttpError, HttpResponse};
 use hookway_constants as constants;
@@ -7,33 +7,34 @@
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
-/// Path of the workers' API that takes commands.
+/// Path of the workers' API for direct commands.
 const COMMANDS_PATH: &str = "/orders";
-/// Idle connections kept to each worker.
+/// Maximum idle connections to each worker.
 const MAX_IDLE_CONNECTIONS: usize = 1;
-/// Base address of the client; each request replaces it by that of its worker.
+/// Placeholder address of the client; each request replaces it with the address of its worker.
 const NO_ADDRESS: &str = "0.0.0.0:0";
-/// The incarnation that a state probe tries first: that of a worker that never restarted.
+/// The incarnation that a state probe tries first: a worker that has never restarted has this one.
 const FIRST_INCARNATION: u64 = 1;
-/// Requests of a state probe: one with the first incarnation, one with that named by the refusal.
+/// Maximum requests of a state probe: one with the first incarnation, and one with the incarnation that the
+/// refusal names.
 const PROBE_ATTEMPTS: u32 = 2;
 
-/// The outcome of commands that were sent directly to a worker.
+/// The outcome of the direct dispatch of commands to a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Delivery {
-    /// Executed; the worker's heartbeat after them.
+    /// The commands were executed. Holds the worker's heartbeat after their execution.
     Executed(Heartbeat),
-    /// Not executed: the worker has a higher fencing token or another incarnation. An earlier copy of the
-    /// request may have been executed.
+    /// The commands were not executed: the worker has a higher fencing token or another incarnation, or the
+    /// request is invalid. An earlier copy of the request may have been executed.
     Refused,
-    /// The commands were certainly not sent.
+    /// The commands were not sent, so the worker cannot execute them.
     NotSent,
-    /// The commands may have been executed, or may be later.
+    /// The commands may have been executed, or may be executed later.
     Indeterminate,
 }
 
-/// A client of all workers. A request may arrive minutes late, or twice: callers have to ensure that a
-/// late start command is refused for its lower fencing token.
+/// A client of all workers. A request may arrive minutes late, or twice: callers have to ensure that the
+/// worker refuses a late start command because of its lower fencing token.
 #[derive(Debug, Clone)]
 pub struct WorkerClient {
     http: HttpClient,
@@ -51,8 +52,8 @@
 }
 
 impl WorkerClient {
-    /// Sends commands that only stop tasks, with bounded concurrency. Commands that would wait too long for
-    /// a permit are not sent: the response to the worker's next heartbeat repeats them.
+    /// Sends commands that only stop tasks, with bounded concurrency. Commands that wait too long for a permit
+    /// are not sent: the response to the worker's next heartbeat repeats them.
     pub async fn stop(&self, address: &str, commands: &DirectCommands) {
         let queue_limit = constants::DIRECT_STOP_QUEUE_LIMIT;
         if let Ok(Ok(_permit)) =
@@ -62,9 +63,10 @@
         }
     }
 
-    /// State probe: sends a new leader's fencing token without commands, and returns the worker's heartbeat;
-    /// `None` if there is none. The worker's incarnation is unknown: if it is not the first one, the
-    /// refusal names it.
+    /// Sends a state probe, which carries a new leader's fencing token and no commands, and returns the
+    /// worker's heartbeat; `None` if the worker does not respond with one. The worker's incarnation is unknown:
+    /// if it is not the first one, the worker refuses the probe and names its incarnation, with which the probe
+    /// is repeated.
     pub async fn probe_state(&self, address: &str, fencing_token: u64) -> Option<Heartbeat> {
         let mut incarnation = FIRST_INCARNATION;
         for _ in 0..PROBE_ATTEMPTS {
@@ -92,7 +94,7 @@
     pub async fn send(&self, address: &str, commands: &DirectCommands) -> Delivery {
         let Ok(body) = serde_json::to_vec(commands) else { return Delivery::NotSent };
         match self.post_commands(address, body).await {
-            Ok(response) => delivery_by_response(address, &response),
+            Ok(response) => delivery_from_response(address, &response),
             Err(error) => {
                 tracing::debug!(address, %error, "commands without response");
                 if matches!(error, HttpError::NotSent { .. }) {
@@ -105,8 +107,8 @@
     }
 }
 
-/// What a worker's response says about the commands that were sent to it.
-fn delivery_by_response(address: &str, response: &HttpResponse) -> Delivery {
+/// Determines the outcome of commands from the worker's response.
+fn delivery_from_response(address: &str, response: &HttpResponse) -> Delivery {
     match response.status {
         StatusCode::OK => match serde_json::from_slice(&response.body) {
             Ok(heartbeat) => Delivery::Executed(heartbeat),
--- a/crates/clients/tests/error_texts.rs
+++ b/crates/clients/tests/error_texts.rs
@@ -1,11 +1,11 @@
-//! The texts of errors, letter by letter: they stand in logs and in responses to users.
+//! The exact texts of errors, which appear in logs and in responses to users.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_clients::{CloudClient, CloudError, HttpError, StoreClient, StoreError};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// The address of a server that sends this response to its first request.
+/// Starts a server that sends this response to its first request, and returns its address.
 async fn server_with_response(status: u16, body: &'static str) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound").to_string();
@@ -15,23 +15,31 @@
         assert_ne!(read, 0);
         let length = body.len();
         let text = format!("HTTP/1.1 {status} x\r\ncontent-length: {length}\r\n\r\n{body}");
-        stream.write_all(text.as_bytes()).await.expect("it listens");
+        stream.write_all(text.as_bytes()).await.expect("the client reads the response");
     });
     address
 }
 
 async fn store_error(status: u16, body: &'static str) -> String {
     let address = server_with_response(status, body).await;
-    StoreClient::new(&address, 1_000.0).list("j/").await.expect_err("unexpected").to_string()
+    StoreClient::new(&address, 1_000.0)
+        .list("j/")
+        .await
+        .expect_err("the response is unexpected")
+        .to_string()
 }
 
 async fn cloud_error(status: u16, body: &'static str) -> String {
     let address = server_with_response(status, body).await;
-    CloudClient::new(&address, 1_000.0).machines().await.expect_err("unexpected").to_string()
+    CloudClient::new(&address, 1_000.0)
+        .machines()
+        .await
+        .expect_err("the response is unexpected")
+        .to_string()
 }
 
 #[test]
-fn request_that_can_not_be_encoded_is_reported_with_status_zero() {
+fn request_that_cannot_be_encoded_is_reported_with_status_zero() {
     let reason = || "why".to_owned();
     let store = StoreError::Unexpected { status: 0, reason: reason() };
     assert_eq!(store.to_string(), "unexpected answer 0: why");
@@ -40,7 +48,7 @@
 }
 
 #[test]
-fn timeout_of_state_service_is_reported_without_address() {
+fn timeout_of_store_is_reported_without_address() {
     let address = "127.0.0.1:1".to_owned();
     let timeout = StoreError::Unknown(HttpError::Timeout { address });
     assert_eq!(timeout.to_string(), "no answer from the state service: no answer in time");
@@ -55,7 +63,7 @@
 }
 
 #[tokio::test]
-async fn only_state_service_client_quotes_body_that_can_not_be_decoded() {
+async fn only_store_client_quotes_body_that_cannot_be_decoded() {
     let error = "expected value at line 1 column 1";
     assert_eq!(store_error(200, "oops").await, format!("unexpected answer 200: {error}: oops"));
     let cloud = format!("unexpected response of the cloud (status 200): {error}");
--- a/crates/clients/tests/requests.rs
+++ b/crates/clients/tests/requests.rs
@@ -1,5 +1,5 @@
-//! The requests of the clients to the state service, the cloud, workers and the API: method, path, query and body, and
-//! the result for each response status. The server is a socket with scripted responses that uses none of our types.
+//! The requests of the clients to the store, the cloud, workers and the API: method, path, query and body, and the
+//! result for each response status. The server is a socket with scripted responses that uses no type of this project.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_clients::{
@@ -16,12 +16,12 @@
 
 const HEARTBEAT: &str = r#"{"Host":"m-1","Addr":"10.1.0.2:9000","Flavor":"g8","Yard":"a","Loaners":true,"Tenure":3,"Tick":1}"#;
 const JOB_STATUS: &str = r#"{"NameId":"req-000412","Status":"running"}"#;
-/// Rate limit of the clients, requests per second: high enough to delay no test.
+/// Rate limit of the clients in requests per second, high enough that no test is delayed.
 const HIGH_RATE: f64 = 1_000.0;
 /// Time limit after which a missing request fails the test.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Reads one request. Returns its first line without the HTTP version, and its body.
+/// Reads one request, and returns its first line without the HTTP version, followed by its body.
 async fn read_request(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     loop {
@@ -45,8 +45,8 @@
     }
 }
 
-/// Starts a server that gives these responses (status and body), one per connection. Returns its address, and a task
-/// that ends with the received requests.
+/// Starts a server that sends these responses (status and body), one per connection. Returns its address, and a task
+/// whose result is the received requests.
 async fn start_server(responses: &[(u16, &str)]) -> (String, JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound").to_string();
@@ -71,7 +71,7 @@
     (address, requests)
 }
 
-/// Waits until all responses have been given, and returns the received requests.
+/// Waits until all responses have been sent, and returns the received requests.
 async fn received(requests: JoinHandle<Vec<String>>) -> Vec<String> {
     tokio::time::timeout(REQUEST_TIMEOUT, requests)
         .await
@@ -134,7 +134,7 @@
 }
 
 #[tokio::test]
-async fn list_ends_with_last_or_empty_page_and_has_revision_of_first() {
+async fn list_ends_at_last_or_empty_page_and_has_revision_of_first_page() {
     let (address, requests) = start_server(&[
         (200, r#"{"Pairs":[{"Key":"a","V":1,"Stamp":4}],"HasNext":true,"Epoch":9}"#),
         (200, r#"{"Pairs":[{"Key":"b","V":2,"Stamp":5}],"HasNext":true,"Epoch":10}"#),
