--- a/crates/hookway/src/client.rs
+++ b/crates/hookway/src/client.rs
@@ -8,21 +8,21 @@
 /// Why a client command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// The file of the job cannot be read.
+    /// The job file cannot be read.
     #[error("can't read {}: {source}", path.display())]
     UnreadableFile {
-        /// Path of the file.
+        /// Path of the job file, as given on the command line.
         path: PathBuf,
-        /// Reason.
+        /// Why the file cannot be read.
         source: std::io::Error,
     },
-    /// The argument is not a job id.
+    /// The `job` argument does not have the form of a job id.
     #[error("a job's id has the form req-000412")]
     InvalidJobId,
-    /// The command is not a client command.
+    /// The command, such as `check`, sends no request to the API.
     #[error("not a client command")]
     NotAClientCommand,
-    /// The request failed.
+    /// The request to the API failed or was rejected.
     #[error(transparent)]
     Api(#[from] ApiError),
 }
--- a/crates/hookway/src/logging.rs
+++ b/crates/hookway/src/logging.rs
@@ -5,7 +5,7 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// The environment variable that sets the level: `debug`, `info` (the default) or `error`.
+/// Environment variable that sets the minimum level of logged events: `debug`, `info` (the default) or `error`.
 const LEVEL_VARIABLE: &str = "LOG_LEVEL";
 
 /// Starts logging to standard error. Only events of hookway's own crates are logged.
--- a/crates/hookway/src/main.rs
+++ b/crates/hookway/src/main.rs
@@ -1,4 +1,4 @@
-//! The hookway binary: a controller, a check of settings, and the client commands.
+//! The hookway binary: runs a controller, checks settings files, or executes a client command.
 //!
 //! Exit codes: 0 for success, 1 for failure, and 2 for invalid arguments (given by clap).
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// Checks both settings files without starting anything.
+/// Checks the settings files without starting a controller.
 fn check_settings(config: &Path, operator: Option<&Path>) -> ExitCode {
     let checked = load_settings(config, operator);
     exit_code(checked.map(|(settings, _)| {
@@ -48,7 +48,7 @@
     }))
 }
 
-/// Loads the platform's settings, and the operators' settings or their defaults.
+/// Loads the platform's settings, and the operators' settings or, without a file, their defaults.
 fn load_settings(
     config: &Path,
     operator: Option<&Path>,
--- a/crates/hookway/tests/command_line.rs
+++ b/crates/hookway/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! Commands, flags, environment variables, output and exit codes of the binary, on which users' scripts rely.
+//! The commands, flags, environment variables, output and exit codes of the binary, which users' scripts rely on.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use hookway_testkit::SETTINGS;
@@ -17,8 +17,8 @@
     command
 }
 
-/// Runs a process until it exits and returns its output. One that does not exit, such as a controller that accepted
-/// settings which it should reject, is killed.
+/// Runs a process until it exits, and returns its output. A process that does not exit, such as a controller that
+/// accepts settings which it should reject, is killed and fails the test.
 fn run(command: &mut Command) -> Output {
     let command = command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
     let mut process = command.spawn().expect("the binary starts");
@@ -38,7 +38,7 @@
     run(binary().args(arguments))
 }
 
-/// Exit code, standard output and standard error.
+/// Returns the exit code, standard output and standard error.
 fn exit_and_output(output: &Output) -> (Option<i32>, String, String) {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (output.status.code(), text(&output.stdout), text(&output.stderr))
@@ -65,8 +65,8 @@
     }
 }
 
-/// Starts an API that gives one response. Returns its address, and a thread that ends with the first line of the
-/// request.
+/// Starts an API server that sends one response. Returns its address, and a thread whose result is the first line of
+/// the request.
 fn start_api(status: u16, body: &'static str) -> (String, std::thread::JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound").to_string();
@@ -80,7 +80,7 @@
             "HTTP/1.1 {status} -\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n{body}"
         )
         .expect("the client reads the response");
-        // Closing a socket with unread bytes resets the connection, and the client may lose the response.
+        // Closing a socket with unread bytes would reset the connection, and the client might lose the response.
         stream.shutdown(Shutdown::Write).expect("the client reads the response");
         std::io::copy(&mut stream, &mut std::io::sink()).expect("the client closes the connection");
         let text = String::from_utf8_lossy(&bytes[..read]).into_owned();
--- a/crates/hookway/tests/commands.rs
+++ b/crates/hookway/tests/commands.rs
@@ -1,5 +1,5 @@
-//! Commands of the binary and their aliases.
-#![allow(clippy::expect_used, reason = "a test may fail like that")]
+//! The `cancel` command of the binary and its alias.
+#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use std::process::{Command, Output};
 
--- a/crates/hookway/tests/docs.rs
+++ b/crates/hookway/tests/docs.rs
@@ -1,8 +1,8 @@
 //! Checks that the tests named in docs/safety.md exist.
 //!
-//! A lower-case word in backquotes with at least three underscores counts as the name of a test: tests are named by a
-//! condition and the expected result, functions and settings by two or three words (`take_direct_starts`, `leader_lease_s`).
-//! Paths (`ClusterState::cancel`) and constants (`TOKENS_PER_TERM`) don't count.
+//! A lower-case word in backquotes with at least three underscores counts as the name of a test: the names of tests
+//! state a condition and the expected result, those of functions and settings have two or three words (`take_direct_starts`, `leader_lease_s`).
+//! Paths (`ClusterState::cancel`) and constants (`TOKENS_PER_TERM`) do not count.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 use std::collections::BTreeSet;
@@ -16,19 +16,20 @@
 }
 
 /// Whether a word in backquotes counts as the name of a test.
-fn names_a_test(word: &str) -> bool {
+fn is_test_name(word: &str) -> bool {
     let in_snake_case = |character: char| {
         character.is_ascii_lowercase() || character.is_ascii_digit() || character == '_'
     };
     word.chars().all(in_snake_case) && word.matches('_').count() >= MIN_UNDERSCORES
 }
 
-/// The tests that a page names. Backquotes come in pairs, so every second part of the split text is in backquotes.
+/// Returns the tests that a page names. Backquotes come in pairs, so every second part of the split text is in
+/// backquotes.
 fn tests_named_in(page: &str) -> BTreeSet<&str> {
-    page.split('`').skip(1).step_by(2).filter(|word| names_a_test(word)).collect()
+    page.split('`').skip(1).step_by(2).filter(|word| is_test_name(word)).collect()
 }
 
-/// Adds the names of the functions that carry a test attribute, in all Rust files below a folder.
+/// Adds the names of all functions with a test attribute in the Rust files below a folder to `found`.
 fn collect_tests(folder: &Path, found: &mut BTreeSet<String>) {
     for entry in std::fs::read_dir(folder).expect("the folder can be read") {
         let path = entry.expect("the folder can be read").path();
@@ -42,7 +43,8 @@
     }
 }
 
-/// The names of functions after `#[test]` or `#[tokio::test]`, with or without other attributes between.
+/// Returns the names of the functions that follow `#[test]` or `#[tokio::test]`, with or without other attributes in
+/// between.
 fn tests_in(source: &str) -> Vec<String> {
     let mut found = Vec::new();
     let mut is_test = false;
--- a/crates/hookway/tests/loopback_cluster/controller.rs
+++ b/crates/hookway/tests/loopback_cluster/controller.rs
@@ -15,7 +15,7 @@
 /// A controller process that can be restarted.
 pub struct Controller {
     pub name: String,
-    /// Address of its API.
+    /// Address of the controller's API.
     pub api: String,
     settings: PathBuf,
     process: Child,
@@ -28,12 +28,12 @@
     }
 }
 
-/// Whether controllers are warm standbys that follow the leader.
+/// Whether controllers are started as warm standbys, which keep a copy of the leader's cluster state.
 pub fn has_warm_standbys() -> bool {
     std::env::var("HOOKWAY_STANDBY").as_deref() != Ok("off")
 }
 
-/// Starts a controller process, which appends to the log of the previous one.
+/// Starts a controller process. Its log is appended to that of the previous process with the same settings.
 fn spawn_controller(settings: &Path) -> Child {
     let operator = if has_warm_standbys() {
         PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/standby.ini"))
@@ -52,13 +52,13 @@
 }
 
 impl Controller {
-    /// Starts the process with a settings file, beside which its log is written.
+    /// Starts a controller process. Its log is written to the folder of the settings file.
     pub fn start(name: &str, api: &str, settings: PathBuf) -> Self {
         let process = spawn_controller(&settings);
         Self { name: name.to_owned(), api: api.to_owned(), settings, process }
     }
 
-    /// How the log of the process ends.
+    /// Returns the last line of the log, or why it cannot be read.
     pub fn last_log_line(&self) -> String {
         match std::fs::read_to_string(self.settings.with_extension("log")) {
             Ok(log) => log.lines().last().unwrap_or("nothing logged").to_owned(),
--- a/crates/hookway/tests/loopback_cluster/mod.rs
+++ b/crates/hookway/tests/loopback_cluster/mod.rs
@@ -1,4 +1,4 @@
-//! Three controller processes on loopback, with test doubles of the state service, the cloud and the workers.
+//! Three controller processes on loopback, with test doubles of the store, the cloud and the workers.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 mod controller;
@@ -14,11 +14,11 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// Longest wait for a condition.
+/// Maximum wait for a condition.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Interval at which a condition is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Timeout of a user's request to one controller.
+/// Timeout of an API request to one controller.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 const WORKER_LEASE: Duration = Duration::from_secs(14);
@@ -26,7 +26,7 @@
 const RUN_TIME: Duration = Duration::from_secs(1);
 pub const MACHINES: usize = 6;
 
-/// Three controllers with the state service, the cloud and the workers.
+/// Three controller processes, and test doubles of the store, the cloud and the workers.
 pub struct Cluster {
     pub controllers: Vec<Controller>,
     pub fleet: Fleet,
@@ -37,7 +37,7 @@
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        // After a failure the logs of the processes are kept for its analysis.
+        // After a failure the logs of the processes are kept for analysis.
         if std::thread::panicking() {
             self.print_last_log_lines();
         } else {
@@ -86,12 +86,12 @@
         Self { controllers, fleet, folder, _addresses: reserved, _store: store }
     }
 
-    /// Waits for an active leader and returns its index.
+    /// Waits for an active leader, and returns its index.
     pub async fn leader(&self) -> usize {
         self.leader_other_than(None).await
     }
 
-    /// Waits for an active leader other than this one and returns its index.
+    /// Waits for an active leader other than the controller with index `other`, and returns its index.
     pub async fn leader_other_than(&self, other: Option<usize>) -> usize {
         wait_for("a leader", async || {
             for (index, controller) in self.controllers.iter().enumerate() {
@@ -143,7 +143,7 @@
         .await
     }
 
-    /// Prints how the log of each controller ends.
+    /// Prints the last log line of each controller.
     fn print_last_log_lines(&self) {
         for controller in &self.controllers {
             println!("last log line of {}: {}", controller.name, controller.last_log_line());
@@ -189,7 +189,8 @@
         .await;
     }
 
-    /// Waits until the previous leader follows the next one.
+    /// Waits until the previous leader follows (unless it is also the next one) and, if standbys are warm, has a usable
+    /// copy.
     pub async fn wait_until_following(&self, previous: usize, next: usize) {
         wait_for("the previous leader to follow", async || {
             let status = self.controllers[previous].replication_status().await?;
@@ -199,7 +200,7 @@
         .await;
     }
 
-    /// Waits for the first task start after `moment` and returns its time.
+    /// Waits for a task start after `moment`, and returns the time of the first one.
     pub async fn first_start_after(&self, moment: Instant) -> Instant {
         wait_for("a task start", async || {
             let history = self.fleet.history();
@@ -213,7 +214,10 @@
     /// Checks that no task ran on two machines and no attempt started twice.
     pub fn assert_no_violations(&self) {
         let violations = self.fleet.violations();
-        assert!(violations.is_empty(), "tasks started twice: {violations:?}");
+        assert!(
+            violations.is_empty(),
+            "a task ran on two machines or an attempt started twice: {violations:?}"
+        );
     }
 }
 
@@ -252,7 +256,7 @@
     status.copy == "usable" && status.tasks >= tasks
 }
 
-/// Polls until there is a result; fails the test after `WAIT_TIMEOUT`.
+/// Polls until `poll` returns a result. Fails the test after `WAIT_TIMEOUT`.
 pub async fn wait_for<T>(what: &str, poll: impl AsyncFn() -> Option<T>) -> T {
     let started_at = Instant::now();
     loop {
--- a/crates/hookway/tests/standby.rs
+++ b/crates/hookway/tests/standby.rs
@@ -1,5 +1,5 @@
-//! Failovers of controller processes on loopback that are killed or paused, with test doubles of the state service,
-//! the cloud and the workers. Every task start is checked. No duration is asserted, except for timeouts of waits.
+//! Failovers between controller processes on loopback after the leader was killed or paused, with test doubles of the
+//! store, the cloud and the workers. Every task start is checked. Durations are not asserted, apart from timeouts.
 //!
 //! `HOOKWAY_TAKEOVERS=100` sets the number of failovers, whose durations are printed; `HOOKWAY_STANDBY=off` runs them
 //! without warm standbys, for comparison.
@@ -12,7 +12,7 @@
 
 /// Number of failovers unless `HOOKWAY_TAKEOVERS` sets it.
 const DEFAULT_FAILOVERS: usize = 4;
-/// Longest delay of commands that a killed or paused leader has sent.
+/// Maximum delay of commands that a leader has sent before it was killed or paused.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 
 fn print_quantiles(name: &str, durations: &mut [Duration]) {
@@ -23,11 +23,12 @@
     println!("{name}: p50 {p50} ms, p90 {p90} ms, longest {longest} ms of {}", durations.len());
 }
 
-/// A gang is partially placed when the leader is killed; a standby places the remaining tasks.
+/// The leader is killed while a gang is partially started. The next leader must start the remaining tasks with the same
+/// attempt number.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn standby_completes_partially_placed_gang_after_leader_is_killed() {
     let mut cluster = Cluster::start("gang").await;
-    // Every machine has run a task, so the leader and the standbys know all of them.
+    // After every machine has run a task, the leader and the standbys know all machines.
     let array = cluster.submit(1, "array", MACHINES as u32).await;
     cluster.wait_until_done(&array).await;
     let partitioned = MACHINES / 2..MACHINES;
@@ -38,7 +39,7 @@
         (started.len() == MACHINES / 2).then_some(started)
     })
     .await;
-    // Either standby may be elected, so both must have the attempt.
+    // Either standby may be elected, so both must have the gang's attempt number.
     let leader = cluster.leader_followed_by_all(MACHINES).await;
     cluster.controllers[leader].kill();
     cluster.fleet.heal(partitioned);
@@ -48,16 +49,16 @@
     assert_eq!(started.len(), MACHINES, "each task must start exactly once: {started:?}");
     assert!(
         started.iter().all(|(_, attempt)| *attempt == started_before[0].1),
-        "all tasks must have the attempt that the first leader chose: {started:?}"
+        "all tasks must have the attempt number that the first leader chose: {started:?}"
     );
     cluster.assert_no_violations();
     cluster.controllers[leader].restart();
     cluster.wait_for_copy(next, 0).await;
 }
 
-/// The leader is killed, or paused until after the failover, while jobs run.
+/// While jobs run, the leader is repeatedly killed, or paused until after the failover. No task may run twice.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn repeated_leader_kills_and_freezes_run_no_task_twice() {
+async fn repeated_kills_and_pauses_of_leader_run_no_task_twice() {
     let failovers: usize = std::env::var("HOOKWAY_TAKEOVERS")
         .ok()
         .and_then(|count| count.parse().ok())
@@ -81,7 +82,7 @@
         let first_start = cluster.first_start_after(failed_at + IN_FLIGHT_TIME).await;
         first_starts.push(first_start - failed_at);
         if paused && failover % 4 == 3 {
-            // The process resumes so late that all its pending requests are stale.
+            // The process resumes only after the array is done, so that all its pending requests are stale.
             cluster.wait_until_done(&array).await;
         }
         if paused {
