--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -1,15 +1,15 @@
-//! Points in time of the two clocks of a process, and spans of time, with millisecond resolution.
+//! Points in time of the two clocks of a process, and conversions of durations, with millisecond resolution.
 //!
-//! [`MonotonicTime`] and [`WallTime`] are separate types, so that readings of the two clocks can't be mixed. A span is a
-//! [`std::time::Duration`]. The crate reads no clock: whoever does passes its reading on, which lets tests set the time.
+//! [`MonotonicTime`] and [`WallTime`] are separate types, so that readings of the two clocks cannot be confused. The
+//! crate reads no clock: the callers that do pass on the readings, so tests can set the time.
 //!
-//! Records and messages between processes carry plain numbers of milliseconds; they are converted where they are read
-//! and written.
+//! Records and messages between processes contain plain numbers of milliseconds, which are converted where they are
+//! read and written.
 
+mod duration;
 mod monotonic;
-mod span;
 mod wall;
 
+pub use duration::{millis_f64, seconds_f64, span_of_seconds, whole_millis};
 pub use monotonic::MonotonicTime;
-pub use span::{millis_f64, seconds_f64, span_of_seconds, whole_millis};
 pub use wall::WallTime;
--- a/crates/time/tests/points_in_time.rs
+++ b/crates/time/tests/points_in_time.rs
@@ -1,4 +1,4 @@
-//! Points in time at their limits.
+//! Points in time at the ends of their range, and the rounding of conversions.
 
 use hookway_time::{MonotonicTime, WallTime, seconds_f64, span_of_seconds, whole_millis};
 use std::time::Duration;
@@ -18,9 +18,9 @@
 
 #[test]
 fn fractions_of_a_millisecond_are_dropped() {
-    let span = Duration::from_micros(1_999);
-    assert_eq!(whole_millis(span), 1);
-    assert_eq!(MonotonicTime::ZERO + span, MonotonicTime::from_millis(1));
+    let duration = Duration::from_micros(1_999);
+    assert_eq!(whole_millis(duration), 1);
+    assert_eq!(MonotonicTime::ZERO + duration, MonotonicTime::from_millis(1));
     assert_eq!(whole_millis(Duration::MAX), u64::MAX);
 }
 
