--- a/crates/clients/src/api.rs
+++ b/crates/clients/src/api.rs
@@ -27,7 +27,7 @@
     InvalidResponse(String),
 }
 
-/// A client of hookway's API, as users' commands need it.
+/// A client of hookway's API for users.
 #[derive(Debug, Clone)]
 pub struct ApiClient {
     http: HttpClient,
--- a/crates/clients/src/cloud.rs
+++ b/crates/clients/src/cloud.rs
@@ -78,7 +78,7 @@
         Ok(response)
     }
 
-    /// Returns the error for a response with a status that the request does not provide for.
+    /// Returns the error for a response with an unexpected status.
     fn unexpected(response: &HttpResponse) -> CloudError {
         let status = response.status.as_u16();
         if response.status == StatusCode::SERVICE_UNAVAILABLE {
--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -151,7 +151,7 @@
         })
     }
 
-    /// Returns the error for a response with a status that the request does not provide for.
+    /// Returns the error for a response with an unexpected status.
     fn unexpected(response: &HttpResponse) -> StoreError {
         StoreError::Unexpected {
             status: response.status.as_u16(),
--- a/crates/replication/src/publisher.rs
+++ b/crates/replication/src/publisher.rs
@@ -16,7 +16,7 @@
 pub struct TaskView<'a> {
     /// Id of the task in the form `req-000412/3`.
     pub task: &'a str,
-    /// Number of the attempt, unique among the leaders of all terms.
+    /// Number of the attempt; no two leaders use the same number.
     pub attempt: u64,
     /// How far the attempt has progressed.
     pub stage: Stage,
@@ -166,7 +166,7 @@
     ///
     /// # Errors
     ///
-    /// An [`SnapshotError`] if the state is too large for a snapshot or cannot be encoded.
+    /// A [`SnapshotError`] if the state is too large for a snapshot or cannot be encoded.
     pub fn respond(
         &mut self,
         request: &FollowRequest,
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -94,7 +94,7 @@
     pub last_failure_unix_ms: u64,
     /// Unix time until which no task of the job is started, in ms.
     pub backoff_until_unix_ms: u64,
-    /// Names of the machines on which tasks of the job failed recently.
+    /// Names of the machines on which tasks of the job failed recently, oldest first.
     pub failed_machines: Vec<String>,
 }
 
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -48,7 +48,7 @@
     #[serde(default)]
     #[serde(rename = "MarketPrice")]
     pub spot_price: Option<f64>,
-    /// Nominal time from the creation of a machine until it runs, in seconds.
+    /// Nominal boot time, in seconds.
     #[serde(rename = "ReadyS")]
     pub boot_s: f64,
     /// Names of the zones that offer this machine type.
