--- a/crates/replication/src/publisher.rs
+++ b/crates/replication/src/publisher.rs
@@ -2,57 +2,58 @@
 
 use crate::digest::RangeDigest;
 use crate::entry::Entry;
-use crate::image::{Image, ImageChunk, ImageError};
 use crate::log::ReplicationLog;
 use crate::message::{FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress};
 use crate::position::Position;
+use crate::snapshot::{ImageChunk, Snapshot, SnapshotError};
 use crate::state::{PlacedTask, ReplicatedJob, ReplicatedMachine, ReplicatedState, Stage};
 use hookway_constants as constants;
 use hookway_time::MonotonicTime;
 use std::collections::BTreeMap;
 
-/// The current state of a task on a machine.
+/// The current state of an attempt on a machine, as the leader knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TaskView<'a> {
-    /// Id of the task.
+    /// Id of the task in the form `req-000412/3`.
     pub task: &'a str,
-    /// Number of the attempt.
+    /// Number of the attempt; no two leaders use the same number.
     pub attempt: u64,
-    /// Progress of the attempt.
+    /// How far the attempt has progressed.
     pub stage: Stage,
 }
 
-/// The current state of a machine.
+/// The current state of a machine, as the leader knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MachineView<'a> {
-    /// Name of the machine.
+    /// Unique name of the machine.
     pub name: &'a str,
-    /// Address (`host:port`) of its worker.
+    /// Address (`host:port`) of the machine's worker.
     pub address: &'a str,
-    /// Incarnation of its worker.
+    /// Incarnation of the machine's worker.
     pub incarnation: u64,
 }
 
-/// Publishes changes of the leader's cluster state. The leader may publish a machine or job as often as it likes:
-/// only differences from the last published state become entries. Publishing everything periodically bounds the
-/// time for which a change can be missed.
+/// Publishes changes of the leader's cluster state to its followers.
+///
+/// The leader may publish a machine or job as often as it likes: only differences from the last published state
+/// become entries. Publishing everything periodically bounds the time for which a change can be missed.
 #[derive(Debug)]
 pub struct Publisher {
-    /// The published state: that of a follower that has applied the whole log.
+    /// The published state, which a follower that has applied the whole log has as well.
     state: ReplicatedState,
     log: ReplicationLog,
-    /// The image that followers are receiving, if any.
-    image: Option<Image>,
-    /// Progress of the comparison of digests, by name of the follower.
-    digests: BTreeMap<String, DigestSchedule>,
+    /// The snapshot that is sent to followers; `None` before the first one is needed.
+    snapshot: Option<Snapshot>,
+    /// Which digest is sent next and when, by the name of the follower.
+    digest_schedules: BTreeMap<String, DigestSchedule>,
 }
 
-/// Progress of the comparison of digests with one follower.
+/// Which digest is sent next to one follower, and when.
 #[derive(Debug, Default)]
 struct DigestSchedule {
-    /// Index of the range that is compared next.
+    /// Index of the range whose digest is sent next.
     next_range: u32,
-    /// When the last digest was sent; the clock's start before the first.
+    /// Time of the last digest; [`MonotonicTime::ZERO`] before the first one.
     last_sent_at: MonotonicTime,
 }
 
@@ -62,29 +63,29 @@
         Self {
             state: ReplicatedState::default(),
             log: ReplicationLog::new(term, constants::REPLICATION_LOG_ENTRIES),
-            image: None,
-            digests: BTreeMap::new(),
+            snapshot: None,
+            digest_schedules: BTreeMap::new(),
         }
     }
 
-    /// Position of the last entry.
+    /// Returns the position of the last published entry.
     pub fn end(&self) -> Position {
         self.log.end()
     }
 
-    /// The published state: that of a follower that has applied the whole log.
+    /// Returns the published state, which a follower that has applied the whole log has as well.
     pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
     fn append(&mut self, entry: Entry) {
-        // Every entry is a difference from this state, so it can always be applied.
+        // Every entry is derived from a difference to this state, so it can always be applied.
         if self.state.apply(entry.clone()).is_ok() {
             self.log.append(entry);
         }
     }
 
-    /// Publishes a machine with all tasks on it.
+    /// Publishes a machine and the complete set of its tasks.
     pub fn publish_machine<'a>(
         &mut self,
         view: MachineView<'_>,
@@ -116,9 +117,9 @@
         let Some(published) = self.state.machines.get(machine) else { return };
         let is_published =
             |task: TaskView<'_>| published.stage(task.task, task.attempt) == Some(task.stage);
-        // Most machines have not changed: no entries are built for them.
-        let same_count = tasks.clone().count() == published.tasks().len();
-        if same_count && tasks.clone().all(is_published) {
+        // Most machines have not changed, so this check avoids building entries for them.
+        let has_same_count = tasks.clone().count() == published.tasks().len();
+        if has_same_count && tasks.clone().all(is_published) {
             return;
         }
         for entry in task_entries(machine, published, tasks) {
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Publishes the removal of a machine. Does nothing if the machine was never published.
+    /// Publishes the removal of a machine and its tasks. Does nothing if the machine was never published.
     pub fn remove_machine(&mut self, name: &str) {
         if self.state.machines.contains_key(name) {
             self.append(Entry::MachineRemoved { name: name.to_owned() });
@@ -140,17 +141,17 @@
         removed.iter().for_each(|name| self.remove_machine(name));
     }
 
-    /// Publishes the state of a job that no record holds.
+    /// Publishes the part of a job's state that is not in the store.
     pub fn publish_job(&mut self, id: &str, job: ReplicatedJob) {
         if self.state.jobs.get(id) != Some(&job) {
             self.append(Entry::Job { id: id.to_owned(), job });
         }
     }
 
-    /// Removes all published jobs for which `exists` is false. `count` is the number of jobs for which it is true;
-    /// if as many are published, nothing is checked.
-    pub fn retain_jobs(&mut self, count: usize, exists: impl Fn(&str) -> bool) {
-        if self.state.jobs.len() == count {
+    /// Removes all published jobs for which `exists` is false. `existing_jobs` is the number of jobs for which `exists`
+    /// is true, all of which must have been published: if no other job is published, the check is skipped.
+    pub fn retain_jobs(&mut self, existing_jobs: usize, exists: impl Fn(&str) -> bool) {
+        if self.state.jobs.len() == existing_jobs {
             return;
         }
         let removed: Vec<String> =
@@ -160,25 +161,25 @@
         }
     }
 
-    /// Responds to a follower at `now`: with entries if the log has all that are missing, else with a chunk of an
-    /// image.
+    /// Returns the response to a follower's request at `now`: entries if the log still has all missing ones, otherwise
+    /// a snapshot chunk.
     ///
     /// # Errors
     ///
-    /// An [`ImageError`] if the state is too large for an image.
+    /// A [`SnapshotError`] if the state is too large for a snapshot or cannot be encoded.
     pub fn respond(
         &mut self,
         request: &FollowRequest,
         now: MonotonicTime,
-    ) -> Result<FollowResponse, ImageError> {
+    ) -> Result<FollowResponse, SnapshotError> {
         let body = match self.missing_entries(request, now) {
             Some(entries) => entries,
-            None => FollowResponseBody::ImageChunk(self.image_chunk(request.progress, now)?),
+            None => FollowResponseBody::ImageChunk(self.snapshot_chunk(request.progress, now)?),
         };
         Ok(FollowResponse { end: self.log.end(), body })
     }
 
-    /// The entries that a follower lacks; `None` if it needs an image.
+    /// Returns the entries that a follower lacks; `None` if it needs a snapshot.
     fn missing_entries(
         &mut self,
         request: &FollowRequest,
@@ -190,7 +191,7 @@
         }
     }
 
-    /// The entries after a position, limited by the size of a message; `None` if the log does not have them.
+    /// Returns the entries after a position, as many as fit into one message; `None` if the log no longer has them.
     fn entries_after(
         &mut self,
         follower: &str,
@@ -206,15 +207,15 @@
             }
             entries.push(entry.clone());
         }
-        // The digest is of the state at the end of the log, so only a follower that gets there can compare it.
+        // The digest is of the state at the end of the log, so only a follower that reaches the end can compare it.
         let is_complete = after.index + entries.len() as u64 == self.log.end().index;
         let digest = if is_complete { self.next_digest(follower, now) } else { None };
         Some(FollowResponseBody::Entries { after, entries, digest })
     }
 
-    /// The digest of the next range, if the follower has received none for the digest interval.
+    /// Returns the digest of the next range, unless one was sent to the follower within the digest interval.
     fn next_digest(&mut self, follower: &str, now: MonotonicTime) -> Option<RangeDigest> {
-        let schedule = self.digests.entry(follower.to_owned()).or_default();
+        let schedule = self.digest_schedules.entry(follower.to_owned()).or_default();
         if now < schedule.last_sent_at + constants::REPLICATION_DIGEST_INTERVAL {
             return None;
         }
@@ -224,15 +225,15 @@
         digest
     }
 
-    /// The chunk of an image that a follower needs next.
-    fn image_chunk(
+    /// Returns the snapshot chunk that a follower needs next.
+    fn snapshot_chunk(
         &mut self,
         progress: FollowerProgress,
         now: MonotonicTime,
-    ) -> Result<ImageChunk, ImageError> {
+    ) -> Result<ImageChunk, SnapshotError> {
         let next_chunk = match progress {
             FollowerProgress::ReceivingImage { position, next_chunk } => {
-                self.chunk_of_current_image(position, next_chunk)
+                self.chunk_of_current_snapshot(position, next_chunk)
             }
             FollowerProgress::Empty | FollowerProgress::Through(_) => None,
         };
@@ -242,30 +243,31 @@
         }
     }
 
-    /// A chunk of the current image; `None` if the image is of another position, the log does not continue it any
-    /// more, or there is no such chunk.
-    fn chunk_of_current_image(&self, position: Position, index: u32) -> Option<ImageChunk> {
-        let image = self.image.as_ref().filter(|image| image.position == position)?;
-        if self.log.covers(position) { image.chunk(index) } else { None }
+    /// Returns a chunk of the current snapshot; `None` if the snapshot is of another position, the log no longer has
+    /// the entries after the snapshot, or the index is beyond the last chunk.
+    fn chunk_of_current_snapshot(&self, position: Position, index: u32) -> Option<ImageChunk> {
+        let snapshot = self.snapshot.as_ref().filter(|snapshot| snapshot.position == position)?;
+        if self.log.covers(position) { snapshot.chunk(index) } else { None }
     }
 
-    /// The first chunk of an image that the log continues: the current image while it is young, else a new one.
-    fn first_chunk(&mut self, now: MonotonicTime) -> Result<ImageChunk, ImageError> {
+    /// Returns the first chunk of the current snapshot, or of a new one if the current snapshot has reached the
+    /// end of its lifetime or the log no longer has the entries after it.
+    fn first_chunk(&mut self, now: MonotonicTime) -> Result<ImageChunk, SnapshotError> {
         let log = &self.log;
-        let is_young = |image: &Image| {
-            now < image.made_at + constants::REPLICATION_IMAGE_LIFETIME
-                && log.covers(image.position)
+        let is_reusable = |snapshot: &Snapshot| {
+            now < snapshot.taken_at + constants::REPLICATION_IMAGE_LIFETIME
+                && log.covers(snapshot.position)
         };
-        let image = match self.image.take().filter(is_young) {
-            Some(image) => image,
-            None => Image::new(&self.state, self.log.end(), now)?,
+        let snapshot = match self.snapshot.take().filter(is_reusable) {
+            Some(snapshot) => snapshot,
+            None => Snapshot::new(&self.state, self.log.end(), now)?,
         };
         // An encoded state is never empty, so there is a first chunk.
-        self.image.insert(image).chunk(0).ok_or(ImageError::ChunkLength(0))
+        self.snapshot.insert(snapshot).chunk(0).ok_or(SnapshotError::ChunkLength(0))
     }
 }
 
-/// Entries that turn the published tasks of a machine into the current ones. Removals come first.
+/// Returns the entries that turn the published tasks of a machine into the current ones, removals first.
 fn task_entries<'a>(
     machine: &str,
     published: &ReplicatedMachine,
@@ -290,9 +292,9 @@
     removals.chain(changes).collect()
 }
 
-/// Upper estimate of the encoded size of an entry, in bytes.
+/// Returns an upper estimate of the encoded size of an entry, in bytes.
 fn max_encoded_bytes(entry: &Entry) -> usize {
-    /// Numbers, lengths and the variant of an entry, or the numbers of a job's state.
+    /// Upper estimate of the encoded variant, lengths and numbers of an entry, and of the numbers of a job's state.
     const FIXED_BYTES: usize = 32;
     let variable_bytes = match entry {
         Entry::Machine { name, address, .. } => name.len() + address.len(),
--- a/crates/replication/tests/images.rs
+++ b/crates/replication/tests/snapshots.rs
@@ -1,4 +1,4 @@
-//! State images: transfer in chunks, duplicated, invalid and interrupted transfers.
+//! Replication snapshots: transfer in chunks, and duplicated, invalid and interrupted transfers.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
 mod support;
@@ -6,48 +6,55 @@
 use hookway_constants as constants;
 use hookway_replication::{
     Entry, FollowError, FollowOutcome, FollowResponse, FollowResponseBody, FollowerProgress,
-    ImageChunk, ImageError, Position, Publisher, ReplicatedJob,
+    ImageChunk, Position, Publisher, ReplicatedJob, SnapshotError,
 };
 use support::{TERM, at, catch_up, exchange, follower, leader, machine, running};
 
 #[test]
-fn follower_behind_log_gets_image_then_remaining_entries() {
+fn follower_behind_log_gets_snapshot_then_remaining_entries() {
     let mut publisher = leader(1);
     let mut follower = follower();
     catch_up(&mut follower, &mut publisher, at(0));
-    // More changes than the log holds; the image takes several chunks.
+    // Publishes more changes than the log holds, on so many machines that the snapshot takes several chunks.
     for index in 0..constants::REPLICATION_LOG_ENTRIES {
         let name = format!("m-{index:06}");
         publisher
             .publish_machine(machine(&name), [running("req-000001/7", index as u64)].into_iter());
     }
-    let images_before = follower.metrics().images;
+    let snapshots_before = follower.metrics().images;
     let mut chunks = 0;
-    while exchange(&mut follower, &mut publisher, at(100)) == Ok(FollowOutcome::ImageChunkStored) {
+    while exchange(&mut follower, &mut publisher, at(100)) == Ok(FollowOutcome::SnapshotChunkStored)
+    {
         chunks += 1;
         // The leader publishes more changes during the transfer.
         let name = format!("late-{chunks}");
         publisher.publish_machine(machine(&name), [].into_iter());
     }
-    assert!(chunks > 3, "the image must take several chunks, not {chunks}");
-    assert_eq!(follower.metrics().images, images_before + 1);
+    assert!(chunks > 3, "the snapshot must take several chunks, not {chunks}");
+    assert_eq!(follower.metrics().images, snapshots_before + 1);
     assert!(
         follower.position() < Some(publisher.end()),
-        "entries published during the transfer are not in the image"
+        "entries published during the transfer are not in the snapshot"
     );
     catch_up(&mut follower, &mut publisher, at(100));
 }
 
 #[test]
-fn image_transfer_behind_log_restarts() {
+fn snapshot_transfer_behind_log_restarts() {
     let mut publisher = leader(2_000);
     let mut follower = follower();
-    assert_eq!(exchange(&mut follower, &mut publisher, at(0)), Ok(FollowOutcome::ImageChunkStored));
+    assert_eq!(
+        exchange(&mut follower, &mut publisher, at(0)),
+        Ok(FollowOutcome::SnapshotChunkStored)
+    );
     for attempt in 0..=constants::REPLICATION_LOG_ENTRIES {
         let task = running("req-000001/7", attempt as u64);
         publisher.publish_machine(machine("m-0"), [task].into_iter());
     }
-    assert_eq!(exchange(&mut follower, &mut publisher, at(0)), Ok(FollowOutcome::ImageChunkStored));
+    assert_eq!(
+        exchange(&mut follower, &mut publisher, at(0)),
+        Ok(FollowOutcome::SnapshotChunkStored)
+    );
     catch_up(&mut follower, &mut publisher, at(0));
 }
 
@@ -55,16 +62,16 @@
 fn maximum_log_index_is_rejected() {
     let end = Position { term: TERM, index: u64::MAX };
     let mut follower = follower();
-    // An image of the empty state whose position claims the maximum log index.
+    // A snapshot of the empty state whose position has the maximum log index.
     let FollowResponseBody::ImageChunk(chunk) =
         leader(0).respond(&follower.request(), at(0)).expect("the publisher responds").body
     else {
-        panic!("the response must have an image chunk");
+        panic!("the response must have a snapshot chunk");
     };
     let body = FollowResponseBody::ImageChunk(ImageChunk { position: end, ..chunk });
     follower
         .handle_response(FollowResponse { end, body }, at(0))
-        .expect("the image itself is valid");
+        .expect("the snapshot itself is valid");
     let entries = vec![Entry::Job { id: "req-1".into(), job: ReplicatedJob::default() }];
     let body = FollowResponseBody::Entries { after: end, entries, digest: None };
     let result = follower.handle_response(FollowResponse { end, body }, at(0));
@@ -72,11 +79,14 @@
 }
 
 #[test]
-fn duplicated_or_delayed_image_chunks_change_no_state() {
+fn duplicated_or_delayed_snapshot_chunks_change_no_state() {
     let mut publisher = leader(3_000);
     let mut follower = follower();
     let first = publisher.respond(&follower.request(), at(0)).expect("the publisher responds");
-    assert_eq!(follower.handle_response(first.clone(), at(0)), Ok(FollowOutcome::ImageChunkStored));
+    assert_eq!(
+        follower.handle_response(first.clone(), at(0)),
+        Ok(FollowOutcome::SnapshotChunkStored)
+    );
     assert_eq!(
         follower.handle_response(first.clone(), at(0)),
         Ok(FollowOutcome::EntriesApplied(0))
@@ -85,7 +95,7 @@
     assert_eq!(
         follower.handle_response(first, at(0)),
         Ok(FollowOutcome::EntriesApplied(0)),
-        "a late chunk of the applied image changes nothing"
+        "a late chunk of the applied snapshot changes nothing"
     );
     assert_eq!((follower.metrics().images, follower.metrics().resyncs), (1, 0));
     assert_eq!(follower.state(), publisher.state());
@@ -94,7 +104,7 @@
 /// Checks whether an error is the expected one.
 type ErrorCheck = fn(&FollowError) -> bool;
 
-/// Invalid chunks of an image, each with a check of the error that it must cause.
+/// Returns invalid snapshot chunks, each with a check of the error that it must cause.
 fn invalid_chunks(valid: &ImageChunk) -> Vec<(ImageChunk, ErrorCheck)> {
     let with = |change: &dyn Fn(&mut ImageChunk)| {
         let mut chunk = valid.clone();
@@ -103,25 +113,28 @@
     };
     vec![
         (with(&|chunk| chunk.bytes[3] ^= 1), |error| {
-            matches!(error, FollowError::Image { source: ImageError::DigestMismatch, .. })
+            matches!(error, FollowError::Snapshot { source: SnapshotError::DigestMismatch, .. })
         }),
         (with(&|chunk| chunk.image_digest ^= 1), |error| {
-            matches!(error, FollowError::Image { source: ImageError::DigestMismatch, .. })
+            matches!(error, FollowError::Snapshot { source: SnapshotError::DigestMismatch, .. })
         }),
         (with(&|chunk| chunk.index = 4), |error| {
             matches!(
                 error,
-                FollowError::Image { source: ImageError::OutOfOrder { expected: 0, found: 4 }, .. }
+                FollowError::Snapshot {
+                    source: SnapshotError::OutOfOrder { expected: 0, found: 4 },
+                    ..
+                }
             )
         }),
         (with(&|chunk| chunk.image_bytes = u64::MAX), |error| {
-            matches!(error, FollowError::Image { source: ImageError::TooLarge(u64::MAX), .. })
+            matches!(error, FollowError::Snapshot { source: SnapshotError::TooLarge(u64::MAX), .. })
         }),
         (with(&|chunk| chunk.bytes.clear()), |error| {
-            matches!(error, FollowError::Image { source: ImageError::ChunkLength(0), .. })
+            matches!(error, FollowError::Snapshot { source: SnapshotError::ChunkLength(0), .. })
         }),
         (with(&|chunk| chunk.bytes.resize(constants::REPLICATION_CHUNK_BYTES + 1, 0)), |error| {
-            matches!(error, FollowError::Image { source: ImageError::ChunkLength(_), .. })
+            matches!(error, FollowError::Snapshot { source: SnapshotError::ChunkLength(_), .. })
         }),
         (with(&|chunk| chunk.position.index += 1_000), |error| {
             matches!(error, FollowError::Inconsistent { .. })
@@ -133,11 +146,11 @@
 }
 
 #[test]
-fn invalid_image_chunks_are_rejected_with_named_error() {
+fn invalid_snapshot_chunks_are_rejected_with_named_error() {
     let mut publisher = leader(2);
     let response = publisher.respond(&follower().request(), at(0)).expect("the publisher responds");
     let FollowResponseBody::ImageChunk(valid) = response.body else {
-        panic!("the response must have an image chunk")
+        panic!("the response must have a snapshot chunk")
     };
     for (chunk, is_expected) in invalid_chunks(&valid) {
         let mut follower = follower();
@@ -160,13 +173,13 @@
     let response = FollowResponse { end: position, body: FollowResponseBody::ImageChunk(chunk) };
     let result = follower().handle_response(response, at(0));
     assert!(
-        matches!(result, Err(FollowError::Image { source: ImageError::Undecodable(_), .. })),
+        matches!(result, Err(FollowError::Snapshot { source: SnapshotError::Undecodable(_), .. })),
         "{result:?}"
     );
 }
 
 #[test]
-fn partial_image_transfer_keeps_previous_copy() {
+fn partial_snapshot_transfer_keeps_previous_copy() {
     let mut first_leader = leader(3);
     let mut follower = follower();
     catch_up(&mut follower, &mut first_leader, at(0));
@@ -178,16 +191,16 @@
     follower.observe_term(2 * TERM);
     assert_eq!(
         exchange(&mut follower, &mut second_leader, at(10)),
-        Ok(FollowOutcome::ImageChunkStored)
+        Ok(FollowOutcome::SnapshotChunkStored)
     );
-    // The second leader crashes during its image transfer: the copy of the first leader is still usable in the next
-    // term.
+    // The second leader crashes during its snapshot transfer: the copy of the first leader is still usable in the
+    // next term.
     let copy = follower.usable_copy(3 * TERM, at(20)).expect("the copy of the first leader");
     assert_eq!(copy.machines.len(), 3);
     follower.observe_term(3 * TERM);
     assert_eq!(
         follower.request().progress,
         FollowerProgress::Through(first_leader.end()),
-        "the chunks of the second leader's image are dropped"
+        "the chunks of the second leader's snapshot are dropped"
     );
 }
