--- a/crates/controller/src/api/admission.rs
+++ b/crates/controller/src/api/admission.rs
@@ -1,10 +1,10 @@
-//! The feasibility check: whether a job can ever run on this platform.
+//! The admission check: rejects a job that can never run on this platform.
 
 use crate::settings::PlatformSettings;
 use hookway_policy::{Infeasible, Quota, Resources, TeamView, check_feasible};
 use hookway_wire::{JobSpec, MachineType};
 
-/// Why a job can never run. The text is the reason in the response to the user.
+/// Why a job can never run. The text becomes the error in the response to the user.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(super) enum AdmissionError {
     #[error("unknown team {0}")]
@@ -15,7 +15,8 @@
     Infeasible(#[from] Infeasible),
 }
 
-/// Checks whether a job can run on these machine types.
+/// Checks that a job can run at some time: that its team exists, that `machine_types` and the zones
+/// fit its tasks, and that the team's limit allows the tasks that must run at the same time.
 pub(super) fn check_admission(
     spec: &JobSpec,
     platform: &PlatformSettings,
@@ -29,7 +30,8 @@
         .iter()
         .map(|machine_type| is_suitable(machine_type, spec, &request))
         .collect();
-    // All tasks of a gang or a daemon run at the same time, so the zones must have room for all.
+    // All tasks of a gang or a daemon run at the same time, so the suitable zones together must be
+    // allowed to run all of them.
     let all_at_once = spec.needs_all_tasks_at_once();
     if all_at_once && suitable_types.contains(&true) {
         let zones = suitable_zones(spec, platform, machine_types, &request);
@@ -44,14 +46,15 @@
     Ok(check_feasible(&suitable_types, &request, min_tasks, &team)?)
 }
 
-/// Whether a task may and can run on a machine of this type.
+/// Whether the job allows machines of this type, and a task fits such a machine.
 fn is_suitable(machine_type: &MachineType, spec: &JobSpec, request: &Resources) -> bool {
     spec.machine_types.as_ref().is_none_or(|allowed| allowed.contains(&machine_type.name))
         && spec.zone.as_ref().is_none_or(|zone| machine_type.zones.contains(zone))
         && Resources::of_machine_type(machine_type).fits(request)
 }
 
-/// The number of zones that the tasks of a job can be spread over.
+/// Returns the number of zones in which tasks of a job can run at the same time: at most one if the
+/// job requires a single zone.
 fn suitable_zones(
     spec: &JobSpec,
     platform: &PlatformSettings,
--- a/crates/controller/src/api/cancellation.rs
+++ b/crates/controller/src/api/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancellations.
+//! Cancellation of jobs, with and without a leader.
 
 use super::job_reader::StoredJob;
 use super::{ApiService, Origin};
@@ -12,13 +12,14 @@
 use hookway_constants as constants;
 use hookway_wire::{JobId, JobState, Operation, Precondition, Transaction};
 
-/// Maximum number of requests to the leader's actor: the second one follows the adoption of a job
-/// that it did not know.
+/// Maximum number of times that the controller actor is asked to cancel a job. If the leader does not
+/// know the job at the first attempt, the job is added from its record before the second.
 const LEADER_ATTEMPTS: usize = 2;
 
 impl ApiService {
-    /// Cancels a job. The leader decides. While there is none, this controller writes the final
-    /// state itself, on the precondition that no leader is elected.
+    /// Cancels a job. The leader decides on the cancellation if it can be reached. Otherwise this
+    /// controller writes the job's final state itself, on the precondition that the store records
+    /// no leader.
     pub async fn cancel(&self, job: &JobId, origin: Origin) -> RequestOutcome {
         if let Some(snapshot) = self.config.final_states.get(job) {
             return RequestOutcome::Known(snapshot);
@@ -38,8 +39,9 @@
         }
     }
 
-    /// Cancels a job by this controller's actor. `None`: it does not lead, or does not know the job
-    /// although it adopted its record.
+    /// Cancels a job if this controller leads. Returns `None` if it does not lead or has no
+    /// authority to decide, or if its cluster state lacks the job even after the job was added from
+    /// its record.
     async fn cancel_as_leader(&self, job: &JobId) -> Option<RequestOutcome> {
         for _ in 0..LEADER_ATTEMPTS {
             let term = self.own_term();
@@ -67,10 +69,11 @@
         None
     }
 
-    /// Cancels a job by writing its final state, which fails if a leader is elected meanwhile.
+    /// Cancels a job by writing its final state. The transaction fails if a leader is recorded in the
+    /// store by then.
     async fn cancel_without_leader(&self, job: &JobId) -> Result<RequestOutcome, StoreError> {
-        // An earlier leader may have extended worker leases until a moment ago, so whether the tasks
-        // have ended is unknown until those leases expire.
+        // The previous leader may have extended worker leases until a moment ago, so tasks of the job
+        // may run until those leases expire. A cancellation must stop them within a fixed time.
         if !leases_expire_within_cancellation(&self.config.platform) {
             let reason = "without a leader its tasks may not be gone in time";
             return Ok(RequestOutcome::unavailable(reason));
@@ -94,8 +97,8 @@
         })
     }
 
-    /// Announces the durable end of a job to the other controllers, so that a shard lessee that can't
-    /// reach the state service stops the job's tasks: docs/safety.md, "Cancellations are facts".
+    /// Announces a job whose final state is durable to the other controllers, so that a shard lessee
+    /// that can't reach the store stops the job's tasks: docs/safety.md, "Cancellations are facts".
     fn announce_final(&self, snapshot: JobSnapshot) -> RequestOutcome {
         for peer in self.config.peers.names() {
             let (peers, snapshot) = (self.config.peers.clone(), snapshot.clone());
@@ -105,7 +108,8 @@
     }
 }
 
-/// The transaction that cancels a job while no leader is elected.
+/// Returns the transaction that cancels a job, on the preconditions that the store records no leader
+/// and no final state of the job.
 fn leaderless_cancellation_transaction(
     job: &JobId,
     final_record: serde_json::Value,
--- a/crates/controller/src/api/job_reader.rs
+++ b/crates/controller/src/api/job_reader.rs
@@ -1,4 +1,4 @@
-//! Reads jobs from the state service.
+//! Reads the records of single jobs from the store.
 
 use crate::circuit_breaker::CircuitBreaker;
 use crate::job_snapshot::JobSnapshot;
@@ -8,28 +8,28 @@
 use hookway_wire::JobId;
 use std::sync::Mutex;
 
-/// HTTP status of the response that a record came with.
+/// HTTP status of a response that contains a record.
 const OK: u16 = 200;
 
-/// What the state service records about a job.
+/// What the store records about a job.
 pub(super) enum StoredJob {
-    /// It was accepted and is not finished.
+    /// The job was accepted and is not finished. The key and value of its record.
     Active { key: String, value: serde_json::Value },
-    /// It is finished.
+    /// The job is finished. Its final state.
     Final(JobSnapshot),
-    /// It was never accepted.
+    /// The job was never accepted.
     Absent,
 }
 
-/// Reads jobs from the state service while that responds.
+/// Reads jobs from the store, behind a circuit breaker.
 #[derive(Debug, Default)]
 pub(super) struct JobReader {
     breaker: Mutex<CircuitBreaker>,
 }
 
 impl JobReader {
-    /// Reads a job. Fails at once while the state service does not respond to this controller, so
-    /// that time is left to ask another one.
+    /// Reads a job. Fails at once while the store does not respond to this controller, so that there
+    /// is time left to ask another controller.
     pub(super) async fn read(
         &self,
         store: &StoreClient,
@@ -49,13 +49,14 @@
     }
 }
 
-/// Reads a job's record and, if there is none, its final state. The transaction that deletes the
-/// former writes the latter, so in this order an accepted job is always found.
+/// Reads a job's record and, if there is none, its final state. One transaction deletes the record and
+/// writes the final state, so an accepted job is always found if they are read in this order.
 async fn read_job(store: &StoreClient, job: &JobId) -> Result<StoredJob, StoreError> {
     if let Some(pair) = store.get(&job_key(job)).await? {
         return Ok(StoredJob::Active { key: pair.key, value: pair.value });
     }
-    // Half of the answer is useless, so the second read waits for its turn in the request rate.
+    // The first read is useless without the second, so the second one waits for the rate limit
+    // rather than fail by it.
     let store = store.clone().with_queue_limit(constants::STATUS_LIMIT);
     let Some(pair) = store.get(&final_state_key(job)).await? else {
         return Ok(StoredJob::Absent);
--- a/crates/controller/src/api/mod.rs
+++ b/crates/controller/src/api/mod.rs
@@ -1,7 +1,8 @@
-//! The decisions behind the HTTP API: how a controller answers its users and the other controllers.
+//! The requests of the HTTP API and of the other controllers, independent of their transport.
 //!
-//! Every controller accepts every request. What only the leader knows is requested from it; what
-//! this controller can't read from the state service itself is requested from the others.
+//! Every controller accepts every request. A request that only the leader can decide is passed on to
+//! it. A request that fails because this controller can't use the store is passed on to the other
+//! controllers.
 
 mod admission;
 mod cancellation;
@@ -25,15 +26,15 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Where a job's record has the name of its team.
+/// JSON pointer to the name of the team in a job's record.
 const TEAM_IN_RECORD: &str = "/spec/Owner";
 
-/// The clients of the state service that the API uses.
+/// The store clients that the API uses, each with a request rate of its own.
 #[derive(Debug, Clone)]
 pub struct StoreClients {
-    /// For submissions and cancellations.
+    /// The client for submissions and cancellations.
     pub submissions: StoreClient,
-    /// For status requests, which must not delay submissions.
+    /// The client for status requests, separate so that they don't delay submissions.
     pub queries: StoreClient,
 }
 
@@ -42,32 +43,31 @@
 pub enum Origin {
     /// A user.
     Client,
-    /// Another controller. Its requests are answered from this controller's own knowledge and never
-    /// passed on, so they can't circulate.
+    /// Another controller. Its requests are never passed on to a third one, so they can't circulate.
     Peer,
 }
 
 /// What the API needs, and shares with the rest of the controller.
 #[derive(Debug)]
 pub struct ApiServiceConfig {
-    /// The platform's settings.
+    /// The settings that all controllers share.
     pub platform: PlatformSettings,
-    /// The clients of the state service.
+    /// The clients of the store.
     pub stores: StoreClients,
-    /// The other controllers.
+    /// The clients of the other controllers.
     pub peers: Arc<Peers>,
-    /// The controller actor.
+    /// The handle to this controller's actor, which decides if this controller leads.
     pub controller: ControllerHandle,
-    /// Who leads.
+    /// The current leader, as published by the election actor.
     pub view: watch::Receiver<LeadershipView>,
-    /// The machine types.
+    /// The machine types of the cloud; `None` until they have been read.
     pub machine_types: watch::Receiver<MachineTypes>,
-    /// The final states of jobs, shared with the controller actor, which adds those that it decides
-    /// as the leader.
+    /// The final states of jobs. The cache is shared with the controller actor, which adds the jobs
+    /// whose final records it makes durable as the leader.
     pub final_states: Arc<FinalStateCache>,
 }
 
-/// Answers the requests of users and of other controllers.
+/// Answers the requests of users and of other controllers, and passes on workers' heartbeats.
 #[derive(Debug)]
 pub struct ApiService {
     config: ApiServiceConfig,
@@ -80,51 +80,52 @@
         Self { config, job_reader: JobReader::default() }
     }
 
-    /// The final states of jobs that this controller knows.
+    /// Returns the cache of the final states that this controller knows.
     pub fn final_states(&self) -> &FinalStateCache {
         &self.config.final_states
     }
 
-    /// Maximum number of sockets of this controller's machine.
+    /// Returns the maximum number of sockets of this controller's machine.
     pub(crate) fn max_sockets(&self) -> usize {
         self.config.platform.machine_limits.max_sockets
     }
 
-    /// Answers a worker's heartbeat.
+    /// Passes a worker's heartbeat on to the controller actor and returns its reply.
     pub(crate) async fn handle_heartbeat(&self, heartbeat: Heartbeat) -> HeartbeatReply {
         self.config.controller.heartbeat(heartbeat).await
     }
 
-    /// The state of replication, for operators.
+    /// Returns the state of replication, for operators; `None` if the controller actor does not
+    /// reply.
     pub async fn replication_status(&self) -> Option<ReplicationStatus> {
         self.config.controller.request(ControllerRequest::ReplicationStatus).await
     }
 
-    /// The outcome for a job that is known, whose state is cached if it is final.
+    /// Caches the state of a job if it is final, and returns it as the outcome of a request.
     fn known(&self, snapshot: JobSnapshot) -> RequestOutcome {
         self.config.final_states.remember(&snapshot);
         RequestOutcome::Known(snapshot)
     }
 
-    /// The current leader, as far as this controller knows.
+    /// Returns the name of the leader that this controller saw last.
     fn leader(&self) -> Option<String> {
         self.config.view.borrow().leader.clone()
     }
 
-    /// The term of this controller, if it leads. Must be read before a record is read from the state
-    /// service, so that the record can't be older than the term in which the leader adopts it.
+    /// Returns the term of this controller, if it leads. Must be called before a record is read from
+    /// the store, so that the record can't be older than the term in which the leader adds its job.
     fn own_term(&self) -> Option<u64> {
         self.config.view.borrow().own_term.as_ref().map(|own| own.term)
     }
 
-    /// Adds a job to the cluster state of this controller, which leads. The record was read in
-    /// `read_in_term`.
+    /// Adds a job to the cluster state of this controller, if it still leads in `read_in_term`, the
+    /// term in which the record was read.
     async fn adopt_job(&self, read_in_term: Option<u64>, key: String, value: serde_json::Value) {
         let adopt = |reply| ControllerRequest::AdoptJob { read_in_term, key, value, reply };
         self.config.controller.request(adopt).await;
     }
 
-    /// The state of a job whose record is in the state service and that no leader schedules yet.
+    /// Returns the state of a job whose record is in the store and that no leader schedules yet.
     fn queued_snapshot(&self, job: &JobId, record: &serde_json::Value) -> JobSnapshot {
         let team = record.pointer(TEAM_IN_RECORD).and_then(|team| team.as_str());
         JobSnapshot {
@@ -138,7 +139,8 @@
         }
     }
 
-    /// Passes a request on to the leader. `None`: no leader is known, or it can't decide.
+    /// Passes a request on to the leader. Returns `None` if no leader is known, or if it does not
+    /// respond or can't decide.
     async fn ask_leader(&self, request: &PeerRequest, limit: Duration) -> Option<RequestOutcome> {
         let leader = self.leader()?;
         match self.config.peers.ask(&leader, request, limit).await {
@@ -152,15 +154,16 @@
         }
     }
 
-    /// Passes a request that failed at the state service on to the other controllers: the state
-    /// service may reject this controller alone, or be unreachable from here alone.
+    /// Passes a request of a user that failed at the store on to the other controllers: the store may
+    /// reject the requests of this controller alone, or be unreachable from here alone.
     async fn ask_other_controllers(
         &self,
         request: PeerRequest,
         store_error: &StoreError,
         origin: Origin,
     ) -> RequestOutcome {
-        // The rate limits are shared: another controller would send the same requests.
+        // All controllers share the rate limits, and another one would send the same requests to the
+        // store.
         let others_may_decide = !matches!(store_error, StoreError::TooMany);
         if origin == Origin::Client && others_may_decide {
             for peer in self.config.peers.names() {
@@ -172,7 +175,8 @@
         RequestOutcome::Unavailable(store_error.to_string())
     }
 
-    /// Passes a request on to another controller. `None`: it can't decide, or did not respond.
+    /// Passes a request on to another controller. Returns `None` if that can't decide or does not
+    /// respond.
     async fn ask_peer(&self, peer: &str, request: &PeerRequest) -> Option<RequestOutcome> {
         match self.config.peers.ask(peer, request, constants::PEER_TIMEOUT).await {
             Ok(RequestOutcome::Known(snapshot)) => Some(self.known(snapshot)),
--- a/crates/controller/src/api/peer_requests.rs
+++ b/crates/controller/src/api/peer_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of other controllers, answered from this controller's own knowledge.
+//! Requests of other controllers, which this controller never passes on to a third one.
 
 use super::{ApiService, Origin};
 use crate::actor::ControllerRequest;
@@ -33,7 +33,9 @@
 }
 
 impl ApiService {
-    /// The replication entries that a standby lacks; `None` if it is not one of the controllers.
+    /// Returns what a standby needs next of the leader's replication log or replication snapshot;
+    /// `None` if the standby is not one of the configured controllers, or if this controller does not
+    /// lead.
     async fn replication_entries(&self, request: FollowRequest) -> Option<FollowResponse> {
         if !self.config.peers.knows(&request.follower) {
             tracing::error!(
--- a/crates/controller/src/api/status.rs
+++ b/crates/controller/src/api/status.rs
@@ -1,4 +1,4 @@
-//! Status requests.
+//! Status requests for jobs.
 
 use super::job_reader::StoredJob;
 use super::{ApiService, Origin};
@@ -10,8 +10,8 @@
 use hookway_wire::JobId;
 
 impl ApiService {
-    /// The state of a job. A state that can still change comes from the leader, or from a read of
-    /// the state service that began after this request; a final one may come from the cache.
+    /// Returns the state of a job. A state that can still change comes from the leader, or from a
+    /// read of the store that began after this request; a final state may come from the cache.
     pub async fn status(&self, job: &JobId, origin: Origin) -> RequestOutcome {
         if let Some(snapshot) = self.config.final_states.get(job) {
             return RequestOutcome::Known(snapshot);
--- a/crates/controller/src/api/submission.rs
+++ b/crates/controller/src/api/submission.rs
@@ -1,5 +1,5 @@
-//! Submissions. A job is accepted once its record is in the state service, whichever controller
-//! wrote it.
+//! Submissions of jobs. A job is accepted once its record is in the store, whichever controller wrote
+//! it.
 
 use super::admission::check_admission;
 use super::job_reader::StoredJob;
@@ -12,15 +12,15 @@
 use hookway_clients::{CommitOutcome, StoreError};
 use hookway_wire::{JobId, JobSpec, Operation, Precondition, Transaction};
 
-/// The request body is invalid.
+/// HTTP status if the request body is invalid.
 const BAD_REQUEST: u16 = 400;
-/// The job is valid, but can never run here.
+/// HTTP status if the job is valid, but can never run on this platform.
 const UNPROCESSABLE: u16 = 422;
-/// The reason if the record of a job exceeds the value limit of the state service.
+/// The reason given to the user if the record of a job exceeds the store's value limit.
 const TOO_LONG: &str = "the job's description is too long";
 
 impl ApiService {
-    /// Accepts a job, or answers with its state if it was accepted before.
+    /// Accepts a job, or returns its state if it was accepted before.
     pub async fn submit(&self, body: &[u8], origin: Origin) -> RequestOutcome {
         let spec = match JobSpec::parse(body) {
             Ok(spec) => spec,
@@ -56,7 +56,8 @@
         self.store_job(record.spec, value, body, origin).await
     }
 
-    /// Writes the record of a job, unless the job is known. `body` is what was submitted.
+    /// Writes the record of a job, unless the store has one or the job's final state. `body` is the
+    /// body of the submission, for other controllers.
     async fn store_job(
         &self,
         spec: JobSpec,
@@ -75,7 +76,8 @@
                 });
             }
             Ok(CommitOutcome::PreconditionFailed(_)) => return self.status(job, origin).await,
-            // The record exceeds the value limit, which may have been lowered.
+            // The store's value limit may have been lowered since the record was checked against the
+            // larger one of the present and the next limit.
             Err(StoreError::Rejected(_)) => {
                 let reason = TOO_LONG.into();
                 return self.reject_unless_accepted(job, BAD_REQUEST, reason, origin).await;
@@ -87,11 +89,13 @@
             },
             Err(error) => error,
         };
-        // If both controllers write the record, one of the transactions fails by its preconditions.
+        // If another controller writes the record too, one of the two transactions fails by its
+        // preconditions.
         self.ask_other_controllers(PeerRequest::Submit(body.to_vec()), &error, origin).await
     }
 
-    /// The outcome of a submission whose transaction got no response, by what is stored now.
+    /// Returns the outcome of a submission whose transaction got no response, by what the store has
+    /// now.
     async fn outcome_by_record(
         &self,
         job: &JobId,
@@ -104,7 +108,8 @@
         })
     }
 
-    /// Rejects a job, but not one that was accepted before: limits and machine types change.
+    /// Rejects a job unless it was accepted before: limits and machine types may have changed since
+    /// then, so a job that was accepted may not pass the checks now.
     async fn reject_unless_accepted(
         &self,
         job: &JobId,
@@ -120,7 +125,8 @@
     }
 }
 
-/// The transaction that accepts a job, unless it is or was known.
+/// Returns the transaction that accepts a job, on the preconditions that the store has neither a record
+/// nor a final state of it.
 fn acceptance_transaction(job: &JobId, record: serde_json::Value) -> Transaction {
     Transaction {
         preconditions: vec![
--- a/crates/controller/src/peers/client.rs
+++ b/crates/controller/src/peers/client.rs
@@ -1,4 +1,4 @@
-//! The client side: requests to the other controllers.
+//! The client side of the protocol: requests to the other controllers.
 
 use super::PeerError;
 use super::messages::{PeerRequest, PeerResponse};
@@ -12,20 +12,20 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The other controllers, by name.
+/// The clients of all other controllers, by the controllers' names.
 #[derive(Debug, Default)]
 pub struct Peers {
     peers: HashMap<String, Peer>,
 }
 
 impl Peers {
-    /// Creates the clients of controllers with these names and addresses.
+    /// Creates the clients. `addresses` has the address of each other controller by its name.
     pub fn new(addresses: HashMap<String, String>) -> Self {
         let client = |(name, address): (String, String)| (name.clone(), Peer::new(name, address));
         Self { peers: addresses.into_iter().map(client).collect() }
     }
 
-    /// The names of the other controllers.
+    /// Returns the names of the other controllers, in no particular order.
     pub fn names(&self) -> Vec<String> {
         self.peers.keys().cloned().collect()
     }
@@ -35,8 +35,9 @@
         self.peers.contains_key(name)
     }
 
-    /// Sends a user's request. Fails at once if the controller did not respond a moment ago: it may
-    /// be paused or partitioned, and a user must not wait for the time limit each time.
+    /// Passes a user's request on to the controller `name`. Fails at once while the circuit breaker is
+    /// open because a request has failed: the controller may be paused or partitioned, and
+    /// users must not wait for the time limit each time.
     pub async fn ask(
         &self,
         name: &str,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Announces a finished job. Nothing depends on its arrival.
+    /// Announces a finished job to the controller `name`. Nothing depends on the arrival of the message.
     pub async fn announce_finished(&self, name: &str, job: JobSnapshot) {
         let id = job.id.clone();
         let request = PeerRequest::JobFinished(job);
@@ -64,7 +65,8 @@
         }
     }
 
-    /// Renews the shard lease of this controller at the leader.
+    /// Renews the shard lease of this controller at the leader `name`. The request is sent even while
+    /// the circuit breaker is open, so that a controller that responds again is noticed.
     pub async fn renew_shard_lease(
         &self,
         name: &str,
@@ -83,7 +85,9 @@
         }
     }
 
-    /// Requests the replication entries that the copy of this controller lacks from the leader.
+    /// Requests from the leader `name` what this controller's copy of the cluster state needs next:
+    /// entries of the replication log, or a chunk of a replication snapshot. The request is sent even
+    /// while the circuit breaker is open.
     pub async fn follow(
         &self,
         name: &str,
@@ -100,8 +104,8 @@
         }
     }
 
-    /// The version in the last response of another controller; `None` before the first. Messages of
-    /// later versions must not be sent to it.
+    /// Returns the frame version in the last response of another controller; `None` before its first
+    /// response. Messages that a later version introduced must not be sent to that controller.
     pub fn version(&self, name: &str) -> Option<FrameVersion> {
         self.peers.get(name)?.version()
     }
--- a/crates/controller/src/peers/connection.rs
+++ b/crates/controller/src/peers/connection.rs
@@ -1,4 +1,5 @@
-//! Reading and writing frames: a length in four bytes (big endian), then the frame.
+//! Sends and receives messages over TCP. Each message is a frame, preceded by the frame's length in
+//! four bytes (big endian).
 
 use crate::frame::{self, Frame, FrameError};
 use hookway_constants as constants;
@@ -9,7 +10,7 @@
 /// Why a frame could not be sent or received.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
-    /// The connection failed.
+    /// The connection could not be established, or failed.
     #[error("connection: {0}")]
     Io(#[from] std::io::Error),
     /// The frame could not be encoded or decoded.
@@ -20,7 +21,7 @@
     TooLong,
 }
 
-/// Sends a message.
+/// Sends a message, with the frame version of this build.
 pub(super) async fn send<T: Serialize>(
     stream: &mut TcpStream,
     message: &T,
@@ -33,7 +34,7 @@
     Ok(())
 }
 
-/// Receives a message with the version of the build that sent it.
+/// Receives a message and the frame version of the build that sent it.
 pub(super) async fn receive<T: for<'de> Deserialize<'de>>(
     stream: &mut TcpStream,
 ) -> Result<Frame<T>, ConnectionError> {
--- a/crates/controller/src/peers/error.rs
+++ b/crates/controller/src/peers/error.rs
@@ -8,7 +8,7 @@
     /// No controller has this name.
     #[error("unknown controller {name}")]
     Unknown {
-        /// The name.
+        /// The name that was looked up.
         name: String,
     },
     /// There was no response within the time limit.
@@ -17,7 +17,8 @@
         /// Address of the controller.
         address: String,
     },
-    /// The request was not sent: the controller did not respond a moment ago.
+    /// The request was not sent, because the circuit breaker is open: a request has failed, and none
+    /// has succeeded since.
     #[error("the controller at {address} does not respond at the moment")]
     CircuitOpen {
         /// Address of the controller.
@@ -28,16 +29,17 @@
     Connection {
         /// Address of the controller.
         address: String,
-        /// What failed.
+        /// Why the connection, or a frame on it, failed.
         source: ConnectionError,
     },
-    /// The response does not belong to this kind of request.
+    /// The response is of a kind that does not belong to the request.
     #[error("unexpected kind of response from {address}")]
     Mismatch {
         /// Address of the controller.
         address: String,
     },
-    /// The controller does not lead.
+    /// The controller declined a request that only the leader answers: it does not lead, or does not
+    /// know the controller that sent the request.
     #[error("the controller at {address} does not lead")]
     NotLeading {
         /// Address of the controller.
--- a/crates/controller/src/peers/messages.rs
+++ b/crates/controller/src/peers/messages.rs
@@ -1,4 +1,5 @@
-//! The messages between controllers. The positions of their variants in frames are fixed.
+//! The messages between controllers. Their encoding names variants by position, so variants are never
+//! reordered or removed, and new ones come last.
 
 use crate::job_snapshot::JobSnapshot;
 use crate::request_outcome::RequestOutcome;
@@ -6,30 +7,32 @@
 use hookway_replication::{FollowRequest, FollowResponse};
 use serde::{Deserialize, Serialize};
 
-/// A request to another controller. It answers from its own knowledge and never passes it on.
+/// A request to another controller, which answers it from its own knowledge and never passes it on to
+/// a third one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// The state of a job, by its id.
+    /// Return the state of the job with this id.
     Status(String),
-    /// Cancel a job, by its id.
+    /// Cancel the job with this id.
     Cancel(String),
-    /// Accept a job: the body of the user's submission.
+    /// Accept a job. The value is the body of the user's submission.
     Submit(Vec<u8>),
     /// Renew the shard lease of the requesting controller.
     RenewShardLease(ShardLeaseRenewal),
-    /// A job is durably finished.
+    /// Announces that a job is finished and its final state is durable.
     JobFinished(JobSnapshot),
-    /// Send the replication entries that the copy of a standby lacks. From version 2 on.
+    /// Return the replication log entries or the chunk of a replication snapshot that a standby's copy
+    /// needs next. Controllers answer it from frame version 2 on.
     Follow(FollowRequest),
 }
 
-/// The response.
+/// The response to a [`PeerRequest`]. Its variant depends on the kind of the request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerResponse {
-    /// To a user's request, or to the announcement of a finished job.
+    /// The response to a user's request, or to the announcement of a finished job.
     Outcome(RequestOutcome),
-    /// To a renewal; `None`: the controller does not lead.
+    /// The response to a renewal; `None` if the controller does not lead or grants no lease.
     ShardLease(Option<ShardLease>),
-    /// To a standby; `None`: the controller does not lead, or the standby is unknown.
+    /// The response to a standby; `None` if the controller does not lead, or does not know the standby.
     Followed(Option<FollowResponse>),
 }
--- a/crates/controller/src/peers/peer.rs
+++ b/crates/controller/src/peers/peer.rs
@@ -1,4 +1,5 @@
-//! The connections to one other controller, and what its responses tell about it.
+//! The client of one other controller: its connections, and what it has learned from the responses,
+//! which is the frame version and whether the controller responds at all.
 
 use super::PeerError;
 use super::connection::{ConnectionError, receive, send};
@@ -10,14 +11,14 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// The client of one other controller.
+/// The client of one other controller, with a pool of idle connections.
 #[derive(Debug)]
 pub(super) struct Peer {
     name: String,
     address: String,
     idle_connections: Mutex<Vec<TcpStream>>,
     breaker: Mutex<CircuitBreaker>,
-    /// The version in the last response.
+    /// The frame version in the last response; `None` before the first.
     version: Mutex<Option<FrameVersion>>,
 }
 
@@ -33,23 +34,23 @@
         }
     }
 
-    /// The address of the controller.
+    /// Returns the address of the controller.
     pub(super) fn address(&self) -> String {
         self.address.clone()
     }
 
-    /// The version in the last response; `None` before the first.
+    /// Returns the frame version in the last response; `None` before the first.
     pub(super) fn version(&self) -> Option<FrameVersion> {
         *self.version.lock().ok()?
     }
 
-    /// Whether the circuit breaker lets a user's request through. All exchanges update it: a
-    /// controller that is back is noticed by the renewals of the shard lease.
+    /// Whether the circuit breaker lets a user's request through. Every exchange updates the breaker,
+    /// so a renewal of the shard lease that succeeds closes it without a user's request.
     pub(super) fn allows_request(&self) -> bool {
         self.breaker.lock().map_or(true, |mut breaker| breaker.allows_request())
     }
 
-    /// Sends a request and receives the response.
+    /// Sends a request and receives the response within the time `limit`. Updates the circuit breaker.
     pub(super) async fn exchange(
         &self,
         request: &PeerRequest,
@@ -67,7 +68,8 @@
     }
 
     async fn send(&self, request: &PeerRequest) -> Result<PeerResponse, ConnectionError> {
-        // An idle connection may have failed meanwhile. Every request may be sent twice.
+        // An idle connection may have failed since its last use, so the request is then sent again
+        // over a new one. Every kind of request may be received twice.
         if let Some(mut stream) = self.take_idle()
             && let Ok(response) = self.send_over(&mut stream, request).await
         {
--- a/crates/controller/src/peers/server.rs
+++ b/crates/controller/src/peers/server.rs
@@ -1,4 +1,5 @@
-//! The server side: accepts connections of other controllers and answers their requests.
+//! The server side of the protocol: accepts connections of other controllers and answers their
+//! requests.
 
 use super::connection::{receive, send};
 use super::messages::{PeerRequest, PeerResponse};
@@ -7,17 +8,17 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Delay after a failed accept, so that a lack of sockets does not become a busy loop.
+/// Delay after a failed accept, so that `serve` does not loop without pause while sockets are lacking.
 const ACCEPT_RETRY: Duration = Duration::from_millis(100);
 
 /// Answers the requests of other controllers.
 pub trait PeerHandler: Send + Sync + 'static {
-    /// Answers one request, from this controller's own knowledge.
+    /// Answers one request, without passing it on to a third controller.
     fn handle(&self, request: PeerRequest) -> impl Future<Output = PeerResponse> + Send;
 }
 
-/// Serves the other controllers: connections from `networks`, or from anywhere if that names none.
-/// Runs until the process ends.
+/// Answers requests on connections from `networks`, or from any address if `networks` is empty. Runs
+/// until the process ends.
 pub async fn serve<H: PeerHandler>(listener: TcpListener, handler: Arc<H>, networks: Networks) {
     loop {
         match listener.accept().await {
@@ -33,7 +34,8 @@
     }
 }
 
-/// Answers the requests of one connection in their order, until it fails or is closed.
+/// Answers the requests of one connection in the order of their arrival, until the connection fails or
+/// is closed.
 async fn serve_connection<H: PeerHandler>(mut stream: TcpStream, handler: Arc<H>) {
     let _ = stream.set_nodelay(true);
     while let Ok(request) = receive::<PeerRequest>(&mut stream).await {
