--- a/crates/controller/src/api/cancellation.rs
+++ b/crates/controller/src/api/cancellation.rs
@@ -12,8 +12,8 @@
 use hookway_constants as constants;
 use hookway_wire::{JobId, JobState, Operation, Precondition, Transaction};
 
-/// Maximum number of times that the controller actor is asked to cancel a job. If the leader does not
-/// know the job at the first attempt, the job is added from its record before the second.
+/// Maximum number of times that the controller actor is asked to cancel a job. If the leader does
+/// not know the job at the first attempt, the job is added from its record before the second.
 const LEADER_ATTEMPTS: usize = 2;
 
 impl ApiService {
@@ -69,11 +69,11 @@
         None
     }
 
-    /// Cancels a job by writing its final state. The transaction fails if a leader is recorded in the
-    /// store by then.
+    /// Cancels a job by writing its final state. The transaction fails if a leader is recorded in
+    /// the store by then.
     async fn cancel_without_leader(&self, job: &JobId) -> Result<RequestOutcome, StoreError> {
-        // The previous leader may have extended worker leases until a moment ago, so tasks of the job
-        // may run until those leases expire. A cancellation must stop them within a fixed time.
+        // The previous leader may have extended worker leases until a moment ago, so tasks of the
+        // job may run until those leases expire. A cancellation must stop them within a fixed time.
         if !leases_expire_within_cancellation(&self.config.platform) {
             let reason = "without a leader its tasks may not be gone in time";
             return Ok(RequestOutcome::unavailable(reason));
@@ -97,8 +97,9 @@
         })
     }
 
-    /// Announces a job whose final state is durable to the other controllers, so that a shard lessee
-    /// that can't reach the store stops the job's tasks: docs/safety.md, "Cancellations are facts".
+    /// Announces a job whose final state is durable to the other controllers, so that a shard
+    /// lessee that can't reach the store stops the job's tasks: docs/safety.md, "Cancellations are
+    /// facts".
     fn announce_final(&self, snapshot: JobSnapshot) -> RequestOutcome {
         for peer in self.config.peers.names() {
             let (peers, snapshot) = (self.config.peers.clone(), snapshot.clone());
@@ -108,8 +109,8 @@
     }
 }
 
-/// Returns the transaction that cancels a job, on the preconditions that the store records no leader
-/// and no final state of the job.
+/// Returns the transaction that cancels a job, on the preconditions that the store records no
+/// leader and no final state of the job.
 fn leaderless_cancellation_transaction(
     job: &JobId,
     final_record: serde_json::Value,
--- a/crates/controller/src/api/job_reader.rs
+++ b/crates/controller/src/api/job_reader.rs
@@ -28,8 +28,8 @@
 }
 
 impl JobReader {
-    /// Reads a job. Fails at once while the store does not respond to this controller, so that there
-    /// is time left to ask another controller.
+    /// Reads a job. Fails at once while the store does not respond to this controller, so that
+    /// there is time left to ask another controller.
     pub(super) async fn read(
         &self,
         store: &StoreClient,
@@ -49,8 +49,8 @@
     }
 }
 
-/// Reads a job's record and, if there is none, its final state. One transaction deletes the record and
-/// writes the final state, so an accepted job is always found if they are read in this order.
+/// Reads a job's record and, if there is none, its final state. One transaction deletes the record
+/// and writes the final state, so an accepted job is always found if they are read in this order.
 async fn read_job(store: &StoreClient, job: &JobId) -> Result<StoredJob, StoreError> {
     if let Some(pair) = store.get(&job_key(job)).await? {
         return Ok(StoredJob::Active { key: pair.key, value: pair.value });
--- a/crates/controller/src/api/mod.rs
+++ b/crates/controller/src/api/mod.rs
@@ -1,8 +1,8 @@
 //! The requests of the HTTP API and of the other controllers, independent of their transport.
 //!
-//! Every controller accepts every request. A request that only the leader can decide is passed on to
-//! it. A request that fails because this controller can't use the store is passed on to the other
-//! controllers.
+//! Every controller accepts every request. A request that only the leader can decide is passed on
+//! to it. A request that fails because this controller can't use the store is passed on to the
+//! other controllers.
 
 mod admission;
 mod cancellation;
@@ -43,7 +43,8 @@
 pub enum Origin {
     /// A user.
     Client,
-    /// Another controller. Its requests are never passed on to a third one, so they can't circulate.
+    /// Another controller. Its requests are never passed on to a third one, so they can't
+    /// circulate.
     Peer,
 }
 
@@ -112,8 +113,9 @@
         self.config.view.borrow().leader.clone()
     }
 
-    /// Returns the term of this controller, if it leads. Must be called before a record is read from
-    /// the store, so that the record can't be older than the term in which the leader adds its job.
+    /// Returns the term of this controller, if it leads. Must be called before a record is read
+    /// from the store, so that the record can't be older than the term in which the leader adds its
+    /// job.
     fn own_term(&self) -> Option<u64> {
         self.config.view.borrow().own_term.as_ref().map(|own| own.term)
     }
@@ -154,16 +156,16 @@
         }
     }
 
-    /// Passes a request of a user that failed at the store on to the other controllers: the store may
-    /// reject the requests of this controller alone, or be unreachable from here alone.
+    /// Passes a request of a user that failed at the store on to the other controllers: the store
+    /// may reject the requests of this controller alone, or be unreachable from here alone.
     async fn ask_other_controllers(
         &self,
         request: PeerRequest,
         store_error: &StoreError,
         origin: Origin,
     ) -> RequestOutcome {
-        // All controllers share the rate limits, and another one would send the same requests to the
-        // store.
+        // All controllers share the rate limits, and another one would send the same requests to
+        // the store.
         let others_may_decide = !matches!(store_error, StoreError::TooMany);
         if origin == Origin::Client && others_may_decide {
             for peer in self.config.peers.names() {
--- a/crates/controller/src/api/peer_requests.rs
+++ b/crates/controller/src/api/peer_requests.rs
@@ -34,8 +34,8 @@
 
 impl ApiService {
     /// Returns what a standby needs next of the leader's replication log or replication snapshot;
-    /// `None` if the standby is not one of the configured controllers, or if this controller does not
-    /// lead.
+    /// `None` if the standby is not one of the configured controllers, or if this controller does
+    /// not lead.
     async fn replication_entries(&self, request: FollowRequest) -> Option<FollowResponse> {
         if !self.config.peers.knows(&request.follower) {
             tracing::error!(
--- a/crates/controller/src/api/submission.rs
+++ b/crates/controller/src/api/submission.rs
@@ -1,5 +1,5 @@
-//! Submissions of jobs. A job is accepted once its record is in the store, whichever controller wrote
-//! it.
+//! Submissions of jobs. A job is accepted once its record is in the store, whichever controller
+//! wrote it.
 
 use super::admission::check_admission;
 use super::job_reader::StoredJob;
@@ -76,8 +76,8 @@
                 });
             }
             Ok(CommitOutcome::PreconditionFailed(_)) => return self.status(job, origin).await,
-            // The store's value limit may have been lowered since the record was checked against the
-            // larger one of the present and the next limit.
+            // The store's value limit may have been lowered since the record was checked against
+            // the larger one of the present and the next limit.
             Err(StoreError::Rejected(_)) => {
                 let reason = TOO_LONG.into();
                 return self.reject_unless_accepted(job, BAD_REQUEST, reason, origin).await;
@@ -125,8 +125,8 @@
     }
 }
 
-/// Returns the transaction that accepts a job, on the preconditions that the store has neither a record
-/// nor a final state of it.
+/// Returns the transaction that accepts a job, on the preconditions that the store has neither a
+/// record nor a final state of it.
 fn acceptance_transaction(job: &JobId, record: serde_json::Value) -> Transaction {
     Transaction {
         preconditions: vec![
--- a/crates/controller/src/peers/client.rs
+++ b/crates/controller/src/peers/client.rs
@@ -35,9 +35,9 @@
         self.peers.contains_key(name)
     }
 
-    /// Passes a user's request on to the controller `name`. Fails at once while the circuit breaker is
-    /// open because a request has failed: the controller may be paused or partitioned, and
-    /// users must not wait for the time limit each time.
+    /// Passes a user's request on to the controller `name`. Fails at once while the circuit breaker
+    /// is open because a request has failed: the controller may be paused or partitioned, and users
+    /// must not wait for the time limit each time.
     pub async fn ask(
         &self,
         name: &str,
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Announces a finished job to the controller `name`. Nothing depends on the arrival of the message.
+    /// Announces a finished job to the controller `name`. Nothing depends on the arrival of the
+    /// message.
     pub async fn announce_finished(&self, name: &str, job: JobSnapshot) {
         let id = job.id.clone();
         let request = PeerRequest::JobFinished(job);
@@ -65,8 +66,8 @@
         }
     }
 
-    /// Renews the shard lease of this controller at the leader `name`. The request is sent even while
-    /// the circuit breaker is open, so that a controller that responds again is noticed.
+    /// Renews the shard lease of this controller at the leader `name`. The request is sent even
+    /// while the circuit breaker is open, so that a controller that responds again is noticed.
     pub async fn renew_shard_lease(
         &self,
         name: &str,
@@ -86,8 +87,8 @@
     }
 
     /// Requests from the leader `name` what this controller's copy of the cluster state needs next:
-    /// entries of the replication log, or a chunk of a replication snapshot. The request is sent even
-    /// while the circuit breaker is open.
+    /// entries of the replication log, or a chunk of a replication snapshot. The request is sent
+    /// even while the circuit breaker is open.
     pub async fn follow(
         &self,
         name: &str,
@@ -104,8 +105,9 @@
         }
     }
 
-    /// Returns the frame version in the last response of another controller; `None` before its first
-    /// response. Messages that a later version introduced must not be sent to that controller.
+    /// Returns the frame version in the last response of another controller; `None` before its
+    /// first response. Messages that a later version introduced must not be sent to that
+    /// controller.
     pub fn version(&self, name: &str) -> Option<FrameVersion> {
         self.peers.get(name)?.version()
     }
--- a/crates/controller/src/peers/error.rs
+++ b/crates/controller/src/peers/error.rs
@@ -17,8 +17,8 @@
         /// Address of the controller.
         address: String,
     },
-    /// The request was not sent, because the circuit breaker is open: a request has failed, and none
-    /// has succeeded since.
+    /// The request was not sent, because the circuit breaker is open: a request has failed, and
+    /// none has succeeded since.
     #[error("the controller at {address} does not respond at the moment")]
     CircuitOpen {
         /// Address of the controller.
@@ -38,8 +38,8 @@
         /// Address of the controller.
         address: String,
     },
-    /// The controller declined a request that only the leader answers: it does not lead, or does not
-    /// know the controller that sent the request.
+    /// The controller declined a request that only the leader answers: it does not lead, or does
+    /// not know the controller that sent the request.
     #[error("the controller at {address} does not lead")]
     NotLeading {
         /// Address of the controller.
--- a/crates/controller/src/peers/messages.rs
+++ b/crates/controller/src/peers/messages.rs
@@ -1,5 +1,5 @@
-//! The messages between controllers. Their encoding names variants by position, so variants are never
-//! reordered or removed, and new ones come last.
+//! The messages between controllers. Their encoding names variants by position, so variants are
+//! never reordered or removed, and new ones come last.
 
 use crate::job_snapshot::JobSnapshot;
 use crate::request_outcome::RequestOutcome;
@@ -7,8 +7,8 @@
 use hookway_replication::{FollowRequest, FollowResponse};
 use serde::{Deserialize, Serialize};
 
-/// A request to another controller, which answers it from its own knowledge and never passes it on to
-/// a third one.
+/// A request to another controller, which answers it from its own knowledge and never passes it on
+/// to a third one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
     /// Return the state of the job with this id.
@@ -21,8 +21,8 @@
     RenewShardLease(ShardLeaseRenewal),
     /// Announces that a job is finished and its final state is durable.
     JobFinished(JobSnapshot),
-    /// Return the replication log entries or the chunk of a replication snapshot that a standby's copy
-    /// needs next. Controllers answer it from frame version 2 on.
+    /// Return the replication log entries or the chunk of a replication snapshot that a standby's
+    /// copy needs next. Controllers answer it from frame version 2 on.
     Follow(FollowRequest),
 }
 
@@ -33,6 +33,7 @@
     Outcome(RequestOutcome),
     /// The response to a renewal; `None` if the controller does not lead or grants no lease.
     ShardLease(Option<ShardLease>),
-    /// The response to a standby; `None` if the controller does not lead, or does not know the standby.
+    /// The response to a standby; `None` if the controller does not lead, or does not know the
+    /// standby.
     Followed(Option<FollowResponse>),
 }
--- a/crates/controller/src/peers/mod.rs
+++ b/crates/controller/src/peers/mod.rs
@@ -1,7 +1,7 @@
 //! The protocol between controllers: requests and responses in length-prefixed frames over TCP.
 //!
-//! A controller passes users' requests that it can't decide itself on to the others, renews its shard
-//! lease at the leader, and follows the leader's replication log.
+//! A controller passes users' requests that it can't decide itself on to the others, renews its
+//! shard lease at the leader, and follows the leader's replication log.
 
 mod client;
 mod connection;
--- a/crates/controller/src/peers/peer.rs
+++ b/crates/controller/src/peers/peer.rs
@@ -44,13 +44,14 @@
         *self.version.lock().ok()?
     }
 
-    /// Whether the circuit breaker lets a user's request through. Every exchange updates the breaker,
-    /// so a renewal of the shard lease that succeeds closes it without a user's request.
+    /// Whether the circuit breaker lets a user's request through. Every exchange updates the
+    /// breaker, so a renewal of the shard lease that succeeds closes it without a user's request.
     pub(super) fn allows_request(&self) -> bool {
         self.breaker.lock().map_or(true, |mut breaker| breaker.allows_request())
     }
 
-    /// Sends a request and receives the response within the time `limit`. Updates the circuit breaker.
+    /// Sends a request and receives the response within the time `limit`. Updates the circuit
+    /// breaker.
     pub(super) async fn exchange(
         &self,
         request: &PeerRequest,
--- a/crates/controller/src/peers/server.rs
+++ b/crates/controller/src/peers/server.rs
@@ -8,7 +8,8 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Delay after a failed accept, so that `serve` does not loop without pause while sockets are lacking.
+/// Delay after a failed accept, so that `serve` does not loop without pause while sockets are
+/// lacking.
 const ACCEPT_RETRY: Duration = Duration::from_millis(100);
 
 /// Answers the requests of other controllers.
@@ -17,8 +18,8 @@
     fn handle(&self, request: PeerRequest) -> impl Future<Output = PeerResponse> + Send;
 }
 
-/// Answers requests on connections from `networks`, or from any address if `networks` is empty. Runs
-/// until the process ends.
+/// Answers requests on connections from `networks`, or from any address if `networks` is empty.
+/// Runs until the process ends.
 pub async fn serve<H: PeerHandler>(listener: TcpListener, handler: Arc<H>, networks: Networks) {
     loop {
         match listener.accept().await {
@@ -34,8 +35,8 @@
     }
 }
 
-/// Answers the requests of one connection in the order of their arrival, until the connection fails or
-/// is closed.
+/// Answers the requests of one connection in the order of their arrival, until the connection fails
+/// or is closed.
 async fn serve_connection<H: PeerHandler>(mut stream: TcpStream, handler: Arc<H>) {
     let _ = stream.set_nodelay(true);
     while let Ok(request) = receive::<PeerRequest>(&mut stream).await {
--- a/crates/controller/src/records/keys.rs
+++ b/crates/controller/src/records/keys.rs
@@ -1,49 +1,52 @@
-//! The keys of records.
+//! The keys of the records in the store.
 
 use hookway_constants as constants;
 use hookway_wire::JobId;
 
 /// Prefix of the keys that elections use.
 pub const LEADER_PREFIX: &str = "lead/";
-/// The leader.
+/// Key of the [`LeaderRecord`](super::LeaderRecord). Absent while there is no leader.
 pub const LEADER_KEY: &str = "lead/now";
-/// The highest fencing token so far.
+/// Key of the highest fencing token of all terms so far.
 pub const LEADER_TERM_KEY: &str = "lead/term";
-/// The highest fencing token of the last term in which the start watermarks in the state service were
-/// complete: every task that may have been started lies below the watermark of its job.
+/// Key of the marker of complete start watermarks: the highest fencing token of the last term in
+/// which the start watermarks in the store were complete. They are complete if the index of every
+/// task that may have been started is below the watermark of its job.
 pub const COMPLETE_WATERMARKS_KEY: &str = "lead/watermarks";
-/// The same for versions before [`COMPLETE_WATERMARKS_KEY`], which rely on it. They write it with
-/// every election, also before it holds, so this version writes it and never reads it.
+/// Key of the same marker for versions that lack [`COMPLETE_WATERMARKS_KEY`], and rely on this one.
+/// Those versions write it with every election, even while the watermarks are not complete, so this
+/// version writes it and never reads it.
 pub const LEADER_WATERMARKS_KEY: &str = "lead/marked";
-/// Prefix of accepted jobs.
+/// Prefix of the records of accepted jobs that are not finished.
 pub const JOBS_PREFIX: &str = "j/";
-/// Prefix of final states.
+/// Prefix of the final states of jobs.
 pub const FINAL_STATES_PREFIX: &str = "f/";
 /// Prefix of progress records.
 pub const PROGRESS_PREFIX: &str = "p/";
 /// Prefix of scheduling records and shared start watermarks.
 pub const SCHEDULING_PREFIX: &str = "m/";
-/// Prefix of the machine registry.
+/// Prefix of the records of the machine registry.
 pub const REGISTRY_PREFIX: &str = "r/";
 /// Prefix of the image records of version 0.1.0.
 pub const LEGACY_IMAGES_PREFIX: &str = "i/";
-/// What classes of jobs request.
+/// Key of the [`ClassRecord`](super::ClassRecord)s of all classes of jobs, by class.
 pub const CLASSES_KEY: &str = "c/lanes";
 
-/// What follows [`SCHEDULING_PREFIX`] in the keys of shared start watermarks.
+/// Text between [`SCHEDULING_PREFIX`] and the number in the keys of shared start watermarks.
 const SHARED_WATERMARKS: &str = "shared-";
 
-/// `j/<job>`.
+/// Returns `j/<job>`, the key of a job's record.
 pub fn job_key(job: &JobId) -> String {
     format!("{JOBS_PREFIX}{job}")
 }
 
-/// `f/<job>`.
+/// Returns `f/<job>`, the key of a job's final state.
 pub fn final_state_key(job: &JobId) -> String {
     format!("{FINAL_STATES_PREFIX}{job}")
 }
 
-/// The key of the progress record whose first task is `first_task`.
+/// Returns the key of the progress record that begins at task `first_task`: `p/<job>/<page>` if
+/// that is the first task of a page, `p/<job>/<page>/<first_task>` otherwise.
 pub fn progress_key(job: &JobId, first_task: u32) -> String {
     let page = first_task / constants::PROGRESS_PAGE_TASKS;
     if first_task.is_multiple_of(constants::PROGRESS_PAGE_TASKS) {
@@ -53,7 +56,8 @@
     }
 }
 
-/// The job and the first task of the key of a progress record.
+/// Returns the job and the first task of the progress record with this key; `None` if the key is
+/// not one of a progress record.
 pub fn parse_progress_key(key: &str) -> Option<(JobId, u32)> {
     let parts: Vec<&str> = key.strip_prefix(PROGRESS_PREFIX)?.split('/').collect();
     let (job, first_task) = match parts.as_slice() {
@@ -66,22 +70,24 @@
     Some((JobId::parse(job)?, first_task))
 }
 
-/// `m/<job>`.
+/// Returns `m/<job>`, the key of a job's scheduling record.
 pub fn scheduling_key(job: &JobId) -> String {
     format!("{SCHEDULING_PREFIX}{job}")
 }
 
-/// `m/shared-<number>`.
+/// Returns `m/shared-<number>`, the key of a record of shared start watermarks.
 pub fn shared_watermarks_key(number: u64) -> String {
     format!("{SCHEDULING_PREFIX}{SHARED_WATERMARKS}{number}")
 }
 
-/// The number in the key of shared start watermarks.
+/// Returns the number in the key of a record of shared start watermarks; `None` if the key is
+/// another one.
 pub fn parse_shared_watermarks_key(key: &str) -> Option<u64> {
     key.strip_prefix(SCHEDULING_PREFIX)?.strip_prefix(SHARED_WATERMARKS)?.parse().ok()
 }
 
-/// `r/<name>`: the name of a registry record or, in version 0.1.0, of a machine.
+/// Returns `r/<name>`. `name` is that of a registry record (`record-<n>`) or, for the keys of
+/// version 0.1.0, of a machine.
 pub fn registry_key(name: &str) -> String {
     format!("{REGISTRY_PREFIX}{name}")
 }
--- a/crates/controller/src/records/machine_registry.rs
+++ b/crates/controller/src/records/machine_registry.rs
@@ -1,26 +1,26 @@
-//! Records of the machine registry.
+//! Records of the machine registry, which lists the machines that may have tasks.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The value of `r/record-<n>`.
+/// The value of `r/record-<n>`: one part of the machine registry.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineRegistryRecord {
-    /// The machines, by name.
+    /// The machines of this part, by name.
     #[serde(rename = "hosts")]
     pub machines: BTreeMap<String, MachineRegistryEntry>,
-    /// The images that the entries refer to.
+    /// The images that the entries refer to by their index in this list.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub images: Vec<ImageRecord>,
 }
 
-/// An image in a record; stored as an array of its name and its size.
+/// A container image in a record; stored as an array of name and size.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(String, f64)", into = "(String, f64)")]
 pub struct ImageRecord {
-    /// Its name.
+    /// The name of the image.
     pub name: String,
-    /// Its size, GB.
+    /// The size of the image, GB.
     pub size_gb: f64,
 }
 
@@ -36,18 +36,19 @@
     }
 }
 
-/// A machine in `r/record-<n>`.
+/// A machine in a [`MachineRegistryRecord`].
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineRegistryEntry {
-    /// When it was registered (wall clock, ms).
+    /// When the machine was registered, in ms of Unix time by the leader's wall clock.
     #[serde(rename = "at_ms")]
     pub registered_at_ms: u64,
-    /// The images in its cache, as indices into the record's list; least recently used first.
+    /// The images in the machine's cache, as indices into [`MachineRegistryRecord::images`]; least
+    /// recently used first.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub images: Vec<usize>,
 }
 
-/// The value of `i/<machine>`, written by version 0.1.0.
+/// The value of `i/<machine>`, which only version 0.1.0 writes.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ImagesRecord {
     /// The images in the machine's cache; least recently used first.
--- a/crates/controller/src/records/mod.rs
+++ b/crates/controller/src/records/mod.rs
@@ -1,22 +1,22 @@
-//! The records of the controllers in the state service, as JSON.
+//! The records that the controllers keep in the store, as JSON.
 //!
 //! | key | record |
 //! | --- | --- |
 //! | `lead/now` | [`LeaderRecord`]: the leader; attached to its lease |
-//! | `lead/term` | the highest fencing token so far; only grows |
-//! | `lead/watermarks` | the value of `lead/term` of the last term with complete start watermarks |
-//! | `lead/marked` | the same for earlier versions; written, never read |
+//! | `lead/term` | the highest fencing token of all terms so far; never decreases |
+//! | `lead/watermarks` | the value of `lead/term` in the last term with complete start watermarks |
+//! | `lead/marked` | the same marker for earlier versions; written, never read |
 //! | `j/<job>` | [`JobRecord`]: an accepted job that is not finished |
 //! | `f/<job>` | [`FinalRecord`]: the final state of a job; written once, never changed |
 //! | `p/<job>/<page>` | [`ProgressRecord`]: the completed tasks of a page of tasks |
-//! | `p/<job>/<page>/<task>` | the same from this task on, where a value can't hold a whole page |
+//! | `p/<job>/<page>/<task>` | the same from `<task>` on, where a value can't hold a whole page |
 //! | `m/<job>` | [`JobSchedulingRecord`]: hints for the next leader, and the job's start watermark |
-//! | `m/shared-<n>` | [`SharedStartWatermarksRecord`]: small jobs whose tasks may have been started |
+//! | `m/shared-<n>` | [`SharedStartWatermarksRecord`]: small jobs that may have been started |
 //! | `r/record-<n>` | [`MachineRegistryRecord`]: machines that may have tasks |
-//! | `c/lanes` | [`ClassRecord`] by class of jobs: a hint for the next leader |
+//! | `c/lanes` | a [`ClassRecord`] for each class of jobs: hints for the next leader |
 //!
-//! Version 0.1.0 had `r/<machine>` and `i/<machine>` ([`ImagesRecord`]) instead of `r/record-<n>`.
-//! Both are read, and replaced.
+//! Version 0.1.0 wrote `r/<machine>` and `i/<machine>` ([`ImagesRecord`]) instead of
+//! `r/record-<n>`. A leader still reads both, and replaces them by `r/record-<n>`.
 
 mod job;
 mod keys;
@@ -41,7 +41,7 @@
 
 use serde::Serialize;
 
-/// Whether a record, as JSON, does not exceed the maximum size of a value, KiB.
+/// Whether the JSON text of a record is at most `value_kb` KiB, the maximum size of a value.
 pub fn fits_value_limit(record: &impl Serialize, value_kb: f64) -> bool {
     let length = serde_json::to_string(record).map_or(usize::MAX, |text| text.len());
     length as f64 <= value_kb * 1024.0
--- a/crates/controller/src/records/progress.rs
+++ b/crates/controller/src/records/progress.rs
@@ -1,18 +1,20 @@
-//! Records of completed tasks.
+//! Records of the tasks of a job that are completed.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use serde::{Deserialize, Serialize};
 
-/// The value of `p/<job>/<page>`: which of a range of tasks are completed.
+/// The value of `p/<job>/<page>` and `p/<job>/<page>/<task>`: which tasks of a range are completed.
+/// The key has the first task of the range.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgressRecord {
-    /// One bit per task, lowest first, as base64.
+    /// One bit for each task, least significant bit of the first byte first, as base64 without
+    /// padding.
     pub bits: String,
 }
 
 impl ProgressRecord {
-    /// Encodes whether each task of the range is completed.
+    /// Encodes a range of tasks. `completed` has one entry for each task.
     pub fn new(completed: &[bool]) -> Self {
         let mut bytes = vec![0u8; completed.len().div_ceil(8)];
         for (index, _) in completed.iter().enumerate().filter(|(_, completed)| **completed) {
@@ -21,7 +23,8 @@
         Self { bits: STANDARD_NO_PAD.encode(bytes) }
     }
 
-    /// The completed tasks, counted from the first one of the range; none if the record is invalid.
+    /// Returns the completed tasks as offsets from the first task of the range; none if `bits` is
+    /// not valid base64.
     pub fn completed(&self) -> Vec<u32> {
         let bytes = STANDARD_NO_PAD.decode(&self.bits).unwrap_or_default();
         (0..bytes.len() as u32 * 8)
--- a/crates/controller/src/settings/checks.rs
+++ b/crates/controller/src/settings/checks.rs
@@ -1,10 +1,11 @@
-//! Checks of the platform's settings, beyond their types.
+//! Checks of the values in the platform's settings file, which the parser has checked for types
+//! only.
 
 use super::{PlatformSettings, SettingError, Settings};
 use hookway_constants as constants;
 use std::net::SocketAddr;
 
-/// Checks the settings in a fixed order and reports the first one that is invalid.
+/// Checks the settings in a fixed order and returns an error for the first invalid one.
 pub(super) fn check(settings: &Settings) -> Result<(), SettingError> {
     if settings.controller_name.is_empty() {
         return Err(SettingError::Empty("label"));
@@ -102,7 +103,7 @@
     Ok(())
 }
 
-/// Whether a value is a number of at least 0.
+/// Whether a value is finite and at least 0.
 fn is_amount(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
--- a/crates/controller/src/settings/error.rs
+++ b/crates/controller/src/settings/error.rs
@@ -1,4 +1,4 @@
-//! Errors of settings.
+//! Errors in settings files.
 
 use crate::networks::NetworksError;
 
@@ -8,7 +8,7 @@
     /// The file can't be read.
     #[error("can't read {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
         /// The error of the operating system.
         source: std::io::Error,
@@ -16,14 +16,14 @@
     /// A setting is invalid.
     #[error("{path}: {source}")]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is invalid.
+        /// The setting that is invalid, and why.
         source: SettingError,
     },
 }
 
-/// What is invalid about settings. The text names the setting.
+/// Why a setting is invalid. The text names the setting.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingError {
     /// The text is not TOML, or a setting is missing or has the wrong type.
@@ -31,18 +31,18 @@
     Toml {
         /// The message of the parser, which names the setting.
         message: String,
-        /// The number of the line.
+        /// Number of the line in the file, counted from 1.
         line: usize,
-        /// The line.
+        /// The line, without white space at its ends.
         text: String,
     },
-    /// The same, where the parser names no line.
+    /// The same as [`Toml`](Self::Toml), but the parser gives no position in the file.
     #[error("{0}")]
     TomlWithoutLine(String),
     /// The text is not an INI file.
     #[error(transparent)]
     Ini(#[from] ini::ParseError),
-    /// There is no such setting.
+    /// No setting has this name.
     #[error("unknown setting {0}")]
     Unknown(String),
     /// The setting must not be empty.
@@ -54,52 +54,52 @@
     /// The setting is not an address with a port.
     #[error("{name} must be an address with a port, not {value:?}")]
     Address {
-        /// The setting.
+        /// Name of the setting.
         name: &'static str,
-        /// Its value.
+        /// The value that was set.
         value: String,
     },
-    /// The setting is not a positive number.
+    /// The setting is not a finite number above 0.
     #[error("{name} must be a number above 0, not {value}")]
     NotPositive {
-        /// The setting.
+        /// Name of the setting.
         name: &'static str,
-        /// Its value.
+        /// The value that was set.
         value: f64,
     },
-    /// The setting is negative or not a number.
+    /// The setting is not a finite number of at least 0.
     #[error("{name} must be a number of at least 0, not {value}")]
     Negative {
-        /// The setting.
+        /// Name of the setting.
         name: &'static str,
-        /// Its value.
+        /// The value that was set.
         value: f64,
     },
     /// The setting is below its minimum.
     #[error("{name} must be at least {min}")]
     BelowMinimum {
-        /// The setting.
+        /// Name of the setting.
         name: &'static str,
-        /// The minimum.
+        /// The minimum that is allowed.
         min: usize,
     },
-    /// An amount of a team is negative or not a number.
+    /// A guarantee or limit of the team with this name is not a finite number of at least 0.
     #[error("settings.teams: {0} has a negative amount")]
     NegativeTeamAmount(String),
     /// The setting is not a number.
     #[error("{0} must be a number")]
     NotANumber(String),
-    /// The setting is not a whole number.
+    /// The setting is not a whole number of at least 0.
     #[error("{0} must be a whole number")]
     NotAWholeNumber(String),
-    /// The setting is not a time in its range.
+    /// The setting is not a time, or not within its range.
     #[error("{name} must be from {min_s} to {max_s} seconds")]
     OutOfRange {
-        /// The setting.
+        /// Name of the setting.
         name: String,
-        /// The minimum, s.
+        /// The shortest time that is allowed, s.
         min_s: u64,
-        /// The maximum, s.
+        /// The longest time that is allowed, s.
         max_s: u64,
     },
     /// The setting is neither `on` nor `off`.
@@ -108,9 +108,9 @@
     /// The setting is not a list of networks.
     #[error("{name}: {source}")]
     Networks {
-        /// The setting.
+        /// Name of the setting.
         name: String,
-        /// The part that is invalid.
+        /// The part of the list that is invalid.
         source: NetworksError,
     },
 }
--- a/crates/controller/src/settings/mod.rs
+++ b/crates/controller/src/settings/mod.rs
@@ -1,4 +1,5 @@
-//! Settings: the platform's TOML file, and the operators' INI file.
+//! Settings: the platform's TOML file ([`Settings`]) and the operators' INI file
+//! ([`OperatorSettings`]).
 
 mod checks;
 mod error;
@@ -14,7 +15,7 @@
 
 use std::path::Path;
 
-/// Reads a settings file and parses it.
+/// Reads a settings file and parses it. Errors name the file.
 fn load<T>(
     path: &Path,
     parse: impl FnOnce(&str) -> Result<T, SettingError>,
--- a/crates/controller/src/settings/operator.rs
+++ b/crates/controller/src/settings/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' settings, an INI file. Every key is optional; unknown keys are rejected.
+//! The operators' settings file (INI). Every key is optional; unknown keys are rejected.
 
 use super::{ConfigError, SettingError};
 use crate::networks::Networks;
@@ -8,20 +8,20 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The range of times other than the length of the leadership lease, s.
+/// The range that times must be in, s. The length of the leadership lease has a range of its own.
 const TIME_RANGE_S: RangeInclusive<f64> = 1.0..=86_400.0;
 
-/// The operators' settings.
+/// The operators' settings, with the defaults of keys that the file lacks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OperatorSettings {
-    /// `[fleet] idle_return_s`: idle time after which a machine is scaled in. `None`: derived from
-    /// the machine type.
+    /// `[fleet] idle_return_s`: idle time after which a machine is scaled in. If `None`, the time
+    /// is derived from the machine type.
     pub idle_timeout: Option<Duration>,
     /// `[fleet] most_machines`: maximum number of machines at a time.
     pub max_machines: usize,
     /// `[scheduling] block_lease_s`: length of a shard lease.
     pub shard_lease: Duration,
-    /// `[replication]`.
+    /// The section `[replication]`.
     pub replication: ReplicationSettings,
 }
 
@@ -55,7 +55,7 @@
         Ok(settings)
     }
 
-    /// Sets one key. `name` is the setting in error messages.
+    /// Sets one key. Error messages call the setting `name`.
     fn set(
         &mut self,
         section: Option<&str>,
@@ -81,17 +81,19 @@
     }
 }
 
-/// `[replication]`: how controllers follow the leader.
+/// The section `[replication]`: leadership, and how controllers follow the leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicationSettings {
-    /// `standby`: whether followers keep a copy of the leader's cluster state.
+    /// `standby`: whether this controller keeps a copy of the leader's cluster state while it
+    /// follows.
     pub standby: bool,
     /// `leader_lease_s`: length of the leadership lease. A new leader can't be elected before
     /// the lease of the previous one has expired.
     pub leader_lease: Duration,
-    /// `controller_networks`: where connections of other controllers are accepted from.
+    /// `controller_networks`: the networks that other controllers may connect from. Empty: any.
     pub controller_networks: Networks,
-    /// `worker_networks`: the addresses of workers that a new leader accepts from its copy.
+    /// `worker_networks`: the networks of the worker addresses that a new leader uses from its copy
+    /// of the cluster state. Empty: any.
     pub worker_networks: Networks,
 }
 
@@ -125,7 +127,7 @@
     }
 }
 
-/// Parses a time in s.
+/// Parses a time in s and checks that it is within [`TIME_RANGE_S`].
 fn parse_time(value: &str, name: String) -> Result<Duration, SettingError> {
     let Ok(seconds) = value.parse::<f64>() else { return Err(SettingError::NotANumber(name)) };
     if !TIME_RANGE_S.contains(&seconds) {
@@ -135,7 +137,8 @@
     Ok(Duration::from_millis((seconds * 1_000.0) as u64))
 }
 
-/// Parses the length of the leadership lease in s.
+/// Parses the length of the leadership lease in s and checks that it is within `LEADER_TTL_RANGE`.
+/// Text that is not a number becomes NaN, which no range contains.
 fn parse_leader_lease(value: &str, name: String) -> Result<Duration, SettingError> {
     let (min, max) = constants::LEADER_TTL_RANGE.into_inner();
     let lease_ms = value.parse().unwrap_or(f64::NAN) * 1_000.0;
--- a/crates/controller/src/settings/platform.rs
+++ b/crates/controller/src/settings/platform.rs
@@ -1,35 +1,35 @@
-//! The platform's settings, a TOML file. Unknown fields are ignored. Names in the file differ from
-//! those of the fields where `serde(rename)` says so.
+//! The platform's settings file (TOML). Unknown keys are ignored. A key is named like the field
+//! here, unless `serde(rename)` gives it another name.
 
 use super::{ConfigError, SettingError, checks};
 use serde::Deserialize;
 use std::path::Path;
 
-/// Sockets of a machine whose limit is not given.
+/// Maximum number of sockets of a controller's machine if the file does not set it.
 const DEFAULT_MAX_SOCKETS: usize = 1000;
-/// Share of a core of a machine whose limit is not given.
+/// Share of a core that a controller may use if the file does not set it.
 const DEFAULT_CORE_SHARE: f64 = 1.0;
 
-/// The platform's settings file.
+/// The contents of the platform's settings file for one controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
     /// The name of this controller.
     #[serde(rename = "label")]
     pub controller_name: String,
-    /// The zone of this controller.
+    /// The zone that this controller runs in; empty if not set.
     #[serde(rename = "domain", default)]
     pub zone: String,
-    /// The address of the HTTP interface.
+    /// The address that this controller serves HTTP at.
     pub api_addr: String,
-    /// The address for connections of the other controllers.
+    /// The address that this controller accepts connections of other controllers at.
     pub peer_bind: String,
-    /// The other controllers.
+    /// All other controllers.
     #[serde(rename = "siblings", default)]
     pub peers: Vec<PeerController>,
     /// The addresses of external services.
     #[serde(rename = "outside")]
     pub endpoints: Endpoints,
-    /// The settings that all controllers share.
+    /// The `settings` table, which is the same for all controllers.
     #[serde(rename = "settings")]
     pub platform: PlatformSettings,
 }
@@ -49,7 +49,7 @@
     }
 }
 
-/// The error with the line in which the parser found it.
+/// Converts an error of the TOML parser, and adds the line that it refers to.
 fn toml_error(error: &toml::de::Error, text: &str) -> SettingError {
     let message = error.message().to_owned();
     let Some(span) = error.span() else { return SettingError::TomlWithoutLine(message) };
@@ -58,47 +58,47 @@
     SettingError::Toml { message, line: index + 1, text: line_text.to_owned() }
 }
 
-/// Another controller.
+/// Another controller, as this controller's settings file describes it.
 #[derive(Debug, Clone, Deserialize)]
 pub struct PeerController {
-    /// Its name.
+    /// The name of the controller.
     #[serde(rename = "label")]
     pub name: String,
-    /// Its zone.
+    /// The zone that the controller runs in; empty if not set.
     #[serde(rename = "domain", default)]
     pub zone: String,
-    /// Its address for connections of other controllers.
+    /// The address that the controller accepts connections of other controllers at.
     pub address: String,
 }
 
 /// The addresses of external services.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Endpoints {
-    /// The cloud.
+    /// Address of the cloud's API.
     pub cloud: String,
-    /// The state service.
+    /// Address of the store.
     pub state: String,
 }
 
-/// The `settings` table, which all controllers share.
+/// The `settings` table, which is the same for all controllers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct PlatformSettings {
-    /// Maximum error of the wall clock, ms.
+    /// Maximum error of a controller's wall clock in either direction, ms.
     #[serde(default)]
     pub clock_off_ms: f64,
-    /// The zones.
+    /// The names of the zones that machines can run in.
     pub zones: Vec<String>,
-    /// The teams.
+    /// The teams that may submit jobs.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// The service level objectives.
+    /// The service-level objectives of the classes of jobs.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// The protocol with the workers.
+    /// The timing of the protocol with the workers.
     pub workers: WorkerSettings,
-    /// The limits of the state service.
+    /// The limits of the store.
     pub state: StateSettings,
-    /// The limits of the cloud.
+    /// The limits of the cloud's API.
     pub cloud: CloudSettings,
     /// The limits of this controller's machine.
     #[serde(default)]
@@ -106,94 +106,98 @@
 }
 
 impl PlatformSettings {
-    /// The index of a zone in the list of zones.
+    /// Returns the index of a zone in `zones`; `None` if there is no such zone.
     pub fn zone(&self, name: &str) -> Option<usize> {
         self.zones.iter().position(|zone| zone == name)
     }
 }
 
-/// A team with its guarantee and its limit; 0: none.
+/// A team with its guarantee and its limit. An amount of 0 means no guarantee or no limit.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
-    /// Its name.
+    /// The name of the team, as jobs give it.
     pub name: String,
-    /// Guaranteed CPUs.
+    /// Guaranteed number of CPUs; 0: no guarantee.
     #[serde(default)]
     pub cpus: f64,
-    /// Maximum number of CPUs.
+    /// Maximum number of CPUs that the team's tasks may use at a time; 0: no limit.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Guaranteed GPUs.
+    /// Guaranteed number of GPUs; 0: no guarantee.
     #[serde(default)]
     pub gpus: f64,
-    /// Maximum number of GPUs.
+    /// Maximum number of GPUs that the team's tasks may use at a time; 0: no limit.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
 impl Team {
-    /// Whether the resources of its tasks are limited.
+    /// Whether the team has a limit on CPUs or GPUs.
     pub fn limited(&self) -> bool {
         self.cpus_max > 0.0 || self.gpus_max > 0.0
     }
 }
 
-/// A service level objective.
+/// A service-level objective for a class of jobs.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// Its kind: `wait`, `finished`, `deadline`, or one that this version does not know.
+    /// The kind of objective: `wait`, `finished`, `deadline`, or one that this version does not
+    /// know.
     pub kind: String,
-    /// The class of jobs that it is for.
+    /// The class of jobs that the objective is for.
     #[serde(default)]
     pub class: Option<String>,
-    /// The time limit, s.
+    /// Time after the submission of a job within which the objective must be met, s.
     #[serde(default)]
     pub within_s: Option<f64>,
 }
 
-/// The protocol with the workers.
+/// The timing of the protocol with the workers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerSettings {
-    /// Interval between heartbeats, s.
+    /// Interval between two heartbeats of a worker, s.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// Length of a worker lease, s.
+    /// Length of a worker lease, s: a worker kills its tasks if no controller has extended the
+    /// lease for this long.
     pub lease_s: f64,
-    /// Maximum time that a gang waits for its tasks, s.
+    /// Maximum time that the tasks of a gang wait for one another to start, s. Checked to be
+    /// positive, and not used otherwise.
     pub gang_wait_s: f64,
-    /// Time in which a gang detects the loss of a task, s.
+    /// Time in which the tasks of a gang detect the loss of one of them, s. Checked to be positive,
+    /// and not used otherwise.
     pub gang_peer_s: f64,
-    /// Time in which a cancellation must stop all tasks, s.
+    /// Time in which a cancellation must stop all tasks of the job, s.
     pub cancel_s: f64,
 }
 
-/// The limits of the state service.
+/// The limits of the store, which all controllers share.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateSettings {
-    /// Requests per second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// Operations of transactions per second.
+    /// Maximum number of operations in transactions per second.
     pub write_rps: f64,
     /// Maximum size of a value, KiB.
     pub value_kb: f64,
     /// Maximum number of operations in a transaction.
     pub txn_ops: usize,
-    /// Limits that replace these at an unannounced time.
+    /// Limits that will replace the present ones at an unannounced time.
     #[serde(default)]
     pub next: Option<NextStateLimits>,
-    /// Maximum size of a value that may be accepted at present, KiB: the larger one of the present
-    /// and the next limit.
+    /// Largest size of a value that the store can accept at this time, KiB: the larger one of the
+    /// present and the next `value_kb`. Not a key of the file; set when the file is parsed.
     #[serde(skip)]
     pub largest_value_kb: f64,
 }
 
-/// The next limits of the state service. A limit that is missing does not change.
+/// The next limits of the store. A limit that is missing keeps its present value.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 pub struct NextStateLimits {
-    /// Requests per second.
+    /// Maximum number of requests per second.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Operations of transactions per second.
+    /// Maximum number of operations in transactions per second.
     #[serde(default)]
     pub write_rps: Option<f64>,
     /// Maximum size of a value, KiB.
@@ -205,8 +209,9 @@
 }
 
 impl StateSettings {
-    /// Lowers each limit to the smaller one of the present and the next limit. The change is
-    /// unannounced, so requests keep to both.
+    /// Lowers each limit to the smaller one of the present and the next limit, and sets
+    /// `largest_value_kb`. The time of the change is unannounced, so requests must be within both
+    /// limits.
     fn apply_stricter_limits(&mut self) {
         self.largest_value_kb = self.value_kb;
         let Some(next) = &self.next else { return };
@@ -218,22 +223,22 @@
     }
 }
 
-/// The limits of the cloud.
+/// The limits of the cloud's API.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudSettings {
-    /// Requests per second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// Maximum delay of the machine list, s.
+    /// Maximum time after which a change shows in the cloud's list of machines, s.
     pub list_lag_s: f64,
 }
 
 /// The limits of this controller's machine.
 #[derive(Debug, Clone, Deserialize)]
 pub struct MachineLimits {
-    /// Maximum number of sockets.
+    /// Maximum number of sockets that can be open at a time.
     #[serde(default = "default_max_sockets")]
     pub max_sockets: usize,
-    /// Share of a core.
+    /// Share of one core that the controller may use.
     #[serde(default = "default_core_share")]
     pub core_share: f64,
 }
