--- a/crates/controller/src/http.rs
+++ b/crates/controller/src/http.rs
@@ -1,4 +1,5 @@
-//! The HTTP interface for users, workers and health checks.
+//! The HTTP server: the API for users, workers' heartbeats, the state of replication, and health
+//! checks.
 
 use crate::actor::HeartbeatReply;
 use crate::api::{ApiService, Origin};
@@ -12,7 +13,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Creates the service with all routes.
+/// Creates the HTTP service with all routes.
 pub fn service(api: Arc<ApiService>) -> Service {
     let limits = Arc::new(UserLimits::new(api.max_sockets()));
     let user = |request| UserHandler { api: api.clone(), limits: limits.clone(), request };
@@ -29,7 +30,7 @@
     Service::new(router).catcher(salvo::catcher::Catcher::default().hoop(error_body))
 }
 
-/// The kind of a user's request.
+/// The kind of a user's request, which determines its time limit and concurrency limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum UserRequest {
     Submit,
@@ -38,7 +39,7 @@
 }
 
 impl UserRequest {
-    /// The time limit for the response.
+    /// Returns the time limit for the response.
     fn time_limit(self) -> Duration {
         match self {
             Self::Status => constants::STATUS_LIMIT,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// The value of `Retry-After`, s.
+    /// Returns the value of `Retry-After` in responses with status 503, s.
     fn retry_after_s(self) -> u32 {
         match self {
             Self::Status => constants::STATUS_RETRY_AFTER_S,
@@ -55,8 +56,9 @@
     }
 }
 
-/// The limits on users' requests in progress. Status requests have their own, so that many of them
-/// don't shut out submissions and slow responses to one kind don't lower the limit of the other.
+/// The concurrency limits on users' requests. Status requests have a limit of their own, so that
+/// many of them don't block submissions and cancellations, and slow responses to one kind don't
+/// lower the limit of the other.
 struct UserLimits {
     status: ConcurrencyLimiter,
     changes: ConcurrencyLimiter,
@@ -157,7 +159,7 @@
     }
 }
 
-/// Reads the heartbeat in the body of a request; the reason if there is none.
+/// Parses the heartbeat in the body of a request. The error says why the body is not one.
 async fn read_heartbeat(req: &mut Request) -> Result<Heartbeat, String> {
     let body = req
         .payload_with_max_size(constants::BODY_LIMIT)
@@ -166,7 +168,7 @@
     serde_json::from_slice(body).map_err(|error| error.to_string())
 }
 
-/// The health check.
+/// Responds to health checks, whether or not this controller can do anything else.
 #[handler]
 async fn up(res: &mut Response) {
     res.status_code(StatusCode::OK);
@@ -185,7 +187,8 @@
     }
 }
 
-/// The body of errors that the router itself finds: an unknown path, a wrong method.
+/// Writes the body of responses to requests that no route matches, by an unknown path or a wrong
+/// method.
 #[handler]
 async fn error_body(res: &mut Response, ctrl: &mut FlowCtrl) {
     let status = res.status_code.unwrap_or(StatusCode::NOT_FOUND);
--- a/crates/controller/src/job_snapshot.rs
+++ b/crates/controller/src/job_snapshot.rs
@@ -1,24 +1,26 @@
-//! The state of a job as controllers exchange it.
+//! The state of a job at one time, in the form that controllers exchange.
 
 use hookway_wire::{JobId, JobState, JobStatus};
 use serde::{Deserialize, Serialize};
 
-/// The state of a job. Its fields have fixed positions in frames, unlike those of [`JobStatus`].
+/// The state of a job at one time. Its encoding in frames goes by the positions of its fields, so
+/// they are never reordered, added or removed; those of [`JobStatus`], which users see, may be.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSnapshot {
-    /// The job.
+    /// The id of the job.
     pub id: JobId,
-    /// Its state.
+    /// Whether the job is queued, running, done or cancelled.
     pub state: JobState,
     /// Number of completed tasks.
     pub done: u32,
     /// Number of running tasks.
     pub running: u32,
-    /// The team.
+    /// Name of the team that owns the job; `None` if it is not known.
     pub team: Option<String>,
-    /// The name of the leader that schedules it.
+    /// Name of the leader that schedules the job; `None` if the job is finished or the leader is
+    /// not known.
     pub leader: Option<String>,
-    /// Why attempts of its tasks failed.
+    /// Notes for the user, which say why attempts of the job's tasks failed.
     pub notes: Vec<String>,
 }
 
--- a/crates/controller/src/networks.rs
+++ b/crates/controller/src/networks.rs
@@ -1,13 +1,13 @@
-//! Sets of IP networks that operators allow addresses from.
+//! Sets of IP networks, by which operators restrict the addresses of controllers and workers.
 
 use ipnet::IpNet;
 use std::net::{IpAddr, SocketAddr};
 
-/// A list of networks could not be parsed.
+/// The error of a list of networks that can't be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{network:?} is no network such as 10.0.0.0/24")]
 pub struct NetworksError {
-    /// The part of the list that is not a network.
+    /// The first part of the list that is not a network.
     pub network: String,
 }
 
@@ -16,7 +16,7 @@
 pub struct Networks(Vec<IpNet>);
 
 impl Networks {
-    /// Parses a list such as `10.0.0.0/24, 10.1.0.0/16`.
+    /// Parses a list of networks separated by commas, such as `10.0.0.0/24, 10.1.0.0/16`.
     pub fn parse(list: &str) -> Result<Self, NetworksError> {
         let parse = |part: &str| {
             let network = part.trim();
@@ -26,13 +26,13 @@
         Ok(Self(IpNet::aggregate(&networks)))
     }
 
-    /// Whether an IP address is allowed.
+    /// Whether an IP address is in one of the networks, or the set is empty.
     pub fn allow(&self, address: IpAddr) -> bool {
         self.0.is_empty() || self.0.iter().any(|network| network.contains(&address))
     }
 
-    /// Whether an address with a port, such as `10.0.0.1:9000`, is allowed. Text that is no such
-    /// address is allowed by the empty set only.
+    /// Whether the IP address in a socket address, such as `10.0.0.1:9000`, is allowed. Only the
+    /// empty set allows text that is not a socket address, such as a host name.
     pub fn allow_socket(&self, address: &str) -> bool {
         self.0.is_empty()
             || address.parse::<SocketAddr>().is_ok_and(|address| self.allow(address.ip()))
--- a/crates/controller/src/peers/connection.rs
+++ b/crates/controller/src/peers/connection.rs
@@ -16,7 +16,8 @@
     /// The frame could not be encoded or decoded.
     #[error("frame: {0}")]
     Frame(#[from] FrameError),
-    /// The frame exceeds the maximum length.
+    /// A received frame exceeds `PEER_FRAME_LIMIT`, or a frame to send is too long for a length of
+    /// four bytes.
     #[error("a frame exceeds the maximum length")]
     TooLong,
 }
--- a/crates/controller/src/request_outcome.rs
+++ b/crates/controller/src/request_outcome.rs
@@ -3,29 +3,30 @@
 use crate::job_snapshot::JobSnapshot;
 use serde::{Deserialize, Serialize};
 
-/// The outcome of a user's request. Controllers exchange it, so the positions of its variants and
-/// fields in frames are fixed.
+/// The outcome of a user's request. Controllers exchange it in frames, whose encoding goes by the
+/// positions of variants and fields, so these positions never change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestOutcome {
-    /// The job was accepted by this request.
+    /// This request has accepted the job. The state of the job.
     Accepted(JobSnapshot),
-    /// The state of a job that was accepted before.
+    /// The job was accepted before. The state of the job.
     Known(JobSnapshot),
-    /// No such job was ever accepted.
+    /// No job with this id was ever accepted.
     NotFound,
-    /// The request is invalid.
+    /// The submission is invalid, or its job can never run.
     Rejected {
-        /// The HTTP status code.
+        /// The HTTP status code of the response: 400 or 422.
         status: u16,
-        /// The reason, for the user.
+        /// The reason given to the user.
         reason: String,
     },
-    /// The request can't be decided now, for this reason.
+    /// The request can't be decided at this time. The value is the reason given to the user, who
+    /// should send the request again.
     Unavailable(String),
 }
 
 impl RequestOutcome {
-    /// The request can't be decided now, for this reason.
+    /// Creates an [`Unavailable`](Self::Unavailable) outcome with this reason.
     pub(crate) fn unavailable(reason: &str) -> Self {
         Self::Unavailable(reason.to_owned())
     }
