--- a/crates/controller/src/api/admission.rs
+++ b/crates/controller/src/api/admission.rs
@@ -32,15 +32,15 @@
         .collect();
     // All tasks of a gang or a daemon run at the same time, so the suitable zones together must be
     // allowed to run all of them.
-    let all_at_once = spec.needs_all_tasks_at_once();
-    if all_at_once && suitable_types.contains(&true) {
-        let zones = suitable_zones(spec, platform, machine_types, &request);
+    let needs_all_at_once = spec.needs_all_tasks_at_once();
+    if needs_all_at_once && suitable_types.contains(&true) {
+        let zones = count_suitable_zones(spec, platform, machine_types, &request);
         let max_tasks = u64::from(spec.max_tasks_per_zone()) * zones as u64;
         if max_tasks < u64::from(spec.tasks) {
             return Err(AdmissionError::SpreadExceedsZones);
         }
     }
-    let min_tasks = if all_at_once { spec.tasks } else { 1 };
+    let min_tasks = if needs_all_at_once { spec.tasks } else { 1 };
     let limit = Quota { cpus: team.cpus_max, gpus: team.gpus_max };
     let team = TeamView { limit, ..TeamView::default() };
     Ok(check_feasible(&suitable_types, &request, min_tasks, &team)?)
@@ -55,7 +55,7 @@
 
 /// Returns the number of zones in which tasks of a job can run at the same time: at most one if the
 /// job requires a single zone.
-fn suitable_zones(
+fn count_suitable_zones(
     spec: &JobSpec,
     platform: &PlatformSettings,
     machine_types: &[MachineType],
--- a/crates/controller/src/api/cancellation.rs
+++ b/crates/controller/src/api/cancellation.rs
@@ -14,7 +14,7 @@
 
 /// Maximum number of times that the controller actor is asked to cancel a job. If the leader does
 /// not know the job at the first attempt, the job is added from its record before the second.
-const LEADER_ATTEMPTS: usize = 2;
+const MAX_CANCEL_ATTEMPTS: usize = 2;
 
 impl ApiService {
     /// Cancels a job. The leader decides on the cancellation if it can be reached. Otherwise this
@@ -43,12 +43,12 @@
     /// authority to decide, or if its cluster state lacks the job even after the job was added from
     /// its record.
     async fn cancel_as_leader(&self, job: &JobId) -> Option<RequestOutcome> {
-        for _ in 0..LEADER_ATTEMPTS {
+        for _ in 0..MAX_CANCEL_ATTEMPTS {
             let term = self.own_term();
             let cancel = |reply| ControllerRequest::Cancel { job: job.clone(), reply };
             match self.config.controller.request(cancel).await? {
                 CancelOutcome::Final(status) => {
-                    return Some(self.announce_final(status.into()));
+                    return Some(self.announce_finished_job(status.into()));
                 }
                 CancelOutcome::Pending => {
                     return Some(RequestOutcome::unavailable("the decision is not durable yet"));
@@ -60,9 +60,11 @@
                 CancelOutcome::UnknownJob => {}
             }
             match self.job_reader.read(&self.config.stores.submissions, job).await {
-                Ok(StoredJob::Final(snapshot)) => return Some(self.known(snapshot)),
+                Ok(StoredJob::Final(snapshot)) => return Some(self.known_job_outcome(snapshot)),
                 Ok(StoredJob::Absent) => return Some(RequestOutcome::NotFound),
-                Ok(StoredJob::Active { key, value }) => self.adopt_job(term, key, value).await,
+                Ok(StoredJob::Active { key, value }) => {
+                    self.add_job_from_record(term, key, value).await
+                }
                 Err(error) => return Some(RequestOutcome::Unavailable(error.to_string())),
             }
         }
@@ -80,7 +82,7 @@
         }
         let store = &self.config.stores.submissions;
         let value = match self.job_reader.read(store, job).await? {
-            StoredJob::Final(snapshot) => return Ok(self.known(snapshot)),
+            StoredJob::Final(snapshot) => return Ok(self.known_job_outcome(snapshot)),
             StoredJob::Absent => return Ok(RequestOutcome::NotFound),
             StoredJob::Active { value, .. } => value,
         };
@@ -90,7 +92,7 @@
             return Ok(RequestOutcome::unavailable("internal"));
         };
         Ok(match store.commit(&leaderless_cancellation_transaction(job, final_value)).await? {
-            CommitOutcome::Applied(_) => self.announce_final(record.status(job).into()),
+            CommitOutcome::Applied(_) => self.announce_finished_job(record.status(job).into()),
             CommitOutcome::PreconditionFailed(_) => {
                 RequestOutcome::unavailable("the job's leader can't be reached")
             }
@@ -100,12 +102,12 @@
     /// Announces a job whose final state is durable to the other controllers, so that a shard
     /// lessee that can't reach the store stops the job's tasks: docs/safety.md, "Cancellations are
     /// facts".
-    fn announce_final(&self, snapshot: JobSnapshot) -> RequestOutcome {
+    fn announce_finished_job(&self, snapshot: JobSnapshot) -> RequestOutcome {
         for peer in self.config.peers.names() {
             let (peers, snapshot) = (self.config.peers.clone(), snapshot.clone());
-            tokio::spawn(async move { peers.announce_finished(&peer, snapshot).await });
+            tokio::spawn(async move { peers.announce_finished_job(&peer, snapshot).await });
         }
-        self.known(snapshot)
+        self.known_job_outcome(snapshot)
     }
 }
 
--- a/crates/controller/src/api/job_reader.rs
+++ b/crates/controller/src/api/job_reader.rs
@@ -9,7 +9,7 @@
 use std::sync::Mutex;
 
 /// HTTP status of a response that contains a record.
-const OK: u16 = 200;
+const HTTP_OK: u16 = 200;
 
 /// What the store records about a job.
 pub(super) enum StoredJob {
@@ -62,6 +62,6 @@
         return Ok(StoredJob::Absent);
     };
     let record: FinalRecord = serde_json::from_value(pair.value)
-        .map_err(|error| StoreError::Unexpected { status: OK, reason: error.to_string() })?;
+        .map_err(|error| StoreError::Unexpected { status: HTTP_OK, reason: error.to_string() })?;
     Ok(StoredJob::Final(record.status(job).into()))
 }
--- a/crates/controller/src/api/mod.rs
+++ b/crates/controller/src/api/mod.rs
@@ -27,7 +27,7 @@
 use tokio::sync::watch;
 
 /// JSON pointer to the name of the team in a job's record.
-const TEAM_IN_RECORD: &str = "/spec/Owner";
+const TEAM_POINTER: &str = "/spec/Owner";
 
 /// The store clients that the API uses, each with a request rate of its own.
 #[derive(Debug, Clone)]
@@ -92,7 +92,7 @@
     }
 
     /// Passes a worker's heartbeat on to the controller actor and returns its reply.
-    pub(crate) async fn handle_heartbeat(&self, heartbeat: Heartbeat) -> HeartbeatReply {
+    pub(crate) async fn answer_heartbeat(&self, heartbeat: Heartbeat) -> HeartbeatReply {
         self.config.controller.heartbeat(heartbeat).await
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Caches the state of a job if it is final, and returns it as the outcome of a request.
-    fn known(&self, snapshot: JobSnapshot) -> RequestOutcome {
+    fn known_job_outcome(&self, snapshot: JobSnapshot) -> RequestOutcome {
         self.config.final_states.remember(&snapshot);
         RequestOutcome::Known(snapshot)
     }
@@ -122,14 +122,19 @@
 
     /// Adds a job to the cluster state of this controller, if it still leads in `read_in_term`, the
     /// term in which the record was read.
-    async fn adopt_job(&self, read_in_term: Option<u64>, key: String, value: serde_json::Value) {
-        let adopt = |reply| ControllerRequest::AdoptJob { read_in_term, key, value, reply };
-        self.config.controller.request(adopt).await;
+    async fn add_job_from_record(
+        &self,
+        read_in_term: Option<u64>,
+        key: String,
+        value: serde_json::Value,
+    ) {
+        let add_job = |reply| ControllerRequest::AdoptJob { read_in_term, key, value, reply };
+        self.config.controller.request(add_job).await;
     }
 
     /// Returns the state of a job whose record is in the store and that no leader schedules yet.
     fn queued_snapshot(&self, job: &JobId, record: &serde_json::Value) -> JobSnapshot {
-        let team = record.pointer(TEAM_IN_RECORD).and_then(|team| team.as_str());
+        let team = record.pointer(TEAM_POINTER).and_then(|team| team.as_str());
         JobSnapshot {
             id: job.clone(),
             state: JobState::Queued,
@@ -143,11 +148,15 @@
 
     /// Passes a request on to the leader. Returns `None` if no leader is known, or if it does not
     /// respond or can't decide.
-    async fn ask_leader(&self, request: &PeerRequest, limit: Duration) -> Option<RequestOutcome> {
+    async fn ask_leader(
+        &self,
+        request: &PeerRequest,
+        time_limit: Duration,
+    ) -> Option<RequestOutcome> {
         let leader = self.leader()?;
-        match self.config.peers.ask(&leader, request, limit).await {
+        match self.config.peers.ask(&leader, request, time_limit).await {
             Ok(RequestOutcome::Unavailable(_)) => None,
-            Ok(RequestOutcome::Known(snapshot)) => Some(self.known(snapshot)),
+            Ok(RequestOutcome::Known(snapshot)) => Some(self.known_job_outcome(snapshot)),
             Ok(outcome) => Some(outcome),
             Err(error) => {
                 tracing::debug!(leader, %error, "request to the leader failed");
@@ -181,9 +190,9 @@
     /// respond.
     async fn ask_peer(&self, peer: &str, request: &PeerRequest) -> Option<RequestOutcome> {
         match self.config.peers.ask(peer, request, constants::PEER_TIMEOUT).await {
-            Ok(RequestOutcome::Known(snapshot)) => Some(self.known(snapshot)),
+            Ok(RequestOutcome::Known(snapshot)) => Some(self.known_job_outcome(snapshot)),
             Ok(RequestOutcome::Unavailable(reason)) => {
-                tracing::debug!(peer, reason, "controller can't decide a request");
+                tracing::debug!(peer, reason, "another controller can't decide the request");
                 None
             }
             Ok(outcome) => Some(outcome),
--- a/crates/controller/src/api/peer_requests.rs
+++ b/crates/controller/src/api/peer_requests.rs
@@ -19,13 +19,13 @@
                 None => RequestOutcome::NotFound,
             },
             PeerRequest::Submit(body) => self.submit(&body, Origin::Peer).await,
-            PeerRequest::JobFinished(snapshot) => self.known(snapshot),
+            PeerRequest::JobFinished(snapshot) => self.known_job_outcome(snapshot),
             PeerRequest::RenewShardLease(renewal) => {
                 let renew = |reply| ControllerRequest::RenewShardLease { renewal, reply };
                 return PeerResponse::ShardLease(self.config.controller.request(renew).await);
             }
             PeerRequest::Follow(request) => {
-                return PeerResponse::Followed(self.replication_entries(request).await);
+                return PeerResponse::Followed(self.follow_response(request).await);
             }
         };
         PeerResponse::Outcome(outcome)
@@ -36,8 +36,8 @@
     /// Returns what a standby needs next of the leader's replication log or replication snapshot;
     /// `None` if the standby is not one of the configured controllers, or if this controller does
     /// not lead.
-    async fn replication_entries(&self, request: FollowRequest) -> Option<FollowResponse> {
-        if !self.config.peers.knows(&request.follower) {
+    async fn follow_response(&self, request: FollowRequest) -> Option<FollowResponse> {
+        if !self.config.peers.contains(&request.follower) {
             tracing::error!(
                 standby = request.follower,
                 "replication request from an unknown controller"
--- a/crates/controller/src/api/status.rs
+++ b/crates/controller/src/api/status.rs
@@ -19,22 +19,22 @@
         let term = self.own_term();
         let look_up = |reply| ControllerRequest::Status { job: job.clone(), reply };
         let lookup = self.config.controller.request(look_up).await;
-        let leads = lookup.is_some();
+        let is_leader = lookup.is_some();
         if let Some(JobLookup::Known(status)) = lookup {
-            return self.known(status.into());
+            return self.known_job_outcome(status.into());
         }
-        if !leads && origin == Origin::Client {
+        if !is_leader && origin == Origin::Client {
             let request = PeerRequest::Status(job.to_string());
             if let Some(outcome) = self.ask_leader(&request, constants::PEER_TIMEOUT).await {
                 return outcome;
             }
         }
         match self.job_reader.read(&self.config.stores.queries, job).await {
-            Ok(StoredJob::Final(snapshot)) => self.known(snapshot),
+            Ok(StoredJob::Final(snapshot)) => self.known_job_outcome(snapshot),
             Ok(StoredJob::Active { key, value }) => {
                 let snapshot = self.queued_snapshot(job, &value);
-                if leads {
-                    self.adopt_job(term, key, value).await;
+                if is_leader {
+                    self.add_job_from_record(term, key, value).await;
                 }
                 RequestOutcome::Known(snapshot)
             }
--- a/crates/controller/src/api/submission.rs
+++ b/crates/controller/src/api/submission.rs
@@ -17,7 +17,7 @@
 /// HTTP status if the job is valid, but can never run on this platform.
 const UNPROCESSABLE: u16 = 422;
 /// The reason given to the user if the record of a job exceeds the store's value limit.
-const TOO_LONG: &str = "the job's description is too long";
+const RECORD_TOO_LONG: &str = "the job's description is too long";
 
 impl ApiService {
     /// Accepts a job, or returns its state if it was accepted before.
@@ -51,7 +51,9 @@
             return RequestOutcome::unavailable("internal");
         };
         if !fits_value_limit(&value, self.config.platform.state.largest_value_kb) {
-            return self.reject_unless_accepted(&job, BAD_REQUEST, TOO_LONG.into(), origin).await;
+            return self
+                .reject_unless_accepted(&job, BAD_REQUEST, RECORD_TOO_LONG.into(), origin)
+                .await;
         }
         self.store_job(record.spec, value, body, origin).await
     }
@@ -79,11 +81,11 @@
             // The store's value limit may have been lowered since the record was checked against
             // the larger one of the present and the next limit.
             Err(StoreError::Rejected(_)) => {
-                let reason = TOO_LONG.into();
+                let reason = RECORD_TOO_LONG.into();
                 return self.reject_unless_accepted(job, BAD_REQUEST, reason, origin).await;
             }
             // Without a response the transaction may have been applied, or may be applied later.
-            Err(StoreError::Unknown(_)) => match self.outcome_by_record(job, &value).await {
+            Err(StoreError::Unknown(_)) => match self.outcome_from_store(job, &value).await {
                 Ok(outcome) => return outcome,
                 Err(error) => error,
             },
@@ -96,14 +98,14 @@
 
     /// Returns the outcome of a submission whose transaction got no response, by what the store has
     /// now.
-    async fn outcome_by_record(
+    async fn outcome_from_store(
         &self,
         job: &JobId,
         value: &serde_json::Value,
     ) -> Result<RequestOutcome, StoreError> {
         Ok(match self.job_reader.read(&self.config.stores.submissions, job).await? {
             StoredJob::Active { .. } => RequestOutcome::Accepted(self.queued_snapshot(job, value)),
-            StoredJob::Final(snapshot) => self.known(snapshot),
+            StoredJob::Final(snapshot) => self.known_job_outcome(snapshot),
             StoredJob::Absent => RequestOutcome::unavailable("the state service did not answer"),
         })
     }
--- a/crates/controller/src/http.rs
+++ b/crates/controller/src/http.rs
@@ -16,29 +16,31 @@
 /// Creates the HTTP service with all routes.
 pub fn service(api: Arc<ApiService>) -> Service {
     let limits = Arc::new(UserLimits::new(api.max_sockets()));
-    let user = |request| UserHandler { api: api.clone(), limits: limits.clone(), request };
+    let user_handler = |kind| UserHandler { api: api.clone(), limits: limits.clone(), kind };
     let router = Router::new()
-        .push(Router::with_path("up").get(up))
+        .push(Router::with_path("up").get(health_check))
         .push(Router::with_path("replication").get(ReplicationHandler(api.clone())))
         .push(Router::with_path("checkin").post(HeartbeatHandler(api.clone())))
         .push(
             Router::with_path("api/jobs")
-                .post(user(UserRequest::Submit))
-                .push(Router::with_path("{id}").get(user(UserRequest::Status)))
-                .push(Router::with_path("{id}/withdraw").post(user(UserRequest::Cancel))),
+                .post(user_handler(UserRequestKind::Submit))
+                .push(Router::with_path("{id}").get(user_handler(UserRequestKind::Status)))
+                .push(
+                    Router::with_path("{id}/withdraw").post(user_handler(UserRequestKind::Cancel)),
+                ),
         );
-    Service::new(router).catcher(salvo::catcher::Catcher::default().hoop(error_body))
+    Service::new(router).catcher(salvo::catcher::Catcher::default().hoop(render_router_error))
 }
 
 /// The kind of a user's request, which determines its time limit and concurrency limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum UserRequest {
+enum UserRequestKind {
     Submit,
     Status,
     Cancel,
 }
 
-impl UserRequest {
+impl UserRequestKind {
     /// Returns the time limit for the response.
     fn time_limit(self) -> Duration {
         match self {
@@ -60,23 +62,23 @@
 /// many of them don't block submissions and cancellations, and slow responses to one kind don't
 /// lower the limit of the other.
 struct UserLimits {
-    status: ConcurrencyLimiter,
-    changes: ConcurrencyLimiter,
+    reads: ConcurrencyLimiter,
+    writes: ConcurrencyLimiter,
 }
 
 impl UserLimits {
     fn new(max_sockets: usize) -> Self {
         let max_requests = (max_sockets as f64 * constants::CONCURRENCY_SOCKET_SHARE) as usize;
         Self {
-            status: ConcurrencyLimiter::new(max_requests),
-            changes: ConcurrencyLimiter::new(max_requests),
+            reads: ConcurrencyLimiter::new(max_requests),
+            writes: ConcurrencyLimiter::new(max_requests),
         }
     }
 
-    fn limiter(&self, request: UserRequest) -> &ConcurrencyLimiter {
-        match request {
-            UserRequest::Status => &self.status,
-            UserRequest::Submit | UserRequest::Cancel => &self.changes,
+    fn limiter(&self, kind: UserRequestKind) -> &ConcurrencyLimiter {
+        match kind {
+            UserRequestKind::Status => &self.reads,
+            UserRequestKind::Submit | UserRequestKind::Cancel => &self.writes,
         }
     }
 }
@@ -84,19 +86,19 @@
 struct UserHandler {
     api: Arc<ApiService>,
     limits: Arc<UserLimits>,
-    request: UserRequest,
+    kind: UserRequestKind,
 }
 
 #[async_trait]
 impl Handler for UserHandler {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let retry_after_s = self.request.retry_after_s();
-        let limiter = self.limits.limiter(self.request);
+        let retry_after_s = self.kind.retry_after_s();
+        let limiter = self.limits.limiter(self.kind);
         let Some(permit) = limiter.try_acquire() else {
             return render_unavailable(res, "too many requests in progress", retry_after_s);
         };
         let started_at = Instant::now();
-        let outcome = tokio::time::timeout(self.request.time_limit(), self.decide(req))
+        let outcome = tokio::time::timeout(self.kind.time_limit(), self.execute(req))
             .await
             .unwrap_or_else(|_| RequestOutcome::unavailable("no decision in time"));
         limiter.record_latency(started_at.elapsed());
@@ -106,14 +108,14 @@
 }
 
 impl UserHandler {
-    async fn decide(&self, req: &mut Request) -> RequestOutcome {
-        if self.request == UserRequest::Submit {
+    async fn execute(&self, req: &mut Request) -> RequestOutcome {
+        if self.kind == UserRequestKind::Submit {
             return self.submit(req).await;
         }
         let Some(job) = req.param::<String>("id").as_deref().and_then(JobId::parse) else {
             return RequestOutcome::NotFound;
         };
-        if self.request == UserRequest::Status {
+        if self.kind == UserRequestKind::Status {
             self.api.status(&job, Origin::Client).await
         } else {
             self.api.cancel(&job, Origin::Client).await
@@ -143,7 +145,7 @@
                 return render_error(res, StatusCode::BAD_REQUEST, &reason);
             }
         };
-        match self.0.handle_heartbeat(heartbeat).await {
+        match self.0.answer_heartbeat(heartbeat).await {
             HeartbeatReply::Respond { response, valid_until } if Instant::now() < valid_until => {
                 res.status_code(StatusCode::OK);
                 res.render(Json(response));
@@ -170,7 +172,7 @@
 
 /// Responds to health checks, whether or not this controller can do anything else.
 #[handler]
-async fn up(res: &mut Response) {
+async fn health_check(res: &mut Response) {
     res.status_code(StatusCode::OK);
     res.render(Json(serde_json::json!({ "up": true })));
 }
@@ -190,7 +192,7 @@
 /// Writes the body of responses to requests that no route matches, by an unknown path or a wrong
 /// method.
 #[handler]
-async fn error_body(res: &mut Response, ctrl: &mut FlowCtrl) {
+async fn render_router_error(res: &mut Response, ctrl: &mut FlowCtrl) {
     let status = res.status_code.unwrap_or(StatusCode::NOT_FOUND);
     let reason = status.canonical_reason().unwrap_or("error").to_lowercase();
     render_error(res, status, &reason);
@@ -217,7 +219,7 @@
 }
 
 fn render_unavailable(res: &mut Response, reason: &str, retry_after_s: u32) {
-    tracing::debug!(reason, "request unavailable");
+    tracing::debug!(reason, "responding with status 503");
     render_error(res, StatusCode::SERVICE_UNAVAILABLE, reason);
     res.headers_mut().insert("retry-after", HeaderValue::from(retry_after_s));
 }
--- a/crates/controller/src/job_snapshot.rs
+++ b/crates/controller/src/job_snapshot.rs
@@ -3,8 +3,8 @@
 use hookway_wire::{JobId, JobState, JobStatus};
 use serde::{Deserialize, Serialize};
 
-/// The state of a job at one time. Its encoding in frames goes by the positions of its fields, so
-/// they are never reordered, added or removed; those of [`JobStatus`], which users see, may be.
+/// The state of a job at one time. Frames encode it by the positions of its fields, so they are
+/// never reordered, added or removed. [`JobStatus`], which users see, is encoded by names instead.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSnapshot {
     /// The id of the job.
--- a/crates/controller/src/networks.rs
+++ b/crates/controller/src/networks.rs
@@ -27,7 +27,7 @@
     }
 
     /// Whether an IP address is in one of the networks, or the set is empty.
-    pub fn allow(&self, address: IpAddr) -> bool {
+    pub fn allows(&self, address: IpAddr) -> bool {
         self.0.is_empty() || self.0.iter().any(|network| network.contains(&address))
     }
 
@@ -35,7 +35,7 @@
     /// empty set allows text that is not a socket address, such as a host name.
     pub fn allow_socket(&self, address: &str) -> bool {
         self.0.is_empty()
-            || address.parse::<SocketAddr>().is_ok_and(|address| self.allow(address.ip()))
+            || address.parse::<SocketAddr>().is_ok_and(|address| self.allows(address.ip()))
     }
 }
 
--- a/crates/controller/src/peers/client.rs
+++ b/crates/controller/src/peers/client.rs
@@ -31,7 +31,7 @@
     }
 
     /// Whether another controller has this name.
-    pub fn knows(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.peers.contains_key(name)
     }
 
@@ -42,23 +42,23 @@
         &self,
         name: &str,
         request: &PeerRequest,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<RequestOutcome, PeerError> {
         let peer = self.peer(name)?;
         if !peer.allows_request() {
             return Err(PeerError::CircuitOpen { address: peer.address() });
         }
-        match peer.exchange(request, limit).await? {
+        match peer.exchange(request, time_limit).await? {
             PeerResponse::Outcome(outcome) => Ok(outcome),
             PeerResponse::ShardLease(_) | PeerResponse::Followed(_) => {
-                Err(PeerError::Mismatch { address: peer.address() })
+                Err(PeerError::UnexpectedResponse { address: peer.address() })
             }
         }
     }
 
     /// Announces a finished job to the controller `name`. Nothing depends on the arrival of the
     /// message.
-    pub async fn announce_finished(&self, name: &str, job: JobSnapshot) {
+    pub async fn announce_finished_job(&self, name: &str, job: JobSnapshot) {
         let id = job.id.clone();
         let request = PeerRequest::JobFinished(job);
         if let Err(error) = self.ask(name, &request, constants::PEER_TIMEOUT).await {
@@ -81,7 +81,7 @@
                 Err(PeerError::NotLeading { address: peer.address() })
             }
             PeerResponse::Outcome(_) | PeerResponse::Followed(_) => {
-                Err(PeerError::Mismatch { address: peer.address() })
+                Err(PeerError::UnexpectedResponse { address: peer.address() })
             }
         }
     }
@@ -100,7 +100,7 @@
             PeerResponse::Followed(Some(response)) => Ok(response),
             PeerResponse::Followed(None) => Err(PeerError::NotLeading { address: peer.address() }),
             PeerResponse::Outcome(_) | PeerResponse::ShardLease(_) => {
-                Err(PeerError::Mismatch { address: peer.address() })
+                Err(PeerError::UnexpectedResponse { address: peer.address() })
             }
         }
     }
@@ -113,6 +113,6 @@
     }
 
     fn peer(&self, name: &str) -> Result<&Peer, PeerError> {
-        self.peers.get(name).ok_or_else(|| PeerError::Unknown { name: name.to_owned() })
+        self.peers.get(name).ok_or_else(|| PeerError::UnknownController { name: name.to_owned() })
     }
 }
--- a/crates/controller/src/peers/error.rs
+++ b/crates/controller/src/peers/error.rs
@@ -7,7 +7,7 @@
 pub enum PeerError {
     /// No controller has this name.
     #[error("unknown controller {name}")]
-    Unknown {
+    UnknownController {
         /// The name that was looked up.
         name: String,
     },
@@ -34,7 +34,7 @@
     },
     /// The response is of a kind that does not belong to the request.
     #[error("unexpected kind of response from {address}")]
-    Mismatch {
+    UnexpectedResponse {
         /// Address of the controller.
         address: String,
     },
--- a/crates/controller/src/peers/peer.rs
+++ b/crates/controller/src/peers/peer.rs
@@ -50,14 +50,15 @@
         self.breaker.lock().map_or(true, |mut breaker| breaker.allows_request())
     }
 
-    /// Sends a request and receives the response within the time `limit`. Updates the circuit
+    /// Sends a request and receives the response within the `time_limit`. Updates the circuit
     /// breaker.
     pub(super) async fn exchange(
         &self,
         request: &PeerRequest,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<PeerResponse, PeerError> {
-        let response = match tokio::time::timeout(limit, self.send(request)).await {
+        let response = match tokio::time::timeout(time_limit, self.send_and_receive(request)).await
+        {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(source)) => Err(PeerError::Connection { address: self.address(), source }),
             Err(_) => Err(PeerError::Timeout { address: self.address() }),
@@ -68,23 +69,26 @@
         response
     }
 
-    async fn send(&self, request: &PeerRequest) -> Result<PeerResponse, ConnectionError> {
+    async fn send_and_receive(
+        &self,
+        request: &PeerRequest,
+    ) -> Result<PeerResponse, ConnectionError> {
         // An idle connection may have failed since its last use, so the request is then sent again
         // over a new one. Every kind of request may be received twice.
-        if let Some(mut stream) = self.take_idle()
-            && let Ok(response) = self.send_over(&mut stream, request).await
+        if let Some(mut stream) = self.take_idle_connection()
+            && let Ok(response) = self.exchange_over(&mut stream, request).await
         {
-            self.keep_idle(stream);
+            self.keep_idle_connection(stream);
             return Ok(response);
         }
         let mut stream = TcpStream::connect(&self.address).await?;
         stream.set_nodelay(true)?;
-        let response = self.send_over(&mut stream, request).await?;
-        self.keep_idle(stream);
+        let response = self.exchange_over(&mut stream, request).await?;
+        self.keep_idle_connection(stream);
         Ok(response)
     }
 
-    async fn send_over(
+    async fn exchange_over(
         &self,
         stream: &mut TcpStream,
         request: &PeerRequest,
@@ -102,11 +106,11 @@
         }
     }
 
-    fn take_idle(&self) -> Option<TcpStream> {
+    fn take_idle_connection(&self) -> Option<TcpStream> {
         self.idle_connections.lock().ok()?.pop()
     }
 
-    fn keep_idle(&self, stream: TcpStream) {
+    fn keep_idle_connection(&self, stream: TcpStream) {
         let Ok(mut idle) = self.idle_connections.lock() else { return };
         if idle.len() < constants::PEER_IDLE {
             idle.push(stream);
--- a/crates/controller/src/peers/server.rs
+++ b/crates/controller/src/peers/server.rs
@@ -10,7 +10,7 @@
 
 /// Delay after a failed accept, so that `serve` does not loop without pause while sockets are
 /// lacking.
-const ACCEPT_RETRY: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Answers the requests of other controllers.
 pub trait PeerHandler: Send + Sync + 'static {
@@ -23,13 +23,13 @@
 pub async fn serve<H: PeerHandler>(listener: TcpListener, handler: Arc<H>, networks: Networks) {
     loop {
         match listener.accept().await {
-            Ok((_, address)) if !networks.allow(address.ip()) => {
+            Ok((_, address)) if !networks.allows(address.ip()) => {
                 tracing::info!(%address, "connection refused: not from a controller network");
             }
             Ok((stream, _)) => drop(tokio::spawn(serve_connection(stream, handler.clone()))),
             Err(error) => {
                 tracing::error!(%error, "accepting a controller connection failed");
-                tokio::time::sleep(ACCEPT_RETRY).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/controller/src/records/keys.rs
+++ b/crates/controller/src/records/keys.rs
@@ -33,7 +33,7 @@
 pub const CLASSES_KEY: &str = "c/lanes";
 
 /// Text between [`SCHEDULING_PREFIX`] and the number in the keys of shared start watermarks.
-const SHARED_WATERMARKS: &str = "shared-";
+const SHARED_WATERMARKS_INFIX: &str = "shared-";
 
 /// Returns `j/<job>`, the key of a job's record.
 pub fn job_key(job: &JobId) -> String {
@@ -77,13 +77,13 @@
 
 /// Returns `m/shared-<number>`, the key of a record of shared start watermarks.
 pub fn shared_watermarks_key(number: u64) -> String {
-    format!("{SCHEDULING_PREFIX}{SHARED_WATERMARKS}{number}")
+    format!("{SCHEDULING_PREFIX}{SHARED_WATERMARKS_INFIX}{number}")
 }
 
 /// Returns the number in the key of a record of shared start watermarks; `None` if the key is
 /// another one.
 pub fn parse_shared_watermarks_key(key: &str) -> Option<u64> {
-    key.strip_prefix(SCHEDULING_PREFIX)?.strip_prefix(SHARED_WATERMARKS)?.parse().ok()
+    key.strip_prefix(SCHEDULING_PREFIX)?.strip_prefix(SHARED_WATERMARKS_INFIX)?.parse().ok()
 }
 
 /// Returns `r/<name>`. `name` is that of a registry record (`record-<n>`) or, for the keys of
--- a/crates/controller/src/settings/checks.rs
+++ b/crates/controller/src/settings/checks.rs
@@ -38,7 +38,7 @@
 }
 
 fn check_positive(platform: &PlatformSettings) -> Result<(), SettingError> {
-    let present = [
+    let required = [
         ("settings.workers.report_s", platform.workers.heartbeat_interval_s),
         ("settings.workers.lease_s", platform.workers.lease_s),
         ("settings.workers.gang_wait_s", platform.workers.gang_wait_s),
@@ -57,7 +57,7 @@
         ("settings.state.next.value_kb", next.value_kb),
     ];
     let optional = optional.into_iter().filter_map(|(name, value)| Some((name, value?)));
-    for (name, value) in present.into_iter().chain(optional) {
+    for (name, value) in required.into_iter().chain(optional) {
         if !(value.is_finite() && value > 0.0) {
             return Err(SettingError::NotPositive { name, value });
         }
@@ -71,7 +71,7 @@
         ("settings.cloud.list_lag_s", platform.cloud.list_lag_s),
     ];
     for (name, value) in amounts {
-        if !is_amount(value) {
+        if !is_non_negative(value) {
             return Err(SettingError::Negative { name, value });
         }
     }
@@ -96,7 +96,7 @@
 fn check_teams(platform: &PlatformSettings) -> Result<(), SettingError> {
     for team in &platform.teams {
         let amounts = [team.cpus, team.cpus_max, team.gpus, team.gpus_max];
-        if !amounts.into_iter().all(is_amount) {
+        if !amounts.into_iter().all(is_non_negative) {
             return Err(SettingError::NegativeTeamAmount(team.name.clone()));
         }
     }
@@ -104,6 +104,6 @@
 }
 
 /// Whether a value is finite and at least 0.
-fn is_amount(value: f64) -> bool {
+fn is_non_negative(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
--- a/crates/controller/src/settings/error.rs
+++ b/crates/controller/src/settings/error.rs
@@ -104,7 +104,7 @@
     },
     /// The setting is neither `on` nor `off`.
     #[error("{0} must be on or off")]
-    NotASwitch(String),
+    NotOnOrOff(String),
     /// The setting is not a list of networks.
     #[error("{name}: {source}")]
     Networks {
--- a/crates/controller/src/settings/operator.rs
+++ b/crates/controller/src/settings/operator.rs
@@ -115,7 +115,7 @@
                 self.standby = match value {
                     "on" => true,
                     "off" => false,
-                    _ => return Err(SettingError::NotASwitch(name)),
+                    _ => return Err(SettingError::NotOnOrOff(name)),
                 }
             }
             "leader_lease_s" => self.leader_lease = parse_leader_lease(value, name)?,
--- a/crates/controller/src/settings/tests.rs
+++ b/crates/controller/src/settings/tests.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn next_limit_out_of_range_is_rejected_by_name() {
+fn invalid_next_limit_is_rejected_by_name() {
     for invalid in [
         "write_rps = 0.0",
         "write_rps = 'few'",
