--- a/crates/controller/src/api/cancellation.rs
+++ b/crates/controller/src/api/cancellation.rs
@@ -19,7 +19,7 @@
 impl ApiService {
     /// Cancels a job. The leader decides on the cancellation if it can be reached. Otherwise this
     /// controller writes the job's final state itself, on the precondition that the store records
-    /// no leader.
+    /// no leader. If this controller can't use the store either, the other controllers are asked.
     pub async fn cancel(&self, job: &JobId, origin: Origin) -> RequestOutcome {
         if let Some(snapshot) = self.config.final_states.get(job) {
             return RequestOutcome::Known(snapshot);
@@ -74,7 +74,7 @@
     /// Cancels a job by writing its final state. The transaction fails if a leader is recorded in
     /// the store by then.
     async fn cancel_without_leader(&self, job: &JobId) -> Result<RequestOutcome, StoreError> {
-        // The previous leader may have extended worker leases until a moment ago, so tasks of the
+        // An earlier leader may have extended worker leases until a moment ago, so tasks of the
         // job may run until those leases expire. A cancellation must stop them within a fixed time.
         if !leases_expire_within_cancellation(&self.config.platform) {
             let reason = "without a leader its tasks may not be gone in time";
--- a/crates/controller/src/peers/server.rs
+++ b/crates/controller/src/peers/server.rs
@@ -8,8 +8,7 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Delay after a failed accept, so that `serve` does not loop without pause while sockets are
-/// lacking.
+/// Delay after a failed accept, which prevents a busy loop while no socket is available.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Answers the requests of other controllers.
