--- a/crates/controller/src/api/mod.rs
+++ b/crates/controller/src/api/mod.rs
@@ -43,8 +43,8 @@
 pub enum Origin {
     /// A user.
     Client,
-    /// Another controller. This controller answers its requests itself and never passes them on to a
-    /// third one, so they can't circulate.
+    /// Another controller. This controller answers its requests itself and never passes them on to
+    /// a third one, so they can't circulate.
     Peer,
 }
 
