--- a/crates/controller/src/api/peer_requests.rs
+++ b/crates/controller/src/api/peer_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of other controllers, answered from this controller's own knowledge.
+//! Requests of other controllers, which this controller never passes on to a third one.
 
 use super::{ApiService, Origin};
 use crate::actor::ControllerRequest;
@@ -19,13 +19,13 @@
                 None => RequestOutcome::NotFound,
             },
             PeerRequest::Submit(body) => self.submit(&body, Origin::Peer).await,
-            PeerRequest::JobFinished(snapshot) => self.known(snapshot),
+            PeerRequest::JobFinished(snapshot) => self.known_job_outcome(snapshot),
             PeerRequest::RenewShardLease(renewal) => {
                 let renew = |reply| ControllerRequest::RenewShardLease { renewal, reply };
                 return PeerResponse::ShardLease(self.config.controller.request(renew).await);
             }
             PeerRequest::Follow(request) => {
-                return PeerResponse::Followed(self.replication_entries(request).await);
+                return PeerResponse::Followed(self.follow_response(request).await);
             }
         };
         PeerResponse::Outcome(outcome)
@@ -33,9 +33,11 @@
 }
 
 impl ApiService {
-    /// The replication entries that a standby lacks; `None` if it is not one of the controllers.
-    async fn replication_entries(&self, request: FollowRequest) -> Option<FollowResponse> {
-        if !self.config.peers.knows(&request.follower) {
+    /// Returns what a standby needs next of the leader's replication log or replication snapshot;
+    /// `None` if the standby is not one of the configured controllers, or if this controller does
+    /// not lead.
+    async fn follow_response(&self, request: FollowRequest) -> Option<FollowResponse> {
+        if !self.config.peers.contains(&request.follower) {
             tracing::error!(
                 standby = request.follower,
                 "replication request from an unknown controller"
--- a/crates/controller/src/api/submission.rs
+++ b/crates/controller/src/api/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions. A job is accepted once its record is in the state service, whichever controller
+//! Submissions of jobs. A job is accepted once its record is in the store, whichever controller
 //! wrote it.
 
 use super::admission::check_admission;
@@ -12,15 +12,15 @@
 use hookway_clients::{CommitOutcome, StoreError};
 use hookway_wire::{JobId, JobSpec, Operation, Precondition, Transaction};
 
-/// The request body is invalid.
+/// HTTP status if the request body is invalid.
 const BAD_REQUEST: u16 = 400;
-/// The job is valid, but can never run here.
+/// HTTP status if the job is valid, but can never run on this platform.
 const UNPROCESSABLE: u16 = 422;
-/// The reason if the record of a job exceeds the value limit of the state service.
-const TOO_LONG: &str = "the job's description is too long";
+/// The reason given to the user if the record of a job exceeds the store's value limit.
+const RECORD_TOO_LONG: &str = "the job's description is too long";
 
 impl ApiService {
-    /// Accepts a job, or answers with its state if it was accepted before.
+    /// Accepts a job, or returns its state if it was accepted before.
     pub async fn submit(&self, body: &[u8], origin: Origin) -> RequestOutcome {
         let spec = match JobSpec::parse(body) {
             Ok(spec) => spec,
@@ -51,12 +51,15 @@
             return RequestOutcome::unavailable("internal");
         };
         if !fits_value_limit(&value, self.config.platform.state.largest_value_kb) {
-            return self.reject_unless_accepted(&job, BAD_REQUEST, TOO_LONG.into(), origin).await;
+            return self
+                .reject_unless_accepted(&job, BAD_REQUEST, RECORD_TOO_LONG.into(), origin)
+                .await;
         }
         self.store_job(record.spec, value, body, origin).await
     }
 
-    /// Writes the record of a job, unless the job is known. `body` is what was submitted.
+    /// Writes the record of a job, unless the store has one or the job's final state. `body` is the
+    /// body of the submission, for other controllers.
     async fn store_job(
         &self,
         spec: JobSpec,
@@ -75,36 +78,40 @@
                 });
             }
             Ok(CommitOutcome::PreconditionFailed(_)) => return self.status(job, origin).await,
-            // The record exceeds the value limit, which may have been lowered.
+            // The store's value limit may have been lowered since the record was checked against
+            // the larger one of the present and the next limit.
             Err(StoreError::Rejected(_)) => {
-                let reason = TOO_LONG.into();
+                let reason = RECORD_TOO_LONG.into();
                 return self.reject_unless_accepted(job, BAD_REQUEST, reason, origin).await;
             }
             // Without a response the transaction may have been applied, or may be applied later.
-            Err(StoreError::Unknown(_)) => match self.outcome_by_record(job, &value).await {
+            Err(StoreError::Unknown(_)) => match self.outcome_from_store(job, &value).await {
                 Ok(outcome) => return outcome,
                 Err(error) => error,
             },
             Err(error) => error,
         };
-        // If both controllers write the record, one of the transactions fails by its preconditions.
+        // If another controller writes the record too, one of the two transactions fails by its
+        // preconditions.
         self.ask_other_controllers(PeerRequest::Submit(body.to_vec()), &error, origin).await
     }
 
-    /// The outcome of a submission whose transaction got no response, by what is stored now.
-    async fn outcome_by_record(
+    /// Returns the outcome of a submission whose transaction got no response, by what the store has
+    /// now.
+    async fn outcome_from_store(
         &self,
         job: &JobId,
         value: &serde_json::Value,
     ) -> Result<RequestOutcome, StoreError> {
         Ok(match self.job_reader.read(&self.config.stores.submissions, job).await? {
             StoredJob::Active { .. } => RequestOutcome::Accepted(self.queued_snapshot(job, value)),
-            StoredJob::Final(snapshot) => self.known(snapshot),
+            StoredJob::Final(snapshot) => self.known_job_outcome(snapshot),
             StoredJob::Absent => RequestOutcome::unavailable("the state service did not answer"),
         })
     }
 
-    /// Rejects a job, but not one that was accepted before: limits and machine types change.
+    /// Rejects a job unless it was accepted before: limits and machine types may have changed since
+    /// then, so a job that was accepted may not pass the checks now.
     async fn reject_unless_accepted(
         &self,
         job: &JobId,
@@ -120,7 +127,8 @@
     }
 }
 
-/// The transaction that accepts a job, unless it is or was known.
+/// Returns the transaction that accepts a job, on the preconditions that the store has neither a
+/// record nor a final state of it.
 fn acceptance_transaction(job: &JobId, record: serde_json::Value) -> Transaction {
     Transaction {
         preconditions: vec![
--- a/crates/controller/src/settings/checks.rs
+++ b/crates/controller/src/settings/checks.rs
@@ -1,10 +1,11 @@
-//! Checks of the platform's settings, beyond their types.
+//! Checks of the values in the platform's settings file, which the parser has checked for types
+//! only.
 
 use super::{PlatformSettings, SettingError, Settings};
 use hookway_constants as constants;
 use std::net::SocketAddr;
 
-/// Checks the settings in a fixed order and reports the first one that is invalid.
+/// Checks the settings in a fixed order and returns an error for the first invalid one.
 pub(super) fn check(settings: &Settings) -> Result<(), SettingError> {
     if settings.controller_name.is_empty() {
         return Err(SettingError::Empty("label"));
@@ -37,7 +38,7 @@
 }
 
 fn check_positive(platform: &PlatformSettings) -> Result<(), SettingError> {
-    let present = [
+    let required = [
         ("settings.workers.report_s", platform.workers.heartbeat_interval_s),
         ("settings.workers.lease_s", platform.workers.lease_s),
         ("settings.workers.gang_wait_s", platform.workers.gang_wait_s),
@@ -56,7 +57,7 @@
         ("settings.state.next.value_kb", next.value_kb),
     ];
     let optional = optional.into_iter().filter_map(|(name, value)| Some((name, value?)));
-    for (name, value) in present.into_iter().chain(optional) {
+    for (name, value) in required.into_iter().chain(optional) {
         if !(value.is_finite() && value > 0.0) {
             return Err(SettingError::NotPositive { name, value });
         }
@@ -70,7 +71,7 @@
         ("settings.cloud.list_lag_s", platform.cloud.list_lag_s),
     ];
     for (name, value) in amounts {
-        if !is_amount(value) {
+        if !is_non_negative(value) {
             return Err(SettingError::Negative { name, value });
         }
     }
@@ -95,14 +96,14 @@
 fn check_teams(platform: &PlatformSettings) -> Result<(), SettingError> {
     for team in &platform.teams {
         let amounts = [team.cpus, team.cpus_max, team.gpus, team.gpus_max];
-        if !amounts.into_iter().all(is_amount) {
+        if !amounts.into_iter().all(is_non_negative) {
             return Err(SettingError::NegativeTeamAmount(team.name.clone()));
         }
     }
     Ok(())
 }
 
-/// Whether a value is a number of at least 0.
-fn is_amount(value: f64) -> bool {
+/// Whether a value is finite and at least 0.
+fn is_non_negative(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
