--- a/crates/controller/tests/concurrent_faults.rs
+++ b/crates/controller/tests/concurrent_faults.rs
@@ -1,6 +1,6 @@
-//! Concurrent faults, one scripted test for each: a leader or a shard lessee, a state service in memory, scripted
-//! workers, and a clock that the test moves. docs/safety.md has the table of concurrent faults.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+//! One scripted test for each combination of concurrent faults, with a leader, a store in memory, scripted workers,
+//! and a clock that the test advances. docs/safety.md has the table of concurrent faults.
+#![allow(clippy::expect_used, reason = "test helpers may panic like the tests that use them")]
 
 mod harness;
 
@@ -21,9 +21,9 @@
     harness.submit(spec)
 }
 
-/// Jobs with zone constraints, arrays too, lose machines, and the leader changes: tasks that may still run on
-/// unreconciled machines decide where others may start, also tasks that were certainly never started. Found
-/// by code review, on 2026-12-02: the watermark let them start in any zone.
+/// After a failover, tasks that may still run on unreconciled machines restrict the zones in which other tasks of a
+/// zone-constrained job may start. The restriction must also hold for tasks above the start watermark: as they were
+/// never started, they could otherwise start in any zone.
 #[test]
 fn one_zone_array_waits_for_unreachable_machines_of_its_zone() {
     let mut harness = LeaderHarness::start();
@@ -64,7 +64,7 @@
     assert_eq!(idle.started_attempts, [], "half of the job may still run in zone a");
 }
 
-/// The counterpart of the first test: without constraints, tasks above the watermark start at once.
+/// Counterpart of the first test: without zone constraints, tasks above the start watermark start at once.
 #[test]
 fn unconstrained_array_does_not_wait_for_never_started_tasks() {
     let mut harness = LeaderHarness::start();
@@ -77,8 +77,8 @@
     assert_eq!(other.unfinished_tasks().len(), 1);
 }
 
-/// An unreadable watermark record does not tell which tasks were started; it was read as none. Found
-/// by code review, on 2026-12-02.
+/// An unreadable record of a job's start watermark does not tell which tasks were started. If it were read as
+/// "none", tasks that still run on unreconciled machines would be started twice.
 #[test]
 fn unreadable_watermark_counts_job_as_started() {
     let mut harness = LeaderHarness::start();
@@ -97,7 +97,7 @@
     assert!(!other.started_attempts.is_empty(), "every machine is reconciled");
 }
 
-/// Records of a job whose own record is unreadable are not deleted.
+/// A job record that this version can't read must not cause the job's other records to be deleted.
 #[test]
 fn records_of_unreadable_job_are_kept() {
     let mut harness = LeaderHarness::start();
@@ -111,9 +111,9 @@
     assert!(next.store.get(&scheduling_key(&id)).is_some(), "a later version may read it");
 }
 
-/// Found by the simulation, on 2026-12-02: a transaction with a job's final state had no response; the state
-/// service refused the next one, and the leader again served the job's state from memory; then the first one
-/// was applied, and other controllers served the final state that they read.
+/// Two controllers must not report contradictory states of a job. The failure: a transaction with the job's final
+/// state gets no response, the store refuses the retry, and the leader reports the running state from memory again.
+/// Then the first transaction is applied late, and other controllers report the final state that they read.
 #[test]
 fn undetermined_final_state_is_not_answered_from_memory() {
     let (mut harness, _, id) = one_running_task();
@@ -137,7 +137,8 @@
     assert_eq!(harness.job_state(&id), JobState::Cancelled);
 }
 
-/// The counterpart: while a transaction was certainly not applied, the state is served from memory.
+/// Counterpart: if the transaction with the final state was certainly not applied, the leader continues to report the
+/// running state from memory.
 #[test]
 fn unapplied_final_state_keeps_running_state_in_memory() {
     let (mut harness, _, id) = one_running_task();
@@ -147,8 +148,8 @@
     assert_eq!(harness.job_state(&id), JobState::Running);
 }
 
-/// Where a worker's lease is longer than the cancellation limit, no cancellation is confirmed before its
-/// tasks are gone: an unreachable machine would keep them beyond the limit.
+/// If worker leases are longer than the cancellation limit, a cancellation is confirmed only after the job's tasks have
+/// ended: an unreachable machine could run them beyond the limit.
 #[test]
 fn cancellation_waits_for_tasks_when_worker_lease_exceeds_its_limit() {
     let mut config = test_config();
@@ -181,8 +182,8 @@
     assert_eq!(harness.cluster.cancel(&id), CancelOutcome::Pending);
 }
 
-/// A delayed heartbeat reaches every controller just as a new leader begins: it is the first that the new
-/// leader receives of the machine, and the task that it shows has moved since.
+/// Guards against a second start of a task: the first heartbeat that a new leader receives from a machine is a
+/// delayed one, and the task that it lists has moved to another machine since.
 #[test]
 fn delayed_heartbeat_received_first_by_new_leader_starts_no_task_twice() {
     let mut harness = LeaderHarness::start();
@@ -192,7 +193,7 @@
     harness.run_rounds(&mut [&mut worker_1]);
     assert_eq!(worker_1.unfinished_tasks().len(), 1);
     let (with_task, without_task) = (worker_1.heartbeat(), worker_2.heartbeat());
-    // The task is refused on m-1 and runs on m-2.
+    // m-1 refuses the task for lack of resources, and the task then runs on m-2.
     worker_1.end_task(&worker_1.unfinished_tasks()[0].clone(), ExitCause::InsufficientResources);
     harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
     while worker_2.unfinished_tasks().is_empty() {
@@ -219,14 +220,15 @@
     assert_eq!(next.cluster.handle_heartbeat(&with_task, next.now), None);
 }
 
-/// A heartbeat is delayed until a new leader has acted, and then arrives there.
+/// A heartbeat from before the failover arrives after the new leader has started the task again. It must not change
+/// the new leader's state.
 #[test]
 fn delayed_heartbeat_after_new_leader_acted_changes_no_state() {
     let (harness, mut worker, _) = one_running_task();
     worker.end_task(&worker.unfinished_tasks()[0].clone(), ExitCause::Error);
     let delayed = worker.heartbeat();
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(6_000));
-    // The response to the state probe names the tasks under the new fencing token.
+    // The response to the state probe lists the tasks under the new fencing token.
     let probe =
         DirectCommands { fencing_token: 2, incarnation: worker.incarnation(), commands: vec![] };
     let probe_response =
@@ -254,8 +256,9 @@
     assert_eq!((worker.unfinished_tasks().len(), worker.started_attempts.len()), (1, before));
 }
 
-/// New machines boot within two seconds while commits lag, and the leader ends: no task starts on a machine
-/// before its registration is committed, and afterwards the next leader knows it, listed or not.
+/// No task starts on a machine before its registration is committed. Otherwise the next leader would know nothing of a
+/// new machine that the cloud does not list yet, and would start the machine's tasks again elsewhere. Here the commits
+/// of the registration get no response, and the leader changes.
 #[test]
 fn machine_without_committed_registration_gets_no_task() {
     let mut harness = LeaderHarness::start();
@@ -263,7 +266,7 @@
     harness.submit(job("req-000001", "array", 300));
     harness.run_rounds(&mut [&mut first]);
     assert_eq!(first.unfinished_tasks().len(), 1, "the start watermark is stored");
-    // The commits of the new machine's entry have no response; they arrive late, after the end of the leader.
+    // The commits of the new machine's registration get no response; they reach the store after the leader's term.
     let mut without_response = Vec::new();
     for _ in 0..6 {
         let heartbeat = booted.heartbeat();
@@ -297,9 +300,9 @@
     assert_eq!(other.unfinished_tasks().len(), 1);
 }
 
-/// A team is at its quota when the leader changes, a machine with one of its tasks is unreachable, and the
-/// job there is cancelled: the task counts until it has certainly ended, also once the job's record is
-/// deleted.
+/// A task on an unreachable machine counts against its team's quota until the machine's lease has expired, even if its
+/// job was cancelled before or after a failover and the job's record is deleted. Otherwise the team would exceed its
+/// quota while the task still runs.
 #[test]
 fn cancelled_tasks_count_against_quota_until_lease_expiry() {
     let quota_job = |id: &str| {
@@ -340,7 +343,7 @@
     reachable.expire_lease();
 }
 
-/// Tasks of a small job complete far apart under different leaders: a completed task is not started again.
+/// The tasks of a job complete one by one in different terms: no later leader starts a completed task again.
 #[test]
 fn small_job_completing_across_failovers_runs_each_task_once() {
     let mut harness = LeaderHarness::start();
@@ -362,7 +365,8 @@
     assert_eq!(started, 3, "each task is started once");
 }
 
-/// All controllers are down for longer than a worker's lease: every task restarts, once.
+/// All controllers are down for longer than a worker lease, so all tasks are lost: each is restarted once, with a new
+/// attempt number.
 #[test]
 fn outage_of_all_controllers_beyond_lease_restarts_every_task_once() {
     let mut harness = LeaderHarness::start();
--- a/crates/controller/tests/simulated_days.rs
+++ b/crates/controller/tests/simulated_days.rs
@@ -1,13 +1,13 @@
-//! Seeded days of a simulated cluster (`simulation`): controllers, workers, users and the network between
-//! them. Every start and every response is checked against the invariants, and after the faults every job
-//! must finish.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+//! Simulated days of a cluster (`simulation`), one for each seed: controllers, workers, users and the network between
+//! them, with injected faults. Every task start and every response to a user is checked against the invariants, and
+//! every job must finish after the faults have ended.
+#![allow(clippy::expect_used, reason = "test helpers may panic like the tests that use them")]
 
 mod simulation;
 
 use simulation::{EventCounts, FaultScenario, Simulation};
 
-/// Runs a day to its end.
+/// Runs one simulated day, and checks that every job has a final state at its end.
 fn run_seed(seed: u64, mut simulation: Simulation) -> EventCounts {
     println!("seed {seed}");
     if std::env::var("HOOKWAY_MODEL_LOG").is_ok() {
@@ -26,13 +26,13 @@
     simulation.counts
 }
 
-/// The seeds to run. More of them by hand: `HOOKWAY_MODEL_SEEDS=2000..3000 cargo test --release --test
-/// simulated_days`.
+/// The seeds from 0 to `default_count`, or those in `HOOKWAY_MODEL_SEEDS`. To run more seeds:
+/// `HOOKWAY_MODEL_SEEDS=2000..3000 cargo test --release --test simulated_days`.
 fn seeds(default_count: u64) -> std::ops::Range<u64> {
     seeds_or(0..default_count)
 }
 
-/// `seeds`, with other defaults.
+/// The seeds in `HOOKWAY_MODEL_SEEDS` (`FROM..TO`), or `default` if it is not set.
 fn seeds_or(default: std::ops::Range<u64>) -> std::ops::Range<u64> {
     let requested = std::env::var("HOOKWAY_MODEL_SEEDS").ok();
     let range = requested.as_deref().and_then(|range| range.split_once(".."));
@@ -47,7 +47,8 @@
     days.iter().fold(EventCounts::default(), EventCounts::and)
 }
 
-/// Cancellations are confirmed while the state service refuses the leader: `check_cancelled` must hold.
+/// Cancellations are confirmed by another controller while the store refuses the leader. `check_cancelled` must hold:
+/// no task of a cancelled job runs beyond the cancellation limit.
 #[test]
 fn tasks_cancelled_while_leader_is_refused_are_removed_within_limit() {
     let totals = scenario(FaultScenario::LeaderRefused, 24);
@@ -73,7 +74,8 @@
     assert!(totals.cancelled_without_leader > 20 && totals.lessee_extensions > 50, "{totals:?}");
 }
 
-/// While a task of a cancelled job may run, shard leases expire within the cancellation limit.
+/// While a task of a cancelled job may run, shard leases must end early enough for its worker's lease to expire within
+/// the cancellation limit.
 #[test]
 fn cancelled_tasks_reachable_only_by_shard_lessee_are_removed_within_limit() {
     let totals = scenario(FaultScenario::OnlyLesseeReachable, 12);
@@ -87,7 +89,7 @@
         seeds_or(60..120).map(|seed| run_seed(seed, Simulation::new(seed))).collect();
     let totals = days.iter().fold(EventCounts::default(), EventCounts::and);
     println!("{totals:?}");
-    // The days contained the events that they are meant to test.
+    // The days must have contained the events that they are meant to test.
     assert!(
         totals.starts > 5_000
             && totals.quota_bound_starts > 300
@@ -106,7 +108,8 @@
     assert!(totals.warm_starts > 10, "{totals:?}");
 }
 
-/// Leaders crash or freeze with partially placed gangs; new leaders have standby copies of every age.
+/// Leaders crash or freeze while gangs are partially placed, and new leaders start from standby copies that may be
+/// behind the old leader.
 #[test]
 fn standby_failover_amid_gangs_violates_no_invariant() {
     let days: Vec<EventCounts> =
@@ -117,8 +120,8 @@
     assert!(totals.refused_responses > 100, "{totals:?}");
 }
 
-/// Requests of standbys reach the leader, its responses do not reach them: they lag, suspect the leader and
-/// start without a copy.
+/// One-way partitions between controllers: requests of a standby reach the leader, but the responses don't reach the
+/// standby. It lags, suspects the leader, and may become leader without a usable copy.
 #[test]
 fn one_way_controller_partitions_violate_no_invariant() {
     let days: Vec<EventCounts> =
@@ -128,9 +131,10 @@
     assert!(totals.one_way_partitions > 50 && totals.warm_starts > 20, "{totals:?}");
 }
 
-/// Responses to elections are lost, and new leaders end before their first writes are durable: what they assumed,
-/// and what they started, must be known to the next one. Versions change in both directions. Seed 332 has a task on two
-/// machines if an assumption counts as a durable watermark and every election writes the marker.
+/// Guards against a second start of a task after election faults: responses to elections are lost, new leaders are
+/// killed before their first writes are durable, and versions change in both directions. The next leader must know
+/// which start watermarks such a leader assumed and which tasks it may have started. With seed 332, a task runs on two
+/// machines if an assumed watermark counts as a durable one and every election writes the marker.
 #[test]
 fn election_faults_start_no_task_twice() {
     let days: Vec<EventCounts> = seeds_or(320..364)
@@ -142,23 +146,24 @@
     assert!(totals.assumed_terms > 40, "{totals:?}");
 }
 
-/// Found by running more seeds by hand. A replica of a daemon that must spread moves from a machine that is drained as
-/// slow; its room is free after 3.5 s and stays reserved for 4 s more, which is later than a replica may take.
+/// A replica of a daemon that must spread moves away from a machine that is drained because it is slow. The failure:
+/// the resources for the replica are free after 3.5 s but stay reserved for another 4 s, which is longer than a replica
+/// may take to move.
 #[test]
 fn replica_moves_from_slow_machine_within_limit_amid_election_faults() {
     run_seed(62, Simulation::with_election_faults(62));
 }
 
-/// Found by running more seeds by hand. Replicas of two daemons fill the only machine of a zone, and the simulated cloud
-/// gives no other one, since all but one of its eight machines are in the other zone: a third daemon, which must spread,
-/// waits for room there.
+/// A daemon that must spread gets resources in a zone with a single machine. The failure: replicas of two other daemons
+/// fill that machine, and the simulated cloud creates no other one, since seven of its eight machines are in the other
+/// zone.
 #[test]
 fn spread_daemon_gets_room_in_zone_that_shrank_to_one_machine() {
     run_seed(2915, Simulation::new(2915));
 }
 
-/// Found by running more seeds by hand. Replicas of other daemons fill the only machine of the zone in which a daemon has
-/// one of its replicas, which must be together; tasks were stopped for the other one where it may not run.
+/// A daemon whose replicas must share a zone gets resources for its second replica there. The failure: replicas of
+/// other daemons fill the only machine of the zone, and tasks were preempted on machines where the replica may not run.
 #[test]
 fn daemon_whose_replicas_are_together_gets_room_in_their_zone() {
     run_seed(7319, Simulation::new(7319));
--- a/crates/controller/tests/simulation/commits.rs
+++ b/crates/controller/tests/simulation/commits.rs
@@ -1,4 +1,4 @@
-//! Commits of a leader: delayed, refused or without a response.
+//! Transactions of a leader on their way to the store: delayed, refused or without a response.
 
 use super::controllers::Version;
 use super::messages::Message;
@@ -8,7 +8,7 @@
 use hookway_wire::{JobState, Operation, Transaction};
 
 impl Simulation {
-    /// A controller's transactions stay within the limits that its version knows.
+    /// Checks that a controller's transaction stays within the store's limits that the controller's version knows.
     pub(super) fn check_limits(&mut self, n: usize, transaction: &Transaction) {
         let limits = &self.controllers[n].config.platform.state;
         let operation_count = transaction.operations.len();
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A transaction reaches the state service or is refused or delayed; its response may be lost.
+    /// Delivers a transaction to the store, or refuses or delays it. The response may be lost.
     pub(super) fn commit_arrives(&mut self, n: usize, term: u64, commit: Box<PendingCommit>) {
         let now = self.now;
         let writes_refused = now < self.controllers[n].writes_refused_until;
@@ -43,7 +43,7 @@
                 Some(leader) if not_applied => {
                     leader.cluster.committed(*commit, CommitResult::NotApplied, now);
                 }
-                // Delayed in the network: the transaction may be applied when the partition has healed.
+                // Delayed in the network: the transaction may be applied after the partition has healed.
                 _ => {
                     let at = now + self.span(1_200, 40_000);
                     self.at(at, Message::DelayedTransaction(commit.transaction.clone()));
@@ -76,6 +76,7 @@
         self.report_decided(n, term);
     }
 
+    /// Rereads the keys of a commit whose outcome is unknown, once the store is reachable.
     pub(super) fn reread(&mut self, n: usize, term: u64, commit: Box<PendingCommit>) {
         let now = self.now;
         if self.controllers[n].leading(term).is_none() {
@@ -92,7 +93,7 @@
         self.report_decided(n, term);
     }
 
-    /// Users that wait for a cancellation get their response once it is durable.
+    /// Responds to the users who wait for cancellations that are now durable.
     pub(super) fn report_decided(&mut self, n: usize, term: u64) {
         let Some(leader) = self.controllers[n].leading(term) else { return };
         let completed_jobs = leader.cluster.take_completed_jobs();
--- a/crates/controller/tests/simulation/controllers.rs
+++ b/crates/controller/tests/simulation/controllers.rs
@@ -15,74 +15,78 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// After this long without the leader a shard lessee extends worker leases.
+/// Time after the last contact with the leader from which a shard lessee extends worker leases.
 const LESSEE_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// New machines are missing from the cloud's list for this long.
+/// Time for which the cloud's list omits a new machine.
 const LIST_LAG: Duration = Duration::from_millis(4_000);
 
-/// The state of one term at the controller that leads it or has just lost it.
+/// The state of one term at the controller that leads it, or that lost its lease and has not noticed it yet.
 pub(super) struct Leader {
     pub cluster: ClusterState,
     pub term: u64,
     pub publisher: Publisher,
+    /// Expiry of the leadership lease as the leader estimates it.
     pub valid_until: MonotonicTime,
     pub next_extend: MonotonicTime,
+    /// Whether the leader may not act, as its lease may have expired.
     pub paused: bool,
-    /// Cancellations whose users wait until they are durable.
+    /// Jobs whose users wait for a durable cancellation.
     pub pending_cancellations: BTreeSet<JobId>,
 }
 
-/// A controller's process.
+/// The process of a controller, with the faults that affect it.
 pub(super) struct Controller {
     pub config: ControllerConfig,
     pub lessee: ShardLessee,
     pub version: Version,
-    /// Its copy of the leader's cluster state.
+    /// Keeps the standby's copy of the leader's cluster state.
     pub follower: Follower,
-    /// One-way partition: its requests reach other controllers, their responses don't reach it.
+    /// End of a one-way partition: its requests reach the other controllers, but their responses don't reach it.
     pub responses_lost_until: MonotonicTime,
+    /// Distinguishes this process from earlier ones of the same controller.
     pub nonce: u64,
-    /// Start of its process, by the simulated clock.
+    /// Start of the process by the simulated clock; its own clock starts at zero then.
     pub started_at: MonotonicTime,
     pub leader: Option<Leader>,
-    /// The leader that it last read from the state service.
+    /// The leader that it last read from the store, if any.
     pub observed_leader: Option<usize>,
-    /// Jobs that it knows to be finished.
+    /// Jobs that it knows to have a durable final state.
     pub finished: BTreeSet<JobId>,
     pub store_unreachable_until: MonotonicTime,
-    /// The state service refuses its requests; otherwise they get no response.
+    /// Whether the store refuses its requests while it is unreachable; otherwise they get no response.
     pub refused: bool,
-    /// The state service refuses its transactions, as more are written than it allows.
+    /// Until then the store refuses its transactions, as at an exceeded write rate limit.
     pub writes_refused_until: MonotonicTime,
     pub peers_unreachable_until: MonotonicTime,
     pub workers_unreachable_until: MonotonicTime,
     pub frozen_until: MonotonicTime,
     pub down_until: MonotonicTime,
     no_campaign_until: MonotonicTime,
+    /// When it last stepped down because no worker sent it heartbeats.
     workers_silent_at: Option<MonotonicTime>,
-    /// Start of an outage of the state service for every controller.
+    /// Scheduled start of an outage of the store for all controllers.
     pub outage_at: Option<MonotonicTime>,
 }
 
-/// The version of a process.
+/// The software version of a controller's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Version {
-    /// Writes records up to the first value limit of the state service.
+    /// Writes records up to the store's current value limit.
     Old,
-    /// Stays within the later limits of the state service.
+    /// Stays within the limits that the store will have later.
     New,
 }
 
-/// The later limits of the state service: records of the old version exceed them.
+/// The limits that the store will have later: records of the old version exceed them.
 const NEXT_LIMITS: &str =
     "\n[settings.state.next]\nvalue_kb = 0.25\ntxn_ops = 3\nwrite_rps = 20.0\n";
 
-/// The settings of another controller; messages reach it without an address.
+/// Settings of another controller. The address is empty, since simulated messages don't use it.
 fn peer(name: &str, zone: &str) -> PeerController {
     PeerController { name: name.to_owned(), zone: zone.to_owned(), address: String::new() }
 }
 
-/// The expiry of a leadership lease that was extended at `now`, as the leader estimates it.
+/// Returns the expiry, as the leader estimates it, of a leadership lease that was extended at `now`.
 pub(super) fn leader_lease_expiry(now: MonotonicTime) -> MonotonicTime {
     lease_expiry(now, constants::LEADER_TTL)
 }
@@ -123,28 +127,28 @@
         }
     }
 
-    /// The reading of its process's own clock.
+    /// Converts simulated time to the process's own clock, which starts at zero.
     pub fn clock(&self, now: MonotonicTime) -> MonotonicTime {
         MonotonicTime::ZERO + (now - self.started_at)
     }
 
-    /// Its process runs and is not frozen.
+    /// Whether the process runs and is not frozen.
     pub fn up(&self, now: MonotonicTime) -> bool {
         now >= self.down_until && now >= self.frozen_until
     }
 
-    /// Whether it may act as the leader.
+    /// Whether the controller may act as the leader.
     pub fn may_lead(&self, now: MonotonicTime) -> bool {
         self.up(now)
             && self.leader.as_ref().is_some_and(|leader| !leader.paused && now < leader.valid_until)
     }
 
-    /// Its state as leader of that term.
+    /// Returns its state as leader of this term; `None` if it does not lead this term.
     pub fn leading(&mut self, term: u64) -> Option<&mut Leader> {
         self.leader.as_mut().filter(|leader| leader.term == term)
     }
 
-    /// Ends every fault of this controller.
+    /// Ends partitions and freezes of this controller, and cancels its scheduled outage of the store.
     pub fn end_faults(&mut self, now: MonotonicTime) {
         self.store_unreachable_until = MonotonicTime::ZERO;
         self.peers_unreachable_until = MonotonicTime::ZERO;
@@ -156,17 +160,19 @@
 }
 
 impl Simulation {
+    /// Returns the readings of the monotonic and the wall clock.
     pub(super) fn moment(&self) -> Timestamp {
         let wall = WallTime::from_unix_millis(1_000_000 + self.now.as_millis());
         Timestamp { monotonic: self.now, wall }
     }
 
-    /// Kills the process; another one of the same version starts under its name soon.
+    /// Kills a controller's process, and restarts it after a random delay in the same version.
     pub(super) fn kill(&mut self, n: usize) {
         self.replace(n, self.controllers[n].version);
     }
 
-    /// Kills the process; one of this version starts under its name soon.
+    /// Kills a controller's process, and restarts it after a random delay in this version. Partitions of the controller
+    /// outlast its process.
     pub(super) fn replace(&mut self, n: usize, version: Version) {
         let nonce = self.rng.random();
         let restart_delay = match self.rng.random_range(0..2) {
@@ -216,7 +222,7 @@
         self.follow(n);
     }
 
-    /// Extends the lease of a leader.
+    /// Extends the leadership lease if it is due. A leader whose lease is no longer in the store loses its leadership.
     fn extend_lease(&mut self, n: usize) {
         let now = self.now;
         let reachable = self.store_reachable(n);
@@ -242,13 +248,13 @@
         }
     }
 
-    /// Reads who leads, and campaigns if nobody does.
+    /// Reads from the store who leads, and may campaign if nobody does.
     fn read_leader_and_campaign(&mut self, n: usize) {
         if !self.store_reachable(n) {
             return;
         }
         match &self.lead {
-            // The leadership lease of its own earlier process is revoked.
+            // Its own earlier process still holds the leadership lease: revokes it.
             Some(lead) if lead.controller == n => self.revoke_leadership(),
             Some(lead) => {
                 self.controllers[n].observed_leader = Some(lead.controller);
@@ -279,7 +285,7 @@
         self.machines.iter().filter(is_listed).map(listed).collect()
     }
 
-    /// Runs one step of a leader; `false` if it steps down.
+    /// Runs one step of a leader. Returns `false` if it steps down.
     fn run_leader(&mut self, n: usize, leader: &mut Leader) -> bool {
         let now = self.now;
         if now >= leader.valid_until {
--- a/crates/controller/tests/simulation/counts.rs
+++ b/crates/controller/tests/simulation/counts.rs
@@ -1,35 +1,49 @@
-//! How often each event of interest occurred.
+//! Counters of the events of a simulated day.
 
-/// Counters of events that a day must contain to test anything.
+/// Counters of the events that a day must contain, so that its checks test something.
 #[derive(Debug, Default)]
 pub struct EventCounts {
     pub starts: usize,
+    /// Tasks that ended with an error.
     pub errors: usize,
     pub probe_responses: usize,
+    /// Worker leases that a shard lessee extended.
     pub lessee_extensions: usize,
+    /// Stop commands that shard lessees sent for tasks of finished jobs.
     pub stopped_by_lessees: usize,
     pub terms: usize,
+    /// Cancellations that a controller wrote while nobody led.
     pub cancelled_without_leader: usize,
+    /// Cancellations confirmed to users.
     pub cancelled: usize,
     pub status_queries: usize,
+    /// Extensions of a leadership lease that had expired by the leader's own estimate.
     pub resumed_terms: usize,
+    /// Starts of tasks of the team with the small quota.
     pub quota_bound_starts: usize,
+    /// Starts of tasks of jobs with zone constraints.
     pub zone_bound_starts: usize,
     pub replica_starts: usize,
+    /// Replicas that were found running at the check of replicas.
     pub replicas_in_place: usize,
+    /// Registry records written by the new version, which divides them to fit the later value limit.
     pub divided_registry_records: usize,
+    /// Terms that started from a usable standby copy.
     pub warm_starts: usize,
+    /// Starts of gang tasks in an attempt of an earlier term: the new leader completes the gang.
     pub completed_gangs: usize,
+    /// Responses that a follower could not apply to its copy.
     pub refused_responses: usize,
     pub one_way_partitions: usize,
     pub lost_election_responses: usize,
+    /// Terms in which the store refuses all writes of the leader.
     pub refused_terms: usize,
-    /// Terms of leaders that did not know the watermarks before them to be complete.
+    /// Terms whose leader did not know whether the start watermarks of all earlier terms are complete.
     pub assumed_terms: usize,
 }
 
 impl EventCounts {
-    /// The sums of both.
+    /// Returns the sum of each counter.
     pub fn and(self, other: &Self) -> Self {
         Self {
             starts: self.starts + other.starts,
--- a/crates/controller/tests/simulation/dispatch.rs
+++ b/crates/controller/tests/simulation/dispatch.rs
@@ -1,4 +1,5 @@
-//! What a leader sends to machines and to the cloud.
+//! Messages of a leader: requests to the cloud, direct dispatches and state probes to machines, transactions to the
+//! store.
 
 use super::controllers::Leader;
 use super::machines::Machine;
@@ -34,6 +35,7 @@
         }
     }
 
+    /// Sends the leader's direct dispatches, stops, state probes and next transaction.
     #[expect(clippy::too_many_lines, reason = "the steps of one simulated event, in order")]
     pub(super) fn send_commands(&mut self, n: usize, leader: &mut Leader) {
         let (now, term) = (self.now, leader.term);
@@ -45,8 +47,8 @@
         let probes = leader.cluster.take_state_probes(now);
         let stops = leader.cluster.take_direct_stops(now);
         let commit = leader.cluster.next_commit(now);
-        // The leader waits for no response to a stop. Addresses have no meaning here, so a stop goes to the
-        // machine that has the task.
+        // The leader does not wait for responses to stops. A stop is addressed to a network address, which is the same
+        // for all simulated machines, so it goes to the machine that has the task.
         for DirectStop { commands, .. } in stops {
             let Some(task) = commands.commands.iter().find_map(|command| match command {
                 Command::Kill { task, attempt, .. } => Some((task.clone(), *attempt)),
@@ -73,7 +75,7 @@
             }
             self.send(|| Message::Direct(n, term, m, commands.clone()));
             if awaits_response {
-                // The sender's time limit expires, whether or not a response arrived.
+                // The sender's timeout, which occurs whether or not a response arrived.
                 let outcome = Message::Delivered(
                     n,
                     term,
@@ -86,7 +88,7 @@
         }
         for StateProbeRequest { machine, .. } in probes {
             self.send(|| Message::StateProbe(n, term, index(&machine) - 1));
-            // The sender's time limit expires, whether or not a response arrived.
+            // The sender's timeout, which occurs whether or not a response arrived.
             self.at(now + constants::WORKER_TIMEOUT, Message::ProbeResult(n, term, machine, None));
         }
         if let Some(commit) = commit {
@@ -97,7 +99,7 @@
         }
     }
 
-    /// A state probe reaches a machine.
+    /// Delivers a state probe to a machine, and sends its response.
     pub(super) fn probe_arrives(&mut self, n: usize, term: u64, m: usize) {
         let now = self.now;
         let linked = self.worker_linked(n, m);
@@ -107,7 +109,8 @@
         }
         self.expire(m);
         let machine = &mut self.machines[m];
-        // The probe is repeated under the incarnation that its refusal names.
+        // A worker refuses a probe of another incarnation and names its own; the sender then repeats the probe. Only
+        // the repeated probe is simulated.
         let incarnation = machine.worker.incarnation();
         let probe = DirectCommands { fencing_token: term, incarnation, commands: vec![] };
         let heartbeat = machine.worker.handle_direct_commands(&probe);
--- a/crates/controller/tests/simulation/elections.rs
+++ b/crates/controller/tests/simulation/elections.rs
@@ -1,5 +1,5 @@
-//! Elections by the keys that controllers use, and faults around them: a lost response, and a leader whose writes
-//! are refused until it ends.
+//! Elections with the store keys that controllers use, and election faults: a lost response to the election, and a
+//! leader whose writes the store refuses until the leader is killed.
 
 use super::controllers::{Leader, Version, leader_lease_expiry};
 use super::{CONTROLLERS, Simulation, StoredLeadership};
@@ -17,13 +17,13 @@
 use rand::RngExt;
 use std::collections::BTreeSet;
 
-/// Id of the leadership lease, which the simulation expires itself.
+/// Id of the leadership lease. `Simulation::expire_store_leases` expires it, not the `MemoryStore`.
 const LEADERSHIP_LEASE: u64 = 1;
 
-/// Faults of elections, on the days that have them.
+/// State of the election faults.
 #[derive(Debug, Default)]
 pub(super) struct ElectionFaults {
-    /// Controllers that end, and when.
+    /// The next kill, if one is scheduled.
     kill: Option<ScheduledKill>,
 }
 
@@ -31,13 +31,13 @@
 struct ScheduledKill {
     at: MonotonicTime,
     controllers: Vec<usize>,
-    /// Some machines do not reach the next leader for a while.
+    /// Whether some machines are partitioned at the time of the kill, and so don't reach the next leader for a while.
     partitions_machines: bool,
 }
 
 impl Simulation {
-    /// A day on which responses to elections are lost, new leaders are refused by the state service, and they end
-    /// before their first writes are durable, alone or with all other controllers.
+    /// Creates a day on which responses to elections are lost, and every new leader is killed soon, alone or with all
+    /// other controllers. The store refuses all writes of about every second one, so that none of them is durable.
     pub fn with_election_faults(seed: u64) -> Self {
         let mut simulation = Self::new(seed);
         simulation.election_faults = Some(ElectionFaults::default());
@@ -45,7 +45,7 @@
         simulation
     }
 
-    /// Controller `n` wins the election and has read all records.
+    /// Begins the term of controller `n`: commits its election, and creates the leader from all records in the store.
     pub(super) fn begin_term(&mut self, n: usize) {
         let now = self.now;
         let vacancy = Vacancy::read(&self.store.list(LEADER_PREFIX));
@@ -88,7 +88,7 @@
         self.limit_term(n);
     }
 
-    /// Commits the election of controller `n`; the precondition of its later writes.
+    /// Commits the election of controller `n`. Returns the precondition of its later writes.
     fn win_election(&mut self, n: usize, vacancy: &Vacancy) -> Precondition {
         let (term, nonce) = (vacancy.next_term(), self.controllers[n].nonce);
         let record = LeaderRecord { controller_name: CONTROLLERS[n].0.to_owned(), term, nonce };
@@ -104,8 +104,9 @@
         Precondition { key: LEADER_KEY.into(), mod_revision }
     }
 
-    /// An older version writes `lead/marked` with its election, and knows no other marker. (Production writes it
-    /// also if it does not know the watermarks before its term; that fault of its own is not simulated.)
+    /// Changes an election to that of an older version, which writes `lead/marked` as its only marker of complete start
+    /// watermarks. (Real older versions write it even if they don't know the watermarks of earlier terms; that fault of
+    /// theirs is not simulated.)
     fn replace_marker(&self, election: &mut Transaction, term: u64) {
         election.operations.retain(
             |operation| !matches!(operation, Operation::Put { key, .. } if key == COMPLETE_WATERMARKS_KEY),
@@ -116,13 +117,14 @@
         }
     }
 
-    /// Whether an older version takes the watermarks for complete.
+    /// Whether an older version considers the start watermarks complete.
     fn older_marker_is_current(&self) -> bool {
         let value = |key: &str| self.store.get(key).map(|pair| pair.value);
         value(LEADER_TERM_KEY) == value(LEADER_WATERMARKS_KEY)
     }
 
-    /// What the winner of an election knows of earlier watermarks; the response to it may be lost.
+    /// Returns what the winner of an election knows about the start watermarks of earlier terms. The response to the
+    /// election may be lost; a controller of the new version then reads the markers afterwards.
     fn known_watermarks(
         &mut self,
         n: usize,
@@ -143,7 +145,8 @@
         known
     }
 
-    /// Schedules the end of a new leader. The state service refuses every second one from its first write on.
+    /// Schedules the kill of a new leader, on days with election faults. The store refuses all writes of about every
+    /// second leader until then.
     fn limit_term(&mut self, n: usize) {
         if self.election_faults.is_none() || !self.chance(1_000) {
             return;
@@ -161,13 +164,13 @@
         self.election_faults = Some(ElectionFaults { kill });
     }
 
-    /// Ends the controllers whose time has come.
+    /// Kills controllers when their scheduled kill is due, and restarts them in a random version.
     pub(super) fn run_election_faults(&mut self) {
         let now = self.now;
         let Some(faults) = &mut self.election_faults else { return };
         let Some(kill) = faults.kill.take_if(|kill| now >= kill.at) else { return };
         for n in kill.controllers {
-            // Rolled from either version to the other: each must rely on what the other claims, or not.
+            // Upgrades and rollbacks: a version may rely on what the other one wrote only as far as that is correct.
             let version =
                 if self.rng.random_range(0..2) == 0 { Version::Old } else { Version::New };
             self.replace(n, version);
--- a/crates/controller/tests/simulation/faults.rs
+++ b/crates/controller/tests/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of controllers, zones and the state service, and their end.
+//! Injects faults of controllers, zones and the store, and ends them.
 
 use super::controllers::Version;
 use super::{CONTROLLERS, FAULTS_END_AT, Simulation, UPGRADE_AT, UPGRADE_EVERY, ZONES, ms};
@@ -6,7 +6,7 @@
 use rand::RngExt;
 
 impl Simulation {
-    /// The rolling upgrade, one controller at a time.
+    /// Runs the rolling upgrade, one controller at a time.
     pub(super) fn upgrade(&mut self) {
         for n in 0..CONTROLLERS.len() {
             let old = self.controllers[n].version == Version::Old;
@@ -16,7 +16,7 @@
         }
     }
 
-    /// Injects faults of zones and controllers.
+    /// Injects faults of zones, controllers and the store, or those of the scenario if the day has one.
     pub(super) fn inject_faults(&mut self) {
         let now = self.now;
         if self.scenario.is_some() {
@@ -44,7 +44,7 @@
             let until = now + self.span(500, 60_000);
             let controller = &mut self.controllers[n];
             match self.rng.random_range(0..7) {
-                // Refused by or partitioned from the state service alone; often just before an outage.
+                // Refused by or partitioned from the store alone, sometimes just before an outage for all.
                 0 | 1 => {
                     controller.store_unreachable_until = until;
                     controller.refused = self.rng.random_range(0..2) == 0;
@@ -60,7 +60,7 @@
                 3 => controller.peers_unreachable_until = until,
                 4 => controller.workers_unreachable_until = until,
                 5 => controller.frozen_until = now + ms(self.rng.random_range(200..45_000)),
-                // Killed, and restarted within a fraction of a second or seconds.
+                // Killed, and restarted after a fraction of a second or several seconds.
                 _ => self.kill(n),
             }
         }
@@ -68,7 +68,7 @@
         self.end_faults();
     }
 
-    /// Begins the outages that were scheduled with the fault of one controller.
+    /// Begins the outages of the store that were scheduled with a fault of one controller.
     fn begin_scheduled_outages(&mut self) {
         let now = self.now;
         for n in 0..CONTROLLERS.len() {
@@ -79,6 +79,7 @@
         }
     }
 
+    /// Ends the outage of the store and the faults of zones and controllers at `FAULTS_END_AT`.
     pub(super) fn end_faults(&mut self) {
         let now = self.now;
         if now == FAULTS_END_AT {
--- a/crates/controller/tests/simulation/gangs.rs
+++ b/crates/controller/tests/simulation/gangs.rs
@@ -1,4 +1,5 @@
-//! Gangs on the machines: their tasks fetch images, wait for one another, run and end together.
+//! Gangs on the machines: their tasks fetch images, wait for one another, run and end together. Faults of leaders while
+//! a gang is partially placed.
 
 use super::controllers::Controller;
 use super::{Message, Simulation};
@@ -7,11 +8,11 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// Time in which a gang's task fetches its image.
+/// Time that a gang's task takes to fetch its image.
 const IMAGE_FETCH: Duration = Duration::from_millis(1_500);
-/// A task ends if its gang is not complete after this long.
+/// Time after which a waiting task ends if its gang is still incomplete.
 const GANG_WAIT_TIMEOUT: Duration = Duration::from_millis(35_000);
-/// A running task detects the loss of a peer within this time.
+/// Time since its start from which a running task detects the loss of another task of its gang.
 const GANG_LOSS_TIMEOUT: Duration = Duration::from_millis(4_000);
 
 impl Simulation {
@@ -38,6 +39,7 @@
         }
     }
 
+    /// Whether some, but not all, tasks of a gang are on machines, and a standby copy contains the gang.
     fn partially_placed(&self, spec: &JobSpec) -> bool {
         let is_placed = |index: &u32| {
             let task = format!("{}/{index}", spec.id);
@@ -50,7 +52,7 @@
             self.machines.iter().any(|m| !m.dead && live(&m.worker))
         };
         let placed = (0..spec.tasks).filter(is_placed).count();
-        // Some standby copy names the job, so that the next leader can use it.
+        // A standby copy contains the job, so that the next leader can start from it.
         let followed = |controller: &Controller| {
             controller.follower.state().jobs.contains_key(spec.id.as_str())
         };
@@ -58,7 +60,8 @@
         known && spec.is_gang() && placed > 0 && placed < spec.tasks as usize
     }
 
-    /// A gang's task has just been started.
+    /// Sets the first state of a task that has just been started, if it is of a gang, and counts starts in attempts of
+    /// earlier terms.
     pub(super) fn gang_task_started(&mut self, m: usize, task: &str, attempt: u64) {
         let gang =
             |spec: &JobSpec| spec.is_gang() && task.split('/').next() == Some(spec.id.as_str());
@@ -74,7 +77,7 @@
             usize::from(of_earlier_term && self.controllers.iter().any(leads));
     }
 
-    /// Advances the gang tasks of a machine.
+    /// Advances the states of the gang tasks on a machine.
     pub(super) fn run_gangs(&mut self, m: usize) {
         let tasks: Vec<TaskStatus> = self.machines[m].worker.tasks().to_vec();
         for status in tasks.iter().filter(|status| status.state != TaskState::Ended) {
@@ -118,6 +121,7 @@
         }
     }
 
+    /// Sets all tasks of a gang attempt to running.
     fn start_gang(&mut self, spec: &JobSpec, attempt: u64) {
         let now = self.now;
         for machine in self.machines.iter_mut().filter(|m| !m.dead) {
@@ -131,8 +135,8 @@
         }
     }
 
-    /// A worker never starts an attempt again that it has started, other than in a later incarnation to complete
-    /// a gang that waits for it (protocol, "Gangs"). `before`: number of starts before this message.
+    /// Checks that a worker does not start the same attempt twice, except in a later incarnation to complete a gang
+    /// that waits for it (protocol, "Gangs"). `before` is the worker's number of starts before the current message.
     pub(super) fn check_attempt_is_new(&self, m: usize, before: usize, task: &str, attempt: u64) {
         let machine = &self.machines[m];
         let same = |(t, a): &(String, u64)| t == task && *a == attempt;
@@ -143,8 +147,9 @@
         assert!(replaces, "{task} attempt {attempt} is started twice on m-{}", m + 1);
     }
 
-    /// Whether other machines have tasks of the same attempt of a gang, or had them until they were lost, and none of
-    /// them has run. The leader learns of a loss only later: until then it completes a gang that was seen waiting.
+    /// Whether other machines have tasks of the same gang attempt, or had them until their leases expired, and none of
+    /// these tasks has run. Lost tasks count because the leader learns of a loss only later, and until then completes a
+    /// gang that it has seen waiting.
     fn gang_waits_for(&self, m: usize, task: &str, attempt: u64) -> bool {
         let (id, _) = task.split_once('/').expect("a task name");
         if !self.jobs.iter().any(|spec| spec.is_gang() && spec.id.as_str() == id) {
--- a/crates/controller/tests/simulation/leases.rs
+++ b/crates/controller/tests/simulation/leases.rs
@@ -1,4 +1,4 @@
-//! Heartbeats and shard lease renewals at a controller.
+//! Heartbeats at a controller, and shard leases between controllers.
 
 use super::Simulation;
 use super::messages::{Message, Reply};
@@ -8,6 +8,8 @@
 use hookway_wire::Heartbeat;
 
 impl Simulation {
+    /// Delivers a heartbeat to a controller, which responds as the leader or as a shard lessee, redirects the worker,
+    /// or is unavailable to it.
     pub(super) fn heartbeat_arrives(&mut self, m: usize, n: usize, heartbeat: &Heartbeat) {
         let now = self.now;
         if !self.worker_linked(n, m) {
@@ -50,6 +52,7 @@
         self.send(|| Message::HeartbeatResponse(m, n, heartbeat.sequence, reply.clone()));
     }
 
+    /// Delivers a shard lease renewal to controller `n`, which grants the lease if it leads.
     pub(super) fn renewal_arrives(
         &mut self,
         from: usize,
@@ -69,6 +72,7 @@
         }
     }
 
+    /// Delivers a granted shard lease to its lessee `n`.
     pub(super) fn shard_lease_arrives(
         &mut self,
         n: usize,
@@ -80,7 +84,7 @@
         let linked = self.peers_linked(from, n);
         let controller = &mut self.controllers[n];
         let local_now = controller.clock(self.now);
-        // A connection ends with its process, and a response after the time limit is not taken.
+        // A connection ends with its process, and a response after the timeout is ignored.
         let in_time = local_now < sent + constants::PEER_TIMEOUT;
         let observed = self.now >= controller.responses_lost_until;
         if linked && observed && controller.nonce == nonce && in_time && controller.leader.is_none()
--- a/crates/controller/tests/simulation/machines.rs
+++ b/crates/controller/tests/simulation/machines.rs
@@ -1,4 +1,5 @@
-//! Machines with their workers and tasks, and the invariants that hold at each start.
+//! Machines with their workers and tasks, and the checks of the invariants: at each task start, of replicas, and of
+//! cancelled jobs.
 
 use super::{
     CONTROLLERS, FAULTS_END_AT, HEARTBEAT_EVERY, HEARTBEAT_TIMEOUT, Message, REPLICAS_AT, Reply,
@@ -12,35 +13,40 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A replica of a daemon exits after this long, which does not complete the job.
+/// Run time of a daemon's replica. It then exits, which does not complete the job.
 const REPLICA_ENDS_AFTER: Duration = Duration::from_millis(40_000);
 
-/// A moved replica runs again within this time.
+/// Time within which a moved replica must run again.
 const REPLICA_MOVES_WITHIN: Duration = Duration::from_millis(5_000);
 
+/// A machine with its worker, its tasks, and the faults that affect it.
 pub(super) struct Machine {
     pub worker: ScriptedWorker,
     pub name: String,
     pub created_at: MonotonicTime,
-    /// Send time of the heartbeat whose response was received last.
+    /// Send time of the heartbeat whose response was received last; the worker's lease starts then.
     lease_from: MonotonicTime,
+    /// Sequence number and send time of the heartbeat that has no response yet.
     in_flight: Option<(u64, MonotonicTime)>,
     next_heartbeat: MonotonicTime,
     /// The controller that receives its heartbeats.
     controller: usize,
     pub partitioned_until: MonotonicTime,
-    /// Partitioned from that controller alone, until then.
+    /// A controller from which alone the machine is partitioned, and until when.
     pub partitioned_from: Option<(usize, MonotonicTime)>,
+    /// One-way partition: no message from controllers reaches the machine until then.
     pub inbound_lost_until: MonotonicTime,
-    /// One-way partition: nothing that it sends arrives, while direct commands reach it.
+    /// One-way partition: no heartbeat from the machine arrives until then, while direct commands reach it.
     outbound_lost_until: MonotonicTime,
     /// The machine hangs until then.
     pub hung_until: MonotonicTime,
+    /// Whether the machine has failed or was deleted.
     pub dead: bool,
+    /// Time of the start of each task, or of its gang if that is later.
     pub since: BTreeMap<String, MonotonicTime>,
     /// Number of starts before the current incarnation of its worker.
     pub incarnation_from: usize,
-    /// The unfinished tasks that its worker discarded when its lease expired.
+    /// All unfinished tasks that its worker has discarded at lease expiries.
     pub discarded: Vec<TaskStatus>,
 }
 
@@ -77,7 +83,8 @@
         span_of_seconds(self.controllers[0].config.platform.workers.lease_s)
     }
 
-    /// A worker whose lease expired discards all tasks before it does anything else.
+    /// If a worker's lease has expired, discards all its tasks and begins its next incarnation. Called before a worker
+    /// does anything else.
     pub(super) fn expire(&mut self, m: usize) {
         let (now, lease) = (self.now, self.worker_lease());
         let machine = &mut self.machines[m];
@@ -92,6 +99,7 @@
         }
     }
 
+    /// Delivers a controller's reply to a machine, unless the network loses it or it comes after the timeout.
     pub(super) fn heartbeat_response_arrives(
         &mut self,
         m: usize,
@@ -135,6 +143,7 @@
         }
     }
 
+    /// Delivers direct commands to a machine, and returns the outcome to the leader if it waits for one.
     pub(super) fn direct_arrives(
         &mut self,
         n: usize,
@@ -149,7 +158,7 @@
             return;
         }
         if now < machine.hung_until {
-            // It is executed when the machine resumes, if its fencing token still permits.
+            // The worker executes the commands when the machine resumes, if their fencing token is still high enough.
             let at = machine.hung_until + ms(100);
             return self.at(at, Message::Direct(n, term, m, commands));
         }
@@ -167,7 +176,8 @@
         }
     }
 
-    /// Checks the invariants at each start.
+    /// Checks the invariants at every start since the first `before` ones: a task runs on one machine at most, and once
+    /// there.
     fn check_starts(&mut self, m: usize, before: usize) {
         let started = self.machines[m].worker.started_attempts[before..].to_vec();
         for (task, attempt) in started {
@@ -191,7 +201,7 @@
         }
     }
 
-    /// Checks zone constraints and quotas.
+    /// Checks the zone constraints and the quota of a task that has just been started.
     fn check_bounds(&mut self, m: usize, task: &str) {
         let (id, _) = task.split_once('/').expect("a task name");
         let spec = self.jobs.iter().find(|j| j.id.as_str() == id).expect("a submitted job").clone();
@@ -224,7 +234,7 @@
         }
     }
 
-    /// Injects faults of one machine.
+    /// May inject a partition or a hang of one machine.
     fn inject_machine_fault(&mut self, m: usize) {
         if self.scenario.is_some() || !self.chance(3) {
             return;
@@ -242,6 +252,7 @@
         }
     }
 
+    /// Runs one step of a machine: faults, lease expiry, progress of tasks, and the next heartbeat if it is due.
     #[expect(clippy::too_many_lines, reason = "the steps of one simulated event, in order")]
     pub(super) fn run_machine(&mut self, m: usize) {
         let now = self.now;
@@ -257,7 +268,7 @@
             (machine.outbound_lost_until, machine.hung_until) =
                 (MonotonicTime::ZERO, MonotonicTime::ZERO);
         }
-        // A hanging machine resumes its tasks only within its lease.
+        // The lease of a hanging machine expires as well, so it resumes its tasks only within its lease.
         let hung = now < machine.hung_until;
         self.expire(m);
         if hung {
@@ -283,7 +294,7 @@
                     let at = now + self.span(1_000, 60_000);
                     self.at(at, Message::Heartbeat(m, controller, heartbeat));
                 }
-                // The connection is refused, or times out.
+                // The connection is refused at once, or times out later.
                 if self.rng.random_range(0..2) == 0 {
                     let machine = &mut self.machines[m];
                     machine.in_flight = None;
@@ -293,7 +304,7 @@
                 return;
             }
             self.send(|| Message::Heartbeat(m, controller, heartbeat.clone()));
-            // A duplicate reaches every controller at some time.
+            // A duplicate reaches every controller, each after its own delay.
             if self.chance(20) {
                 for n in 0..CONTROLLERS.len() {
                     let at = now + self.span(2_000, 60_000);
@@ -303,10 +314,11 @@
         }
     }
 
+    /// Ends the tasks on a machine that fail or have run for their run time.
     fn run_tasks(&mut self, m: usize, transient_failure: bool) {
         let now = self.now;
-        // Tasks run for a few seconds, a few for much longer than the time limits of controllers, and all
-        // tasks of some jobs for longer than the cancellation limit.
+        // Most tasks run for a few seconds, some for much longer than the timeouts of controllers, and all tasks of
+        // some jobs for longer than the cancellation limit.
         for task in self.machines[m].worker.unfinished_tasks() {
             let (id, _) = task.split_once('/').expect("a task name");
             let is_long = self.long(id);
@@ -321,7 +333,7 @@
                 machine.next_heartbeat = machine.next_heartbeat.min(now + ms(100));
                 continue;
             }
-            // Replicas run on, except for one that exits now and then.
+            // Replicas run until the end of the day, except for some that exit before.
             let daemon = |j: &JobSpec| j.id.as_str() == id && j.is_daemon();
             let daemon = self.jobs.iter().any(daemon);
             let run_time = match task.ends_with('7') {
@@ -345,8 +357,8 @@
         }
     }
 
-    /// Some time after the faults end, every replica of every daemon runs on a machine, except while it moves
-    /// to another one.
+    /// Checks at `REPLICAS_AT` that every replica of every daemon runs on a machine, or did so at most
+    /// `REPLICA_MOVES_WITHIN` ago, since it may be moving to another machine.
     pub(super) fn check_replicas(&mut self) {
         if !(REPLICAS_AT.saturating_sub(REPLICA_MOVES_WITHIN)..=REPLICAS_AT).contains(&self.now) {
             return;
@@ -372,7 +384,7 @@
         }
     }
 
-    /// Checks that no task of a cancelled job runs after the cancellation limit, whatever is partitioned.
+    /// Checks that no task of a cancelled job runs after the cancellation limit, whatever the faults.
     pub(super) fn check_cancelled(&self) {
         let limit = span_of_seconds(self.controllers[0].config.platform.workers.cancel_s);
         for (id, reported) in &self.reported {
--- a/crates/controller/tests/simulation/messages.rs
+++ b/crates/controller/tests/simulation/messages.rs
@@ -1,4 +1,4 @@
-//! Messages in flight between the parts of the simulation, and their delivery.
+//! The messages in the event queue, and their delivery to the simulated components.
 
 use super::scenarios::FaultScenario;
 use super::{Simulation, ms};
@@ -9,47 +9,56 @@
 use hookway_time::MonotonicTime;
 use hookway_wire::{DirectCommands, Heartbeat, HeartbeatResponse, JobId, Transaction};
 
-/// A message in flight. Controllers and machines are indices into their lists.
+/// A message in the event queue. Controllers and machines are given by index, except where a machine has a name.
 #[derive(Debug)]
 pub(super) enum Message {
-    /// Machine, controller.
+    /// To a controller: machine, controller, content.
     Heartbeat(usize, usize, Heartbeat),
-    /// A controller's response: machine, controller, sequence of the heartbeat, content.
+    /// To a machine: machine, controller, sequence number of the heartbeat, reply.
     HeartbeatResponse(usize, usize, u64, Reply),
-    /// Sender, receiver, the renewal, send time by the sender's own clock.
+    /// A lessee requests its shard lease: sender, receiver, the renewal, send time by the sender's own clock.
     LeaseRenewal(usize, usize, ShardLeaseRenewal, MonotonicTime),
-    /// Receiver, sender, the receiving process, the lease, send time of the renewal.
+    /// The leader grants a shard lease: receiver, sender, nonce of the receiving process, the lease, send time of the
+    /// renewal by the receiver's own clock.
     LeaseGranted(usize, usize, u64, ShardLease, MonotonicTime),
-    /// Sender, receiver, the sending process, position of its copy.
+    /// A follower requests entries: sender, receiver, nonce of the sending process, position of its copy.
     Follow(usize, usize, u64, FollowRequest),
-    /// Receiver, sender, the receiving process, the entries that its copy lacks.
+    /// The leader responds to a follower: receiver, sender, nonce of the receiving process, the entries that its copy
+    /// lacks.
     Followed(usize, usize, u64, FollowResponse),
-    /// A controller tells another that a job has finished.
+    /// A controller tells another one that a job has finished: receiver, sender, job.
     JobFinished(usize, usize, JobId),
-    /// Controller, its term (0: it waits for no response), machine, commands.
+    /// Direct commands to a machine: controller, its term (0: it waits for no response), machine, commands.
     Direct(usize, u64, usize, DirectCommands),
-    /// To a controller in a term: machine, fencing token, outcome.
+    /// The outcome of direct commands: controller, its term, machine, fencing token of the commands, outcome.
     Delivered(usize, u64, String, u64, Delivery),
+    /// To a machine: controller, its term, machine.
     StateProbe(usize, u64, usize),
+    /// The outcome of a state probe: controller, its term, machine, the machine's state (`None`: timeout or refusal).
     ProbeResult(usize, u64, String, Option<Heartbeat>),
-    /// A transaction arrives at the state service.
+    /// A transaction to the store: controller, its term, commit.
     PendingCommit(usize, u64, Box<PendingCommit>),
-    /// The leader rereads the keys of a commit that got no response.
+    /// The leader rereads the keys of a commit whose outcome it does not know: controller, its term, commit.
     Reread(usize, u64, Box<PendingCommit>),
-    /// A transaction that arrives after its sender's time limit.
+    /// A transaction that reaches the store after its sender's timeout.
     DelayedTransaction(Transaction),
-    /// A deletion arrives at the cloud.
+    /// Deletes machines at the cloud: controller, its term, machines.
     Delete(usize, u64, Vec<String>),
 }
 
+/// A controller's reply to a heartbeat.
 #[derive(Debug, Clone)]
 pub(super) enum Reply {
+    /// From the leader or a shard lessee: extends the worker's lease.
     Response(HeartbeatResponse),
+    /// To the controller that leads, if it is known and reachable.
     Redirect(Option<usize>),
+    /// From a controller that can't respond now, although it leads or led.
     Unavailable,
 }
 
 impl Simulation {
+    /// Delivers a message. It is lost if its receiver, a controller, is down.
     #[expect(clippy::too_many_lines, reason = "one short arm for each kind of message")]
     pub(super) fn deliver(&mut self, message: Message) {
         let now = self.now;
@@ -94,7 +103,7 @@
                 self.followed_arrives(n, from, nonce, response);
             }
             Message::JobFinished(n, from, id) => {
-                // No invariant may depend on this message.
+                // The invariants must hold without this message, so most scenarios lose it.
                 let lost = self
                     .scenario
                     .as_ref()
--- a/crates/controller/tests/simulation/mod.rs
+++ b/crates/controller/tests/simulation/mod.rs
@@ -1,10 +1,13 @@
-//! A simulated cluster: controllers, machines, users, a state service and the network between them.
+//! A deterministic simulation of a cluster: controllers, machines, users, the store, the cloud and the network between
+//! them, on a simulated clock with an event queue. All random choices come from one seed.
 //!
-//! Messages are delayed, lost, duplicated and reordered. Controllers are killed, frozen, partitioned from the state
-//! service, from one another or from workers, or refused by the state service alone. The state service has outages
-//! and restores its leases. Zones and machines are partitioned, machines hang, lose one direction of their network,
-//! fail and return. Every start and every response to a user is checked against the invariants.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+//! Fault injection: Messages are delayed, lost, duplicated and reordered. Controllers are killed, frozen, partitioned
+//! from the store, from one another or from workers, or are the only ones that the store refuses. The store has
+//! outages, after which its leases get their full duration again. Zones and machines are partitioned; machines hang,
+//! lose one direction of their network, or fail with all of their tasks.
+//!
+//! Every task start and every response to a user is checked against the invariants.
+#![allow(clippy::expect_used, reason = "test helpers may panic like the tests that use them")]
 
 mod commits;
 mod controllers;
@@ -36,34 +39,35 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// End of all faults.
+/// Time from which no faults are injected.
 pub const FAULTS_END_AT: MonotonicTime = MonotonicTime::from_millis(200_000);
-/// Start of the rolling upgrade, while faults are injected.
+/// Start of the rolling upgrade, which runs while faults are injected.
 const UPGRADE_AT: MonotonicTime = MonotonicTime::from_millis(40_000);
-/// Time between the upgrades of two controllers.
+/// Time between the upgrades of one controller and the next.
 const UPGRADE_EVERY: Duration = Duration::from_millis(10_000);
-/// Every replica of every daemon runs by then.
+/// Time at which every replica of every daemon must have been running recently.
 pub const REPLICAS_AT: MonotonicTime = MonotonicTime::from_millis(200_000 + 60_000);
-/// Every job must have finished by then. A team at its quota of four tasks may have a dozen of 90 s
+/// Time at which every job must have finished. A team at its quota of four tasks may have a dozen tasks of 90 s
 /// queued.
 pub const END_AT: MonotonicTime = MonotonicTime::from_millis(1_200_000);
+/// Simulated time between two steps.
 const STEP: Duration = Duration::from_millis(100);
-/// Time limit of a heartbeat (protocol).
+/// Time after which a worker gives up on a heartbeat (given by the protocol).
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(4_000);
 const HEARTBEAT_EVERY: Duration = Duration::from_millis(2_000);
-/// Name and zone of each controller; two share a zone. `n` is the index of a controller, `m` that of a
-/// machine.
+/// Name and zone of each controller; two share a zone. Throughout the simulation, `n` is the index of a controller and
+/// `m` that of a machine.
 const CONTROLLERS: [(&str, &str); 3] = [("one", "a"), ("two", "b"), ("three", "a")];
 const ZONES: [&str; 2] = ["a", "b"];
 
-/// The leadership lease in the state service.
+/// The leadership lease in the store.
 struct StoredLeadership {
     controller: usize,
     term: u64,
     until: MonotonicTime,
 }
 
-/// The states of a job that users have seen.
+/// The states of a job that controllers have reported to users. Later reports must not contradict them.
 #[derive(Default)]
 struct ReportedState {
     accepted: bool,
@@ -71,41 +75,45 @@
     cancelled_at: Option<MonotonicTime>,
 }
 
-/// A simulated cluster with its users, network, state service and cloud.
+/// A simulated cluster with its users, network, store and cloud.
 pub struct Simulation {
     rng: StdRng,
     now: MonotonicTime,
     store: MemoryStore,
+    /// `None` while nobody leads.
     lead: Option<StoredLeadership>,
+    /// End of the latest outage of the store.
     outage_until: MonotonicTime,
     zone_partitioned_until: [MonotonicTime; ZONES.len()],
     controllers: Vec<Controller>,
     machines: Vec<Machine>,
+    /// Messages in flight, by delivery time and order of scheduling.
     queue: BTreeMap<(MonotonicTime, u64), Message>,
+    /// Number of messages scheduled so far.
     sent: u64,
-    /// Rate of leader faults: low on some days, so that terms are long.
+    /// Probability per step of a fault of the leader, per mille. Low on some days, so that terms are long.
     leader_fault_rate: u32,
     scenario: Option<ScheduledScenario>,
-    /// Most jobs are gangs, and leaders fail while one is partially placed.
+    /// Whether most jobs are gangs and leaders fail while one is partially placed.
     standby_scenario: bool,
-    /// One-way partitions between controllers are injected.
+    /// Whether one-way partitions between controllers are injected.
     one_way_partitions: bool,
-    /// Faults of elections are injected.
+    /// `None` if no election faults are injected.
     election_faults: Option<ElectionFaults>,
     pub jobs: Vec<JobSpec>,
     reported: BTreeMap<JobId, ReportedState>,
+    /// Ids of the tasks that have run to completion.
     done: BTreeSet<String>,
-    /// Replicas that were recently on a machine.
+    /// Ids of the tasks that were on a machine shortly before the check of replicas.
     replicas_seen: BTreeSet<String>,
     pub counts: EventCounts,
 }
 
-/// A span of `millis` milliseconds.
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// Jobs that fail on every machine until their users cancel them.
+/// Whether the tasks of a job fail on every machine, until its user cancels the job.
 fn always_fails(id: &str) -> bool {
     id.bytes().next_back().is_some_and(|digit| digit == b'5')
 }
@@ -143,8 +151,8 @@
         }
     }
 
-    /// A day on which all controllers follow the leader from the beginning, most jobs are gangs, and leaders
-    /// often fail while a gang is partially placed.
+    /// Creates a day on which all controllers have the new version, and so follow the leader, from the beginning, most
+    /// jobs are gangs, and leaders often fail while a gang is partially placed.
     pub fn with_standbys(seed: u64) -> Self {
         let mut simulation = Self::new(seed);
         simulation.controllers = (0..CONTROLLERS.len())
@@ -155,12 +163,12 @@
         simulation
     }
 
-    /// `with_standbys`, with one-way partitions between controllers.
+    /// Creates a day as `with_standbys` does, with one-way partitions between controllers in addition.
     pub fn with_one_way_partitions(seed: u64) -> Self {
         Self { one_way_partitions: true, ..Self::with_standbys(seed) }
     }
 
-    /// A day with one scenario of concurrent faults and no other fault of controllers or zones.
+    /// Creates a day with one scenario of concurrent faults and no other fault of controllers or zones.
     pub fn with_scenario(kind: FaultScenario, seed: u64) -> Self {
         let mut simulation = Self::new(seed);
         let starts_at = MonotonicTime::ZERO + simulation.span(45_000, 60_000);
@@ -175,32 +183,34 @@
             || id.bytes().next_back().is_some_and(|digit| digit == b'3' || digit == b'8')
     }
 
+    /// Whether an event of this probability, per mille, occurs. Never after the end of the faults.
     fn chance(&mut self, per_mille: u32) -> bool {
         self.now < FAULTS_END_AT && self.rng.random_range(0..1000) < per_mille
     }
 
+    /// Returns a random number from `from` up to, but not including, `to`.
     fn number(&mut self, from: u64, to: u64) -> u64 {
         self.rng.random_range(from..to)
     }
 
-    /// A random span, in milliseconds.
+    /// Returns a random duration; the bounds are in milliseconds, and `to` is exclusive.
     fn span(&mut self, from: u64, to: u64) -> Duration {
         ms(self.number(from, to))
     }
 
-    /// Whether the clock shows a multiple of this span.
+    /// Whether the time is a multiple of this interval.
     fn every(&self, span: Duration) -> bool {
         self.now.as_millis().is_multiple_of(whole_millis(span))
     }
 
-    /// Expires the leases in the state service, except during its outages.
+    /// Expires the leadership lease, except during an outage of the store, and begins random outages.
     fn expire_store_leases(&mut self) {
         let now = self.now;
         if now < self.outage_until {
             return;
         }
         if self.outage_until > MonotonicTime::ZERO && now < self.outage_until + STEP {
-            // After an outage every lease gets its full duration again.
+            // After an outage the store gives every lease its full duration again.
             if let Some(lead) = &mut self.lead {
                 lead.until = now + hookway_constants::LEADER_TTL;
             }
@@ -213,6 +223,7 @@
         }
     }
 
+    /// Deletes the leader's key from the store, as the expiry or release of the leadership lease does.
     fn revoke_leadership(&mut self) {
         self.lead = None;
         let delete_leader =
@@ -222,6 +233,7 @@
             .commit(&Transaction { preconditions: vec![], operations: vec![delete_leader] });
     }
 
+    /// Runs the day step by step until every job has finished, or until `END_AT`.
     pub fn run(&mut self) {
         while self.now < END_AT && !self.finished() {
             self.now += STEP;
@@ -259,7 +271,7 @@
             && self.machines.iter().all(|m| m.dead || m.worker.unfinished_tasks().is_empty())
     }
 
-    /// The state of a job on machines and leaders, for messages of failed assertions.
+    /// Describes a job's state on machines and leaders, for messages of failed assertions.
     pub fn describe(&self, id: &JobId) -> String {
         let spec = self.jobs.iter().find(|spec| spec.id == *id);
         let of_job = |task: &&String| task.starts_with(id.as_str());
@@ -279,7 +291,7 @@
         text
     }
 
-    /// Whether the state service has the final state of a job.
+    /// Whether the store has the final state of a job.
     pub fn has_final_state(&self, id: &JobId) -> bool {
         self.store.get(&hookway_controller::records::final_state_key(id)).is_some()
     }
--- a/crates/controller/tests/simulation/network.rs
+++ b/crates/controller/tests/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The network: delayed, duplicated and lost messages, and which parts can reach each other.
+//! The network: scheduling of delayed, duplicated and lost messages, and which components can reach each other.
 
 use super::messages::Message;
 use super::{CONTROLLERS, Simulation, zone_number};
@@ -6,12 +6,13 @@
 use rand::RngExt;
 
 impl Simulation {
+    /// Schedules the delivery of a message.
     pub(super) fn at(&mut self, time: MonotonicTime, message: Message) {
         self.sent += 1;
         self.queue.insert((time, self.sent), message);
     }
 
-    /// Sends a message; it may be delayed, duplicated or lost.
+    /// Sends a message over the network, which may delay, duplicate or lose it. `make` is called for each copy.
     pub(super) fn send(&mut self, make: impl Fn() -> Message) {
         let is_direct = matches!(make(), Message::Direct(..));
         let mut copies = 1;
@@ -31,6 +32,7 @@
         }
     }
 
+    /// Whether a zone is not partitioned from the other one, the store and the cloud.
     pub(super) fn zone_open(&self, zone: &str) -> bool {
         self.now >= self.zone_partitioned_until[zone_number(zone)]
     }
@@ -40,7 +42,7 @@
         first == second || self.zone_open(first) && self.zone_open(second)
     }
 
-    /// Whether a controller can reach the state service.
+    /// Whether controller `n` can reach the store.
     pub(super) fn store_reachable(&self, n: usize) -> bool {
         let controller = &self.controllers[n];
         self.now >= self.outage_until
@@ -48,6 +50,7 @@
             && self.zone_open(CONTROLLERS[n].1)
     }
 
+    /// Whether two controllers can reach each other.
     pub(super) fn peers_linked(&self, first: usize, second: usize) -> bool {
         let open = |n: usize| self.now >= self.controllers[n].peers_unreachable_until;
         open(first)
@@ -55,6 +58,7 @@
             && self.zones_linked(CONTROLLERS[first].1, CONTROLLERS[second].1)
     }
 
+    /// Whether controller `n` and machine `m` can reach each other, apart from one-way partitions.
     pub(super) fn worker_linked(&self, n: usize, m: usize) -> bool {
         let machine = &self.machines[m];
         let partitioned = machine
--- a/crates/controller/tests/simulation/scenarios.rs
+++ b/crates/controller/tests/simulation/scenarios.rs
@@ -1,38 +1,39 @@
-//! Days with one scenario of concurrent faults, at a time that depends on the seed.
+//! Fault scenarios: days with one combination of concurrent faults, at a time that depends on the seed.
 
 use super::{CONTROLLERS, Simulation, ms, zone_number};
 use hookway_time::MonotonicTime;
 use rand::RngExt;
 use std::time::Duration;
 
-/// Longer than the cancellation limit plus one worker lease.
+/// Length of the store's outage: longer than the cancellation limit plus one worker lease.
 const OUTAGE: Duration = Duration::from_millis(64_000);
+/// Length of the other faults of a scenario: they outlast the outage.
 const PARTITION: Duration = Duration::from_millis(100_000);
 
-/// The kind of concurrent faults.
+/// A combination of concurrent faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultScenario {
-    /// The state service refuses the leader alone, another controller confirms cancellations, and then the
-    /// state service is unavailable to all for longer than `cancel_s`, while workers send heartbeats to the
-    /// old leader.
+    /// The store refuses the leader alone, and another controller confirms cancellations. Then the store is unavailable
+    /// to all for longer than `cancel_s`, while workers send heartbeats to the old leader.
     LeaderRefused,
-    /// As `LeaderRefused`, and the old leader can't reach the other controllers either: it learns of no
-    /// cancellation.
+    /// As `LeaderRefused`, and the old leader can't reach the other controllers either, so it is not told of the
+    /// cancellations.
     LeaderIsolated,
-    /// The leader's zone is partitioned, with workers that no controller of another zone reaches.
+    /// The leader's zone is partitioned; controllers of the other zone can't reach its workers.
     LeaderZonePartitioned,
-    /// The leader that confirms cancellations can't reach some machines, but their shard lessee can, and
-    /// loses the leader later. The leader's messages to it about the cancellations are lost.
+    /// The leader that confirms cancellations can't reach some machines, but their shard lessee can. The leader's
+    /// messages to the lessee about the cancellations are lost, and later the lessee can't reach the leader either.
     OnlyLesseeReachable,
 }
 
+/// The scenario of a day and its times.
 pub(super) struct ScheduledScenario {
     pub kind: FaultScenario,
-    /// Its start.
+    /// Earliest start, and the actual one once the scenario has started.
     pub starts_at: MonotonicTime,
-    /// The leader at its start.
+    /// The leader at the start of the scenario.
     pub leader: usize,
-    /// Start of the outage of the state service.
+    /// Start of the store's outage; zero until the scenario has started.
     pub away_at: MonotonicTime,
 }
 
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Users cancel every job at the controller that the scenario requires.
+    /// Cancels every job, at the controller that the scenario requires, between its start and the store's outage.
     pub(super) fn cancel_in_scenario(&mut self) {
         let now = self.now;
         let Some(scenario) = self
--- a/crates/controller/tests/simulation/standbys.rs
+++ b/crates/controller/tests/simulation/standbys.rs
@@ -12,7 +12,7 @@
 const COMPARE_EVERY: Duration = Duration::from_millis(5_000);
 
 impl Simulation {
-    /// A follower requests the entries that its copy lacks, if it and the leader are of the new version.
+    /// Requests the entries that the copy of follower `n` lacks, if it and the leader have the new version.
     pub(super) fn follow(&mut self, n: usize) {
         let controller = &self.controllers[n];
         let Some(leader) = controller.observed_leader.filter(|leader| *leader != n) else { return };
@@ -25,6 +25,7 @@
         self.send(|| Message::Follow(n, leader, nonce, request.clone()));
     }
 
+    /// Delivers a follower's request to controller `n`, which responds if it leads.
     pub(super) fn follow_arrives(
         &mut self,
         from: usize,
@@ -43,7 +44,7 @@
         self.send(|| Message::Followed(from, n, nonce, response.clone()));
     }
 
-    /// A response, possibly delayed or duplicated.
+    /// Delivers a leader's response, possibly delayed or duplicated, to follower `n`.
     pub(super) fn followed_arrives(
         &mut self,
         n: usize,
@@ -64,7 +65,7 @@
         self.counts.refused_responses += usize::from(refused);
     }
 
-    /// Injects a one-way partition: a controller's requests reach the others, their responses don't reach it.
+    /// May inject a one-way partition: a controller's requests reach the others, but their responses don't reach it.
     pub(super) fn partition_one_way(&mut self) {
         if self.chance(6) {
             self.counts.one_way_partitions += 1;
@@ -73,13 +74,13 @@
         }
     }
 
-    /// Mean number of steps until a controller campaigns when nobody leads: fewer with a usable copy.
+    /// Returns the mean number of steps until a controller campaigns while nobody leads: fewer with a usable copy.
     pub(super) fn election_steps(&self, n: usize) -> u32 {
         let warm = self.controllers[n].follower.usable_copy(u64::MAX, self.now).is_ok();
         if warm { 2 } else { 8 }
     }
 
-    /// A new leader starts from its standby copy if it is usable.
+    /// Initializes a new leader from its standby copy, if that is usable.
     pub(super) fn warm_start(&mut self, n: usize, leader: &mut Leader) {
         let controller = &self.controllers[n];
         let Ok(copy) = controller.follower.usable_copy(leader.term, self.now) else {
@@ -89,7 +90,7 @@
         leader.cluster.warm_start(copy, &Networks::default(), self.now);
     }
 
-    /// Checks that the published entries are the whole cluster state of the leader.
+    /// Checks that the entries published so far amount to the whole cluster state of the leader.
     pub(super) fn check_published_entries(&self, leader: &mut Leader) {
         if !self.every(COMPARE_EVERY) {
             return;
--- a/crates/controller/tests/simulation/users.rs
+++ b/crates/controller/tests/simulation/users.rs
@@ -1,4 +1,4 @@
-//! Users: submissions, status queries and cancellations at any controller, and the responses.
+//! Users: submissions, status queries and cancellations at any controller, and the checks of the responses.
 
 use super::{CONTROLLERS, Message, REPLICAS_AT, Simulation, Version, always_fails, ms};
 use hookway_controller::cluster_state::{CancelOutcome, JobLookup};
@@ -6,8 +6,8 @@
 use hookway_wire::{JobId, JobSpec, JobState, Operation, Precondition, Transaction};
 use rand::RngExt;
 
-/// Limits of replicas per daemon and of daemons: together they fit the smaller zone, whatever constraints
-/// other jobs have.
+/// Maximum number of replicas per daemon, and of daemons. All replicas together fit the smaller zone, whatever zone
+/// constraints other jobs have.
 const MAX_REPLICAS: u64 = 2;
 const MAX_DAEMONS: usize = 4;
 
@@ -19,12 +19,13 @@
 }
 
 impl Simulation {
+    /// May submit a job with random properties.
     #[expect(clippy::too_many_lines, reason = "the steps of one simulated event, in order")]
     pub(super) fn submit(&mut self) {
         let (max_jobs, per_mille) = match (&self.scenario, &self.election_faults) {
             (Some(_), _) => (14, 30),
             (None, None) => (40, 30),
-            // Jobs come throughout the day, and machines have room for them.
+            // Jobs are submitted throughout the day, and are small enough for the free resources of machines.
             (None, Some(_)) => (80, 50),
         };
         if self.jobs.len() >= max_jobs || !self.chance(per_mille) {
@@ -34,18 +35,18 @@
         let gang = self.rng.random_range(0..3) < if self.standby_scenario { 2 } else { 1 };
         let team = if self.rng.random_range(0..4) == 0 { "tight" } else { "team" };
         let tasks = match team {
-            // All tasks of a gang must fit its team's quota.
+            // All tasks of a gang must fit its team's quota at once.
             _ if gang && self.standby_scenario => {
                 self.number(2, if team == "tight" { 5 } else { 7 })
             }
             _ if gang || self.long(&job_number.to_string()) => self.number(1, 4),
-            // Where arrays fill all machines, no resources are left to complete gangs.
+            // Small arrays, since large ones would fill all machines and leave no resources to complete gangs.
             _ if self.standby_scenario => self.number(1, 8),
             _ if self.election_faults.is_some() => self.number(1, 12),
             "tight" => self.number(1, 16),
             _ => self.number(1, 80),
         };
-        // Features of the new version are used only after all controllers are upgraded.
+        // Daemons are a feature of the new version, so users submit them only after the upgrade of all controllers.
         let all_upgraded =
             self.controllers.iter().all(|controller| controller.version == Version::New);
         let daemons = self.jobs.iter().filter(|spec| spec.is_daemon()).count();
@@ -82,12 +83,12 @@
         let value = serde_json::to_value(record).expect("a job record that serializes");
         let key = job_key(&spec.id);
         self.store.put(&key, value);
-        // The response may be lost; the user then submits again and finds the job.
+        // The job counts as accepted even if the response is lost: the user then submits it again and finds it.
         self.reported.entry(spec.id.clone()).or_default().accepted = true;
         self.jobs.push(spec);
     }
 
-    /// Users query all controllers, and cancel.
+    /// Queries a random job's status at all controllers, and may cancel it or other jobs.
     pub(super) fn query_and_cancel(&mut self) {
         if self.jobs.is_empty() {
             return;
@@ -108,7 +109,7 @@
         for n in 0..CONTROLLERS.len() {
             self.query_at(n, &id);
         }
-        // More cancellations while a controller is refused or partitioned, most while nobody leads.
+        // More cancellations while a controller can't reach the store, and most while nobody leads.
         let store_unreachable =
             self.controllers.iter().any(|controller| self.now < controller.store_unreachable_until);
         let rate = match (&self.lead, store_unreachable) {
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Queries a job's state at a controller, and checks that the response is no older than an earlier one.
+    /// Queries a job's state at a controller, and checks that the response does not contradict earlier ones.
     fn query_at(&mut self, n: usize, id: &JobId) {
         let Some(observed) = self.state_at(n, id) else { return };
         self.counts.status_queries += 1;
@@ -145,7 +146,7 @@
         reported.done |= done;
     }
 
-    /// The state that the API of a controller responds with; `None` if it gives no response.
+    /// Returns the state that the API of a controller responds with; `None` if it gives no response.
     fn state_at(&mut self, n: usize, id: &JobId) -> Option<ObservedState> {
         if !self.controllers[n].up(self.now) {
             return None;
@@ -169,7 +170,7 @@
         if self.store_reachable(n) { self.stored(id) } else { None }
     }
 
-    /// The controller that may act as leader and that `n` can reach; possibly itself.
+    /// Returns the controller that may act as leader and that `n` can reach, possibly `n` itself.
     fn reachable_leader(&self, n: usize) -> Option<usize> {
         let leads = |index: usize| self.controllers[index].may_lead(self.now);
         if leads(n) {
@@ -182,6 +183,8 @@
         reachable.then_some(observed_leader)
     }
 
+    /// Returns the job's state in the store; a job with no final state counts as queued. `None` if its final record is
+    /// unreadable.
     fn stored(&self, id: &JobId) -> Option<ObservedState> {
         if self.store.get(&job_key(id)).is_some() {
             return Some(ObservedState::State(JobState::Queued));
@@ -192,7 +195,7 @@
         serde_json::from_value(kv.value["state"].clone()).ok().map(ObservedState::State)
     }
 
-    /// A user cancels a job at a controller.
+    /// Cancels a job at a controller: at the leader if that is reachable, otherwise in the store if nobody leads.
     pub(super) fn cancel_at(&mut self, n: usize, id: &JobId) {
         if !self.controllers[n].up(self.now) || self.controllers[n].finished.contains(id) {
             return;
@@ -204,7 +207,7 @@
             }
             return;
         }
-        // Without a leader: written on the precondition that nobody leads.
+        // No leader is reachable: the transaction has the precondition that nobody leads.
         if !self.store_reachable(n) || self.store.get(&job_key(id)).is_none() {
             return;
         }
@@ -220,7 +223,7 @@
             ],
         };
         if self.chance(100) {
-            // Its response is lost, and it may be applied late.
+            // The response is lost, and the transaction is applied late if its preconditions still hold.
             let at = self.now + self.span(10, 12_000);
             return self.at(at, Message::DelayedTransaction(transaction));
         }
@@ -230,7 +233,7 @@
         }
     }
 
-    /// A controller has confirmed a cancellation to a user; it tells the others.
+    /// Records that controller `n` has confirmed a cancellation to a user, and tells the other controllers.
     pub(super) fn report_cancelled(&mut self, n: usize, id: &JobId) {
         self.counts.cancelled += 1;
         let now = self.now;
@@ -241,7 +244,7 @@
         }
     }
 
-    /// Checks that every job with the final state done has all of its tasks done.
+    /// Checks that all tasks of every job with the final state done have run to completion.
     pub(super) fn check_final_states(&mut self) {
         for spec in &self.jobs {
             let id = &spec.id;
