--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -19,7 +19,7 @@
 /// Zones of the machines, assigned in turn.
 const ZONES: [&str; 2] = ["a", "b"];
 
-/// A change of a task on a machine.
+/// The kind of change of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskEvent {
     /// A worker accepted the start command.
@@ -30,18 +30,18 @@
     Lost,
 }
 
-/// An entry of the history of all tasks.
+/// A change of a task on a machine, as the fleet's history records it.
 #[derive(Debug, Clone)]
 pub struct HistoryEvent {
-    /// Time of the event.
+    /// When the fleet recorded the event.
     pub at: Instant,
-    /// Name of the machine.
+    /// Name of the machine, `m-<index>`.
     pub machine: String,
-    /// Id of the task.
+    /// Id of the task, `<job id>/<index>`.
     pub task: String,
-    /// Number of the attempt.
+    /// Number of the attempt, as in the start command.
     pub attempt: u64,
-    /// The change of the task.
+    /// The kind of change.
     pub event: TaskEvent,
 }
 
@@ -57,22 +57,22 @@
 /// Size and timing of a fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetConfig {
-    /// Number of machines.
+    /// Number of machines, assigned to the zones in turn.
     pub machines: usize,
-    /// Interval between the heartbeats of a worker.
+    /// Interval between the heartbeats of a worker while nothing changes.
     pub heartbeat_interval: Duration,
-    /// Time after which a worker without response to its heartbeats kills all tasks.
+    /// Time after which a worker without a response to its heartbeats kills all its tasks.
     pub worker_lease: Duration,
-    /// Run time of each task.
+    /// Run time of each task, not including the image fetch and the wait for its gang.
     pub run_time: Duration,
 }
 
-/// A fleet of scripted workers, indexed from 0.
+/// A fleet of machines with scripted workers. Machines are indexed from 0.
 #[derive(Clone, Default)]
 pub struct Fleet(Arc<Mutex<FleetState>>);
 
 impl Fleet {
-    /// Starts machines in two zones, which send heartbeats to `controllers` (at least one).
+    /// Starts machines in two zones, whose workers send heartbeats to `controllers` (at least one).
     ///
     /// # Errors
     ///
@@ -92,7 +92,8 @@
         Ok(fleet)
     }
 
-    /// Starts a cloud that lists and deletes these machines, and has no capacity for more. Returns its address.
+    /// Starts a cloud API that lists and deletes these machines, and refuses to create more for lack of capacity.
+    /// Returns its address.
     ///
     /// # Errors
     ///
@@ -111,27 +112,27 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Registers a job before it is submitted, so that the workers know which tasks are gangs.
+    /// Registers a job, so that the workers know whether its tasks form a gang. Call this before submitting the job.
     pub fn register_job(&self, spec: JobSpec) {
         self.lock().jobs.push(spec);
     }
 
-    /// Partitions machines from all controllers: they neither send heartbeats nor accept commands.
+    /// Partitions machines from all controllers: they neither send heartbeats nor accept commands or responses.
     pub fn partition(&self, machines: Range<usize>) {
         self.lock().machines[machines].iter_mut().for_each(|machine| machine.partitioned = true);
     }
 
-    /// Ends the partition of machines.
+    /// Ends the partition of machines that [`Fleet::partition`] began.
     pub fn heal(&self, machines: Range<usize>) {
         self.lock().machines[machines].iter_mut().for_each(|machine| machine.partitioned = false);
     }
 
-    /// All events of tasks, oldest first.
+    /// Returns all changes of tasks, oldest first.
     pub fn history(&self) -> Vec<HistoryEvent> {
         self.lock().history.clone()
     }
 
-    /// Tasks and attempts of a job that were started, oldest first.
+    /// Returns the task ids and attempts of a job that were started, oldest first.
     pub fn started_attempts(&self, job: &str) -> Vec<(String, u64)> {
         let of_job = |entry: &&HistoryEvent| {
             entry.event == TaskEvent::Start && job_of_task(&entry.task) == job
@@ -141,13 +142,14 @@
         started.map(|entry| (entry.task.clone(), entry.attempt)).collect()
     }
 
-    /// Violations of the rule that a task runs on one machine at most, and each attempt once.
+    /// Returns a description of each violation of the invariants: a task is on one machine at most, and a worker starts
+    /// each attempt at most once.
     pub fn violations(&self) -> Vec<String> {
         self.lock().violations.clone()
     }
 }
 
-/// The job's part of a task id.
+/// Returns the id of a task's job.
 fn job_of_task(task: &str) -> &str {
     task.split('/').next().unwrap_or_default()
 }
--- a/crates/testkit/src/fleet/heartbeats.rs
+++ b/crates/testkit/src/fleet/heartbeats.rs
@@ -8,21 +8,22 @@
 
 /// Time after which a worker gives up on a heartbeat (given by the protocol).
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
-/// Delay of the next heartbeat after one without usable response.
+/// Delay of the next heartbeat after one without a usable response.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Longest interval to the next heartbeat after a response that changed something.
+/// Maximum interval to the next heartbeat after a response with commands or a higher fencing token.
 const PROMPT_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval at which a worker checks whether a heartbeat is due.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// An encoded heartbeat.
+/// A heartbeat, encoded as JSON.
 struct EncodedHeartbeat {
     body: Vec<u8>,
     sent_at: Instant,
 }
 
 impl Fleet {
-    /// Sends the heartbeats of a machine to the leader, until the test ends.
+    /// Sends the heartbeats of a machine until the test ends. Follows redirects, and tries the controllers in turn
+    /// while none accepts its heartbeats.
     pub(super) async fn send_heartbeats(
         self,
         machine: usize,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// The heartbeat of a machine, if one is due; advances its tasks before.
+    /// Expires the worker's lease if it is due and advances the tasks. Returns the heartbeat if one is due.
     fn next_heartbeat(
         &self,
         machine: usize,
@@ -86,7 +87,8 @@
         Some(EncodedHeartbeat { body, sent_at: now })
     }
 
-    /// Handles the response to a heartbeat. Returns whether it had a higher fencing token or commands.
+    /// Applies the response to a heartbeat and checks the starts. Returns whether the response had a higher fencing
+    /// token or commands.
     fn handle_response(
         &self,
         machine: usize,
@@ -105,7 +107,7 @@
     }
 }
 
-/// Index of the controller that a redirect names, if it is known.
+/// Returns the index of the controller that a redirect names, if it is one of `controllers`.
 fn redirect_target(controllers: &[ControllerAddress], body: &[u8]) -> Option<usize> {
     let leader = serde_json::from_slice::<HeartbeatRedirect>(body).ok()?.leader?;
     controllers.iter().position(|controller| controller.name == leader)
--- a/crates/testkit/src/fleet/http.rs
+++ b/crates/testkit/src/fleet/http.rs
@@ -1,4 +1,4 @@
-//! HTTP handlers of a fleet: the commands of its workers, and the API of its cloud.
+//! HTTP handlers of a fleet: direct commands to its workers, and the API of its cloud.
 
 use super::Fleet;
 use super::state::{FleetMachine, MACHINE_TYPE};
@@ -16,7 +16,7 @@
 /// Accepts direct commands for one machine.
 pub(super) struct CommandHandler {
     pub(super) fleet: Fleet,
-    /// Index of the machine.
+    /// Index of the machine in the fleet.
     pub(super) machine: usize,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// A request to the cloud.
+/// The kinds of requests to the cloud.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum CloudCall {
     ListMachineTypes,
--- a/crates/testkit/src/fleet/state.rs
+++ b/crates/testkit/src/fleet/state.rs
@@ -11,21 +11,21 @@
 /// Machine type of all machines.
 pub(super) const MACHINE_TYPE: &str = "small";
 
-/// A machine with its worker.
+/// A machine with its worker and the times of its tasks.
 pub(super) struct FleetMachine {
     pub(super) worker: ScriptedWorker,
     pub(super) address: String,
-    /// When the last heartbeat with a response was sent; the worker's lease starts then.
+    /// Send time of the last heartbeat whose response the worker accepted; its lease starts then.
     pub(super) lease_started_at: Instant,
-    /// The machine neither sends heartbeats nor accepts commands.
+    /// Whether the machine neither sends heartbeats nor accepts commands.
     pub(super) partitioned: bool,
-    /// The machine was deleted.
+    /// Whether the cloud has deleted the machine.
     pub(super) deleted: bool,
-    /// Time of the last change of state, by task.
+    /// Time of each task's last change of state, by task id.
     task_changed_at: HashMap<String, Instant>,
 }
 
-/// Everything that the tasks and handlers of a fleet share.
+/// The state that the heartbeat loops and HTTP handlers of a fleet share.
 #[derive(Default)]
 pub(super) struct FleetState {
     pub(super) machines: Vec<FleetMachine>,
@@ -57,7 +57,7 @@
         self.history.push(HistoryEvent { at, machine, task, attempt, event });
     }
 
-    /// If the lease of a worker has expired, removes all its tasks.
+    /// If the lease of a worker has expired, removes all its tasks and begins its next incarnation.
     pub(super) fn expire_lease(&mut self, index: usize, now: Instant, lease: Duration) {
         if now < self.machines[index].lease_started_at + lease {
             return;
@@ -81,8 +81,8 @@
         tasks.filter(|task| task.state != TaskState::Ended).cloned().collect()
     }
 
-    /// Records the starts of a worker after the first `checked` ones, and checks that no task is on two machines
-    /// and that no attempt starts twice on one.
+    /// Records the starts of a worker after its first `checked` ones. Checks that no task is on two machines, and that
+    /// no attempt starts twice on the same machine.
     pub(super) fn check_starts(&mut self, index: usize, checked: usize) {
         let started: Vec<(String, u64)> =
             self.machines[index].worker.started_attempts[checked..].to_vec();
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Advances the tasks of a machine. Returns whether any has changed its state.
+    /// Advances the tasks of a machine. Returns whether any of them has changed its state.
     pub(super) fn advance_tasks(&mut self, index: usize, now: Instant) -> bool {
         let mut changed = false;
         for task in self.unfinished_tasks(index) {
@@ -133,7 +133,7 @@
         changed
     }
 
-    /// Whether all tasks of the gang attempt have fetched their images; also for a task of no gang.
+    /// Whether all tasks of this attempt of the gang have fetched their images. Always true for a task of no gang.
     fn gang_is_complete(&self, task: &TaskStatus) -> bool {
         let job = job_of_task(&task.task);
         let Some(spec) = self.jobs.iter().find(|spec| spec.id.as_str() == job && spec.is_gang())
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,5 +1,5 @@
-//! Test doubles for tests of hookway, which follow the published protocol: a state service in memory and over HTTP on
-//! loopback, a scripted worker, and a fleet of such workers with their cloud over HTTP.
+//! Test doubles for tests of hookway, which follow the published protocol: a store in memory, the same store over HTTP
+//! on loopback, a scripted worker, and a fleet of such workers with their cloud over HTTP.
 //!
 //! Only [`Fleet`] and [`StoreServer::expire_leases_by_clock`] depend on the real clock.
 
--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -3,7 +3,7 @@
 use salvo::conn::TcpListener;
 use salvo::prelude::*;
 
-/// Serves on a free port until the test ends, and returns the address.
+/// Starts to serve on a free port until the test ends. Returns the address (`host:port`).
 pub(crate) async fn serve(router: Router) -> std::io::Result<String> {
     let acceptor = TcpListener::new("127.0.0.1:0")
         .try_bind()
--- a/crates/testkit/src/reserved_address.rs
+++ b/crates/testkit/src/reserved_address.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 use tokio::net::TcpSocket;
 
-/// A loopback address that the system assigns to no other socket while this value exists.
+/// A loopback address that the operating system assigns to no other socket while this value exists.
 ///
-/// Its socket is bound but does not listen. The system therefore never assigns the port to a socket that asks for any
-/// free one, while a process that names the port can listen on it, also again after a restart. Without the bound
-/// socket, the port could be assigned to any other socket before the process listens.
+/// The value holds a socket that is bound but does not listen. The operating system therefore never assigns the port to
+/// a socket that asks for any free port, but a process that names the port can listen on it, and again after a restart.
+/// Without the bound socket, the port could be assigned to another socket before the process listens.
 #[derive(Debug)]
 pub struct ReservedAddress {
     address: SocketAddr,
@@ -15,20 +15,20 @@
 }
 
 impl ReservedAddress {
-    /// Reserves a free port.
+    /// Reserves a free port on 127.0.0.1.
     ///
     /// # Errors
     ///
-    /// The error of the system, if there is no free port.
+    /// An I/O error if no port is free.
     pub fn reserve() -> std::io::Result<Self> {
         let socket = TcpSocket::new_v4()?;
-        // Listeners set this option too; only then may they share the port with this socket.
+        // A listener can share the port with this socket only if both have set this option.
         socket.set_reuseaddr(true)?;
         socket.bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         Ok(Self { address: socket.local_addr()?, _socket: socket })
     }
 
-    /// The address to listen on.
+    /// Returns the address that the test's process is to listen on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/testkit/src/settings.rs
+++ b/crates/testkit/src/settings.rs
@@ -2,8 +2,8 @@
 
 use hookway_wire::MachineType;
 
-/// Platform settings of a small deployment, with an unknown field (`something_new`), which controllers must ignore. No
-/// process listens at the addresses.
+/// Platform settings (TOML) of a small deployment. They contain an unknown field, `something_new`, which controllers
+/// must ignore. No process listens at the addresses.
 pub const SETTINGS: &str = r#"
 label = "worker-0"
 domain = "a"
@@ -48,7 +48,7 @@
 list_lag_s = 4.0
 "#;
 
-/// The machine types of that deployment: a single small one.
+/// Returns the machine types of the deployment of [`SETTINGS`]: a single small one.
 pub fn machine_types() -> Vec<MachineType> {
     vec![MachineType {
         name: "small".into(),
--- a/crates/testkit/src/store.rs
+++ b/crates/testkit/src/store.rs
@@ -1,10 +1,10 @@
-//! The keys, transactions and events of the state service, in memory.
+//! The store in memory: its keys, transactions, leases and events.
 
 use hookway_wire::{KeyValue, Operation, Transaction, WatchEvent};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The keys of a state service in memory. Leases expire when the test says so.
+/// A store in memory, with revisions, preconditions and events. Leases expire only by [`MemoryStore::expire_lease`].
 #[derive(Debug, Default, Clone)]
 pub struct MemoryStore {
     keys: BTreeMap<String, KeyValue>,
@@ -12,7 +12,7 @@
     events: Vec<RecordedEvent>,
 }
 
-/// A change of a key, for watches.
+/// A change of a key, with the revision at which it occurred.
 #[derive(Debug, Clone)]
 struct RecordedEvent {
     revision: u64,
@@ -20,11 +20,11 @@
 }
 
 impl MemoryStore {
-    /// Commits a transaction, and returns the new revision.
+    /// Commits a transaction. Returns the revision after it, which is unchanged if there are no operations.
     ///
     /// # Errors
     ///
-    /// The keys whose preconditions failed; nothing is changed then.
+    /// The keys whose preconditions failed. No operation is applied then.
     pub fn commit(&mut self, transaction: &Transaction) -> Result<u64, Vec<String>> {
         let current_revision =
             |key: &String| self.keys.get(key).map_or(0, |pair| pair.mod_revision);
@@ -50,19 +50,19 @@
         Ok(self.revision)
     }
 
-    /// Sets a key without preconditions, and returns the new revision.
+    /// Sets a key without preconditions. Returns the new revision.
     pub fn put(&mut self, key: &str, value: Value) -> u64 {
         let transaction =
             Transaction { preconditions: vec![], operations: vec![Operation::put(key, value)] };
         self.commit(&transaction).unwrap_or_default()
     }
 
-    /// Reads a key.
+    /// Returns the value of a key with its revision and lease; `None` if the key does not exist.
     pub fn get(&self, key: &str) -> Option<KeyValue> {
         self.keys.get(key).cloned()
     }
 
-    /// Reads all keys with a prefix, in their order.
+    /// Returns all keys with this prefix, in order of the keys.
     pub fn list(&self, prefix: &str) -> Vec<KeyValue> {
         self.keys.values().filter(|pair| pair.key.starts_with(prefix)).cloned().collect()
     }
@@ -95,12 +95,12 @@
         }
     }
 
-    /// The current revision.
+    /// Returns the current revision, 0 at first. Every change of keys raises it by 1.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Changes of keys with a prefix after a revision, oldest first.
+    /// Returns the changes of keys with this prefix after this revision, oldest first.
     pub fn events(&self, prefix: &str, after: u64) -> Vec<WatchEvent> {
         let is_wanted = |recorded: &&RecordedEvent| {
             let (WatchEvent::Put { key, .. } | WatchEvent::Delete { key, .. }) = &recorded.event;
--- a/crates/testkit/src/store_server.rs
+++ b/crates/testkit/src/store_server.rs
@@ -1,4 +1,4 @@
-//! A state service over HTTP on loopback, with outages and other faults.
+//! The store over HTTP on loopback, with fault injection: outages, lost responses and other faults.
 
 mod http;
 
@@ -12,35 +12,34 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// Interval at which expired leases are removed.
+/// Interval at which expired leases are searched for and removed.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Time to live of a lease that is granted without a request: longer than any test.
+/// Time to live of a lease that a test grants itself: longer than any test.
 const LONG_TTL: Duration = Duration::from_secs(3_600);
 
-/// A lease of the state service.
 #[derive(Debug)]
 struct Lease {
     ttl: Duration,
-    /// When the lease expires unless it is extended.
+    /// Time at which the lease expires unless it is extended.
     expires_at: Instant,
 }
 
-/// The state and the faults of the service.
+/// The contents of the store and the injected faults.
 #[derive(Debug, Default)]
 struct ServerState {
     store: MemoryStore,
     leases: HashMap<u64, Lease>,
     /// Id of the last granted lease.
     last_lease_id: u64,
-    /// Whether all requests are refused, as in an outage.
+    /// Whether all requests are refused.
     outage: bool,
-    /// Number of requests refused in outages.
+    /// Number of requests that were refused in outages.
     refused_requests: usize,
     /// Whether watches return no events, as if their connections had failed unnoticed.
     watches_suppressed: bool,
-    /// Number of transactions whose responses are lost.
+    /// Number of transactions, from the next one on, whose responses will be lost.
     commit_responses_to_lose: usize,
-    /// Largest accepted value in bytes; `None` for no limit.
+    /// Maximum size of a value in bytes; `None` for no limit.
     max_value_bytes: Option<usize>,
 }
 
@@ -55,8 +54,8 @@
     }
 }
 
-/// A state service over HTTP on loopback. Leases last until the test expires them, or by the clock after
-/// [`StoreServer::expire_leases_by_clock`].
+/// A store over HTTP on loopback. Leases last until the test expires them; after
+/// [`StoreServer::expire_leases_by_clock`] they also expire by the real clock.
 #[derive(Debug, Clone, Default)]
 pub struct StoreServer {
     state: Arc<Mutex<ServerState>>,
@@ -64,7 +63,7 @@
 }
 
 impl StoreServer {
-    /// Starts the service and returns its address.
+    /// Starts the server. Returns its address.
     ///
     /// # Errors
     ///
@@ -86,14 +85,14 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads or changes the keys, and wakes all watches.
+    /// Calls `access` with the store, which it may read or change, and wakes all watches.
     pub fn with_store<T>(&self, access: impl FnOnce(&mut MemoryStore) -> T) -> T {
         let result = access(&mut self.lock().store);
         self.changed.notify_waiters();
         result
     }
 
-    /// From now on leases expire by the clock.
+    /// Makes leases expire by the real clock from now on.
     pub fn expire_leases_by_clock(&self) {
         let server = self.clone();
         tokio::spawn(async move {
@@ -112,7 +111,7 @@
         expired.map(|(lease_id, _)| *lease_id).collect()
     }
 
-    /// Grants a lease without a request, and returns its id.
+    /// Grants a lease that outlasts the test unless the test expires it. Returns its id.
     pub fn grant_lease(&self) -> u64 {
         self.grant_lease_for(LONG_TTL)
     }
@@ -125,7 +124,7 @@
         lease_id
     }
 
-    /// Extends a lease; `false` if it does not exist.
+    /// Extends a lease. Returns `false` if it does not exist.
     fn extend_lease(&self, lease_id: u64) -> bool {
         let mut state = self.lock();
         let Some(lease) = state.leases.get_mut(&lease_id) else { return false };
@@ -133,7 +132,7 @@
         true
     }
 
-    /// Ends a lease as if it had expired, and deletes its keys; `false` if it does not exist.
+    /// Ends a lease as if it had expired, and deletes its keys. Returns `false` if the lease does not exist.
     pub fn expire_lease(&self, lease_id: u64) -> bool {
         let mut state = self.lock();
         let existed = state.leases.remove(&lease_id).is_some();
@@ -143,7 +142,7 @@
         existed
     }
 
-    /// Waits until this number of requests has been refused in outages.
+    /// Waits until at least this number of requests has been refused in outages.
     pub async fn wait_for_refused_requests(&self, count: usize) {
         loop {
             let changed = self.changed.notified();
@@ -154,22 +153,22 @@
         }
     }
 
-    /// From now on rejects values above this size in bytes.
+    /// Rejects transactions with a value above this size from now on.
     pub fn limit_value_bytes(&self, max_bytes: usize) {
         self.lock().max_value_bytes = Some(max_bytes);
     }
 
-    /// From now on watches return no events.
+    /// Makes watches return no events from now on, as if their connections had failed unnoticed.
     pub fn suppress_watch_events(&self) {
         self.lock().watches_suppressed = true;
     }
 
-    /// Loses the response to the next transaction, which is carried out.
+    /// Loses the response to the next transaction, which is still processed. Further calls add one transaction each.
     pub fn lose_next_commit_response(&self) {
         self.lock().commit_responses_to_lose += 1;
     }
 
-    /// Whether the response to a transaction is lost. Counts it.
+    /// Whether the response to the current transaction is lost. Decrements the number of responses to lose.
     fn takes_lost_commit_response(&self) -> bool {
         let mut state = self.lock();
         let is_lost = state.commit_responses_to_lose > 0;
@@ -182,7 +181,7 @@
         self.lock().outage = true;
     }
 
-    /// Ends an outage.
+    /// Ends an outage: requests are accepted again, and all keys and leases are still there.
     pub fn end_outage(&self) {
         self.lock().outage = false;
     }
--- a/crates/testkit/src/store_server/http.rs
+++ b/crates/testkit/src/store_server/http.rs
@@ -1,4 +1,4 @@
-//! HTTP handlers of the state service.
+//! HTTP handlers of the store.
 
 use super::StoreServer;
 use hookway_wire::{
@@ -9,7 +9,7 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// A request to the state service.
+/// The kinds of requests to the store.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Endpoint {
     List,
@@ -57,7 +57,7 @@
 }
 
 impl StoreServer {
-    /// Whether there is an outage. Counts the refused request.
+    /// Whether there is an outage. If so, counts the request as refused.
     fn refuse_in_outage(&self) -> bool {
         let mut state = self.lock();
         if !state.outage {
@@ -99,7 +99,7 @@
         let outcome = self.with_store(|store| store.commit(&transaction));
         let revision = self.lock().store.revision();
         if self.takes_lost_commit_response() {
-            // The client can't tell this from a response that never arrives, and need not wait for it.
+            // To the client this is the same as a response that never arrives, without the wait for its timeout.
             res.status_code(StatusCode::GATEWAY_TIMEOUT);
             return;
         }
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Waits for events until the requested time is over.
+    /// Responds with the events after the requested revision, waiting for the first one up to the requested time.
     async fn watch(&self, req: &Request, res: &mut Response) {
         let prefix = prefix(req);
         let after = req.query::<u64>("After").unwrap_or_default();
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -1,19 +1,20 @@
-//! A worker under the control of a test.
+//! A worker without a process, which a test controls step by step.
 
 use hookway_wire::{
     Command, DirectCommands, ExitCause, Heartbeat, HeartbeatResponse, TaskState, TaskStatus,
 };
 
-/// A worker that executes commands as the protocol demands. Its tasks change their state when the test says so.
+/// A worker that executes commands as the protocol requires. After their start, its tasks change their state only when
+/// the test sets it.
 #[derive(Debug, Clone)]
 pub struct ScriptedWorker {
-    /// The next heartbeat, with the tasks on the machine.
+    /// The last heartbeat, updated with all changes since; it has the tasks on the machine.
     state: Heartbeat,
-    /// Highest fencing token received.
+    /// Highest fencing token received so far; commands with a lower one are refused.
     pub fencing_token: u64,
-    /// Tasks and attempts that were started, oldest first.
+    /// Task ids and attempts that were started in all incarnations, oldest first.
     pub started_attempts: Vec<(String, u64)>,
-    /// State of a task after its start.
+    /// State that a task has right after its start.
     pub first_state: TaskState,
 }
 
@@ -35,7 +36,7 @@
         Self { state, fencing_token: 0, started_attempts: vec![], first_state: TaskState::Running }
     }
 
-    /// Name of the machine.
+    /// Returns the name of the machine, as heartbeats give it.
     pub fn name(&self) -> &str {
         &self.state.machine
     }
@@ -45,29 +46,30 @@
         address.clone_into(&mut self.state.addr);
     }
 
-    /// Name of the zone.
+    /// Returns the name of the machine's zone.
     pub fn zone(&self) -> &str {
         &self.state.zone
     }
 
-    /// The current incarnation.
+    /// Returns the number of the current incarnation, from 1.
     pub fn incarnation(&self) -> u64 {
         self.state.incarnation
     }
 
-    /// Returns the next heartbeat.
+    /// Returns the next heartbeat, with a sequence number that is higher by one.
     pub fn heartbeat(&mut self) -> Heartbeat {
         self.state.sequence += 1;
         self.state.fencing_token = self.fencing_token;
         self.state.clone()
     }
 
-    /// From now on heartbeats carry an interruption notice: the cloud reclaims the machine in `seconds`.
+    /// Adds an interruption notice to all further heartbeats: the cloud reclaims the machine in `seconds`.
     pub fn set_interruption_notice(&mut self, seconds: f64) {
         self.state.interruption_notice_s = Some(seconds);
     }
 
-    /// Handles a response to a heartbeat; `false` if it was discarded for a lower fencing token.
+    /// Executes the commands in a response to a heartbeat. Returns `false` if the response was discarded because of a
+    /// lower fencing token.
     pub fn handle_response(&mut self, response: &HeartbeatResponse) -> bool {
         if response.fencing_token < self.fencing_token {
             return false;
@@ -106,8 +108,8 @@
         true
     }
 
-    /// Handles direct commands. Returns the heartbeat after them; `None` if they were refused for their
-    /// incarnation or fencing token.
+    /// Executes direct commands. Returns the heartbeat after them; `None` if they were refused because of their
+    /// incarnation or a lower fencing token.
     pub fn handle_direct_commands(&mut self, commands: &DirectCommands) -> Option<Heartbeat> {
         if commands.incarnation != self.state.incarnation
             || commands.fencing_token < self.fencing_token
@@ -130,18 +132,18 @@
         self.state.tasks[index].cause = Some(cause);
     }
 
-    /// Status of all tasks on the machine.
+    /// Returns the status of all tasks on the machine, including ended tasks that are not reaped yet.
     pub fn tasks(&self) -> &[TaskStatus] {
         &self.state.tasks
     }
 
-    /// State of an unfinished attempt on the machine.
+    /// Returns the state of an attempt; `None` if it is not on the machine or has ended.
     pub fn task_state(&self, task: &str, attempt: u64) -> Option<TaskState> {
         let found = &self.state.tasks[self.find(task, attempt)?];
         (found.state != TaskState::Ended).then_some(found.state)
     }
 
-    /// Whether an attempt of a task is running.
+    /// Whether any attempt of a task is running on the machine.
     pub fn is_running(&self, task: &str) -> bool {
         self.state
             .tasks
@@ -149,7 +151,7 @@
             .any(|status| status.task == task && status.state == TaskState::Running)
     }
 
-    /// Sets the state of an unfinished task.
+    /// Sets the state of a task's unfinished attempts.
     pub fn set_task_state(&mut self, task: &str, state: TaskState) {
         let is_unfinished =
             |status: &&mut TaskStatus| status.task == task && status.state != TaskState::Ended;
@@ -158,14 +160,14 @@
         }
     }
 
-    /// Sets the state of all unfinished tasks.
+    /// Sets the state of all unfinished tasks on the machine.
     pub fn set_all_task_states(&mut self, state: TaskState) {
         for task in self.state.tasks.iter_mut().filter(|status| status.state != TaskState::Ended) {
             task.state = state;
         }
     }
 
-    /// Ends an unfinished task; `false` if there is none on the machine.
+    /// Ends a task for this cause. Returns `false` if there is no unfinished attempt of it on the machine.
     pub fn end_task(&mut self, task: &str, cause: ExitCause) -> bool {
         let found = self
             .state
@@ -178,7 +180,7 @@
         found.is_some()
     }
 
-    /// Ids of the unfinished tasks on the machine.
+    /// Returns the ids of the unfinished tasks on the machine.
     pub fn unfinished_tasks(&self) -> Vec<String> {
         self.state
             .tasks
@@ -188,7 +190,7 @@
             .collect()
     }
 
-    /// Expires the lease: removes all tasks and begins the next incarnation.
+    /// Expires the worker's lease: removes all tasks and begins the next incarnation.
     pub fn expire_lease(&mut self) {
         self.state.tasks.clear();
         self.state.incarnation += 1;
--- a/crates/testkit/tests/reserved_address.rs
+++ b/crates/testkit/tests/reserved_address.rs
@@ -1,4 +1,4 @@
-//! A process can listen on a reserved address, also again after a restart.
+//! A process can listen on a reserved address, also again after a restart, and no other socket gets its port.
 
 use hookway_testkit::ReservedAddress;
 use std::collections::BTreeSet;
