--- a/crates/controller/tests/concurrent_faults.rs
+++ b/crates/controller/tests/concurrent_faults.rs
@@ -14,8 +14,12 @@
 use hookway_testkit::{MemoryStore, ScriptedWorker};
 use hookway_wire::{Command, DirectCommands, ExitCause, JobId, JobState, MachineState};
 
-/// A job with zone constraints.
-fn bound_job(harness: &mut LeaderHarness, one_zone: bool, spread: bool, tasks: u32) -> JobId {
+fn submit_zone_constrained_job(
+    harness: &mut LeaderHarness,
+    one_zone: bool,
+    spread: bool,
+    tasks: u32,
+) -> JobId {
     let mut spec = job("req-000001", "array", tasks);
     (spec.one_zone, spec.spread) = (one_zone, spread);
     harness.submit(spec)
@@ -28,7 +32,7 @@
 fn one_zone_array_waits_for_unreachable_machines_of_its_zone() {
     let mut harness = LeaderHarness::start();
     let mut partitioned = small_worker("m-1", "a");
-    bound_job(&mut harness, true, false, 300);
+    submit_zone_constrained_job(&mut harness, true, false, 300);
     harness.run_rounds(&mut [&mut partitioned]);
     assert_eq!(partitioned.unfinished_tasks().len(), 1, "the job is bound to zone a");
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(30_000));
@@ -49,7 +53,7 @@
     let mut partitioned: Vec<ScriptedWorker> =
         (1..=20).map(|n| small_worker(&format!("m-{n}"), "a")).collect();
     let mut distant = small_worker("m-99", "b");
-    bound_job(&mut harness, false, true, 40);
+    submit_zone_constrained_job(&mut harness, false, true, 40);
     let mut reachable: Vec<&mut ScriptedWorker> = partitioned.iter_mut().collect();
     reachable.push(&mut distant);
     harness.run_rounds(&mut reachable);
@@ -69,7 +73,7 @@
 fn unconstrained_array_does_not_wait_for_never_started_tasks() {
     let mut harness = LeaderHarness::start();
     let mut partitioned = small_worker("m-1", "a");
-    bound_job(&mut harness, false, false, 300);
+    submit_zone_constrained_job(&mut harness, false, false, 300);
     harness.run_rounds(&mut [&mut partitioned]);
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(30_000));
     let mut other = small_worker("m-2", "b");
@@ -115,7 +119,7 @@
 /// state gets no response, the store refuses the retry, and the leader reports the running state from memory again.
 /// Then the first transaction is applied late, and other controllers report the final state that they read.
 #[test]
-fn undetermined_final_state_is_not_answered_from_memory() {
+fn status_is_not_served_from_memory_while_final_commit_is_indeterminate() {
     let (mut harness, _, id) = one_running_task();
     let cancelled = harness.cluster.cancel(&id);
     assert_eq!(cancelled, CancelOutcome::Pending);
--- a/crates/controller/tests/simulated_days.rs
+++ b/crates/controller/tests/simulated_days.rs
@@ -8,7 +8,7 @@
 use simulation::{EventCounts, FaultScenario, Simulation};
 
 /// Runs one simulated day, and checks that every job has a final state at its end.
-fn run_seed(seed: u64, mut simulation: Simulation) -> EventCounts {
+fn run_day(seed: u64, mut simulation: Simulation) -> EventCounts {
     println!("seed {seed}");
     if std::env::var("HOOKWAY_MODEL_LOG").is_ok() {
         let log = tracing_subscriber::fmt().without_time().with_max_level(tracing::Level::DEBUG);
@@ -40,18 +40,18 @@
     range.map_or(default, |(from, to)| number(from)..number(to))
 }
 
-fn scenario(kind: FaultScenario, default_days: u64) -> EventCounts {
+fn run_scenario_days(kind: FaultScenario, default_days: u64) -> EventCounts {
     let days: Vec<EventCounts> = seeds(default_days)
-        .map(|seed| run_seed(seed, Simulation::with_scenario(kind, seed)))
+        .map(|seed| run_day(seed, Simulation::with_scenario(kind, seed)))
         .collect();
-    days.iter().fold(EventCounts::default(), EventCounts::and)
+    days.iter().fold(EventCounts::default(), EventCounts::plus)
 }
 
-/// Cancellations are confirmed by another controller while the store refuses the leader. `check_cancelled` must hold:
+/// Cancellations are confirmed by another controller while the store refuses the leader. `check_cancelled_jobs` must hold:
 /// no task of a cancelled job runs beyond the cancellation limit.
 #[test]
 fn tasks_cancelled_while_leader_is_refused_are_removed_within_limit() {
-    let totals = scenario(FaultScenario::LeaderRefused, 24);
+    let totals = run_scenario_days(FaultScenario::LeaderRefused, 24);
     println!("{totals:?}");
     assert!(totals.cancelled_without_leader > 40 && totals.lessee_extensions > 100, "{totals:?}");
     assert!(
@@ -62,14 +62,14 @@
 
 #[test]
 fn tasks_cancelled_while_leader_is_isolated_are_removed_within_limit() {
-    let totals = scenario(FaultScenario::LeaderIsolated, 12);
+    let totals = run_scenario_days(FaultScenario::LeaderIsolated, 12);
     println!("{totals:?}");
     assert!(totals.cancelled_without_leader > 20 && totals.lessee_extensions > 50, "{totals:?}");
 }
 
 #[test]
 fn cancelled_tasks_in_partitioned_leader_zone_are_removed_within_limit() {
-    let totals = scenario(FaultScenario::LeaderZonePartitioned, 12);
+    let totals = run_scenario_days(FaultScenario::LeaderZonePartitioned, 12);
     println!("{totals:?}");
     assert!(totals.cancelled_without_leader > 20 && totals.lessee_extensions > 50, "{totals:?}");
 }
@@ -78,7 +78,7 @@
 /// the cancellation limit.
 #[test]
 fn cancelled_tasks_reachable_only_by_shard_lessee_are_removed_within_limit() {
-    let totals = scenario(FaultScenario::OnlyLesseeReachable, 12);
+    let totals = run_scenario_days(FaultScenario::OnlyLesseeReachable, 12);
     println!("{totals:?}");
     assert!(totals.cancelled > 50, "{totals:?}");
 }
@@ -86,8 +86,8 @@
 #[test]
 fn random_faults_violate_no_invariant_and_every_job_finishes() {
     let days: Vec<EventCounts> =
-        seeds_or(60..120).map(|seed| run_seed(seed, Simulation::new(seed))).collect();
-    let totals = days.iter().fold(EventCounts::default(), EventCounts::and);
+        seeds_or(60..120).map(|seed| run_day(seed, Simulation::new(seed))).collect();
+    let totals = days.iter().fold(EventCounts::default(), EventCounts::plus);
     println!("{totals:?}");
     // The days must have contained the events that they are meant to test.
     assert!(
@@ -98,12 +98,12 @@
     );
     assert!(totals.terms > 4 * days.len() && totals.resumed_terms > 5, "{totals:?}");
     assert!(
-        totals.errors > 300 && totals.probe_responses > 100 && totals.lessee_extensions > 50,
+        totals.task_errors > 300 && totals.probe_responses > 100 && totals.lessee_extensions > 50,
         "{totals:?}"
     );
     assert!(totals.cancelled > 100 && totals.cancelled_without_leader > 30, "{totals:?}");
     assert!(totals.stopped_by_lessees > 0 && totals.status_queries > 100_000, "{totals:?}");
-    assert!(totals.replica_starts > 300 && totals.replicas_in_place > 50, "{totals:?}");
+    assert!(totals.replica_starts > 300 && totals.running_replicas > 50, "{totals:?}");
     assert!(totals.divided_registry_records > 500, "{totals:?}");
     assert!(totals.warm_starts > 10, "{totals:?}");
 }
@@ -113,11 +113,11 @@
 #[test]
 fn standby_failover_amid_gangs_violates_no_invariant() {
     let days: Vec<EventCounts> =
-        seeds_or(360..420).map(|seed| run_seed(seed, Simulation::with_standbys(seed))).collect();
-    let totals = days.iter().fold(EventCounts::default(), EventCounts::and);
+        seeds_or(360..420).map(|seed| run_day(seed, Simulation::with_standbys(seed))).collect();
+    let totals = days.iter().fold(EventCounts::default(), EventCounts::plus);
     println!("{totals:?}");
-    assert!(totals.warm_starts > 100 && totals.completed_gangs > 10, "{totals:?}");
-    assert!(totals.refused_responses > 100, "{totals:?}");
+    assert!(totals.warm_starts > 100 && totals.gang_completion_starts > 10, "{totals:?}");
+    assert!(totals.rejected_follow_responses > 100, "{totals:?}");
 }
 
 /// One-way partitions between controllers: requests of a standby reach the leader, but the responses don't reach the
@@ -125,8 +125,8 @@
 #[test]
 fn one_way_controller_partitions_violate_no_invariant() {
     let days: Vec<EventCounts> =
-        seeds(12).map(|seed| run_seed(seed, Simulation::with_one_way_partitions(seed))).collect();
-    let totals = days.iter().fold(EventCounts::default(), EventCounts::and);
+        seeds(12).map(|seed| run_day(seed, Simulation::with_one_way_partitions(seed))).collect();
+    let totals = days.iter().fold(EventCounts::default(), EventCounts::plus);
     println!("{totals:?}");
     assert!(totals.one_way_partitions > 50 && totals.warm_starts > 20, "{totals:?}");
 }
@@ -138,12 +138,15 @@
 #[test]
 fn election_faults_start_no_task_twice() {
     let days: Vec<EventCounts> = seeds_or(320..364)
-        .map(|seed| run_seed(seed, Simulation::with_election_faults(seed)))
+        .map(|seed| run_day(seed, Simulation::with_election_faults(seed)))
         .collect();
-    let totals = days.iter().fold(EventCounts::default(), EventCounts::and);
+    let totals = days.iter().fold(EventCounts::default(), EventCounts::plus);
     println!("{totals:?}");
-    assert!(totals.lost_election_responses > 40 && totals.refused_terms > 40, "{totals:?}");
-    assert!(totals.assumed_terms > 40, "{totals:?}");
+    assert!(
+        totals.lost_election_responses > 40 && totals.terms_with_refused_writes > 40,
+        "{totals:?}"
+    );
+    assert!(totals.terms_without_complete_watermarks > 40, "{totals:?}");
 }
 
 /// A replica of a daemon that must spread moves away from a machine that is drained because it is slow. The failure:
@@ -151,20 +154,20 @@
 /// may take to move.
 #[test]
 fn replica_moves_from_slow_machine_within_limit_amid_election_faults() {
-    run_seed(62, Simulation::with_election_faults(62));
+    run_day(62, Simulation::with_election_faults(62));
 }
 
 /// A daemon that must spread gets resources in a zone with a single machine. The failure: replicas of two other daemons
 /// fill that machine, and the simulated cloud creates no other one, since seven of its eight machines are in the other
 /// zone.
 #[test]
-fn spread_daemon_gets_room_in_zone_that_shrank_to_one_machine() {
-    run_seed(2915, Simulation::new(2915));
+fn spread_daemon_gets_resources_in_zone_with_one_machine() {
+    run_day(2915, Simulation::new(2915));
 }
 
 /// A daemon whose replicas must share a zone gets resources for its second replica there. The failure: replicas of
 /// other daemons fill the only machine of the zone, and tasks were preempted on machines where the replica may not run.
 #[test]
-fn daemon_whose_replicas_are_together_gets_room_in_their_zone() {
-    run_seed(7319, Simulation::new(7319));
+fn one_zone_daemon_gets_resources_in_zone_of_its_replicas() {
+    run_day(7319, Simulation::new(7319));
 }
--- a/crates/controller/tests/simulation/commits.rs
+++ b/crates/controller/tests/simulation/commits.rs
@@ -9,7 +9,7 @@
 
 impl Simulation {
     /// Checks that a controller's transaction stays within the store's limits that the controller's version knows.
-    pub(super) fn check_limits(&mut self, n: usize, transaction: &Transaction) {
+    pub(super) fn check_transaction_limits(&mut self, n: usize, transaction: &Transaction) {
         let limits = &self.controllers[n].config.platform.state;
         let operation_count = transaction.operations.len();
         assert!(
@@ -31,23 +31,23 @@
     }
 
     /// Delivers a transaction to the store, or refuses or delays it. The response may be lost.
-    pub(super) fn commit_arrives(&mut self, n: usize, term: u64, commit: Box<PendingCommit>) {
+    pub(super) fn deliver_commit(&mut self, n: usize, term: u64, commit: Box<PendingCommit>) {
         let now = self.now;
         let writes_refused = now < self.controllers[n].writes_refused_until;
-        if writes_refused || !self.store_reachable(n) {
+        if writes_refused || !self.can_reach_store(n) {
             let controller = &mut self.controllers[n];
             let not_applied = writes_refused
                 || now < self.outage_until
-                || controller.refused && now < controller.store_unreachable_until;
-            match controller.leading(term) {
+                || controller.is_refused_by_store && now < controller.store_unreachable_until;
+            match controller.leader_in_term(term) {
                 Some(leader) if not_applied => {
                     leader.cluster.committed(*commit, CommitResult::NotApplied, now);
                 }
                 // Delayed in the network: the transaction may be applied after the partition has healed.
                 _ => {
-                    let at = now + self.span(1_200, 40_000);
-                    self.at(at, Message::DelayedTransaction(commit.transaction.clone()));
-                    self.at(now + ms(1_200), Message::Reread(n, term, commit));
+                    let at = now + self.random_duration(1_200, 40_000);
+                    self.schedule(at, Message::DelayedTransaction(commit.transaction.clone()));
+                    self.schedule(now + ms(1_200), Message::RereadCommit(n, term, commit));
                 }
             }
             return;
@@ -55,52 +55,53 @@
         let response_lost = self.chance(50);
         let delayed = response_lost && self.chance(500);
         let applied = if delayed {
-            let at = now + self.span(100, 20_000);
-            self.at(at, Message::DelayedTransaction(commit.transaction.clone()));
+            let at = now + self.random_duration(100, 20_000);
+            self.schedule(at, Message::DelayedTransaction(commit.transaction.clone()));
             None
         } else {
             Some(self.store.commit(&commit.transaction))
         };
         match applied {
-            Some(Ok(revision)) if !response_lost && self.controllers[n].up(now) => {
-                if let Some(leader) = self.controllers[n].leading(term) {
+            Some(Ok(revision)) if !response_lost && self.controllers[n].is_responsive(now) => {
+                if let Some(leader) = self.controllers[n].leader_in_term(term) {
                     leader.cluster.committed(*commit, CommitResult::Applied(revision), now);
                 }
             }
             _ => {
                 let reread_delay = ms(if response_lost { 1_200 } else { 10 });
-                self.at(now + reread_delay, Message::Reread(n, term, commit));
+                self.schedule(now + reread_delay, Message::RereadCommit(n, term, commit));
             }
         }
         self.check_final_states();
-        self.report_decided(n, term);
+        self.report_completed_jobs(n, term);
     }
 
     /// Rereads the keys of a commit whose outcome is unknown, once the store is reachable.
-    pub(super) fn reread(&mut self, n: usize, term: u64, commit: Box<PendingCommit>) {
+    pub(super) fn reread_commit_keys(&mut self, n: usize, term: u64, commit: Box<PendingCommit>) {
         let now = self.now;
-        if self.controllers[n].leading(term).is_none() {
+        if self.controllers[n].leader_in_term(term).is_none() {
             return;
         }
-        if !self.store_reachable(n) {
-            return self.at(now + constants::LEADER_RETRY, Message::Reread(n, term, commit));
+        if !self.can_reach_store(n) {
+            return self
+                .schedule(now + constants::LEADER_RETRY, Message::RereadCommit(n, term, commit));
         }
         let reread = |key: String| RereadKey { stored: self.store.get(&key), key };
         let read = commit.keys().into_iter().map(reread).collect();
-        if let Some(leader) = self.controllers[n].leading(term) {
+        if let Some(leader) = self.controllers[n].leader_in_term(term) {
             leader.cluster.committed(*commit, CommitResult::Indeterminate(read), now);
         }
-        self.report_decided(n, term);
+        self.report_completed_jobs(n, term);
     }
 
     /// Responds to the users who wait for cancellations that are now durable.
-    pub(super) fn report_decided(&mut self, n: usize, term: u64) {
-        let Some(leader) = self.controllers[n].leading(term) else { return };
+    pub(super) fn report_completed_jobs(&mut self, n: usize, term: u64) {
+        let Some(leader) = self.controllers[n].leader_in_term(term) else { return };
         let completed_jobs = leader.cluster.take_completed_jobs();
         let requested: Vec<bool> =
             completed_jobs.iter().map(|job| leader.pending_cancellations.remove(&job.id)).collect();
         for (CompletedJob { id, record }, requested) in completed_jobs.into_iter().zip(requested) {
-            self.controllers[n].finished.insert(id.clone());
+            self.controllers[n].finished_jobs.insert(id.clone());
             if requested && record.state == JobState::Cancelled {
                 self.report_cancelled(n, &id);
             }
--- a/crates/controller/tests/simulation/controllers.rs
+++ b/crates/controller/tests/simulation/controllers.rs
@@ -51,10 +51,10 @@
     /// The leader that it last read from the store, if any.
     pub observed_leader: Option<usize>,
     /// Jobs that it knows to have a durable final state.
-    pub finished: BTreeSet<JobId>,
+    pub finished_jobs: BTreeSet<JobId>,
     pub store_unreachable_until: MonotonicTime,
     /// Whether the store refuses its requests while it is unreachable; otherwise they get no response.
-    pub refused: bool,
+    pub is_refused_by_store: bool,
     /// Until then the store refuses its transactions, as at an exceeded write rate limit.
     pub writes_refused_until: MonotonicTime,
     pub peers_unreachable_until: MonotonicTime,
@@ -63,9 +63,9 @@
     pub down_until: MonotonicTime,
     no_campaign_until: MonotonicTime,
     /// When it last stepped down because no worker sent it heartbeats.
-    workers_silent_at: Option<MonotonicTime>,
+    stepped_down_at: Option<MonotonicTime>,
     /// Scheduled start of an outage of the store for all controllers.
-    pub outage_at: Option<MonotonicTime>,
+    pub store_outage_at: Option<MonotonicTime>,
 }
 
 /// The software version of a controller's process.
@@ -113,38 +113,38 @@
             started_at: now,
             leader: None,
             observed_leader: None,
-            finished: BTreeSet::new(),
+            finished_jobs: BTreeSet::new(),
             store_unreachable_until: MonotonicTime::ZERO,
-            refused: false,
+            is_refused_by_store: false,
             writes_refused_until: MonotonicTime::ZERO,
             peers_unreachable_until: MonotonicTime::ZERO,
             workers_unreachable_until: MonotonicTime::ZERO,
             frozen_until: MonotonicTime::ZERO,
             down_until: now,
             no_campaign_until: MonotonicTime::ZERO,
-            workers_silent_at: None,
-            outage_at: None,
+            stepped_down_at: None,
+            store_outage_at: None,
         }
     }
 
     /// Converts simulated time to the process's own clock, which starts at zero.
-    pub fn clock(&self, now: MonotonicTime) -> MonotonicTime {
+    pub fn local_time(&self, now: MonotonicTime) -> MonotonicTime {
         MonotonicTime::ZERO + (now - self.started_at)
     }
 
     /// Whether the process runs and is not frozen.
-    pub fn up(&self, now: MonotonicTime) -> bool {
+    pub fn is_responsive(&self, now: MonotonicTime) -> bool {
         now >= self.down_until && now >= self.frozen_until
     }
 
     /// Whether the controller may act as the leader.
     pub fn may_lead(&self, now: MonotonicTime) -> bool {
-        self.up(now)
+        self.is_responsive(now)
             && self.leader.as_ref().is_some_and(|leader| !leader.paused && now < leader.valid_until)
     }
 
     /// Returns its state as leader of this term; `None` if it does not lead this term.
-    pub fn leading(&mut self, term: u64) -> Option<&mut Leader> {
+    pub fn leader_in_term(&mut self, term: u64) -> Option<&mut Leader> {
         self.leader.as_mut().filter(|leader| leader.term == term)
     }
 
@@ -155,57 +155,57 @@
         self.workers_unreachable_until = MonotonicTime::ZERO;
         self.responses_lost_until = MonotonicTime::ZERO;
         self.frozen_until = self.frozen_until.min(now);
-        self.outage_at = None;
+        self.store_outage_at = None;
     }
 }
 
 impl Simulation {
     /// Returns the readings of the monotonic and the wall clock.
-    pub(super) fn moment(&self) -> Timestamp {
+    pub(super) fn timestamp(&self) -> Timestamp {
         let wall = WallTime::from_unix_millis(1_000_000 + self.now.as_millis());
         Timestamp { monotonic: self.now, wall }
     }
 
     /// Kills a controller's process, and restarts it after a random delay in the same version.
-    pub(super) fn kill(&mut self, n: usize) {
-        self.replace(n, self.controllers[n].version);
+    pub(super) fn kill_and_restart(&mut self, n: usize) {
+        self.restart_with_version(n, self.controllers[n].version);
     }
 
     /// Kills a controller's process, and restarts it after a random delay in this version. Partitions of the controller
     /// outlast its process.
-    pub(super) fn replace(&mut self, n: usize, version: Version) {
+    pub(super) fn restart_with_version(&mut self, n: usize, version: Version) {
         let nonce = self.rng.random();
         let restart_delay = match self.rng.random_range(0..2) {
-            0 => self.span(100, 800),
-            _ => self.span(1_000, 9_000),
+            0 => self.random_duration(100, 800),
+            _ => self.random_duration(1_000, 9_000),
         };
         let old = &self.controllers[n];
         let partitions = (
             old.store_unreachable_until,
             old.peers_unreachable_until,
             old.workers_unreachable_until,
-            old.refused,
+            old.is_refused_by_store,
         );
         let mut restarted = Controller::new(n, version, nonce, self.now + restart_delay);
         (
             restarted.store_unreachable_until,
             restarted.peers_unreachable_until,
             restarted.workers_unreachable_until,
-            restarted.refused,
+            restarted.is_refused_by_store,
         ) = partitions;
         self.controllers[n] = restarted;
     }
 
-    pub(super) fn run_controller(&mut self, n: usize) {
-        if !self.controllers[n].up(self.now) {
+    pub(super) fn step_controller(&mut self, n: usize) {
+        if !self.controllers[n].is_responsive(self.now) {
             return;
         }
-        self.extend_lease(n);
+        self.extend_leader_lease(n);
         if self.controllers[n].leader.is_none() {
             self.read_leader_and_campaign(n);
         }
         if let Some(mut leader) = self.controllers[n].leader.take() {
-            let still_leads = self.run_leader(n, &mut leader);
+            let still_leads = self.step_leader(n, &mut leader);
             if still_leads {
                 self.controllers[n].leader = Some(leader);
             }
@@ -213,19 +213,19 @@
         }
         let controller = &self.controllers[n];
         if let Some(leader) = controller.observed_leader.filter(|leader| *leader != n)
-            && self.every(constants::SHARD_LEASE_RENEWAL_INTERVAL)
+            && self.now_is_multiple_of(constants::SHARD_LEASE_RENEWAL_INTERVAL)
         {
-            let at = controller.clock(self.now);
+            let at = controller.local_time(self.now);
             let renewal = controller.lessee.renewal(at);
-            self.send(|| Message::LeaseRenewal(n, leader, renewal.clone(), at));
+            self.send(|| Message::ShardLeaseRenewal(n, leader, renewal.clone(), at));
         }
-        self.follow(n);
+        self.send_follow_request(n);
     }
 
     /// Extends the leadership lease if it is due. A leader whose lease is no longer in the store loses its leadership.
-    fn extend_lease(&mut self, n: usize) {
+    fn extend_leader_lease(&mut self, n: usize) {
         let now = self.now;
-        let reachable = self.store_reachable(n);
+        let reachable = self.can_reach_store(n);
         let Some(leader) = &mut self.controllers[n].leader else { return };
         if now < leader.next_extend {
             return;
@@ -235,9 +235,9 @@
             return;
         }
         leader.next_extend = now + constants::LEADER_EXTEND_INTERVAL;
-        match self.lead.as_mut().filter(|lease| lease.term == leader.term) {
-            Some(lead) => {
-                lead.until = now + constants::LEADER_TTL;
+        match self.leadership.as_mut().filter(|lease| lease.term == leader.term) {
+            Some(leadership) => {
+                leadership.expires_at = now + constants::LEADER_TTL;
                 self.counts.resumed_terms += usize::from(now >= leader.valid_until);
                 leader.valid_until = leader_lease_expiry(now);
             }
@@ -250,20 +250,20 @@
 
     /// Reads from the store who leads, and may campaign if nobody does.
     fn read_leader_and_campaign(&mut self, n: usize) {
-        if !self.store_reachable(n) {
+        if !self.can_reach_store(n) {
             return;
         }
-        match &self.lead {
+        match &self.leadership {
             // Its own earlier process still holds the leadership lease: revokes it.
-            Some(lead) if lead.controller == n => self.revoke_leadership(),
-            Some(lead) => {
-                self.controllers[n].observed_leader = Some(lead.controller);
-                self.controllers[n].follower.observe_term(lead.term);
+            Some(leadership) if leadership.controller == n => self.revoke_leadership(),
+            Some(leadership) => {
+                self.controllers[n].observed_leader = Some(leadership.controller);
+                self.controllers[n].follower.observe_term(leadership.term);
             }
             None => {
                 self.controllers[n].observed_leader = None;
                 let campaigns = self.now >= self.controllers[n].no_campaign_until;
-                let steps = self.election_steps(n);
+                let steps = self.mean_steps_to_campaign(n);
                 if campaigns && self.rng.random_range(0..steps) == 0 {
                     self.begin_term(n);
                 }
@@ -272,7 +272,7 @@
     }
 
     fn listed_machines(&self) -> Vec<ListedMachine> {
-        let is_listed = |m: &&Machine| !m.dead && self.now >= m.created_at + LIST_LAG;
+        let is_listed = |m: &&Machine| !m.terminated && self.now >= m.created_at + LIST_LAG;
         let listed = |m: &Machine| ListedMachine {
             id: m.name.clone(),
             addr: Some("127.0.0.1:9".into()),
@@ -286,7 +286,7 @@
     }
 
     /// Runs one step of a leader. Returns `false` if it steps down.
-    fn run_leader(&mut self, n: usize, leader: &mut Leader) -> bool {
+    fn step_leader(&mut self, n: usize, leader: &mut Leader) -> bool {
         let now = self.now;
         if now >= leader.valid_until {
             leader.paused = true;
@@ -295,42 +295,42 @@
         if std::mem::take(&mut leader.paused) {
             leader.cluster.resumed(now);
         }
-        leader.cluster.set_time(self.moment());
+        leader.cluster.set_time(self.timestamp());
         let controller = &mut self.controllers[n];
         let lease = leader.cluster.shard_lease_length(now);
         if !lease.is_zero() {
-            let at = controller.clock(now);
+            let at = controller.local_time(now);
             controller.lessee.hold_as_leader(leader.term, leader.cluster.own_shard(), lease, at);
         }
         let may_step_down =
-            controller.workers_silent_at.is_none_or(|at| now >= at + constants::STEP_DOWN_INTERVAL);
+            controller.stepped_down_at.is_none_or(|at| now >= at + constants::STEP_DOWN_INTERVAL);
         let isolated = leader.cluster.all_workers_silent(now) && may_step_down;
         if isolated || leader.cluster.leadership_lost() {
-            controller.workers_silent_at =
-                if isolated { Some(now) } else { controller.workers_silent_at };
+            controller.stepped_down_at =
+                if isolated { Some(now) } else { controller.stepped_down_at };
             controller.no_campaign_until = now + constants::STEP_DOWN_PAUSE;
             controller.observed_leader = None;
-            if self.store_reachable(n)
-                && self.lead.as_ref().is_some_and(|lease| lease.term == leader.term)
+            if self.can_reach_store(n)
+                && self.leadership.as_ref().is_some_and(|lease| lease.term == leader.term)
             {
                 self.revoke_leadership();
             }
             return false;
         }
-        if self.store_reachable(n) {
-            let at = self.moment();
+        if self.can_reach_store(n) {
+            let at = self.timestamp();
             for kv in self.store.list("j/") {
                 leader.cluster.add_job(&kv.key, kv.value, at, JobOrigin::ThisTerm);
             }
         }
-        if self.every(ms(300)) {
+        if self.now_is_multiple_of(ms(300)) {
             leader.cluster.scheduling_round(now);
         }
-        let cloud_reachable = self.zone_open(CONTROLLERS[n].1);
-        if cloud_reachable && self.every(ms(3_000)) {
+        let cloud_reachable = self.is_zone_connected(CONTROLLERS[n].1);
+        if cloud_reachable && self.now_is_multiple_of(ms(3_000)) {
             leader.cluster.machines_listed(&self.listed_machines(), now, now);
         }
-        if cloud_reachable && self.every(ms(1_000)) {
+        if cloud_reachable && self.now_is_multiple_of(ms(1_000)) {
             self.run_autoscaling(n, leader);
         }
         self.send_commands(n, leader);
--- a/crates/controller/tests/simulation/counts.rs
+++ b/crates/controller/tests/simulation/counts.rs
@@ -5,7 +5,7 @@
 pub struct EventCounts {
     pub starts: usize,
     /// Tasks that ended with an error.
-    pub errors: usize,
+    pub task_errors: usize,
     pub probe_responses: usize,
     /// Worker leases that a shard lessee extended.
     pub lessee_extensions: usize,
@@ -25,29 +25,29 @@
     pub zone_bound_starts: usize,
     pub replica_starts: usize,
     /// Replicas that were found running at the check of replicas.
-    pub replicas_in_place: usize,
+    pub running_replicas: usize,
     /// Registry records written by the new version, which divides them to fit the later value limit.
     pub divided_registry_records: usize,
     /// Terms that started from a usable standby copy.
     pub warm_starts: usize,
     /// Starts of gang tasks in an attempt of an earlier term: the new leader completes the gang.
-    pub completed_gangs: usize,
+    pub gang_completion_starts: usize,
     /// Responses that a follower could not apply to its copy.
-    pub refused_responses: usize,
+    pub rejected_follow_responses: usize,
     pub one_way_partitions: usize,
     pub lost_election_responses: usize,
     /// Terms in which the store refuses all writes of the leader.
-    pub refused_terms: usize,
+    pub terms_with_refused_writes: usize,
     /// Terms whose leader did not know whether the start watermarks of all earlier terms are complete.
-    pub assumed_terms: usize,
+    pub terms_without_complete_watermarks: usize,
 }
 
 impl EventCounts {
     /// Returns the sum of each counter.
-    pub fn and(self, other: &Self) -> Self {
+    pub fn plus(self, other: &Self) -> Self {
         Self {
             starts: self.starts + other.starts,
-            errors: self.errors + other.errors,
+            task_errors: self.task_errors + other.task_errors,
             probe_responses: self.probe_responses + other.probe_responses,
             lessee_extensions: self.lessee_extensions + other.lessee_extensions,
             stopped_by_lessees: self.stopped_by_lessees + other.stopped_by_lessees,
@@ -60,16 +60,19 @@
             quota_bound_starts: self.quota_bound_starts + other.quota_bound_starts,
             zone_bound_starts: self.zone_bound_starts + other.zone_bound_starts,
             replica_starts: self.replica_starts + other.replica_starts,
-            replicas_in_place: self.replicas_in_place + other.replicas_in_place,
+            running_replicas: self.running_replicas + other.running_replicas,
             divided_registry_records: self.divided_registry_records
                 + other.divided_registry_records,
             warm_starts: self.warm_starts + other.warm_starts,
-            completed_gangs: self.completed_gangs + other.completed_gangs,
-            refused_responses: self.refused_responses + other.refused_responses,
+            gang_completion_starts: self.gang_completion_starts + other.gang_completion_starts,
+            rejected_follow_responses: self.rejected_follow_responses
+                + other.rejected_follow_responses,
             one_way_partitions: self.one_way_partitions + other.one_way_partitions,
             lost_election_responses: self.lost_election_responses + other.lost_election_responses,
-            refused_terms: self.refused_terms + other.refused_terms,
-            assumed_terms: self.assumed_terms + other.assumed_terms,
+            terms_with_refused_writes: self.terms_with_refused_writes
+                + other.terms_with_refused_writes,
+            terms_without_complete_watermarks: self.terms_without_complete_watermarks
+                + other.terms_without_complete_watermarks,
         }
     }
 }
--- a/crates/controller/tests/simulation/dispatch.rs
+++ b/crates/controller/tests/simulation/dispatch.rs
@@ -19,7 +19,7 @@
             match action {
                 ScalingAction::ScaleOut(request) => {
                     let mut names = Vec::new();
-                    let machines_up = self.machines.iter().filter(|m| !m.dead).count();
+                    let machines_up = self.machines.iter().filter(|m| !m.terminated).count();
                     for _ in 0..(request.count as usize).min(8usize.saturating_sub(machines_up)) {
                         self.machines.push(Machine::new(self.machines.len() + 1, now));
                         names.push(format!("m-{}", self.machines.len()));
@@ -28,8 +28,8 @@
                     leader.cluster.scale_out_finished(&request, created, now);
                 }
                 ScalingAction::ScaleIn(names) => {
-                    let at = now + self.span(100, 3_000);
-                    self.at(at, Message::Delete(n, leader.term, names));
+                    let at = now + self.random_duration(100, 3_000);
+                    self.schedule(at, Message::DeleteMachines(n, leader.term, names));
                 }
             }
         }
@@ -67,47 +67,59 @@
             let name = self.machines[m].name.clone();
             if awaits_response && self.chance(50) {
                 // The connection is refused: the commands were certainly not sent.
-                let at = now + self.span(5, 50);
-                let outcome =
-                    Message::Delivered(n, term, name, commands.fencing_token, Delivery::NotSent);
-                self.at(at, outcome);
+                let at = now + self.random_duration(5, 50);
+                let outcome = Message::DirectCommandsOutcome(
+                    n,
+                    term,
+                    name,
+                    commands.fencing_token,
+                    Delivery::NotSent,
+                );
+                self.schedule(at, outcome);
                 continue;
             }
-            self.send(|| Message::Direct(n, term, m, commands.clone()));
+            self.send(|| Message::DirectCommands(n, term, m, commands.clone()));
             if awaits_response {
                 // The sender's timeout, which occurs whether or not a response arrived.
-                let outcome = Message::Delivered(
+                let outcome = Message::DirectCommandsOutcome(
                     n,
                     term,
                     name,
                     commands.fencing_token,
                     Delivery::Indeterminate,
                 );
-                self.at(now + ms(1_500), outcome);
+                self.schedule(now + ms(1_500), outcome);
             }
         }
         for StateProbeRequest { machine, .. } in probes {
             self.send(|| Message::StateProbe(n, term, index(&machine) - 1));
             // The sender's timeout, which occurs whether or not a response arrived.
-            self.at(now + constants::WORKER_TIMEOUT, Message::ProbeResult(n, term, machine, None));
+            self.schedule(
+                now + constants::WORKER_TIMEOUT,
+                Message::StateProbeOutcome(n, term, machine, None),
+            );
         }
         if let Some(commit) = commit {
-            self.check_limits(n, &commit.transaction);
+            self.check_transaction_limits(n, &commit.transaction);
             let slow = self.chance(200);
-            let delay = if slow { self.span(500, 3_000) } else { ms(10) };
-            self.at(now + delay, Message::PendingCommit(n, term, Box::new(commit)));
+            let delay = if slow { self.random_duration(500, 3_000) } else { ms(10) };
+            self.schedule(now + delay, Message::Commit(n, term, Box::new(commit)));
         }
     }
 
     /// Delivers a state probe to a machine, and sends its response.
-    pub(super) fn probe_arrives(&mut self, n: usize, term: u64, m: usize) {
+    pub(super) fn deliver_state_probe(&mut self, n: usize, term: u64, m: usize) {
         let now = self.now;
-        let linked = self.worker_linked(n, m);
+        let connected = self.is_worker_connected(n, m);
         let machine = &self.machines[m];
-        if !linked || now < machine.inbound_lost_until || machine.dead || now < machine.hung_until {
+        if !connected
+            || now < machine.inbound_lost_until
+            || machine.terminated
+            || now < machine.hung_until
+        {
             return;
         }
-        self.expire(m);
+        self.expire_worker_lease(m);
         let machine = &mut self.machines[m];
         // A worker refuses a probe of another incarnation and names its own; the sender then repeats the probe. Only
         // the repeated probe is simulated.
@@ -115,6 +127,6 @@
         let probe = DirectCommands { fencing_token: term, incarnation, commands: vec![] };
         let heartbeat = machine.worker.handle_direct_commands(&probe);
         let name = machine.name.clone();
-        self.send(|| Message::ProbeResult(n, term, name.clone(), heartbeat.clone()));
+        self.send(|| Message::StateProbeOutcome(n, term, name.clone(), heartbeat.clone()));
     }
 }
--- a/crates/controller/tests/simulation/elections.rs
+++ b/crates/controller/tests/simulation/elections.rs
@@ -62,7 +62,7 @@
             classes: self.store.get("c/lanes"),
             stored_watermarks,
         };
-        let elected_at = self.moment();
+        let elected_at = self.timestamp();
         let controller = &mut self.controllers[n];
         controller.lessee.leadership_won(term);
         controller.observed_leader = Some(n);
@@ -85,7 +85,7 @@
         };
         self.warm_start(n, &mut leader);
         self.controllers[n].leader = Some(leader);
-        self.limit_term(n);
+        self.schedule_term_end(n);
     }
 
     /// Commits the election of controller `n`. Returns the precondition of its later writes.
@@ -99,8 +99,8 @@
         }
         let mod_revision = self.store.commit(&election).expect("nobody leads");
         self.counts.terms += 1;
-        let until = self.now + constants::LEADER_TTL;
-        self.lead = Some(StoredLeadership { controller: n, term, until });
+        let expires_at = self.now + constants::LEADER_TTL;
+        self.leadership = Some(StoredLeadership { controller: n, term, expires_at });
         Precondition { key: LEADER_KEY.into(), mod_revision }
     }
 
@@ -141,21 +141,26 @@
             }
             Version::New => vacancy.stored_watermarks,
         };
-        self.counts.assumed_terms += usize::from(known != StoredWatermarks::Complete);
+        self.counts.terms_without_complete_watermarks +=
+            usize::from(known != StoredWatermarks::Complete);
         known
     }
 
     /// Schedules the kill of a new leader, on days with election faults. The store refuses all writes of about every
     /// second leader until then.
-    fn limit_term(&mut self, n: usize) {
+    fn schedule_term_end(&mut self, n: usize) {
         if self.election_faults.is_none() || !self.chance(1_000) {
             return;
         }
         let refused = self.rng.random_range(0..2) == 0;
-        let length = if refused { self.span(1_500, 12_000) } else { self.span(4_000, 20_000) };
+        let length = if refused {
+            self.random_duration(1_500, 12_000)
+        } else {
+            self.random_duration(4_000, 20_000)
+        };
         let at = self.now + length;
         if refused {
-            self.counts.refused_terms += 1;
+            self.counts.terms_with_refused_writes += 1;
             self.controllers[n].writes_refused_until = at;
         }
         let all = self.rng.random_range(0..2) == 0;
@@ -165,7 +170,7 @@
     }
 
     /// Kills controllers when their scheduled kill is due, and restarts them in a random version.
-    pub(super) fn run_election_faults(&mut self) {
+    pub(super) fn run_scheduled_kill(&mut self) {
         let now = self.now;
         let Some(faults) = &mut self.election_faults else { return };
         let Some(kill) = faults.kill.take_if(|kill| now >= kill.at) else { return };
@@ -173,11 +178,11 @@
             // Upgrades and rollbacks: a version may rely on what the other one wrote only as far as that is correct.
             let version =
                 if self.rng.random_range(0..2) == 0 { Version::Old } else { Version::New };
-            self.replace(n, version);
+            self.restart_with_version(n, version);
         }
         for m in 0..self.machines.len() {
             if kill.partitions_machines && self.chance(300) {
-                self.machines[m].partitioned_until = now + self.span(5_000, 12_000);
+                self.machines[m].partitioned_until = now + self.random_duration(5_000, 12_000);
             }
         }
     }
--- a/crates/controller/tests/simulation/gangs.rs
+++ b/crates/controller/tests/simulation/gangs.rs
@@ -19,28 +19,30 @@
     /// Kills the leader, or freezes it for longer than its lease, while a gang is partially placed. Most of
     /// its direct dispatches in flight are lost with its connections.
     pub(super) fn fail_leader_amid_gangs(&mut self) {
-        let Some(leader) = self.lead.as_ref().map(|lead| lead.controller) else { return };
-        if !self.chance(700) || !self.jobs.iter().any(|spec| self.partially_placed(spec)) {
+        let Some(leader) = self.leadership.as_ref().map(|leadership| leadership.controller) else {
+            return;
+        };
+        if !self.chance(700) || !self.jobs.iter().any(|spec| self.is_partially_placed(spec)) {
             return;
         }
         let of_leader =
-            |message: &Message| matches!(message, Message::Direct(n, ..) if *n == leader);
-        let in_flight = self.queue.iter().filter(|(_, message)| of_leader(message));
+            |message: &Message| matches!(message, Message::DirectCommands(n, ..) if *n == leader);
+        let in_flight = self.event_queue.iter().filter(|(_, message)| of_leader(message));
         for at in in_flight.map(|(at, _)| *at).collect::<Vec<_>>() {
             if self.chance(700) {
-                self.queue.remove(&at);
+                self.event_queue.remove(&at);
             }
         }
         if self.rng.random_range(0..2) == 0 {
-            self.kill(leader);
+            self.kill_and_restart(leader);
         } else {
-            let until = self.now + self.span(3_000, 20_000);
+            let until = self.now + self.random_duration(3_000, 20_000);
             self.controllers[leader].frozen_until = until;
         }
     }
 
     /// Whether some, but not all, tasks of a gang are on machines, and a standby copy contains the gang.
-    fn partially_placed(&self, spec: &JobSpec) -> bool {
+    fn is_partially_placed(&self, spec: &JobSpec) -> bool {
         let is_placed = |index: &u32| {
             let task = format!("{}/{index}", spec.id);
             let live = |worker: &ScriptedWorker| {
@@ -49,7 +51,7 @@
                     .iter()
                     .any(|status| status.task == task && status.state != TaskState::Ended)
             };
-            self.machines.iter().any(|m| !m.dead && live(&m.worker))
+            self.machines.iter().any(|m| !m.terminated && live(&m.worker))
         };
         let placed = (0..spec.tasks).filter(is_placed).count();
         // A standby copy contains the job, so that the next leader can start from it.
@@ -62,58 +64,61 @@
 
     /// Sets the first state of a task that has just been started, if it is of a gang, and counts starts in attempts of
     /// earlier terms.
-    pub(super) fn gang_task_started(&mut self, m: usize, task: &str, attempt: u64) {
+    pub(super) fn record_gang_task_start(&mut self, m: usize, task: &str, attempt: u64) {
         let gang =
             |spec: &JobSpec| spec.is_gang() && task.split('/').next() == Some(spec.id.as_str());
         if !self.jobs.iter().any(gang) {
             return;
         }
         self.machines[m].worker.set_task_state(task, TaskState::FetchingImage);
-        let of_earlier_term = self.lead.as_ref().is_some_and(|lead| attempt >> 28 < lead.term);
+        let of_earlier_term =
+            self.leadership.as_ref().is_some_and(|leadership| attempt >> 28 < leadership.term);
         let leads = |controller: &Controller| {
             controller.leader.as_ref().is_some_and(|leader| leader.term > attempt >> 28)
         };
-        self.counts.completed_gangs +=
+        self.counts.gang_completion_starts +=
             usize::from(of_earlier_term && self.controllers.iter().any(leads));
     }
 
     /// Advances the states of the gang tasks on a machine.
-    pub(super) fn run_gangs(&mut self, m: usize) {
+    pub(super) fn advance_gangs(&mut self, m: usize) {
         let tasks: Vec<TaskStatus> = self.machines[m].worker.tasks().to_vec();
         for status in tasks.iter().filter(|status| status.state != TaskState::Ended) {
             let (id, _) = status.task.split_once('/').expect("a task name");
             let spec =
                 self.jobs.iter().find(|spec| spec.is_gang() && spec.id.as_str() == id).cloned();
             if let Some(spec) = spec {
-                self.run_gang_task(m, status, &spec);
+                self.advance_gang_task(m, status, &spec);
             }
         }
     }
 
-    fn run_gang_task(&mut self, m: usize, status: &TaskStatus, spec: &JobSpec) {
+    fn advance_gang_task(&mut self, m: usize, status: &TaskStatus, spec: &JobSpec) {
         let now = self.now;
         let (task, attempt) = (status.task.as_str(), status.attempt);
-        let since = self.machines[m].since.get(task).copied().unwrap_or(now);
+        let started_at = self.machines[m].task_started_at.get(task).copied().unwrap_or(now);
         let name = |index: u32| format!("{}/{index}", spec.id);
         let state = |index: u32| {
             let task_state = |worker: &ScriptedWorker| worker.task_state(&name(index), attempt);
-            self.machines.iter().filter(|m| !m.dead).find_map(|m| task_state(&m.worker))
+            self.machines.iter().filter(|m| !m.terminated).find_map(|m| task_state(&m.worker))
         };
         match status.state {
-            TaskState::FetchingImage if now >= since + IMAGE_FETCH => {
+            TaskState::FetchingImage if now >= started_at + IMAGE_FETCH => {
                 self.machines[m].worker.set_task_state(task, TaskState::WaitingForGang);
             }
             TaskState::WaitingForGang => {
                 let ready = |index| matches!(state(index), Some(TaskState::WaitingForGang));
                 if (0..spec.tasks).all(ready) {
                     self.start_gang(spec, attempt);
-                } else if now >= since + GANG_WAIT_TIMEOUT {
+                } else if now >= started_at + GANG_WAIT_TIMEOUT {
                     self.machines[m].worker.end_task(task, ExitCause::GangIncomplete);
                 }
             }
             TaskState::Running => {
-                let lost = |index: u32| state(index).is_none() && !self.done.contains(&name(index));
-                if now >= since + GANG_LOSS_TIMEOUT && (0..spec.tasks).any(lost) {
+                let lost = |index: u32| {
+                    state(index).is_none() && !self.completed_tasks.contains(&name(index))
+                };
+                if now >= started_at + GANG_LOSS_TIMEOUT && (0..spec.tasks).any(lost) {
                     self.machines[m].worker.end_task(task, ExitCause::GangMemberLost);
                 }
             }
@@ -124,12 +129,12 @@
     /// Sets all tasks of a gang attempt to running.
     fn start_gang(&mut self, spec: &JobSpec, attempt: u64) {
         let now = self.now;
-        for machine in self.machines.iter_mut().filter(|m| !m.dead) {
+        for machine in self.machines.iter_mut().filter(|m| !m.terminated) {
             for index in 0..spec.tasks {
                 let task = format!("{}/{index}", spec.id);
                 if machine.worker.task_state(&task, attempt).is_some() {
                     machine.worker.set_task_state(&task, TaskState::Running);
-                    machine.since.insert(task, now);
+                    machine.task_started_at.insert(task, now);
                 }
             }
         }
@@ -143,7 +148,8 @@
         let Some(earlier) = machine.worker.started_attempts[..before].iter().rposition(same) else {
             return;
         };
-        let replaces = earlier < machine.incarnation_from && self.gang_waits_for(m, task, attempt);
+        let replaces =
+            earlier < machine.starts_before_incarnation && self.gang_waits_for(m, task, attempt);
         assert!(replaces, "{task} attempt {attempt} is started twice on m-{}", m + 1);
     }
 
--- a/crates/controller/tests/simulation/leases.rs
+++ b/crates/controller/tests/simulation/leases.rs
@@ -1,7 +1,7 @@
 //! Heartbeats at a controller, and shard leases between controllers.
 
 use super::Simulation;
-use super::messages::{Message, Reply};
+use super::messages::{HeartbeatReply, Message};
 use hookway_constants as constants;
 use hookway_controller::shard_lease::{ShardLease, ShardLeaseRenewal};
 use hookway_time::MonotonicTime;
@@ -10,21 +10,21 @@
 impl Simulation {
     /// Delivers a heartbeat to a controller, which responds as the leader or as a shard lessee, redirects the worker,
     /// or is unavailable to it.
-    pub(super) fn heartbeat_arrives(&mut self, m: usize, n: usize, heartbeat: &Heartbeat) {
+    pub(super) fn deliver_heartbeat(&mut self, m: usize, n: usize, heartbeat: &Heartbeat) {
         let now = self.now;
-        if !self.worker_linked(n, m) {
+        if !self.is_worker_connected(n, m) {
             return;
         }
         let may_lead = self.controllers[n].may_lead(now);
         let controller = &mut self.controllers[n];
-        let local_now = controller.clock(now);
+        let local_now = controller.local_time(now);
         let reply = match &mut controller.leader {
             Some(leader) if may_lead => leader
                 .cluster
                 .handle_heartbeat(heartbeat, now)
-                .map_or(Reply::Unavailable, Reply::Response),
+                .map_or(HeartbeatReply::Unavailable, HeartbeatReply::Response),
             leader => {
-                let finished = &controller.finished;
+                let finished = &controller.finished_jobs;
                 let extension = controller
                     .lessee
                     .extend_worker_lease(heartbeat, local_now, |id| finished.contains(id));
@@ -35,12 +35,12 @@
                         }
                         self.counts.lessee_extensions += 1;
                         self.counts.stopped_by_lessees += extension.response.commands.len();
-                        Reply::Response(extension.response)
+                        HeartbeatReply::Response(extension.response)
                     }
-                    (None, Some(_)) => Reply::Unavailable,
+                    (None, Some(_)) => HeartbeatReply::Unavailable,
                     (None, None) => {
                         let leader_reachable = controller.lessee.leader_reachable(local_now);
-                        Reply::Redirect(
+                        HeartbeatReply::Redirect(
                             controller
                                 .observed_leader
                                 .filter(|leader| *leader != n && leader_reachable),
@@ -53,43 +53,47 @@
     }
 
     /// Delivers a shard lease renewal to controller `n`, which grants the lease if it leads.
-    pub(super) fn renewal_arrives(
+    pub(super) fn deliver_shard_lease_renewal(
         &mut self,
         from: usize,
         n: usize,
         renewal: &ShardLeaseRenewal,
-        sent: MonotonicTime,
+        sent_at: MonotonicTime,
     ) {
         let now = self.now;
-        if !self.peers_linked(from, n) || !self.controllers[n].may_lead(now) {
+        if !self.are_peers_connected(from, n) || !self.controllers[n].may_lead(now) {
             return;
         }
         let Some(leader) = &mut self.controllers[n].leader else { return };
         if let Some(lease) = leader.cluster.renew_shard_lease(renewal, now) {
             self.send(|| {
-                Message::LeaseGranted(from, n, renewal.process_nonce, lease.clone(), sent)
+                Message::ShardLeaseGranted(from, n, renewal.process_nonce, lease.clone(), sent_at)
             });
         }
     }
 
     /// Delivers a granted shard lease to its lessee `n`.
-    pub(super) fn shard_lease_arrives(
+    pub(super) fn deliver_shard_lease(
         &mut self,
         n: usize,
         from: usize,
         nonce: u64,
         lease: ShardLease,
-        sent: MonotonicTime,
+        sent_at: MonotonicTime,
     ) {
-        let linked = self.peers_linked(from, n);
+        let connected = self.are_peers_connected(from, n);
         let controller = &mut self.controllers[n];
-        let local_now = controller.clock(self.now);
+        let local_now = controller.local_time(self.now);
         // A connection ends with its process, and a response after the timeout is ignored.
-        let in_time = local_now < sent + constants::PEER_TIMEOUT;
+        let in_time = local_now < sent_at + constants::PEER_TIMEOUT;
         let observed = self.now >= controller.responses_lost_until;
-        if linked && observed && controller.nonce == nonce && in_time && controller.leader.is_none()
+        if connected
+            && observed
+            && controller.nonce == nonce
+            && in_time
+            && controller.leader.is_none()
         {
-            controller.lessee.lease_granted(lease, sent, local_now);
+            controller.lessee.lease_granted(lease, sent_at, local_now);
         }
     }
 }
--- a/crates/controller/tests/simulation/machines.rs
+++ b/crates/controller/tests/simulation/machines.rs
@@ -2,8 +2,8 @@
 //! cancelled jobs.
 
 use super::{
-    CONTROLLERS, FAULTS_END_AT, HEARTBEAT_EVERY, HEARTBEAT_TIMEOUT, Message, REPLICAS_AT, Reply,
-    Simulation, always_fails, ms,
+    CONTROLLERS, FAULTS_END_AT, HEARTBEAT_INTERVAL, HEARTBEAT_TIMEOUT, HeartbeatReply, Message,
+    REPLICAS_CHECKED_AT, Simulation, always_fails, ms,
 };
 use hookway_clients::Delivery;
 use hookway_testkit::ScriptedWorker;
@@ -14,10 +14,10 @@
 use std::time::Duration;
 
 /// Run time of a daemon's replica. It then exits, which does not complete the job.
-const REPLICA_ENDS_AFTER: Duration = Duration::from_millis(40_000);
+const REPLICA_RUN_TIME: Duration = Duration::from_millis(40_000);
 
 /// Time within which a moved replica must run again.
-const REPLICA_MOVES_WITHIN: Duration = Duration::from_millis(5_000);
+const REPLICA_MOVE_TIMEOUT: Duration = Duration::from_millis(5_000);
 
 /// A machine with its worker, its tasks, and the faults that affect it.
 pub(super) struct Machine {
@@ -25,9 +25,9 @@
     pub name: String,
     pub created_at: MonotonicTime,
     /// Send time of the heartbeat whose response was received last; the worker's lease starts then.
-    lease_from: MonotonicTime,
+    lease_started_at: MonotonicTime,
     /// Sequence number and send time of the heartbeat that has no response yet.
-    in_flight: Option<(u64, MonotonicTime)>,
+    heartbeat_in_flight: Option<(u64, MonotonicTime)>,
     next_heartbeat: MonotonicTime,
     /// The controller that receives its heartbeats.
     controller: usize,
@@ -41,11 +41,11 @@
     /// The machine hangs until then.
     pub hung_until: MonotonicTime,
     /// Whether the machine has failed or was deleted.
-    pub dead: bool,
+    pub terminated: bool,
     /// Time of the start of each task, or of its gang if that is later.
-    pub since: BTreeMap<String, MonotonicTime>,
+    pub task_started_at: BTreeMap<String, MonotonicTime>,
     /// Number of starts before the current incarnation of its worker.
-    pub incarnation_from: usize,
+    pub starts_before_incarnation: usize,
     /// All unfinished tasks that its worker has discarded at lease expiries.
     pub discarded: Vec<TaskStatus>,
 }
@@ -61,8 +61,8 @@
             ),
             name,
             created_at: now,
-            lease_from: now,
-            in_flight: None,
+            lease_started_at: now,
+            heartbeat_in_flight: None,
             next_heartbeat: now,
             controller: n % CONTROLLERS.len(),
             partitioned_until: MonotonicTime::ZERO,
@@ -70,9 +70,9 @@
             inbound_lost_until: MonotonicTime::ZERO,
             outbound_lost_until: MonotonicTime::ZERO,
             hung_until: MonotonicTime::ZERO,
-            dead: false,
-            since: BTreeMap::new(),
-            incarnation_from: 0,
+            terminated: false,
+            task_started_at: BTreeMap::new(),
+            starts_before_incarnation: 0,
             discarded: Vec::new(),
         }
     }
@@ -85,58 +85,60 @@
 
     /// If a worker's lease has expired, discards all its tasks and begins its next incarnation. Called before a worker
     /// does anything else.
-    pub(super) fn expire(&mut self, m: usize) {
+    pub(super) fn expire_worker_lease(&mut self, m: usize) {
         let (now, lease) = (self.now, self.worker_lease());
         let machine = &mut self.machines[m];
-        if now > machine.lease_from + lease {
+        if now > machine.lease_started_at + lease {
             let unfinished = |status: &&TaskStatus| status.state != TaskState::Ended;
             machine.discarded.extend(machine.worker.tasks().iter().filter(unfinished).cloned());
             machine.worker.expire_lease();
-            machine.incarnation_from = machine.worker.started_attempts.len();
-            machine.lease_from = now;
-            machine.in_flight = None;
-            machine.since.clear();
+            machine.starts_before_incarnation = machine.worker.started_attempts.len();
+            machine.lease_started_at = now;
+            machine.heartbeat_in_flight = None;
+            machine.task_started_at.clear();
         }
     }
 
     /// Delivers a controller's reply to a machine, unless the network loses it or it comes after the timeout.
-    pub(super) fn heartbeat_response_arrives(
+    pub(super) fn deliver_heartbeat_response(
         &mut self,
         m: usize,
         n: usize,
         sequence: u64,
-        reply: Reply,
+        reply: HeartbeatReply,
     ) {
         let now = self.now;
-        let linked = self.worker_linked(n, m);
+        let connected = self.is_worker_connected(n, m);
         let machine = &self.machines[m];
-        let delivered = linked
+        let delivered = connected
             && now >= machine.inbound_lost_until
-            && !machine.dead
+            && !machine.terminated
             && now >= machine.hung_until;
-        let Some((expected, sent)) = machine.in_flight.filter(|_| delivered) else { return };
-        if expected != sequence || now > sent + HEARTBEAT_TIMEOUT {
+        let Some((expected, sent_at)) = machine.heartbeat_in_flight.filter(|_| delivered) else {
+            return;
+        };
+        if expected != sequence || now > sent_at + HEARTBEAT_TIMEOUT {
             return;
         }
-        let retry_delay = self.span(0, 500);
+        let retry_delay = self.random_duration(0, 500);
         let machine = &mut self.machines[m];
-        machine.in_flight = None;
+        machine.heartbeat_in_flight = None;
         match reply {
-            Reply::Response(response) => {
+            HeartbeatReply::Response(response) => {
                 let before = machine.worker.started_attempts.len();
                 if machine.worker.handle_response(&response) {
-                    machine.lease_from = sent;
+                    machine.lease_started_at = sent_at;
                     if !response.commands.is_empty() {
                         machine.next_heartbeat = machine.next_heartbeat.min(now + ms(500));
                     }
                 }
                 self.check_starts(m, before);
             }
-            Reply::Redirect(Some(other)) if other != n => {
+            HeartbeatReply::Redirect(Some(other)) if other != n => {
                 machine.controller = other;
                 machine.next_heartbeat = now + retry_delay;
             }
-            Reply::Redirect(_) | Reply::Unavailable => {
+            HeartbeatReply::Redirect(_) | HeartbeatReply::Unavailable => {
                 machine.controller = (n + 1) % CONTROLLERS.len();
                 machine.next_heartbeat = now + ms(1_000);
             }
@@ -144,7 +146,7 @@
     }
 
     /// Delivers direct commands to a machine, and returns the outcome to the leader if it waits for one.
-    pub(super) fn direct_arrives(
+    pub(super) fn deliver_direct_commands(
         &mut self,
         n: usize,
         term: u64,
@@ -152,17 +154,17 @@
         commands: DirectCommands,
     ) {
         let now = self.now;
-        let linked = self.worker_linked(n, m);
+        let connected = self.is_worker_connected(n, m);
         let machine = &self.machines[m];
-        if !linked || now < machine.inbound_lost_until || machine.dead {
+        if !connected || now < machine.inbound_lost_until || machine.terminated {
             return;
         }
         if now < machine.hung_until {
             // The worker executes the commands when the machine resumes, if their fencing token is still high enough.
             let at = machine.hung_until + ms(100);
-            return self.at(at, Message::Direct(n, term, m, commands));
+            return self.schedule(at, Message::DirectCommands(n, term, m, commands));
         }
-        self.expire(m);
+        self.expire_worker_lease(m);
         let machine = &mut self.machines[m];
         let before = machine.worker.started_attempts.len();
         let heartbeat = machine.worker.handle_direct_commands(&commands);
@@ -170,9 +172,10 @@
         self.check_starts(m, before);
         if term > 0 {
             let delivery = heartbeat.map_or(Delivery::Refused, Delivery::Executed);
-            let delay = self.span(5, 50);
-            let reply = Message::Delivered(n, term, name, commands.fencing_token, delivery);
-            self.at(now + delay, reply);
+            let delay = self.random_duration(5, 50);
+            let reply =
+                Message::DirectCommandsOutcome(n, term, name, commands.fencing_token, delivery);
+            self.schedule(now + delay, reply);
         }
     }
 
@@ -185,29 +188,29 @@
             self.check_attempt_is_new(m, before, &task, attempt);
             for (other, machine) in self.machines.iter().enumerate() {
                 let duplicate = other != m
-                    && !machine.dead
+                    && !machine.terminated
                     && machine.worker.unfinished_tasks().contains(&task);
                 assert!(!duplicate, "{task} starts on m-{} and runs on m-{}", m + 1, other + 1);
             }
             let copies =
                 self.machines[m].worker.unfinished_tasks().iter().filter(|t| **t == task).count();
             assert!(copies <= 1, "{task} runs {copies} times on one machine");
-            self.check_bounds(m, &task);
+            self.check_zones_and_quota(m, &task);
             let replica =
                 |j: &JobSpec| j.is_daemon() && task.split('/').next() == Some(j.id.as_str());
             self.counts.replica_starts += usize::from(self.jobs.iter().any(replica));
-            self.gang_task_started(m, &task, attempt);
-            self.machines[m].since.insert(task, self.now);
+            self.record_gang_task_start(m, &task, attempt);
+            self.machines[m].task_started_at.insert(task, self.now);
         }
     }
 
     /// Checks the zone constraints and the quota of a task that has just been started.
-    fn check_bounds(&mut self, m: usize, task: &str) {
+    fn check_zones_and_quota(&mut self, m: usize, task: &str) {
         let (id, _) = task.split_once('/').expect("a task name");
         let spec = self.jobs.iter().find(|j| j.id.as_str() == id).expect("a submitted job").clone();
         let zone = self.machines[m].worker.zone().to_owned();
         let mut live: Vec<(String, String)> = Vec::new();
-        for machine in self.machines.iter().filter(|m| !m.dead) {
+        for machine in self.machines.iter().filter(|m| !m.terminated) {
             let machine_zone = machine.worker.zone();
             live.extend(
                 machine.worker.unfinished_tasks().into_iter().map(|t| (t, machine_zone.to_owned())),
@@ -239,7 +242,7 @@
         if self.scenario.is_some() || !self.chance(3) {
             return;
         }
-        let until = self.now + self.span(1_000, 45_000);
+        let until = self.now + self.random_duration(1_000, 45_000);
         let kind = self.rng.random_range(0..5);
         let controller = self.rng.random_range(0..CONTROLLERS.len());
         let machine = &mut self.machines[m];
@@ -254,9 +257,9 @@
 
     /// Runs one step of a machine: faults, lease expiry, progress of tasks, and the next heartbeat if it is due.
     #[expect(clippy::too_many_lines, reason = "the steps of one simulated event, in order")]
-    pub(super) fn run_machine(&mut self, m: usize) {
+    pub(super) fn step_machine(&mut self, m: usize) {
         let now = self.now;
-        if self.machines[m].dead {
+        if self.machines[m].terminated {
             return;
         }
         self.inject_machine_fault(m);
@@ -270,34 +273,35 @@
         }
         // The lease of a hanging machine expires as well, so it resumes its tasks only within its lease.
         let hung = now < machine.hung_until;
-        self.expire(m);
+        self.expire_worker_lease(m);
         if hung {
             return;
         }
-        self.run_gangs(m);
-        self.run_tasks(m, transient_failure);
+        self.advance_gangs(m);
+        self.advance_tasks(m, transient_failure);
         let machine = &mut self.machines[m];
-        if machine.in_flight.is_some_and(|(_, sent)| now > sent + HEARTBEAT_TIMEOUT) {
-            machine.in_flight = None;
+        if machine.heartbeat_in_flight.is_some_and(|(_, sent_at)| now > sent_at + HEARTBEAT_TIMEOUT)
+        {
+            machine.heartbeat_in_flight = None;
             machine.next_heartbeat = now + ms(1_000);
             machine.controller = (machine.controller + 1) % CONTROLLERS.len();
         }
-        if machine.in_flight.is_none() && now >= machine.next_heartbeat {
+        if machine.heartbeat_in_flight.is_none() && now >= machine.next_heartbeat {
             let heartbeat = machine.worker.heartbeat();
-            machine.in_flight = Some((heartbeat.sequence, now));
-            machine.next_heartbeat = now + HEARTBEAT_EVERY;
+            machine.heartbeat_in_flight = Some((heartbeat.sequence, now));
+            machine.next_heartbeat = now + HEARTBEAT_INTERVAL;
             let (controller, outbound_lost) =
                 (machine.controller, now < machine.outbound_lost_until);
-            if outbound_lost || !self.worker_linked(controller, m) {
+            if outbound_lost || !self.is_worker_connected(controller, m) {
                 // The heartbeat may be delayed and arrive when the partition has healed.
                 if self.chance(300) {
-                    let at = now + self.span(1_000, 60_000);
-                    self.at(at, Message::Heartbeat(m, controller, heartbeat));
+                    let at = now + self.random_duration(1_000, 60_000);
+                    self.schedule(at, Message::Heartbeat(m, controller, heartbeat));
                 }
                 // The connection is refused at once, or times out later.
                 if self.rng.random_range(0..2) == 0 {
                     let machine = &mut self.machines[m];
-                    machine.in_flight = None;
+                    machine.heartbeat_in_flight = None;
                     machine.next_heartbeat = now + ms(1_000);
                     machine.controller = (controller + 1) % CONTROLLERS.len();
                 }
@@ -307,28 +311,28 @@
             // A duplicate reaches every controller, each after its own delay.
             if self.chance(20) {
                 for n in 0..CONTROLLERS.len() {
-                    let at = now + self.span(2_000, 60_000);
-                    self.at(at, Message::Heartbeat(m, n, heartbeat.clone()));
+                    let at = now + self.random_duration(2_000, 60_000);
+                    self.schedule(at, Message::Heartbeat(m, n, heartbeat.clone()));
                 }
             }
         }
     }
 
     /// Ends the tasks on a machine that fail or have run for their run time.
-    fn run_tasks(&mut self, m: usize, transient_failure: bool) {
+    fn advance_tasks(&mut self, m: usize, transient_failure: bool) {
         let now = self.now;
         // Most tasks run for a few seconds, some for much longer than the timeouts of controllers, and all tasks of
         // some jobs for longer than the cancellation limit.
         for task in self.machines[m].worker.unfinished_tasks() {
             let (id, _) = task.split_once('/').expect("a task name");
-            let is_long = self.long(id);
+            let is_long = self.is_long_running(id);
             let machine = &mut self.machines[m];
-            let since = machine.since.get(&task).copied().unwrap_or(now);
+            let started_at = machine.task_started_at.get(&task).copied().unwrap_or(now);
             // A permanent or a transient failure.
-            let fails = always_fails(id) && now >= since + ms(1_000);
-            let fails_once = transient_failure && since + ms(2_000) == now;
+            let fails = always_fails(id) && now >= started_at + ms(1_000);
+            let fails_once = transient_failure && started_at + ms(2_000) == now;
             if fails || fails_once {
-                self.counts.errors += 1;
+                self.counts.task_errors += 1;
                 machine.worker.end_task(&task, ExitCause::Error);
                 machine.next_heartbeat = machine.next_heartbeat.min(now + ms(100));
                 continue;
@@ -337,13 +341,13 @@
             let daemon = |j: &JobSpec| j.id.as_str() == id && j.is_daemon();
             let daemon = self.jobs.iter().any(daemon);
             let run_time = match task.ends_with('7') {
-                _ if daemon => REPLICA_ENDS_AFTER,
+                _ if daemon => REPLICA_RUN_TIME,
                 _ if is_long => ms(90_000),
                 true => ms(25_000),
                 false => ms(6_000),
             };
             let runs = machine.worker.is_running(&task);
-            if !runs || now < since + run_time || daemon && now >= FAULTS_END_AT {
+            if !runs || now < started_at + run_time || daemon && now >= FAULTS_END_AT {
                 continue;
             }
             machine.worker.end_task(&task, ExitCause::Done);
@@ -351,22 +355,29 @@
             let (id, _) = task.split_once('/').expect("a task name");
             let gang = self.jobs.iter().find(|j| j.id.as_str() == id && j.is_gang());
             match gang {
-                Some(spec) => self.done.extend((0..spec.tasks).map(|i| format!("{id}/{i}"))),
-                None => drop(self.done.insert(task)),
+                Some(spec) => {
+                    self.completed_tasks.extend((0..spec.tasks).map(|i| format!("{id}/{i}")))
+                }
+                None => drop(self.completed_tasks.insert(task)),
             }
         }
     }
 
-    /// Checks at `REPLICAS_AT` that every replica of every daemon runs on a machine, or did so at most
-    /// `REPLICA_MOVES_WITHIN` ago, since it may be moving to another machine.
+    /// Checks at `REPLICAS_CHECKED_AT` that every replica of every daemon runs on a machine, or did so at most
+    /// `REPLICA_MOVE_TIMEOUT` ago, since it may be moving to another machine.
     pub(super) fn check_replicas(&mut self) {
-        if !(REPLICAS_AT.saturating_sub(REPLICA_MOVES_WITHIN)..=REPLICAS_AT).contains(&self.now) {
+        if !(REPLICAS_CHECKED_AT.saturating_sub(REPLICA_MOVE_TIMEOUT)..=REPLICAS_CHECKED_AT)
+            .contains(&self.now)
+        {
             return;
         }
-        let live =
-            self.machines.iter().filter(|m| !m.dead).flat_map(|m| m.worker.unfinished_tasks());
+        let live = self
+            .machines
+            .iter()
+            .filter(|m| !m.terminated)
+            .flat_map(|m| m.worker.unfinished_tasks());
         self.replicas_seen.extend(live);
-        if self.now < REPLICAS_AT {
+        if self.now < REPLICAS_CHECKED_AT {
             return;
         }
         for spec in self.jobs.iter().filter(|j| j.is_daemon() && !always_fails(j.id.as_str())) {
@@ -379,19 +390,19 @@
             for replica in 0..spec.tasks {
                 let running = self.replicas_seen.contains(&format!("{id}/{replica}"));
                 assert!(running, "replica {replica} does not run\n{}", self.describe(id));
-                self.counts.replicas_in_place += 1;
+                self.counts.running_replicas += 1;
             }
         }
     }
 
     /// Checks that no task of a cancelled job runs after the cancellation limit, whatever the faults.
-    pub(super) fn check_cancelled(&self) {
+    pub(super) fn check_cancelled_jobs(&self) {
         let limit = span_of_seconds(self.controllers[0].config.platform.workers.cancel_s);
         for (id, reported) in &self.reported {
             let Some(at) = reported.cancelled_at.filter(|at| self.now > *at + limit) else {
                 continue;
             };
-            for machine in self.machines.iter().filter(|m| !m.dead) {
+            for machine in self.machines.iter().filter(|m| !m.terminated) {
                 let running =
                     machine.worker.unfinished_tasks().iter().any(|t| t.starts_with(id.as_str()));
                 assert!(!running, "{id}, cancelled at {at:?}, still runs on {}", machine.name);
--- a/crates/controller/tests/simulation/messages.rs
+++ b/crates/controller/tests/simulation/messages.rs
@@ -15,40 +15,40 @@
     /// To a controller: machine, controller, content.
     Heartbeat(usize, usize, Heartbeat),
     /// To a machine: machine, controller, sequence number of the heartbeat, reply.
-    HeartbeatResponse(usize, usize, u64, Reply),
+    HeartbeatResponse(usize, usize, u64, HeartbeatReply),
     /// A lessee requests its shard lease: sender, receiver, the renewal, send time by the sender's own clock.
-    LeaseRenewal(usize, usize, ShardLeaseRenewal, MonotonicTime),
+    ShardLeaseRenewal(usize, usize, ShardLeaseRenewal, MonotonicTime),
     /// The leader grants a shard lease: receiver, sender, nonce of the receiving process, the lease, send time of the
     /// renewal by the receiver's own clock.
-    LeaseGranted(usize, usize, u64, ShardLease, MonotonicTime),
+    ShardLeaseGranted(usize, usize, u64, ShardLease, MonotonicTime),
     /// A follower requests entries: sender, receiver, nonce of the sending process, position of its copy.
-    Follow(usize, usize, u64, FollowRequest),
+    FollowRequest(usize, usize, u64, FollowRequest),
     /// The leader responds to a follower: receiver, sender, nonce of the receiving process, the entries that its copy
     /// lacks.
-    Followed(usize, usize, u64, FollowResponse),
+    FollowResponse(usize, usize, u64, FollowResponse),
     /// A controller tells another one that a job has finished: receiver, sender, job.
     JobFinished(usize, usize, JobId),
     /// Direct commands to a machine: controller, its term (0: it waits for no response), machine, commands.
-    Direct(usize, u64, usize, DirectCommands),
+    DirectCommands(usize, u64, usize, DirectCommands),
     /// The outcome of direct commands: controller, its term, machine, fencing token of the commands, outcome.
-    Delivered(usize, u64, String, u64, Delivery),
+    DirectCommandsOutcome(usize, u64, String, u64, Delivery),
     /// To a machine: controller, its term, machine.
     StateProbe(usize, u64, usize),
     /// The outcome of a state probe: controller, its term, machine, the machine's state (`None`: timeout or refusal).
-    ProbeResult(usize, u64, String, Option<Heartbeat>),
+    StateProbeOutcome(usize, u64, String, Option<Heartbeat>),
     /// A transaction to the store: controller, its term, commit.
-    PendingCommit(usize, u64, Box<PendingCommit>),
+    Commit(usize, u64, Box<PendingCommit>),
     /// The leader rereads the keys of a commit whose outcome it does not know: controller, its term, commit.
-    Reread(usize, u64, Box<PendingCommit>),
+    RereadCommit(usize, u64, Box<PendingCommit>),
     /// A transaction that reaches the store after its sender's timeout.
     DelayedTransaction(Transaction),
     /// Deletes machines at the cloud: controller, its term, machines.
-    Delete(usize, u64, Vec<String>),
+    DeleteMachines(usize, u64, Vec<String>),
 }
 
 /// A controller's reply to a heartbeat.
 #[derive(Debug, Clone)]
-pub(super) enum Reply {
+pub(super) enum HeartbeatReply {
     /// From the leader or a shard lessee: extends the worker's lease.
     Response(HeartbeatResponse),
     /// To the controller that leads, if it is known and reachable.
@@ -66,14 +66,14 @@
         // Messages to a frozen controller wait until it resumes.
         let receiver = match &message {
             Message::Heartbeat(_, n, _)
-            | Message::LeaseRenewal(_, n, ..)
-            | Message::LeaseGranted(n, ..)
-            | Message::Follow(_, n, ..)
-            | Message::Followed(n, ..)
+            | Message::ShardLeaseRenewal(_, n, ..)
+            | Message::ShardLeaseGranted(n, ..)
+            | Message::FollowRequest(_, n, ..)
+            | Message::FollowResponse(n, ..)
             | Message::JobFinished(n, ..)
-            | Message::Delivered(n, ..)
-            | Message::ProbeResult(n, ..)
-            | Message::Reread(n, ..) => Some(*n),
+            | Message::DirectCommandsOutcome(n, ..)
+            | Message::StateProbeOutcome(n, ..)
+            | Message::RereadCommit(n, ..) => Some(*n),
             _ => None,
         };
         if let Some(n) = receiver {
@@ -82,25 +82,25 @@
             }
             let resumes_at = self.controllers[n].frozen_until;
             if now < resumes_at {
-                return self.at(resumes_at, message);
+                return self.schedule(resumes_at, message);
             }
         }
         match message {
-            Message::Heartbeat(m, n, heartbeat) => self.heartbeat_arrives(m, n, &heartbeat),
+            Message::Heartbeat(m, n, heartbeat) => self.deliver_heartbeat(m, n, &heartbeat),
             Message::HeartbeatResponse(m, n, sequence, reply) => {
-                self.heartbeat_response_arrives(m, n, sequence, reply)
+                self.deliver_heartbeat_response(m, n, sequence, reply)
             }
-            Message::LeaseRenewal(from, n, renewal, sent) => {
-                self.renewal_arrives(from, n, &renewal, sent)
+            Message::ShardLeaseRenewal(from, n, renewal, sent_at) => {
+                self.deliver_shard_lease_renewal(from, n, &renewal, sent_at)
             }
-            Message::LeaseGranted(n, from, nonce, lease, sent) => {
-                self.shard_lease_arrives(n, from, nonce, lease, sent);
+            Message::ShardLeaseGranted(n, from, nonce, lease, sent_at) => {
+                self.deliver_shard_lease(n, from, nonce, lease, sent_at);
             }
-            Message::Follow(from, n, nonce, request) => {
-                self.follow_arrives(from, n, nonce, &request);
+            Message::FollowRequest(from, n, nonce, request) => {
+                self.deliver_follow_request(from, n, nonce, &request);
             }
-            Message::Followed(n, from, nonce, response) => {
-                self.followed_arrives(n, from, nonce, response);
+            Message::FollowResponse(n, from, nonce, response) => {
+                self.deliver_follow_response(n, from, nonce, response);
             }
             Message::JobFinished(n, from, id) => {
                 // The invariants must hold without this message, so most scenarios lose it.
@@ -108,40 +108,44 @@
                     .scenario
                     .as_ref()
                     .is_some_and(|scenario| scenario.kind != FaultScenario::LeaderRefused);
-                if !lost && self.peers_linked(from, n) {
-                    self.controllers[n].finished.insert(id);
+                if !lost && self.are_peers_connected(from, n) {
+                    self.controllers[n].finished_jobs.insert(id);
                 }
             }
-            Message::Direct(n, term, m, commands) => self.direct_arrives(n, term, m, commands),
-            Message::Delivered(n, term, name, fencing_token, delivery) => {
-                if let Some(leader) = self.controllers[n].leading(term) {
+            Message::DirectCommands(n, term, m, commands) => {
+                self.deliver_direct_commands(n, term, m, commands)
+            }
+            Message::DirectCommandsOutcome(n, term, name, fencing_token, delivery) => {
+                if let Some(leader) = self.controllers[n].leader_in_term(term) {
                     leader.cluster.direct_start_sent(&name, fencing_token, delivery, now);
                 }
             }
-            Message::StateProbe(n, term, m) => self.probe_arrives(n, term, m),
-            Message::ProbeResult(n, term, name, heartbeat) => {
+            Message::StateProbe(n, term, m) => self.deliver_state_probe(n, term, m),
+            Message::StateProbeOutcome(n, term, name, heartbeat) => {
                 self.counts.probe_responses += usize::from(heartbeat.is_some());
-                if let Some(leader) = self.controllers[n].leading(term) {
+                if let Some(leader) = self.controllers[n].leader_in_term(term) {
                     leader.cluster.state_probed(&name, heartbeat, now);
                 }
             }
-            Message::PendingCommit(n, term, commit) => self.commit_arrives(n, term, commit),
-            Message::Reread(n, term, commit) => self.reread(n, term, commit),
+            Message::Commit(n, term, commit) => self.deliver_commit(n, term, commit),
+            Message::RereadCommit(n, term, commit) => self.reread_commit_keys(n, term, commit),
             Message::DelayedTransaction(transaction) => {
                 if now < self.outage_until {
-                    return self
-                        .at(self.outage_until + ms(10), Message::DelayedTransaction(transaction));
+                    return self.schedule(
+                        self.outage_until + ms(10),
+                        Message::DelayedTransaction(transaction),
+                    );
                 }
                 let _ = self.store.commit(&transaction);
                 self.check_final_states();
             }
-            Message::Delete(n, term, names) => {
+            Message::DeleteMachines(n, term, names) => {
                 for machine in
                     self.machines.iter_mut().filter(|machine| names.contains(&machine.name))
                 {
-                    machine.dead = true;
+                    machine.terminated = true;
                 }
-                if let Some(leader) = self.controllers[n].leading(term) {
+                if let Some(leader) = self.controllers[n].leader_in_term(term) {
                     leader.cluster.scale_in_finished(&names, now);
                 }
             }
--- a/crates/controller/tests/simulation/mod.rs
+++ b/crates/controller/tests/simulation/mod.rs
@@ -31,7 +31,7 @@
 use hookway_time::{MonotonicTime, whole_millis};
 use hookway_wire::{JobId, JobSpec, Transaction};
 use machines::Machine;
-use messages::{Message, Reply};
+use messages::{HeartbeatReply, Message};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 pub use scenarios::FaultScenario;
@@ -42,19 +42,19 @@
 /// Time from which no faults are injected.
 pub const FAULTS_END_AT: MonotonicTime = MonotonicTime::from_millis(200_000);
 /// Start of the rolling upgrade, which runs while faults are injected.
-const UPGRADE_AT: MonotonicTime = MonotonicTime::from_millis(40_000);
+const UPGRADE_STARTS_AT: MonotonicTime = MonotonicTime::from_millis(40_000);
 /// Time between the upgrades of one controller and the next.
-const UPGRADE_EVERY: Duration = Duration::from_millis(10_000);
+const UPGRADE_INTERVAL: Duration = Duration::from_millis(10_000);
 /// Time at which every replica of every daemon must have been running recently.
-pub const REPLICAS_AT: MonotonicTime = MonotonicTime::from_millis(200_000 + 60_000);
+pub const REPLICAS_CHECKED_AT: MonotonicTime = MonotonicTime::from_millis(200_000 + 60_000);
 /// Time at which every job must have finished. A team at its quota of four tasks may have a dozen tasks of 90 s
 /// queued.
 pub const END_AT: MonotonicTime = MonotonicTime::from_millis(1_200_000);
 /// Simulated time between two steps.
-const STEP: Duration = Duration::from_millis(100);
+const STEP_LENGTH: Duration = Duration::from_millis(100);
 /// Time after which a worker gives up on a heartbeat (given by the protocol).
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(4_000);
-const HEARTBEAT_EVERY: Duration = Duration::from_millis(2_000);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2_000);
 /// Name and zone of each controller; two share a zone. Throughout the simulation, `n` is the index of a controller and
 /// `m` that of a machine.
 const CONTROLLERS: [(&str, &str); 3] = [("one", "a"), ("two", "b"), ("three", "a")];
@@ -64,7 +64,7 @@
 struct StoredLeadership {
     controller: usize,
     term: u64,
-    until: MonotonicTime,
+    expires_at: MonotonicTime,
 }
 
 /// The states of a job that controllers have reported to users. Later reports must not contradict them.
@@ -81,29 +81,29 @@
     now: MonotonicTime,
     store: MemoryStore,
     /// `None` while nobody leads.
-    lead: Option<StoredLeadership>,
+    leadership: Option<StoredLeadership>,
     /// End of the latest outage of the store.
     outage_until: MonotonicTime,
     zone_partitioned_until: [MonotonicTime; ZONES.len()],
     controllers: Vec<Controller>,
     machines: Vec<Machine>,
     /// Messages in flight, by delivery time and order of scheduling.
-    queue: BTreeMap<(MonotonicTime, u64), Message>,
+    event_queue: BTreeMap<(MonotonicTime, u64), Message>,
     /// Number of messages scheduled so far.
-    sent: u64,
+    messages_scheduled: u64,
     /// Probability per step of a fault of the leader, per mille. Low on some days, so that terms are long.
     leader_fault_rate: u32,
     scenario: Option<ScheduledScenario>,
     /// Whether most jobs are gangs and leaders fail while one is partially placed.
-    standby_scenario: bool,
+    fails_leaders_amid_gangs: bool,
     /// Whether one-way partitions between controllers are injected.
-    one_way_partitions: bool,
+    has_one_way_partitions: bool,
     /// `None` if no election faults are injected.
     election_faults: Option<ElectionFaults>,
     pub jobs: Vec<JobSpec>,
     reported: BTreeMap<JobId, ReportedState>,
     /// Ids of the tasks that have run to completion.
-    done: BTreeSet<String>,
+    completed_tasks: BTreeSet<String>,
     /// Ids of the tasks that were on a machine shortly before the check of replicas.
     replicas_seen: BTreeSet<String>,
     pub counts: EventCounts,
@@ -118,7 +118,7 @@
     id.bytes().next_back().is_some_and(|digit| digit == b'5')
 }
 
-fn zone_number(zone: &str) -> usize {
+fn zone_index(zone: &str) -> usize {
     ZONES.iter().position(|known| *known == zone).expect("a known zone")
 }
 
@@ -131,21 +131,21 @@
             rng: StdRng::seed_from_u64(seed),
             now: MonotonicTime::ZERO,
             store: MemoryStore::default(),
-            lead: None,
+            leadership: None,
             outage_until: MonotonicTime::ZERO,
             zone_partitioned_until: [MonotonicTime::ZERO; ZONES.len()],
             controllers,
             machines: (1..=6).map(|n| Machine::new(n, MonotonicTime::ZERO)).collect(),
-            queue: BTreeMap::new(),
-            sent: 0,
+            event_queue: BTreeMap::new(),
+            messages_scheduled: 0,
             scenario: None,
-            standby_scenario: false,
-            one_way_partitions: false,
+            fails_leaders_amid_gangs: false,
+            has_one_way_partitions: false,
             election_faults: None,
             leader_fault_rate: if seed.is_multiple_of(2) { 20 } else { 4 },
             jobs: Vec::new(),
             reported: BTreeMap::new(),
-            done: BTreeSet::new(),
+            completed_tasks: BTreeSet::new(),
             replicas_seen: BTreeSet::new(),
             counts: EventCounts::default(),
         }
@@ -158,27 +158,31 @@
         simulation.controllers = (0..CONTROLLERS.len())
             .map(|n| Controller::new(n, Version::New, n as u64, MonotonicTime::ZERO))
             .collect();
-        simulation.standby_scenario = true;
+        simulation.fails_leaders_amid_gangs = true;
         simulation.leader_fault_rate = 4;
         simulation
     }
 
     /// Creates a day as `with_standbys` does, with one-way partitions between controllers in addition.
     pub fn with_one_way_partitions(seed: u64) -> Self {
-        Self { one_way_partitions: true, ..Self::with_standbys(seed) }
+        Self { has_one_way_partitions: true, ..Self::with_standbys(seed) }
     }
 
     /// Creates a day with one scenario of concurrent faults and no other fault of controllers or zones.
     pub fn with_scenario(kind: FaultScenario, seed: u64) -> Self {
         let mut simulation = Self::new(seed);
-        let starts_at = MonotonicTime::ZERO + simulation.span(45_000, 60_000);
-        simulation.scenario =
-            Some(ScheduledScenario { kind, starts_at, leader: 0, away_at: MonotonicTime::ZERO });
+        let starts_at = MonotonicTime::ZERO + simulation.random_duration(45_000, 60_000);
+        simulation.scenario = Some(ScheduledScenario {
+            kind,
+            starts_at,
+            leader: 0,
+            outage_starts_at: MonotonicTime::ZERO,
+        });
         simulation
     }
 
     /// Whether the job's tasks run for longer than the cancellation limit.
-    fn long(&self, id: &str) -> bool {
+    fn is_long_running(&self, id: &str) -> bool {
         self.scenario.is_some()
             || id.bytes().next_back().is_some_and(|digit| digit == b'3' || digit == b'8')
     }
@@ -189,17 +193,17 @@
     }
 
     /// Returns a random number from `from` up to, but not including, `to`.
-    fn number(&mut self, from: u64, to: u64) -> u64 {
+    fn random_in_range(&mut self, from: u64, to: u64) -> u64 {
         self.rng.random_range(from..to)
     }
 
     /// Returns a random duration; the bounds are in milliseconds, and `to` is exclusive.
-    fn span(&mut self, from: u64, to: u64) -> Duration {
-        ms(self.number(from, to))
+    fn random_duration(&mut self, from: u64, to: u64) -> Duration {
+        ms(self.random_in_range(from, to))
     }
 
     /// Whether the time is a multiple of this interval.
-    fn every(&self, span: Duration) -> bool {
+    fn now_is_multiple_of(&self, span: Duration) -> bool {
         self.now.as_millis().is_multiple_of(whole_millis(span))
     }
 
@@ -209,23 +213,23 @@
         if now < self.outage_until {
             return;
         }
-        if self.outage_until > MonotonicTime::ZERO && now < self.outage_until + STEP {
+        if self.outage_until > MonotonicTime::ZERO && now < self.outage_until + STEP_LENGTH {
             // After an outage the store gives every lease its full duration again.
-            if let Some(lead) = &mut self.lead {
-                lead.until = now + hookway_constants::LEADER_TTL;
+            if let Some(leadership) = &mut self.leadership {
+                leadership.expires_at = now + hookway_constants::LEADER_TTL;
             }
         }
-        if self.lead.as_ref().is_some_and(|lease| now >= lease.until) {
+        if self.leadership.as_ref().is_some_and(|lease| now >= lease.expires_at) {
             self.revoke_leadership();
         }
         if self.chance(1) && self.rng.random_range(0..2) == 0 {
-            self.outage_until = now + self.span(1_000, 64_000);
+            self.outage_until = now + self.random_duration(1_000, 64_000);
         }
     }
 
     /// Deletes the leader's key from the store, as the expiry or release of the leadership lease does.
     fn revoke_leadership(&mut self) {
-        self.lead = None;
+        self.leadership = None;
         let delete_leader =
             hookway_wire::Operation::delete(hookway_controller::records::LEADER_KEY);
         let _ = self
@@ -235,48 +239,49 @@
 
     /// Runs the day step by step until every job has finished, or until `END_AT`.
     pub fn run(&mut self) {
-        while self.now < END_AT && !self.finished() {
-            self.now += STEP;
+        while self.now < END_AT && !self.is_finished() {
+            self.now += STEP_LENGTH;
             self.inject_faults();
             self.expire_store_leases();
-            self.submit();
-            while let Some(entry) = self.queue.first_entry()
+            self.submit_random_job();
+            while let Some(entry) = self.event_queue.first_entry()
                 && entry.key().0 <= self.now
             {
                 let message = entry.remove();
                 self.deliver(message);
             }
             for m in 0..self.machines.len() {
-                self.run_machine(m);
+                self.step_machine(m);
             }
             if self.chance(2) {
                 // A machine fails, with all of its tasks.
                 let m = self.rng.random_range(0..self.machines.len());
-                self.machines[m].dead = true;
+                self.machines[m].terminated = true;
             }
             for n in 0..CONTROLLERS.len() {
-                self.run_controller(n);
+                self.step_controller(n);
             }
             self.check_replicas();
             self.query_and_cancel();
-            self.check_cancelled();
+            self.check_cancelled_jobs();
         }
     }
 
     /// Whether the faults have ended, every job has finished and no machine has a task.
-    fn finished(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.now > FAULTS_END_AT
-            && self.every(ms(5_000))
+            && self.now_is_multiple_of(ms(5_000))
             && self.jobs.iter().all(|spec| self.has_final_state(&spec.id))
-            && self.machines.iter().all(|m| m.dead || m.worker.unfinished_tasks().is_empty())
+            && self.machines.iter().all(|m| m.terminated || m.worker.unfinished_tasks().is_empty())
     }
 
     /// Describes a job's state on machines and leaders, for messages of failed assertions.
     pub fn describe(&self, id: &JobId) -> String {
         let spec = self.jobs.iter().find(|spec| spec.id == *id);
         let of_job = |task: &&String| task.starts_with(id.as_str());
-        let mut text = format!("{spec:?}\ndone: {}", self.done.iter().filter(of_job).count());
-        for machine in self.machines.iter().filter(|m| !m.dead) {
+        let mut text =
+            format!("{spec:?}\ndone: {}", self.completed_tasks.iter().filter(of_job).count());
+        for machine in self.machines.iter().filter(|m| !m.terminated) {
             let zone = machine.worker.zone();
             text +=
                 &format!("\n{} in {zone}: {:?}", machine.name, machine.worker.unfinished_tasks());
--- a/crates/controller/tests/simulation/scenarios.rs
+++ b/crates/controller/tests/simulation/scenarios.rs
@@ -1,14 +1,14 @@
 //! Fault scenarios: days with one combination of concurrent faults, at a time that depends on the seed.
 
-use super::{CONTROLLERS, Simulation, ms, zone_number};
+use super::{CONTROLLERS, Simulation, ms, zone_index};
 use hookway_time::MonotonicTime;
 use rand::RngExt;
 use std::time::Duration;
 
 /// Length of the store's outage: longer than the cancellation limit plus one worker lease.
-const OUTAGE: Duration = Duration::from_millis(64_000);
+const OUTAGE_LENGTH: Duration = Duration::from_millis(64_000);
 /// Length of the other faults of a scenario: they outlast the outage.
-const PARTITION: Duration = Duration::from_millis(100_000);
+const PARTITION_LENGTH: Duration = Duration::from_millis(100_000);
 
 /// A combination of concurrent faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -34,51 +34,55 @@
     /// The leader at the start of the scenario.
     pub leader: usize,
     /// Start of the store's outage; zero until the scenario has started.
-    pub away_at: MonotonicTime,
+    pub outage_starts_at: MonotonicTime,
 }
 
 impl Simulation {
     /// Injects the faults of the scenario at their times.
-    pub(super) fn run_scenario(&mut self) {
+    pub(super) fn inject_scenario_faults(&mut self) {
         let now = self.now;
         let Some(scenario) = &self.scenario else { return };
         if now < scenario.starts_at {
             return;
         }
         let kind = scenario.kind;
-        if scenario.away_at == MonotonicTime::ZERO {
-            let Some(leader) = self.lead.as_ref().map(|lease| lease.controller) else { return };
-            let away_at = match kind {
-                FaultScenario::OnlyLesseeReachable => now + self.span(3_000, 7_000),
-                _ => now + self.span(5_000, 9_000),
+        if scenario.outage_starts_at == MonotonicTime::ZERO {
+            let Some(leader) = self.leadership.as_ref().map(|lease| lease.controller) else {
+                return;
             };
-            self.scenario = Some(ScheduledScenario { kind, starts_at: now, leader, away_at });
+            let outage_starts_at = match kind {
+                FaultScenario::OnlyLesseeReachable => now + self.random_duration(3_000, 7_000),
+                _ => now + self.random_duration(5_000, 9_000),
+            };
+            self.scenario =
+                Some(ScheduledScenario { kind, starts_at: now, leader, outage_starts_at });
             let controller = &mut self.controllers[leader];
             match kind {
                 FaultScenario::LeaderRefused | FaultScenario::LeaderIsolated => {
-                    controller.store_unreachable_until = now + PARTITION;
-                    controller.refused = true;
+                    controller.store_unreachable_until = now + PARTITION_LENGTH;
+                    controller.is_refused_by_store = true;
                     if kind == FaultScenario::LeaderIsolated {
-                        controller.peers_unreachable_until = now + PARTITION;
+                        controller.peers_unreachable_until = now + PARTITION_LENGTH;
                     }
                 }
                 FaultScenario::LeaderZonePartitioned => {
-                    self.zone_partitioned_until[zone_number(CONTROLLERS[leader].1)] =
-                        now + PARTITION;
+                    self.zone_partitioned_until[zone_index(CONTROLLERS[leader].1)] =
+                        now + PARTITION_LENGTH;
                 }
                 FaultScenario::OnlyLesseeReachable => {
                     let in_other_zone = |zone: &str| zone != CONTROLLERS[leader].1;
                     let distant =
                         self.machines.iter_mut().filter(|m| in_other_zone(m.worker.zone()));
-                    distant.for_each(|m| m.partitioned_from = Some((leader, now + PARTITION)));
+                    distant
+                        .for_each(|m| m.partitioned_from = Some((leader, now + PARTITION_LENGTH)));
                 }
             }
-        } else if now >= scenario.away_at && now < scenario.away_at + ms(100) {
-            self.outage_until = now + OUTAGE;
+        } else if now >= scenario.outage_starts_at && now < scenario.outage_starts_at + ms(100) {
+            self.outage_until = now + OUTAGE_LENGTH;
             if kind == FaultScenario::OnlyLesseeReachable {
                 // From now on only the shard lease permits the lessee to extend worker leases.
                 let leader = scenario.leader;
-                self.controllers[leader].peers_unreachable_until = now + PARTITION;
+                self.controllers[leader].peers_unreachable_until = now + PARTITION_LENGTH;
             }
         }
     }
@@ -86,17 +90,15 @@
     /// Cancels every job, at the controller that the scenario requires, between its start and the store's outage.
     pub(super) fn cancel_in_scenario(&mut self) {
         let now = self.now;
-        let Some(scenario) = self
-            .scenario
-            .as_ref()
-            .filter(|scenario| scenario.away_at > MonotonicTime::ZERO && now < scenario.away_at)
-        else {
+        let Some(scenario) = self.scenario.as_ref().filter(|scenario| {
+            scenario.outage_starts_at > MonotonicTime::ZERO && now < scenario.outage_starts_at
+        }) else {
             return;
         };
         let (kind, leader) = (scenario.kind, scenario.leader);
         let ready = match kind {
             FaultScenario::OnlyLesseeReachable => now < scenario.starts_at + ms(2_000),
-            _ => self.lead.as_ref().is_none_or(|lease| lease.controller != leader),
+            _ => self.leadership.as_ref().is_none_or(|lease| lease.controller != leader),
         };
         if !ready {
             return;
--- a/crates/controller/tests/simulation/standbys.rs
+++ b/crates/controller/tests/simulation/standbys.rs
@@ -9,24 +9,24 @@
 use std::time::Duration;
 
 /// Interval at which a leader's published entries are compared with its cluster state.
-const COMPARE_EVERY: Duration = Duration::from_millis(5_000);
+const COMPARE_INTERVAL: Duration = Duration::from_millis(5_000);
 
 impl Simulation {
     /// Requests the entries that the copy of follower `n` lacks, if it and the leader have the new version.
-    pub(super) fn follow(&mut self, n: usize) {
+    pub(super) fn send_follow_request(&mut self, n: usize) {
         let controller = &self.controllers[n];
         let Some(leader) = controller.observed_leader.filter(|leader| *leader != n) else { return };
         let both_new =
             [n, leader].iter().all(|index| self.controllers[*index].version == Version::New);
-        if !both_new || !self.every(constants::FOLLOW_INTERVAL) {
+        if !both_new || !self.now_is_multiple_of(constants::FOLLOW_INTERVAL) {
             return;
         }
         let (nonce, request) = (controller.nonce, controller.follower.request());
-        self.send(|| Message::Follow(n, leader, nonce, request.clone()));
+        self.send(|| Message::FollowRequest(n, leader, nonce, request.clone()));
     }
 
     /// Delivers a follower's request to controller `n`, which responds if it leads.
-    pub(super) fn follow_arrives(
+    pub(super) fn deliver_follow_request(
         &mut self,
         from: usize,
         n: usize,
@@ -34,18 +34,18 @@
         request: &FollowRequest,
     ) {
         let now = self.now;
-        if !self.peers_linked(from, n) || !self.controllers[n].may_lead(now) {
+        if !self.are_peers_connected(from, n) || !self.controllers[n].may_lead(now) {
             return;
         }
         let Some(leader) = &mut self.controllers[n].leader else { return };
         leader.cluster.publish(&mut leader.publisher);
         let response =
             leader.publisher.respond(request, now).expect("a state that fits a response");
-        self.send(|| Message::Followed(from, n, nonce, response.clone()));
+        self.send(|| Message::FollowResponse(from, n, nonce, response.clone()));
     }
 
     /// Delivers a leader's response, possibly delayed or duplicated, to follower `n`.
-    pub(super) fn followed_arrives(
+    pub(super) fn deliver_follow_response(
         &mut self,
         n: usize,
         from: usize,
@@ -53,16 +53,16 @@
         response: FollowResponse,
     ) {
         let now = self.now;
-        let linked = self.peers_linked(from, n);
+        let connected = self.are_peers_connected(from, n);
         let controller = &mut self.controllers[n];
         // A connection ends with its process.
         let observed =
-            linked && now >= controller.responses_lost_until && controller.nonce == nonce;
+            connected && now >= controller.responses_lost_until && controller.nonce == nonce;
         if !observed || controller.leader.is_some() {
             return;
         }
         let refused = controller.follower.handle_response(response, now).is_err();
-        self.counts.refused_responses += usize::from(refused);
+        self.counts.rejected_follow_responses += usize::from(refused);
     }
 
     /// May inject a one-way partition: a controller's requests reach the others, but their responses don't reach it.
@@ -70,12 +70,13 @@
         if self.chance(6) {
             self.counts.one_way_partitions += 1;
             let n = self.rng.random_range(0..self.controllers.len());
-            self.controllers[n].responses_lost_until = self.now + self.span(1_000, 30_000);
+            self.controllers[n].responses_lost_until =
+                self.now + self.random_duration(1_000, 30_000);
         }
     }
 
     /// Returns the mean number of steps until a controller campaigns while nobody leads: fewer with a usable copy.
-    pub(super) fn election_steps(&self, n: usize) -> u32 {
+    pub(super) fn mean_steps_to_campaign(&self, n: usize) -> u32 {
         let warm = self.controllers[n].follower.usable_copy(u64::MAX, self.now).is_ok();
         if warm { 2 } else { 8 }
     }
@@ -92,7 +93,7 @@
 
     /// Checks that the entries published so far amount to the whole cluster state of the leader.
     pub(super) fn check_published_entries(&self, leader: &mut Leader) {
-        if !self.every(COMPARE_EVERY) {
+        if !self.now_is_multiple_of(COMPARE_INTERVAL) {
             return;
         }
         leader.cluster.publish(&mut leader.publisher);
--- a/crates/controller/tests/simulation/users.rs
+++ b/crates/controller/tests/simulation/users.rs
@@ -1,6 +1,6 @@
 //! Users: submissions, status queries and cancellations at any controller, and the checks of the responses.
 
-use super::{CONTROLLERS, Message, REPLICAS_AT, Simulation, Version, always_fails, ms};
+use super::{CONTROLLERS, Message, REPLICAS_CHECKED_AT, Simulation, Version, always_fails, ms};
 use hookway_controller::cluster_state::{CancelOutcome, JobLookup};
 use hookway_controller::records::{JobRecord, LEADER_KEY, final_state_key, job_key};
 use hookway_wire::{JobId, JobSpec, JobState, Operation, Precondition, Transaction};
@@ -21,7 +21,7 @@
 impl Simulation {
     /// May submit a job with random properties.
     #[expect(clippy::too_many_lines, reason = "the steps of one simulated event, in order")]
-    pub(super) fn submit(&mut self) {
+    pub(super) fn submit_random_job(&mut self) {
         let (max_jobs, per_mille) = match (&self.scenario, &self.election_faults) {
             (Some(_), _) => (14, 30),
             (None, None) => (40, 30),
@@ -32,19 +32,21 @@
             return;
         }
         let job_number = self.jobs.len();
-        let gang = self.rng.random_range(0..3) < if self.standby_scenario { 2 } else { 1 };
+        let gang = self.rng.random_range(0..3) < if self.fails_leaders_amid_gangs { 2 } else { 1 };
         let team = if self.rng.random_range(0..4) == 0 { "tight" } else { "team" };
         let tasks = match team {
             // All tasks of a gang must fit its team's quota at once.
-            _ if gang && self.standby_scenario => {
-                self.number(2, if team == "tight" { 5 } else { 7 })
+            _ if gang && self.fails_leaders_amid_gangs => {
+                self.random_in_range(2, if team == "tight" { 5 } else { 7 })
+            }
+            _ if gang || self.is_long_running(&job_number.to_string()) => {
+                self.random_in_range(1, 4)
             }
-            _ if gang || self.long(&job_number.to_string()) => self.number(1, 4),
             // Small arrays, since large ones would fill all machines and leave no resources to complete gangs.
-            _ if self.standby_scenario => self.number(1, 8),
-            _ if self.election_faults.is_some() => self.number(1, 12),
-            "tight" => self.number(1, 16),
-            _ => self.number(1, 80),
+            _ if self.fails_leaders_amid_gangs => self.random_in_range(1, 8),
+            _ if self.election_faults.is_some() => self.random_in_range(1, 12),
+            "tight" => self.random_in_range(1, 16),
+            _ => self.random_in_range(1, 80),
         };
         // Daemons are a feature of the new version, so users submit them only after the upgrade of all controllers.
         let all_upgraded =
@@ -71,13 +73,13 @@
         );
         let spec = JobSpec::parse(text.as_bytes()).expect("a valid job");
         let accepting = (0..CONTROLLERS.len())
-            .find(|n| self.store_reachable(*n) && self.controllers[*n].up(self.now));
+            .find(|n| self.can_reach_store(*n) && self.controllers[*n].is_responsive(self.now));
         if accepting.is_none() {
             return;
         }
         let record = JobRecord {
             spec: spec.clone(),
-            accepted_at_ms: self.moment().wall.as_unix_millis(),
+            accepted_at_ms: self.timestamp().wall.as_unix_millis(),
             has_start_watermark: true,
         };
         let value = serde_json::to_value(record).expect("a job record that serializes");
@@ -93,7 +95,7 @@
         if self.jobs.is_empty() {
             return;
         }
-        if self.now >= REPLICAS_AT && self.every(ms(5_000)) {
+        if self.now >= REPLICAS_CHECKED_AT && self.now_is_multiple_of(ms(5_000)) {
             let never_done = |spec: &&JobSpec| always_fails(spec.id.as_str()) || spec.is_daemon();
             let to_cancel = self.jobs.iter().filter(never_done);
             let ids: Vec<JobId> = to_cancel.map(|spec| spec.id.clone()).collect();
@@ -107,12 +109,12 @@
         let index = self.rng.random_range(0..self.jobs.len());
         let id = self.jobs[index].id.clone();
         for n in 0..CONTROLLERS.len() {
-            self.query_at(n, &id);
+            self.query_status_at(n, &id);
         }
         // More cancellations while a controller can't reach the store, and most while nobody leads.
         let store_unreachable =
             self.controllers.iter().any(|controller| self.now < controller.store_unreachable_until);
-        let rate = match (&self.lead, store_unreachable) {
+        let rate = match (&self.leadership, store_unreachable) {
             _ if self.scenario.is_some() => 0,
             (None, _) => 250,
             (_, true) => 25,
@@ -125,8 +127,8 @@
     }
 
     /// Queries a job's state at a controller, and checks that the response does not contradict earlier ones.
-    fn query_at(&mut self, n: usize, id: &JobId) {
-        let Some(observed) = self.state_at(n, id) else { return };
+    fn query_status_at(&mut self, n: usize, id: &JobId) {
+        let Some(observed) = self.status_at(n, id) else { return };
         self.counts.status_queries += 1;
         let reported = self.reported.entry(id.clone()).or_default();
         assert!(
@@ -147,12 +149,12 @@
     }
 
     /// Returns the state that the API of a controller responds with; `None` if it gives no response.
-    fn state_at(&mut self, n: usize, id: &JobId) -> Option<ObservedState> {
-        if !self.controllers[n].up(self.now) {
+    fn status_at(&mut self, n: usize, id: &JobId) -> Option<ObservedState> {
+        if !self.controllers[n].is_responsive(self.now) {
             return None;
         }
-        if self.controllers[n].finished.contains(id) {
-            return self.stored(id);
+        if self.controllers[n].finished_jobs.contains(id) {
+            return self.stored_state(id);
         }
         let leader = self.reachable_leader(n);
         if let Some(leader) = leader {
@@ -160,14 +162,14 @@
             match cluster.status(id) {
                 JobLookup::Known(status) => return Some(ObservedState::State(status.state)),
                 JobLookup::CommitInFlight | JobLookup::UnknownJob
-                    if leader != n && self.store_reachable(leader) =>
+                    if leader != n && self.can_reach_store(leader) =>
                 {
-                    return self.stored(id);
+                    return self.stored_state(id);
                 }
                 JobLookup::CommitInFlight | JobLookup::UnknownJob => {}
             }
         }
-        if self.store_reachable(n) { self.stored(id) } else { None }
+        if self.can_reach_store(n) { self.stored_state(id) } else { None }
     }
 
     /// Returns the controller that may act as leader and that `n` can reach, possibly `n` itself.
@@ -178,14 +180,14 @@
         }
         let observed_leader = self.controllers[n].observed_leader?;
         let reachable = leads(observed_leader)
-            && self.peers_linked(n, observed_leader)
-            && self.controllers[observed_leader].up(self.now);
+            && self.are_peers_connected(n, observed_leader)
+            && self.controllers[observed_leader].is_responsive(self.now);
         reachable.then_some(observed_leader)
     }
 
     /// Returns the job's state in the store; a job with no final state counts as queued. `None` if its final record is
     /// unreadable.
-    fn stored(&self, id: &JobId) -> Option<ObservedState> {
+    fn stored_state(&self, id: &JobId) -> Option<ObservedState> {
         if self.store.get(&job_key(id)).is_some() {
             return Some(ObservedState::State(JobState::Queued));
         }
@@ -197,7 +199,9 @@
 
     /// Cancels a job at a controller: at the leader if that is reachable, otherwise in the store if nobody leads.
     pub(super) fn cancel_at(&mut self, n: usize, id: &JobId) {
-        if !self.controllers[n].up(self.now) || self.controllers[n].finished.contains(id) {
+        if !self.controllers[n].is_responsive(self.now)
+            || self.controllers[n].finished_jobs.contains(id)
+        {
             return;
         }
         if let Some(index) = self.reachable_leader(n) {
@@ -208,7 +212,7 @@
             return;
         }
         // No leader is reachable: the transaction has the precondition that nobody leads.
-        if !self.store_reachable(n) || self.store.get(&job_key(id)).is_none() {
+        if !self.can_reach_store(n) || self.store.get(&job_key(id)).is_none() {
             return;
         }
         let record = serde_json::json!({ "state": "withdrawn", "done": 0, "owner": "team" });
@@ -224,8 +228,8 @@
         };
         if self.chance(100) {
             // The response is lost, and the transaction is applied late if its preconditions still hold.
-            let at = self.now + self.span(10, 12_000);
-            return self.at(at, Message::DelayedTransaction(transaction));
+            let at = self.now + self.random_duration(10, 12_000);
+            return self.schedule(at, Message::DelayedTransaction(transaction));
         }
         if self.store.commit(&transaction).is_ok() {
             self.counts.cancelled_without_leader += 1;
@@ -238,7 +242,7 @@
         self.counts.cancelled += 1;
         let now = self.now;
         self.reported.entry(id.clone()).or_default().cancelled_at.get_or_insert(now);
-        self.controllers[n].finished.insert(id.clone());
+        self.controllers[n].finished_jobs.insert(id.clone());
         for other in (0..CONTROLLERS.len()).filter(|other| *other != n) {
             self.send(|| Message::JobFinished(other, n, id.clone()));
         }
@@ -251,7 +255,8 @@
             let Some(kv) = self.store.get(&final_state_key(id)) else { continue };
             if kv.value["state"].as_str() == Some("done") {
                 assert!(!spec.is_daemon(), "the daemon {id} has the final state done");
-                let all_done = (0..spec.tasks).all(|i| self.done.contains(&format!("{id}/{i}")));
+                let all_done =
+                    (0..spec.tasks).all(|i| self.completed_tasks.contains(&format!("{id}/{i}")));
                 assert!(all_done, "{id} has the final state done before all of its tasks are");
             }
         }
--- a/crates/testkit/src/fleet/heartbeats.rs
+++ b/crates/testkit/src/fleet/heartbeats.rs
@@ -47,7 +47,7 @@
                     if !self.lock().machines[machine].partitioned =>
                 {
                     let changed = serde_json::from_slice::<HeartbeatResponse>(&body)
-                        .is_ok_and(|response| self.handle_response(machine, &response, sent_at));
+                        .is_ok_and(|response| self.apply_response(machine, &response, sent_at));
                     let interval = config.heartbeat_interval;
                     next_at =
                         sent_at + if changed { interval.min(PROMPT_INTERVAL) } else { interval };
@@ -89,7 +89,7 @@
 
     /// Applies the response to a heartbeat and checks the starts. Returns whether the response had a higher fencing
     /// token or commands.
-    fn handle_response(
+    fn apply_response(
         &self,
         machine: usize,
         response: &HeartbeatResponse,
@@ -97,12 +97,12 @@
     ) -> bool {
         let mut state = self.lock();
         let worker = &mut state.machines[machine].worker;
-        let checked = worker.started_attempts.len();
+        let starts_before = worker.started_attempts.len();
         let is_new_leader = response.fencing_token > worker.fencing_token;
         if worker.handle_response(response) {
             state.machines[machine].lease_started_at = sent_at;
         }
-        state.check_starts(machine, checked);
+        state.check_starts(machine, starts_before);
         is_new_leader || !response.commands.is_empty()
     }
 }
--- a/crates/testkit/src/fleet/http.rs
+++ b/crates/testkit/src/fleet/http.rs
@@ -33,11 +33,11 @@
             res.status_code(StatusCode::SERVICE_UNAVAILABLE);
             return;
         }
-        let checked = machine.worker.started_attempts.len();
+        let starts_before = machine.worker.started_attempts.len();
         match machine.worker.handle_direct_commands(&commands) {
             Some(heartbeat) => {
                 res.render(Json(heartbeat));
-                state.check_starts(self.machine, checked);
+                state.check_starts(self.machine, starts_before);
             }
             None => {
                 res.status_code(StatusCode::CONFLICT);
--- a/crates/testkit/src/fleet/state.rs
+++ b/crates/testkit/src/fleet/state.rs
@@ -81,15 +81,15 @@
         tasks.filter(|task| task.state != TaskState::Ended).cloned().collect()
     }
 
-    /// Records the starts of a worker after its first `checked` ones. Checks that no task is on two machines, and that
+    /// Records the starts of a worker after its first `starts_before` ones. Checks that no task is on two machines, and that
     /// no attempt starts twice on the same machine.
-    pub(super) fn check_starts(&mut self, index: usize, checked: usize) {
+    pub(super) fn check_starts(&mut self, index: usize, starts_before: usize) {
         let started: Vec<(String, u64)> =
-            self.machines[index].worker.started_attempts[checked..].to_vec();
+            self.machines[index].worker.started_attempts[starts_before..].to_vec();
         for (task, attempt) in started {
             self.record(index, &task, attempt, TaskEvent::Start);
             self.machines[index].task_changed_at.insert(task.clone(), Instant::now());
-            let earlier = &self.machines[index].worker.started_attempts[..checked];
+            let earlier = &self.machines[index].worker.started_attempts[..starts_before];
             if earlier.contains(&(task.clone(), attempt)) {
                 self.violations.push(format!("{task} attempt {attempt} twice on m-{index}"));
             }
--- a/crates/testkit/src/store_server.rs
+++ b/crates/testkit/src/store_server.rs
@@ -169,7 +169,7 @@
     }
 
     /// Whether the response to the current transaction is lost. Decrements the number of responses to lose.
-    fn takes_lost_commit_response(&self) -> bool {
+    fn consume_lost_commit_response(&self) -> bool {
         let mut state = self.lock();
         let is_lost = state.commit_responses_to_lose > 0;
         state.commit_responses_to_lose -= usize::from(is_lost);
--- a/crates/testkit/src/store_server/http.rs
+++ b/crates/testkit/src/store_server/http.rs
@@ -31,7 +31,7 @@
 impl Handler for EndpointHandler {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let Self { server, endpoint } = self;
-        if server.refuse_in_outage() {
+        if server.refuses_in_outage() {
             res.status_code(StatusCode::SERVICE_UNAVAILABLE);
             return;
         }
@@ -58,7 +58,7 @@
 
 impl StoreServer {
     /// Whether there is an outage. If so, counts the request as refused.
-    fn refuse_in_outage(&self) -> bool {
+    fn refuses_in_outage(&self) -> bool {
         let mut state = self.lock();
         if !state.outage {
             return false;
@@ -98,7 +98,7 @@
         }
         let outcome = self.with_store(|store| store.commit(&transaction));
         let revision = self.lock().store.revision();
-        if self.takes_lost_commit_response() {
+        if self.consume_lost_commit_response() {
             // To the client this is the same as a response that never arrives, without the wait for its timeout.
             res.status_code(StatusCode::GATEWAY_TIMEOUT);
             return;
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -78,7 +78,7 @@
         for command in &response.commands {
             match command {
                 Command::Run { task, attempt } => {
-                    if self.find(task, *attempt).is_none() {
+                    if self.position_of(task, *attempt).is_none() {
                         self.started_attempts.push((task.clone(), *attempt));
                         self.state.tasks.push(TaskStatus {
                             task: task.clone(),
@@ -90,10 +90,10 @@
                     }
                 }
                 Command::Kill { task, attempt, .. } => {
-                    if let Some(index) = self.find(task, *attempt)
+                    if let Some(index) = self.position_of(task, *attempt)
                         && self.state.tasks[index].state != TaskState::Ended
                     {
-                        self.end_at(index, ExitCause::Stopped);
+                        self.end_task_at(index, ExitCause::Stopped);
                     }
                 }
                 Command::Reap { task, attempt } => {
@@ -123,11 +123,11 @@
         Some(self.heartbeat())
     }
 
-    fn find(&self, task: &str, attempt: u64) -> Option<usize> {
+    fn position_of(&self, task: &str, attempt: u64) -> Option<usize> {
         self.state.tasks.iter().position(|status| status.task == task && status.attempt == attempt)
     }
 
-    fn end_at(&mut self, index: usize, cause: ExitCause) {
+    fn end_task_at(&mut self, index: usize, cause: ExitCause) {
         self.state.tasks[index].state = TaskState::Ended;
         self.state.tasks[index].cause = Some(cause);
     }
@@ -139,7 +139,7 @@
 
     /// Returns the state of an attempt; `None` if it is not on the machine or has ended.
     pub fn task_state(&self, task: &str, attempt: u64) -> Option<TaskState> {
-        let found = &self.state.tasks[self.find(task, attempt)?];
+        let found = &self.state.tasks[self.position_of(task, attempt)?];
         (found.state != TaskState::Ended).then_some(found.state)
     }
 
@@ -175,7 +175,7 @@
             .iter()
             .position(|status| status.task == task && status.state != TaskState::Ended);
         if let Some(index) = found {
-            self.end_at(index, cause);
+            self.end_task_at(index, cause);
         }
         found.is_some()
     }
--- a/crates/testkit/tests/reserved_address.rs
+++ b/crates/testkit/tests/reserved_address.rs
@@ -5,7 +5,7 @@
 use std::net::TcpListener;
 
 #[tokio::test]
-async fn reserved_address_can_be_listened_on_repeatedly_and_is_given_to_nobody_else() {
+async fn reserved_address_can_be_listened_on_repeatedly_and_is_assigned_to_no_other_socket() {
     let reserved = ReservedAddress::reserve().expect("a free port");
     let address = reserved.address();
     for _ in 0..2 {
