--- a/crates/controller/tests/concurrent_faults.rs
+++ b/crates/controller/tests/concurrent_faults.rs
@@ -261,8 +261,8 @@
 }
 
 /// No task starts on a machine before its registration is committed. Otherwise the next leader would know nothing of a
-/// new machine that the cloud does not list yet, and would start the machine's tasks again elsewhere. Here the commits
-/// of the registration get no response, and the leader changes.
+/// new machine that the cloud does not list yet, and would start the machine's tasks again elsewhere. This happens when
+/// new machines boot within two seconds while commits are delayed, and the leader changes.
 #[test]
 fn machine_without_committed_registration_gets_no_task() {
     let mut harness = LeaderHarness::start();
@@ -347,7 +347,7 @@
     reachable.expire_lease();
 }
 
-/// The tasks of a job complete one by one in different terms: no later leader starts a completed task again.
+/// The tasks of a small job complete one by one in different terms: no later leader starts a completed task again.
 #[test]
 fn small_job_completing_across_failovers_runs_each_task_once() {
     let mut harness = LeaderHarness::start();
--- a/crates/controller/tests/simulated_days.rs
+++ b/crates/controller/tests/simulated_days.rs
@@ -47,8 +47,8 @@
     days.iter().fold(EventCounts::default(), EventCounts::plus)
 }
 
-/// Cancellations are confirmed by another controller while the store refuses the leader. `check_cancelled_jobs` must hold:
-/// no task of a cancelled job runs beyond the cancellation limit.
+/// Cancellations are confirmed by another controller while the store refuses the leader. Still no task of a cancelled
+/// job may run beyond the cancellation limit (`check_cancelled_jobs`).
 #[test]
 fn tasks_cancelled_while_leader_is_refused_are_removed_within_limit() {
     let totals = run_scenario_days(FaultScenario::LeaderRefused, 24);
@@ -108,8 +108,7 @@
     assert!(totals.warm_starts > 10, "{totals:?}");
 }
 
-/// Leaders crash or freeze while gangs are partially placed, and new leaders start from standby copies that may be
-/// behind the old leader.
+/// Leaders crash or freeze while gangs are partially placed, and new leaders have standby copies of any age.
 #[test]
 fn standby_failover_amid_gangs_violates_no_invariant() {
     let days: Vec<EventCounts> =
--- a/crates/controller/tests/simulation/leases.rs
+++ b/crates/controller/tests/simulation/leases.rs
@@ -86,9 +86,9 @@
         let local_now = controller.local_time(self.now);
         // A connection ends with its process, and a response after the timeout is ignored.
         let in_time = local_now < sent_at + constants::PEER_TIMEOUT;
-        let observed = self.now >= controller.responses_lost_until;
+        let response_delivered = self.now >= controller.responses_lost_until;
         if connected
-            && observed
+            && response_delivered
             && controller.nonce == nonce
             && in_time
             && controller.leader.is_none()
--- a/crates/controller/tests/simulation/machines.rs
+++ b/crates/controller/tests/simulation/machines.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Run time of a daemon's replica. It then exits, which does not complete the job.
+/// Run time of a daemon's replica while faults are injected. Its exit does not complete the job.
 const REPLICA_RUN_TIME: Duration = Duration::from_millis(40_000);
 
 /// Time within which a moved replica must run again.
@@ -337,7 +337,7 @@
                 machine.next_heartbeat = machine.next_heartbeat.min(now + ms(100));
                 continue;
             }
-            // Replicas run until the end of the day, except for some that exit before.
+            // A daemon's replicas exit after a while as long as faults are injected, and run on afterwards.
             let daemon = |j: &JobSpec| j.id.as_str() == id && j.is_daemon();
             let daemon = self.jobs.iter().any(daemon);
             let run_time = match task.ends_with('7') {
--- a/crates/controller/tests/simulation/messages.rs
+++ b/crates/controller/tests/simulation/messages.rs
@@ -53,7 +53,7 @@
     Response(HeartbeatResponse),
     /// To the controller that leads, if it is known and reachable.
     Redirect(Option<usize>),
-    /// From a controller that can't respond now, although it leads or led.
+    /// From a controller that leads or led, but has no response to this heartbeat.
     Unavailable,
 }
 
--- a/crates/controller/tests/simulation/mod.rs
+++ b/crates/controller/tests/simulation/mod.rs
@@ -1,8 +1,8 @@
 //! A deterministic simulation of a cluster: controllers, machines, users, the store, the cloud and the network between
 //! them, on a simulated clock with an event queue. All random choices come from one seed.
 //!
-//! Fault injection: Messages are delayed, lost, duplicated and reordered. Controllers are killed, frozen, partitioned
-//! from the store, from one another or from workers, or are the only ones that the store refuses. The store has
+//! Fault injection: Messages are delayed, lost, duplicated and reordered. Controllers are killed, frozen, or
+//! partitioned from the store, from one another or from workers; the store refuses single controllers. The store has
 //! outages, after which its leases get their full duration again. Zones and machines are partitioned; machines hang,
 //! lose one direction of their network, or fail with all of their tasks.
 //!
--- a/crates/controller/tests/simulation/network.rs
+++ b/crates/controller/tests/simulation/network.rs
@@ -12,7 +12,7 @@
         self.event_queue.insert((time, self.messages_scheduled), message);
     }
 
-    /// Sends a message over the network, which may delay, duplicate or lose it. Each call of `make` returns a copy of it.
+    /// Sends a message over the network, which may delay, duplicate or lose it. Each call of `make` returns a copy.
     pub(super) fn send(&mut self, make: impl Fn() -> Message) {
         let is_direct = matches!(make(), Message::DirectCommands(..));
         let mut copies = 1;
@@ -52,9 +52,9 @@
 
     /// Whether two controllers can reach each other.
     pub(super) fn are_peers_connected(&self, first: usize, second: usize) -> bool {
-        let open = |n: usize| self.now >= self.controllers[n].peers_unreachable_until;
-        open(first)
-            && open(second)
+        let reaches_peers = |n: usize| self.now >= self.controllers[n].peers_unreachable_until;
+        reaches_peers(first)
+            && reaches_peers(second)
             && self.are_zones_connected(CONTROLLERS[first].1, CONTROLLERS[second].1)
     }
 
--- a/crates/controller/tests/simulation/standbys.rs
+++ b/crates/controller/tests/simulation/standbys.rs
@@ -56,9 +56,9 @@
         let connected = self.are_peers_connected(from, n);
         let controller = &mut self.controllers[n];
         // A connection ends with its process.
-        let observed =
+        let response_delivered =
             connected && now >= controller.responses_lost_until && controller.nonce == nonce;
-        if !observed || controller.leader.is_some() {
+        if !response_delivered || controller.leader.is_some() {
             return;
         }
         let refused = controller.follower.handle_response(response, now).is_err();
--- a/crates/controller/tests/simulation/users.rs
+++ b/crates/controller/tests/simulation/users.rs
@@ -185,8 +185,8 @@
         reachable.then_some(observed_leader)
     }
 
-    /// Returns the job's state in the store; a job with no final state counts as queued. `None` if its final record is
-    /// unreadable.
+    /// Returns the job's state in the store; a job that still has its job record counts as queued. `None` if its final
+    /// record is unreadable.
     fn stored_state(&self, id: &JobId) -> Option<ObservedState> {
         if self.store.get(&job_key(id)).is_some() {
             return Some(ObservedState::State(JobState::Queued));
--- a/crates/testkit/src/fleet/state.rs
+++ b/crates/testkit/src/fleet/state.rs
@@ -81,8 +81,8 @@
         tasks.filter(|task| task.state != TaskState::Ended).cloned().collect()
     }
 
-    /// Records the starts of a worker after its first `starts_before` ones. Checks that no task is on two machines, and that
-    /// no attempt starts twice on the same machine.
+    /// Records the starts of a worker after its first `starts_before` ones. Checks that no task is on two machines, and
+    /// that no attempt starts twice on the same machine.
     pub(super) fn check_starts(&mut self, index: usize, starts_before: usize) {
         let started: Vec<(String, u64)> =
             self.machines[index].worker.started_attempts[starts_before..].to_vec();
