--- a/crates/testkit/src/fleet/heartbeats.rs
+++ b/crates/testkit/src/fleet/heartbeats.rs
@@ -8,21 +8,22 @@
 
 /// Time after which a worker gives up on a heartbeat (given by the protocol).
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
-/// Delay of the next heartbeat after one without usable response.
+/// Delay of the next heartbeat after one without a usable response.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Longest interval to the next heartbeat after a response that changed something.
+/// Maximum interval to the next heartbeat after a response with commands or a higher fencing token.
 const PROMPT_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval at which a worker checks whether a heartbeat is due.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// An encoded heartbeat.
+/// A heartbeat, encoded as JSON.
 struct EncodedHeartbeat {
     body: Vec<u8>,
     sent_at: Instant,
 }
 
 impl Fleet {
-    /// Sends the heartbeats of a machine to the leader, until the test ends.
+    /// Sends the heartbeats of a machine until the test ends. Follows redirects, and tries the controllers in turn
+    /// while none accepts its heartbeats.
     pub(super) async fn send_heartbeats(
         self,
         machine: usize,
@@ -46,7 +47,7 @@
                     if !self.lock().machines[machine].partitioned =>
                 {
                     let changed = serde_json::from_slice::<HeartbeatResponse>(&body)
-                        .is_ok_and(|response| self.handle_response(machine, &response, sent_at));
+                        .is_ok_and(|response| self.apply_response(machine, &response, sent_at));
                     let interval = config.heartbeat_interval;
                     next_at =
                         sent_at + if changed { interval.min(PROMPT_INTERVAL) } else { interval };
@@ -63,7 +64,7 @@
         }
     }
 
-    /// The heartbeat of a machine, if one is due; advances its tasks before.
+    /// Expires the worker's lease if it is due and advances the tasks. Returns the heartbeat if one is due.
     fn next_heartbeat(
         &self,
         machine: usize,
@@ -86,8 +87,9 @@
         Some(EncodedHeartbeat { body, sent_at: now })
     }
 
-    /// Handles the response to a heartbeat. Returns whether it had a higher fencing token or commands.
-    fn handle_response(
+    /// Applies the response to a heartbeat and checks the starts. Returns whether the response had a higher fencing
+    /// token or commands.
+    fn apply_response(
         &self,
         machine: usize,
         response: &HeartbeatResponse,
@@ -95,17 +97,17 @@
     ) -> bool {
         let mut state = self.lock();
         let worker = &mut state.machines[machine].worker;
-        let checked = worker.started_attempts.len();
+        let starts_before = worker.started_attempts.len();
         let is_new_leader = response.fencing_token > worker.fencing_token;
         if worker.handle_response(response) {
             state.machines[machine].lease_started_at = sent_at;
         }
-        state.check_starts(machine, checked);
+        state.check_starts(machine, starts_before);
         is_new_leader || !response.commands.is_empty()
     }
 }
 
-/// Index of the controller that a redirect names, if it is known.
+/// Returns the index of the controller that a redirect names, if it is one of `controllers`.
 fn redirect_target(controllers: &[ControllerAddress], body: &[u8]) -> Option<usize> {
     let leader = serde_json::from_slice::<HeartbeatRedirect>(body).ok()?.leader?;
     controllers.iter().position(|controller| controller.name == leader)
--- a/crates/testkit/src/fleet/http.rs
+++ b/crates/testkit/src/fleet/http.rs
@@ -1,4 +1,4 @@
-//! HTTP handlers of a fleet: the commands of its workers, and the API of its cloud.
+//! HTTP handlers of a fleet: direct commands to its workers, and the API of its cloud.
 
 use super::Fleet;
 use super::state::{FleetMachine, MACHINE_TYPE};
@@ -16,7 +16,7 @@
 /// Accepts direct commands for one machine.
 pub(super) struct CommandHandler {
     pub(super) fleet: Fleet,
-    /// Index of the machine.
+    /// Index of the machine in the fleet.
     pub(super) machine: usize,
 }
 
@@ -33,11 +33,11 @@
             res.status_code(StatusCode::SERVICE_UNAVAILABLE);
             return;
         }
-        let checked = machine.worker.started_attempts.len();
+        let starts_before = machine.worker.started_attempts.len();
         match machine.worker.handle_direct_commands(&commands) {
             Some(heartbeat) => {
                 res.render(Json(heartbeat));
-                state.check_starts(self.machine, checked);
+                state.check_starts(self.machine, starts_before);
             }
             None => {
                 res.status_code(StatusCode::CONFLICT);
@@ -47,7 +47,7 @@
     }
 }
 
-/// A request to the cloud.
+/// The kinds of requests to the cloud.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum CloudCall {
     ListMachineTypes,
