--- a/crates/controller/tests/cluster_state/autoscaling.rs
+++ b/crates/controller/tests/cluster_state/autoscaling.rs
@@ -1,4 +1,4 @@
-//! Autoscaling: scale-out, machines that do not boot, and machines kept for a class.
+//! Autoscaling: scale-out, machines that do not boot, and idle machines reserved for a job class.
 
 use crate::harness::{
     LeaderHarness, at, job, listed_machine, ms, small_worker, test_config, timestamp,
@@ -35,7 +35,7 @@
         }
         harness.commit_pending();
     }
-    assert!(deleted.contains(&"m-1".to_owned()), "machine that does not boot is deleted");
+    assert!(deleted.contains(&"m-1".to_owned()), "a machine that does not boot is deleted");
     assert!(scaled_out >= 2, "a replacement is requested");
     assert!(!harness.is_registered("m-1"));
 }
@@ -54,8 +54,8 @@
 
 #[test]
 fn unavailable_capacity_makes_scale_out_try_every_zone_and_kind() {
-    // Much unplaced demand; the cloud has no capacity for any offer and responds to three requests a
-    // second.
+    // Unplaced demand needs thousands of machines; the cloud has no capacity for any offer and
+    // responds to three requests per second.
     let mut harness = LeaderHarness::start();
     harness.submit(job("req-000001", "array", 20_000));
     let mut in_flight: Vec<hookway_wire::ScaleOutRequest> = Vec::new();
@@ -86,7 +86,7 @@
 
 #[test]
 fn idle_machine_reserved_for_class_is_kept_across_failover() {
-    // The objective requires a start within less than the boot time of a machine.
+    // The objective requires jobs to start in less time than a machine takes to boot.
     let objective = "kind = \"wait\"\nclass = \"train\"\nwithin_s = 5.0\nshare = 0.8\n[[settings.objectives]]\n";
     let settings =
         SETTINGS.replace("kind = \"finished\"", &format!("{objective}kind = \"finished\""));
@@ -101,7 +101,7 @@
     worker.end_task("req-000001/0", ExitCause::Done);
     harness.run_rounds(&mut [&mut worker]);
     assert!(harness.store.list("j/").is_empty(), "all jobs of the class are finished");
-    // The next leader recovers no job of the class.
+    // The next leader loads the class history but no job of the class.
     let mod_revision = harness.store.put(LEADER_KEY, serde_json::json!({ "term": 5_000 }));
     let loaded = LoadedState {
         registry: harness.store.list("r/"),
--- a/crates/controller/tests/cluster_state/cancellation.rs
+++ b/crates/controller/tests/cluster_state/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancellation: one final state per job, and its tasks are stopped by every later leader.
+//! Cancellation: a job gets one final state, and every later leader stops its tasks.
 
 use crate::harness::{LeaderHarness, at, job, one_running_task, small_worker};
 use hookway_controller::cluster_state::{JobOrigin, Timestamp};
--- a/crates/controller/tests/cluster_state/commit_queue.rs
+++ b/crates/controller/tests/cluster_state/commit_queue.rs
@@ -1,4 +1,5 @@
-//! The commit queue: durability before any response, preconditions, splitting and retries of transactions.
+//! The commit queue: records are durable before a response depends on them; transactions carry
+//! preconditions, are split to fit the store's limits, and are retried.
 
 use crate::harness::{
     LeaderHarness, at, job, ms, one_running_task, small_worker, test_config, timestamp,
@@ -17,7 +18,11 @@
     let mut worker = small_worker("m-1", "a");
     let id = harness.submit(job("req-000001", "array", 2));
     harness.run_rounds(&mut [&mut worker]);
-    assert_eq!(worker.unfinished_tasks(), ["req-000001/0"], "the machine has room for one task");
+    assert_eq!(
+        worker.unfinished_tasks(),
+        ["req-000001/0"],
+        "the machine has capacity for one task"
+    );
     assert_eq!(harness.job_state(&id), JobState::Running);
     worker.end_task("req-000001/0", ExitCause::Done);
     harness.run_rounds(&mut [&mut worker]);
@@ -79,7 +84,7 @@
         harness.commit_pending();
         assert_eq!(harness.stored_final_state(&id).as_deref(), Some("done"));
         assert_eq!(harness.cluster.take_completed_jobs().len(), 1);
-        assert!(harness.store.commit(&late).is_err(), "a late copy is rejected");
+        assert!(harness.store.commit(&late).is_err(), "a late duplicate is rejected");
     }
 }
 
@@ -117,7 +122,7 @@
         LoadedState::empty(StoredWatermarks::Absent),
         elected_at,
     );
-    // Several times the load of a job wave: thousands of machines, and jobs that all finish at once.
+    // Thousands of machines register, and thousands of jobs finish at the same time.
     for n in 0..6_000 {
         let name = format!("m-{n:06}");
         harness.cluster.handle_heartbeat(&small_worker(&name, "a").heartbeat(), at(0));
@@ -149,9 +154,10 @@
     );
 }
 
-/// Found by code review, 2026-12-02: a transaction without a response was applied 12 s later, after newer
-/// ones of the same leader, and restored an older machine registry and older start watermarks. The next
-/// leader did not know the newer machines, and restarted tasks elsewhere that still ran on an unreachable one.
+/// Guards against lost registrations and against tasks started twice: a transaction that got no response
+/// was applied 12 s later, after newer transactions of the same leader, and restored an older machine
+/// registry and older start watermarks. The next leader did not know the newer machines, and restarted
+/// tasks elsewhere that were still running on an unreachable one.
 #[test]
 fn delayed_transaction_restores_no_older_record() {
     let mut harness = LeaderHarness::start();
@@ -171,13 +177,14 @@
     assert!(harness.store.commit(&older_registry).is_err());
     assert!(harness.is_registered("m-2"), "the newer registration stays stored");
 
-    // The same for start watermarks: the record of a single job, and the record that small jobs share.
+    // The same holds for start watermarks: for the record of a single job (40 tasks), and for the
+    // record that small jobs share.
     let mut extra_workers: Vec<ScriptedWorker> =
         (3..7).map(|n| small_worker(&format!("m-{n}"), "a")).collect();
     for (first_worker, tasks, ids) in
         [(0, 40, ["req-000001", "req-000002"]), (2, 1, ["req-000003", "req-000004"])]
     {
-        // Each machine has room for one task.
+        // Each machine has capacity for one task.
         harness.heartbeat(&mut extra_workers[first_worker]);
         harness.heartbeat(&mut extra_workers[first_worker + 1]);
         harness.submit(job(ids[0], "array", tasks));
@@ -195,7 +202,7 @@
         assert!(harness.store.commit(&older_watermark).is_err());
         assert_eq!(stored_watermarks(&harness), before);
     }
-    // After a failed precondition the leader rereads the record, writes it again and still leads.
+    // After a failed precondition the leader rereads the record, writes it again and remains leader.
     let running = worker_1.unfinished_tasks().first().cloned();
     if let Some(task) = running {
         worker_1.end_task(&task, ExitCause::Done);
@@ -204,7 +211,8 @@
     assert!(!harness.cluster.leadership_lost());
 }
 
-/// Commits against a state service that rejects transactions of more than this many operations.
+/// Commits to a store that rejects transactions of more than `max_operations` operations, and returns
+/// the number of operations of each applied transaction.
 fn commit_within(harness: &mut LeaderHarness, max_operations: usize) -> Vec<usize> {
     let mut applied = Vec::new();
     for _ in 0..60 {
@@ -255,7 +263,7 @@
             .iter()
             .any(|operation| operation.key() == final_state_key(&ids[0]));
         attempts += usize::from(has_rejected_operation);
-        // The state service accepts the operation after some seconds.
+        // The store accepts the operation from 12 s on.
         let result = if has_rejected_operation && harness.now < at(12_000) {
             CommitResult::Rejected
         } else {
--- a/crates/controller/tests/cluster_state/direct_dispatch.rs
+++ b/crates/controller/tests/cluster_state/direct_dispatch.rs
@@ -5,7 +5,7 @@
 use hookway_testkit::ScriptedWorker;
 use hookway_wire::{DirectCommands, ExitCause, JobId, JobSpec, JobState};
 
-/// A task that was just dispatched directly to an idle machine.
+/// Submits a job of one task and returns the direct commands that start it on the idle machine m-1.
 fn dispatched_task(harness: &mut LeaderHarness, worker: &mut ScriptedWorker) -> DirectCommands {
     harness.run_rounds(&mut [worker]);
     harness.submit(job("req-000001", "array", 1));
@@ -56,7 +56,8 @@
         0,
         "the task ended and was reaped"
     );
-    // After `reap` the worker would start the attempt again: only its higher fencing token prevents this.
+    // Having reaped the attempt, the worker no longer knows it: only its higher fencing token keeps it
+    // from starting the attempt again.
     assert_eq!(worker.handle_direct_commands(&commands), None);
     assert_eq!(worker.started_attempts.len(), 1);
 }
@@ -74,8 +75,8 @@
         harness.now,
     );
     harness.run_rounds(&mut [&mut other]);
-    assert_eq!(other.started_attempts, [], "the delayed command may still start it on m-1");
-    // The next response raises the fencing token of m-1, and the heartbeat after it proves that.
+    assert_eq!(other.started_attempts, [], "the delayed command may still start the task on m-1");
+    // The next response raises the fencing token of m-1; only the heartbeat after it proves that.
     harness.heartbeat(&mut worker);
     assert!(worker.fencing_token > commands.fencing_token);
     harness.run_rounds(&mut [&mut other]);
@@ -105,7 +106,7 @@
     assert_eq!(
         other.unfinished_tasks(),
         ["req-000001/0"],
-        "a command that was not sent holds no placement"
+        "a command that was not sent does not hold the placement"
     );
 }
 
@@ -114,8 +115,8 @@
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
     let commands = dispatched_task(&mut harness, &mut worker);
-    // The worker sends a heartbeat just before the command arrives; it is received after the command's
-    // response.
+    // The worker sends a heartbeat just before the command arrives; the leader receives that heartbeat
+    // after the response to the command.
     let overtaken = worker.heartbeat();
     let heartbeat =
         worker.handle_direct_commands(&commands).expect("the worker executes the command");
@@ -150,8 +151,8 @@
     harness.run_rounds(&mut [&mut worker]);
     harness.submit(job("req-000001", "array", 1));
     harness.advance(1_000);
-    // The start is in a delayed response; meanwhile the response to a direct command is a heartbeat that
-    // lacks the task.
+    // The start command is in a heartbeat response that is delayed; meanwhile the worker answers a
+    // direct command with a heartbeat that lacks the task.
     let heartbeat = worker.heartbeat();
     let response = harness.cluster.handle_heartbeat(&heartbeat, harness.now).expect("a response");
     assert_eq!(response.commands.len(), 1);
@@ -166,7 +167,7 @@
         harness.heartbeat(&mut other);
         harness.advance(800);
     }
-    assert_eq!(other.started_attempts, [], "the delayed response may still start it on m-1");
+    assert_eq!(other.started_attempts, [], "the delayed response may still start the task on m-1");
     worker.handle_response(&response);
     harness.run_rounds(&mut [&mut worker, &mut other]);
     assert_eq!((worker.started_attempts.len(), other.started_attempts.len()), (1, 0));
@@ -177,8 +178,8 @@
     let mut harness = LeaderHarness::start();
     let (mut worker, mut other) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     let commands = dispatched_task(&mut harness, &mut worker);
-    // A duplicate of the command is executed; then the worker takes a response with a higher fencing token,
-    // and rejects the command itself.
+    // A duplicate of the command is executed; then the worker receives a response with a higher fencing
+    // token, and rejects the command itself.
     worker.handle_direct_commands(&commands).expect("the worker executes the command");
     worker.fencing_token += 1;
     assert_eq!(worker.handle_direct_commands(&commands), None);
@@ -194,21 +195,20 @@
     assert_eq!((worker.unfinished_tasks().len(), other.started_attempts.len()), (1, 0));
 }
 
-/// Whether a new job's task starts on m-1 with the next heartbeats.
-fn takes_new_task(harness: &mut LeaderHarness, worker: &mut ScriptedWorker) -> bool {
+/// Whether m-1, whose worker this is, starts a task of a new job after one scheduling round.
+fn starts_new_task(harness: &mut LeaderHarness, worker: &mut ScriptedWorker) -> bool {
     harness.submit(JobSpec { cpus: 1.0, ..job("req-000002", "array", 1) });
     harness.advance(100);
     harness.heartbeat(worker);
     worker.unfinished_tasks().iter().any(|task| task.starts_with("req-000002"))
 }
 
-/// What happened (seed 62 of the election days): a replica that moved found the room that was cleared for it free after
-/// 1.5 s and started 4 s later, since its machine counted as unreachable. Its worker had answered the last start; the
-/// sender's time limit, which expired afterwards, was taken for the outcome. Evidence: m-4 executed the dispatch of
-/// 256.8 s at 256.9 s, its time limit expired at 258.2 s, and from then to 262.2 s the machine had a `backoff_until` of
-/// 262.2 s, one free CPU and a reservation for the replica's job, and took nothing.
+/// Guards against a reachable machine that counts as unreachable and gets no task for 4 s (simulation, seed 62).
+/// Its worker had executed a direct dispatch and responded within 0.1 s. The sender's time limit expired
+/// 1.3 s later and was recorded as the outcome of the same dispatch, so the machine backed off; a
+/// relocated replica, for which capacity on it had been freed, started 4 s late.
 #[test]
-fn time_limit_after_answer_of_direct_dispatch_keeps_machine_open() {
+fn timeout_after_direct_dispatch_response_does_not_back_off_machine() {
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
     let commands = dispatched_task(&mut harness, &mut worker);
@@ -217,12 +217,12 @@
     for delivery in [Delivery::Executed(heartbeat), Delivery::Indeterminate] {
         harness.cluster.direct_start_sent("m-1", commands.fencing_token, delivery, harness.now);
     }
-    assert!(takes_new_task(&mut harness, &mut worker));
+    assert!(starts_new_task(&mut harness, &mut worker));
 }
 
-/// The same if the answer is lost and a heartbeat shows the started task before the time limit expires.
+/// The same case with a lost response: a heartbeat shows the started task before the time limit expires.
 #[test]
-fn time_limit_after_heartbeat_that_shows_the_start_keeps_machine_open() {
+fn timeout_after_heartbeat_with_dispatched_task_does_not_back_off_machine() {
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
     let commands = dispatched_task(&mut harness, &mut worker);
@@ -230,20 +230,21 @@
     harness.heartbeat(&mut worker);
     let token = commands.fencing_token;
     harness.cluster.direct_start_sent("m-1", token, Delivery::Indeterminate, harness.now);
-    assert!(takes_new_task(&mut harness, &mut worker));
+    assert!(starts_new_task(&mut harness, &mut worker));
 }
 
 #[test]
-fn time_limit_without_any_answer_closes_machine_for_a_while() {
+fn timeout_without_response_or_heartbeat_backs_off_machine() {
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
     let commands = dispatched_task(&mut harness, &mut worker);
     let token = commands.fencing_token;
     harness.cluster.direct_start_sent("m-1", token, Delivery::Indeterminate, harness.now);
-    assert!(!takes_new_task(&mut harness, &mut worker));
+    assert!(!starts_new_task(&mut harness, &mut worker));
 }
 
-/// An outcome ends the dispatch that it is of and no later one, of which two must never be in flight at a time.
+/// An outcome that is reported twice ends only its own dispatch: were it to end a later one too, two
+/// dispatches to one machine could be in flight at the same time.
 #[test]
 fn repeated_outcome_does_not_end_later_dispatch() {
     let mut harness = LeaderHarness::start();
@@ -260,5 +261,9 @@
     harness.cluster.direct_start_sent("m-1", first, executed, harness.now);
     harness.submit(JobSpec { cpus: 0.5, ..job("req-000003", "array", 1) });
     harness.advance(1_000);
-    assert_eq!(harness.cluster.take_direct_starts(harness.now), [], "one is in flight");
+    assert_eq!(
+        harness.cluster.take_direct_starts(harness.now),
+        [],
+        "one dispatch is still in flight"
+    );
 }
--- a/crates/controller/tests/cluster_state/failure_attribution.rs
+++ b/crates/controller/tests/cluster_state/failure_attribution.rs
@@ -1,4 +1,4 @@
-//! Failure attribution: failing jobs and faulty machines are told apart.
+//! Failure attribution: the leader distinguishes failing jobs from faulty machines.
 
 use crate::harness::{LeaderHarness, at, job, ms, small_worker};
 use crate::support::workers;
@@ -26,9 +26,9 @@
     assert!(status.notes[0].contains("failed with an error"), "the status note names the cause");
 }
 
-/// Incident of 2026-12-02: half of the machines of a site were deleted as faulty, since two jobs that fail on
-/// every machine had failed on each; and each retry of such a job started all of its tasks, for which other
-/// tasks were preempted.
+/// Guards against two effects of jobs that fail on every machine: two such jobs had failed on each machine, so
+/// half of a site's machines were deleted as faulty; and each retry of such a job started all of its
+/// tasks, for which other tasks were preempted.
 #[test]
 fn failing_jobs_are_retried_one_task_at_a_time_and_delete_no_machine() {
     let mut harness = LeaderHarness::start();
@@ -60,8 +60,8 @@
     assert!(status.notes.iter().any(|note| note.contains("ran on none")), "{:?}", status.notes);
 }
 
-/// The opposite case: a task that failed once, on a faulty machine, restarts elsewhere at once, and a machine
-/// on which jobs fail that run elsewhere is deleted.
+/// The opposite case: a task that failed once, on a faulty machine, restarts on another one at once, and a
+/// machine on which several jobs fail that succeed elsewhere is deleted.
 #[test]
 fn faulty_machine_is_deleted_and_its_failed_tasks_run_elsewhere() {
     let mut harness = LeaderHarness::start();
--- a/crates/controller/tests/cluster_state/gangs.rs
+++ b/crates/controller/tests/cluster_state/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs: all tasks run in one attempt or none does.
+//! Gangs: either all tasks run under the same attempt, or none runs.
 
 use crate::harness::{LeaderHarness, at, job, ms, small_worker};
 use hookway_wire::ExitCause;
--- a/crates/controller/tests/cluster_state/heartbeats.rs
+++ b/crates/controller/tests/cluster_state/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Heartbeats: their order, lost responses, duplicates, and the isolation of a leader that receives none.
+//! Heartbeats: reordering, lost responses, duplicates, and how a leader that receives none detects that
+//! it is partitioned from the workers.
 
 use crate::harness::{LeaderHarness, at, job, ms, small_worker, test_config};
 use hookway_controller::cluster_state::longest_worker_lease;
@@ -18,7 +19,7 @@
         "one worker still sends heartbeats"
     );
     assert!(harness.cluster.all_workers_silent(harness.now + ms(6_500)));
-    // The next leader, partitioned from all workers from the start.
+    // The next leader is partitioned from all workers from its election on.
     let next = LeaderHarness::lead(harness.store.clone(), 2, at(200_000));
     assert!(!next.cluster.all_workers_silent(at(203_000)));
     assert!(next.cluster.all_workers_silent(at(207_000)));
@@ -77,7 +78,7 @@
     assert_eq!(
         harness.cluster.handle_heartbeat(&duplicate, harness.now),
         None,
-        "an older incarnation is refused"
+        "a heartbeat of an older incarnation is refused"
     );
     assert_eq!(harness.cluster.status(&JobId::parse("req-000001").expect("an id")), before);
     assert_eq!(other.unfinished_tasks(), ["req-000001/0"]);
@@ -89,10 +90,10 @@
     assert_eq!(
         harness.cluster.handle_heartbeat(&duplicate, harness.now + ms(60_000)),
         None,
-        "a deleted machine is refused"
+        "a heartbeat of a deleted machine is refused"
     );
     assert_eq!(harness.cluster.machine_count(), machines);
-    // After a failover: it carries the old fencing token and reconciles no machine.
+    // After a failover: the duplicate carries the old fencing token and reconciles no machine.
     let duplicate = other.heartbeat();
     harness.cluster.handle_heartbeat(&duplicate, harness.now);
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now);
@@ -103,8 +104,8 @@
     assert_eq!(third.started_attempts, [], "the task may still run on m-2");
 }
 
-/// A controller that was partitioned from its workers alone kept the leadership lease for 24 s:
-/// three heartbeat intervals, although 150 heartbeats a second had been arriving. Found on an operations day.
+/// Guards against a leader that is partitioned from its workers alone and keeps the leadership lease for
+/// 24 s: it waited for three heartbeat intervals, although 150 heartbeats per second had been arriving.
 #[test]
 fn more_reporting_workers_shorten_isolation_detection() {
     let mut harness = LeaderHarness::start();
@@ -119,7 +120,7 @@
     }
     assert!(!harness.cluster.all_workers_silent(harness.now + ms(2_500)));
     assert!(harness.cluster.all_workers_silent(harness.now + ms(3_500)));
-    // The leader's own process was paused: heartbeats missed meanwhile prove nothing.
+    // The leader's own process was paused: missing heartbeats during the pause prove nothing.
     harness.cluster.resumed(harness.now + ms(3_400));
     assert!(!harness.cluster.all_workers_silent(harness.now + ms(7_000)));
 }
--- a/crates/controller/tests/cluster_state/leases.rs
+++ b/crates/controller/tests/cluster_state/leases.rs
@@ -1,4 +1,4 @@
-//! Worker leases and shard leases: when each has certainly expired.
+//! Worker leases and shard leases: the time from which the leader may rely on their expiry.
 
 use crate::harness::{LeaderHarness, at, job, ms, small_worker, test_config, timestamp};
 use crate::support::busy_zone;
@@ -22,7 +22,7 @@
         ["req-000001/0"],
         "the unreachable machine's worker lease has expired"
     );
-    // The heartbeat arrives minutes late and still names the task.
+    // The delayed heartbeat arrives after the lease expired and still names the task.
     assert_eq!(harness.cluster.handle_heartbeat(&delayed, harness.now), None);
     harness.run_rounds(&mut [&mut other]);
     assert_eq!(other.unfinished_tasks(), ["req-000001/0"]);
@@ -62,7 +62,8 @@
         (1, 1),
         "the gang runs on the reachable machines"
     );
-    // Its lease is counted from the last response that it may have received, not from its heartbeats.
+    // The lease of m-1 counts from the last response that its worker may have received, not from its
+    // heartbeats.
     let mut deleted = Vec::new();
     while harness.now < partitioned_at + longest_worker_lease(&test_config().platform) + ms(6_000) {
         harness.now += ms(1_000);
@@ -85,7 +86,7 @@
     assert_eq!(one_way.unfinished_tasks().len(), 1);
     let last_response_at = harness.now;
     let id = JobId::parse("req-000001").expect("an id");
-    // The job is cancelled; nothing reaches m-1.
+    // The job is cancelled; no response reaches m-1.
     assert_eq!(harness.cluster.cancel(&id), CancelOutcome::Pending);
     harness.commit_pending();
     while harness.now < last_response_at + ms(20_000) {
@@ -106,7 +107,7 @@
     let lease = harness.cluster.shard_lease_length(harness.now);
     assert!(
         lease > ms(0) && lease < full,
-        "a shard lease plus a worker lease ends within cancel_s"
+        "a shard lease plus a worker lease must fit within cancel_s"
     );
     let cancel_requested_at = harness.now;
     harness.cluster.set_time(timestamp(cancel_requested_at));
@@ -133,14 +134,14 @@
         lease,
         "not shortened once the tasks have ended"
     );
-    // The next leader does not know all cancelled jobs until every machine is reconciled.
+    // Until every machine is reconciled, the next leader may not know all cancelled jobs.
     let next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(1_000));
     assert_eq!(next.cluster.shard_lease_length(next.now), ms(0));
 }
 
-/// Found by the simulation, 2026-12-02: the response to a state probe renews no lease, but the worker's
-/// incarnation, and its lease with it, may have begun a moment before, long after an earlier leader's last
-/// response. The placement of a task started there was dropped while the task ran.
+/// Guards against a placement that is dropped while its task still runs (found by the simulation). The response
+/// to a state probe extends no lease, but the worker's incarnation, and its lease with it, may have begun
+/// just before the probe, long after the last response of an earlier leader.
 #[test]
 fn lease_of_unknown_incarnation_counts_from_state_probe() {
     let mut harness = LeaderHarness::start();
@@ -156,8 +157,8 @@
     next.now += ms(500);
     next.advance(0);
     assert_eq!(next.cluster.take_direct_starts(next.now).len(), 1);
-    // By now the lease that an earlier leader may have renewed has expired, and the incarnation's own has
-    // not.
+    // By now the lease that an earlier leader may have extended has expired, but the lease of the
+    // incarnation has not.
     next.now = at(30_000) + (longest_worker_lease(&test_config().platform) - ms(200));
     next.advance(0);
     assert_eq!(
@@ -170,9 +171,10 @@
     assert_eq!(next.cluster.summary(next.now).tasks, 0);
 }
 
-/// Found by the simulation, 2026-12-02: a response was lost; then the leader's own lease was uncertain, and
-/// it extended the worker's lease as a shard lessee; then a heartbeat showed that the lost response had not
-/// been received, and the lease was counted from before it, ignoring the extension.
+/// Guards against a worker lease that counts as expired too early (found by the simulation). A response was lost;
+/// then the controller, unsure of its leadership lease, extended the worker's lease as a shard lessee;
+/// then a heartbeat showed that the worker had not received the lost response, and the leader counted the
+/// lease from before that response, ignoring the extension.
 #[test]
 fn lost_response_does_not_revoke_later_lease_extension() {
     let mut harness = LeaderHarness::start();
@@ -184,7 +186,7 @@
     harness.submit(job("req-000002", "array", 1));
     harness.run_rounds(&mut [&mut reachable]);
     let last_heartbeat_at = harness.now;
-    // A lost response whose receipt a later heartbeat would have shown.
+    // This response is lost; the next heartbeat shows that, as the reaped task is still in it.
     harness.submit(job("req-000003", "array", 1));
     worker.end_task(&task, ExitCause::Error);
     harness.now += ms(2_000);
--- a/crates/controller/tests/cluster_state/machine_registry.rs
+++ b/crates/controller/tests/cluster_state/machine_registry.rs
@@ -1,4 +1,4 @@
-//! The machine registry in the state service, and its agreement with the list of the cloud.
+//! The machine registry in the store, and its reconciliation with the cloud's list of machines.
 
 use crate::harness::{LeaderHarness, at, job, listed_machine, ms, small_worker, test_config};
 use crate::support::workers;
@@ -34,8 +34,8 @@
     harness.submit(job("req-000001", "array", 2));
     harness.run_rounds(&mut [&mut reachable, &mut deleted]);
     let lost_task = deleted.unfinished_tasks()[0].clone();
-    // The cloud deletes m-2 while the leader crashes. It had been up for long, so the first list without it
-    // proves its deletion.
+    // The cloud deletes m-2 while no controller leads. The machine had been up for a long time, so the
+    // first list without it proves its deletion.
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(100_000));
     reachable.end_task(&reachable.unfinished_tasks()[0].clone(), ExitCause::Done);
     next.run_rounds(&mut [&mut reachable]);
@@ -49,13 +49,13 @@
 #[test]
 fn stale_cloud_list_does_not_remove_young_machine() {
     let mut harness = LeaderHarness::start();
-    // Late in the term a machine boots and gets a task.
+    // A machine boots late in the term and gets a task.
     harness.now = at(300_000);
     let mut young = small_worker("m-9", "a");
     harness.submit(job("req-000001", "array", 1));
     harness.run_rounds(&mut [&mut young]);
     assert_eq!(young.unfinished_tasks().len(), 1);
-    // The leader changes at once; the first list does not contain the machine yet.
+    // The leader changes 2 s later; the first list does not contain the machine yet.
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(2_000));
     next.cluster.machines_listed(&[], next.now, next.now);
     for _ in 0..4 {
@@ -86,7 +86,7 @@
 #[test]
 fn registry_records_are_shared_and_legacy_entries_migrated() {
     let mut store = MemoryStore::default();
-    // Records of version 0.1.0.
+    // Records that version 0.1.0 wrote: one per machine.
     store.put("r/m-1", serde_json::json!({ "term": 1, "at_ms": 999_000 }));
     store.put("i/m-1", serde_json::json!({ "images": [["img", 1.0]] }));
     let mut harness = LeaderHarness::lead(store, 2, at(0));
@@ -115,9 +115,10 @@
     assert!(harness.is_registered("m-1"));
     assert!(
         harness.store.get("r/record-0").is_some_and(|kv| kv.value["hosts"].is_string()),
-        "it stays while a worker lease may run: the next leader must see that machines are unknown"
+        "the record stays until all worker leases have expired: it tells the next leader that there are \
+         machines that it does not know"
     );
-    // It is deleted once the leases of its machines have certainly expired.
+    // It is deleted once the worker leases of all machines that it may name have expired.
     harness.now = at(0) + longest_worker_lease(&test_config().platform) + ms(1);
     harness.heartbeat(&mut worker);
     harness.advance(1_000);
--- a/crates/controller/tests/cluster_state/main.rs
+++ b/crates/controller/tests/cluster_state/main.rs
@@ -1,6 +1,6 @@
-//! `ClusterState` against a state service in memory and scripted workers, with a clock that the test moves. One
-//! module for each subject; each test is named by its condition and expected result.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+//! Tests of `ClusterState` with an in-memory store, scripted workers and a clock that the test advances.
+//! There is one module per subject; each test is named by its condition and expected result.
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 mod autoscaling;
 mod cancellation;
--- a/crates/controller/tests/cluster_state/reconciliation.rs
+++ b/crates/controller/tests/cluster_state/reconciliation.rs
@@ -1,4 +1,4 @@
-//! Reconciliation after a failover: what a new leader may start before every machine is reconciled.
+//! Reconciliation after a failover: which tasks a new leader may start before every machine is reconciled.
 
 use crate::harness::{LeaderHarness, at, job, listed_machine, ms, small_worker, test_config};
 use hookway_controller::cluster_state::longest_worker_lease;
@@ -12,7 +12,7 @@
     harness.run_rounds(&mut [&mut reachable, &mut partitioned]);
     assert_eq!((reachable.unfinished_tasks().len(), partitioned.unfinished_tasks().len()), (1, 1));
     let lost_task = partitioned.unfinished_tasks()[0].clone();
-    // The old leader is partitioned together with m-2. A new one is elected at 30 s.
+    // The previous leader is partitioned together with m-2. A new leader is elected at 30 s.
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(30_000));
     let fresh = next.submit(job("req-000002", "array", 1));
     let mut idle = small_worker("m-3", "a");
@@ -58,7 +58,7 @@
     next.heartbeat(&mut worker);
     assert!(next.cluster.reconciled(next.now));
     next.run_rounds(&mut [&mut worker]);
-    assert_eq!(worker.unfinished_tasks(), ["req-000001/0"], "the running task is kept");
+    assert_eq!(worker.unfinished_tasks(), ["req-000001/0"], "the running task continues");
     assert_eq!(worker.started_attempts.len(), 1);
     // The deposed leader's response carries the lower fencing token and is dropped.
     let heartbeat = worker.heartbeat();
@@ -74,13 +74,13 @@
     let mut harness = LeaderHarness::start();
     let (mut partitioned, mut reachable) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.heartbeat(&mut partitioned);
-    // This heartbeat is delayed by the network; the start is in the response to the next one.
+    // The network delays this heartbeat; the start command is in the response to the next one.
     let delayed = partitioned.heartbeat();
     harness.submit(job("req-000001", "array", 1));
     harness.run_rounds(&mut [&mut partitioned]);
     assert_eq!(partitioned.unfinished_tasks(), ["req-000001/0"]);
-    // A new leader receives the delayed heartbeat first. It names no task, but proves nothing: only a
-    // heartbeat with the new fencing token was certainly sent after the failover.
+    // A new leader receives the delayed heartbeat first. It names no task, but that proves nothing: only
+    // a heartbeat with the new fencing token is known to have been sent after the failover.
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(9_000));
     next.cluster.handle_heartbeat(&delayed, next.now);
     assert!(!next.cluster.reconciled(next.now));
@@ -100,7 +100,7 @@
     harness.submit(spec.clone());
     harness.run_rounds(&mut [&mut worker_1]);
     assert_eq!(worker_1.unfinished_tasks().len(), 1);
-    // m-1 becomes unreachable together with the leader; 3 of the team's 4 CPUs may be in use there.
+    // m-1 becomes unreachable together with the leader; its task may still use 3 of the team's 4 CPUs.
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(9_000));
     spec.id = JobId::parse("req-000002").expect("an id");
     next.submit(spec);
@@ -111,8 +111,9 @@
     assert_eq!(worker_2.started_attempts.len(), 0);
 }
 
-/// Incidents inc-f021 and inc-e25c: each leader is killed after about 11 s, sixteen times in a row, and
-/// restarts within a fraction of a second, during the next election.
+/// Guards against tasks that are lost or run twice (incidents inc-f021 and inc-e25c): sixteen leaders in a row are
+/// killed after about 11 s each, and each process restarts within a fraction of a second, during the
+/// next election.
 #[test]
 fn repeated_leader_crashes_lose_and_repeat_no_task() {
     let mut harness = LeaderHarness::start();
@@ -124,8 +125,8 @@
             for worker in [&mut worker_1, &mut worker_2] {
                 harness.heartbeat(worker);
                 harness.now += ms(500);
-                // Each task takes a few seconds; heartbeats that a killed leader never received reach the
-                // next one.
+                // Each task takes a few seconds; a result that no heartbeat has delivered to the killed
+                // leader is delivered to the next one.
                 if harness.now.as_millis().is_multiple_of(2_000) {
                     for task in worker.unfinished_tasks() {
                         assert!(worker.end_task(&task, ExitCause::Done));
@@ -152,13 +153,13 @@
     assert_eq!(started.len(), 16);
 }
 
-/// Benchmark days of 2026-12-02: after a leader was paused while another controller was down, workers took
-/// 10 s and more to find the new one, and until all had done so no task of an older job started.
+/// Guards against a slow failover: after a leader was paused while another controller was down, workers took
+/// 10 s and more to find the new leader, and until all had found it no task of an older job started.
 #[test]
 fn state_probes_reconcile_machines_without_waiting_for_heartbeats() {
     let mut harness = LeaderHarness::start();
     let (mut worker_1, mut worker_2) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
-    // One task fills a machine; the third task is queued.
+    // Each machine has capacity for one task; the third task is queued.
     harness.submit(job("req-000001", "array", 3));
     harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
     assert_eq!(worker_1.unfinished_tasks().len() + worker_2.unfinished_tasks().len(), 2);
@@ -172,7 +173,7 @@
     next.cluster.machines_listed(&listed, next.now, next.now);
     assert!(
         next.cluster.take_state_probes(next.now).is_empty(),
-        "no probe before workers had time to send heartbeats"
+        "no probe before the workers have had time to send heartbeats"
     );
     next.now += ms(1_500);
     let mut probes = next.cluster.take_state_probes(next.now);
--- a/crates/controller/tests/cluster_state/runtime_estimates.rs
+++ b/crates/controller/tests/cluster_state/runtime_estimates.rs
@@ -1,4 +1,5 @@
-//! Runtime estimates: tasks that run for too long, or longer than their machine will exist.
+//! Runtime estimates: tasks that run much longer than the mean, or longer than the interruption notice
+//! of their spot machine.
 
 use crate::harness::{LeaderHarness, job, ms, small_worker};
 use crate::support::workers;
@@ -49,7 +50,7 @@
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
     harness.submit(job("req-000001", "array", 8));
-    // Four tasks of 20 s give the runtime estimate.
+    // The first four tasks, of 20 s each, give the runtime estimate.
     for n in 0..4 {
         for _ in 0..10 {
             harness.run_rounds(&mut [&mut worker]);
@@ -78,7 +79,8 @@
     for _ in 0..10 {
         harness.run_rounds_all(&mut workers);
     }
-    // A new leader sees five of them complete after a second; they had run for twenty seconds before.
+    // The new leader sees five tasks complete after a second; they ran for twenty seconds before the
+    // failover.
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(1_000));
     next.run_rounds_all(&mut workers);
     for worker in &mut workers[..5] {
--- a/crates/controller/tests/cluster_state/start_watermarks.rs
+++ b/crates/controller/tests/cluster_state/start_watermarks.rs
@@ -1,4 +1,4 @@
-//! Start watermarks: which tasks no leader can have started.
+//! Start watermarks: they tell a new leader which tasks no earlier leader can have started.
 
 use crate::harness::{LeaderHarness, at, job, small_worker, test_config};
 use hookway_controller::leadership::StoredWatermarks;
@@ -55,16 +55,16 @@
     let mut idle = small_worker("m-3", "a");
     next.run_rounds(&mut [&mut idle]);
     assert_eq!(idle.started_attempts, [], "without watermarks any task may run on m-2");
-    // The leader after that one recovers this from the state service.
+    // The leader after that one reads from the store that any task may have been started.
     let mut third = lead(next.store.clone(), 3, StoredWatermarks::Complete, at(33_000));
     let mut idle = small_worker("m-4", "a");
     third.run_rounds(&mut [&mut idle]);
     assert_eq!(idle.started_attempts, []);
 }
 
-/// Thousands of one-task jobs arrive within a minute or two: a record for each used up the write budget that
-/// all final states wait for. They share records, which tell the next leader which tasks may have been
-/// started.
+/// Guards against delayed final states: thousands of one-task jobs arrive within a minute or two, and a
+/// watermark record for each job used up the write rate limit, for which final states wait too. Small jobs
+/// therefore share records that tell the next leader which tasks may have been started.
 #[test]
 fn small_jobs_share_watermark_record_that_next_leader_reads() {
     let mut harness = LeaderHarness::start();
@@ -75,11 +75,11 @@
     }
     harness.run_rounds(&mut [&mut worker]);
     let started_tasks: Vec<String> = worker.unfinished_tasks();
-    assert_eq!(started_tasks.len(), 1, "one task fills the machine");
+    assert_eq!(started_tasks.len(), 1, "the machine has capacity for one task");
     let watermark_records = harness.store.list("m/");
     assert_eq!(watermark_records.len(), 1, "{watermark_records:?}");
     assert!(watermark_records[0].value["jobs"].as_array().is_some_and(|jobs| jobs.len() < 100));
-    // The machine is unreachable for the next leader: its task waits, the others need not.
+    // The next leader can't reach the machine: its task waits, the others need not.
     let mut next = LeaderHarness::lead(harness.store.clone(), 5_000, at(20_000));
     let mut other = small_worker("m-2", "a");
     for _ in 0..3 {
@@ -100,10 +100,10 @@
     }
     assert_eq!(harness.store.list("j/").len(), 0);
     let remaining = harness.store.list("m/");
-    assert!(remaining.len() <= 1, "only the record that is being filled stays: {remaining:?}");
+    assert!(remaining.len() <= 1, "only the record that still gets new jobs stays: {remaining:?}");
 }
 
-/// An unreadable watermark record may name any small job.
+/// An unreadable shared record may contain any small job.
 #[test]
 fn unreadable_watermark_record_counts_small_jobs_as_started() {
     let mut harness = LeaderHarness::start();
@@ -119,5 +119,5 @@
         next.heartbeat(&mut other);
         next.advance(500);
     }
-    assert_eq!(other.unfinished_tasks().len(), 0, "the task may run on the silent machine");
+    assert_eq!(other.unfinished_tasks().len(), 0, "the task may run on the unreachable machine");
 }
--- a/crates/controller/tests/cluster_state/support.rs
+++ b/crates/controller/tests/cluster_state/support.rs
@@ -1,9 +1,9 @@
-//! Set-ups that several modules share.
+//! Setup functions that several modules share.
 
 use crate::harness::{LeaderHarness, job, ms, small_worker};
 use hookway_testkit::ScriptedWorker;
 
-/// A leader and `count` workers of one zone, with one running task on each.
+/// Returns a leader and `count` workers in zone a, each with one running task.
 pub fn busy_zone(count: usize) -> (LeaderHarness, Vec<ScriptedWorker>) {
     let mut harness = LeaderHarness::start();
     let names: Vec<String> = (1..=count).map(|n| format!("m-{n}")).collect();
@@ -15,7 +15,8 @@
     (harness, workers)
 }
 
-/// Machines that the leader deletes within `millis` while only these workers send heartbeats.
+/// Returns the machines that the leader requests to delete within `millis` ms while only the
+/// `reachable` workers send heartbeats.
 pub fn deleted_machines(
     harness: &mut LeaderHarness,
     reachable: &mut [ScriptedWorker],
@@ -33,7 +34,7 @@
     names
 }
 
-/// Workers on the machines with these numbers, all in one zone.
+/// Returns workers on machines `m-<n>` for each of these numbers, all in one zone.
 pub fn workers(numbers: std::ops::RangeInclusive<usize>, zone: &str) -> Vec<ScriptedWorker> {
     numbers.map(|n| small_worker(&format!("m-{n}"), zone)).collect()
 }
--- a/crates/controller/tests/cluster_state/unknown_watermarks.rs
+++ b/crates/controller/tests/cluster_state/unknown_watermarks.rs
@@ -1,13 +1,12 @@
-//! In production a task was started on two machines. Its job had been accepted while nobody led. The leader of
-//! term 4097 did not know how far its predecessors had started tasks: 0.02 s after its election it logged
-//! "cluster state loaded term=4097 cluster=30 jobs, 77 machines (0 up), 0 tasks placed; CPUs: 0 up, 0 placed,
-//! 0 waited for", although the 14 tasks of that job, two CPUs each, had never been started and would have been
-//! waited for by a leader that knows it. So it took every inherited task as started, and took that assumption for
-//! a durable watermark: it started task 3 at 33.53 s, in the second in which the store began to refuse it, and was
-//! killed at 34 s. Its election had written already that watermarks are recorded. The leader of term 16385
-//! believed that, found no record of the job, and loaded "39 jobs, 77 machines (0 up), 0 tasks placed; CPUs: 0 up,
-//! 0 placed, 382 waited for": it took the job's tasks as never started and started task 3 elsewhere within a second,
-//! before the machine that ran it had reported.
+//! Unknown start watermarks: a leader that can't tell which tasks earlier leaders have started.
+//!
+//! These tests guard against a task that runs on two machines, as happened in production. A job of 14
+//! tasks had been accepted while no controller led. The leader of term 4097 could not tell which tasks
+//! earlier leaders had started, assumed that all of them were, and treated this assumption as a durable
+//! watermark: it started task 3 just as the store began to refuse its writes, and was killed within a
+//! second. Its election had already recorded that all start watermarks are stored. The leader of term
+//! 16385 relied on that, found no record for the job, concluded that none of its tasks had been started,
+//! and started task 3 on another machine before the first one had sent a heartbeat.
 
 use crate::harness::{ElectionResponse, LeaderHarness, at, job, ms, small_worker};
 use hookway_controller::cluster_state::CommitResult;
@@ -15,7 +14,8 @@
 use hookway_controller::records::{COMPLETE_WATERMARKS_KEY, LEADER_PREFIX, LEADER_WATERMARKS_KEY};
 use hookway_testkit::{MemoryStore, ScriptedWorker};
 
-/// A store with a job of 14 tasks that no leader has started, and one registered machine without tasks.
+/// Returns a store with a job of 14 tasks that no leader has started, and the worker of one registered
+/// machine without tasks.
 fn store_with_waiting_job() -> (MemoryStore, ScriptedWorker) {
     let mut first = LeaderHarness::elect(MemoryStore::default(), ElectionResponse::Received, at(0));
     let mut worker = small_worker("m-1", "a");
@@ -25,7 +25,7 @@
     (first.store, worker)
 }
 
-/// What a leader starts on an idle machine while the other machines are silent.
+/// Returns the tasks that a leader starts on a new idle machine while no other machine sends heartbeats.
 fn started_on_idle_machine(leader: &mut LeaderHarness) -> Vec<String> {
     let mut idle = small_worker("m-2", "a");
     leader.run_rounds(&mut [&mut idle]);
@@ -41,7 +41,7 @@
     let running = worker.unfinished_tasks();
     let mut third = LeaderHarness::elect(second.store, ElectionResponse::Received, at(20_000));
     let started = started_on_idle_machine(&mut third);
-    assert!(!third.cluster.reconciled(third.now), "the first machine has not reported");
+    assert!(!third.cluster.reconciled(third.now), "the first machine has sent no heartbeat");
     assert!(
         running.iter().all(|task| !started.contains(task)),
         "{started:?} started while {running:?} run elsewhere"
@@ -50,8 +50,8 @@
     assert_eq!(started, ["req-000001/0"], "a task that no leader has started does not wait");
 }
 
-/// The same election without a start: tasks that an earlier leader started without a watermark must not become
-/// known as never started because a leader in between ended before it wrote anything.
+/// Guards against tasks that count as never started although a leader without watermarks started them: a
+/// leader in between ended before it wrote anything.
 #[test]
 fn watermarks_missing_before_a_short_term_are_still_missing_after_it() {
     let (mut store, mut worker) = store_with_waiting_job();
@@ -59,7 +59,7 @@
     let mut older = LeaderHarness::elect(store.clone(), ElectionResponse::Received, at(5_000));
     older.run_rounds(&mut [&mut worker]);
     let running = worker.unfinished_tasks();
-    assert_eq!(running.len(), 1, "one task fills the machine");
+    assert_eq!(running.len(), 1, "the machine has capacity for one task");
     store.put("lead/term", serde_json::json!(2 * hookway_constants::TOKENS_PER_TERM));
     assert_eq!(
         Vacancy::read(&store.list(LEADER_PREFIX)).stored_watermarks,
@@ -70,17 +70,18 @@
     assert!(started_on_idle_machine(&mut short).is_empty(), "no machine is reconciled");
     let mut next = LeaderHarness::elect(short.store, ElectionResponse::Received, at(20_000));
     let started = started_on_idle_machine(&mut next);
-    assert!(!next.cluster.reconciled(next.now), "the first machine has not reported");
-    assert_eq!(started, Vec::<String>::new(), "{running:?} runs on the silent machine");
+    assert!(!next.cluster.reconciled(next.now), "the first machine has sent no heartbeat");
+    assert_eq!(started, Vec::<String>::new(), "{running:?} runs on the unreachable machine");
 }
 
-/// The value of a marker in the store, if it names the tokens of the last term.
+/// Whether the marker key exists and names the last term: its value equals that of `lead/term`.
 fn is_current(store: &MemoryStore, marker: &str) -> bool {
     let value = |key: &str| store.get(key).map(|pair| pair.value);
     value(marker).is_some() && value(marker) == value("lead/term")
 }
 
-/// A store whose last leader was of a version without [`COMPLETE_WATERMARKS_KEY`], with a job of 14 tasks.
+/// Returns a store with a job of 14 tasks whose last leader had a version without
+/// [`COMPLETE_WATERMARKS_KEY`].
 fn store_of_older_version() -> (MemoryStore, ScriptedWorker) {
     let (mut store, worker) = store_with_waiting_job();
     store.put("lead/term", serde_json::json!(2 * hookway_constants::TOKENS_PER_TERM));
@@ -103,13 +104,17 @@
     assert_eq!(leader.cluster.summary(leader.now).assumed_started, 0);
 }
 
-/// Once everything that was assumed is durable, the next leader relies on it, also one of the version before.
+/// Once all assumed watermarks are durable, both markers are written: the one that the next leader relies
+/// on, and the one that a leader of the previous version relies on.
 #[test]
 fn leader_marks_watermarks_complete_once_assumptions_are_durable() {
     let (store, mut worker) = store_of_older_version();
     let mut leader = LeaderHarness::elect(store, ElectionResponse::Received, at(10_000));
     for marker in [COMPLETE_WATERMARKS_KEY, LEADER_WATERMARKS_KEY] {
-        assert!(!is_current(&leader.store, marker), "{marker} precedes the records");
+        assert!(
+            !is_current(&leader.store, marker),
+            "{marker} must not be written before the records"
+        );
     }
     leader.run_rounds(&mut [&mut worker]);
     for marker in [COMPLETE_WATERMARKS_KEY, LEADER_WATERMARKS_KEY] {
@@ -120,10 +125,10 @@
     assert_eq!(started_on_idle_machine(&mut next), [format!("{new_job}/0")]);
 }
 
-/// A record that the store rejects by itself is tried again later, while everything else goes on.
+/// A record that the store rejects on its own is retried later, and does not delay other commits.
 #[test]
 fn marker_of_complete_watermarks_waits_for_rejected_record() {
-    let (store, _silent) = store_of_older_version();
+    let (store, _unreachable_worker) = store_of_older_version();
     let mut leader = LeaderHarness::elect(store, ElectionResponse::Received, at(10_000));
     leader.submit(job("req-000002", "array", 14));
     let mut rejections = 0;
@@ -137,7 +142,10 @@
         };
         leader.cluster.committed(commit, result, leader.now);
         leader.now += ms(300);
-        assert!(!is_current(&leader.store, COMPLETE_WATERMARKS_KEY), "a record is missing");
+        assert!(
+            !is_current(&leader.store, COMPLETE_WATERMARKS_KEY),
+            "the rejected record is missing"
+        );
         if rejections > 3 {
             break;
         }
@@ -150,16 +158,17 @@
     assert!(is_current(&leader.store, COMPLETE_WATERMARKS_KEY));
 }
 
-/// A lost response does not make the watermarks unknown: the election itself says whether they were complete.
+/// A lost election response does not make the watermarks unknown: the election transaction itself records
+/// whether they were complete.
 #[test]
 fn lost_election_response_after_complete_term_delays_no_start() {
-    let (store, _silent) = store_with_waiting_job();
+    let (store, _unreachable_worker) = store_with_waiting_job();
     let mut leader = LeaderHarness::elect(store, ElectionResponse::Lost, at(10_000));
     assert_eq!(started_on_idle_machine(&mut leader), ["req-000001/0"]);
     assert!(!leader.cluster.reconciled(leader.now));
 }
 
-/// The version before this one relies on `lead/marked`, which no election writes any more.
+/// The previous version relies on `lead/marked`, which elections of this version do not write.
 #[test]
 fn first_commit_of_term_tells_older_version_that_watermarks_are_complete() {
     let (store, mut worker) = store_with_waiting_job();
@@ -170,7 +179,8 @@
     assert!(is_current(&leader.store, LEADER_WATERMARKS_KEY));
 }
 
-/// A later version may have started tasks of a job that this one can't read, and for which it writes no record.
+/// A later version may have started tasks of a job that this version can't read and for which it therefore
+/// writes no watermark.
 #[test]
 fn unreadable_job_keeps_watermarks_from_being_marked_complete() {
     let (mut store, mut worker) = store_of_older_version();
@@ -181,7 +191,8 @@
     assert!(!is_current(&leader.store, COMPLETE_WATERMARKS_KEY));
 }
 
-/// An unreadable record of one job is an assumption about it too: it was once taken for a durable watermark.
+/// Guards against a task started on the strength of an assumption: if the scheduling record of a job is unreadable,
+/// its watermark is only assumed, and was treated as durable.
 #[test]
 fn unreadable_scheduling_record_allows_starts_only_once_it_is_replaced() {
     let (mut store, mut worker) = store_with_waiting_job();
--- a/crates/controller/tests/cluster_state/unreachable_machines.rs
+++ b/crates/controller/tests/cluster_state/unreachable_machines.rs
@@ -1,4 +1,5 @@
-//! Unreachable machines: which are deleted as proof that their tasks are gone, and which are kept.
+//! Unreachable machines: which of them the leader deletes, as proof that their tasks have ended, and
+//! which it keeps.
 
 use crate::harness::{LeaderHarness, at, job, listed_machine, small_worker};
 use crate::support::{busy_zone, deleted_machines};
@@ -18,7 +19,7 @@
     assert_eq!(
         idle.unfinished_tasks(),
         [] as [&str; 0],
-        "not before the cloud has confirmed the deletion"
+        "no restart before the cloud has confirmed the deletion"
     );
     harness.cluster.scale_in_finished(&names, harness.now);
     harness.run_rounds(&mut [&mut idle]);
@@ -35,7 +36,7 @@
 #[test]
 fn gradual_partition_deletes_no_machine() {
     let (mut harness, mut workers) = busy_zone(12);
-    // They send heartbeats in turn, one each 200 ms, until the leader receives none any more.
+    // The workers send heartbeats in turn, one every 200 ms, until the partition has reached all of them.
     for _ in 0..3 {
         for worker in &mut workers {
             harness.heartbeat(worker);
@@ -56,8 +57,8 @@
     assert_eq!(deleted_machines(&mut harness, &mut workers, 4_000), [] as [&str; 0]);
 }
 
-/// A failover during which only the workers of zone a send heartbeats; the machines that the new leader
-/// deletes within `millis`.
+/// Fails over while only the workers of zone a send heartbeats, and returns the machines that the new
+/// leader requests to delete within `millis` ms.
 fn deleted_after_failover(reachable: usize, partitioned: usize, millis: u64) -> Vec<String> {
     let mut harness = LeaderHarness::start();
     let zone = |count: usize, from: usize, zone: &str| -> Vec<ScriptedWorker> {
@@ -129,6 +130,6 @@
     harness.run_rounds_all(&mut zone_b);
     assert!(
         zone_b.iter().all(|worker| worker.unfinished_tasks().len() == 1),
-        "reachable again, each gets a task"
+        "each machine gets a task once it is reachable again"
     );
 }
