--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -1,6 +1,6 @@
-//! A leading controller with a state service in memory, scripted workers and a clock that the test moves.
-#![allow(dead_code, reason = "each test file uses a part of it")]
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+//! A leader's `ClusterState` with an in-memory store, scripted workers and a clock that the test advances.
+#![allow(dead_code, reason = "each test file uses only some of these items")]
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 use hookway_controller::cluster_state::{
     ClusterState, CommitResult, ControllerConfig, JobLookup, JobOrigin, LoadedState, PendingCommit,
@@ -19,6 +19,8 @@
 };
 use std::time::Duration;
 
+/// A job of normal priority that is valid in the settings of [`test_config`]. Each task needs 3 CPUs of the
+/// 4 that a `small` machine has. `kind` is the outer name: `array`, `group` or `daemon`.
 pub fn job(id: &str, kind: &str, tasks: u32) -> JobSpec {
     let text = format!(
         r#"{{"NameId":"{id}","Lane":"train","Owner":"team","Shape":"{kind}","Rank":"normal",
@@ -29,7 +31,7 @@
     JobSpec::parse(text.as_bytes()).expect("a valid job")
 }
 
-/// Replicas of one CPU, of the highest priority.
+/// A daemon of the highest priority whose replicas need one CPU each.
 pub fn daemon(id: &str, replicas: u32) -> JobSpec {
     JobSpec {
         cpus: 1.0,
@@ -39,49 +41,51 @@
     }
 }
 
-/// Number of unfinished tasks of a job on a worker.
+/// Returns the number of unfinished tasks of a job on a worker.
 pub fn running(worker: &ScriptedWorker, id: &str) -> usize {
     worker.unfinished_tasks().iter().filter(|task| task.starts_with(id)).count()
 }
 
-/// A span of this many milliseconds.
+/// Returns a duration of `millis` ms.
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// The point in time this many milliseconds after the clock's creation.
+/// Returns the time `millis` ms after the clock's creation.
 pub fn at(millis: u64) -> MonotonicTime {
     MonotonicTime::from_millis(millis)
 }
 
-/// The readings of both clocks when the monotonic one reads `now`: the wall clock is 1,000 s ahead.
+/// Returns the readings of both clocks when the monotonic clock reads `now`: the wall clock is 1,000 s
+/// ahead.
 pub fn timestamp(now: MonotonicTime) -> Timestamp {
     let wall = WallTime::from_unix_millis(1_000_000 + now.as_millis());
     Timestamp { monotonic: now, wall }
 }
 
-/// Id of the leadership lease that a key of an elected leader is attached to.
+/// Id of the leadership lease to which the key of an elected leader is attached.
 const LEADERSHIP_LEASE: u64 = 1;
 
 /// Whether the response to an election reaches the candidate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ElectionResponse {
     Received,
-    /// The election is applied; the candidate reads afterwards that it leads.
+    /// The store applies the election; the candidate learns by reading that it leads.
     Lost,
 }
 
-/// A controller that leads, its state service and its clock.
+/// The cluster state of a leader, its store and its clock.
 pub struct LeaderHarness {
     pub cluster: ClusterState,
     pub store: MemoryStore,
     pub now: MonotonicTime,
-    /// The state service refuses the transactions of this leader.
+    /// Whether the store refuses the transactions of this leader.
     pub writes_refused: bool,
 }
 
+/// The configuration of controller `worker-0` in zone a, without peers.
 pub fn test_config() -> ControllerConfig {
-    // A write rate that never delays a test.
+    // At this write rate no commit of a test is delayed.
     let settings = SETTINGS.replace("write_rps = 25.0", "write_rps = 1000.0");
     ControllerConfig {
         controller_name: "worker-0".into(),
@@ -93,16 +97,17 @@
 }
 
 impl LeaderHarness {
+    /// The leader of the first term, with an empty store, at time zero.
     pub fn start() -> Self {
         Self::lead(MemoryStore::default(), 1, MonotonicTime::ZERO)
     }
 
-    /// A controller that wins the election for a term and has read every record.
+    /// A controller that has won the election for `term` and has read every record.
     pub fn lead(store: MemoryStore, term: u64, now: MonotonicTime) -> Self {
         Self::lead_with(test_config(), store, term, now)
     }
 
-    /// `lead` with other settings.
+    /// [`Self::lead`] with another configuration.
     pub fn lead_with(
         config: ControllerConfig,
         mut store: MemoryStore,
@@ -113,8 +118,8 @@
         Self::recover(config, store, (term, mod_revision), StoredWatermarks::Complete, now)
     }
 
-    /// A controller that wins the election as controllers do, after the lease of the last leader has expired,
-    /// and has read every record.
+    /// A controller that has won an election as controllers run it, after the lease of the previous leader
+    /// expired, and has read every record.
     pub fn elect(mut store: MemoryStore, response: ElectionResponse, now: MonotonicTime) -> Self {
         let leader_expired =
             Transaction { preconditions: vec![], operations: vec![Operation::delete(LEADER_KEY)] };
@@ -132,7 +137,7 @@
         Self::recover(test_config(), store, (leader.term, mod_revision), stored_watermarks, now)
     }
 
-    /// A leader of a term, elected at that revision, that has read every record.
+    /// A leader that was elected for `term` at store revision `mod_revision` and has read every record.
     pub fn recover(
         config: ControllerConfig,
         store: MemoryStore,
@@ -156,6 +161,7 @@
         Self { cluster, store, now, writes_refused: false }
     }
 
+    /// Stores a job as accepted in this term, adds it to the cluster state and returns its id.
     pub fn submit(&mut self, spec: JobSpec) -> JobId {
         let id = spec.id.clone();
         let accepted_at = timestamp(self.now);
@@ -167,7 +173,7 @@
         id
     }
 
-    /// Commits everything that is queued, unless the state service refuses this leader.
+    /// Commits everything that is queued. With `writes_refused`, only reports one commit as not applied.
     pub fn commit_pending(&mut self) {
         while let Some(commit) = self.cluster.next_commit(self.now) {
             if self.writes_refused {
@@ -181,7 +187,7 @@
         }
     }
 
-    /// What the leader reads of a commit's keys when it has no response to it.
+    /// Returns the result of a commit whose response was lost, which the leader finds by rereading its keys.
     pub fn read_after_lost_response(&self, commit: &PendingCommit) -> CommitResult {
         let keys = commit.keys().into_iter();
         let reread = |key: String| RereadKey { stored: self.store.get(&key), key };
@@ -199,7 +205,8 @@
         names
     }
 
-    /// Handles one heartbeat of a worker, delivers the response to it and returns the commands sent.
+    /// Delivers one heartbeat of the worker to the leader and the response to the worker, commits what is
+    /// queued, and returns the commands of the response.
     pub fn heartbeat(&mut self, worker: &mut ScriptedWorker) -> Vec<Command> {
         let heartbeat = worker.heartbeat();
         let response = self.cluster.handle_heartbeat(&heartbeat, self.now);
@@ -212,14 +219,14 @@
         commands
     }
 
-    /// Advances the clock, then runs a scheduling round.
+    /// Advances the clock, runs a scheduling round and commits what is queued.
     pub fn advance(&mut self, millis: u64) {
         self.now += ms(millis);
         self.cluster.scheduling_round(self.now);
         self.commit_pending();
     }
 
-    /// One heartbeat of each worker and a scheduling round, so often.
+    /// Runs `rounds` times one heartbeat of each worker and then a scheduling round.
     pub fn run_rounds_of(&mut self, workers: &mut [ScriptedWorker], rounds: usize) {
         for _ in 0..rounds {
             for worker in workers.iter_mut() {
@@ -229,7 +236,7 @@
         }
     }
 
-    /// Four heartbeats of each worker, each followed by a scheduling round.
+    /// Runs four times one heartbeat of each worker and then a scheduling round.
     pub fn run_rounds(&mut self, workers: &mut [&mut ScriptedWorker]) {
         for _ in 0..4 {
             for worker in workers.iter_mut() {
@@ -239,7 +246,7 @@
         }
     }
 
-    /// `run_rounds` for a list of workers.
+    /// [`Self::run_rounds`] for a slice of workers.
     pub fn run_rounds_all(&mut self, workers: &mut [ScriptedWorker]) {
         self.run_rounds(&mut workers.iter_mut().collect::<Vec<_>>());
     }
@@ -249,6 +256,9 @@
         self.store.list("r/").iter().any(|kv| kv.value["hosts"].get(machine).is_some())
     }
 
+    /// Returns the state of a job that the leader knows.
+    ///
+    /// Panics if the leader does not know the job or has its final state in flight.
     pub fn job_state(&self, id: &JobId) -> JobState {
         match self.cluster.status(id) {
             JobLookup::Known(status) => status.state,
@@ -256,17 +266,19 @@
         }
     }
 
+    /// Returns the outer name (`done`, `withdrawn`) of the final state in the store, if there is one.
     pub fn stored_final_state(&self, id: &JobId) -> Option<String> {
         let kv = self.store.get(&final_state_key(id))?;
         kv.value.get("state").and_then(|state| state.as_str()).map(str::to_owned)
     }
 }
 
+/// A worker on a machine of type `small`, which has 4 CPUs.
 pub fn small_worker(name: &str, zone: &str) -> ScriptedWorker {
     ScriptedWorker::new(name, "small", zone)
 }
 
-/// An entry of the cloud's list.
+/// An entry of the cloud's list of machines, in zone a.
 pub fn listed_machine(name: &str, status: MachineState, age_s: f64) -> ListedMachine {
     ListedMachine {
         id: name.into(),
@@ -279,7 +291,7 @@
     }
 }
 
-/// A leader and a worker that runs the only task of a job.
+/// Returns a leader, a worker that runs the only task of a job, and the job's id.
 pub fn one_running_task() -> (LeaderHarness, ScriptedWorker, JobId) {
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
--- a/crates/controller/tests/leadership.rs
+++ b/crates/controller/tests/leadership.rs
@@ -1,6 +1,6 @@
-//! Leadership with a state service on loopback whose leases expire when the test says so. The tests
-//! wait for events, not for time.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+//! The leadership actor with a store on loopback whose leases expire when the test says so. The tests
+//! wait for events rather than for a time to pass.
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 use hookway_clients::StoreClient;
 use hookway_controller::leadership::{
@@ -15,6 +15,7 @@
 use std::sync::Arc;
 use tokio::sync::{Notify, watch};
 
+/// The leadership actor of one controller and its shared handles.
 struct RunningController {
     view: watch::Receiver<LeadershipView>,
     lease: Arc<LeadershipLease>,
@@ -23,6 +24,7 @@
     leadership: tokio::task::JoinHandle<()>,
 }
 
+/// Starts the leadership actor of a controller with the store at `address`.
 fn start(name: &str, address: &str) -> RunningController {
     let (view_tx, view) = watch::channel(LeadershipView::default());
     let lease = Arc::new(LeadershipLease::default());
@@ -43,7 +45,8 @@
     RunningController { view, lease, clock, suspicion, leadership }
 }
 
-async fn leads(controller: &mut RunningController) -> LeaderTerm {
+/// Waits until the controller leads and returns its term.
+async fn wait_for_own_term(controller: &mut RunningController) -> LeaderTerm {
     let view = controller
         .view
         .wait_for(|view| view.own_term.is_some())
@@ -57,7 +60,7 @@
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let mut controller_1 = start("one", &address);
-    let first = leads(&mut controller_1).await;
+    let first = wait_for_own_term(&mut controller_1).await;
     assert_eq!(first.term, 1);
     assert!(controller_1.lease.holds(first.term, controller_1.clock.now()));
     let mut controller_2 = start("two", &address);
@@ -66,19 +69,19 @@
         .wait_for(|view| view.leader.as_deref() == Some("one"))
         .await
         .expect("the leadership actor runs");
-    assert_eq!(controller_2.view.borrow().own_term, None, "one leader at a time");
-    // The lease expires, as if it was not extended in time.
+    assert_eq!(controller_2.view.borrow().own_term, None, "only one controller leads at a time");
+    // The lease expires, as if it had not been extended in time.
     server.expire_lease(first.lease_id);
     let second = tokio::select! {
-        term = leads(&mut controller_2) => term,
+        term = wait_for_own_term(&mut controller_2) => term,
         term = async { controller_1.view
             .wait_for(|view| view.own_term.as_ref().is_some_and(|own_term| own_term.term > 1)).await
             .expect("the leadership actor runs").own_term.clone()
             .expect("a term that the view has") } => term,
     };
-    // Above every fencing token that the first term may have used, those of each machine included.
+    // The new term exceeds every fencing token of the first term, including those of single machines.
     assert_eq!(second.term, 1 + hookway_constants::TOKENS_PER_TERM);
-    // A transaction of the deposed leader that is still in flight fails its precondition.
+    // A transaction of the deposed leader that was still in flight fails its precondition.
     let late = Transaction {
         preconditions: vec![first.precondition],
         operations: vec![Operation::put("f/req-000001", serde_json::json!("late"))],
@@ -105,12 +108,13 @@
     };
     server.with_store(|store| store.commit(&before)).expect("applied");
     let mut controller_1 = start("one", &address);
-    assert_eq!(leads(&mut controller_1).await.term, 5);
+    assert_eq!(wait_for_own_term(&mut controller_1).await.term, 5);
     assert!(!server.expire_lease(lease_id), "the lease of the previous process was revoked");
 }
 
-/// The election itself says whether the start watermarks before it were complete: a candidate that lost its response
-/// reads that afterwards, and a leader of an earlier version leaves no such mark.
+/// The election transaction records whether the start watermarks of earlier terms are complete. A candidate
+/// that lost the response to its election reads this from the store; after a leader of an earlier
+/// version, which does not maintain the marker, it finds none.
 #[tokio::test]
 async fn candidate_that_lost_election_response_reads_stored_watermarks() {
     for (last_token, expected) in
@@ -123,7 +127,7 @@
         }
         server.lose_next_commit_response();
         let mut controller = start("one", &address);
-        let term = leads(&mut controller).await;
+        let term = wait_for_own_term(&mut controller).await;
         assert_eq!(term.term, last_token.unwrap_or(0) + 1);
         assert_eq!(term.stored_watermarks, expected);
         let value = |key: &str| server.with_store(|store| store.get(key)).map(|pair| pair.value);
@@ -133,13 +137,13 @@
 }
 
 #[tokio::test]
-async fn term_continues_after_state_service_outage() {
+async fn term_continues_after_store_outage() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let mut controller_1 = start("one", &address);
-    let first = leads(&mut controller_1).await;
+    let first = wait_for_own_term(&mut controller_1).await;
     server.begin_outage();
-    // Several extensions fail; the lease itself lasts, as every lease does during an outage.
+    // Several extensions fail; the lease itself does not expire, since no lease does during an outage.
     server.wait_for_refused_requests(3).await;
     server.end_outage();
     let controller_2 = start("two", &address);
@@ -150,14 +154,15 @@
     assert_eq!(controller_1.view.borrow().own_term, Some(first));
 }
 
-/// A watch whose connection broke unnoticed hides the expiry of a lease for seconds; a suspicion reads the leader at
-/// once. The suspicion itself ends no lease.
+/// Guards against a slow failover: if the connection of a watch breaks unnoticed, the expiry of a lease stays
+/// hidden for seconds. A controller that suspects the leader therefore reads the leader's key at once.
+/// The suspicion itself does not depose a leader that is still alive.
 #[tokio::test]
-async fn leader_suspicion_reads_state_service_without_deposing_live_leader() {
+async fn leader_suspicion_reads_store_without_deposing_live_leader() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let mut controller_1 = start("one", &address);
-    let first = leads(&mut controller_1).await;
+    let first = wait_for_own_term(&mut controller_1).await;
     let mut controller_2 = start("two", &address);
     controller_2
         .view
@@ -170,15 +175,15 @@
     assert_eq!(
         controller_2.view.borrow().own_term,
         None,
-        "the lease has not expired, so its holder leads"
+        "the lease has not expired, so its holder still leads"
     );
     assert_eq!(controller_1.view.borrow().own_term, Some(first.clone()));
-    // Its process has ended, and nobody extends the lease; the suppressed watch delivers no event.
+    // The leader's process ends, so its lease expires; the suppressed watch delivers no event.
     controller_1.leadership.abort();
     server.expire_lease(first.lease_id);
     controller_2.suspicion.notify_one();
     let limit = hookway_constants::WATCH_WAIT;
-    let second = tokio::time::timeout(limit, leads(&mut controller_2))
+    let second = tokio::time::timeout(limit, wait_for_own_term(&mut controller_2))
         .await
         .expect("a new leader before the watch ends");
     assert!(second.term > first.term);
--- a/crates/controller/tests/standby_support/mod.rs
+++ b/crates/controller/tests/standby_support/mod.rs
@@ -1,6 +1,6 @@
-//! Failovers to a standby with a copy of the last leader's cluster state.
-#![allow(dead_code, reason = "each test file uses a part of it")]
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+//! Failovers to a standby that has a copy of the previous leader's cluster state.
+#![allow(dead_code, reason = "each test file uses only some of these items")]
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 use crate::harness::{LeaderHarness, job, ms, small_worker};
 use hookway_constants as constants;
@@ -10,23 +10,25 @@
 use hookway_testkit::ScriptedWorker;
 use hookway_wire::{JobId, TaskState};
 
+/// The term of the leader elected by [`fail_over`].
 pub const SECOND_TERM: u64 = 1 + constants::TOKENS_PER_TERM;
 
-/// The copy of a standby that has applied every entry.
+/// Returns the copy of a standby that has applied every entry.
 pub fn copy_of(cluster: &mut ClusterState) -> ReplicatedState {
     let mut publisher = Publisher::new(cluster.term());
     cluster.publish_all(&mut publisher);
     publisher.state().clone()
 }
 
-/// Elects another controller that starts from `copy`.
+/// Replaces the leader by one of the second term, elected 5 s later, that starts from `copy`.
 pub fn fail_over(harness: &mut LeaderHarness, copy: &ReplicatedState) -> WarmStart {
     let store = std::mem::take(&mut harness.store);
     *harness = LeaderHarness::lead(store, SECOND_TERM, harness.now + ms(5_000));
     harness.cluster.warm_start(copy, &Networks::default(), harness.now)
 }
 
-/// Delivers the state probes of the new leader to these workers and returns the number of probes.
+/// Delivers the due state probes to these workers and their answers to the leader, and returns the number
+/// of probes. A machine without a worker in `workers` does not answer.
 pub fn answer_probes(harness: &mut LeaderHarness, workers: &mut [ScriptedWorker]) -> usize {
     let probes = harness.cluster.take_state_probes(harness.now);
     for probe in &probes {
@@ -46,11 +48,13 @@
     probes.len()
 }
 
+/// Runs four times one heartbeat of each worker and then a scheduling round.
 pub fn run_rounds(harness: &mut LeaderHarness, workers: &mut [ScriptedWorker]) {
     let mut all_workers: Vec<&mut ScriptedWorker> = workers.iter_mut().collect();
     harness.run_rounds(&mut all_workers);
 }
 
+/// Returns workers `m-1`, `m-2` and so on in zone a whose tasks start by fetching their image.
 pub fn fleet(machines: usize) -> Vec<ScriptedWorker> {
     (1..=machines)
         .map(|n| {
@@ -61,7 +65,8 @@
         .collect()
 }
 
-/// Four machines and a gang of four: two of its tasks are on their machines when the leader crashes.
+/// Returns a leader, four workers, the leader's copy, and the id of a gang of four tasks: two tasks were
+/// started when the copy was taken, the other two are only placed.
 pub fn partially_placed_gang() -> (LeaderHarness, Vec<ScriptedWorker>, ReplicatedState, JobId) {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(4);
@@ -76,6 +81,7 @@
     (harness, workers, copy, id)
 }
 
+/// Returns the attempt number of every task start on these workers.
 pub fn attempts(workers: &[ScriptedWorker]) -> Vec<u64> {
     workers
         .iter()
