--- a/crates/controller/tests/api/circuit_breakers.rs
+++ b/crates/controller/tests/api/circuit_breakers.rs
@@ -1,4 +1,4 @@
-//! A peer or state service that does not respond costs one timeout per interval.
+//! Circuit breakers: a peer or a store that does not respond costs one timeout per retry interval.
 
 use crate::support::*;
 use hookway_controller::api::Origin;
@@ -10,8 +10,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A frozen or partitioned controller does not respond. A user's request to any of its peers must not wait for the
-/// full time limit each time.
+/// A paused or partitioned controller does not respond. Requests of users that its peers forward to it must not
+/// wait for the full time limit each time.
 #[tokio::test(start_paused = true)]
 async fn unresponsive_controller_trips_circuit_breaker() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -24,14 +24,14 @@
         assert!(matches!(send().await, Err(PeerError::CircuitOpen { .. })));
     }
     tokio::time::advance(Duration::from_millis(1_100)).await;
-    assert!(matches!(send().await, Err(PeerError::Timeout { .. })), "one request tries again");
+    assert!(matches!(send().await, Err(PeerError::Timeout { .. })), "one request is sent again");
     assert!(matches!(send().await, Err(PeerError::CircuitOpen { .. })));
 }
 
-/// A state service that does not respond to this controller: without a circuit breaker a request spent its
-/// whole time limit there, with none left for another controller.
+/// Guards against requests that fail although another controller could answer them: without a circuit breaker,
+/// a request spent its whole time limit on a store that does not respond to this controller.
 #[tokio::test(start_paused = true)]
-async fn unresponsive_state_service_trips_circuit_breaker() {
+async fn unresponsive_store_trips_circuit_breaker() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("a bound address").to_string();
     let api_service =
@@ -48,5 +48,5 @@
         assert!(elapsed().await < Duration::from_millis(50));
     }
     tokio::time::advance(Duration::from_millis(1_100)).await;
-    assert!(elapsed().await >= Duration::from_secs(1), "one request tries again");
+    assert!(elapsed().await >= Duration::from_secs(1), "one request is sent again");
 }
--- a/crates/controller/tests/api/heartbeats.rs
+++ b/crates/controller/tests/api/heartbeats.rs
@@ -1,11 +1,11 @@
-//! Heartbeats at the leader, a former leader and a follower.
+//! Responses to heartbeats by the leader, a former leader and a follower.
 
 use crate::support::*;
 use hookway_controller::http::service;
 use hookway_controller::leadership::LeadershipView;
 use salvo::http::StatusCode;
 
-/// A process is frozen between the decision and the response: another controller may lead by then.
+/// The process may be paused between the decision and the response; another controller may lead by then.
 #[tokio::test]
 async fn heartbeat_response_is_withheld_after_lease_expiry() {
     let heartbeat = r#"{"Host":"m-1","Addr":"127.0.0.1:9","Flavor":"g8","Yard":"a","Loaners":false,
--- a/crates/controller/tests/api/main.rs
+++ b/crates/controller/tests/api/main.rs
@@ -1,6 +1,6 @@
-//! The HTTP API without a state service: invalid requests are rejected at once with a reason in JSON, and requests
-//! that can't be decided get 503 with `Retry-After`.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+//! The HTTP API of a controller whose actor is scripted. Invalid requests are rejected at once with a reason
+//! in JSON; requests that can't be decided, for example without the store, get 503 with `Retry-After`.
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 mod circuit_breakers;
 mod heartbeats;
--- a/crates/controller/tests/api/replication.rs
+++ b/crates/controller/tests/api/replication.rs
@@ -1,4 +1,5 @@
-//! The status of replication, and entries for standbys.
+//! The replication status, which anyone may read, and entries of the replication log, which only known
+//! controllers get.
 
 use crate::support::*;
 use hookway_controller::leadership::LeadershipView;
--- a/crates/controller/tests/api/status.rs
+++ b/crates/controller/tests/api/status.rs
@@ -1,4 +1,4 @@
-//! Status requests, final states, and requests that can't be decided.
+//! Status queries, final states, and requests that can't be decided.
 
 use crate::support::*;
 use hookway_controller::http::service;
@@ -9,9 +9,10 @@
 use salvo::http::StatusCode;
 
 #[tokio::test]
-async fn possibly_known_job_gets_no_permanent_error_without_state_service() {
+async fn possibly_known_job_gets_no_permanent_error_without_store() {
     let api = api(Role::Leader, true);
-    // Whether this id was accepted before can't be read, so 422 is not proven.
+    // Without the store, the controller can't read whether this id was accepted before: if it was, 422
+    // for the unknown team would be wrong.
     let body = JOB.replace("\"vision\"", "\"nobody\"");
     let (status, text, retry) = post(&api, "/api/jobs", &body).await;
     assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true), "{text}");
@@ -26,7 +27,7 @@
         let (status, text, retry) = post(&api, "/api/jobs", JOB).await;
         assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true), "{text}");
         let (status, _, retry) = get(&api, "/api/jobs/req-000404").await;
-        assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true), "absence is unproven");
+        assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true), "the job may exist");
     }
     let api = api(Role::Follower, true);
     let (status, ..) = post(&api, "/api/jobs/req-000001/withdraw", "{}").await;
@@ -40,7 +41,7 @@
     assert_eq!(status, StatusCode::OK);
     let job_status: JobStatus = serde_json::from_str(&text).expect("a status");
     assert_eq!(job_status.state, JobState::Done);
-    // The same id is submitted again: its state comes from memory, without the state service.
+    // The same id is submitted again: its state comes from memory, without the store.
     let (status, text, _) = post(&api, "/api/jobs", &JOB.replace("000412", "000002")).await;
     assert_eq!(status, StatusCode::OK);
     let job_status: JobStatus = serde_json::from_str(&text).expect("a status");
@@ -69,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn every_controller_answers_job_status_from_state_service() {
+async fn every_controller_answers_job_status_from_store() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let id = JobId::parse("req-000007").expect("an id");
@@ -81,8 +82,8 @@
         leader: leader.map(str::to_owned),
         ..LeadershipView::default()
     };
-    // The leader does not know the job yet; nobody leads; the leader can't be reached; the view names this
-    // controller, whose leadership lease does not hold.
+    // In this order: the leader does not know the job yet; no controller leads; the leader can't be reached;
+    // the view names this controller as leader, but its actor does not lead.
     for (role, leader) in [
         (Role::Leader, None),
         (Role::Follower, None),
@@ -96,7 +97,7 @@
         let (status, ..) = get(&api, "/api/jobs/req-000008").await;
         assert_eq!(status, StatusCode::NOT_FOUND, "a job without a record was never accepted");
     }
-    // During an outage of the state service absence is unproven; after it the job is found.
+    // During an outage of the store the controller can't tell whether the job exists; afterwards it finds it.
     let api = api_at(Role::Follower, true, view(Some("worker-1")), Some(&address));
     server.begin_outage();
     let (status, _, retry) = get(&api, "/api/jobs/req-000007").await;
@@ -105,8 +106,9 @@
     assert_eq!(get(&api, "/api/jobs/req-000007").await.0, StatusCode::OK);
 }
 
-/// A high-load day of 2026-12-02: with a thousand jobs open and no leader for seconds, status queries used up a
-/// controller's request budget at the state service, and submissions waited for seconds and were rejected.
+/// Guards against rejected submissions: with a thousand unfinished jobs and no leader for seconds, status queries
+/// used up a controller's request rate limit at the store; submissions waited for seconds and were
+/// rejected.
 #[tokio::test]
 async fn rate_limited_status_query_gets_503_at_once_and_delays_no_submission() {
     let server = StoreServer::default();
@@ -115,7 +117,7 @@
     let record = serde_json::json!({ "spec": spec, "at_ms": 0 });
     let id = JobId::parse("req-000412").expect("an id");
     server.with_store(|store| store.put(&job_key(&id), record));
-    // The rate allows one read, and the next after ten seconds.
+    // The rate allows one read at once and the next one after 10 s.
     let api =
         service(api_service(Role::Follower, true, LeadershipView::default(), Some(&address), 0.1));
     assert_eq!(get(&api, "/api/jobs/req-000412").await.0, StatusCode::OK);
@@ -129,10 +131,11 @@
     assert_eq!(status, StatusCode::OK, "a cancellation is not rate-limited either");
 }
 
-/// The same day: after all controllers crashed, each finished job's last status query took two reads of the state
-/// service, half of them without effect, and thousands of responses failed for minutes.
+/// Guards against failed status queries of finished jobs: after a crash of all controllers, the last query for
+/// each finished job took two reads from the store, half of them without effect, and thousands of
+/// queries failed for minutes.
 #[tokio::test]
-async fn decided_final_state_is_answered_without_state_service() {
+async fn known_final_state_is_answered_without_store() {
     let api_service = api_service(Role::Leader, true, LeadershipView::default(), None, 0.1);
     let id = JobId::parse("req-000009").expect("an id");
     api_service.final_states().remember(&known(&id, JobState::Done).into());
@@ -147,6 +150,6 @@
     assert_eq!(
         status,
         StatusCode::SERVICE_UNAVAILABLE,
-        "a state that can change is not served from memory"
+        "a state that is not final is not answered from memory"
     );
 }
--- a/crates/controller/tests/api/submissions.rs
+++ b/crates/controller/tests/api/submissions.rs
@@ -1,4 +1,4 @@
-//! Which submissions are accepted, and how the others are rejected.
+//! Submissions: which are accepted, and with which status the others are rejected.
 
 use crate::support::*;
 use hookway_controller::http::service;
@@ -19,17 +19,17 @@
     }
 }
 
-/// All tasks of a gang run at the same time: a gang beyond the capacity of its zones can never run, and must not be
-/// accepted.
+/// All tasks of a gang run at the same time, so a gang that exceeds the capacity of its zones could never run
+/// and must not be accepted.
 #[tokio::test]
 async fn gang_exceeding_capacity_of_its_zones_gets_422() {
     let api = api(Role::Leader, true);
     let spread = JOB.replace("\"Spread\":false", "\"Spread\":true");
     let spread_gang = spread.replace("\"Together\":true", "\"Together\":false");
-    // The gang fits zone a alone.
+    // The only machine type is offered in zone a alone, so a gang that must spread can't run.
     for body in [&spread, &spread_gang, &spread_gang.replace("\"Yard\":null", "\"Yard\":\"a\"")] {
         let (status, text, retry) = post(&api, "/api/jobs", body).await;
-        // Whether the job was accepted before is unknown without the state service.
+        // Without the store the controller can't tell whether the job was accepted before.
         assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true), "{text}");
     }
     let server = StoreServer::default();
@@ -44,7 +44,7 @@
     assert_eq!(post(&api, "/api/jobs", &one_task).await.0, StatusCode::CREATED);
 }
 
-/// A daemon of four replicas that need 32 of its team's 100 CPUs.
+/// The JSON of a daemon of four replicas, which need 32 of its team's 100 CPUs.
 fn daemon() -> String {
     let daemon =
         JOB.replace("\"group\"", "\"daemon\"").replace("\"Together\":true", "\"Together\":false");
@@ -64,7 +64,7 @@
     assert_eq!(post(&api, "/api/jobs", &daemon()).await.0, StatusCode::OK);
     let other =
         |id: &str, from: &str, to: &str| daemon().replace("req-000412", id).replace(from, to);
-    // An array of as many tasks may run them one after the other.
+    // An array of as many tasks is accepted: it may run them one after the other.
     let array =
         other("req-000413", "\"daemon\"", "\"array\"").replace("\"Pieces\":4", "\"Pieces\":13");
     assert_eq!(post(&api, "/api/jobs", &array).await.0, StatusCode::CREATED);
@@ -94,7 +94,7 @@
 }
 
 #[tokio::test]
-async fn long_job_is_accepted_until_state_service_lowers_value_limit() {
+async fn long_job_is_accepted_until_store_lowers_value_limit() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let next = format!("{SETTINGS}[settings.state.next]\nvalue_kb = 2.0\n");
@@ -115,7 +115,7 @@
     assert_eq!(
         post(&api, "/api/jobs", &long("req-000412")).await.0,
         StatusCode::OK,
-        "a known job is not rejected"
+        "a job that was accepted before is not rejected"
     );
     assert_eq!(post(&api, "/api/jobs", JOB).await.0, StatusCode::OK);
 }
--- a/crates/controller/tests/api/support.rs
+++ b/crates/controller/tests/api/support.rs
@@ -1,4 +1,4 @@
-//! A controller's API with a scripted controller actor behind it.
+//! The API of a controller whose actor is replaced by scripted responses.
 
 use hookway_clients::StoreClient;
 use hookway_controller::actor::{ControllerHandle, ControllerRequest, HeartbeatReply};
@@ -22,19 +22,21 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
+/// A valid submission.
 pub const JOB: &str = r#"{"NameId":"req-000412","Lane":"train","Owner":"vision","Shape":"group","Rank":"high",
  "Pieces":4,"Vcpus":8.0,"Gpus":0,"RamGb":64.0,"Bundle":"img-07","ImageGb":6.2,"Flavors":["g8"],"Yard":null,
  "Together":true,"Spread":false,"Loaners":true,"GuessS":240.0,"SnapshotEveryS":30.0,"SnapshotS":4.0}"#;
 
-/// The role of the scripted controller.
+/// The role that the scripted actor plays.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Role {
     Leader,
-    /// Its leadership lease expired between the decision and the response.
+    /// The leadership lease expired between the decision and the response.
     FormerLeader,
     Follower,
 }
 
+/// A status in this state, with one task done and none running.
 pub fn known(id: &JobId, state: JobState) -> JobStatus {
     JobStatus {
         id: id.clone(),
@@ -47,12 +49,12 @@
     }
 }
 
-/// A controller's API with a scripted actor behind it and no state service.
+/// The HTTP service of a controller in this role, without a reachable store.
 pub fn api(role: Role, machine_types_known: bool) -> Service {
     api_at(role, machine_types_known, LeadershipView::default(), None)
 }
 
-/// `api` with a view of the leader and a state service.
+/// [`api`] with a view of the leadership, and with the store at the address `store` if there is one.
 pub fn api_at(
     role: Role,
     machine_types_known: bool,
@@ -62,7 +64,8 @@
     service(api_service(role, machine_types_known, leadership, store, 2000.0))
 }
 
-/// The API service itself, with this rate of status queries at the state service.
+/// The API service below the HTTP routes. `status_rate` bounds the requests per second that status queries
+/// send to the store.
 pub fn api_service(
     role: Role,
     machine_types_known: bool,
@@ -73,7 +76,7 @@
     api_service_with(SETTINGS, role, machine_types_known, leadership, store, status_rate)
 }
 
-/// Responses of a scripted controller actor in a role.
+/// Answers the requests of the API service as a controller actor in `role` would.
 struct ScriptedController {
     role: Role,
 }
@@ -81,7 +84,7 @@
 impl ScriptedController {
     async fn run(self, mut requests: mpsc::Receiver<ControllerRequest>) {
         while let Some(request) = requests.recv().await {
-            self.handle(request);
+            self.respond(request);
         }
     }
 
@@ -89,7 +92,7 @@
         self.role == Role::Leader
     }
 
-    fn handle(&self, request: ControllerRequest) {
+    fn respond(&self, request: ControllerRequest) {
         match request {
             ControllerRequest::Heartbeat { reply, .. } => drop(reply.send(self.heartbeat_reply())),
             ControllerRequest::Status { job, reply } => {
@@ -130,7 +133,7 @@
     }
 }
 
-/// The state of a job at the scripted leader.
+/// Returns what the scripted leader knows of a job: req-000001 runs, req-000002 is done, others are unknown.
 fn lookup(job: &JobId) -> JobLookup {
     match job.as_str() {
         "req-000001" => JobLookup::Known(known(job, JobState::Running)),
@@ -139,6 +142,7 @@
     }
 }
 
+/// The only machine type of the cloud; it is offered in zone a alone.
 fn gpu_machine_type() -> MachineType {
     MachineType {
         name: "g8".into(),
@@ -154,7 +158,7 @@
     }
 }
 
-/// `api_service` with other settings.
+/// [`api_service`] with other platform settings (TOML).
 pub fn api_service_with(
     settings: &str,
     role: Role,
@@ -187,6 +191,7 @@
     Arc::new(api_service)
 }
 
+/// Sends a POST request and returns the status, the body, and whether the response has a `Retry-After` header.
 pub async fn post(service: &Service, path: &str, body: &str) -> (StatusCode, String, bool) {
     let url = format!("http://127.0.0.1:8080{path}");
     let mut response = TestClient::post(url).body(body.to_owned()).send(service).await;
@@ -195,6 +200,7 @@
     (response.status_code.unwrap_or_default(), text, retry)
 }
 
+/// Sends a GET request and returns the same as [`post`].
 pub async fn get(service: &Service, path: &str) -> (StatusCode, String, bool) {
     let url = format!("http://127.0.0.1:8080{path}");
     let mut response = TestClient::get(url).send(service).await;
@@ -203,6 +209,7 @@
     (response.status_code.unwrap_or_default(), text, retry)
 }
 
+/// Returns the text of an error body.
 pub fn reason(text: &str) -> String {
     serde_json::from_str::<ErrorBody>(text).expect("a JSON error").error
 }
--- a/crates/controller/tests/daemons.rs
+++ b/crates/controller/tests/daemons.rs
@@ -1,5 +1,6 @@
-//! Daemons: replicas run until their job is cancelled, each on one machine at a time, whatever ends an attempt.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+//! Daemons: each replica runs until its job is cancelled, on one machine at a time, and is restarted
+//! whatever ended its last attempt.
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 mod harness;
 
@@ -10,7 +11,7 @@
 use hookway_time::whole_millis;
 use hookway_wire::{Command, ExitCause, JobId, JobSpec, JobState};
 
-/// Submits a daemon whose one replica runs on the worker.
+/// Submits a daemon of one replica and runs rounds until the replica runs on the worker.
 fn submit_running_daemon(harness: &mut LeaderHarness, worker: &mut ScriptedWorker) -> JobId {
     let id = harness.submit(daemon("req-000001", 1));
     harness.run_rounds(&mut [&mut *worker]);
@@ -18,7 +19,7 @@
     id
 }
 
-/// Advances the clock while the worker sends heartbeats.
+/// Advances the clock by `millis` ms in steps of 1 s, with a heartbeat of the worker before each.
 fn run_for(harness: &mut LeaderHarness, worker: &mut ScriptedWorker, millis: u64) {
     let end = harness.now + ms(millis);
     while harness.now < end {
@@ -47,7 +48,11 @@
         assert_eq!(worker.unfinished_tasks(), ["req-000001/0"], "after {cause:?}");
         assert_eq!(worker.heartbeat().tasks.len(), 1, "the earlier attempt is reaped");
         assert_eq!(harness.job_state(&id), JobState::Running);
-        assert_eq!(harness.store.list("p/"), [], "an ended replica is no result");
+        assert_eq!(
+            harness.store.list("p/"),
+            [],
+            "the end of a replica is not recorded as a result"
+        );
     }
 }
 
@@ -107,7 +112,7 @@
         let late_starts = starts_within(&mut harness, &mut workers, 60_000);
         assert!(
             (1..=4).contains(&late_starts),
-            "{late_starts} starts in the second minute, all ended {cause:?}"
+            "{late_starts} starts in the second minute, each attempt ended with {cause:?}"
         );
     }
 }
@@ -190,8 +195,8 @@
 fn missing_replicas_preempt_lower_priority_tasks() {
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
-    let low_priority = JobSpec { cpus: 1.0, ..job("req-000002", "array", 4) };
-    harness.submit(low_priority);
+    let lower_priority = JobSpec { cpus: 1.0, ..job("req-000002", "array", 4) };
+    harness.submit(lower_priority);
     harness.run_rounds(&mut [&mut worker]);
     assert_eq!(worker.unfinished_tasks().len(), 4, "the machine is full");
     harness.submit(daemon("req-000001", 2));
--- a/crates/controller/tests/relocation.rs
+++ b/crates/controller/tests/relocation.rs
@@ -1,12 +1,10 @@
-//! Replicas of daemons that move so that a job finds room which only they hold.
+//! Relocation: replicas of daemons move to other machines to make capacity for another job.
 //!
-//! What happened (seed 2915 of the random days): replicas of two daemons filled m-14, the only machine of zone a, and
-//! the cloud was at its limit with seven machines in zone b. A daemon that must spread had one replica in b and waited
-//! for room in a without end, since a job preempts lower priorities only. Evidence: in every round from 202.6 s to
-//! 259.9 s the job had one startable task and `placed_per_zone [0, 1]`, m-14 was schedulable with 0 CPUs free and the
-//! replicas req-000017/0, /1 and req-000018/0, /1 on it, and the machines of b ran tasks of lower priority that those
-//! replicas could have preempted.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+//! These tests guard against a job that waits without end (simulation, seed 2915): replicas of two daemons filled
+//! the only machine of zone a, and the cloud could provide no more machines. A daemon that must spread had
+//! one replica in zone b and waited for capacity in zone a, since a job preempts only lower priorities.
+//! The machines of zone b ran tasks of lower priority that the replicas in zone a could have preempted.
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 mod harness;
 
@@ -14,16 +12,18 @@
 use hookway_testkit::ScriptedWorker;
 use hookway_wire::{ExitCause, JobId, JobSpec, Priority};
 
+/// A daemon whose replicas must be spread over the zones.
 fn spread_daemon(id: &str, replicas: u32) -> JobSpec {
     JobSpec { spread: true, ..daemon(id, replicas) }
 }
 
-/// Number of attempts that two workers have started.
+/// Returns the number of attempts that both workers have started.
 fn starts(workers: &[ScriptedWorker; 2]) -> usize {
     workers.iter().map(|worker| worker.started_attempts.len()).sum()
 }
 
-/// Four replicas of a daemon fill m-1, the only machine of zone a, and m-2 in zone b is empty.
+/// Returns a leader and two machines: four replicas of a daemon fill m-1, the only machine of zone a, and
+/// m-2 in zone b is empty.
 fn full_zone() -> (LeaderHarness, [ScriptedWorker; 2]) {
     let mut harness = LeaderHarness::start();
     let mut first = small_worker("m-1", "a");
@@ -35,7 +35,8 @@
     (harness, workers)
 }
 
-/// `full_zone` with a daemon that must spread: one of its replicas runs on m-2, the other one waits.
+/// Extends `full_zone` with a daemon of two replicas that must spread: one runs on m-2, the other waits for
+/// capacity in zone a.
 fn waiting_spread_daemon() -> (LeaderHarness, [ScriptedWorker; 2]) {
     let (mut harness, mut workers) = full_zone();
     harness.submit(spread_daemon("req-000002", 2));
@@ -45,21 +46,21 @@
 }
 
 #[test]
-fn spread_daemon_gets_room_of_replica_that_can_run_elsewhere() {
+fn spread_daemon_gets_capacity_of_replica_that_can_run_elsewhere() {
     let (mut harness, mut workers) = waiting_spread_daemon();
     let before = starts(&workers);
     for _ in 0..40 {
         harness.run_rounds_of(&mut workers, 1);
         let replicas = running(&workers[0], "req-000001") + running(&workers[1], "req-000001");
-        assert!(replicas >= 3, "at most one replica is away at a time, {replicas} run");
+        assert!(replicas >= 3, "at most one replica is stopped at a time, {replicas} run");
     }
     assert_eq!((running(&workers[0], "req-000002"), running(&workers[1], "req-000002")), (1, 1));
     assert_eq!((running(&workers[0], "req-000001"), running(&workers[1], "req-000001")), (3, 1));
-    assert_eq!(starts(&workers), before + 2, "one replica moved, one started");
+    assert_eq!(starts(&workers), before + 2, "one replica was relocated, one started");
 }
 
 #[test]
-fn moving_replica_preempts_lower_priority_where_it_goes() {
+fn relocated_replica_preempts_lower_priority_on_target_machine() {
     let (mut harness, mut workers) = full_zone();
     harness.submit(JobSpec { cpus: 1.0, ..job("req-000003", "array", 4) });
     harness.run_rounds_of(&mut workers, 3);
@@ -68,11 +69,11 @@
     harness.run_rounds_of(&mut workers, 40);
     assert_eq!((running(&workers[0], "req-000002"), running(&workers[1], "req-000002")), (1, 1));
     assert_eq!((running(&workers[0], "req-000001"), running(&workers[1], "req-000001")), (3, 1));
-    assert_eq!(running(&workers[1], "req-000003"), 2, "no more tasks are stopped than must be");
+    assert_eq!(running(&workers[1], "req-000003"), 2, "no more tasks are stopped than necessary");
 }
 
 #[test]
-fn job_that_asks_for_the_zone_gets_room_there() {
+fn job_bound_to_full_zone_gets_capacity_of_relocated_replica() {
     let (mut harness, mut workers) = full_zone();
     harness.submit(JobSpec { zone: Some("a".into()), ..daemon("req-000002", 1) });
     harness.run_rounds_of(&mut workers, 40);
@@ -80,9 +81,9 @@
     assert_eq!((running(&workers[0], "req-000001"), running(&workers[1], "req-000001")), (3, 1));
 }
 
-/// A replica that must be where the others of its daemon are (seed 7319 of the random days).
+/// A replica must run in the same zone as the other replicas of its daemon (simulation, seed 7319).
 #[test]
-fn replica_bound_to_the_zone_of_others_gets_room_there() {
+fn replica_bound_to_zone_of_its_daemon_gets_capacity_there() {
     let mut harness = LeaderHarness::start();
     let mut first = small_worker("m-1", "a");
     harness.submit(JobSpec { one_zone: true, ..daemon("req-000002", 1) });
@@ -95,13 +96,17 @@
     harness.run_rounds_of(&mut workers, 40);
     assert_eq!(running(&workers[0], "req-000003"), 2);
     let replicas = running(&workers[0], "req-000001") + running(&workers[1], "req-000001");
-    assert_eq!(replicas, 2, "one of them moved");
-    assert_eq!(running(&workers[1], "req-000004"), 3, "one task made room for it");
+    assert_eq!(replicas, 2, "both still run");
+    assert_eq!(
+        running(&workers[1], "req-000004"),
+        3,
+        "one task was preempted for the relocated replica"
+    );
 }
 
-/// The same for a gang: all its tasks get room at once.
+/// The same for a gang, whose tasks need capacity at the same time.
 #[test]
-fn gang_that_asks_for_the_zone_gets_room_of_several_replicas() {
+fn gang_bound_to_full_zone_gets_capacity_of_several_replicas() {
     let (mut harness, mut workers) = full_zone();
     let gang = JobSpec {
         cpus: 1.0,
@@ -113,14 +118,14 @@
     for _ in 0..60 {
         harness.run_rounds_of(&mut workers, 1);
         let replicas = running(&workers[0], "req-000001") + running(&workers[1], "req-000001");
-        assert!(replicas >= 3, "at most one replica is away at a time, {replicas} run");
+        assert!(replicas >= 3, "at most one replica is stopped at a time, {replicas} run");
     }
     assert_eq!(running(&workers[0], "req-000002"), 2);
     assert_eq!((running(&workers[0], "req-000001"), running(&workers[1], "req-000001")), (2, 2));
 }
 
 #[test]
-fn replicas_without_room_elsewhere_stay() {
+fn replicas_without_capacity_elsewhere_are_not_relocated() {
     let (mut harness, mut workers) = full_zone();
     harness.submit(daemon("req-000003", 3));
     harness.run_rounds_of(&mut workers, 3);
@@ -130,13 +135,13 @@
     assert_eq!(running(&workers[1], "req-000002"), 1, "m-2 is full");
     let before = starts(&workers);
     harness.run_rounds_of(&mut workers, 40);
-    assert_eq!(starts(&workers), before, "no replica is stopped for nothing");
+    assert_eq!(starts(&workers), before, "no replica is stopped that can't run elsewhere");
     assert_eq!(running(&workers[0], "req-000001"), 4);
 }
 
-/// A replica may not leave a zone that its own constraints keep it in.
+/// A replica is not relocated out of a zone to which its own constraints bind it.
 #[test]
-fn replicas_bound_to_the_zone_stay() {
+fn replicas_bound_to_their_zone_are_not_relocated() {
     let mut harness = LeaderHarness::start();
     let mut first = small_worker("m-1", "a");
     harness.submit(JobSpec { one_zone: true, ..daemon("req-000001", 2) });
@@ -150,9 +155,9 @@
     assert_eq!(running(&workers[1], "req-000002"), 1);
 }
 
-/// Nothing is left to gain once every replica runs, over many rounds and failovers.
+/// Once every replica runs, no relocation begins, over many rounds and failovers.
 #[test]
-fn replicas_do_not_move_to_and_fro() {
+fn replicas_are_not_relocated_back_and_forth() {
     let (mut harness, mut workers) = waiting_spread_daemon();
     harness.run_rounds_of(&mut workers, 40);
     let before = starts(&workers);
@@ -161,11 +166,12 @@
         harness = LeaderHarness::lead(harness.store.clone(), term, now);
         harness.run_rounds_of(&mut workers, 60);
     }
-    assert_eq!(starts(&workers), before, "nothing moves any more");
+    assert_eq!(starts(&workers), before, "no replica is relocated again");
     assert_eq!(running(&workers[0], "req-000002"), 1);
 }
 
-/// A leader that ends between the stop and the start leaves a replica that its successor starts.
+/// A leader that fails between the stop and the start of a relocated replica leaves it to the next leader,
+/// which starts the replica like any other.
 #[test]
 fn replica_stopped_by_earlier_leader_runs_again() {
     let (mut harness, mut workers) = waiting_spread_daemon();
@@ -183,9 +189,10 @@
     assert_eq!(running(&workers[0], "req-000002") + running(&workers[1], "req-000002"), 2);
 }
 
-/// The job that waits is cancelled amid the move, at each moment: the replica is not lost, and the room is free again.
+/// The waiting job is cancelled after each possible number of rounds of the relocation: the replica is not
+/// lost, and the capacity held for the relocation is released.
 #[test]
-fn cancellation_amid_move_leaves_no_room_held() {
+fn cancellation_during_relocation_releases_held_capacity() {
     for rounds in 0..12 {
         let (mut harness, mut workers) = waiting_spread_daemon();
         harness.run_rounds_of(&mut workers, rounds);
@@ -196,19 +203,19 @@
         harness.submit(daemon("req-000004", 4));
         harness.run_rounds_of(&mut workers, 6);
         let others = running(&workers[0], "req-000004") + running(&workers[1], "req-000004");
-        assert_eq!(others, 4, "cancelled after {rounds} rounds: all room is free again");
+        assert_eq!(others, 4, "cancelled after {rounds} rounds: all capacity is released");
     }
 }
 
-/// The machine that the replica would go to is lost before the stop: the replica stays where it is.
+/// The target machine is lost before the replica is stopped: the replica stays on its machine.
 #[test]
-fn replica_stays_if_its_target_is_lost_before_the_stop() {
+fn replica_stays_if_target_machine_is_lost_before_the_stop() {
     let (mut harness, mut workers) = full_zone();
     harness.submit(JobSpec { cpus: 1.0, ..job("req-000003", "array", 4) });
     harness.run_rounds_of(&mut workers, 3);
     harness.submit(spread_daemon("req-000002", 2));
     harness.run_rounds_of(&mut workers, 3);
-    // m-2 falls silent while its tasks are being stopped.
+    // m-2 becomes unreachable while its tasks are being stopped.
     for _ in 0..30 {
         harness.heartbeat(&mut workers[0]);
         harness.advance(500);
@@ -216,18 +223,19 @@
     assert_eq!(
         running(&workers[0], "req-000001"),
         4,
-        "no replica is stopped without room elsewhere"
+        "no replica is stopped without capacity elsewhere"
     );
 }
 
-/// Where the team is at its limit, its own waiting work must not take what the moving replica gives up.
+/// While a replica of a team at its quota is relocated, other tasks of the team must not use the part of the
+/// quota that the stopped replica frees.
 #[test]
-fn moving_replica_keeps_its_part_of_the_teams_limit() {
+fn relocated_replica_keeps_its_part_of_team_quota() {
     let mut harness = LeaderHarness::start();
     let mut first = small_worker("m-1", "a");
     harness.submit(JobSpec { team: "tight".into(), ..daemon("req-000001", 4) });
     harness.run_rounds(&mut [&mut first]);
-    assert_eq!(running(&first, "req-000001"), 4, "the team is at its limit");
+    assert_eq!(running(&first, "req-000001"), 4, "the team is at its quota");
     let mut workers = [first, small_worker("m-2", "b")];
     harness.run_rounds_of(&mut workers, 2);
     let waiting = JobSpec { team: "tight".into(), cpus: 1.0, ..job("req-000003", "array", 8) };
@@ -236,12 +244,12 @@
     harness.run_rounds_of(&mut workers, 40);
     assert_eq!((running(&workers[0], "req-000001"), running(&workers[1], "req-000001")), (3, 1));
     assert_eq!(running(&workers[0], "req-000002"), 1);
-    assert_eq!(running(&workers[1], "req-000003"), 0, "the limit is used by the replicas");
+    assert_eq!(running(&workers[1], "req-000003"), 0, "the replicas use the quota");
 }
 
-/// A replica that ends by itself amid the move is restarted like any other.
+/// A replica that ends by itself during its relocation is restarted like any other.
 #[test]
-fn replica_that_ends_amid_move_runs_again() {
+fn replica_that_ends_during_relocation_runs_again() {
     for rounds in 0..12 {
         let (mut harness, mut workers) = waiting_spread_daemon();
         harness.run_rounds_of(&mut workers, rounds);
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -1,6 +1,7 @@
-//! A new leader with a standby copy of the last leader's cluster state: what the copy speeds up, and what it never
-//! decides. The copy is a hint; the state service, heartbeats and expired leases are the proof.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+//! A new leader that was a standby and has a copy of the previous leader's cluster state: what the copy
+//! speeds up, and what it never decides. The copy is a hint; what tasks exist and where they may run is
+//! proven only by the store, heartbeats and expired leases.
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 mod harness;
 mod standby_support;
@@ -18,13 +19,13 @@
     run_rounds,
 };
 
-/// The copy is a hint: a start that it lacks may have been sent.
+/// The previous leader may have sent a start command that the copy lacks.
 #[test]
 fn start_missing_from_copy_is_not_repeated() {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(3);
     run_rounds(&mut harness, &mut workers);
-    // The standby lags: its copy ends at this entry.
+    // The standby lags behind: its copy contains nothing after this point.
     let copy = copy_of(&mut harness.cluster);
     harness.submit(job("req-000001", "array", 3));
     run_rounds(&mut harness, &mut workers);
@@ -48,12 +49,12 @@
     assert_eq!(
         attempts(&reachable).len(),
         3,
-        "every machine is reconciled: the ended task is restarted"
+        "the ended task is restarted once every machine is reconciled"
     );
     assert_eq!(attempts(&workers).len(), 1);
 }
 
-/// A copy can't make an unreachable machine count as reconciled, or its lease as expired.
+/// A copy that lacks a task neither reconciles the unreachable machine that runs it nor ends the worker lease there.
 #[test]
 fn copy_without_tasks_does_not_reconcile_machine() {
     let mut harness = LeaderHarness::start();
@@ -120,7 +121,7 @@
     assert!(harness.cluster.take_state_probes(harness.now).is_empty());
 }
 
-/// A probe response with another machine name than the copy has for the address reconciles no machine.
+/// A state probe that reaches another machine than the copy names for the address reconciles no machine.
 #[test]
 fn probe_answered_by_other_machine_reconciles_nothing() {
     let mut harness = LeaderHarness::start();
@@ -159,13 +160,13 @@
     let restarted = attempts(&workers).len() - before;
     assert!(
         restarted <= 1,
-        "{restarted} tasks started at once of a job that failed on every machine"
+        "a job that failed on every machine restarts one task at a time, not {restarted}"
     );
 }
 
-/// A copy can't delay the retry of a job for longer than its own errors could.
+/// A copy can delay the retry of a job by no more than the longest backoff that failures cause.
 #[test]
-fn excessive_retry_pause_in_copy_is_bounded() {
+fn excessive_backoff_in_copy_is_bounded() {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(1);
     run_rounds(&mut harness, &mut workers);
@@ -210,7 +211,7 @@
     assert_eq!(
         publisher.state(),
         &copy_of(&mut harness.cluster),
-        "incremental entries give the whole cluster state"
+        "the published entries add up to the whole cluster state"
     );
     assert!(publisher.state().jobs.contains_key(id.as_str()));
     for worker in &mut workers {
@@ -225,7 +226,8 @@
     assert!(publisher.state().jobs.is_empty());
 }
 
-/// Without a probe, a worker would confirm the new fencing token only in its next regular heartbeat.
+/// Guards against a slow reconciliation: without a state probe, a worker would confirm the new fencing token only in
+/// its next regular heartbeat.
 #[test]
 fn workers_with_old_fencing_token_are_probed() {
     let mut harness = LeaderHarness::start();
@@ -249,8 +251,8 @@
     assert!(harness.cluster.reconciled(harness.now));
 }
 
-/// A worker that does not respond is probed again. If the others of its zone respond, its machine is deleted,
-/// and the deletion proves that its tasks are gone.
+/// A worker that does not answer a state probe is probed again. If most of its zone answers and it does not, its
+/// machine is deleted; the confirmed deletion proves that its tasks have ended.
 #[test]
 fn machine_not_answering_probes_is_deleted_soon_after_failover() {
     let mut harness = LeaderHarness::start();
--- a/crates/controller/tests/standby_gangs.rs
+++ b/crates/controller/tests/standby_gangs.rs
@@ -1,5 +1,6 @@
-//! Gangs that an earlier leader placed in part, with and without a copy of its cluster state.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+//! Gangs of which the previous leader started only some tasks: how a new leader completes or restarts
+//! them, with and without a copy of the previous leader's cluster state.
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 mod harness;
 mod standby_support;
@@ -23,7 +24,11 @@
     assert!(harness.cluster.reconciled(harness.now));
     run_rounds(&mut harness, &mut workers);
     let attempts = attempts(&workers);
-    assert_eq!(attempts.len(), 4, "the other tasks are started, and none twice: {attempts:?}");
+    assert_eq!(
+        attempts.len(),
+        4,
+        "the other two tasks are started, and no task twice: {attempts:?}"
+    );
     assert!(attempts.iter().all(|attempt| *attempt == attempts[0]), "{attempts:?}");
     for worker in &mut workers {
         worker.set_all_task_states(TaskState::Running);
@@ -32,7 +37,7 @@
     assert_eq!(harness.job_state(&id), JobState::Running);
 }
 
-/// Without a copy the attempt may be one that lost tasks.
+/// Without a copy the new leader can't tell a gang that is being started from one that has lost tasks.
 #[test]
 fn partially_placed_gang_without_copy_restarts() {
     let (mut harness, mut workers, _, _) = partially_placed_gang();
@@ -81,12 +86,12 @@
     run_rounds(&mut harness, &mut workers);
     assert!(
         workers.iter().all(|worker| worker.unfinished_tasks().is_empty()),
-        "stopped after the time limit, to restart as a whole"
+        "stopped after the time limit, so that the whole gang restarts"
     );
 }
 
-/// The remaining tasks of a gang may run on a silent machine: none starts elsewhere before it
-/// is reconciled.
+/// The missing task of a gang may run on an unreachable machine: it starts on no other machine before that
+/// one is reconciled.
 #[test]
 fn gang_is_not_completed_while_tasks_may_run_on_unreachable_machine() {
     let mut harness = LeaderHarness::start();
