--- a/crates/controller/tests/controller_actor.rs
+++ b/crates/controller/tests/controller_actor.rs
@@ -1,6 +1,6 @@
-//! Whole controllers (leadership, cluster state and API service) with a state service on loopback. The tests wait
-//! for events; a time limit only ends a test that would never finish.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+//! Whole controllers (leadership, cluster state and API service) with a store on loopback. The tests wait for
+//! events; time limits only end a test that would otherwise hang.
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
 use hookway_controller::actor::{
@@ -34,19 +34,20 @@
 /// No process listens at this address.
 const NOWHERE: &str = "127.0.0.1:1";
 
-/// A running controller.
+/// A running controller: its API service, the requests of its actor, and its view of the leadership.
 struct RunningController {
     api_service: Arc<ApiService>,
     requests: mpsc::Sender<ControllerRequest>,
     view: watch::Receiver<LeadershipView>,
 }
 
-/// The settings of another controller, in zone `b`.
+/// Returns the settings entry of another controller, in zone `b`.
 fn peer(name: &str, address: &str) -> PeerController {
     PeerController { name: name.to_owned(), zone: "b".to_owned(), address: address.to_owned() }
 }
 
-/// Starts a controller, which campaigns for the leadership if `campaigns`.
+/// Starts a controller in zone a with the store at address `store`. It takes part in elections only if
+/// `campaigns`.
 #[expect(clippy::too_many_lines, reason = "one scripted controller, set up in order")]
 async fn start(
     name: &str,
@@ -121,12 +122,14 @@
     RunningController { api_service, requests: requests_tx, view }
 }
 
-async fn within<T>(work: impl Future<Output = T>) -> T {
+/// Waits for `work`. Panics after 20 s.
+async fn within_20_s<T>(work: impl Future<Output = T>) -> T {
     tokio::time::timeout(Duration::from_secs(20), work).await.expect("a result within 20 s")
 }
 
-/// Accepts the job and waits until the leader knows it.
-async fn accepted(controller_1: &mut RunningController) -> JobId {
+/// Waits until the controller leads, submits [`JOB`] to it, waits until its actor can answer status
+/// queries, and returns the job's id.
+async fn submit_to_leader(controller_1: &mut RunningController) -> JobId {
     controller_1.view.wait_for(|view| view.own_term.is_some()).await.expect("the actor runs");
     let outcome = controller_1.api_service.submit(JOB.as_bytes(), Origin::Client).await;
     assert!(matches!(outcome, RequestOutcome::Accepted(_)), "{outcome:?}");
@@ -147,22 +150,22 @@
     id
 }
 
-/// A request that can't be decided now gets a response at once, not when the state service is back: users waited for
-/// the full time limit during each outage.
+/// Guards against users who wait for the full time limit of a request during an outage of the store: a
+/// request that can't be decided gets a response at once, not when the store is available again.
 #[tokio::test]
-async fn cancellation_without_state_service_is_answered_at_once() {
+async fn cancellation_without_store_is_answered_at_once() {
     let work = async {
         let server = StoreServer::default();
         let address = server.start().await.expect("a free port");
         let mut controller_1 = start("one", &address, &[], true).await;
-        let id = accepted(&mut controller_1).await;
+        let id = submit_to_leader(&mut controller_1).await;
         server.begin_outage();
-        let outcome = within(controller_1.api_service.cancel(&id, Origin::Client)).await;
+        let outcome = within_20_s(controller_1.api_service.cancel(&id, Origin::Client)).await;
         assert!(matches!(outcome, RequestOutcome::Unavailable(_)), "{outcome:?}");
         assert!(server.with_store(|store| store.get(&final_state_key(&id))).is_none());
         server.end_outage();
         // The cancellation stays in the commit queue; a repeated request gets the outcome.
-        let status = within(async {
+        let status = within_20_s(async {
             loop {
                 if let RequestOutcome::Known(status) =
                     controller_1.api_service.cancel(&id, Origin::Client).await
@@ -177,8 +180,8 @@
     LocalSet::new().run_until(work).await;
 }
 
-/// A durable cancellation is final: the controller that committed it tells the others, so that a shard lessee that
-/// can't reach the state service stops the job's tasks.
+/// A durable cancellation is final. The controller that committed it tells the others, so that a shard lessee
+/// that can't reach the store stops the tasks of the job.
 #[tokio::test]
 async fn durable_cancellation_is_sent_to_other_controllers() {
     let work = async {
@@ -186,15 +189,15 @@
         let address = server.start().await.expect("a free port");
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let peer_address = listener.local_addr().expect("a bound address").to_string();
-        // The other controller can't reach the state service.
+        // The other controller can't reach the store.
         let controller_2 = start("two", NOWHERE, &[], false).await;
         tokio::spawn(peers::serve(listener, controller_2.api_service.clone(), Networks::default()));
         let mut controller_1 = start("one", &address, &[("two", &peer_address)], true).await;
-        let id = accepted(&mut controller_1).await;
+        let id = submit_to_leader(&mut controller_1).await;
         assert!(!controller_2.api_service.final_states().contains(&id));
-        let outcome = within(controller_1.api_service.cancel(&id, Origin::Client)).await;
+        let outcome = within_20_s(controller_1.api_service.cancel(&id, Origin::Client)).await;
         assert!(matches!(outcome, RequestOutcome::Known(_)), "{outcome:?}");
-        within(async {
+        within_20_s(async {
             while !controller_2.api_service.final_states().contains(&id) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
@@ -203,45 +206,46 @@
         let RequestOutcome::Known(status) =
             controller_2.api_service.status(&id, Origin::Client).await
         else {
-            panic!("the final state is unknown without the state service")
+            panic!("the final state is unknown without the store")
         };
         assert_eq!(status.state, JobState::Cancelled);
     };
     LocalSet::new().run_until(work).await;
 }
 
-/// A controller that the state service refuses alone serves its users through the others, whether one of them
-/// leads or nobody does: otherwise its users would get no response.
+/// If a single controller can't reach the store, it forwards the requests of its users to the other controllers,
+/// whether or not one of them leads. Otherwise its users would get no response.
 #[tokio::test]
-async fn controller_refused_by_state_service_answers_users_through_peers() {
+async fn controller_without_store_answers_users_through_peers() {
     let work = async {
         let server = StoreServer::default();
         let address = server.start().await.expect("a free port");
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let peer_address = listener.local_addr().expect("a bound address").to_string();
-        // Nobody leads at first.
+        // No controller leads.
         let controller_2 = start("two", &address, &[], false).await;
         tokio::spawn(peers::serve(listener, controller_2.api_service.clone(), Networks::default()));
         let controller_1 = start("one", NOWHERE, &[("two", &peer_address)], false).await;
         let id = JobId::parse("req-000412").expect("an id");
-        let outcome = within(controller_1.api_service.submit(JOB.as_bytes(), Origin::Client)).await;
+        let outcome =
+            within_20_s(controller_1.api_service.submit(JOB.as_bytes(), Origin::Client)).await;
         assert!(matches!(outcome, RequestOutcome::Accepted(_)), "{outcome:?}");
-        let outcome = within(controller_1.api_service.status(&id, Origin::Client)).await;
+        let outcome = within_20_s(controller_1.api_service.status(&id, Origin::Client)).await;
         assert!(
             matches!(outcome, RequestOutcome::Known(status) if status.state == JobState::Queued)
         );
-        let outcome = within(controller_1.api_service.cancel(&id, Origin::Client)).await;
+        let outcome = within_20_s(controller_1.api_service.cancel(&id, Origin::Client)).await;
         assert!(
             matches!(outcome, RequestOutcome::Known(status) if status.state == JobState::Cancelled)
         );
         let absent = JobId::parse("req-000999").expect("an id");
         assert_eq!(
-            within(controller_1.api_service.status(&absent, Origin::Client)).await,
+            within_20_s(controller_1.api_service.status(&absent, Origin::Client)).await,
             RequestOutcome::NotFound
         );
-        // During an outage of the state service no controller can decide.
+        // During an outage of the store no controller can tell whether the job exists.
         server.begin_outage();
-        let outcome = within(controller_1.api_service.status(&absent, Origin::Client)).await;
+        let outcome = within_20_s(controller_1.api_service.status(&absent, Origin::Client)).await;
         assert!(matches!(outcome, RequestOutcome::Unavailable(_)), "{outcome:?}");
     };
     LocalSet::new().run_until(work).await;
--- a/crates/controller/tests/fleet_size.rs
+++ b/crates/controller/tests/fleet_size.rs
@@ -1,6 +1,7 @@
-//! A fleet of 4,500 machines, each with tasks, before and after a failover: no fixed limit is below this size.
-//! Limits and placements are asserted; time and memory are printed with `--release --nocapture`.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+//! A fleet of 4,500 machines, each with a task, before and after a failover: it must not exceed any fixed limit
+//! of the software. Limits and placements are asserted; time and memory are only printed, and shown with
+//! `--nocapture` (use `--release` for meaningful times).
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 mod harness;
 
@@ -11,24 +12,26 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
+/// Number of machines in the fleet.
 const MACHINES: usize = 4_500;
-/// Tasks of each array; one fits on a machine at a time.
+/// Number of tasks in each array; a machine has capacity for one of them.
 const ARRAY_TASKS: u32 = 500;
-/// Number of arrays: their tasks exceed the capacity of the fleet by about a tenth.
+/// Number of arrays; together their tasks exceed the capacity of the fleet by a ninth.
 const ARRAYS: u32 = 10;
 
-fn limits(config: &ControllerConfig) -> (usize, f64) {
+/// Returns the store's maximum number of operations in a transaction, and of KiB in a value.
+fn store_limits(config: &ControllerConfig) -> (usize, f64) {
     (config.platform.state.txn_ops, config.platform.state.value_kb)
 }
 
-/// Resident memory of this process, KiB; 0 where the system does not report it.
+/// Returns the resident memory of this process in KiB, or 0 where the system does not report it.
 fn resident_kb() -> usize {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or_default();
     line.trim().trim_end_matches(" kB").trim().parse().unwrap_or(0)
 }
 
-/// A fleet of workers and the checks on it.
+/// A leader, the workers of its fleet, and the number of transactions committed so far.
 struct Fleet {
     harness: LeaderHarness,
     workers: Vec<ScriptedWorker>,
@@ -43,9 +46,9 @@
         Self { harness: LeaderHarness::start(), workers, transactions: 0 }
     }
 
-    /// Every transaction stays within the limits of the state service.
+    /// Checks that a transaction is within the limits of the store, and counts it.
     fn check_transaction(&mut self, transaction: &Transaction) {
-        let (max_operations, max_value_kb) = limits(&test_config());
+        let (max_operations, max_value_kb) = store_limits(&test_config());
         assert!(
             transaction.operations.len() <= max_operations,
             "{} operations, limit {max_operations}",
@@ -62,6 +65,7 @@
         self.transactions += 1;
     }
 
+    /// Commits everything that is queued.
     fn flush(&mut self) {
         while let Some(commit) = self.harness.cluster.next_commit(self.harness.now) {
             self.check_transaction(&commit.transaction);
@@ -71,7 +75,7 @@
         }
     }
 
-    /// Every worker sends one heartbeat, and all queued operations are committed.
+    /// Runs one heartbeat of each worker and then a scheduling round, and commits everything that is queued.
     fn heartbeat_all(&mut self) {
         for n in 0..self.workers.len() {
             let heartbeat = self.workers[n].heartbeat();
@@ -90,12 +94,13 @@
         self.flush();
     }
 
+    /// Returns the number of unfinished tasks on all workers.
     fn running(&self) -> usize {
         self.workers.iter().map(|worker| worker.unfinished_tasks().len()).sum()
     }
 
     /// Checks that no task runs on two machines.
-    fn check_tasks(&self) {
+    fn check_no_task_runs_twice(&self) {
         let mut running = BTreeSet::new();
         for task in self.workers.iter().flat_map(ScriptedWorker::unfinished_tasks) {
             assert!(running.insert(task.clone()), "{task} runs on two machines");
@@ -116,13 +121,13 @@
     }
     println!("filled in {:?}, {} transactions", started_at.elapsed(), fleet.transactions);
     assert_eq!(fleet.running(), MACHINES, "every machine has a task");
-    fleet.check_tasks();
+    fleet.check_no_task_runs_twice();
     let started_at = Instant::now();
     fleet.heartbeat_all();
     println!("one heartbeat: {:?}", started_at.elapsed() / MACHINES as u32);
     println!("memory: {} KiB", resident_kb().saturating_sub(before_kb));
 
-    // Tasks end during a failover; the new leader reads all machines from the state service.
+    // Tasks end during a failover; the new leader reads all machines from the store.
     for n in (0..MACHINES).step_by(10) {
         let task = fleet.workers[n].unfinished_tasks().remove(0);
         fleet.workers[n].end_task(&task, ExitCause::Done);
@@ -146,8 +151,8 @@
     for _ in 0..3 {
         fleet.heartbeat_all();
     }
-    fleet.check_tasks();
-    assert_eq!(fleet.running(), MACHINES, "queued tasks fill the machines whose task ended");
+    fleet.check_no_task_runs_twice();
+    assert_eq!(fleet.running(), MACHINES, "queued tasks start on the machines whose task ended");
     let starts: usize = fleet.workers.iter().map(|worker| worker.started_attempts.len()).sum();
     assert_eq!(starts, MACHINES + MACHINES / 10, "each task was started once");
 }
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -1,7 +1,7 @@
-//! Every format as production reads and writes it: records in the state service, frames between controllers,
-//! HTTP messages. `fixtures/production.txt` has what commit a77378733694 wrote for the values below, one a line;
-//! whatever is renamed in the code, it must be read as these values and written as these bytes.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+//! The formats as production reads and writes them: records in the store, frames between controllers, and HTTP
+//! messages. Each line of `fixtures/production.txt` is what commit a77378733694 wrote for a value below.
+//! Whatever is renamed in the code, each line must be read as that value, and the value written as that line.
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 mod formats_support;
 
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn records_in_the_state_service_are_read_and_written_as_in_production() {
+fn store_records_are_read_and_written_as_in_production() {
     let job = |kind: &str| JobRecord {
         spec: spec(kind),
         accepted_at_ms: 1_764_654_219_000,
@@ -146,8 +146,8 @@
     frame("answer-no-block", &PeerResponse::ShardLease(None));
 }
 
-/// Messages that came with version 2. Production and version 1 never see them: the sender looks at the version
-/// that the leader's responses name.
+/// Frames that frame version 2 added. A controller of an earlier version, or of production, which has none, never
+/// receives them: the sender first checks the version in the leader's responses.
 #[test]
 fn frames_of_replication_are_read_and_written_as_in_version_2() {
     let at = |index| Position { term: 4_097, index };
@@ -192,19 +192,19 @@
 }
 
 #[test]
-fn a_frame_names_its_version_where_production_ignores_it() {
+fn frame_version_is_in_trailing_byte_that_production_ignores() {
     let request = PeerRequest::Status("req-000412".into());
     let bytes = frame::encode(&request).expect("a frame");
     let written: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(written, format!("{}02", fixture("ask-status")));
-    // As production reads it: bytes after the message are ignored.
+    // Production decodes the message and ignores the bytes after it.
     let config = bincode::config::standard();
     let (read, _): (PeerRequest, usize) =
         bincode::serde::decode_from_slice(&bytes, config).expect("a frame");
     assert_eq!(read, request);
     let read = frame::decode::<PeerRequest>(&bytes).expect("a frame");
     assert_eq!(read, Frame { message: request.clone(), version: CURRENT });
-    // A frame of production, and one of a later version with more bytes.
+    // A frame of production has no version byte; a frame of a later version may have more bytes.
     let old = &bytes[..bytes.len() - 1];
     let read = frame::decode::<PeerRequest>(old).expect("a frame");
     assert_eq!(read, Frame { message: request.clone(), version: FrameVersion(0) });
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn messages_of_users_and_workers_are_read_and_written_as_in_production() {
+fn user_and_worker_messages_are_read_and_written_as_in_production() {
     json("http-job", &spec("group"));
     json("http-status", &status(JobState::Running));
     let bare = JobStatus { team: None, leader: None, notes: vec![], ..status(JobState::Done) };
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn messages_of_the_state_service_and_the_cloud_are_read_and_written_as_in_production() {
+fn store_and_cloud_messages_are_read_and_written_as_in_production() {
     let value = serde_json::json!({ "a": 1 });
     let put = Operation::Put { key: "a/b".into(), value: value.clone(), lease_id: Some(7) };
     let preconditions = vec![Precondition { key: "a/b".into(), mod_revision: 0 }];
--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -1,6 +1,7 @@
-//! Formats that `formats.rs` lacks: every variant of every enum, optional fields, the state that chunks of an
-//! image carry. `fixtures/pinned.txt` has what commit cd798ce wrote for the values below, one a line; it only grows.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+//! Formats that `formats.rs` does not cover: the remaining enum variants, optional fields, and the content of a
+//! replication snapshot. Each line of `fixtures/pinned.txt` is what commit cd798ce wrote for a value below;
+//! lines are only added, never changed.
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 mod formats_support;
 
@@ -108,7 +109,7 @@
     frame("pinned-answer-no-entries", &PeerResponse::Followed(Some(response)));
 }
 
-/// A leader's cluster state with a task at each stage and two jobs.
+/// Returns the publisher of a leader whose cluster state has a task at each stage and two jobs.
 fn publisher_with_cluster_state() -> Publisher {
     let mut publisher = Publisher::new(4_097);
     let task = |task, attempt, stage| TaskView { task, attempt, stage };
@@ -138,10 +139,11 @@
 }
 
 #[test]
-fn state_image_matches_pinned_bytes_and_digest() {
+fn replication_snapshot_matches_pinned_bytes_and_digest() {
     let mut publisher = publisher_with_cluster_state();
     let request = FollowRequest { follower: "worker-1".into(), progress: FollowerProgress::Empty };
-    let response = publisher.respond(&request, MonotonicTime::ZERO).expect("an image");
+    let response =
+        publisher.respond(&request, MonotonicTime::ZERO).expect("a replication snapshot");
     frame("pinned-answer-image", &PeerResponse::Followed(Some(response)));
     frame("pinned-image-state", publisher.state());
     frame("pinned-image-empty-state", &ReplicatedState::default());
--- a/crates/controller/tests/formats_support/mod.rs
+++ b/crates/controller/tests/formats_support/mod.rs
@@ -1,26 +1,27 @@
-//! Comparison of values with the fixtures that pin how they are written and read.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Functions that compare values with the fixtures, which pin how the values are written and read.
+#![allow(dead_code, reason = "each test file uses only some of these items")]
 
 use hookway_wire::{JobId, JobSpec, JobState, JobStatus};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
 
-const FIXTURES: &str = include_str!("../fixtures/production.txt");
-/// Messages that version 2 of the frames added, as its first build wrote them.
+/// Formats as the build in production wrote them.
+const PRODUCTION_FIXTURES: &str = include_str!("../fixtures/production.txt");
+/// Frames that frame version 2 added, as its first build wrote them.
 const REPLICATION_FIXTURES: &str = include_str!("../fixtures/replication.txt");
-/// Formats that the other two files lack, as commit cd798ce wrote them.
+/// Formats that the other two files do not cover, as commit cd798ce wrote them.
 const PINNED_FIXTURES: &str = include_str!("../fixtures/pinned.txt");
 
-/// The fixture of that name.
+/// Returns the fixture `name`. Panics if there is none.
 pub fn fixture(name: &str) -> &'static str {
-    let files = [FIXTURES, REPLICATION_FIXTURES, PINNED_FIXTURES];
+    let files = [PRODUCTION_FIXTURES, REPLICATION_FIXTURES, PINNED_FIXTURES];
     let mut lines = files.into_iter().flat_map(str::lines);
     let found = lines.find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     found.unwrap_or_else(|| panic!("no fixture {name}"))
 }
 
-/// A value is written as the JSON of the fixture, and read from it.
+/// Checks that `value` is written as the JSON of the fixture `name` and read back from it.
 pub fn json<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
     let written = serde_json::to_value(value).expect("a value");
     let pinned: serde_json::Value = serde_json::from_str(fixture(name)).expect("JSON");
@@ -29,7 +30,7 @@
     assert_eq!(&read, value, "{name} is read differently");
 }
 
-/// A value is written as the bytes of the fixture, and read from them.
+/// Checks that `value` is written as the bytes of the fixture `name` (in hexadecimal) and read back from them.
 pub fn frame<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
     let config = bincode::config::standard();
     let bytes = bincode::serde::encode_to_vec(value, config).expect("a frame");
@@ -39,12 +40,12 @@
     assert_eq!(&read, value, "{name} is read differently");
 }
 
-/// The id of the job in the fixtures.
+/// Returns the id of the job in the fixtures.
 pub fn id() -> JobId {
     JobId::parse("req-000412").expect("an id")
 }
 
-/// The job in the fixtures, of this kind.
+/// Returns the job in the fixtures with this kind (outer name).
 pub fn spec(kind: &str) -> JobSpec {
     let text = format!(
         r#"{{"NameId":"req-000412","Lane":"train","Owner":"vision","Shape":"{kind}","Rank":"high",
@@ -55,7 +56,7 @@
     JobSpec::parse(text.as_bytes()).expect("a valid job")
 }
 
-/// The status of the job in the fixtures.
+/// Returns the status of the job in the fixtures with this state.
 pub fn status(state: JobState) -> JobStatus {
     JobStatus {
         id: id(),
@@ -68,13 +69,13 @@
     }
 }
 
-/// The JSON of the fixture is read as a value that would be written differently.
+/// Checks that the JSON of the fixture `name` is read as `value`. The value itself is written differently.
 pub fn read_only<T: DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
     let read: T = serde_json::from_str(fixture(name)).expect("a value");
     assert_eq!(&read, value, "{name} is read differently");
 }
 
-/// The job in the fixtures without its optional fields.
+/// Returns the job in the fixtures as an array without its optional fields.
 pub fn bare_spec() -> JobSpec {
     JobSpec { machine_types: None, zone: None, deadline_s: None, ..spec("array") }
 }
--- a/crates/controller/tests/http_routes.rs
+++ b/crates/controller/tests/http_routes.rs
@@ -1,6 +1,6 @@
-//! Status, body and `Retry-After` of every path and method of the HTTP interface, at a controller that does not
-//! lead. The responses of a leader are in `api/`.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+//! Status, body and `Retry-After` of the responses to every path and method of the HTTP API by a controller that
+//! does not lead. The tests in `api/` cover the responses of a leader.
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 use hookway_clients::StoreClient;
 use hookway_controller::actor::ControllerHandle;
@@ -18,17 +18,19 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
 
+/// A valid submission.
 const JOB: &str = r#"{"NameId":"req-000412","Lane":"train","Owner":"team","Shape":"array","Rank":"low","Pieces":4,
  "Vcpus":2.0,"Gpus":0,"RamGb":1.0,"Bundle":"img-07","ImageGb":6.2,"Together":false,"Spread":false,"Loaners":true,
  "GuessS":240.0,"SnapshotEveryS":30.0,"SnapshotS":4.0}"#;
+/// A valid heartbeat without the optional fields.
 const HEARTBEAT: &str = r#"{"Host":"m-1","Addr":"127.0.0.1:9","Flavor":"small","Yard":"a","Loaners":false,"Tenure":1,
  "Tick":1}"#;
-/// `Retry-After` of submissions, cancellations and heartbeats, s.
+/// `Retry-After` in s of 503 responses to submissions, cancellations, heartbeats and the replication status.
 const RETRY_AFTER: Option<&str> = Some("1");
-/// `Retry-After` of status queries, s.
-const RETRY_QUERY_AFTER: Option<&str> = Some("3");
+/// `Retry-After` in s of 503 responses to status queries.
+const QUERY_RETRY_AFTER: Option<&str> = Some("3");
 
-/// The API of a controller whose actor has ended, with this state service.
+/// Returns the HTTP service of a controller whose actor has ended, with the store at this address.
 fn api(store: &str) -> Service {
     let settings = Settings::parse(SETTINGS).expect("valid settings");
     let (requests, _) = mpsc::channel(1);
@@ -49,7 +51,7 @@
     service(Arc::new(api))
 }
 
-/// The status, `Retry-After` and the body.
+/// Sends a request and returns the status, the value of `Retry-After` and the body.
 async fn send(
     api: &Service,
     method: &str,
@@ -131,7 +133,7 @@
     let api = api(&server.start().await.expect("a free port"));
     server.begin_outage();
     for (method, path, body, retry_after) in [
-        ("GET", "/api/jobs/req-000412", "", RETRY_QUERY_AFTER),
+        ("GET", "/api/jobs/req-000412", "", QUERY_RETRY_AFTER),
         ("POST", "/api/jobs", JOB, RETRY_AFTER),
         ("POST", "/api/jobs/req-000412/withdraw", "{}", RETRY_AFTER),
     ] {
--- a/crates/controller/tests/message_formats_pinned.rs
+++ b/crates/controller/tests/message_formats_pinned.rs
@@ -1,6 +1,6 @@
-//! The JSON of HTTP messages, as `formats_pinned.rs` pins records and frames: every variant of every enum, and
-//! optional fields. The fixtures are in `fixtures/pinned.txt` too.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+//! The JSON of HTTP messages that `formats.rs` does not cover: every enum variant, and optional fields. The
+//! fixtures are in `fixtures/pinned.txt`, as those of `formats_pinned.rs` are.
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 mod formats_support;
 
--- a/crates/controller/tests/settings_keys.rs
+++ b/crates/controller/tests/settings_keys.rs
@@ -1,5 +1,5 @@
-//! Every key of the platform's settings file and of the operators' INI file: what it sets, whether it is required
-//! and its default.
+//! Every key of the platform's settings file (TOML) and of the operators' settings file (INI): what it sets, whether
+//! it is required, and its default.
 
 use hookway_controller::{OperatorSettings, Settings};
 use std::time::Duration;
@@ -8,7 +8,7 @@
     Duration::from_millis(millis)
 }
 
-/// The required keys only.
+/// Platform settings with the required keys only.
 const REQUIRED_KEYS: &str = r#"
 label = "worker-0"
 api_addr = "127.0.0.1:8080"
@@ -34,7 +34,7 @@
 list_lag_s = 5.0
 "#;
 
-/// Every key.
+/// Platform settings with every key.
 const ALL_KEYS: &str = r#"
 label = "worker-0"
 domain = "a"
--- a/crates/controller/tests/store_keys.rs
+++ b/crates/controller/tests/store_keys.rs
@@ -1,5 +1,5 @@
-//! The keys under which controllers of all versions keep their records in the state service, letter by letter.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+//! The exact keys under which controllers of all versions keep their records in the store.
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 mod harness;
 
@@ -143,8 +143,8 @@
         "r/record-0",
     ];
     assert_eq!(keys, pinned);
-    // Versions before `lead/watermarks` compare it with `lead/term`, which the harness does not write: the
-    // last token of term 1.
+    // Versions that do not know `lead/watermarks` compare this marker with `lead/term`, which the harness does
+    // not write. The value is the last fencing token of term 1.
     let marker = harness.store.get("lead/marked").map(|kv| kv.value);
     assert_eq!(marker, Some(4_096.into()));
 }
