--- a/crates/controller/tests/api/status.rs
+++ b/crates/controller/tests/api/status.rs
@@ -138,10 +138,10 @@
 async fn known_final_state_is_answered_without_store() {
     let api_service = api_service(Role::Leader, true, LeadershipView::default(), None, 0.1);
     let id = JobId::parse("req-000009").expect("an id");
-    api_service.final_states().remember(&known(&id, JobState::Done).into());
-    api_service
-        .final_states()
-        .remember(&known(&JobId::parse("req-000010").expect("an id"), JobState::Running).into());
+    api_service.final_states().remember(&status_in_state(&id, JobState::Done).into());
+    api_service.final_states().remember(
+        &status_in_state(&JobId::parse("req-000010").expect("an id"), JobState::Running).into(),
+    );
     let api = service(api_service);
     let (status, text, _) = get(&api, "/api/jobs/req-000009").await;
     let job_status: JobStatus = serde_json::from_str(&text).expect("a status");
--- a/crates/controller/tests/api/support.rs
+++ b/crates/controller/tests/api/support.rs
@@ -37,7 +37,7 @@
 }
 
 /// A status in this state, with one task done and none running.
-pub fn known(id: &JobId, state: JobState) -> JobStatus {
+pub fn status_in_state(id: &JobId, state: JobState) -> JobStatus {
     JobStatus {
         id: id.clone(),
         state,
@@ -99,7 +99,7 @@
                 let _ = reply.send(self.leads().then(|| lookup(&job)));
             }
             ControllerRequest::Cancel { job, reply } => {
-                let outcome = CancelOutcome::Final(known(&job, JobState::Cancelled));
+                let outcome = CancelOutcome::Final(status_in_state(&job, JobState::Cancelled));
                 let _ = reply.send(self.leads().then_some(outcome));
             }
             ControllerRequest::AdoptJob { reply, .. } => drop(reply.send(Some(()))),
@@ -136,8 +136,8 @@
 /// Returns what the scripted leader knows of a job: req-000001 runs, req-000002 is done, others are unknown.
 fn lookup(job: &JobId) -> JobLookup {
     match job.as_str() {
-        "req-000001" => JobLookup::Known(known(job, JobState::Running)),
-        "req-000002" => JobLookup::Known(known(job, JobState::Done)),
+        "req-000001" => JobLookup::Known(status_in_state(job, JobState::Running)),
+        "req-000002" => JobLookup::Known(status_in_state(job, JobState::Done)),
         _ => JobLookup::UnknownJob,
     }
 }
--- a/crates/controller/tests/cluster_state/machine_registry.rs
+++ b/crates/controller/tests/cluster_state/machine_registry.rs
@@ -1,4 +1,4 @@
-//! The machine registry in the store, and its reconciliation with the cloud's list of machines.
+//! The machine registry in the store, and how the leader compares it with the cloud's list of machines.
 
 use crate::harness::{LeaderHarness, at, job, listed_machine, ms, small_worker, test_config};
 use crate::support::workers;
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -121,7 +121,7 @@
     assert!(harness.cluster.take_state_probes(harness.now).is_empty());
 }
 
-/// A state probe that reaches another machine than the copy names for the address reconciles no machine.
+/// A state probe reconciles no machine if the machine at the address is not the one that the copy names.
 #[test]
 fn probe_answered_by_other_machine_reconciles_nothing() {
     let mut harness = LeaderHarness::start();
@@ -251,8 +251,8 @@
     assert!(harness.cluster.reconciled(harness.now));
 }
 
-/// A worker that does not answer a state probe is probed again. If most of its zone answers and it does not, its
-/// machine is deleted; the confirmed deletion proves that its tasks have ended.
+/// A worker that does not answer a state probe is probed again. If it still does not answer although most of its
+/// zone does, its machine is deleted; the confirmed deletion proves that its tasks have ended.
 #[test]
 fn machine_not_answering_probes_is_deleted_soon_after_failover() {
     let mut harness = LeaderHarness::start();
