--- a/crates/controller/tests/api/status.rs
+++ b/crates/controller/tests/api/status.rs
@@ -135,7 +135,7 @@
 /// each finished job took two reads from the store, half of them without effect, and thousands of
 /// queries failed for minutes.
 #[tokio::test]
-async fn known_final_state_is_answered_without_store() {
+async fn decided_final_state_is_answered_without_store() {
     let api_service = api_service(Role::Leader, true, LeadershipView::default(), None, 0.1);
     let id = JobId::parse("req-000009").expect("an id");
     api_service.final_states().remember(&status_in_state(&id, JobState::Done).into());
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn user_and_worker_messages_are_read_and_written_as_in_production() {
+fn messages_of_users_and_workers_are_read_and_written_as_in_production() {
     json("http-job", &spec("group"));
     json("http-status", &status(JobState::Running));
     let bare = JobStatus { team: None, leader: None, notes: vec![], ..status(JobState::Done) };
--- a/crates/controller/tests/relocation.rs
+++ b/crates/controller/tests/relocation.rs
@@ -209,7 +209,7 @@
 
 /// The target machine is lost before the replica is stopped: the replica stays on its machine.
 #[test]
-fn replica_stays_if_target_machine_is_lost_before_the_stop() {
+fn replica_stays_if_its_target_is_lost_before_the_stop() {
     let (mut harness, mut workers) = full_zone();
     harness.submit(JobSpec { cpus: 1.0, ..job("req-000003", "array", 4) });
     harness.run_rounds_of(&mut workers, 3);
