--- a/crates/controller/tests/cluster_state/leases.rs
+++ b/crates/controller/tests/cluster_state/leases.rs
@@ -43,7 +43,8 @@
         (1, 1),
         "the gang runs on both machines"
     );
-    // From here on no response reaches m-1, although its heartbeats arrive. Its task of the gang ends.
+    // From here on no response reaches m-1, although its heartbeats arrive. The gang's tasks end on both
+    // machines.
     let partitioned_at = harness.now;
     one_way.end_task("req-000001/0", ExitCause::GangMemberLost);
     one_way.end_task("req-000001/1", ExitCause::GangMemberLost);
--- a/crates/controller/tests/cluster_state/start_watermarks.rs
+++ b/crates/controller/tests/cluster_state/start_watermarks.rs
@@ -46,7 +46,7 @@
     let mut partitioned = small_worker("m-2", "b");
     harness.submit(job("req-000001", "array", 300));
     harness.run_rounds(&mut [&mut partitioned]);
-    // A leader of version 0.1.0 may have started any of the tasks without a watermark.
+    // A leader of version 0.1.0 may have started any of the tasks without storing a watermark.
     let lead = |mut store: MemoryStore, term: u64, stored: StoredWatermarks, now| {
         let mod_revision = store.put(LEADER_KEY, serde_json::json!({ "term": term }));
         LeaderHarness::recover(test_config(), store, (term, mod_revision), stored, now)
--- a/crates/controller/tests/relocation.rs
+++ b/crates/controller/tests/relocation.rs
@@ -189,8 +189,8 @@
     assert_eq!(running(&workers[0], "req-000002") + running(&workers[1], "req-000002"), 2);
 }
 
-/// The waiting job is cancelled after each possible number of rounds of the relocation: the replica is not
-/// lost, and the capacity held for the relocation is released.
+/// The waiting job is cancelled after 0 to 11 rounds, and thus in different steps of the relocation: the replica
+/// is not lost, and the capacity held for the relocation is released.
 #[test]
 fn cancellation_during_relocation_releases_held_capacity() {
     for rounds in 0..12 {
