--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -265,7 +265,7 @@
         let path = format!("/grants/{lease_id}/extend");
         let body = EMPTY_OBJECT.to_vec();
         let response =
-            self.call(Method::POST, &path, Some(body), constants::EXTEND_TIMEOUT).await?;
+            self.call(Method::POST, &path, Some(body), constants::LEASE_EXTENSION_TIMEOUT).await?;
         match response.status {
             status if status.is_success() => Ok(()),
             StatusCode::NOT_FOUND => Err(StoreError::NoLease),
@@ -302,7 +302,7 @@
             percent_encoded(prefix),
             whole_millis(wait)
         );
-        let timeout = wait + constants::WATCH_GRACE;
+        let timeout = wait + constants::WATCH_TIMEOUT_MARGIN;
         let response = self.call(Method::GET, &path, None, timeout).await?;
         match response.status {
             StatusCode::OK => Self::decode(&response),
--- a/crates/constants/src/leadership.rs
+++ b/crates/constants/src/leadership.rs
@@ -5,19 +5,19 @@
 
 /// Default length of the leadership lease. Short enough that a crashed leader is replaced before users notice; long
 /// against a response of the store, which can take a few hundred ms.
-pub const LEADER_TTL: Duration = Duration::from_millis(5_000);
+pub const DEFAULT_LEADER_LEASE: Duration = Duration::from_millis(5_000);
 /// Lengths of the leadership lease that operators may set. With a shorter lease, one or two slow responses of the
 /// store would end the leadership.
-pub const LEADER_TTL_RANGE: RangeInclusive<Duration> =
+pub const LEADER_LEASE_RANGE: RangeInclusive<Duration> =
     Duration::from_secs(3)..=Duration::from_secs(60);
 /// Interval between extensions of the leadership lease. While the store is unavailable, the leader serves workers only
 /// for the rest of the lease, so the lease is extended often.
 pub const LEADER_EXTEND_INTERVAL: Duration = Duration::from_millis(600);
 /// Delay before a failed lease extension, or another failed request to the store, is retried. When an outage of the
 /// store ends, leases have their full length again, so a quick retry resumes service soonest.
-pub const LEADER_RETRY: Duration = Duration::from_millis(250);
+pub const STORE_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Safety margin that the leader subtracts from its own estimate of the lease. Covers late timers of a slow process.
-pub const LEADER_MARGIN: Duration = Duration::from_millis(300);
+pub const LEADER_LEASE_MARGIN: Duration = Duration::from_millis(300);
 /// Assumed drift between monotonic clocks, as a fraction of the elapsed time. Twice the bound of the protocol
 /// (0.0005).
 pub const CLOCK_DRIFT: f64 = 0.001;
@@ -37,9 +37,9 @@
 pub const STEP_DOWN_INTERVAL: Duration = Duration::from_millis(60_000);
 /// If this long or longer passes between two ticks of the leader's timer, the process itself was paused and could not
 /// receive heartbeats: their absence is no evidence against workers.
-pub const PROCESS_PAUSE: Duration = Duration::from_millis(1_000);
+pub const MIN_PROCESS_PAUSE: Duration = Duration::from_millis(1_000);
 /// Interval between ticks of the controller actor's timer. Each tick starts the periodic work that is due.
-pub const TICK: Duration = Duration::from_millis(100);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Number of fencing tokens per term: the term's own, and one more for each direct dispatch to a machine. Leaves space
 /// for 2^24 terms in an attempt number.
 pub const TOKENS_PER_TERM: u64 = 4_096;
--- a/crates/constants/src/replication.rs
+++ b/crates/constants/src/replication.rs
@@ -14,22 +14,22 @@
 pub const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Maximum number of entries in the replication log: some seconds of the largest fleets. A standby that is further
 /// behind gets a replication snapshot, which costs less than as many entries.
-pub const REPLICATION_LOG_ENTRIES: usize = 16_384;
+pub const MAX_REPLICATION_LOG_ENTRIES: usize = 16_384;
 /// Maximum size of the entries, or of a chunk of a replication snapshot, in one message between controllers, bytes.
 /// Well below [`PEER_FRAME_LIMIT`](crate::PEER_FRAME_LIMIT).
-pub const REPLICATION_CHUNK_BYTES: usize = 32 * 1024;
+pub const MAX_REPLICATION_CHUNK_BYTES: usize = 32 * 1024;
 /// Maximum size of a replication snapshot, bytes. A machine with its tasks takes some 200, so this is enough for
 /// 100,000 machines.
-pub const REPLICATION_IMAGE_LIMIT: usize = 32 * 1024 * 1024;
+pub const MAX_REPLICATION_SNAPSHOT_BYTES: usize = 32 * 1024 * 1024;
 /// Time that a leader serves the chunks of a replication snapshot before it creates a new one.
-pub const REPLICATION_IMAGE_LIFETIME: Duration = Duration::from_millis(5_000);
+pub const REPLICATION_SNAPSHOT_LIFETIME: Duration = Duration::from_millis(5_000);
 /// Number of ranges into which names are divided for digests. One range is hashed at a time, since hashing the whole
 /// cluster state at once would delay a scheduling round of the leader.
 pub const REPLICATION_DIGEST_RANGES: u32 = 16;
 /// Interval between two digests. All `REPLICATION_DIGEST_RANGES` ranges are compared within 16 s.
 pub const REPLICATION_DIGEST_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Maximum age of the leader's last response for a standby copy to be used at a failover.
-pub const REPLICATION_STALE: Duration = Duration::from_millis(60_000);
+pub const MAX_REPLICATION_COPY_AGE: Duration = Duration::from_millis(60_000);
 /// Maximum number of names in the log line about the differences between a standby copy and the leader.
 pub const REPLICATION_MAX_NAMED_DIFFERENCES: usize = 8;
 /// Number of intervals between messages of the leader that the failure detector keeps; the oldest are dropped.
--- a/crates/constants/src/store.rs
+++ b/crates/constants/src/store.rs
@@ -6,14 +6,14 @@
 pub const STORE_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Time limit of an extension of the leadership lease. After a request on a connection that failed unnoticed, there
 /// must be time for retries within one lease.
-pub const EXTEND_TIMEOUT: Duration = Duration::from_millis(800);
+pub const LEASE_EXTENSION_TIMEOUT: Duration = Duration::from_millis(800);
 /// Time that the store waits for events before it responds to a watch. Bounds the delay of events on jobs or on the
 /// leader by a connection that failed unnoticed.
 pub const WATCH_WAIT: Duration = Duration::from_millis(5_000);
 /// Added to the waiting time of a watch to get the time limit of its request, so that the response can arrive.
-pub const WATCH_GRACE: Duration = Duration::from_millis(2_000);
+pub const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_millis(2_000);
 /// Delay before a failed watch is opened again.
-pub const WATCH_RETRY: Duration = Duration::from_millis(400);
+pub const WATCH_RETRY_DELAY: Duration = Duration::from_millis(400);
 /// Share of the store's write rate that the leader may use. The rest is for submissions, which any controller writes.
 pub const LEADER_WRITE_SHARE: f64 = 0.7;
 /// Share of the store's write rate for hints to the next leader, such as minimum task counts. Hints must not delay
@@ -39,7 +39,7 @@
 pub const JOB_COMPLETION_OPERATIONS: usize = 2;
 /// Delay before a record is written again that the store rejected although it was alone in its transaction. There is
 /// no telling when the store would accept the record, and no other record waits for it.
-pub const REJECTED_RETRY: Duration = Duration::from_millis(5_000);
+pub const REJECTED_RECORD_RETRY_DELAY: Duration = Duration::from_millis(5_000);
 /// Number of steps in which the start watermark of a job increases to its task count. With more steps, a new leader
 /// can start more tasks of the job before reconciliation; each step costs a write.
 pub const START_WATERMARK_STEPS: u32 = 4;
@@ -47,7 +47,7 @@
 pub const START_WATERMARK_MIN_STEP: u32 = 32;
 /// Maximum number of tasks of an array that counts as small: its tasks start nearly at once, so its minimum task count
 /// is not worth a record.
-pub const SMALL_JOB_TASKS: u32 = 8;
+pub const MAX_SMALL_JOB_TASKS: u32 = 8;
 /// Maximum number of small jobs in one shared watermark record: about a kilobyte, rewritten for every few jobs that
 /// start.
 pub const SHARED_WATERMARK_MAX_JOBS: usize = 64;
--- a/crates/controller/src/actor/dispatch.rs
+++ b/crates/controller/src/actor/dispatch.rs
@@ -143,7 +143,7 @@
 ) -> ClusterEvent {
     loop {
         if !authority.holds() {
-            sleep(constants::LEADER_RETRY).await;
+            sleep(constants::STORE_RETRY_DELAY).await;
             continue;
         }
         match cloud.scale_out(&request).await {
--- a/crates/controller/src/actor/mod.rs
+++ b/crates/controller/src/actor/mod.rs
@@ -123,7 +123,7 @@
         let mut active =
             ActiveTerm::new(leader_term, &self.config.lease, self.config.clock, events);
         self.spawn_record_read(&mut active);
-        let mut timer = tokio::time::interval(constants::TICK);
+        let mut timer = tokio::time::interval(constants::TICK_INTERVAL);
         timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
--- a/crates/controller/src/actor/store_io.rs
+++ b/crates/controller/src/actor/store_io.rs
@@ -33,7 +33,7 @@
                     }
                     Err(error) => {
                         tracing::debug!(%error, "reading the records failed");
-                        sleep(constants::LEADER_RETRY).await;
+                        sleep(constants::STORE_RETRY_DELAY).await;
                     }
                 }
             }
@@ -116,13 +116,13 @@
                     }
                     Err(error) => {
                         tracing::debug!(%error, "reading all jobs failed");
-                        sleep(constants::WATCH_RETRY).await;
+                        sleep(constants::WATCH_RETRY_DELAY).await;
                     }
                 }
             }
             Err(error) => {
                 tracing::debug!(%error, "watching for jobs failed");
-                sleep(constants::WATCH_RETRY).await;
+                sleep(constants::WATCH_RETRY_DELAY).await;
             }
         }
     }
@@ -182,7 +182,7 @@
                 if !matches!(error, StoreError::TooMany) {
                     report_unavailable();
                 }
-                sleep(constants::LEADER_RETRY).await;
+                sleep(constants::STORE_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/controller/src/actor/timer.rs
+++ b/crates/controller/src/actor/timer.rs
@@ -12,7 +12,7 @@
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 
 impl ControllerActor {
-    /// Does the periodic work that is due. Called every `TICK`, or later if the actor is busy.
+    /// Does the periodic work that is due. Called every `TICK_INTERVAL`, or later if the actor is busy.
     pub(super) fn tick(&mut self, active: &mut ActiveTerm) {
         let now = self.config.clock.now();
         debug_assert!(active.cluster.is_none() || self.config.standby.may_decide(active.term()));
@@ -139,7 +139,7 @@
         }
         return false;
     }
-    let process_paused = now >= active.timers.last_tick_at + constants::PROCESS_PAUSE;
+    let process_paused = now >= active.timers.last_tick_at + constants::MIN_PROCESS_PAUSE;
     active.timers.last_tick_at = now;
     if process_paused || active.suspended {
         cluster.resumed(now);
--- a/crates/controller/src/cluster_state/commits.rs
+++ b/crates/controller/src/cluster_state/commits.rs
@@ -63,7 +63,7 @@
         match result {
             CommitResult::Applied(revision) => self.commit_applied(commit, revision),
             CommitResult::NotApplied => {
-                self.commit_queue.backoff_until = now + constants::LEADER_RETRY;
+                self.commit_queue.backoff_until = now + constants::STORE_RETRY_DELAY;
                 for item in commit.items {
                     self.return_unconfirmed_item(item, UnconfirmedOutcome::NotApplied);
                 }
@@ -127,7 +127,7 @@
     /// tried again in smaller transactions. An item that is rejected in a transaction of its own is
     /// delayed, so that it does not block other items.
     fn commit_rejected(&mut self, commit: PendingCommit, now: MonotonicTime) {
-        self.commit_queue.backoff_until = now + constants::LEADER_RETRY;
+        self.commit_queue.backoff_until = now + constants::STORE_RETRY_DELAY;
         let operations = commit.transaction.operations.len();
         self.commit_queue.max_operations =
             (operations / 2).max(constants::JOB_COMPLETION_OPERATIONS);
@@ -135,7 +135,7 @@
         for item in commit.items {
             if is_only_item {
                 self.mark_final_unconfirmed(&item, UnconfirmedOutcome::NotApplied);
-                let retry_at = now + constants::REJECTED_RETRY;
+                let retry_at = now + constants::REJECTED_RECORD_RETRY_DELAY;
                 self.commit_queue.rejected_items.push_back(DelayedItem { retry_at, item });
             } else {
                 self.return_unconfirmed_item(item, UnconfirmedOutcome::NotApplied);
--- a/crates/controller/src/cluster_state/job.rs
+++ b/crates/controller/src/cluster_state/job.rs
@@ -176,7 +176,7 @@
     /// Whether all tasks start at once or nearly so. The minimum task count of such a job is not
     /// stored, and its start watermark is in a record shared with other small jobs.
     pub fn is_small(&self) -> bool {
-        self.spec.is_gang() || self.spec.tasks <= constants::SMALL_JOB_TASKS
+        self.spec.is_gang() || self.spec.tasks <= constants::MAX_SMALL_JOB_TASKS
     }
 
     /// Whether the zones of the placed tasks restrict where the other tasks may start.
--- a/crates/controller/src/leadership/election.rs
+++ b/crates/controller/src/leadership/election.rs
@@ -95,7 +95,7 @@
                 }
                 Err(error) => {
                     tracing::debug!(%error, "reading the leader key failed");
-                    sleep(constants::LEADER_RETRY).await;
+                    sleep(constants::STORE_RETRY_DELAY).await;
                 }
             }
         }
@@ -122,7 +122,7 @@
                 // precondition of its term and fail once its lease is revoked.
                 tracing::info!(lease_id, "revoking the lease of the previous process");
                 if self.config.store.release(lease_id).await.is_err() {
-                    sleep(constants::LEADER_RETRY).await;
+                    sleep(constants::STORE_RETRY_DELAY).await;
                 }
             }
             return;
@@ -210,7 +210,7 @@
                 }
                 Err(error) => {
                     tracing::debug!(%error, "watching the leader key failed");
-                    return sleep(constants::WATCH_RETRY).await;
+                    return sleep(constants::WATCH_RETRY_DELAY).await;
                 }
             }
         }
@@ -224,7 +224,7 @@
             Ok(lease_id) => lease_id,
             Err(error) => {
                 tracing::debug!(%error, "requesting a leadership lease failed");
-                return sleep(constants::LEADER_RETRY).await;
+                return sleep(constants::STORE_RETRY_DELAY).await;
             }
         };
         let record = LeaderRecord {
@@ -246,7 +246,7 @@
             // tells, by the nonce in the leader record.
             Err(error) => {
                 tracing::debug!(%error, term = record.term, "campaigning failed");
-                sleep(constants::LEADER_RETRY).await;
+                sleep(constants::STORE_RETRY_DELAY).await;
             }
         }
     }
@@ -294,7 +294,7 @@
                 Err(StoreError::NoLease) => return TermEnd::LeaseExpired,
                 Err(error) => {
                     tracing::debug!(%error, term, "extending the leadership lease failed");
-                    delay = constants::LEADER_RETRY;
+                    delay = constants::STORE_RETRY_DELAY;
                 }
             }
         }
--- a/crates/controller/src/leadership/lease.rs
+++ b/crates/controller/src/leadership/lease.rs
@@ -58,7 +58,7 @@
 /// extended by a request sent at `sent_at`: the earliest possible one, clock drift included, less a
 /// safety margin.
 pub fn lease_expiry(sent_at: MonotonicTime, ttl: Duration) -> MonotonicTime {
-    earliest_expiry(sent_at, ttl).saturating_sub(constants::LEADER_MARGIN)
+    earliest_expiry(sent_at, ttl).saturating_sub(constants::LEADER_LEASE_MARGIN)
 }
 
 #[cfg(test)]
--- a/crates/controller/src/settings/operator.rs
+++ b/crates/controller/src/settings/operator.rs
@@ -30,7 +30,7 @@
         Self {
             idle_timeout: None,
             max_machines: usize::MAX,
-            shard_lease: constants::SHARD_LEASE,
+            shard_lease: constants::DEFAULT_SHARD_LEASE,
             replication: ReplicationSettings::default(),
         }
     }
@@ -101,7 +101,7 @@
     fn default() -> Self {
         Self {
             standby: constants::STANDBY_DEFAULT,
-            leader_lease: constants::LEADER_TTL,
+            leader_lease: constants::DEFAULT_LEADER_LEASE,
             controller_networks: Networks::default(),
             worker_networks: Networks::default(),
         }
@@ -137,10 +137,10 @@
     Ok(Duration::from_millis((seconds * 1_000.0) as u64))
 }
 
-/// Parses the length of the leadership lease in s and checks that it is within `LEADER_TTL_RANGE`.
+/// Parses the length of the leadership lease in s and checks that it is within `LEADER_LEASE_RANGE`.
 /// Text that is not a number becomes NaN, which no range contains.
 fn parse_leader_lease(value: &str, name: String) -> Result<Duration, SettingError> {
-    let (min, max) = constants::LEADER_TTL_RANGE.into_inner();
+    let (min, max) = constants::LEADER_LEASE_RANGE.into_inner();
     let lease_ms = value.parse().unwrap_or(f64::NAN) * 1_000.0;
     if !(millis_f64(min)..=millis_f64(max)).contains(&lease_ms) {
         let (min_s, max_s) = (min.as_secs(), max.as_secs());
--- a/crates/controller/tests/cluster_state/unknown_watermarks.rs
+++ b/crates/controller/tests/cluster_state/unknown_watermarks.rs
@@ -152,7 +152,7 @@
     }
     assert!(rejections > 0);
     assert_eq!(leader.cluster.summary(leader.now).assumed_started, 1);
-    leader.now += hookway_constants::REJECTED_RETRY;
+    leader.now += hookway_constants::REJECTED_RECORD_RETRY_DELAY;
     leader.commit_pending();
     assert_eq!(leader.cluster.summary(leader.now).assumed_started, 0);
     assert!(is_current(&leader.store, COMPLETE_WATERMARKS_KEY));
--- a/crates/controller/tests/controller_actor.rs
+++ b/crates/controller/tests/controller_actor.rs
@@ -112,7 +112,7 @@
             view: view_tx,
             resign_requested,
             leader_suspected: signals.leader_suspected,
-            lease_length: hookway_constants::LEADER_TTL,
+            lease_length: hookway_constants::DEFAULT_LEADER_LEASE,
             has_warm_copy: signals.has_warm_copy,
         });
         tokio::spawn(leadership.run());
--- a/crates/controller/tests/leadership.rs
+++ b/crates/controller/tests/leadership.rs
@@ -38,7 +38,7 @@
         view: view_tx,
         resign_requested: Arc::new(Notify::new()),
         leader_suspected: suspicion.clone(),
-        lease_length: hookway_constants::LEADER_TTL,
+        lease_length: hookway_constants::DEFAULT_LEADER_LEASE,
         has_warm_copy: Arc::default(),
     });
     let leadership = tokio::spawn(leadership.run());
--- a/crates/controller/tests/simulation/commits.rs
+++ b/crates/controller/tests/simulation/commits.rs
@@ -83,8 +83,10 @@
             return;
         }
         if !self.can_reach_store(n) {
-            return self
-                .schedule(now + constants::LEADER_RETRY, Message::RereadCommit(n, term, commit));
+            return self.schedule(
+                now + constants::STORE_RETRY_DELAY,
+                Message::RereadCommit(n, term, commit),
+            );
         }
         let reread = |key: String| RereadKey { stored: self.store.get(&key), key };
         let read = commit.keys().into_iter().map(reread).collect();
--- a/crates/controller/tests/simulation/controllers.rs
+++ b/crates/controller/tests/simulation/controllers.rs
@@ -88,7 +88,7 @@
 
 /// Returns the expiry, as the leader estimates it, of a leadership lease that was extended at `now`.
 pub(super) fn leader_lease_expiry(now: MonotonicTime) -> MonotonicTime {
-    lease_expiry(now, constants::LEADER_TTL)
+    lease_expiry(now, constants::DEFAULT_LEADER_LEASE)
 }
 
 impl Controller {
@@ -231,13 +231,13 @@
             return;
         }
         if !reachable {
-            leader.next_extend = now + constants::LEADER_RETRY;
+            leader.next_extend = now + constants::STORE_RETRY_DELAY;
             return;
         }
         leader.next_extend = now + constants::LEADER_EXTEND_INTERVAL;
         match self.leadership.as_mut().filter(|lease| lease.term == leader.term) {
             Some(leadership) => {
-                leadership.expires_at = now + constants::LEADER_TTL;
+                leadership.expires_at = now + constants::DEFAULT_LEADER_LEASE;
                 self.counts.resumed_terms += usize::from(now >= leader.valid_until);
                 leader.valid_until = leader_lease_expiry(now);
             }
--- a/crates/controller/tests/simulation/elections.rs
+++ b/crates/controller/tests/simulation/elections.rs
@@ -99,7 +99,7 @@
         }
         let mod_revision = self.store.commit(&election).expect("nobody leads");
         self.counts.terms += 1;
-        let expires_at = self.now + constants::LEADER_TTL;
+        let expires_at = self.now + constants::DEFAULT_LEADER_LEASE;
         self.leadership = Some(StoredLeadership { controller: n, term, expires_at });
         Precondition { key: LEADER_KEY.into(), mod_revision }
     }
--- a/crates/controller/tests/simulation/mod.rs
+++ b/crates/controller/tests/simulation/mod.rs
@@ -216,7 +216,7 @@
         if self.outage_until > MonotonicTime::ZERO && now < self.outage_until + STEP_LENGTH {
             // After an outage the store gives every lease its full duration again.
             if let Some(leadership) = &mut self.leadership {
-                leadership.expires_at = now + hookway_constants::LEADER_TTL;
+                leadership.expires_at = now + hookway_constants::DEFAULT_LEADER_LEASE;
             }
         }
         if self.leadership.as_ref().is_some_and(|lease| now >= lease.expires_at) {
--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -373,7 +373,7 @@
         }
         let age =
             self.last_response_at.map_or(Duration::MAX, |at| now.saturating_duration_since(at));
-        if age > constants::REPLICATION_STALE {
+        if age > constants::MAX_REPLICATION_COPY_AGE {
             return Err(UnusableCopy::Stale(age));
         }
         Ok(&self.state)
--- a/crates/replication/src/publisher.rs
+++ b/crates/replication/src/publisher.rs
@@ -62,7 +62,7 @@
     pub fn new(term: u64) -> Self {
         Self {
             state: ReplicatedState::default(),
-            log: ReplicationLog::new(term, constants::REPLICATION_LOG_ENTRIES),
+            log: ReplicationLog::new(term, constants::MAX_REPLICATION_LOG_ENTRIES),
             snapshot: None,
             digest_schedules: BTreeMap::new(),
         }
@@ -202,7 +202,7 @@
         let mut entries = Vec::new();
         for entry in self.log.after(after)? {
             bytes += max_encoded_bytes(entry);
-            if bytes > constants::REPLICATION_CHUNK_BYTES && !entries.is_empty() {
+            if bytes > constants::MAX_REPLICATION_CHUNK_BYTES && !entries.is_empty() {
                 break;
             }
             entries.push(entry.clone());
@@ -255,7 +255,7 @@
     fn first_chunk(&mut self, now: MonotonicTime) -> Result<ImageChunk, SnapshotError> {
         let log = &self.log;
         let is_reusable = |snapshot: &Snapshot| {
-            now < snapshot.taken_at + constants::REPLICATION_IMAGE_LIFETIME
+            now < snapshot.taken_at + constants::REPLICATION_SNAPSHOT_LIFETIME
                 && log.covers(snapshot.position)
         };
         let snapshot = match self.snapshot.take().filter(is_reusable) {
--- a/crates/replication/src/snapshot.rs
+++ b/crates/replication/src/snapshot.rs
@@ -12,7 +12,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
     /// The snapshot is larger than the limit. Holds its size in bytes.
-    #[error("the snapshot has {0} bytes, above the limit of {limit}", limit = constants::REPLICATION_IMAGE_LIMIT)]
+    #[error(
+        "the snapshot has {0} bytes, above the limit of {limit}",
+        limit = constants::MAX_REPLICATION_SNAPSHOT_BYTES
+    )]
     TooLarge(u64),
     /// A chunk is not the one that has to follow the received ones.
     #[error("chunk {found} of the snapshot instead of chunk {expected}")]
@@ -49,7 +52,7 @@
     pub image_bytes: u64,
     /// XXH3 digest (64 bits) of the whole encoded snapshot.
     pub image_digest: u64,
-    /// The bytes of this chunk, from 1 to `REPLICATION_CHUNK_BYTES`.
+    /// The bytes of this chunk, from 1 to `MAX_REPLICATION_CHUNK_BYTES`.
     pub bytes: Vec<u8>,
 }
 
@@ -81,7 +84,8 @@
 
     /// Returns the chunk with an index; `None` after the last one.
     pub fn chunk(&self, index: u32) -> Option<ImageChunk> {
-        let bytes = self.bytes.chunks(constants::REPLICATION_CHUNK_BYTES).nth(index as usize)?;
+        let bytes =
+            self.bytes.chunks(constants::MAX_REPLICATION_CHUNK_BYTES).nth(index as usize)?;
         Some(ImageChunk {
             position: self.position,
             index,
@@ -111,7 +115,7 @@
     ///
     /// [`SnapshotError::TooLarge`] if the snapshot exceeds the size limit.
     pub fn begin(chunk: &ImageChunk) -> Result<Self, SnapshotError> {
-        if chunk.image_bytes > constants::REPLICATION_IMAGE_LIMIT as u64 {
+        if chunk.image_bytes > constants::MAX_REPLICATION_SNAPSHOT_BYTES as u64 {
             return Err(SnapshotError::TooLarge(chunk.image_bytes));
         }
         Ok(Self {
@@ -157,7 +161,7 @@
             });
         }
         let length = chunk.bytes.len();
-        let is_too_long = length > constants::REPLICATION_CHUNK_BYTES;
+        let is_too_long = length > constants::MAX_REPLICATION_CHUNK_BYTES;
         if length == 0 || is_too_long || length as u64 > self.missing_bytes() {
             return Err(SnapshotError::ChunkLength(length));
         }
@@ -174,7 +178,7 @@
 fn encode(state: &ReplicatedState) -> Result<Vec<u8>, SnapshotError> {
     let bytes = bincode::serde::encode_to_vec(state, codec())
         .map_err(|error| SnapshotError::Unencodable(error.to_string()))?;
-    if bytes.len() > constants::REPLICATION_IMAGE_LIMIT {
+    if bytes.len() > constants::MAX_REPLICATION_SNAPSHOT_BYTES {
         return Err(SnapshotError::TooLarge(bytes.len() as u64));
     }
     Ok(bytes)
@@ -192,5 +196,5 @@
 /// Returns the codec of snapshots. Its limit prevents forged lengths from allocating more memory than a snapshot can
 /// need.
 fn codec() -> impl bincode::config::Config {
-    bincode::config::standard().with_limit::<{ constants::REPLICATION_IMAGE_LIMIT }>()
+    bincode::config::standard().with_limit::<{ constants::MAX_REPLICATION_SNAPSHOT_BYTES }>()
 }
--- a/crates/replication/tests/following.rs
+++ b/crates/replication/tests/following.rs
@@ -224,10 +224,10 @@
     catch_up(&mut follower, &mut publisher, at(1_000));
     assert!(follower.usable_copy(TERM + 1, at(9_000)).is_ok());
     assert_eq!(follower.usable_copy(TERM, at(9_000)), Err(UnusableCopy::NotEarlier(TERM)));
-    let stale_at = at(1_001) + constants::REPLICATION_STALE;
+    let stale_at = at(1_001) + constants::MAX_REPLICATION_COPY_AGE;
     assert_eq!(
         follower.usable_copy(TERM + 1, stale_at),
-        Err(UnusableCopy::Stale(constants::REPLICATION_STALE + Duration::from_millis(1)))
+        Err(UnusableCopy::Stale(constants::MAX_REPLICATION_COPY_AGE + Duration::from_millis(1)))
     );
 }
 
--- a/crates/replication/tests/snapshots.rs
+++ b/crates/replication/tests/snapshots.rs
@@ -16,7 +16,7 @@
     let mut follower = follower();
     catch_up(&mut follower, &mut publisher, at(0));
     // Publishes more changes than the log holds, on so many machines that the snapshot takes several chunks.
-    for index in 0..constants::REPLICATION_LOG_ENTRIES {
+    for index in 0..constants::MAX_REPLICATION_LOG_ENTRIES {
         let name = format!("m-{index:06}");
         publisher
             .publish_machine(machine(&name), [running("req-000001/7", index as u64)].into_iter());
@@ -47,7 +47,7 @@
         exchange(&mut follower, &mut publisher, at(0)),
         Ok(FollowOutcome::SnapshotChunkStored)
     );
-    for attempt in 0..=constants::REPLICATION_LOG_ENTRIES {
+    for attempt in 0..=constants::MAX_REPLICATION_LOG_ENTRIES {
         let task = running("req-000001/7", attempt as u64);
         publisher.publish_machine(machine("m-0"), [task].into_iter());
     }
@@ -133,9 +133,12 @@
         (with(&|chunk| chunk.bytes.clear()), |error| {
             matches!(error, FollowError::Snapshot { source: SnapshotError::ChunkLength(0), .. })
         }),
-        (with(&|chunk| chunk.bytes.resize(constants::REPLICATION_CHUNK_BYTES + 1, 0)), |error| {
-            matches!(error, FollowError::Snapshot { source: SnapshotError::ChunkLength(_), .. })
-        }),
+        (
+            with(&|chunk| chunk.bytes.resize(constants::MAX_REPLICATION_CHUNK_BYTES + 1, 0)),
+            |error| {
+                matches!(error, FollowError::Snapshot { source: SnapshotError::ChunkLength(_), .. })
+            },
+        ),
         (with(&|chunk| chunk.position.index += 1_000), |error| {
             matches!(error, FollowError::Inconsistent { .. })
         }),
