--- a/crates/clients/src/cloud.rs
+++ b/crates/clients/src/cloud.rs
@@ -168,7 +168,7 @@
 
     /// Reads the page of the machine list that begins after the machine `after`; the first page if `None`.
     async fn machine_page(&self, after: Option<&str>) -> Result<MachineList, CloudError> {
-        let mut path = format!("/rentals?Most={}", constants::LIST_PAGE);
+        let mut path = format!("/rentals?Most={}", constants::MACHINE_LIST_PAGE_SIZE);
         if let Some(after) = after {
             path.push_str(&format!("&After={after}"));
         }
--- a/crates/constants/src/cloud.rs
+++ b/crates/constants/src/cloud.rs
@@ -17,7 +17,7 @@
 /// Delay before a failed read of the machine types is retried.
 pub const MACHINE_TYPES_RETRY: Duration = Duration::from_millis(700);
 /// Number of entries per page of the machine list (the maximum of the protocol).
-pub const LIST_PAGE: u32 = 500;
+pub const MACHINE_LIST_PAGE_SIZE: u32 = 500;
 /// Interval between autoscaling rounds. Short against the boot time of a machine.
 pub const AUTOSCALING_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Maximum number of machines in one scale-out request (set by the protocol).
@@ -26,14 +26,14 @@
 pub const MAX_SCALE_IN_MACHINES: usize = 100;
 /// Time that a machine type in a zone counts as unavailable after the cloud refused to add machines of it. Other types
 /// and zones are used in the meantime.
-pub const UNAVAILABLE_CAPACITY: Duration = Duration::from_millis(15_000);
+pub const UNAVAILABLE_CAPACITY_BACKOFF: Duration = Duration::from_millis(15_000);
 /// A machine that has sent no heartbeat after this many times its nominal boot time is deleted.
 pub const BOOT_TIMEOUT_FACTOR: f64 = 4.0;
 /// Added to the boot timeout, for delays that do not grow with the nominal boot time.
 pub const BOOT_TIMEOUT_MARGIN: Duration = Duration::from_millis(10_000);
 /// A registered machine that was listed at least this long before the election counts as booted: if it sends no
 /// heartbeat, boot time is not the reason. Longer than most boot times.
-pub const BOOT_CERTAIN: Duration = Duration::from_millis(60_000);
+pub const MAX_ASSUMED_BOOT_TIME: Duration = Duration::from_millis(60_000);
 /// Window over which the peak demand of a class of jobs is determined. The peak determines how many spare machines are
 /// kept for the class.
 pub const DEMAND_WINDOW: Duration = Duration::from_millis(120_000);
@@ -43,7 +43,7 @@
 /// Time after a failover, beyond the longest heartbeat interval, that the leader waits for registered machines before
 /// it deletes those that have sent no heartbeat. A worker can try each controller in this time, even if one of them
 /// accepts the request without responding.
-pub const UNRECONCILED_SCALE_IN: Duration = Duration::from_millis(7_000);
+pub const UNRECONCILED_SCALE_IN_DELAY: Duration = Duration::from_millis(7_000);
 /// A registered machine without heartbeats after a failover is deleted only if its worker's lease would last at least
 /// this much longer. Otherwise the expiry of the lease soon proves as well that its tasks have ended, and the machine
 /// is kept.
--- a/crates/constants/src/scheduling.rs
+++ b/crates/constants/src/scheduling.rs
@@ -22,14 +22,15 @@
 /// Time after submission from which missed start objectives no longer move a job back in the queue, s. The job then
 /// precedes those that could still meet their objectives. Half of the four minutes in which users expect the largest
 /// jobs to start.
-pub const START_DEADLINE_S: f64 = 120.0;
+pub const START_OBJECTIVE_LIMIT_S: f64 = 120.0;
 /// Age from which deferred jobs and backfill get a share of the CPUs of their own, s. Half of the four minutes in
 /// which users expect the largest jobs to start.
-pub const AGING_S: f64 = 120.0;
-/// Share of the CPUs of all machines in service for jobs older than `AGING_S` that would otherwise come after others.
+pub const AGING_THRESHOLD_S: f64 = 120.0;
+/// Share of the CPUs of all machines in service for jobs older than `AGING_THRESHOLD_S` that would otherwise come after
+/// others.
 pub const AGING_CPU_SHARE: f64 = 0.15;
 /// Deadline assumed for jobs without one when the fleet is sized, as a multiple of the task time.
-pub const DEFAULT_DEADLINE_FACTOR: f64 = 2.0;
+pub const ASSUMED_DEADLINE_FACTOR: f64 = 2.0;
 /// Added to the placement cost of an empty machine, in seconds of image fetch. Keeps whole machines free for gangs and
 /// for scale-in.
 pub const EMPTY_MACHINE_PENALTY_S: f64 = 3.0;
@@ -43,4 +44,4 @@
 /// other prices, in seconds of image fetch. Expensive machines thus become idle first and are scaled in.
 pub const PRICE_PENALTY_S: f64 = 2.0;
 /// Weight of the image fetch time in the placement cost. It is 1, since the penalties are in seconds of image fetch.
-pub const IMAGE_MISS_PENALTY: f64 = 1.0;
+pub const IMAGE_FETCH_WEIGHT: f64 = 1.0;
--- a/crates/controller/src/cluster_state/failure_attribution.rs
+++ b/crates/controller/src/cluster_state/failure_attribution.rs
@@ -58,7 +58,8 @@
         if self.failures.consecutive > 0 && placed_at <= self.failures.last_at {
             return;
         }
-        if self.spec.is_daemon() && now >= self.failures.last_at + constants::REPLICA_FAILURE_MEMORY
+        if self.spec.is_daemon()
+            && now >= self.failures.last_at + constants::REPLICA_FAILURE_RESET_DELAY
         {
             self.failures.consecutive = 0;
         }
@@ -103,7 +104,7 @@
     ) {
         let ran =
             running_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
-        if ran < constants::REPLICA_STEADY {
+        if ran < constants::STABLE_REPLICA_RUN_TIME {
             self.record_failure(machine, placed_at, now);
         }
     }
@@ -111,14 +112,14 @@
 
 impl ClusterState {
     /// Clears the failures of daemons with a replica that has run for
-    /// [`constants::REPLICA_STEADY`]. A daemon has no completed tasks that would show that it
+    /// [`constants::STABLE_REPLICA_RUN_TIME`]. A daemon has no completed tasks that would show that it
     /// works.
     pub(super) fn reset_steady_daemons(&mut self, now: MonotonicTime) {
         let failed = |job: &Job| job.spec.is_daemon() && job.failures.consecutive > 0;
         if !self.jobs.values().any(failed) {
             return;
         }
-        let steady = |since: &MonotonicTime| now >= *since + constants::REPLICA_STEADY;
+        let steady = |since: &MonotonicTime| now >= *since + constants::STABLE_REPLICA_RUN_TIME;
         for placed in self.machines.values().flat_map(|machine| &machine.placed_tasks) {
             let Some(job) = placed.job.and_then(|key| self.jobs.get_mut(&key)) else { continue };
             if failed(job) && placed.running_since.as_ref().is_some_and(steady) {
--- a/crates/controller/src/cluster_state/gang_repair.rs
+++ b/crates/controller/src/cluster_state/gang_repair.rs
@@ -23,7 +23,10 @@
             job.gang.completing = is_partial
                 && completable.contains(key)
                 && now
-                    < *job.gang.resume_deadline.get_or_insert(now + constants::GANG_RESUME_LIMIT);
+                    < *job
+                        .gang
+                        .resume_deadline
+                        .get_or_insert(now + constants::GANG_COMPLETION_TIMEOUT);
             if is_partial && !job.gang.completing {
                 self.stops_due |= !job.gang.broken;
                 job.gang.broken = true;
--- a/crates/controller/src/cluster_state/heartbeat_timing.rs
+++ b/crates/controller/src/cluster_state/heartbeat_timing.rs
@@ -95,7 +95,7 @@
     fn is_booted_but_silent(&self, name: &str, machine: &Machine) -> bool {
         let elected_at = self.clocks.elected_at();
         let is_booted =
-            |listing: FirstListing| listing.precedes(elected_at, constants::BOOT_CERTAIN);
+            |listing: FirstListing| listing.precedes(elected_at, constants::MAX_ASSUMED_BOOT_TIME);
         !machine.has_reported
             && machine.first_listing.is_some_and(is_booted)
             && self.reconciliation.machines.contains(name)
--- a/crates/controller/src/cluster_state/job_index.rs
+++ b/crates/controller/src/cluster_state/job_index.rs
@@ -24,7 +24,7 @@
         Self {
             jobs: BTreeMap::new(),
             keys: HashMap::new(),
-            ended: BoundedSet::new(constants::BOUNDED_SET_SIZE),
+            ended: BoundedSet::new(constants::MAX_REMEMBERED_NAMES),
             last_key: 0,
         }
     }
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -173,7 +173,7 @@
             jobs: JobIndex::new(),
             classes: HashMap::new(),
             machines: BTreeMap::new(),
-            removed_machines: BoundedSet::new(constants::BOUNDED_SET_SIZE),
+            removed_machines: BoundedSet::new(constants::MAX_REMEMBERED_NAMES),
             unknown_job_tasks: 0,
             reconciliation: Reconciliation::new(at.monotonic),
             shard_lessor: ShardLessor::new(
--- a/crates/controller/src/cluster_state/relocation.rs
+++ b/crates/controller/src/cluster_state/relocation.rs
@@ -133,7 +133,7 @@
         let keys = snapshot.job_keys.iter().enumerate();
         let limits = RelocationLimits {
             busy_jobs: keys.filter(|(_, key)| busy(key)).map(|(index, _)| index).collect(),
-            max_moves: constants::MAX_REPLICAS_MOVING.saturating_sub(moving),
+            max_moves: constants::MAX_MOVING_REPLICAS.saturating_sub(moving),
         };
         for planned in relocate(&snapshot.cluster, preemptions, limits) {
             self.begin_relocation(snapshot, planned, now);
--- a/crates/controller/src/cluster_state/scale_in.rs
+++ b/crates/controller/src/cluster_state/scale_in.rs
@@ -124,7 +124,7 @@
         partitioned: &HashSet<String>,
     ) -> Vec<String> {
         self.record_demand(now);
-        let max_silence = self.max_heartbeat_interval() + constants::UNRECONCILED_SCALE_IN;
+        let max_silence = self.max_heartbeat_interval() + constants::UNRECONCILED_SCALE_IN_DELAY;
         let context = ScaleInContext {
             now,
             resumed_at: self.clocks.resumed_at,
--- a/crates/controller/src/cluster_state/scale_out.rs
+++ b/crates/controller/src/cluster_state/scale_out.rs
@@ -166,7 +166,7 @@
             request = %pending.request_id, added, requested = pending.count, "scale out finished"
         );
         if added < pending.count as usize {
-            let until = now + constants::UNAVAILABLE_CAPACITY;
+            let until = now + constants::UNAVAILABLE_CAPACITY_BACKOFF;
             self.scale_outs.unavailable_until.insert(pending.pool, until);
         }
         for name in machines.unwrap_or_default() {
--- a/crates/controller/src/cluster_state/task_end.rs
+++ b/crates/controller/src/cluster_state/task_end.rs
@@ -46,7 +46,7 @@
         let is_slow = millis_f64(run_time) > mean_ms * constants::SLOW_TASK_RATIO;
         machine.consecutive_slow_tasks =
             if is_slow { machine.consecutive_slow_tasks + 1 } else { 0 };
-        if machine.consecutive_slow_tasks >= constants::SLOW_TASKS
+        if machine.consecutive_slow_tasks >= constants::MAX_CONSECUTIVE_SLOW_TASKS
             && machine.cordon(CordonReason::Slow)
         {
             tracing::info!(machine = %name, reason = %CordonReason::Slow, "machine cordoned");
--- a/crates/controller/tests/daemons.rs
+++ b/crates/controller/tests/daemons.rs
@@ -40,7 +40,7 @@
         let mut harness = LeaderHarness::start();
         let mut worker = small_worker("m-1", "a");
         let id = submit_running_daemon(&mut harness, &mut worker);
-        run_for(&mut harness, &mut worker, whole_millis(constants::REPLICA_STEADY));
+        run_for(&mut harness, &mut worker, whole_millis(constants::STABLE_REPLICA_RUN_TIME));
         worker.end_task("req-000001/0", cause);
         for _ in 0..4 {
             harness.run_rounds(&mut [&mut worker]);
@@ -63,7 +63,7 @@
     let id = submit_running_daemon(&mut harness, &mut worker);
     let before = harness.store.revision();
     for _ in 0..50 {
-        run_for(&mut harness, &mut worker, whole_millis(constants::REPLICA_STEADY));
+        run_for(&mut harness, &mut worker, whole_millis(constants::STABLE_REPLICA_RUN_TIME));
         worker.end_task("req-000001/0", ExitCause::Done);
         for _ in 0..2 {
             harness.heartbeat(&mut worker);
--- a/crates/policy/src/min_tasks.rs
+++ b/crates/policy/src/min_tasks.rs
@@ -33,13 +33,13 @@
 ///
 /// Machines added now need `provisioning_time` seconds for boot and image fetch, which are subtracted from the time
 /// left. Until a task has finished, the team's estimate stands for the task time. A job without a deadline gets
-/// `DEFAULT_DEADLINE_FACTOR` task times from its submission, plus the provisioning time.
+/// `ASSUMED_DEADLINE_FACTOR` task times from its submission, plus the provisioning time.
 pub fn desired_tasks(job: &JobView, now: f64, provisioning_time: f64) -> u32 {
     if job.needs_all_tasks_at_once() {
         return job.unfinished;
     }
     let mean = job.task_time();
-    let assumed = job.submitted + constants::DEFAULT_DEADLINE_FACTOR * mean + provisioning_time;
+    let assumed = job.submitted + constants::ASSUMED_DEADLINE_FACTOR * mean + provisioning_time;
     let deadline = job.deadline.unwrap_or(assumed);
     // A task can't be split, so only whole task times count.
     let task_times = ((deadline - now - provisioning_time) / mean).floor();
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -107,11 +107,11 @@
     /// reserved immediately for the first waiting gang of a team, since tasks preempted for the gang would otherwise
     /// restart within that quota. Machines are reserved after `GANG_RESERVATION_DELAY`. A gang that the existing
     /// machines can't hold even when they are cleared must not block its team's other jobs indefinitely: it gets no
-    /// reservations after `GANG_RESERVATION_LIMIT`.
+    /// reservations after `MAX_GANG_RESERVATION_WAIT`.
     fn reserve_for_gang(&mut self, job_index: usize) {
         let job = &self.cluster.jobs[job_index];
         let waited_ms = (self.cluster.now - job.waiting_since) * 1000.0;
-        let waited_too_long = waited_ms >= millis_f64(constants::GANG_RESERVATION_LIMIT);
+        let waited_too_long = waited_ms >= millis_f64(constants::MAX_GANG_RESERVATION_WAIT);
         if waited_too_long && !fleet_could_hold(self.cluster, job_index) {
             return;
         }
--- a/crates/policy/src/placement/cost.rs
+++ b/crates/policy/src/placement/cost.rs
@@ -16,7 +16,7 @@
     job: &JobView,
     machine: &MachineView,
 ) -> f64 {
-    let mut cost = constants::IMAGE_MISS_PENALTY * cluster.fetch_time(job, machine);
+    let mut cost = constants::IMAGE_FETCH_WEIGHT * cluster.fetch_time(job, machine);
     // Prefer machines in use to empty ones, and small machines to large ones, of which a larger share stays free.
     let share_left_free = 1.0 - job.request.dominant_share_of(&machine.free).min(1.0);
     cost += constants::LOOSE_FIT_PENALTY_S * share_left_free;
--- a/crates/policy/src/placement/tests.rs
+++ b/crates/policy/src/placement/tests.rs
@@ -202,7 +202,7 @@
     assert_eq!(
         placed_tasks(30.0, vec![machine(0), machine(1)]),
         0,
-        "before GANG_RESERVATION_LIMIT the quota stays reserved for the gang"
+        "before MAX_GANG_RESERVATION_WAIT the quota stays reserved for the gang"
     );
     assert_eq!(
         placed_tasks(70.0, vec![machine(0), machine(1)]),
--- a/crates/policy/src/preemption.rs
+++ b/crates/policy/src/preemption.rs
@@ -100,7 +100,7 @@
     waiting
 }
 
-/// Whether a job has waited for its first start for at least `PREEMPT_AFTER`, and no schedulable machine is reserved
+/// Whether a job has waited for its first start for at least `PREEMPTION_WAIT`, and no schedulable machine is reserved
 /// for it already.
 pub(crate) fn is_due_for_preemption(cluster: &ClusterSnapshot, index: usize) -> bool {
     let job = &cluster.jobs[index];
@@ -112,7 +112,7 @@
     job.startable > 0
         && !job.crash_looping
         && not_started
-        && waited_s >= millis_f64(constants::PREEMPT_AFTER) / 1000.0
+        && waited_s >= millis_f64(constants::PREEMPTION_WAIT) / 1000.0
         && !cluster.machines.iter().any(is_cleared_for)
 }
 
--- a/crates/policy/src/preemption/victims.rs
+++ b/crates/policy/src/preemption/victims.rs
@@ -59,7 +59,7 @@
     let restarted_end = cluster.now + job.task_time();
     let weight = match job.deadline {
         Some(deadline) if cluster.now > deadline => constants::LATE_VICTIM_WEIGHT,
-        Some(deadline) if restarted_end > deadline => constants::TIGHT_VICTIM_WEIGHT,
+        Some(deadline) if restarted_end > deadline => constants::DEADLINE_VICTIM_WEIGHT,
         _ => 1.0,
     };
     (1.0 + seconds) * task.request.cpus.max(MIN_VICTIM_CPUS) * tasks * weight
@@ -130,7 +130,7 @@
         }
         free.add(&task.request);
         cost += lost_work;
-        let stop = constants::PREEMPTION_DELAY_S + cluster.jobs[task.job].checkpoint_time;
+        let stop = constants::ASSUMED_STOP_DURATION_S + cluster.jobs[task.job].checkpoint_time;
         longest_stop = longest_stop.max(stop);
         victims.push(task.id);
     }
--- a/crates/policy/src/relocation.rs
+++ b/crates/policy/src/relocation.rs
@@ -88,9 +88,9 @@
     relocations
 }
 
-/// Returns the gangs and daemons that have waited for at least `RELOCATE_AFTER`, are due for preemption and not busy.
+/// Returns the gangs and daemons that have waited for at least `RELOCATION_WAIT`, are due for preemption and not busy.
 fn waiting_jobs(cluster: &ClusterSnapshot, busy_jobs: &HashSet<usize>) -> Vec<usize> {
-    let delay_s = millis_f64(constants::RELOCATE_AFTER) / 1000.0;
+    let delay_s = millis_f64(constants::RELOCATION_WAIT) / 1000.0;
     let is_waiting = |index: &usize| {
         let job = &cluster.jobs[*index];
         job.needs_all_tasks_at_once()
--- a/crates/policy/src/relocation/tests.rs
+++ b/crates/policy/src/relocation/tests.rs
@@ -149,7 +149,7 @@
         "a preemption for the job is in progress"
     );
     snapshot.now = 1.0;
-    assert_eq!(relocate(&snapshot, &[], limits), [], "before RELOCATE_AFTER nothing moves");
+    assert_eq!(relocate(&snapshot, &[], limits), [], "before RELOCATION_WAIT nothing moves");
 }
 
 #[test]
--- a/crates/policy/src/scheduling_queue.rs
+++ b/crates/policy/src/scheduling_queue.rs
@@ -34,9 +34,9 @@
 }
 
 /// Returns how many of its start objectives a job has missed. Jobs with fewer missed objectives start first. To
-/// prevent starvation, a job that has waited for longer than `START_DEADLINE_S` counts as having missed none.
+/// prevent starvation, a job that has waited for longer than `START_OBJECTIVE_LIMIT_S` counts as having missed none.
 fn missed_start_objectives(job: &JobView, now: f64) -> usize {
-    if now > job.submitted + constants::START_DEADLINE_S {
+    if now > job.submitted + constants::START_OBJECTIVE_LIMIT_S {
         return 0;
     }
     job.start_by.iter().filter(|by| now > **by).count()
@@ -195,8 +195,8 @@
         }
     }
 
-    /// Adds deferred jobs and backfill older than `AGING_S`, oldest first, so that feasible jobs cannot starve them.
-    /// Together they get `AGING_CPU_SHARE` of the CPUs, including what their placed tasks use already.
+    /// Adds deferred jobs and backfill older than `AGING_THRESHOLD_S`, oldest first, so that feasible jobs cannot starve
+    /// them. Together they get `AGING_CPU_SHARE` of the CPUs, including what their placed tasks use already.
     fn push_aged(&mut self) {
         let mut aged: Vec<usize> =
             (0..self.jobs.len()).filter(|index| self.is_aged(*index)).collect();
@@ -214,12 +214,14 @@
         }
     }
 
-    /// Whether the job is older than `AGING_S` and would otherwise come after other jobs.
+    /// Whether the job is older than `AGING_THRESHOLD_S` and would otherwise come after other jobs.
     fn is_aged(&self, index: usize) -> bool {
         let job = &self.jobs[index];
         let comes_after_others =
             has_no_objective(job) || !job.gang && !job.has_never_run() && self.deferred[index];
-        comes_after_others && !job.crash_looping && self.now > job.submitted + constants::AGING_S
+        comes_after_others
+            && !job.crash_looping
+            && self.now > job.submitted + constants::AGING_THRESHOLD_S
     }
 
     /// Adds the tasks that started jobs need beyond their placed ones to reach their minimums.
--- a/crates/policy/src/scheduling_queue/tests.rs
+++ b/crates/policy/src/scheduling_queue/tests.rs
@@ -77,7 +77,7 @@
     // One late job, and 50 newer ones that could use all CPUs.
     let mut late = started(500, 5.0);
     late.submitted = 0.0;
-    let now = constants::AGING_S + 1.0;
+    let now = constants::AGING_THRESHOLD_S + 1.0;
     let mut jobs = vec![late];
     jobs.extend((0..50).map(|_| JobView { submitted: now - 1.0, ..started(10, now + 15.0) }));
     let queue = scheduling_queue(&jobs, now, 100.0);
@@ -89,7 +89,7 @@
     assert_ne!(
         scheduling_queue(&jobs, 20.0, 100.0)[0].job,
         0,
-        "before AGING_S the late job comes after the others"
+        "before AGING_THRESHOLD_S the late job comes after the others"
     );
 }
 
@@ -105,8 +105,8 @@
     let order =
         |now| scheduling_queue(&jobs, now, 100.0).iter().map(|entry| entry.job).collect::<Vec<_>>();
     assert_eq!(order(60.0), [1, 2, 0], "both start objectives can be met, one of them, none");
-    let after_bound = 1.0 + constants::START_DEADLINE_S;
-    assert_eq!(order(after_bound)[0], 0, "after START_DEADLINE_S the oldest goes first");
+    let after_bound = 1.0 + constants::START_OBJECTIVE_LIMIT_S;
+    assert_eq!(order(after_bound)[0], 0, "after START_OBJECTIVE_LIMIT_S the oldest goes first");
 }
 
 /// The placed tasks of a partially placed gang hold resources without doing work, and the workers end them after a
