--- a/crates/clients/src/http.rs
+++ b/crates/clients/src/http.rs
@@ -77,7 +77,7 @@
 impl HttpClient {
     /// Creates a client of `address` (`host:port`) with the default pool.
     pub fn new(address: &str) -> Self {
-        Self::with_pool(address, MAX_IDLE_CONNECTIONS, constants::CLIENT_IDLE)
+        Self::with_pool(address, MAX_IDLE_CONNECTIONS, constants::CLIENT_IDLE_TIMEOUT)
     }
 
     /// Creates a client that keeps at most `max_idle` idle connections to each address, each for at
--- a/crates/clients/src/worker.rs
+++ b/crates/clients/src/worker.rs
@@ -45,7 +45,11 @@
 impl Default for WorkerClient {
     fn default() -> Self {
         Self {
-            http: HttpClient::with_pool(NO_ADDRESS, MAX_IDLE_CONNECTIONS, constants::WORKER_IDLE),
+            http: HttpClient::with_pool(
+                NO_ADDRESS,
+                MAX_IDLE_CONNECTIONS,
+                constants::WORKER_IDLE_TIMEOUT,
+            ),
             stop_permits: Arc::new(Semaphore::new(constants::MAX_DIRECT_STOPS)),
         }
     }
--- a/crates/constants/src/api.rs
+++ b/crates/constants/src/api.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 /// Maximum size of a request body, bytes (set by the protocol).
-pub const BODY_LIMIT: usize = 64 * 1024;
+pub const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
 /// Time limit for the response to a submission or cancellation. Below the 5 s that users wait.
-pub const SUBMIT_LIMIT: Duration = Duration::from_millis(3_500);
+pub const SUBMISSION_TIMEOUT: Duration = Duration::from_millis(3_500);
 /// Time limit for the response to a status request. Below the 2 s that users wait.
-pub const STATUS_LIMIT: Duration = Duration::from_millis(1_500);
+pub const STATUS_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Value of `Retry-After` in responses to submissions and cancellations, s.
 pub const RETRY_AFTER_S: u32 = 1;
 /// Value of `Retry-After` in responses to status requests, s. Shorter than the interval at which users ask again,
@@ -17,11 +17,11 @@
 /// requests are sent.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(600);
 /// Maximum size of a message between controllers, bytes: a submission and its envelope.
-pub const PEER_FRAME_LIMIT: usize = 80 * 1024;
+pub const MAX_PEER_FRAME_BYTES: usize = 80 * 1024;
 /// Maximum number of idle connections kept to each other controller.
-pub const PEER_IDLE: usize = 4;
+pub const MAX_IDLE_PEER_CONNECTIONS: usize = 4;
 /// Time after which an idle connection to the store, the cloud or a controller is closed.
-pub const CLIENT_IDLE: Duration = Duration::from_millis(10_000);
+pub const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_millis(10_000);
 /// Time that the circuit breaker of a controller, or of the store, stays open after a request without a response.
 /// While it is open, requests fail at once instead of waiting for a timeout; then one request probes the other side.
 pub const CIRCUIT_BREAKER_OPEN: Duration = Duration::from_millis(1_000);
@@ -36,7 +36,7 @@
 pub const CONNECTION_IDLE_MIN_S: f64 = 15.0;
 /// A connection with traffic within this time is not closed when the connection table is full: its request may be in
 /// progress.
-pub const CONNECTION_BUSY: Duration = Duration::from_millis(2_000);
+pub const CONNECTION_BUSY_TIME: Duration = Duration::from_millis(2_000);
 /// When the connection table is full, its maximum size divided by this is the number of connections closed at a time.
 /// Several are closed at a time, since each time the whole table is scanned.
 pub const CONNECTION_CLOSE_DIVISOR: usize = 64;
--- a/crates/constants/src/replication.rs
+++ b/crates/constants/src/replication.rs
@@ -16,7 +16,7 @@
 /// behind gets a replication snapshot, which costs less than as many entries.
 pub const MAX_REPLICATION_LOG_ENTRIES: usize = 16_384;
 /// Maximum size of the entries, or of a chunk of a replication snapshot, in one message between controllers, bytes.
-/// Well below [`PEER_FRAME_LIMIT`](crate::PEER_FRAME_LIMIT).
+/// Well below [`MAX_PEER_FRAME_BYTES`](crate::MAX_PEER_FRAME_BYTES).
 pub const MAX_REPLICATION_CHUNK_BYTES: usize = 32 * 1024;
 /// Maximum size of a replication snapshot, bytes. A machine with its tasks takes some 200, so this is enough for
 /// 100,000 machines.
--- a/crates/constants/src/workers.rs
+++ b/crates/constants/src/workers.rs
@@ -10,7 +10,7 @@
 pub const MAX_HEARTBEAT_INTERVAL_FACTOR: f64 = 1.25;
 /// Time within which a worker that received commands sends its next heartbeat (the protocol requires at least half a
 /// second between heartbeats). Starts wait for that heartbeat instead of a direct dispatch.
-pub const PROMPT_HEARTBEAT: Duration = Duration::from_millis(800);
+pub const MAX_PROMPT_HEARTBEAT_DELAY: Duration = Duration::from_millis(800);
 /// Number of consecutive responses that a worker did not act on after which its machine is cordoned. One or two may
 /// get lost when a controller is slow or a connection fails.
 pub const MAX_UNACKNOWLEDGED_RESPONSES: u32 = 3;
@@ -24,7 +24,7 @@
 pub const WORKER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time after which an idle connection to a worker is closed. Requests go to hundreds of machines within seconds, but
 /// to few of them twice.
-pub const WORKER_IDLE: Duration = Duration::from_millis(1_000);
+pub const WORKER_IDLE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Time that a machine gets no new task after it could not be reached, so that tasks are placed on others in the
 /// meantime.
 pub const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(4_000);
--- a/crates/controller/src/api/cancellation.rs
+++ b/crates/controller/src/api/cancellation.rs
@@ -29,7 +29,7 @@
         }
         let request = PeerRequest::Cancel(job.to_string());
         if origin == Origin::Client
-            && let Some(outcome) = self.ask_leader(&request, constants::STATUS_LIMIT).await
+            && let Some(outcome) = self.ask_leader(&request, constants::STATUS_TIMEOUT).await
         {
             return outcome;
         }
--- a/crates/controller/src/api/job_reader.rs
+++ b/crates/controller/src/api/job_reader.rs
@@ -57,7 +57,7 @@
     }
     // The first read is useless without the second, so the second one waits for the rate limit
     // rather than fail by it.
-    let store = store.clone().with_queue_limit(constants::STATUS_LIMIT);
+    let store = store.clone().with_queue_limit(constants::STATUS_TIMEOUT);
     let Some(pair) = store.get(&final_state_key(job)).await? else {
         return Ok(StoredJob::Absent);
     };
--- a/crates/controller/src/cluster_state/heartbeat.rs
+++ b/crates/controller/src/cluster_state/heartbeat.rs
@@ -166,7 +166,7 @@
         machine.heartbeat_expected_by = if commands.is_empty() {
             MonotonicTime::ZERO
         } else {
-            now + constants::PROMPT_HEARTBEAT
+            now + constants::MAX_PROMPT_HEARTBEAT_DELAY
         };
         let fencing_token = self.term + machine.token_offset;
         let mut expected = ExpectedHeartbeat {
--- a/crates/controller/src/cluster_state/heartbeat_timing.rs
+++ b/crates/controller/src/cluster_state/heartbeat_timing.rs
@@ -32,7 +32,7 @@
     /// Returns the time after a response within which a healthy worker certainly sends its next
     /// heartbeat.
     pub(super) fn heartbeat_timeout(&self) -> Duration {
-        self.max_heartbeat_interval() + constants::PROMPT_HEARTBEAT
+        self.max_heartbeat_interval() + constants::MAX_PROMPT_HEARTBEAT_DELAY
     }
 
     /// Returns the time after a response from which the planned starts of a machine without a new
--- a/crates/controller/src/cluster_state/machine.rs
+++ b/crates/controller/src/cluster_state/machine.rs
@@ -201,8 +201,8 @@
     /// known, it is not cordoned, its next heartbeat is not expected at once, and no probe is in
     /// flight or recent.
     pub fn needs_state_probe(&self, now: MonotonicTime) -> bool {
-        let is_heartbeat_expected =
-            self.has_reported && now < self.last_response_at + constants::PROMPT_HEARTBEAT;
+        let is_heartbeat_expected = self.has_reported
+            && now < self.last_response_at + constants::MAX_PROMPT_HEARTBEAT_DELAY;
         self.state_probe.is_due(now)
             && !is_heartbeat_expected
             && !self.address.is_empty()
--- a/crates/controller/src/connection_table.rs
+++ b/crates/controller/src/connection_table.rs
@@ -123,13 +123,13 @@
     }
 
     /// Closes the connections that have been idle longest, except those with traffic in the last
-    /// `CONNECTION_BUSY`. Closes several at a time, because each call scans the whole table.
+    /// `CONNECTION_BUSY_TIME`. Closes several at a time, because each call scans the whole table.
     fn close_idle(&self, now: MonotonicTime) {
         let Ok(mut open) = self.open.lock() else { return };
         let mut idle: Vec<(MonotonicTime, u64)> = open
             .iter()
             .map(|(id, connection)| (connection.last_traffic.get(), *id))
-            .filter(|(last_traffic, _)| *last_traffic + constants::CONNECTION_BUSY <= now)
+            .filter(|(last_traffic, _)| *last_traffic + constants::CONNECTION_BUSY_TIME <= now)
             .collect();
         idle.sort_unstable();
         let batch = self.max_connections.div_ceil(constants::CONNECTION_CLOSE_DIVISOR);
--- a/crates/controller/src/connection_table/tests.rs
+++ b/crates/controller/src/connection_table/tests.rs
@@ -24,7 +24,7 @@
         let open = connections.table.open.lock().unwrap();
         open[&n].last_traffic.set(MonotonicTime::from_millis(n * 10_000));
     }
-    let almost_busy = constants::CONNECTION_BUSY - Duration::from_millis(1);
+    let almost_busy = constants::CONNECTION_BUSY_TIME - Duration::from_millis(1);
     connections.table.close_idle(MonotonicTime::from_millis(30_000) + almost_busy);
     let closed: Vec<bool> =
         open_connections.iter().map(|(control, _)| control.is_aborted()).collect();
--- a/crates/controller/src/frame.rs
+++ b/crates/controller/src/frame.rs
@@ -44,7 +44,7 @@
 }
 
 fn config() -> impl bincode::config::Config {
-    bincode::config::standard().with_limit::<{ constants::PEER_FRAME_LIMIT }>()
+    bincode::config::standard().with_limit::<{ constants::MAX_PEER_FRAME_BYTES }>()
 }
 
 /// Encodes a message and the version of this build as a frame.
--- a/crates/controller/src/http.rs
+++ b/crates/controller/src/http.rs
@@ -44,8 +44,8 @@
     /// Returns the time limit for the response.
     fn time_limit(self) -> Duration {
         match self {
-            Self::Status => constants::STATUS_LIMIT,
-            Self::Submit | Self::Cancel => constants::SUBMIT_LIMIT,
+            Self::Status => constants::STATUS_TIMEOUT,
+            Self::Submit | Self::Cancel => constants::SUBMISSION_TIMEOUT,
         }
     }
 
@@ -123,7 +123,7 @@
     }
 
     async fn submit(&self, req: &mut Request) -> RequestOutcome {
-        match req.payload_with_max_size(constants::BODY_LIMIT).await {
+        match req.payload_with_max_size(constants::MAX_REQUEST_BODY_BYTES).await {
             Ok(body) => self.api.submit(body, Origin::Client).await,
             Err(_) => RequestOutcome::Rejected {
                 status: StatusCode::BAD_REQUEST.as_u16(),
@@ -164,7 +164,7 @@
 /// Parses the heartbeat in the body of a request. The error says why the body is not one.
 async fn read_heartbeat(req: &mut Request) -> Result<Heartbeat, String> {
     let body = req
-        .payload_with_max_size(constants::BODY_LIMIT)
+        .payload_with_max_size(constants::MAX_REQUEST_BODY_BYTES)
         .await
         .map_err(|error| error.to_string())?;
     serde_json::from_slice(body).map_err(|error| error.to_string())
@@ -182,7 +182,7 @@
 #[async_trait]
 impl Handler for ReplicationHandler {
     async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        match tokio::time::timeout(constants::STATUS_LIMIT, self.0.replication_status()).await {
+        match tokio::time::timeout(constants::STATUS_TIMEOUT, self.0.replication_status()).await {
             Ok(Some(status)) => res.render(Json(status)),
             _ => render_unavailable(res, "no answer in time", constants::RETRY_AFTER_S),
         }
--- a/crates/controller/src/peers/connection.rs
+++ b/crates/controller/src/peers/connection.rs
@@ -16,7 +16,7 @@
     /// The frame could not be encoded or decoded.
     #[error("frame: {0}")]
     Frame(#[from] FrameError),
-    /// A received frame exceeds `PEER_FRAME_LIMIT`, or a frame to send is too long for a length of
+    /// A received frame exceeds `MAX_PEER_FRAME_BYTES`, or a frame to send is too long for a length of
     /// four bytes.
     #[error("a frame exceeds the maximum length")]
     TooLong,
@@ -40,7 +40,7 @@
     stream: &mut TcpStream,
 ) -> Result<Frame<T>, ConnectionError> {
     let length = stream.read_u32().await? as usize;
-    if length > constants::PEER_FRAME_LIMIT {
+    if length > constants::MAX_PEER_FRAME_BYTES {
         return Err(ConnectionError::TooLong);
     }
     let mut body = vec![0; length];
--- a/crates/controller/src/peers/peer.rs
+++ b/crates/controller/src/peers/peer.rs
@@ -112,7 +112,7 @@
 
     fn keep_idle_connection(&self, stream: TcpStream) {
         let Ok(mut idle) = self.idle_connections.lock() else { return };
-        if idle.len() < constants::PEER_IDLE {
+        if idle.len() < constants::MAX_IDLE_PEER_CONNECTIONS {
             idle.push(stream);
         }
     }
--- a/crates/controller/tests/fleet_size.rs
+++ b/crates/controller/tests/fleet_size.rs
@@ -61,7 +61,7 @@
             }
         }
         let text = serde_json::to_string(transaction).expect("a transaction");
-        assert!(text.len() <= hookway_constants::BODY_LIMIT, "{} bytes", text.len());
+        assert!(text.len() <= hookway_constants::MAX_REQUEST_BODY_BYTES, "{} bytes", text.len());
         self.transactions += 1;
     }
 
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -246,7 +246,7 @@
         harness.cluster.take_state_probes(harness.now).is_empty(),
         "no probe while prompt heartbeats are due"
     );
-    harness.now += constants::PROMPT_HEARTBEAT;
+    harness.now += constants::MAX_PROMPT_HEARTBEAT_DELAY;
     assert_eq!(answer_probes(&mut harness, &mut workers), 2);
     assert!(harness.cluster.reconciled(harness.now));
 }
