--- a/crates/controller/src/cluster_state/relocation.rs
+++ b/crates/controller/src/cluster_state/relocation.rs
@@ -10,7 +10,7 @@
 //! is gone. Only the leader's memory has it: a replica that was stopped and not started again is
 //! started by the next leader like any unplaced task.
 
-use super::snapshot::SchedulingSnapshot;
+use super::snapshot::IndexedSnapshot;
 use super::{ClusterState, JobKey, Machine, TaskAttempt};
 use hookway_constants as constants;
 use hookway_policy::{Preemption, RelocationLimits, Resources, Victim, relocate};
@@ -119,7 +119,7 @@
     /// the scheduling snapshot of the round. `preemptions` are those of the same round.
     pub(super) fn begin_relocations(
         &mut self,
-        snapshot: &SchedulingSnapshot,
+        snapshot: &IndexedSnapshot,
         preemptions: &[Preemption],
         now: MonotonicTime,
     ) {
@@ -142,7 +142,7 @@
 
     fn begin_relocation(
         &mut self,
-        snapshot: &SchedulingSnapshot,
+        snapshot: &IndexedSnapshot,
         planned: hookway_policy::Relocation,
         now: MonotonicTime,
     ) {
@@ -182,7 +182,7 @@
     /// machine.
     fn task_on_machine(
         &self,
-        snapshot: &SchedulingSnapshot,
+        snapshot: &IndexedSnapshot,
         victim: &Victim,
     ) -> Option<TaskOnMachine> {
         let machine = snapshot.machine_names[victim.machine].clone();
--- a/crates/controller/src/cluster_state/scheduling_round.rs
+++ b/crates/controller/src/cluster_state/scheduling_round.rs
@@ -1,7 +1,7 @@
 //! The scheduling round: stops tasks that must not go on, places tasks, and preempts others for
 //! tasks that no machine has free resources for.
 
-use super::snapshot::SchedulingSnapshot;
+use super::snapshot::IndexedSnapshot;
 use super::{ClusterState, JobKey, MachineReservation};
 use hookway_constants as constants;
 use hookway_policy::{QueueEntry, QuotaReservation, Victim, min_tasks, place, preempt};
@@ -87,7 +87,7 @@
     }
 
     /// Updates the minimum task counts of the jobs with a deadline and a known mean task time.
-    fn update_min_tasks(&mut self, snapshot: &SchedulingSnapshot) {
+    fn update_min_tasks(&mut self, snapshot: &IndexedSnapshot) {
         for (key, job) in snapshot.job_keys.iter().zip(&snapshot.cluster.jobs) {
             if job.deadline.is_some() && job.mean_task_time.is_some() {
                 self.set_min_tasks(*key, min_tasks(job, snapshot.cluster.now));
@@ -97,7 +97,7 @@
 
     /// Places the tasks that free resources suffice for, and keeps the other ones and the
     /// reservations of the round for placement at heartbeats.
-    fn place_startable_tasks(&mut self, snapshot: &mut SchedulingSnapshot, now: MonotonicTime) {
+    fn place_startable_tasks(&mut self, snapshot: &mut IndexedSnapshot, now: MonotonicTime) {
         let placed = place(&mut snapshot.cluster);
         let unplaced = |entry: &QueueEntry| UnplacedDemand {
             job: snapshot.job_keys[entry.job],
@@ -120,7 +120,7 @@
 
     /// Preempts tasks for jobs that found no free resources, and reserves the machines of the
     /// victims for those jobs. Where preemption is not enough, relocations begin.
-    fn preempt_for_unplaced_tasks(&mut self, snapshot: &SchedulingSnapshot, now: MonotonicTime) {
+    fn preempt_for_unplaced_tasks(&mut self, snapshot: &IndexedSnapshot, now: MonotonicTime) {
         let until = now + constants::PREEMPTED_MACHINE_RESERVATION;
         let preemptions = preempt(&snapshot.cluster);
         for preemption in &preemptions {
--- a/crates/controller/src/cluster_state/snapshot.rs
+++ b/crates/controller/src/cluster_state/snapshot.rs
@@ -2,7 +2,7 @@
 
 use super::{ClusterState, Job, JobKey, Machine, PlacedTask};
 use hookway_policy::{
-    ClusterSnapshot, JobView, MachineView, PlacedTaskView, Quota, Resources, TeamView,
+    JobView, MachineView, PlacedTaskView, Quota, Resources, SchedulingSnapshot, TeamView,
 };
 use hookway_time::{MonotonicTime, seconds_f64};
 use hookway_wire::PurchaseOption;
@@ -11,10 +11,10 @@
 /// Lower bound of the CPUs of a machine type, to avoid a division by zero.
 const MIN_CPUS: f64 = 0.1;
 
-/// A cluster snapshot for the policy, with the keys and names that its indexes refer to.
-pub(super) struct SchedulingSnapshot {
+/// A scheduling snapshot for the policy, with the keys and names that its indexes refer to.
+pub(super) struct IndexedSnapshot {
     /// Input of the policy; it refers to jobs and machines by index.
-    pub cluster: ClusterSnapshot,
+    pub cluster: SchedulingSnapshot,
     /// Key of each job, by job index.
     pub job_keys: Vec<JobKey>,
     /// Name of each machine, by machine index.
@@ -52,7 +52,7 @@
 
     /// Creates the scheduling snapshot at `now`. Jobs whose end is durable are left out once they
     /// have no task on a machine, and machines while their type or zone is unknown.
-    pub(super) fn scheduling_snapshot(&self, now: MonotonicTime) -> SchedulingSnapshot {
+    pub(super) fn scheduling_snapshot(&self, now: MonotonicTime) -> IndexedSnapshot {
         let mut job_indexes: HashMap<JobKey, usize> = HashMap::new();
         let mut job_keys = Vec::new();
         let mut jobs = Vec::new();
@@ -71,7 +71,7 @@
                 Some((name.clone(), self.machine_view(name, machine, &job_indexes, now)?))
             })
             .unzip();
-        let cluster = ClusterSnapshot {
+        let cluster = SchedulingSnapshot {
             now: now.as_seconds_f64(),
             cheapest_cpu_price: self.cheapest_cpu_price(),
             gang_requests: self
@@ -85,7 +85,7 @@
             teams: self.team_views(),
             machine_types: self.machine_types.clone(),
         };
-        SchedulingSnapshot { cluster, job_keys, machine_names }
+        IndexedSnapshot { cluster, job_keys, machine_names }
     }
 
     /// Returns the lowest hourly price of a CPU, on demand or spot; 0 if there is no machine type.
--- a/crates/policy/src/autoscaling.rs
+++ b/crates/policy/src/autoscaling.rs
@@ -3,7 +3,7 @@
 //! only sizes the fleet; it places no task.
 
 use crate::placement::{fleet_could_hold, smallest_request, startable_jobs};
-use crate::{ClusterSnapshot, JobView, MachineView, Resources, desired_tasks};
+use crate::{JobView, MachineView, Resources, SchedulingSnapshot, desired_tasks};
 
 /// Maximum number of machines that one plan adds, which bounds the duration of a round. The next round adds more.
 const MAX_PLANNED_MACHINES: usize = 64;
@@ -70,7 +70,7 @@
 
 /// A scaling plan in progress; assigns the tasks of one job after another to machines.
 struct Planner<'a> {
-    cluster: &'a ClusterSnapshot,
+    cluster: &'a SchedulingSnapshot,
     offers: &'a [MachineOffer],
     zone_count: usize,
     /// Per existing machine: free resources less those of assigned tasks.
@@ -85,7 +85,7 @@
 
 /// Plans which machines to add, and which of the existing machines are needed. Tasks are first assigned to the free
 /// resources of machines that are schedulable or booting, then to machines that the plan adds.
-pub fn plan_scaling(cluster: &ClusterSnapshot, offers: &[MachineOffer]) -> ScalingPlan {
+pub fn plan_scaling(cluster: &SchedulingSnapshot, offers: &[MachineOffer]) -> ScalingPlan {
     let smallest = smallest_request(startable_jobs(&cluster.jobs));
     let mut planner = Planner::new(cluster, offers, &smallest);
     for job_index in jobs_to_scale_for(cluster) {
@@ -102,7 +102,11 @@
 }
 
 impl<'a> Planner<'a> {
-    fn new(cluster: &'a ClusterSnapshot, offers: &'a [MachineOffer], smallest: &Resources) -> Self {
+    fn new(
+        cluster: &'a SchedulingSnapshot,
+        offers: &'a [MachineOffer],
+        smallest: &Resources,
+    ) -> Self {
         let zones = cluster.machines.iter().map(|machine| machine.zone);
         let zones = zones.chain(offers.iter().map(|offer| offer.zone));
         Self {
@@ -307,7 +311,7 @@
 
 /// Returns the machines with free resources for some task: running before booting, in use before empty, cheap before
 /// expensive. Expensive machines thus tend to stay idle and are scaled in.
-fn machines_with_free_resources(cluster: &ClusterSnapshot, smallest: &Resources) -> Vec<usize> {
+fn machines_with_free_resources(cluster: &SchedulingSnapshot, smallest: &Resources) -> Vec<usize> {
     let mut machines: Vec<usize> = (0..cluster.machines.len())
         .filter(|index| cluster.machines[*index].free.fits(smallest))
         .collect();
@@ -324,7 +328,7 @@
 /// Machines are added for a crash-looping job only if the existing ones could not run it: the machines may have caused
 /// its failures, and it must not wait indefinitely. This is done for one crash-looping gang at a time; for
 /// crash-looping arrays see [`Planner::add_machines_for_crash_looping_arrays`].
-fn jobs_to_scale_for(cluster: &ClusterSnapshot) -> Vec<usize> {
+fn jobs_to_scale_for(cluster: &SchedulingSnapshot) -> Vec<usize> {
     let stranded_gang = (0..cluster.jobs.len()).find(|index| {
         let job = &cluster.jobs[*index];
         job.crash_looping && job.gang && job.startable > 0 && !fleet_could_hold(cluster, *index)
@@ -340,14 +344,14 @@
 }
 
 /// Whether the plan may assign tasks of the job to an existing machine, regardless of free resources.
-fn may_use(cluster: &ClusterSnapshot, job_index: usize, machine: &MachineView) -> bool {
+fn may_use(cluster: &SchedulingSnapshot, job_index: usize, machine: &MachineView) -> bool {
     (machine.schedulable || machine.booting)
         && machine.eligible_for(job_index, &cluster.jobs[job_index])
 }
 
 /// Returns the shortest time in which a machine added now could run a task of the job, s: boot and image fetch. 0 if
 /// the job allows no machine type.
-fn provisioning_time(cluster: &ClusterSnapshot, job: &JobView) -> f64 {
+fn provisioning_time(cluster: &SchedulingSnapshot, job: &JobView) -> f64 {
     let fastest = cluster
         .machine_types
         .iter()
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -2,7 +2,7 @@
 //! placement (bin packing), preemption, relocation of replicas, and autoscaling.
 //!
 //! Nothing here reads a clock or does I/O. Times are seconds since an origin that the caller chooses. Machines, jobs,
-//! teams and machine types are identified by their index in the [`ClusterSnapshot`] that the caller passes, zones by
+//! teams and machine types are identified by their index in the [`SchedulingSnapshot`] that the caller passes, zones by
 //! an index that the caller assigns. The entry points are [`place`], which runs a scheduling round, [`preempt`],
 //! [`relocate`] and [`plan_scaling`].
 
@@ -26,4 +26,4 @@
 pub use relocation::{Relocation, RelocationLimits, ReplicaMove, relocate};
 pub use resources::Resources;
 pub use scheduling_queue::{QueueEntry, scheduling_queue};
-pub use snapshot::{ClusterSnapshot, JobView, MachineView, PlacedTaskView, Quota, TeamView};
+pub use snapshot::{JobView, MachineView, PlacedTaskView, Quota, SchedulingSnapshot, TeamView};
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -6,7 +6,7 @@
 pub(crate) use reservation::fleet_could_hold;
 
 use crate::preemption::is_preemption_cheaper;
-use crate::{ClusterSnapshot, JobView, MachineView, QueueEntry, Resources, scheduling_queue};
+use crate::{JobView, MachineView, QueueEntry, Resources, SchedulingSnapshot, scheduling_queue};
 use cost::machines_by_cost;
 use hookway_constants as constants;
 use hookway_time::millis_f64;
@@ -45,7 +45,7 @@
 /// Runs one scheduling round: assigns tasks to free resources in the order of the scheduling queue, within the limits
 /// of teams and the zone and machine constraints of jobs. Updates the snapshot with the placed tasks and the reserved
 /// machines.
-pub fn place(cluster: &mut ClusterSnapshot) -> RoundOutcome {
+pub fn place(cluster: &mut SchedulingSnapshot) -> RoundOutcome {
     let in_service = |machine: &&MachineView| machine.schedulable && !machine.booting;
     let cpu_capacity =
         cluster.machines.iter().filter(in_service).map(|machine| machine.total.cpus).sum();
@@ -59,7 +59,7 @@
 
 /// A scheduling round in progress.
 struct Round<'a> {
-    cluster: &'a mut ClusterSnapshot,
+    cluster: &'a mut SchedulingSnapshot,
     /// The smallest request per resource; a machine with less free resources can take no task.
     smallest_request: Resources,
     /// Indexes of the machines that may have free resources for some task.
@@ -70,7 +70,7 @@
 }
 
 impl<'a> Round<'a> {
-    fn new(cluster: &'a mut ClusterSnapshot) -> Self {
+    fn new(cluster: &'a mut SchedulingSnapshot) -> Self {
         let candidates = (0..cluster.machines.len())
             .filter(|index| cluster.machines[*index].schedulable)
             .collect();
@@ -175,7 +175,7 @@
 /// Places up to `tasks` tasks of an array or a daemon, or either all startable tasks of a gang or none. Updates the
 /// snapshot and returns the machine of each task.
 fn place_job(
-    cluster: &mut ClusterSnapshot,
+    cluster: &mut SchedulingSnapshot,
     job_index: usize,
     tasks: u32,
     candidates: &[usize],
@@ -199,7 +199,7 @@
 
 /// Returns the zone with free resources for most tasks, if the job must be in one zone and has no task placed yet;
 /// otherwise `None`.
-fn zone_for_first_task(cluster: &ClusterSnapshot, job_index: usize) -> Option<usize> {
+fn zone_for_first_task(cluster: &SchedulingSnapshot, job_index: usize) -> Option<usize> {
     let job = &cluster.jobs[job_index];
     if !job.one_zone || job.placed_per_zone.iter().any(|placed| *placed > 0) {
         return None;
@@ -208,7 +208,7 @@
 }
 
 /// Returns how many tasks of the job fit in the free resources of a zone.
-fn tasks_fitting_in_zone(cluster: &ClusterSnapshot, job_index: usize, zone: usize) -> u32 {
+fn tasks_fitting_in_zone(cluster: &SchedulingSnapshot, job_index: usize, zone: usize) -> u32 {
     let job = &cluster.jobs[job_index];
     cluster
         .machines
@@ -219,7 +219,7 @@
 
 /// Assigns up to `tasks` tasks to machines in the order of a ranking, and returns the machine of each task.
 fn assign_tasks(
-    cluster: &mut ClusterSnapshot,
+    cluster: &mut SchedulingSnapshot,
     job_index: usize,
     tasks: u32,
     ranking: &[usize],
@@ -240,7 +240,7 @@
 }
 
 /// Assigns one task of the job to a machine in the snapshot.
-fn assign(cluster: &mut ClusterSnapshot, job_index: usize, machine: usize) {
+fn assign(cluster: &mut SchedulingSnapshot, job_index: usize, machine: usize) {
     let request = cluster.jobs[job_index].request;
     let zone = cluster.machines[machine].zone;
     cluster.machines[machine].free.subtract(&request);
@@ -257,7 +257,7 @@
 
 /// Assigns all `tasks` of a gang and returns their machines; or returns none and leaves the snapshot as it was.
 fn place_gang(
-    cluster: &mut ClusterSnapshot,
+    cluster: &mut SchedulingSnapshot,
     job_index: usize,
     tasks: u32,
     ranking: &[usize],
@@ -289,7 +289,7 @@
 /// The tasks of a gang start together, so a single image fetch delays all of them. Waiting is cheaper than the fetch
 /// if machines that hold the image are being cleared for the gang, or can be cleared at a lower cost.
 fn should_wait_for_preemption(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job_index: usize,
     machines: &[usize],
 ) -> bool {
--- a/crates/policy/src/placement/cost.rs
+++ b/crates/policy/src/placement/cost.rs
@@ -1,7 +1,7 @@
 //! The placement cost, which ranks the machines for a task (bin packing).
 
 use super::is_usable;
-use crate::{ClusterSnapshot, JobView, MachineView};
+use crate::{JobView, MachineView, SchedulingSnapshot};
 use hookway_constants as constants;
 
 /// Upper bound of the price excess in the placement cost, in multiples of the cheapest price per CPU, so that the
@@ -12,7 +12,7 @@
 /// cost is the time to fetch the image (image locality) plus penalties that keep whole machines free for work that
 /// needs them.
 pub(super) fn placement_cost(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job: &JobView,
     machine: &MachineView,
 ) -> f64 {
@@ -48,7 +48,7 @@
 /// one is given. Placing a task lowers the cost of its machine for the next task and leaves the cost of the other
 /// machines unchanged, so one ranking is enough to place any number of tasks.
 pub(super) fn machines_by_cost(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job_index: usize,
     zone: Option<usize>,
     candidates: &[usize],
--- a/crates/policy/src/placement/reservation.rs
+++ b/crates/policy/src/placement/reservation.rs
@@ -1,11 +1,11 @@
 //! Reservations of machines for waiting gangs.
 
-use crate::{ClusterSnapshot, JobView, MachineView, Resources};
+use crate::{JobView, MachineView, Resources, SchedulingSnapshot};
 
 /// Returns the resources of a machine that can become free for a job: all but those of daemons of the same or a higher
 /// priority, whose replicas do not end by themselves and rank too high to be preempted.
 fn obtainable_resources(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job: &JobView,
     machine: &MachineView,
 ) -> Resources {
@@ -21,7 +21,7 @@
 
 /// Whether the machines that are schedulable or booting could hold all tasks of a gang if nothing ran on them but
 /// daemons of the same or a higher priority.
-pub(crate) fn fleet_could_hold(cluster: &ClusterSnapshot, job_index: usize) -> bool {
+pub(crate) fn fleet_could_hold(cluster: &SchedulingSnapshot, job_index: usize) -> bool {
     let job = &cluster.jobs[job_index];
     let mut tasks_per_zone = vec![0u32; cluster.zone_count()];
     for machine in cluster.machines.iter().filter(|machine| machine.schedulable || machine.booting)
@@ -43,7 +43,7 @@
 
 /// Reserves the least used machines that together can hold a waiting gang. Returns `false`, and reserves none, if
 /// there are not enough.
-pub(super) fn reserve_machines(cluster: &mut ClusterSnapshot, job_index: usize) -> bool {
+pub(super) fn reserve_machines(cluster: &mut SchedulingSnapshot, job_index: usize) -> bool {
     let candidates = reservation_candidates(cluster, job_index);
     let zones: Vec<Option<usize>> = if cluster.jobs[job_index].one_zone {
         (0..cluster.zone_count()).map(Some).collect()
@@ -62,7 +62,7 @@
 }
 
 /// Returns the machines that could be reserved for a job, least used first.
-fn reservation_candidates(cluster: &ClusterSnapshot, job_index: usize) -> Vec<usize> {
+fn reservation_candidates(cluster: &SchedulingSnapshot, job_index: usize) -> Vec<usize> {
     let job = &cluster.jobs[job_index];
     let is_candidate = |machine: &MachineView| {
         machine.schedulable
@@ -84,7 +84,7 @@
 /// Returns the first candidates that together can hold all startable tasks of a job, only from `zone` if one is given;
 /// `None` if there are not enough.
 fn choose_machines(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job_index: usize,
     zone: Option<usize>,
     candidates: &[usize],
--- a/crates/policy/src/placement/tests.rs
+++ b/crates/policy/src/placement/tests.rs
@@ -5,7 +5,11 @@
 use hookway_wire::Priority;
 
 /// Reference implementation of [`place_job`] for arrays: ranks all machines again for each task.
-fn place_task_by_task(cluster: &mut ClusterSnapshot, job_index: usize, tasks: u32) -> Vec<usize> {
+fn place_task_by_task(
+    cluster: &mut SchedulingSnapshot,
+    job_index: usize,
+    tasks: u32,
+) -> Vec<usize> {
     let mut machines = Vec::new();
     for _ in 0..tasks {
         let job = &cluster.jobs[job_index];
@@ -261,7 +265,7 @@
     // Replicas of lower priority can be preempted for the gang, so the machines are reserved.
     let low_priority =
         JobView { daemon: true, priority: Priority::Low, startable: 0, ..job(1.0, 4) };
-    snapshot = ClusterSnapshot {
+    snapshot = SchedulingSnapshot {
         jobs: vec![low_priority, snapshot.jobs[1].clone(), job(1.0, 4)],
         ..snapshot
     };
--- a/crates/policy/src/preemption.rs
+++ b/crates/policy/src/preemption.rs
@@ -6,7 +6,7 @@
 mod victims;
 
 use crate::scheduling_queue::{awaits_first_start, first_start_order};
-use crate::{ClusterSnapshot, JobView, MachineView, TeamView};
+use crate::{JobView, MachineView, SchedulingSnapshot, TeamView};
 use deadlines::preempt_for_deadlines;
 use hookway_constants as constants;
 use hookway_time::millis_f64;
@@ -57,7 +57,7 @@
 ///
 /// The latter get only their minimum: all tasks of a gang, all replicas of a daemon (or one, if there are not enough
 /// resources for all), one task of an array per round.
-pub fn preempt(cluster: &ClusterSnapshot) -> Vec<Preemption> {
+pub fn preempt(cluster: &SchedulingSnapshot) -> Vec<Preemption> {
     let mut preemptions = preempt_for_deadlines(cluster);
     let mut taken = vec![false; cluster.machines.len()];
     for job_index in jobs_that_may_preempt(cluster) {
@@ -84,7 +84,7 @@
 }
 
 /// Returns the jobs that wait for their first start and may preempt others, in the order in which they should start.
-fn jobs_that_may_preempt(cluster: &ClusterSnapshot) -> Vec<usize> {
+fn jobs_that_may_preempt(cluster: &SchedulingSnapshot) -> Vec<usize> {
     // Unless some team has a guarantee, only jobs above the lowest priority among the placed tasks can preempt.
     let placed = cluster.machines.iter().flat_map(|machine| &machine.placed_tasks);
     let lowest = placed.map(|task| cluster.jobs[task.job].priority).min();
@@ -102,7 +102,7 @@
 
 /// Whether a job has waited for its first start for at least `PREEMPTION_WAIT`, and no schedulable machine is reserved
 /// for it already.
-pub(crate) fn is_due_for_preemption(cluster: &ClusterSnapshot, index: usize) -> bool {
+pub(crate) fn is_due_for_preemption(cluster: &SchedulingSnapshot, index: usize) -> bool {
     let job = &cluster.jobs[index];
     let not_started = if job.gang { job.startable == job.tasks } else { awaits_first_start(job) };
     let waited_s = cluster.now - job.waiting_since;
@@ -119,7 +119,7 @@
 /// Whether preempting tasks for a gang on machines that hold its image costs less than `fetch_cost`, the CPU seconds
 /// lost by an image fetch.
 pub(crate) fn is_preemption_cheaper(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job_index: usize,
     fetch_cost: f64,
 ) -> bool {
@@ -135,7 +135,7 @@
 /// For a gang, the cheapest preemption on machines that hold the image is compared with the cheapest on any machines.
 /// The tasks of a gang start together, so the longest fetch keeps the resources of all of them idle.
 fn cheapest_preemption(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job_index: usize,
     tasks: u32,
     taken: &[bool],
--- a/crates/policy/src/preemption/deadlines.rs
+++ b/crates/policy/src/preemption/deadlines.rs
@@ -2,7 +2,7 @@
 
 use super::{Preemption, Victim};
 use crate::scheduling_queue::{has_no_objective, is_late, min_tasks_or_estimate};
-use crate::{ClusterSnapshot, PlacedTaskView, Resources};
+use crate::{PlacedTaskView, Resources, SchedulingSnapshot};
 use hookway_constants as constants;
 
 /// The free resources of the machines and the backfill that could be stopped on them, as the plan uses them up.
@@ -16,7 +16,7 @@
 /// Preempts backfill for arrays that have fewer tasks placed than their deadlines require. Only tasks of lower
 /// priority that write checkpoints are stopped. Without this, backfill tasks that run for minutes would make a burst
 /// of short tasks miss their deadlines.
-pub(super) fn preempt_for_deadlines(cluster: &ClusterSnapshot) -> Vec<Preemption> {
+pub(super) fn preempt_for_deadlines(cluster: &SchedulingSnapshot) -> Vec<Preemption> {
     let mut backfill = Backfill::of(cluster);
     if backfill.stoppable.iter().all(Vec::is_empty) {
         return Vec::new();
@@ -38,7 +38,7 @@
 }
 
 /// Returns the waiting arrays that can still meet their deadlines, earliest deadline first.
-fn waiting_arrays_by_deadline(cluster: &ClusterSnapshot) -> Vec<WaitingArray> {
+fn waiting_arrays_by_deadline(cluster: &SchedulingSnapshot) -> Vec<WaitingArray> {
     let mut waiting: Vec<WaitingArray> = Vec::new();
     for (index, job) in cluster.jobs.iter().enumerate() {
         let Some(deadline) = job.deadline else { continue };
@@ -51,7 +51,7 @@
 }
 
 /// Whether a task is backfill that writes checkpoints and has run long enough to be stopped.
-fn is_stoppable(cluster: &ClusterSnapshot, task: &PlacedTaskView) -> bool {
+fn is_stoppable(cluster: &SchedulingSnapshot, task: &PlacedTaskView) -> bool {
     let job = &cluster.jobs[task.job];
     let min_run_time = constants::BACKFILL_MIN_RUN_S
         .max(constants::BACKFILL_MIN_CHECKPOINTS * job.checkpoint_time);
@@ -59,7 +59,7 @@
 }
 
 impl<'a> Backfill<'a> {
-    fn of(cluster: &'a ClusterSnapshot) -> Self {
+    fn of(cluster: &'a SchedulingSnapshot) -> Self {
         let mut free = Vec::with_capacity(cluster.machines.len());
         let mut stoppable = Vec::with_capacity(cluster.machines.len());
         for machine in &cluster.machines {
@@ -78,7 +78,7 @@
     /// few.
     fn preempt_for(
         &mut self,
-        cluster: &ClusterSnapshot,
+        cluster: &SchedulingSnapshot,
         job_index: usize,
         deadline: f64,
     ) -> Preemption {
--- a/crates/policy/src/preemption/quota.rs
+++ b/crates/policy/src/preemption/quota.rs
@@ -2,7 +2,7 @@
 
 use super::victims::lost_work;
 use super::{Preemption, Victim};
-use crate::{ClusterSnapshot, PlacedTaskView};
+use crate::{PlacedTaskView, SchedulingSnapshot};
 
 /// A task that could be stopped.
 struct Candidate<'a> {
@@ -15,7 +15,7 @@
 /// Chooses tasks of lower priority in the job's own team to stop, so that the team's limit allows `tasks` more tasks
 /// of the job. Returns `None` if that is not possible, or if the tasks that are terminating already are enough.
 pub(super) fn preempt_for_quota(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job_index: usize,
     tasks: u32,
 ) -> Option<Preemption> {
--- a/crates/policy/src/preemption/search.rs
+++ b/crates/policy/src/preemption/search.rs
@@ -2,7 +2,7 @@
 
 use super::victims::{Displaceable, MachineVictims, victims_on_machine};
 use super::{Preemption, Victim};
-use crate::{ClusterSnapshot, JobView};
+use crate::{JobView, SchedulingSnapshot};
 
 /// Which machines a search considers, by the images that they hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -44,7 +44,7 @@
 /// Returns the cheapest preemption that frees resources for `tasks` tasks of a job within a scope, `None` if there is
 /// none. For a job that must be in one zone, all machines are in the zone with the lowest cost.
 pub(crate) fn find_preemption(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job_index: usize,
     tasks: u32,
     scope: SearchScope<'_>,
@@ -71,7 +71,7 @@
 
 /// A search in one zone, or in all zones together.
 struct Search<'a> {
-    cluster: &'a ClusterSnapshot,
+    cluster: &'a SchedulingSnapshot,
     job: &'a JobView,
     job_index: usize,
     scope: SearchScope<'a>,
@@ -89,7 +89,7 @@
 
 impl<'a> Search<'a> {
     fn new(
-        cluster: &'a ClusterSnapshot,
+        cluster: &'a SchedulingSnapshot,
         job_index: usize,
         tasks: u32,
         scope: SearchScope<'a>,
--- a/crates/policy/src/preemption/tests.rs
+++ b/crates/policy/src/preemption/tests.rs
@@ -63,7 +63,7 @@
     let backfill =
         JobView { checkpoints: true, checkpoint_time: 3.0, priority: Priority::Low, ..job(1.0, 8) };
     let urgent = JobView { deadline: Some(20.0), estimated_task_time: 10.0, ..job(1.0, 3) };
-    let victims = |snapshot: &ClusterSnapshot| {
+    let victims = |snapshot: &SchedulingSnapshot| {
         preempt(snapshot).iter().map(|preemption| preemption.victims.len()).sum::<usize>()
     };
     let mut snapshot = cluster(vec![urgent, backfill], vec![full_machine(1, 30.0)]);
--- a/crates/policy/src/preemption/victims.rs
+++ b/crates/policy/src/preemption/victims.rs
@@ -1,7 +1,7 @@
 //! Which tasks may have to leave one machine for a job, and the cost of that.
 
 use crate::relocation::MovableReplicas;
-use crate::{ClusterSnapshot, PlacedTaskView};
+use crate::{PlacedTaskView, SchedulingSnapshot};
 use hookway_constants as constants;
 
 /// Maximum run time that a checkpointing task loses when it is stopped, s: the time since its last checkpoint.
@@ -23,7 +23,7 @@
     /// Whether a task may leave its machine for a job.
     fn includes(
         self,
-        cluster: &ClusterSnapshot,
+        cluster: &SchedulingSnapshot,
         job_index: usize,
         machine_index: usize,
         task: &PlacedTaskView,
@@ -50,7 +50,7 @@
 
 /// Returns the weighted work lost by stopping a task, in CPU seconds. A checkpointing task loses only the work since
 /// its last checkpoint.
-pub(super) fn lost_work(cluster: &ClusterSnapshot, task: &PlacedTaskView) -> f64 {
+pub(super) fn lost_work(cluster: &SchedulingSnapshot, task: &PlacedTaskView) -> f64 {
     let job = &cluster.jobs[task.job];
     let seconds = if job.checkpoints { task.elapsed.min(MAX_UNSAVED_S) } else { task.elapsed };
     // Stopping one task of a gang stops all of them.
@@ -68,7 +68,7 @@
 /// Whether a job may preempt a task: either the job has the higher priority; or it would stay within its team's
 /// guarantee, and the task belongs to another team that exceeds its own guarantee.
 pub(crate) fn may_preempt(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job_index: usize,
     task: &PlacedTaskView,
 ) -> bool {
@@ -97,7 +97,7 @@
 /// Chooses tasks to stop on a machine so that `tasks` tasks of a job fit there, starting with those that lose least
 /// work; `None` if stopping all displaceable tasks is not enough.
 pub(crate) fn victims_on_machine(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job_index: usize,
     machine_index: usize,
     tasks: u32,
--- a/crates/policy/src/relocation.rs
+++ b/crates/policy/src/relocation.rs
@@ -9,7 +9,8 @@
 };
 use crate::scheduling_queue::first_start_order;
 use crate::{
-    ClusterSnapshot, JobView, MachineView, PlacedTaskView, Preemption, Resources, TeamView, Victim,
+    JobView, MachineView, PlacedTaskView, Preemption, Resources, SchedulingSnapshot, TeamView,
+    Victim,
 };
 use hookway_constants as constants;
 use hookway_time::millis_f64;
@@ -58,7 +59,7 @@
 /// priority are preempted first. Each relocation therefore ends with fewer waiting tasks than it began with, and a
 /// sequence of relocations terminates.
 pub fn relocate(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     preemptions: &[Preemption],
     limits: RelocationLimits,
 ) -> Vec<Relocation> {
@@ -89,7 +90,7 @@
 }
 
 /// Returns the gangs and daemons that have waited for at least `RELOCATION_WAIT`, are due for preemption and not busy.
-fn waiting_jobs(cluster: &ClusterSnapshot, busy_jobs: &HashSet<usize>) -> Vec<usize> {
+fn waiting_jobs(cluster: &SchedulingSnapshot, busy_jobs: &HashSet<usize>) -> Vec<usize> {
     let delay_s = millis_f64(constants::RELOCATION_WAIT) / 1000.0;
     let is_waiting = |index: &usize| {
         let job = &cluster.jobs[*index];
@@ -105,7 +106,7 @@
 /// Plans the relocation that lets all startable tasks of a gang, or one replica of a daemon, start; `None` if there is
 /// none, or if preemption alone is enough.
 fn relocate_for(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job_index: usize,
     taken: &[bool],
     busy_jobs: &HashSet<usize>,
@@ -141,7 +142,7 @@
     Some(Relocation { job: job_index, task_machines, victims, moves: planner.moves })
 }
 
-fn placed_task<'a>(cluster: &'a ClusterSnapshot, victim: &Victim) -> Option<&'a PlacedTaskView> {
+fn placed_task<'a>(cluster: &'a SchedulingSnapshot, victim: &Victim) -> Option<&'a PlacedTaskView> {
     let machine = &cluster.machines[victim.machine];
     machine.placed_tasks.iter().find(|placed| placed.id == victim.task)
 }
@@ -167,7 +168,7 @@
 /// Determines how machine `index` with the resources `free` can take a replica of `job`; `None` if it can't. `job`
 /// does not include the replica.
 fn replica_fit(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job_index: usize,
     job: &JobView,
     index: usize,
@@ -216,7 +217,7 @@
     /// Finds the machines, except `taken` ones, that have free resources for the smallest replica, or a task of lower
     /// priority than that of the highest daemon. If a team has a guarantee, any task counts. This spares a check of
     /// all machines for each of possibly thousands of daemons.
-    fn find(cluster: &ClusterSnapshot, taken: &[bool]) -> Self {
+    fn find(cluster: &SchedulingSnapshot, taken: &[bool]) -> Self {
         let daemons = || cluster.jobs.iter().filter(|job| job.daemon);
         let highest = daemons().map(|job| job.priority).max();
         let smallest = smallest_request(daemons());
@@ -248,7 +249,7 @@
     /// Finds the replicas on machines that the job may use, of at most the job's priority. Replicas of a daemon stay
     /// if any of its replicas is not placed.
     fn find(
-        cluster: &ClusterSnapshot,
+        cluster: &SchedulingSnapshot,
         job_index: usize,
         taken: &[bool],
         busy_jobs: &HashSet<usize>,
@@ -298,7 +299,7 @@
 
 /// Returns the first machines that could take a replica of the group.
 fn find_targets(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     group: ReplicaGroup,
     possible: &PossibleTargets,
 ) -> Targets {
@@ -331,7 +332,7 @@
 
 /// Assigns the replicas of one relocation to machines.
 struct MovePlanner<'a> {
-    cluster: &'a ClusterSnapshot,
+    cluster: &'a SchedulingSnapshot,
     /// Per machine: whether it takes no (further) replica, since it is taken for another job, cleared for the
     /// beneficiary, or cleared for a replica.
     closed: Vec<bool>,
@@ -343,7 +344,7 @@
 }
 
 impl<'a> MovePlanner<'a> {
-    fn new(cluster: &'a ClusterSnapshot, taken: &[bool], cleared: &[usize]) -> Self {
+    fn new(cluster: &'a SchedulingSnapshot, taken: &[bool], cleared: &[usize]) -> Self {
         let mut closed = taken.to_vec();
         for machine in cleared {
             closed[*machine] = true;
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -10,7 +10,7 @@
 /// A job, as the policy sees it. Times are seconds since the caller's origin, durations are seconds.
 #[derive(Debug, Clone)]
 pub struct JobView {
-    /// Index of its team in [`ClusterSnapshot::teams`].
+    /// Index of its team in [`SchedulingSnapshot::teams`].
     pub team: usize,
     /// Importance relative to other jobs: a job may preempt tasks of lower priority.
     pub priority: Priority,
@@ -146,7 +146,7 @@
     /// Indexes of jobs that failed on this machine and should not be retried on it.
     pub excluded_by: Vec<usize>,
     /// Index of the only job that may use the machine; `None` if it is not reserved. An index that is not in
-    /// [`ClusterSnapshot::jobs`] keeps all of these jobs off the machine.
+    /// [`SchedulingSnapshot::jobs`] keeps all of these jobs off the machine.
     pub reserved_for: Option<usize>,
     /// Tasks on the machine, terminating ones included.
     pub placed_tasks: Vec<PlacedTaskView>,
@@ -230,7 +230,7 @@
 /// The scheduling snapshot: the cluster at one moment. Other types refer to jobs, machines, teams and machine types by
 /// their index here.
 #[derive(Debug, Clone, Default)]
-pub struct ClusterSnapshot {
+pub struct SchedulingSnapshot {
     /// Time of the snapshot, s since the caller's origin.
     pub now: f64,
     /// The lowest current price per hour of one CPU, over all machine types; 0 if unknown.
@@ -247,7 +247,7 @@
     pub machine_types: Vec<MachineType>,
 }
 
-impl ClusterSnapshot {
+impl SchedulingSnapshot {
     /// Returns the time to fetch a job's image to a machine, s; 0 if the machine holds it, as far as the leader knows.
     pub(crate) fn fetch_time(&self, job: &JobView, machine: &MachineView) -> f64 {
         if machine.images.contains(&job.image) {
--- a/crates/policy/src/test_support.rs
+++ b/crates/policy/src/test_support.rs
@@ -57,8 +57,8 @@
 }
 
 /// Returns a snapshot at time 0 with one team without quotas and one machine type.
-pub(crate) fn cluster(jobs: Vec<JobView>, machines: Vec<MachineView>) -> ClusterSnapshot {
-    ClusterSnapshot {
+pub(crate) fn cluster(jobs: Vec<JobView>, machines: Vec<MachineView>) -> SchedulingSnapshot {
+    SchedulingSnapshot {
         now: 0.0,
         cheapest_cpu_price: 0.25,
         gang_requests: vec![],
