--- a/crates/controller/src/api/admission.rs
+++ b/crates/controller/src/api/admission.rs
@@ -50,7 +50,7 @@
 fn is_suitable(machine_type: &MachineType, spec: &JobSpec, request: &Resources) -> bool {
     spec.machine_types.as_ref().is_none_or(|allowed| allowed.contains(&machine_type.name))
         && spec.zone.as_ref().is_none_or(|zone| machine_type.zones.contains(zone))
-        && Resources::of_machine_type(machine_type).fits(request)
+        && Resources::of_machine_type(machine_type).can_hold(request)
 }
 
 /// Returns the number of zones in which tasks of a job can run at the same time: at most one if the
--- a/crates/controller/src/cluster_state/machine_fill.rs
+++ b/crates/controller/src/cluster_state/machine_fill.rs
@@ -93,7 +93,7 @@
         let Some(job) = self.jobs.get(&demand.job) else { return 0 };
         if demand.tasks == 0
             || job.excludes_machine(target.name, self.machines.len())
-            || !target.free.fits(&job.request)
+            || !target.free.can_hold(&job.request)
         {
             return 0;
         }
@@ -111,7 +111,7 @@
         demand
             .tasks
             .min(view.startable)
-            .min(target.free.capacity_for(&view.request))
+            .min(target.free.max_tasks(&view.request))
             .min(view.max_tasks_per_zone.saturating_sub(in_zone))
             .min(self.tasks_within_quota(&view))
     }
--- a/crates/controller/src/cluster_state/relocation.rs
+++ b/crates/controller/src/cluster_state/relocation.rs
@@ -381,7 +381,7 @@
         machine_type.is_some_and(|machine_type| {
             let total = Resources::of_machine_type(machine_type);
             let left = self.free_resources(name, machine, total);
-            !left.has_unknown_tasks && left.free.fits(&Resources::default())
+            !left.has_unknown_tasks && left.free.can_hold(&Resources::default())
         })
     }
 
--- a/crates/controller/src/cluster_state/snapshot.rs
+++ b/crates/controller/src/cluster_state/snapshot.rs
@@ -137,7 +137,7 @@
             .map(|offered| {
                 let allowed = job.spec.machine_types.as_ref();
                 allowed.is_none_or(|names| names.contains(&offered.name))
-                    && Resources::of_machine_type(offered).fits(&job.request)
+                    && Resources::of_machine_type(offered).can_hold(&job.request)
             })
             .collect();
         // A zone that is not in the settings must match no machine.
--- a/crates/controller/src/cluster_state/spare_machines.rs
+++ b/crates/controller/src/cluster_state/spare_machines.rs
@@ -36,7 +36,7 @@
                 .map(Job::unfinished)
                 .sum();
             let capacity =
-                |t: &MachineType| Resources::of_machine_type(t).capacity_for(&class.request);
+                |t: &MachineType| Resources::of_machine_type(t).max_tasks(&class.request);
             let tasks_per_machine = self.machine_types.iter().map(capacity).max();
             let machines = tasks.div_ceil(tasks_per_machine.unwrap_or(0).max(1));
             class.record_demand(machines as usize, now);
@@ -107,7 +107,7 @@
             && machine.has_reported
             && !machine.is_draining()
             && (!machine.spot || history.allows_spot)
-            && Resources::of_machine_type(machine_type).fits(&history.request)
+            && Resources::of_machine_type(machine_type).can_hold(&history.request)
             && now < machine.last_response_at + lease
     }
 }
--- a/crates/policy/src/autoscaling.rs
+++ b/crates/policy/src/autoscaling.rs
@@ -136,7 +136,7 @@
                 self.used[job.team].add(&job.request);
             }
         }
-        self.machines.retain(|index| self.free[*index].fits(smallest));
+        self.machines.retain(|index| self.free[*index].can_hold(smallest));
         Shortage { tasks, per_zone: self.tasks_allowed_per_zone(job_index, tasks) }
     }
 
@@ -173,7 +173,7 @@
         in_zone
             .filter(|index| may_use(self.cluster, job_index, &self.cluster.machines[**index]))
             .fold(0, |sum: u32, index| {
-                sum.saturating_add(self.free[*index].capacity_for(&job.request))
+                sum.saturating_add(self.free[*index].max_tasks(&job.request))
             })
     }
 
@@ -192,7 +192,7 @@
             if !may_use(self.cluster, job_index, machine) {
                 continue;
             }
-            let tasks = shortage.assign(self.free[index].capacity_for(&job.request), machine.zone);
+            let tasks = shortage.assign(self.free[index].max_tasks(&job.request), machine.zone);
             if tasks > 0 {
                 self.plan.needed[index] = true;
                 subtract_tasks(&mut self.free[index], &job.request, tasks);
@@ -209,7 +209,7 @@
                 break;
             }
             if allows_offer(job, offer) {
-                let fitting = machine.free.capacity_for(&job.request);
+                let fitting = machine.free.max_tasks(&job.request);
                 let tasks = shortage.assign(fitting, offer.zone);
                 subtract_tasks(&mut machine.free, &job.request, tasks);
             }
@@ -247,7 +247,7 @@
             }
             let mut planned = self.plan.scale_out.iter().map(|added| &self.offers[added.offer]);
             let could_run = |machine: &MachineView| {
-                may_use(self.cluster, job_index, machine) && machine.total.fits(&job.request)
+                may_use(self.cluster, job_index, machine) && machine.total.can_hold(&job.request)
             };
             let has_machine = self.cluster.machines.iter().any(could_run);
             if has_machine || planned.any(|offer| allows_offer(job, offer)) {
@@ -268,7 +268,7 @@
                 continue;
             }
             let machine_type = self.cluster.machine_types.get(offer.machine_type)?;
-            let fitting = Resources::of_machine_type(machine_type).capacity_for(&job.request);
+            let fitting = Resources::of_machine_type(machine_type).max_tasks(&job.request);
             if fitting == 0 {
                 continue;
             }
@@ -313,7 +313,7 @@
 /// expensive. Expensive machines thus tend to stay idle and are scaled in.
 fn machines_with_free_resources(cluster: &SchedulingSnapshot, smallest: &Resources) -> Vec<usize> {
     let mut machines: Vec<usize> = (0..cluster.machines.len())
-        .filter(|index| cluster.machines[*index].free.fits(smallest))
+        .filter(|index| cluster.machines[*index].free.can_hold(smallest))
         .collect();
     machines.sort_by(|a, b| {
         let (a, b) = (&cluster.machines[*a], &cluster.machines[*b]);
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -86,7 +86,7 @@
     /// Places the tasks of a queue entry, or reserves resources if the entry is for a gang that does not fit.
     fn place_entry(&mut self, entry: QueueEntry) {
         let machines = &self.cluster.machines;
-        self.candidates.retain(|index| machines[*index].free.fits(&self.smallest_request));
+        self.candidates.retain(|index| machines[*index].free.can_hold(&self.smallest_request));
         let machines = place_job(self.cluster, entry.job, entry.tasks, &self.candidates);
         let job = &self.cluster.jobs[entry.job];
         let placed = machines.len() as u32;
@@ -168,7 +168,7 @@
     machine.schedulable
         && !machine.booting
         && machine.eligible_for(job_index, job)
-        && machine.free.fits(&job.request)
+        && machine.free.can_hold(&job.request)
         && job.may_use_zone(machine.zone)
 }
 
@@ -214,7 +214,7 @@
         .machines
         .iter()
         .filter(|machine| machine.zone == zone && is_usable(job_index, job, machine))
-        .fold(0u32, |sum, machine| sum.saturating_add(machine.free.capacity_for(&job.request)))
+        .fold(0u32, |sum, machine| sum.saturating_add(machine.free.max_tasks(&job.request)))
 }
 
 /// Assigns up to `tasks` tasks to machines in the order of a ranking, and returns the machine of each task.
--- a/crates/policy/src/placement/cost.rs
+++ b/crates/policy/src/placement/cost.rs
@@ -25,7 +25,7 @@
     }
     // Leave machines that are large enough for a gang's task to gangs: preempting other tasks there loses their work.
     let could_hold_gang_task =
-        || cluster.gang_requests.iter().any(|request| machine.total.fits(request));
+        || cluster.gang_requests.iter().any(|request| machine.total.can_hold(request));
     if !job.gang && could_hold_gang_task() {
         cost += constants::GANG_MACHINE_PENALTY_S;
     }
--- a/crates/policy/src/placement/reservation.rs
+++ b/crates/policy/src/placement/reservation.rs
@@ -28,7 +28,7 @@
     {
         let allowed = job.allows(machine.machine_type, machine.zone, machine.spot);
         if allowed && !machine.excluded_by.contains(&job_index) {
-            let tasks = obtainable_resources(cluster, job, machine).capacity_for(&job.request);
+            let tasks = obtainable_resources(cluster, job, machine).max_tasks(&job.request);
             let in_zone = &mut tasks_per_zone[machine.zone];
             *in_zone = in_zone.saturating_add(tasks).min(job.max_tasks_per_zone);
         }
@@ -68,7 +68,7 @@
         machine.schedulable
             && !machine.booting
             && machine.eligible_for(job_index, job)
-            && obtainable_resources(cluster, job, machine).fits(&job.request)
+            && obtainable_resources(cluster, job, machine).can_hold(&job.request)
     };
     let mut candidates: Vec<usize> = (0..cluster.machines.len())
         .filter(|index| is_candidate(&cluster.machines[*index]))
@@ -99,7 +99,7 @@
             continue;
         }
         let allowed = job.max_tasks_per_zone.saturating_sub(tasks_per_zone[machine.zone]);
-        let fitting = obtainable_resources(cluster, job, machine).capacity_for(&job.request);
+        let fitting = obtainable_resources(cluster, job, machine).max_tasks(&job.request);
         let tasks = fitting.min(tasks_left).min(allowed);
         if tasks > 0 {
             tasks_per_zone[machine.zone] += tasks;
--- a/crates/policy/src/preemption/deadlines.rs
+++ b/crates/policy/src/preemption/deadlines.rs
@@ -97,7 +97,7 @@
                     && job.may_use_zone(machine.zone)
                     && !machine.excluded_by.contains(&job_index);
                 while usable && missing > 0 {
-                    if self.free[index].fits(&job.request) {
+                    if self.free[index].can_hold(&job.request) {
                         self.free[index].subtract(&job.request);
                         missing -= 1;
                         continue;
--- a/crates/policy/src/preemption/search.rs
+++ b/crates/policy/src/preemption/search.rs
@@ -168,7 +168,7 @@
             && machine.eligible_for(self.job_index, self.job)
             && self.job.may_use_zone(machine.zone)
             && self.zone.is_none_or(|zone| zone == machine.zone)
-            && machine.total.fits(&self.job.request.times(self.planned[index] + 1))
+            && machine.total.can_hold(&self.job.request.times(self.planned[index] + 1))
             && (self.scope.locality == ImageLocality::Any || has_image())
     }
 
@@ -182,7 +182,7 @@
         }
         self.cost += victims.cost;
         // If tasks fit in what is free already, plan as many as fit; otherwise clear the machine for one task.
-        let free = machine.free.capacity_for(&self.job.request).saturating_sub(self.planned[index]);
+        let free = machine.free.max_tasks(&self.job.request).saturating_sub(self.planned[index]);
         let tasks = free.max(1).min(self.tasks_left);
         self.tasks_left -= tasks;
         self.planned[index] += tasks;
--- a/crates/policy/src/preemption/victims.rs
+++ b/crates/policy/src/preemption/victims.rs
@@ -125,7 +125,7 @@
     let mut victims = Vec::new();
     let mut longest_stop: f64 = 0.0;
     for Candidate { lost_work, task, .. } in candidates {
-        if free.fits(&request) {
+        if free.can_hold(&request) {
             break;
         }
         free.add(&task.request);
@@ -136,5 +136,5 @@
     }
     // The job waits until the victims have been told to stop and have written their checkpoints.
     cost += longest_stop * request.cpus;
-    free.fits(&request).then_some(MachineVictims { cost, tasks: victims })
+    free.can_hold(&request).then_some(MachineVictims { cost, tasks: victims })
 }
--- a/crates/policy/src/relocation.rs
+++ b/crates/policy/src/relocation.rs
@@ -182,7 +182,7 @@
     if !usable {
         return None;
     }
-    if free.fits(&job.request) {
+    if free.can_hold(&job.request) {
         return Some(ReplicaFit::Immediate);
     }
     let victims = victims_on_machine(cluster, job_index, index, 1, Displaceable::Preemptible)?;
@@ -229,7 +229,7 @@
                     || highest.is_some_and(|highest| cluster.jobs[task.job].priority < highest)
             };
             let is_possible_target =
-                machine.free.fits(&smallest) || machine.placed_tasks.iter().any(can_be_cleared);
+                machine.free.can_hold(&smallest) || machine.placed_tasks.iter().any(can_be_cleared);
             if is_possible_target && machine.schedulable && !machine.booting && !taken[index] {
                 by_zone[machine.zone].push(index);
             }
--- a/crates/policy/src/resources.rs
+++ b/crates/policy/src/resources.rs
@@ -29,8 +29,8 @@
         Self { cpus: machine_type.cpus, gpus: machine_type.gpus, memory_gb: machine_type.memory_gb }
     }
 
-    /// Whether `request` fits in this amount, with a small tolerance.
-    pub fn fits(&self, request: &Self) -> bool {
+    /// Whether this amount can hold `request`, with a small tolerance.
+    pub fn can_hold(&self, request: &Self) -> bool {
         request.cpus <= self.cpus + EPSILON
             && request.gpus <= self.gpus + EPSILON
             && request.memory_gb <= self.memory_gb + EPSILON
@@ -61,7 +61,7 @@
     }
 
     /// Returns how many tasks with this request fit in this amount; `u32::MAX` for an empty request.
-    pub fn capacity_for(&self, request: &Self) -> u32 {
+    pub fn max_tasks(&self, request: &Self) -> u32 {
         let tasks = |available: f64, requested: f64| {
             if requested <= 0.0 {
                 f64::INFINITY
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -205,7 +205,7 @@
             gpus: left(self.limit.gpus, self.used.gpus),
             memory_gb: f64::INFINITY,
         }
-        .capacity_for(request)
+        .max_tasks(request)
     }
 
     /// Whether the team has a guarantee of CPUs or GPUs.
