--- a/crates/controller/src/cluster_state/machine_fill.rs
+++ b/crates/controller/src/cluster_state/machine_fill.rs
@@ -67,8 +67,9 @@
         let machine_type =
             self.machine_types.iter().position(|t| t.name == machine.machine_type)?;
         let zone = self.config.platform.zone(&machine.zone)?;
-        let total = Resources::of_machine_type(&self.machine_types[machine_type]);
-        let FreeResources { free, has_unknown_tasks } = self.free_resources(name, machine, total);
+        let capacity = Resources::of_machine_type(&self.machine_types[machine_type]);
+        let FreeResources { free, has_unknown_tasks } =
+            self.free_resources(name, machine, capacity);
         (!has_unknown_tasks).then(|| FillTarget {
             name,
             machine_type,
--- a/crates/controller/src/cluster_state/relocation.rs
+++ b/crates/controller/src/cluster_state/relocation.rs
@@ -379,8 +379,8 @@
         let Some(machine) = self.machines.get(name) else { return false };
         let machine_type = self.machine_types.iter().find(|t| t.name == machine.machine_type);
         machine_type.is_some_and(|machine_type| {
-            let total = Resources::of_machine_type(machine_type);
-            let left = self.free_resources(name, machine, total);
+            let capacity = Resources::of_machine_type(machine_type);
+            let left = self.free_resources(name, machine, capacity);
             !left.has_unknown_tasks && left.free.can_hold(&Resources::default())
         })
     }
--- a/crates/controller/src/cluster_state/scale_out.rs
+++ b/crates/controller/src/cluster_state/scale_out.rs
@@ -72,7 +72,7 @@
                     if let Some(price) = price
                         && self.scale_outs.may_request(pool, now)
                     {
-                        offers.push(MachineOffer { machine_type, zone, spot, price });
+                        offers.push(MachineOffer { machine_type, zone, is_spot: spot, price });
                     }
                 }
             }
@@ -84,19 +84,19 @@
     pub(super) fn pending_machine_views(&self) -> Vec<MachineView> {
         let mut views = Vec::new();
         for PendingScaleOut { pool, count, .. } in &self.scale_outs.pending {
-            let total = Resources::of_machine_type(&self.machine_types[pool.machine_type]);
+            let capacity = Resources::of_machine_type(&self.machine_types[pool.machine_type]);
             let view = MachineView {
                 machine_type: pool.machine_type,
                 zone: pool.zone,
-                spot: pool.spot,
-                total,
-                free: total,
+                is_spot: pool.spot,
+                capacity,
+                free: capacity,
                 price: 0.0,
                 images: vec![],
                 schedulable: false,
                 booting: true,
                 reserved_for: None,
-                excluded_by: vec![],
+                excluded_jobs: vec![],
                 placed_tasks: vec![],
             };
             views.extend(std::iter::repeat_n(view, *count as usize));
@@ -139,14 +139,14 @@
             request_id: request_id.clone(),
             machine_type: self.machine_types[offer.machine_type].name.clone(),
             zone: self.config.platform.zones[offer.zone].clone(),
-            spot: offer.spot,
+            spot: offer.is_spot,
             count,
         };
         tracing::info!(
             request = %request_id, count, machine_type = %request.machine_type,
             zone = %request.zone, spot = request.spot, "scale out requested"
         );
-        let MachineOffer { machine_type, zone, spot, .. } = *offer;
+        let MachineOffer { machine_type, zone, is_spot: spot, .. } = *offer;
         let pool = CapacityPool { machine_type, zone, spot };
         self.scale_outs.pending.push(PendingScaleOut { request_id, pool, count });
         request
--- a/crates/controller/src/cluster_state/snapshot.rs
+++ b/crates/controller/src/cluster_state/snapshot.rs
@@ -30,15 +30,15 @@
 }
 
 impl ClusterState {
-    /// Returns what is left of a machine's capacity `total` after its placed tasks and the
+    /// Returns what is left of a machine's `capacity` after its placed tasks and the
     /// resources that relocations hold on it.
     pub(super) fn free_resources(
         &self,
         name: &str,
         machine: &Machine,
-        total: Resources,
+        capacity: Resources,
     ) -> FreeResources {
-        let mut free = total;
+        let mut free = capacity;
         free.subtract(&self.resources_held_on(name));
         let mut has_unknown_tasks = false;
         for placed in &machine.placed_tasks {
@@ -146,22 +146,22 @@
         JobView {
             team: job.team,
             priority: job.spec.priority,
-            gang: job.spec.is_gang(),
-            daemon: job.spec.is_daemon(),
+            is_gang: job.spec.is_gang(),
+            is_daemon: job.spec.is_daemon(),
             tasks: job.spec.tasks,
             request: job.request,
             machine_types,
             zone,
-            one_zone: job.spec.one_zone,
+            needs_one_zone: job.spec.one_zone,
             max_tasks_per_zone: job.spec.max_tasks_per_zone(),
-            spot: job.spec.spot,
+            allows_spot: job.spec.spot,
             image: job.image,
             image_gb: job.spec.image_gb,
-            checkpoints: job.spec.checkpoints(),
+            writes_checkpoints: job.spec.checkpoints(),
             checkpoint_time: if job.spec.checkpoints() { job.spec.checkpoint_s } else { 0.0 },
             submitted: job.submitted_s,
             deadline: job.deadline_s,
-            start_by: job.start_by_s.clone(),
+            start_objectives: job.start_by_s.clone(),
             estimated_task_time: job.spec.estimate_s,
             completed: job.completed,
             mean_task_time: job.run_times.mean_ms().map(|ms| ms / 1000.0),
@@ -185,8 +185,9 @@
         let machine_type =
             self.machine_types.iter().position(|t| t.name == machine.machine_type)?;
         let zone = self.config.platform.zone(&machine.zone)?;
-        let total = Resources::of_machine_type(&self.machine_types[machine_type]);
-        let FreeResources { free, has_unknown_tasks } = self.free_resources(name, machine, total);
+        let capacity = Resources::of_machine_type(&self.machine_types[machine_type]);
+        let FreeResources { free, has_unknown_tasks } =
+            self.free_resources(name, machine, capacity);
         let takes_no_tasks = machine.is_draining() || has_unknown_tasks;
         let placed_tasks = machine
             .placed_tasks
@@ -194,7 +195,7 @@
             .enumerate()
             .filter_map(|(i, placed)| self.placed_task_view(i as u64, placed, job_indexes, now))
             .collect();
-        let excluded_by = machine
+        let excluded_jobs = machine
             .failed_jobs
             .iter()
             .filter(|key| {
@@ -206,8 +207,8 @@
         Some(MachineView {
             machine_type,
             zone,
-            spot: machine.spot,
-            total,
+            is_spot: machine.spot,
+            capacity,
             free,
             price: self.machine_types[machine_type].price(PurchaseOption::from_spot(machine.spot)),
             images: machine.images.iter().map(|cached| cached.image).collect(),
@@ -216,7 +217,7 @@
                 && now >= machine.backoff_until
                 && machine.is_admitted(now),
             booting: !machine.has_reported && !takes_no_tasks,
-            excluded_by,
+            excluded_jobs,
             reserved_for: machine
                 .reservation
                 .map(|r| job_indexes.get(&r.job).copied().unwrap_or(usize::MAX)),
@@ -242,7 +243,7 @@
             id,
             job: *job_indexes.get(&key)?,
             request: job.request,
-            elapsed: running_s,
+            running_time: running_s,
             terminating: placed.orphaned || placed.stop.is_some() || !job.is_active(),
         })
     }
--- a/crates/controller/src/cluster_state/summary.rs
+++ b/crates/controller/src/cluster_state/summary.rs
@@ -42,7 +42,7 @@
     pub fn summary(&self, now: MonotonicTime) -> Summary {
         let cluster = self.scheduling_snapshot(now).cluster;
         let up = || cluster.machines.iter().filter(|machine| !machine.booting);
-        let total: f64 = up().map(|machine| machine.total.cpus).sum();
+        let total: f64 = up().map(|machine| machine.capacity.cpus).sum();
         let free: f64 = up().map(|machine| machine.free.cpus).sum();
         let waiting: f64 =
             cluster.jobs.iter().map(|job| f64::from(job.startable) * job.request.cpus).sum();
--- a/crates/policy/src/autoscaling.rs
+++ b/crates/policy/src/autoscaling.rs
@@ -19,7 +19,7 @@
     /// Index of the zone.
     pub zone: usize,
     /// Whether these are spot machines rather than on-demand ones.
-    pub spot: bool,
+    pub is_spot: bool,
     /// Price of one machine per hour.
     pub price: f64,
 }
@@ -147,12 +147,12 @@
         let mut allowed: Vec<u32> = (0..self.zone_count)
             .map(|zone| job.max_tasks_per_zone.saturating_sub(job.placed_in(zone)))
             .collect();
-        if !job.one_zone || job.tasks <= 1 {
+        if !job.needs_one_zone || job.tasks <= 1 {
             return allowed;
         }
         // Prefer the zone that the job is in; then a zone with free resources for all tasks of a gang, or a quarter of
         // those of an array; then one where machines can be added; then the one with most free resources.
-        let enough = if job.gang { tasks } else { tasks.div_ceil(4) };
+        let enough = if job.is_gang { tasks } else { tasks.div_ceil(4) };
         let best = (0..self.zone_count).max_by_key(|zone| {
             let fitting = self.tasks_fitting_in_zone(job_index, *zone).min(tasks);
             (job.placed_in(*zone), fitting >= enough, self.has_offer(job, *zone), fitting)
@@ -242,12 +242,12 @@
     /// such arrays that it could run.
     fn add_machines_for_crash_looping_arrays(&mut self) {
         for (job_index, job) in self.cluster.jobs.iter().enumerate() {
-            if !job.crash_looping || job.gang || job.startable == 0 {
+            if !job.crash_looping || job.is_gang || job.startable == 0 {
                 continue;
             }
             let mut planned = self.plan.scale_out.iter().map(|added| &self.offers[added.offer]);
             let could_run = |machine: &MachineView| {
-                may_use(self.cluster, job_index, machine) && machine.total.can_hold(&job.request)
+                may_use(self.cluster, job_index, machine) && machine.capacity.can_hold(&job.request)
             };
             let has_machine = self.cluster.machines.iter().any(could_run);
             if has_machine || planned.any(|offer| allows_offer(job, offer)) {
@@ -306,7 +306,7 @@
 }
 
 fn allows_offer(job: &JobView, offer: &MachineOffer) -> bool {
-    job.allows(offer.machine_type, offer.zone, offer.spot)
+    job.allows(offer.machine_type, offer.zone, offer.is_spot)
 }
 
 /// Returns the machines with free resources for some task: running before booting, in use before empty, cheap before
@@ -331,7 +331,7 @@
 fn jobs_to_scale_for(cluster: &SchedulingSnapshot) -> Vec<usize> {
     let stranded_gang = (0..cluster.jobs.len()).find(|index| {
         let job = &cluster.jobs[*index];
-        job.crash_looping && job.gang && job.startable > 0 && !fleet_could_hold(cluster, *index)
+        job.crash_looping && job.is_gang && job.startable > 0 && !fleet_could_hold(cluster, *index)
     });
     let mut order: Vec<usize> = (0..cluster.jobs.len())
         .filter(|index| !cluster.jobs[*index].crash_looping || Some(*index) == stranded_gang)
--- a/crates/policy/src/min_tasks.rs
+++ b/crates/policy/src/min_tasks.rs
@@ -10,7 +10,7 @@
 /// deadline; all unfinished tasks, if less than one mean run time is left. Until a task has finished it is the number
 /// of placed tasks, afterwards 0 for a job without a deadline. For a daemon it is always all replicas.
 pub fn min_tasks(job: &JobView, now: f64) -> u32 {
-    if job.daemon {
+    if job.is_daemon {
         return job.unfinished;
     }
     let Some(mean) = job.mean_task_time else { return job.placed };
--- a/crates/policy/src/min_tasks/tests.rs
+++ b/crates/policy/src/min_tasks/tests.rs
@@ -15,7 +15,7 @@
     assert_eq!(min_tasks(&array, 120.0), 39, "the deadline has passed: all unfinished tasks");
     array.deadline = None;
     assert_eq!(min_tasks(&array, 0.0), 0, "no deadline: no minimum");
-    array.daemon = true;
+    array.is_daemon = true;
     assert_eq!(min_tasks(&array, 0.0), 39, "the minimum of a daemon is all its replicas");
 }
 
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -48,7 +48,7 @@
 pub fn place(cluster: &mut SchedulingSnapshot) -> RoundOutcome {
     let in_service = |machine: &&MachineView| machine.schedulable && !machine.booting;
     let cpu_capacity =
-        cluster.machines.iter().filter(in_service).map(|machine| machine.total.cpus).sum();
+        cluster.machines.iter().filter(in_service).map(|machine| machine.capacity.cpus).sum();
     let queue = scheduling_queue(&cluster.jobs, cluster.now, cpu_capacity);
     let mut round = Round::new(cluster);
     for entry in queue {
@@ -90,13 +90,13 @@
         let machines = place_job(self.cluster, entry.job, entry.tasks, &self.candidates);
         let job = &self.cluster.jobs[entry.job];
         let placed = machines.len() as u32;
-        if !job.gang && placed < entry.tasks.min(job.startable) {
+        if !job.is_gang && placed < entry.tasks.min(job.startable) {
             let tasks = entry.tasks - placed;
             self.outcome.unplaced.push(QueueEntry { tasks, ..entry });
         }
         if !machines.is_empty() {
             self.outcome.placements.push(Placement { job: entry.job, machines });
-        } else if job.gang && !entry.leftover && !job.crash_looping {
+        } else if job.is_gang && !entry.leftover && !job.crash_looping {
             self.reserve_for_gang(entry.job);
         }
     }
@@ -184,13 +184,13 @@
     let team = cluster.teams.get(job.team).cloned().unwrap_or_default();
     let tasks = tasks.min(job.startable);
     let allowed = team.remaining_tasks(&job.request).min(tasks);
-    if allowed == 0 || (job.gang && allowed < tasks) {
+    if allowed == 0 || (job.is_gang && allowed < tasks) {
         return Vec::new();
     }
-    let gang = job.gang;
+    let is_gang = job.is_gang;
     let zone = zone_for_first_task(cluster, job_index);
     let ranking = machines_by_cost(cluster, job_index, zone, candidates);
-    if gang {
+    if is_gang {
         place_gang(cluster, job_index, tasks, &ranking)
     } else {
         assign_tasks(cluster, job_index, allowed, &ranking)
@@ -201,7 +201,7 @@
 /// otherwise `None`.
 fn zone_for_first_task(cluster: &SchedulingSnapshot, job_index: usize) -> Option<usize> {
     let job = &cluster.jobs[job_index];
-    if !job.one_zone || job.placed_per_zone.iter().any(|placed| *placed > 0) {
+    if !job.needs_one_zone || job.placed_per_zone.iter().any(|placed| *placed > 0) {
         return None;
     }
     (0..cluster.zone_count()).max_by_key(|zone| tasks_fitting_in_zone(cluster, job_index, *zone))
--- a/crates/policy/src/placement/cost.rs
+++ b/crates/policy/src/placement/cost.rs
@@ -25,8 +25,8 @@
     }
     // Leave machines that are large enough for a gang's task to gangs: preempting other tasks there loses their work.
     let could_hold_gang_task =
-        || cluster.gang_requests.iter().any(|request| machine.total.can_hold(request));
-    if !job.gang && could_hold_gang_task() {
+        || cluster.gang_requests.iter().any(|request| machine.capacity.can_hold(request));
+    if !job.is_gang && could_hold_gang_task() {
         cost += constants::GANG_MACHINE_PENALTY_S;
     }
     // Use expensive machines last, so that they become idle first and are scaled in.
--- a/crates/policy/src/placement/reservation.rs
+++ b/crates/policy/src/placement/reservation.rs
@@ -9,10 +9,10 @@
     job: &JobView,
     machine: &MachineView,
 ) -> Resources {
-    let mut obtainable = machine.total;
+    let mut obtainable = machine.capacity;
     for task in &machine.placed_tasks {
         let other = &cluster.jobs[task.job];
-        if other.daemon && other.priority >= job.priority && !task.terminating {
+        if other.is_daemon && other.priority >= job.priority && !task.terminating {
             obtainable.subtract(&task.request);
         }
     }
@@ -26,14 +26,14 @@
     let mut tasks_per_zone = vec![0u32; cluster.zone_count()];
     for machine in cluster.machines.iter().filter(|machine| machine.schedulable || machine.booting)
     {
-        let allowed = job.allows(machine.machine_type, machine.zone, machine.spot);
-        if allowed && !machine.excluded_by.contains(&job_index) {
+        let allowed = job.allows(machine.machine_type, machine.zone, machine.is_spot);
+        if allowed && !machine.excluded_jobs.contains(&job_index) {
             let tasks = obtainable_resources(cluster, job, machine).max_tasks(&job.request);
             let in_zone = &mut tasks_per_zone[machine.zone];
             *in_zone = in_zone.saturating_add(tasks).min(job.max_tasks_per_zone);
         }
     }
-    let fitting = if job.one_zone {
+    let fitting = if job.needs_one_zone {
         tasks_per_zone.into_iter().max().unwrap_or(0)
     } else {
         tasks_per_zone.into_iter().fold(0, u32::saturating_add)
@@ -45,7 +45,7 @@
 /// there are not enough.
 pub(super) fn reserve_machines(cluster: &mut SchedulingSnapshot, job_index: usize) -> bool {
     let candidates = reservation_candidates(cluster, job_index);
-    let zones: Vec<Option<usize>> = if cluster.jobs[job_index].one_zone {
+    let zones: Vec<Option<usize>> = if cluster.jobs[job_index].needs_one_zone {
         (0..cluster.zone_count()).map(Some).collect()
     } else {
         vec![None]
@@ -75,7 +75,7 @@
         .collect();
     let used_share = |index: &usize| {
         let machine = &cluster.machines[*index];
-        1.0 - machine.free.dominant_share_of(&machine.total)
+        1.0 - machine.free.dominant_share_of(&machine.capacity)
     };
     candidates.sort_by(|a, b| used_share(a).total_cmp(&used_share(b)));
     candidates
--- a/crates/policy/src/placement/tests.rs
+++ b/crates/policy/src/placement/tests.rs
@@ -34,7 +34,7 @@
         for machine in &mut machines {
             machine.free.cpus = f64::from(rng.random_range(0..5u8));
             machine.images = (0..rng.random_range(0..3u32)).collect();
-            machine.spot = rng.random_range(0..3) == 0;
+            machine.is_spot = rng.random_range(0..3) == 0;
             machine.price = f64::from(rng.random_range(1..4u8));
             machine.schedulable = rng.random_range(0..5) > 0;
         }
@@ -42,7 +42,7 @@
         let spread = rng.random_range(0..3) == 0;
         let array = JobView {
             max_tasks_per_zone: if spread { tasks.div_ceil(2) } else { tasks },
-            spot: rng.random_range(0..2) == 0,
+            allows_spot: rng.random_range(0..2) == 0,
             image: rng.random_range(0..3),
             ..job(f64::from(rng.random_range(1..3u8)), tasks)
         };
@@ -57,7 +57,7 @@
 
 #[test]
 fn gang_without_resources_for_all_tasks_places_none() {
-    let gang = JobView { gang: true, ..job(3.0, 3) };
+    let gang = JobView { is_gang: true, ..job(3.0, 3) };
     let mut snapshot = cluster(vec![gang.clone()], vec![machine(0), machine(1)]);
     assert_eq!(place(&mut snapshot).placements, []);
     assert_eq!(
@@ -70,10 +70,10 @@
 
 #[test]
 fn one_zone_job_stays_in_one_zone_and_spread_job_within_zone_cap() {
-    let one_zone = JobView { one_zone: true, gang: true, ..job(3.0, 2) };
+    let one_zone = JobView { needs_one_zone: true, is_gang: true, ..job(3.0, 2) };
     let mut snapshot = cluster(vec![one_zone], vec![machine(0), machine(1), machine(1)]);
     assert_eq!(place(&mut snapshot).placements[0].machines, [1, 2]);
-    let spread = JobView { max_tasks_per_zone: 3, gang: true, ..job(1.0, 5) };
+    let spread = JobView { max_tasks_per_zone: 3, is_gang: true, ..job(1.0, 5) };
     let mut snapshot = cluster(vec![spread.clone()], vec![machine(0), machine(0)]);
     assert_eq!(place(&mut snapshot).placements, []);
     let mut snapshot = cluster(vec![spread], vec![machine(0), machine(1)]);
@@ -95,8 +95,8 @@
             .sum::<usize>(),
         3
     );
-    let constrained = JobView { zone: Some(1), spot: false, ..job(1.0, 10) };
-    let spot = MachineView { spot: true, ..machine(1) };
+    let constrained = JobView { zone: Some(1), allows_spot: false, ..job(1.0, 10) };
+    let spot = MachineView { is_spot: true, ..machine(1) };
     let mut snapshot = cluster(vec![constrained], vec![machine(0), spot, machine(1)]);
     let placed = place(&mut snapshot).placements;
     assert!(placed.iter().flat_map(|placement| &placement.machines).all(|index| *index == 2));
@@ -106,14 +106,14 @@
 #[test]
 fn array_leaves_quota_and_resources_to_waiting_gang() {
     // Quota: 4 of the team's 6 CPUs are in use and the gang needs 4, so the array must not use the other 2.
-    let gang = JobView { gang: true, ..job(2.0, 2) };
+    let gang = JobView { is_gang: true, ..job(2.0, 2) };
     let array = JobView { placed: 4, completed: 1, mean_task_time: Some(9.0), ..job(1.0, 50) };
     let mut snapshot = cluster(vec![gang.clone(), array.clone()], vec![machine(0), machine(1)]);
     snapshot.teams[0].limit = Quota { cpus: 6.0, gpus: 0.0 };
     snapshot.teams[0].used.cpus = 4.0;
     assert_eq!(place(&mut snapshot).placements, []);
     // Machines: the gang needs 4 CPUs on each of two machines that have 1 free each.
-    let gang = JobView { gang: true, ..job(4.0, 2) };
+    let gang = JobView { is_gang: true, ..job(4.0, 2) };
     let mut busy = [machine(0), machine(1)];
     for machine in &mut busy {
         machine.free.cpus = 1.0;
@@ -144,8 +144,8 @@
 #[test]
 fn array_avoids_machines_that_gangs_need_while_others_have_resources() {
     let mut large = machine(0);
-    large.total = Resources { cpus: 32.0, gpus: 0.0, memory_gb: 64.0 };
-    large.free = large.total;
+    large.capacity = Resources { cpus: 32.0, gpus: 0.0, memory_gb: 64.0 };
+    large.free = large.capacity;
     let mut snapshot = cluster(vec![job(1.0, 6)], vec![large, machine(1)]);
     snapshot.gang_requests = vec![Resources { cpus: 30.0, gpus: 0.0, memory_gb: 50.0 }];
     let placed: Vec<usize> = place(&mut snapshot)
@@ -162,7 +162,7 @@
 
 #[test]
 fn gang_waits_for_reserved_machines_only_if_all_have_its_image() {
-    let gang = JobView { gang: true, ..job(3.0, 2) };
+    let gang = JobView { is_gang: true, ..job(3.0, 2) };
     let reserved = |images: Vec<u32>, free: f64| {
         let mut machine = MachineView { images, reserved_for: Some(0), ..machine(0) };
         machine.free.cpus = free;
@@ -190,7 +190,7 @@
 /// The quota of its team must not stay reserved for it indefinitely.
 #[test]
 fn infeasible_gang_stops_reserving_team_quota_after_time_limit() {
-    let gang = JobView { gang: true, ..job(4.0, 3) };
+    let gang = JobView { is_gang: true, ..job(4.0, 3) };
     let array = JobView { placed: 2, completed: 1, mean_task_time: Some(9.0), ..job(1.0, 50) };
     let placed_tasks = |now: f64, machines: Vec<MachineView>| {
         let mut snapshot = cluster(vec![gang.clone(), array.clone()], machines);
@@ -238,8 +238,8 @@
 #[test]
 fn no_machine_is_reserved_for_gang_blocked_by_daemons() {
     let daemon =
-        JobView { daemon: true, priority: Priority::Production, startable: 0, ..job(1.0, 4) };
-    let gang = JobView { gang: true, max_tasks_per_zone: 1, ..job(4.0, 2) };
+        JobView { is_daemon: true, priority: Priority::Production, startable: 0, ..job(1.0, 4) };
+    let gang = JobView { is_gang: true, max_tasks_per_zone: 1, ..job(4.0, 2) };
     let mut full_machine = machine(1);
     full_machine.free = Resources::default();
     full_machine.placed_tasks = (0..4)
@@ -247,7 +247,7 @@
             id,
             job: 0,
             request: job(1.0, 1).request,
-            elapsed: 9.0,
+            running_time: 9.0,
             terminating: false,
         })
         .collect();
@@ -264,11 +264,11 @@
     assert_eq!(array_tasks, 4, "the empty machine is not reserved for the gang");
     // Replicas of lower priority can be preempted for the gang, so the machines are reserved.
     let low_priority =
-        JobView { daemon: true, priority: Priority::Low, startable: 0, ..job(1.0, 4) };
+        JobView { is_daemon: true, priority: Priority::Low, startable: 0, ..job(1.0, 4) };
     snapshot = SchedulingSnapshot {
         jobs: vec![low_priority, snapshot.jobs[1].clone(), job(1.0, 4)],
         ..snapshot
     };
-    snapshot.machines[0].free = snapshot.machines[0].total;
+    snapshot.machines[0].free = snapshot.machines[0].capacity;
     assert!(place(&mut snapshot).placements.is_empty());
 }
--- a/crates/policy/src/preemption.rs
+++ b/crates/policy/src/preemption.rs
@@ -69,7 +69,7 @@
             continue;
         }
         let mut found = cheapest_preemption(cluster, job_index, tasks, &taken);
-        if found.is_none() && job.daemon {
+        if found.is_none() && job.is_daemon {
             // There are not enough resources for all replicas: place at least one, since each is useful by itself.
             found = cheapest_preemption(cluster, job_index, 1, &taken);
         }
@@ -104,7 +104,8 @@
 /// for it already.
 pub(crate) fn is_due_for_preemption(cluster: &SchedulingSnapshot, index: usize) -> bool {
     let job = &cluster.jobs[index];
-    let not_started = if job.gang { job.startable == job.tasks } else { awaits_first_start(job) };
+    let not_started =
+        if job.is_gang { job.startable == job.tasks } else { awaits_first_start(job) };
     let waited_s = cluster.now - job.waiting_since;
     // A machine that was cleared for the job but is no longer schedulable does not count: the job can't start there.
     let is_cleared_for =
@@ -143,7 +144,7 @@
     let job = &cluster.jobs[job_index];
     let scope = SearchScope::preemption(taken);
     let anywhere = find_preemption(cluster, job_index, tasks, scope);
-    if !job.gang {
+    if !job.is_gang {
         return anywhere.map(|found| found.preemption);
     }
     let cached_only = SearchScope { locality: ImageLocality::Cached, ..scope };
--- a/crates/policy/src/preemption/deadlines.rs
+++ b/crates/policy/src/preemption/deadlines.rs
@@ -42,7 +42,7 @@
     let mut waiting: Vec<WaitingArray> = Vec::new();
     for (index, job) in cluster.jobs.iter().enumerate() {
         let Some(deadline) = job.deadline else { continue };
-        if !job.gang && !job.crash_looping && job.startable > 0 && !is_late(job, cluster.now) {
+        if !job.is_gang && !job.crash_looping && job.startable > 0 && !is_late(job, cluster.now) {
             waiting.push(WaitingArray { job: index, deadline });
         }
     }
@@ -55,7 +55,7 @@
     let job = &cluster.jobs[task.job];
     let min_run_time = constants::BACKFILL_MIN_RUN_S
         .max(constants::BACKFILL_MIN_CHECKPOINTS * job.checkpoint_time);
-    has_no_objective(job) && job.checkpoints && task.elapsed >= min_run_time
+    has_no_objective(job) && job.writes_checkpoints && task.running_time >= min_run_time
 }
 
 impl<'a> Backfill<'a> {
@@ -93,9 +93,9 @@
         for has_image in [true, false] {
             for (index, machine) in cluster.machines.iter().enumerate() {
                 let usable = machine.images.contains(&job.image) == has_image
-                    && job.allows(machine.machine_type, machine.zone, machine.spot)
+                    && job.allows(machine.machine_type, machine.zone, machine.is_spot)
                     && job.may_use_zone(machine.zone)
-                    && !machine.excluded_by.contains(&job_index);
+                    && !machine.excluded_jobs.contains(&job_index);
                 while usable && missing > 0 {
                     if self.free[index].can_hold(&job.request) {
                         self.free[index].subtract(&job.request);
--- a/crates/policy/src/preemption/search.rs
+++ b/crates/policy/src/preemption/search.rs
@@ -50,8 +50,11 @@
     scope: SearchScope<'_>,
 ) -> Option<PricedPreemption> {
     let job = &cluster.jobs[job_index];
-    let zones: Vec<Option<usize>> =
-        if job.one_zone { (0..job.placed_per_zone.len()).map(Some).collect() } else { vec![None] };
+    let zones: Vec<Option<usize>> = if job.needs_one_zone {
+        (0..job.placed_per_zone.len()).map(Some).collect()
+    } else {
+        vec![None]
+    };
     let mut cheapest: Option<PricedPreemption> = None;
     for zone in zones {
         let search = Search::new(cluster, job_index, tasks, scope, zone);
@@ -117,7 +120,7 @@
         // there is no other way to get resources for it.
         let moves_replicas =
             matches!(self.scope.displaceable, Displaceable::PreemptibleOrMovable(_));
-        let passes = if self.job.daemon || moves_replicas { self.tasks_left } else { 1 };
+        let passes = if self.job.is_daemon || moves_replicas { self.tasks_left } else { 1 };
         for _ in 0..passes {
             let tasks_before = self.tasks_left;
             for candidate in self.candidates() {
@@ -168,7 +171,7 @@
             && machine.eligible_for(self.job_index, self.job)
             && self.job.may_use_zone(machine.zone)
             && self.zone.is_none_or(|zone| zone == machine.zone)
-            && machine.total.can_hold(&self.job.request.times(self.planned[index] + 1))
+            && machine.capacity.can_hold(&self.job.request.times(self.planned[index] + 1))
             && (self.scope.locality == ImageLocality::Any || has_image())
     }
 
--- a/crates/policy/src/preemption/tests.rs
+++ b/crates/policy/src/preemption/tests.rs
@@ -4,7 +4,7 @@
 use hookway_wire::Priority;
 
 /// Returns a machine whose four CPUs are in use by tasks of a job.
-fn full_machine(job: usize, elapsed: f64) -> MachineView {
+fn full_machine(job: usize, running_time: f64) -> MachineView {
     let mut machine = machine(0);
     machine.free = Resources::default();
     machine.placed_tasks = (0..4)
@@ -12,7 +12,7 @@
             id,
             job,
             request: Resources { cpus: 1.0, gpus: 0.0, memory_gb: 4.0 },
-            elapsed,
+            running_time,
             terminating: false,
         })
         .collect();
@@ -21,7 +21,7 @@
 
 #[test]
 fn higher_priority_preempts_cheapest_lower_priority_tasks() {
-    let gang = JobView { gang: true, priority: Priority::High, ..job(3.0, 1) };
+    let gang = JobView { is_gang: true, priority: Priority::High, ..job(3.0, 1) };
     let mut snapshot =
         cluster(vec![gang, job(1.0, 8)], vec![full_machine(1, 30.0), full_machine(1, 3.0)]);
     snapshot.now = 10.0;
@@ -35,7 +35,7 @@
 
 #[test]
 fn no_further_preemption_while_machines_are_reserved() {
-    let gang = JobView { gang: true, priority: Priority::High, ..job(3.0, 1) };
+    let gang = JobView { is_gang: true, priority: Priority::High, ..job(3.0, 1) };
     let mut snapshot =
         cluster(vec![gang, job(1.0, 8)], vec![full_machine(1, 30.0), full_machine(1, 3.0)]);
     snapshot.now = 10.0;
@@ -60,8 +60,12 @@
 
 #[test]
 fn deadline_array_preempts_backfill_after_its_minimum_runtime() {
-    let backfill =
-        JobView { checkpoints: true, checkpoint_time: 3.0, priority: Priority::Low, ..job(1.0, 8) };
+    let backfill = JobView {
+        writes_checkpoints: true,
+        checkpoint_time: 3.0,
+        priority: Priority::Low,
+        ..job(1.0, 8)
+    };
     let urgent = JobView { deadline: Some(20.0), estimated_task_time: 10.0, ..job(1.0, 3) };
     let victims = |snapshot: &SchedulingSnapshot| {
         preempt(snapshot).iter().map(|preemption| preemption.victims.len()).sum::<usize>()
@@ -90,8 +94,8 @@
 #[test]
 fn job_bound_to_the_zone_of_its_tasks_preempts_only_there() {
     let together = JobView {
-        daemon: true,
-        one_zone: true,
+        is_daemon: true,
+        needs_one_zone: true,
         priority: Priority::Production,
         startable: 1,
         placed: 1,
@@ -99,7 +103,7 @@
         ..job(1.0, 2)
     };
     let in_zone = |zone: usize, job: usize| MachineView { zone, ..full_machine(job, 3.0) };
-    let running = JobView { daemon: true, placed: 4, startable: 0, ..job(1.0, 4) };
+    let running = JobView { is_daemon: true, placed: 4, startable: 0, ..job(1.0, 4) };
     let higher = JobView { priority: Priority::Production, ..running };
     let jobs = vec![together, higher, job(1.0, 8)];
     let mut snapshot = cluster(jobs, vec![in_zone(0, 1), in_zone(1, 2)]);
--- a/crates/policy/src/preemption/victims.rs
+++ b/crates/policy/src/preemption/victims.rs
@@ -52,9 +52,13 @@
 /// its last checkpoint.
 pub(super) fn lost_work(cluster: &SchedulingSnapshot, task: &PlacedTaskView) -> f64 {
     let job = &cluster.jobs[task.job];
-    let seconds = if job.checkpoints { task.elapsed.min(MAX_UNSAVED_S) } else { task.elapsed };
+    let seconds = if job.writes_checkpoints {
+        task.running_time.min(MAX_UNSAVED_S)
+    } else {
+        task.running_time
+    };
     // Stopping one task of a gang stops all of them.
-    let tasks = if job.gang { f64::from(job.tasks) } else { 1.0 };
+    let tasks = if job.is_gang { f64::from(job.tasks) } else { 1.0 };
     // Making a job late is worse than the lost work alone; a job that is late already can't miss its deadline again.
     let restarted_end = cluster.now + job.task_time();
     let weight = match job.deadline {
--- a/crates/policy/src/relocation.rs
+++ b/crates/policy/src/relocation.rs
@@ -112,7 +112,7 @@
     busy_jobs: &HashSet<usize>,
 ) -> Option<Relocation> {
     let job = &cluster.jobs[job_index];
-    let tasks = if job.gang { job.startable } else { 1 };
+    let tasks = if job.is_gang { job.startable } else { 1 };
     let team = cluster.teams.get(job.team);
     if team.is_some_and(|team| team.remaining_tasks(&job.request) < tasks) {
         return None;
@@ -218,7 +218,7 @@
     /// priority than that of the highest daemon. If a team has a guarantee, any task counts. This spares a check of
     /// all machines for each of possibly thousands of daemons.
     fn find(cluster: &SchedulingSnapshot, taken: &[bool]) -> Self {
-        let daemons = || cluster.jobs.iter().filter(|job| job.daemon);
+        let daemons = || cluster.jobs.iter().filter(|job| job.is_daemon);
         let highest = daemons().map(|job| job.priority).max();
         let smallest = smallest_request(daemons());
         let any_guarantee = cluster.teams.iter().any(TeamView::has_guarantee);
@@ -265,7 +265,7 @@
             }
             for task in &machine.placed_tasks {
                 let other = &cluster.jobs[task.job];
-                let complete_daemon = other.daemon && other.placed >= other.tasks;
+                let complete_daemon = other.is_daemon && other.placed >= other.tasks;
                 if task.job != job_index
                     && complete_daemon
                     && other.priority <= job.priority
--- a/crates/policy/src/relocation/tests.rs
+++ b/crates/policy/src/relocation/tests.rs
@@ -3,7 +3,7 @@
 use hookway_wire::Priority;
 
 fn daemon(replicas: u32) -> JobView {
-    JobView { daemon: true, priority: Priority::Production, ..job(1.0, replicas) }
+    JobView { is_daemon: true, priority: Priority::Production, ..job(1.0, replicas) }
 }
 
 /// Returns a daemon with all replicas placed, `per_zone[i]` of them in zone `i`.
@@ -33,7 +33,7 @@
             id,
             job: *job,
             request,
-            elapsed: 30.0,
+            running_time: 30.0,
             terminating: false,
         });
     }
@@ -86,7 +86,7 @@
     assert_eq!(unusable(|target| target.schedulable = false), [], "silent, draining or in backoff");
     assert_eq!(unusable(|target| target.booting = true), []);
     assert_eq!(unusable(|target| target.reserved_for = Some(0)), [], "reserved for another job");
-    assert_eq!(unusable(|target| target.excluded_by = vec![1]), [], "the daemon failed there");
+    assert_eq!(unusable(|target| target.excluded_jobs = vec![1]), [], "the daemon failed there");
     assert_eq!(unusable(|_| ()).len(), 1);
 }
 
@@ -97,7 +97,11 @@
     };
     let whole = placed_daemon([4, 0, 0]);
     assert_eq!(with(JobView { zone: Some(0), ..whole.clone() }), [], "its only zone");
-    assert_eq!(with(JobView { one_zone: true, ..whole.clone() }), [], "all replicas together");
+    assert_eq!(
+        with(JobView { needs_one_zone: true, ..whole.clone() }),
+        [],
+        "all replicas together"
+    );
     assert_eq!(with(JobView { machine_types: vec![false], ..whole.clone() }), [], "machine types");
     assert_eq!(with(JobView { placed: 3, startable: 1, ..whole.clone() }), [], "one is missing");
     let spread = JobView { max_tasks_per_zone: 2, placed_per_zone: vec![4, 2, 0], ..whole.clone() };
@@ -116,7 +120,7 @@
 
 #[test]
 fn gang_relocation_frees_resources_for_all_tasks_or_none() {
-    let gang = JobView { gang: true, daemon: false, zone: Some(0), ..daemon(3) };
+    let gang = JobView { is_gang: true, is_daemon: false, zone: Some(0), ..daemon(3) };
     let jobs = |gang: &JobView| vec![gang.clone(), placed_daemon([4, 0, 0])];
     let full = || machine_with(0, &[1, 1, 1, 1]);
     let relocations = plan(jobs(&gang), vec![full(), machine(1)]);
--- a/crates/policy/src/scheduling_queue.rs
+++ b/crates/policy/src/scheduling_queue.rs
@@ -39,13 +39,13 @@
     if now > job.submitted + constants::START_OBJECTIVE_LIMIT_S {
         return 0;
     }
-    job.start_by.iter().filter(|by| now > **by).count()
+    job.start_objectives.iter().filter(|by| now > **by).count()
 }
 
 /// Whether the job is a gang of which some tasks are placed and others are not. The placed tasks hold resources
 /// without doing work until the others are placed too, and the workers end them after a time limit.
 fn is_partially_placed_gang(job: &JobView) -> bool {
-    job.gang && job.startable > 0 && job.placed > 0
+    job.is_gang && job.startable > 0 && job.placed > 0
 }
 
 /// Compares two jobs that wait for their first start: higher priority first, then partially placed gangs, then fewer
@@ -87,7 +87,7 @@
     let mut demands: Vec<DeadlineDemand> = Vec::new();
     for (index, job) in jobs.iter().enumerate() {
         if job.needs_all_tasks_at_once() {
-            let tasks = if job.daemon { job.unfinished } else { job.placed.max(job.startable) };
+            let tasks = if job.is_daemon { job.unfinished } else { job.placed.max(job.startable) };
             free_cpus -= f64::from(tasks) * job.request.cpus;
             continue;
         }
@@ -112,7 +112,7 @@
 
 /// Whether the job is backfill: an array without an objective for its start or its end.
 pub(crate) fn has_no_objective(job: &JobView) -> bool {
-    !job.needs_all_tasks_at_once() && job.deadline.is_none() && job.start_by.is_empty()
+    !job.needs_all_tasks_at_once() && job.deadline.is_none() && job.start_objectives.is_empty()
 }
 
 /// Whether the job belongs to those that wait for their first start. Daemons and gangs always do: no other replica
@@ -218,7 +218,7 @@
     fn is_aged(&self, index: usize) -> bool {
         let job = &self.jobs[index];
         let comes_after_others =
-            has_no_objective(job) || !job.gang && !job.has_never_run() && self.deferred[index];
+            has_no_objective(job) || !job.is_gang && !job.has_never_run() && self.deferred[index];
         comes_after_others
             && !job.crash_looping
             && self.now > job.submitted + constants::AGING_THRESHOLD_S
@@ -228,7 +228,7 @@
     fn push_min_tasks(&mut self, started: &[usize]) {
         for &index in started {
             let job = &self.jobs[index];
-            let minimum = if job.gang { job.unfinished } else { min_tasks(job, self.now) };
+            let minimum = if job.is_gang { job.unfinished } else { min_tasks(job, self.now) };
             let missing = minimum.saturating_sub(job.placed).min(job.startable);
             if missing > 0 {
                 self.push(index, missing);
--- a/crates/policy/src/scheduling_queue/tests.rs
+++ b/crates/policy/src/scheduling_queue/tests.rs
@@ -96,9 +96,9 @@
 #[test]
 fn gang_that_can_start_in_time_precedes_late_gang_until_start_bound() {
     let gang = |submitted: f64| JobView {
-        gang: true,
+        is_gang: true,
         submitted,
-        start_by: vec![submitted + 25.0, submitted + 40.0],
+        start_objectives: vec![submitted + 25.0, submitted + 40.0],
         ..job(1.0, 4)
     };
     let jobs = vec![gang(0.0), gang(50.0), gang(20.0)];
@@ -114,7 +114,7 @@
 #[test]
 fn partially_placed_gang_precedes_older_gangs() {
     let gang = |submitted: f64, placed: u32| JobView {
-        gang: true,
+        is_gang: true,
         submitted,
         placed,
         startable: 8 - placed,
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -15,9 +15,9 @@
     /// Importance relative to other jobs: a job may preempt tasks of lower priority.
     pub priority: Priority,
     /// Whether the job is a gang: all tasks start together, or none does.
-    pub gang: bool,
+    pub is_gang: bool,
     /// Whether the job is a daemon: its tasks (replicas) run until the job is cancelled.
-    pub daemon: bool,
+    pub is_daemon: bool,
     /// Number of tasks, completed ones included.
     pub tasks: u32,
     /// Resources that one task requests.
@@ -28,17 +28,17 @@
     /// matches no machine.
     pub zone: Option<usize>,
     /// Whether all tasks must be in the same zone.
-    pub one_zone: bool,
+    pub needs_one_zone: bool,
     /// Maximum number of tasks in one zone.
     pub max_tasks_per_zone: u32,
     /// Whether tasks may run on spot machines.
-    pub spot: bool,
+    pub allows_spot: bool,
     /// The caller's number for the job's image; equal numbers stand for the same image.
     pub image: u32,
     /// Size of the image, GB.
     pub image_gb: f64,
     /// Whether tasks write checkpoints and so keep their progress when they are stopped.
-    pub checkpoints: bool,
+    pub writes_checkpoints: bool,
     /// Time that a stopped task takes to write a checkpoint, s; 0 if it writes none.
     pub checkpoint_time: f64,
     /// Time of submission, s.
@@ -47,7 +47,7 @@
     /// either.
     pub deadline: Option<f64>,
     /// Times by which the job should have started, s: the objectives of its class, tightest first.
-    pub start_by: Vec<f64>,
+    pub start_objectives: Vec<f64>,
     /// The team's estimate of a task's run time, s.
     pub estimated_task_time: f64,
     /// Number of completed tasks.
@@ -72,7 +72,7 @@
 impl JobView {
     /// Whether all tasks should run at the same time, which is so for a gang and a daemon.
     pub fn needs_all_tasks_at_once(&self) -> bool {
-        self.gang || self.daemon
+        self.is_gang || self.is_daemon
     }
 
     /// Whether no task of the job has completed or is placed.
@@ -85,11 +85,11 @@
         self.mean_task_time.unwrap_or(self.estimated_task_time).max(MIN_DIVISOR)
     }
 
-    /// Whether the job allows machines of this type in this zone, and spot machines if `spot` is set.
-    pub fn allows(&self, machine_type: usize, zone: usize, spot: bool) -> bool {
+    /// Whether the job allows machines of this type in this zone, and spot machines if `is_spot` is set.
+    pub fn allows(&self, machine_type: usize, zone: usize, is_spot: bool) -> bool {
         self.machine_types.get(machine_type).copied().unwrap_or(false)
             && self.zone.is_none_or(|only| only == zone)
-            && (self.spot || !spot)
+            && (self.allows_spot || !is_spot)
     }
 
     /// Returns the number of placed tasks in a zone.
@@ -103,7 +103,7 @@
             return false;
         }
         let mut zones = self.placed_per_zone.iter().enumerate();
-        !self.one_zone || zones.all(|(other, placed)| other == zone || *placed == 0)
+        !self.needs_one_zone || zones.all(|(other, placed)| other == zone || *placed == 0)
     }
 }
 
@@ -117,7 +117,7 @@
     /// Resources that it requests.
     pub request: Resources,
     /// Time that the task has been running, s; 0 before it runs.
-    pub elapsed: f64,
+    pub running_time: f64,
     /// Whether the task is being stopped already, so that its resources become free soon.
     pub terminating: bool,
 }
@@ -130,9 +130,9 @@
     /// Index of its zone.
     pub zone: usize,
     /// Whether the machine is a spot machine, which the cloud may reclaim.
-    pub spot: bool,
-    /// Capacity: all resources of the machine, used or not.
-    pub total: Resources,
+    pub is_spot: bool,
+    /// All resources of the machine, used or not.
+    pub capacity: Resources,
     /// Resources that are neither used by a placed task nor held for one.
     pub free: Resources,
     /// Price of the machine per hour.
@@ -144,7 +144,7 @@
     /// Whether the machine has not sent a heartbeat yet. It counts when the fleet is sized, but gets no tasks.
     pub booting: bool,
     /// Indexes of jobs that failed on this machine and should not be retried on it.
-    pub excluded_by: Vec<usize>,
+    pub excluded_jobs: Vec<usize>,
     /// Index of the only job that may use the machine; `None` if it is not reserved. An index that is not in
     /// [`SchedulingSnapshot::jobs`] keeps all of these jobs off the machine.
     pub reserved_for: Option<usize>,
@@ -155,7 +155,7 @@
 impl MachineView {
     /// Returns the price of one CPU per hour.
     pub fn cpu_price(&self) -> f64 {
-        self.price / self.total.cpus.max(MIN_DIVISOR)
+        self.price / self.capacity.cpus.max(MIN_DIVISOR)
     }
 
     /// Returns the resources that are free once all terminating tasks have ended.
@@ -171,8 +171,8 @@
     /// free resources.
     pub(crate) fn eligible_for(&self, job_index: usize, job: &JobView) -> bool {
         self.reserved_for.is_none_or(|reserved| reserved == job_index)
-            && !self.excluded_by.contains(&job_index)
-            && job.allows(self.machine_type, self.zone, self.spot)
+            && !self.excluded_jobs.contains(&job_index)
+            && job.allows(self.machine_type, self.zone, self.is_spot)
     }
 }
 
--- a/crates/policy/src/test_support.rs
+++ b/crates/policy/src/test_support.rs
@@ -9,22 +9,22 @@
     JobView {
         team: 0,
         priority: Priority::Normal,
-        gang: false,
-        daemon: false,
+        is_gang: false,
+        is_daemon: false,
         tasks,
         request: Resources { cpus, gpus: 0.0, memory_gb: 1.0 },
         machine_types: vec![true],
         zone: None,
-        one_zone: false,
+        needs_one_zone: false,
         max_tasks_per_zone: tasks,
-        spot: true,
+        allows_spot: true,
         image: 1,
         image_gb: 1.0,
-        checkpoints: false,
+        writes_checkpoints: false,
         checkpoint_time: 0.0,
         submitted: 0.0,
         deadline: None,
-        start_by: vec![],
+        start_objectives: vec![],
         estimated_task_time: 10.0,
         completed: 0,
         mean_task_time: None,
@@ -39,19 +39,19 @@
 
 /// Returns an empty on-demand machine with 4 CPUs and 16 GB of memory, without cached images.
 pub(crate) fn machine(zone: usize) -> MachineView {
-    let total = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 16.0 };
+    let capacity = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 16.0 };
     MachineView {
         machine_type: 0,
         zone,
-        spot: false,
-        total,
-        free: total,
+        is_spot: false,
+        capacity,
+        free: capacity,
         price: 1.0,
         images: vec![],
         schedulable: true,
         booting: false,
         reserved_for: None,
-        excluded_by: vec![],
+        excluded_jobs: vec![],
         placed_tasks: vec![],
     }
 }
