--- a/crates/controller/src/cluster_state/commit_items.rs
+++ b/crates/controller/src/cluster_state/commit_items.rs
@@ -10,7 +10,7 @@
     shared_watermarks_key,
 };
 use hookway_constants as constants;
-use hookway_policy::min_tasks_need_rewrite;
+use hookway_policy::should_rewrite_min_tasks;
 use hookway_time::{MonotonicTime, whole_millis};
 use std::collections::BTreeMap;
 
@@ -229,7 +229,7 @@
     pub(super) fn set_min_tasks(&mut self, key: JobKey, min_tasks: u32) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         job.min_tasks = min_tasks;
-        if !job.is_small() && min_tasks_need_rewrite(job.stored_min_tasks, min_tasks) {
+        if !job.is_small() && should_rewrite_min_tasks(job.stored_min_tasks, min_tasks) {
             self.commit_queue.scheduling_records.insert(key);
         }
     }
--- a/crates/controller/src/cluster_state/relocation.rs
+++ b/crates/controller/src/cluster_state/relocation.rs
@@ -13,7 +13,7 @@
 use super::snapshot::IndexedSnapshot;
 use super::{ClusterState, JobKey, Machine, TaskAttempt};
 use hookway_constants as constants;
-use hookway_policy::{Preemption, RelocationLimits, Resources, Victim, relocate};
+use hookway_policy::{PlacedTaskRef, Preemption, RelocationLimits, Resources, relocate};
 use hookway_time::MonotonicTime;
 
 /// An attempt of a task on a machine.
@@ -154,7 +154,7 @@
             let Some(from) = self.task_on_machine(snapshot, &replica_move.replica) else { return };
             let Some(index) = self.task_index(&from) else { return };
             let to = name(replica_move.target);
-            for Victim { machine, task } in replica_move.victims {
+            for PlacedTaskRef { machine, task } in replica_move.victims {
                 self.preempt_task(&name(machine), task as usize, key, now);
             }
             moves.push(ReplicaMove { job: key, index, from, to, step: MoveStep::AwaitingTarget });
@@ -178,15 +178,15 @@
         }
     }
 
-    /// Returns the attempt that a victim in the snapshot refers to; `None` if it has left its
+    /// Returns the attempt that `task_ref` refers to in the snapshot; `None` if it has left its
     /// machine.
     fn task_on_machine(
         &self,
         snapshot: &IndexedSnapshot,
-        victim: &Victim,
+        task_ref: &PlacedTaskRef,
     ) -> Option<TaskOnMachine> {
-        let machine = snapshot.machine_names[victim.machine].clone();
-        let placed = self.machines.get(&machine)?.placed_tasks.get(victim.task as usize)?;
+        let machine = snapshot.machine_names[task_ref.machine].clone();
+        let placed = self.machines.get(&machine)?.placed_tasks.get(task_ref.task as usize)?;
         let attempt = placed.task_attempt();
         Some(TaskOnMachine { machine, attempt })
     }
--- a/crates/controller/src/cluster_state/scheduling_round.rs
+++ b/crates/controller/src/cluster_state/scheduling_round.rs
@@ -4,7 +4,7 @@
 use super::snapshot::IndexedSnapshot;
 use super::{ClusterState, JobKey, MachineReservation};
 use hookway_constants as constants;
-use hookway_policy::{QueueEntry, QuotaReservation, Victim, min_tasks, place, preempt};
+use hookway_policy::{PlacedTaskRef, QueueEntry, QuotaReservation, min_tasks, place, preempt};
 use hookway_time::MonotonicTime;
 use std::collections::HashSet;
 use std::time::Duration;
@@ -102,7 +102,7 @@
         let unplaced = |entry: &QueueEntry| UnplacedDemand {
             job: snapshot.job_keys[entry.job],
             tasks: entry.tasks,
-            is_backfill: entry.leftover,
+            is_backfill: entry.is_backfill,
         };
         self.last_round.unplaced = placed.unplaced.iter().map(unplaced).collect();
         self.last_round.quota_reservations = placed.quota_reservations;
@@ -130,7 +130,7 @@
                     machine.reservation = Some(MachineReservation { job, until });
                 }
             }
-            for Victim { machine, task } in &preemption.victims {
+            for PlacedTaskRef { machine, task } in &preemption.victims {
                 let name = &snapshot.machine_names[*machine];
                 self.preempt_task(name, *task as usize, job, now);
             }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -20,9 +20,9 @@
 
 pub use autoscaling::{MachineOffer, ScaleOut, ScalingPlan, plan_scaling};
 pub use feasibility::{Infeasible, check_feasible};
-pub use min_tasks::{desired_tasks, min_tasks, min_tasks_need_rewrite};
+pub use min_tasks::{desired_tasks, min_tasks, should_rewrite_min_tasks};
 pub use placement::{Placement, QuotaReservation, RoundOutcome, place};
-pub use preemption::{Preemption, Victim, preempt};
+pub use preemption::{PlacedTaskRef, Preemption, preempt};
 pub use relocation::{Relocation, RelocationLimits, ReplicaMove, relocate};
 pub use resources::Resources;
 pub use scheduling_queue::{QueueEntry, scheduling_queue};
--- a/crates/policy/src/min_tasks.rs
+++ b/crates/policy/src/min_tasks.rs
@@ -52,7 +52,7 @@
 
 /// Whether the minimum task count differs enough from the `stored` one for its record to be written again. Without a
 /// stored one, or with 0, any count above 0 does.
-pub fn min_tasks_need_rewrite(stored: Option<u32>, current: u32) -> bool {
+pub fn should_rewrite_min_tasks(stored: Option<u32>, current: u32) -> bool {
     match stored {
         None | Some(0) => current > 0,
         Some(stored) => {
--- a/crates/policy/src/min_tasks/tests.rs
+++ b/crates/policy/src/min_tasks/tests.rs
@@ -21,9 +21,9 @@
 
 #[test]
 fn min_tasks_record_is_rewritten_after_change_of_one_quarter() {
-    assert!(min_tasks_need_rewrite(None, 3), "no minimum is stored yet");
-    assert!(!min_tasks_need_rewrite(Some(8), 9));
-    assert!(min_tasks_need_rewrite(Some(8), 10));
-    assert!(min_tasks_need_rewrite(Some(8), 6));
-    assert!(!min_tasks_need_rewrite(Some(0), 0));
+    assert!(should_rewrite_min_tasks(None, 3), "no minimum is stored yet");
+    assert!(!should_rewrite_min_tasks(Some(8), 9));
+    assert!(should_rewrite_min_tasks(Some(8), 10));
+    assert!(should_rewrite_min_tasks(Some(8), 6));
+    assert!(!should_rewrite_min_tasks(Some(0), 0));
 }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -96,7 +96,7 @@
         }
         if !machines.is_empty() {
             self.outcome.placements.push(Placement { job: entry.job, machines });
-        } else if job.is_gang && !entry.leftover && !job.crash_looping {
+        } else if job.is_gang && !entry.is_backfill && !job.crash_looping {
             self.reserve_for_gang(entry.job);
         }
     }
--- a/crates/policy/src/preemption.rs
+++ b/crates/policy/src/preemption.rs
@@ -14,9 +14,9 @@
 pub(crate) use search::{ImageLocality, PricedPreemption, SearchScope, find_preemption};
 pub(crate) use victims::{Displaceable, may_preempt, victims_on_machine};
 
-/// A task that has to leave its machine.
+/// Refers to a placed task that has to leave its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Victim {
+pub struct PlacedTaskRef {
     /// Index of its machine.
     pub machine: usize,
     /// The task's `id` in its [`PlacedTaskView`](crate::PlacedTaskView).
@@ -31,7 +31,7 @@
     /// Indexes of the machines to reserve for the beneficiary until it starts; empty if it needs no reservation.
     pub machines: Vec<usize>,
     /// Tasks to stop for the beneficiary.
-    pub victims: Vec<Victim>,
+    pub victims: Vec<PlacedTaskRef>,
 }
 
 impl Preemption {
@@ -45,7 +45,7 @@
         }
     }
 
-    fn add_victim(&mut self, victim: Victim) {
+    fn add_victim(&mut self, victim: PlacedTaskRef) {
         if !self.victims.contains(&victim) {
             self.victims.push(victim);
         }
--- a/crates/policy/src/preemption/deadlines.rs
+++ b/crates/policy/src/preemption/deadlines.rs
@@ -1,6 +1,6 @@
 //! Preemption of backfill for arrays that would miss their deadlines.
 
-use super::{Preemption, Victim};
+use super::{PlacedTaskRef, Preemption};
 use crate::scheduling_queue::{has_no_objective, is_late, min_tasks_or_estimate};
 use crate::{PlacedTaskView, Resources, SchedulingSnapshot};
 use hookway_constants as constants;
@@ -108,7 +108,7 @@
                     let Some(position) = stoppable.iter().position(lower_priority) else { break };
                     let task = stoppable.swap_remove(position);
                     self.free[index].add(&task.request);
-                    preemption.victims.push(Victim { machine: index, task: task.id });
+                    preemption.victims.push(PlacedTaskRef { machine: index, task: task.id });
                 }
             }
         }
--- a/crates/policy/src/preemption/quota.rs
+++ b/crates/policy/src/preemption/quota.rs
@@ -1,7 +1,7 @@
 //! Preemption within a team whose limit does not allow a job to start.
 
 use super::victims::lost_work;
-use super::{Preemption, Victim};
+use super::{PlacedTaskRef, Preemption};
 use crate::{PlacedTaskView, SchedulingSnapshot};
 
 /// A task that could be stopped.
@@ -43,7 +43,7 @@
             break;
         }
         team.used.subtract(&task.request);
-        preemption.victims.push(Victim { machine, task: task.id });
+        preemption.victims.push(PlacedTaskRef { machine, task: task.id });
     }
     let within_limit = team.remaining_tasks(&job.request) >= tasks;
     (within_limit && !preemption.victims.is_empty()).then_some(preemption)
--- a/crates/policy/src/preemption/search.rs
+++ b/crates/policy/src/preemption/search.rs
@@ -1,7 +1,7 @@
 //! The search for the cheapest set of machines to clear for a job.
 
 use super::victims::{Displaceable, MachineVictims, victims_on_machine};
-use super::{Preemption, Victim};
+use super::{PlacedTaskRef, Preemption};
 use crate::{JobView, SchedulingSnapshot};
 
 /// Which machines a search considers, by the images that they hold.
@@ -194,7 +194,7 @@
         }
         self.preemption.add_machine(index);
         for task in victims.tasks {
-            self.preemption.add_victim(Victim { machine: index, task });
+            self.preemption.add_victim(PlacedTaskRef { machine: index, task });
         }
     }
 }
--- a/crates/policy/src/relocation.rs
+++ b/crates/policy/src/relocation.rs
@@ -9,8 +9,8 @@
 };
 use crate::scheduling_queue::first_start_order;
 use crate::{
-    JobView, MachineView, PlacedTaskView, Preemption, Resources, SchedulingSnapshot, TeamView,
-    Victim,
+    JobView, MachineView, PlacedTaskRef, PlacedTaskView, Preemption, Resources, SchedulingSnapshot,
+    TeamView,
 };
 use hookway_constants as constants;
 use hookway_time::millis_f64;
@@ -22,11 +22,11 @@
     /// Index of the replica's job.
     pub job: usize,
     /// The replica on its present machine.
-    pub replica: Victim,
+    pub replica: PlacedTaskRef,
     /// Index of the machine that the replica moves to.
     pub target: usize,
     /// Tasks to preempt on the target for the replica; empty if the target has enough free resources.
-    pub victims: Vec<Victim>,
+    pub victims: Vec<PlacedTaskRef>,
 }
 
 /// The moves and preemptions that free resources for one job, the beneficiary.
@@ -37,7 +37,7 @@
     /// Index of the machine planned for each task that the beneficiary can start.
     pub task_machines: Vec<usize>,
     /// Tasks to preempt on these machines.
-    pub victims: Vec<Victim>,
+    pub victims: Vec<PlacedTaskRef>,
     /// Moves of replicas away from these machines.
     pub moves: Vec<ReplicaMove>,
 }
@@ -130,21 +130,24 @@
     let found = find_preemption(cluster, job_index, tasks, scope)?;
     let mut planner = MovePlanner::new(cluster, taken, &found.task_machines);
     let mut victims = Vec::new();
-    for victim in found.preemption.victims {
-        let placed = placed_task(cluster, &victim)?;
+    for task in found.preemption.victims {
+        let placed = placed_task(cluster, &task)?;
         if may_preempt(cluster, job_index, placed) {
-            victims.push(victim);
+            victims.push(task);
         } else {
-            planner.plan_move(victim, placed.job)?;
+            planner.plan_move(task, placed.job)?;
         }
     }
     let task_machines = found.task_machines;
     Some(Relocation { job: job_index, task_machines, victims, moves: planner.moves })
 }
 
-fn placed_task<'a>(cluster: &'a SchedulingSnapshot, victim: &Victim) -> Option<&'a PlacedTaskView> {
-    let machine = &cluster.machines[victim.machine];
-    machine.placed_tasks.iter().find(|placed| placed.id == victim.task)
+fn placed_task<'a>(
+    cluster: &'a SchedulingSnapshot,
+    task_ref: &PlacedTaskRef,
+) -> Option<&'a PlacedTaskView> {
+    let machine = &cluster.machines[task_ref.machine];
+    machine.placed_tasks.iter().find(|placed| placed.id == task_ref.task)
 }
 
 /// Returns the job as it is after one of its replicas in `zone` has stopped.
@@ -353,7 +356,7 @@
     }
 
     /// Plans the move of a replica to the best target; `None` if there is none.
-    fn plan_move(&mut self, replica: Victim, job_index: usize) -> Option<()> {
+    fn plan_move(&mut self, replica: PlacedTaskRef, job_index: usize) -> Option<()> {
         let cluster = self.cluster;
         let source_zone = cluster.machines[replica.machine].zone;
         let before_move = self.jobs.get(&job_index).unwrap_or(&cluster.jobs[job_index]);
@@ -367,7 +370,8 @@
             *placed += 1;
         }
         self.jobs.insert(job_index, job);
-        let victims = victims.into_iter().map(|task| Victim { machine: target, task }).collect();
+        let victims =
+            victims.into_iter().map(|task| PlacedTaskRef { machine: target, task }).collect();
         self.moves.push(ReplicaMove { job: job_index, replica, target, victims });
         Some(())
     }
--- a/crates/policy/src/relocation/tests.rs
+++ b/crates/policy/src/relocation/tests.rs
@@ -51,7 +51,7 @@
     let jobs = vec![waiting_daemon(), placed_daemon([4, 0, 0])];
     let machines = vec![machine_with(0, &[1, 1, 1, 1]), machine(1)];
     let relocations = plan(jobs, machines);
-    let replica = Victim { machine: 0, task: 0 };
+    let replica = PlacedTaskRef { machine: 0, task: 0 };
     let replica_move = ReplicaMove { job: 1, replica, target: 1, victims: vec![] };
     let expected =
         Relocation { job: 0, task_machines: vec![0], victims: vec![], moves: vec![replica_move] };
--- a/crates/policy/src/scheduling_queue.rs
+++ b/crates/policy/src/scheduling_queue.rs
@@ -14,9 +14,9 @@
     pub job: usize,
     /// Maximum number of tasks to place for this entry.
     pub tasks: u32,
-    /// Whether the tasks exceed the job's minimum, or belong to a job without an objective. Such tasks get only the
-    /// resources that other entries leave free.
-    pub leftover: bool,
+    /// Whether the tasks are placed as backfill: they exceed the job's minimum, or belong to a job without an
+    /// objective. Such tasks get only the resources that other entries leave free.
+    pub is_backfill: bool,
 }
 
 fn deadline_or_infinity(job: &JobView) -> f64 {
@@ -179,11 +179,11 @@
     }
 
     fn push(&mut self, job: usize, tasks: u32) {
-        self.queue.push(QueueEntry { job, tasks, leftover: false });
+        self.queue.push(QueueEntry { job, tasks, is_backfill: false });
     }
 
-    fn push_leftover_entry(&mut self, job: usize, tasks: u32) {
-        self.queue.push(QueueEntry { job, tasks, leftover: true });
+    fn push_backfill_entry(&mut self, job: usize, tasks: u32) {
+        self.queue.push(QueueEntry { job, tasks, is_backfill: true });
     }
 
     /// Adds the minimum of each job that waits for its first start: one task of an array, all of a gang or daemon.
@@ -251,7 +251,7 @@
             feasible_first.then(work(*a).total_cmp(&work(*b)))
         });
         for index in arrays {
-            self.push_leftover_entry(index, self.jobs[index].startable);
+            self.push_backfill_entry(index, self.jobs[index].startable);
         }
     }
 
@@ -262,10 +262,10 @@
             b.priority.cmp(&a.priority).then(a.submitted.total_cmp(&b.submitted))
         });
         for &index in jobs.iter().filter(|index| self.jobs[**index].has_never_run()) {
-            self.push_leftover_entry(index, 1);
+            self.push_backfill_entry(index, 1);
         }
         for index in jobs {
-            self.push_leftover_entry(index, self.jobs[index].startable);
+            self.push_backfill_entry(index, self.jobs[index].startable);
         }
     }
 
--- a/crates/policy/src/scheduling_queue/tests.rs
+++ b/crates/policy/src/scheduling_queue/tests.rs
@@ -19,27 +19,27 @@
     let queue = scheduling_queue(&jobs, 0.0, 1000.0);
     let up_to_minimum: Vec<(usize, u32)> = queue
         .iter()
-        .filter(|entry| !entry.leftover)
+        .filter(|entry| !entry.is_backfill)
         .map(|entry| (entry.job, entry.tasks))
         .collect();
     // Minimum by 20 s: 10 s x 8 / 20 s = 4, of which two are placed. By 40 s: 10 s x 8 / 40 s = 2, both placed.
     assert_eq!(up_to_minimum, [(2, 1), (0, 1), (3, 2)]);
-    let leftover: Vec<usize> =
-        queue.iter().filter(|entry| entry.leftover).map(|entry| entry.job).collect();
+    let backfill: Vec<usize> =
+        queue.iter().filter(|entry| entry.is_backfill).map(|entry| entry.job).collect();
     assert_eq!(
-        leftover,
+        backfill,
         [3, 1, 2, 0],
         "least work left first, with equal work in the order of the groups"
     );
     let mut jobs = jobs;
     jobs[1].startable = 3;
     jobs[3].deadline = Some(-1.0);
-    let leftover: Vec<usize> = scheduling_queue(&jobs, 0.0, 1000.0)
+    let backfill: Vec<usize> = scheduling_queue(&jobs, 0.0, 1000.0)
         .iter()
-        .filter(|entry| entry.leftover)
+        .filter(|entry| entry.is_backfill)
         .map(|entry| entry.job)
         .collect();
-    assert_eq!(leftover, [1, 2, 0, 3], "least work left first, the late job last");
+    assert_eq!(backfill, [1, 2, 0, 3], "least work left first, the late job last");
 }
 
 /// Returns an array with one completed task, and `unfinished` others that should complete by `deadline`.
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -110,7 +110,8 @@
 /// A task that is placed on a machine. Preemption and relocation choose among these.
 #[derive(Debug, Clone)]
 pub struct PlacedTaskView {
-    /// The caller's identifier of the task, unique on its machine; the policy returns it in [`Victim`](crate::Victim).
+    /// The caller's identifier of the task, unique on its machine; the policy returns it in
+    /// [`PlacedTaskRef`](crate::PlacedTaskRef).
     pub id: u64,
     /// Index of its job.
     pub job: usize,
