--- a/crates/controller/src/cluster_state/machine_fill.rs
+++ b/crates/controller/src/cluster_state/machine_fill.rs
@@ -67,8 +67,9 @@
         let machine_type =
             self.machine_types.iter().position(|t| t.name == machine.machine_type)?;
         let zone = self.config.platform.zone(&machine.zone)?;
-        let total = Resources::of_machine_type(&self.machine_types[machine_type]);
-        let FreeResources { free, has_unknown_tasks } = self.free_resources(name, machine, total);
+        let capacity = Resources::of_machine_type(&self.machine_types[machine_type]);
+        let FreeResources { free, has_unknown_tasks } =
+            self.free_resources(name, machine, capacity);
         (!has_unknown_tasks).then(|| FillTarget {
             name,
             machine_type,
@@ -93,7 +94,7 @@
         let Some(job) = self.jobs.get(&demand.job) else { return 0 };
         if demand.tasks == 0
             || job.excludes_machine(target.name, self.machines.len())
-            || !target.free.fits(&job.request)
+            || !target.free.can_hold(&job.request)
         {
             return 0;
         }
@@ -111,7 +112,7 @@
         demand
             .tasks
             .min(view.startable)
-            .min(target.free.capacity_for(&view.request))
+            .min(target.free.max_tasks(&view.request))
             .min(view.max_tasks_per_zone.saturating_sub(in_zone))
             .min(self.tasks_within_quota(&view))
     }
--- a/crates/controller/src/cluster_state/relocation.rs
+++ b/crates/controller/src/cluster_state/relocation.rs
@@ -10,10 +10,10 @@
 //! is gone. Only the leader's memory has it: a replica that was stopped and not started again is
 //! started by the next leader like any unplaced task.
 
-use super::snapshot::SchedulingSnapshot;
+use super::snapshot::IndexedSnapshot;
 use super::{ClusterState, JobKey, Machine, TaskAttempt};
 use hookway_constants as constants;
-use hookway_policy::{Preemption, RelocationLimits, Resources, Victim, relocate};
+use hookway_policy::{PlacedTaskRef, Preemption, RelocationLimits, Resources, relocate};
 use hookway_time::MonotonicTime;
 
 /// An attempt of a task on a machine.
@@ -119,7 +119,7 @@
     /// the scheduling snapshot of the round. `preemptions` are those of the same round.
     pub(super) fn begin_relocations(
         &mut self,
-        snapshot: &SchedulingSnapshot,
+        snapshot: &IndexedSnapshot,
         preemptions: &[Preemption],
         now: MonotonicTime,
     ) {
@@ -133,7 +133,7 @@
         let keys = snapshot.job_keys.iter().enumerate();
         let limits = RelocationLimits {
             busy_jobs: keys.filter(|(_, key)| busy(key)).map(|(index, _)| index).collect(),
-            max_moves: constants::MAX_REPLICAS_MOVING.saturating_sub(moving),
+            max_moves: constants::MAX_MOVING_REPLICAS.saturating_sub(moving),
         };
         for planned in relocate(&snapshot.cluster, preemptions, limits) {
             self.begin_relocation(snapshot, planned, now);
@@ -142,7 +142,7 @@
 
     fn begin_relocation(
         &mut self,
-        snapshot: &SchedulingSnapshot,
+        snapshot: &IndexedSnapshot,
         planned: hookway_policy::Relocation,
         now: MonotonicTime,
     ) {
@@ -154,7 +154,7 @@
             let Some(from) = self.task_on_machine(snapshot, &replica_move.replica) else { return };
             let Some(index) = self.task_index(&from) else { return };
             let to = name(replica_move.target);
-            for Victim { machine, task } in replica_move.victims {
+            for PlacedTaskRef { machine, task } in replica_move.victims {
                 self.preempt_task(&name(machine), task as usize, key, now);
             }
             moves.push(ReplicaMove { job: key, index, from, to, step: MoveStep::AwaitingTarget });
@@ -178,15 +178,15 @@
         }
     }
 
-    /// Returns the attempt that a victim in the snapshot refers to; `None` if it has left its
+    /// Returns the attempt that `task_ref` refers to in the snapshot; `None` if it has left its
     /// machine.
     fn task_on_machine(
         &self,
-        snapshot: &SchedulingSnapshot,
-        victim: &Victim,
+        snapshot: &IndexedSnapshot,
+        task_ref: &PlacedTaskRef,
     ) -> Option<TaskOnMachine> {
-        let machine = snapshot.machine_names[victim.machine].clone();
-        let placed = self.machines.get(&machine)?.placed_tasks.get(victim.task as usize)?;
+        let machine = snapshot.machine_names[task_ref.machine].clone();
+        let placed = self.machines.get(&machine)?.placed_tasks.get(task_ref.task as usize)?;
         let attempt = placed.task_attempt();
         Some(TaskOnMachine { machine, attempt })
     }
@@ -379,9 +379,9 @@
         let Some(machine) = self.machines.get(name) else { return false };
         let machine_type = self.machine_types.iter().find(|t| t.name == machine.machine_type);
         machine_type.is_some_and(|machine_type| {
-            let total = Resources::of_machine_type(machine_type);
-            let left = self.free_resources(name, machine, total);
-            !left.has_unknown_tasks && left.free.fits(&Resources::default())
+            let capacity = Resources::of_machine_type(machine_type);
+            let left = self.free_resources(name, machine, capacity);
+            !left.has_unknown_tasks && left.free.can_hold(&Resources::default())
         })
     }
 
--- a/crates/policy/src/autoscaling.rs
+++ b/crates/policy/src/autoscaling.rs
@@ -3,7 +3,7 @@
 //! only sizes the fleet; it places no task.
 
 use crate::placement::{fleet_could_hold, smallest_request, startable_jobs};
-use crate::{ClusterSnapshot, JobView, MachineView, Resources, desired_tasks};
+use crate::{JobView, MachineView, Resources, SchedulingSnapshot, desired_tasks};
 
 /// Maximum number of machines that one plan adds, which bounds the duration of a round. The next round adds more.
 const MAX_PLANNED_MACHINES: usize = 64;
@@ -19,7 +19,7 @@
     /// Index of the zone.
     pub zone: usize,
     /// Whether these are spot machines rather than on-demand ones.
-    pub spot: bool,
+    pub is_spot: bool,
     /// Price of one machine per hour.
     pub price: f64,
 }
@@ -70,7 +70,7 @@
 
 /// A scaling plan in progress; assigns the tasks of one job after another to machines.
 struct Planner<'a> {
-    cluster: &'a ClusterSnapshot,
+    cluster: &'a SchedulingSnapshot,
     offers: &'a [MachineOffer],
     zone_count: usize,
     /// Per existing machine: free resources less those of assigned tasks.
@@ -85,7 +85,7 @@
 
 /// Plans which machines to add, and which of the existing machines are needed. Tasks are first assigned to the free
 /// resources of machines that are schedulable or booting, then to machines that the plan adds.
-pub fn plan_scaling(cluster: &ClusterSnapshot, offers: &[MachineOffer]) -> ScalingPlan {
+pub fn plan_scaling(cluster: &SchedulingSnapshot, offers: &[MachineOffer]) -> ScalingPlan {
     let smallest = smallest_request(startable_jobs(&cluster.jobs));
     let mut planner = Planner::new(cluster, offers, &smallest);
     for job_index in jobs_to_scale_for(cluster) {
@@ -102,7 +102,11 @@
 }
 
 impl<'a> Planner<'a> {
-    fn new(cluster: &'a ClusterSnapshot, offers: &'a [MachineOffer], smallest: &Resources) -> Self {
+    fn new(
+        cluster: &'a SchedulingSnapshot,
+        offers: &'a [MachineOffer],
+        smallest: &Resources,
+    ) -> Self {
         let zones = cluster.machines.iter().map(|machine| machine.zone);
         let zones = zones.chain(offers.iter().map(|offer| offer.zone));
         Self {
@@ -132,7 +136,7 @@
                 self.used[job.team].add(&job.request);
             }
         }
-        self.machines.retain(|index| self.free[*index].fits(smallest));
+        self.machines.retain(|index| self.free[*index].can_hold(smallest));
         Shortage { tasks, per_zone: self.tasks_allowed_per_zone(job_index, tasks) }
     }
 
@@ -143,12 +147,12 @@
         let mut allowed: Vec<u32> = (0..self.zone_count)
             .map(|zone| job.max_tasks_per_zone.saturating_sub(job.placed_in(zone)))
             .collect();
-        if !job.one_zone || job.tasks <= 1 {
+        if !job.needs_one_zone || job.tasks <= 1 {
             return allowed;
         }
         // Prefer the zone that the job is in; then a zone with free resources for all tasks of a gang, or a quarter of
         // those of an array; then one where machines can be added; then the one with most free resources.
-        let enough = if job.gang { tasks } else { tasks.div_ceil(4) };
+        let enough = if job.is_gang { tasks } else { tasks.div_ceil(4) };
         let best = (0..self.zone_count).max_by_key(|zone| {
             let fitting = self.tasks_fitting_in_zone(job_index, *zone).min(tasks);
             (job.placed_in(*zone), fitting >= enough, self.has_offer(job, *zone), fitting)
@@ -169,7 +173,7 @@
         in_zone
             .filter(|index| may_use(self.cluster, job_index, &self.cluster.machines[**index]))
             .fold(0, |sum: u32, index| {
-                sum.saturating_add(self.free[*index].capacity_for(&job.request))
+                sum.saturating_add(self.free[*index].max_tasks(&job.request))
             })
     }
 
@@ -188,7 +192,7 @@
             if !may_use(self.cluster, job_index, machine) {
                 continue;
             }
-            let tasks = shortage.assign(self.free[index].capacity_for(&job.request), machine.zone);
+            let tasks = shortage.assign(self.free[index].max_tasks(&job.request), machine.zone);
             if tasks > 0 {
                 self.plan.needed[index] = true;
                 subtract_tasks(&mut self.free[index], &job.request, tasks);
@@ -205,7 +209,7 @@
                 break;
             }
             if allows_offer(job, offer) {
-                let fitting = machine.free.capacity_for(&job.request);
+                let fitting = machine.free.max_tasks(&job.request);
                 let tasks = shortage.assign(fitting, offer.zone);
                 subtract_tasks(&mut machine.free, &job.request, tasks);
             }
@@ -238,12 +242,12 @@
     /// such arrays that it could run.
     fn add_machines_for_crash_looping_arrays(&mut self) {
         for (job_index, job) in self.cluster.jobs.iter().enumerate() {
-            if !job.crash_looping || job.gang || job.startable == 0 {
+            if !job.crash_looping || job.is_gang || job.startable == 0 {
                 continue;
             }
             let mut planned = self.plan.scale_out.iter().map(|added| &self.offers[added.offer]);
             let could_run = |machine: &MachineView| {
-                may_use(self.cluster, job_index, machine) && machine.total.fits(&job.request)
+                may_use(self.cluster, job_index, machine) && machine.capacity.can_hold(&job.request)
             };
             let has_machine = self.cluster.machines.iter().any(could_run);
             if has_machine || planned.any(|offer| allows_offer(job, offer)) {
@@ -264,7 +268,7 @@
                 continue;
             }
             let machine_type = self.cluster.machine_types.get(offer.machine_type)?;
-            let fitting = Resources::of_machine_type(machine_type).capacity_for(&job.request);
+            let fitting = Resources::of_machine_type(machine_type).max_tasks(&job.request);
             if fitting == 0 {
                 continue;
             }
@@ -302,14 +306,14 @@
 }
 
 fn allows_offer(job: &JobView, offer: &MachineOffer) -> bool {
-    job.allows(offer.machine_type, offer.zone, offer.spot)
+    job.allows(offer.machine_type, offer.zone, offer.is_spot)
 }
 
 /// Returns the machines with free resources for some task: running before booting, in use before empty, cheap before
 /// expensive. Expensive machines thus tend to stay idle and are scaled in.
-fn machines_with_free_resources(cluster: &ClusterSnapshot, smallest: &Resources) -> Vec<usize> {
+fn machines_with_free_resources(cluster: &SchedulingSnapshot, smallest: &Resources) -> Vec<usize> {
     let mut machines: Vec<usize> = (0..cluster.machines.len())
-        .filter(|index| cluster.machines[*index].free.fits(smallest))
+        .filter(|index| cluster.machines[*index].free.can_hold(smallest))
         .collect();
     machines.sort_by(|a, b| {
         let (a, b) = (&cluster.machines[*a], &cluster.machines[*b]);
@@ -324,10 +328,10 @@
 /// Machines are added for a crash-looping job only if the existing ones could not run it: the machines may have caused
 /// its failures, and it must not wait indefinitely. This is done for one crash-looping gang at a time; for
 /// crash-looping arrays see [`Planner::add_machines_for_crash_looping_arrays`].
-fn jobs_to_scale_for(cluster: &ClusterSnapshot) -> Vec<usize> {
+fn jobs_to_scale_for(cluster: &SchedulingSnapshot) -> Vec<usize> {
     let stranded_gang = (0..cluster.jobs.len()).find(|index| {
         let job = &cluster.jobs[*index];
-        job.crash_looping && job.gang && job.startable > 0 && !fleet_could_hold(cluster, *index)
+        job.crash_looping && job.is_gang && job.startable > 0 && !fleet_could_hold(cluster, *index)
     });
     let mut order: Vec<usize> = (0..cluster.jobs.len())
         .filter(|index| !cluster.jobs[*index].crash_looping || Some(*index) == stranded_gang)
@@ -340,14 +344,14 @@
 }
 
 /// Whether the plan may assign tasks of the job to an existing machine, regardless of free resources.
-fn may_use(cluster: &ClusterSnapshot, job_index: usize, machine: &MachineView) -> bool {
+fn may_use(cluster: &SchedulingSnapshot, job_index: usize, machine: &MachineView) -> bool {
     (machine.schedulable || machine.booting)
         && machine.eligible_for(job_index, &cluster.jobs[job_index])
 }
 
 /// Returns the shortest time in which a machine added now could run a task of the job, s: boot and image fetch. 0 if
 /// the job allows no machine type.
-fn provisioning_time(cluster: &ClusterSnapshot, job: &JobView) -> f64 {
+fn provisioning_time(cluster: &SchedulingSnapshot, job: &JobView) -> f64 {
     let fastest = cluster
         .machine_types
         .iter()
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -2,7 +2,7 @@
 //! placement (bin packing), preemption, relocation of replicas, and autoscaling.
 //!
 //! Nothing here reads a clock or does I/O. Times are seconds since an origin that the caller chooses. Machines, jobs,
-//! teams and machine types are identified by their index in the [`ClusterSnapshot`] that the caller passes, zones by
+//! teams and machine types are identified by their index in the [`SchedulingSnapshot`] that the caller passes, zones by
 //! an index that the caller assigns. The entry points are [`place`], which runs a scheduling round, [`preempt`],
 //! [`relocate`] and [`plan_scaling`].
 
@@ -20,10 +20,10 @@
 
 pub use autoscaling::{MachineOffer, ScaleOut, ScalingPlan, plan_scaling};
 pub use feasibility::{Infeasible, check_feasible};
-pub use min_tasks::{desired_tasks, min_tasks, min_tasks_need_rewrite};
+pub use min_tasks::{desired_tasks, min_tasks, should_rewrite_min_tasks};
 pub use placement::{Placement, QuotaReservation, RoundOutcome, place};
-pub use preemption::{Preemption, Victim, preempt};
+pub use preemption::{PlacedTaskRef, Preemption, preempt};
 pub use relocation::{Relocation, RelocationLimits, ReplicaMove, relocate};
 pub use resources::Resources;
 pub use scheduling_queue::{QueueEntry, scheduling_queue};
-pub use snapshot::{ClusterSnapshot, JobView, MachineView, PlacedTaskView, Quota, TeamView};
+pub use snapshot::{JobView, MachineView, PlacedTaskView, Quota, SchedulingSnapshot, TeamView};
--- a/crates/policy/src/min_tasks/tests.rs
+++ b/crates/policy/src/min_tasks/tests.rs
@@ -15,15 +15,15 @@
     assert_eq!(min_tasks(&array, 120.0), 39, "the deadline has passed: all unfinished tasks");
     array.deadline = None;
     assert_eq!(min_tasks(&array, 0.0), 0, "no deadline: no minimum");
-    array.daemon = true;
+    array.is_daemon = true;
     assert_eq!(min_tasks(&array, 0.0), 39, "the minimum of a daemon is all its replicas");
 }
 
 #[test]
 fn min_tasks_record_is_rewritten_after_change_of_one_quarter() {
-    assert!(min_tasks_need_rewrite(None, 3), "no minimum is stored yet");
-    assert!(!min_tasks_need_rewrite(Some(8), 9));
-    assert!(min_tasks_need_rewrite(Some(8), 10));
-    assert!(min_tasks_need_rewrite(Some(8), 6));
-    assert!(!min_tasks_need_rewrite(Some(0), 0));
+    assert!(should_rewrite_min_tasks(None, 3), "no minimum is stored yet");
+    assert!(!should_rewrite_min_tasks(Some(8), 9));
+    assert!(should_rewrite_min_tasks(Some(8), 10));
+    assert!(should_rewrite_min_tasks(Some(8), 6));
+    assert!(!should_rewrite_min_tasks(Some(0), 0));
 }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -6,7 +6,7 @@
 pub(crate) use reservation::fleet_could_hold;
 
 use crate::preemption::is_preemption_cheaper;
-use crate::{ClusterSnapshot, JobView, MachineView, QueueEntry, Resources, scheduling_queue};
+use crate::{JobView, MachineView, QueueEntry, Resources, SchedulingSnapshot, scheduling_queue};
 use cost::machines_by_cost;
 use hookway_constants as constants;
 use hookway_time::millis_f64;
@@ -45,10 +45,10 @@
 /// Runs one scheduling round: assigns tasks to free resources in the order of the scheduling queue, within the limits
 /// of teams and the zone and machine constraints of jobs. Updates the snapshot with the placed tasks and the reserved
 /// machines.
-pub fn place(cluster: &mut ClusterSnapshot) -> RoundOutcome {
+pub fn place(cluster: &mut SchedulingSnapshot) -> RoundOutcome {
     let in_service = |machine: &&MachineView| machine.schedulable && !machine.booting;
     let cpu_capacity =
-        cluster.machines.iter().filter(in_service).map(|machine| machine.total.cpus).sum();
+        cluster.machines.iter().filter(in_service).map(|machine| machine.capacity.cpus).sum();
     let queue = scheduling_queue(&cluster.jobs, cluster.now, cpu_capacity);
     let mut round = Round::new(cluster);
     for entry in queue {
@@ -59,7 +59,7 @@
 
 /// A scheduling round in progress.
 struct Round<'a> {
-    cluster: &'a mut ClusterSnapshot,
+    cluster: &'a mut SchedulingSnapshot,
     /// The smallest request per resource; a machine with less free resources can take no task.
     smallest_request: Resources,
     /// Indexes of the machines that may have free resources for some task.
@@ -70,7 +70,7 @@
 }
 
 impl<'a> Round<'a> {
-    fn new(cluster: &'a mut ClusterSnapshot) -> Self {
+    fn new(cluster: &'a mut SchedulingSnapshot) -> Self {
         let candidates = (0..cluster.machines.len())
             .filter(|index| cluster.machines[*index].schedulable)
             .collect();
@@ -86,17 +86,17 @@
     /// Places the tasks of a queue entry, or reserves resources if the entry is for a gang that does not fit.
     fn place_entry(&mut self, entry: QueueEntry) {
         let machines = &self.cluster.machines;
-        self.candidates.retain(|index| machines[*index].free.fits(&self.smallest_request));
+        self.candidates.retain(|index| machines[*index].free.can_hold(&self.smallest_request));
         let machines = place_job(self.cluster, entry.job, entry.tasks, &self.candidates);
         let job = &self.cluster.jobs[entry.job];
         let placed = machines.len() as u32;
-        if !job.gang && placed < entry.tasks.min(job.startable) {
+        if !job.is_gang && placed < entry.tasks.min(job.startable) {
             let tasks = entry.tasks - placed;
             self.outcome.unplaced.push(QueueEntry { tasks, ..entry });
         }
         if !machines.is_empty() {
             self.outcome.placements.push(Placement { job: entry.job, machines });
-        } else if job.gang && !entry.leftover && !job.crash_looping {
+        } else if job.is_gang && !entry.is_backfill && !job.crash_looping {
             self.reserve_for_gang(entry.job);
         }
     }
@@ -107,11 +107,11 @@
     /// reserved immediately for the first waiting gang of a team, since tasks preempted for the gang would otherwise
     /// restart within that quota. Machines are reserved after `GANG_RESERVATION_DELAY`. A gang that the existing
     /// machines can't hold even when they are cleared must not block its team's other jobs indefinitely: it gets no
-    /// reservations after `GANG_RESERVATION_LIMIT`.
+    /// reservations after `MAX_GANG_RESERVATION_WAIT`.
     fn reserve_for_gang(&mut self, job_index: usize) {
         let job = &self.cluster.jobs[job_index];
         let waited_ms = (self.cluster.now - job.waiting_since) * 1000.0;
-        let waited_too_long = waited_ms >= millis_f64(constants::GANG_RESERVATION_LIMIT);
+        let waited_too_long = waited_ms >= millis_f64(constants::MAX_GANG_RESERVATION_WAIT);
         if waited_too_long && !fleet_could_hold(self.cluster, job_index) {
             return;
         }
@@ -168,14 +168,14 @@
     machine.schedulable
         && !machine.booting
         && machine.eligible_for(job_index, job)
-        && machine.free.fits(&job.request)
+        && machine.free.can_hold(&job.request)
         && job.may_use_zone(machine.zone)
 }
 
 /// Places up to `tasks` tasks of an array or a daemon, or either all startable tasks of a gang or none. Updates the
 /// snapshot and returns the machine of each task.
 fn place_job(
-    cluster: &mut ClusterSnapshot,
+    cluster: &mut SchedulingSnapshot,
     job_index: usize,
     tasks: u32,
     candidates: &[usize],
@@ -184,13 +184,13 @@
     let team = cluster.teams.get(job.team).cloned().unwrap_or_default();
     let tasks = tasks.min(job.startable);
     let allowed = team.remaining_tasks(&job.request).min(tasks);
-    if allowed == 0 || (job.gang && allowed < tasks) {
+    if allowed == 0 || (job.is_gang && allowed < tasks) {
         return Vec::new();
     }
-    let gang = job.gang;
+    let is_gang = job.is_gang;
     let zone = zone_for_first_task(cluster, job_index);
     let ranking = machines_by_cost(cluster, job_index, zone, candidates);
-    if gang {
+    if is_gang {
         place_gang(cluster, job_index, tasks, &ranking)
     } else {
         assign_tasks(cluster, job_index, allowed, &ranking)
@@ -199,27 +199,27 @@
 
 /// Returns the zone with free resources for most tasks, if the job must be in one zone and has no task placed yet;
 /// otherwise `None`.
-fn zone_for_first_task(cluster: &ClusterSnapshot, job_index: usize) -> Option<usize> {
+fn zone_for_first_task(cluster: &SchedulingSnapshot, job_index: usize) -> Option<usize> {
     let job = &cluster.jobs[job_index];
-    if !job.one_zone || job.placed_per_zone.iter().any(|placed| *placed > 0) {
+    if !job.needs_one_zone || job.placed_per_zone.iter().any(|placed| *placed > 0) {
         return None;
     }
     (0..cluster.zone_count()).max_by_key(|zone| tasks_fitting_in_zone(cluster, job_index, *zone))
 }
 
 /// Returns how many tasks of the job fit in the free resources of a zone.
-fn tasks_fitting_in_zone(cluster: &ClusterSnapshot, job_index: usize, zone: usize) -> u32 {
+fn tasks_fitting_in_zone(cluster: &SchedulingSnapshot, job_index: usize, zone: usize) -> u32 {
     let job = &cluster.jobs[job_index];
     cluster
         .machines
         .iter()
         .filter(|machine| machine.zone == zone && is_usable(job_index, job, machine))
-        .fold(0u32, |sum, machine| sum.saturating_add(machine.free.capacity_for(&job.request)))
+        .fold(0u32, |sum, machine| sum.saturating_add(machine.free.max_tasks(&job.request)))
 }
 
 /// Assigns up to `tasks` tasks to machines in the order of a ranking, and returns the machine of each task.
 fn assign_tasks(
-    cluster: &mut ClusterSnapshot,
+    cluster: &mut SchedulingSnapshot,
     job_index: usize,
     tasks: u32,
     ranking: &[usize],
@@ -240,7 +240,7 @@
 }
 
 /// Assigns one task of the job to a machine in the snapshot.
-fn assign(cluster: &mut ClusterSnapshot, job_index: usize, machine: usize) {
+fn assign(cluster: &mut SchedulingSnapshot, job_index: usize, machine: usize) {
     let request = cluster.jobs[job_index].request;
     let zone = cluster.machines[machine].zone;
     cluster.machines[machine].free.subtract(&request);
@@ -257,7 +257,7 @@
 
 /// Assigns all `tasks` of a gang and returns their machines; or returns none and leaves the snapshot as it was.
 fn place_gang(
-    cluster: &mut ClusterSnapshot,
+    cluster: &mut SchedulingSnapshot,
     job_index: usize,
     tasks: u32,
     ranking: &[usize],
@@ -289,7 +289,7 @@
 /// The tasks of a gang start together, so a single image fetch delays all of them. Waiting is cheaper than the fetch
 /// if machines that hold the image are being cleared for the gang, or can be cleared at a lower cost.
 fn should_wait_for_preemption(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job_index: usize,
     machines: &[usize],
 ) -> bool {
--- a/crates/policy/src/placement/cost.rs
+++ b/crates/policy/src/placement/cost.rs
@@ -1,7 +1,7 @@
 //! The placement cost, which ranks the machines for a task (bin packing).
 
 use super::is_usable;
-use crate::{ClusterSnapshot, JobView, MachineView};
+use crate::{JobView, MachineView, SchedulingSnapshot};
 use hookway_constants as constants;
 
 /// Upper bound of the price excess in the placement cost, in multiples of the cheapest price per CPU, so that the
@@ -12,11 +12,11 @@
 /// cost is the time to fetch the image (image locality) plus penalties that keep whole machines free for work that
 /// needs them.
 pub(super) fn placement_cost(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job: &JobView,
     machine: &MachineView,
 ) -> f64 {
-    let mut cost = constants::IMAGE_MISS_PENALTY * cluster.fetch_time(job, machine);
+    let mut cost = constants::IMAGE_FETCH_WEIGHT * cluster.fetch_time(job, machine);
     // Prefer machines in use to empty ones, and small machines to large ones, of which a larger share stays free.
     let share_left_free = 1.0 - job.request.dominant_share_of(&machine.free).min(1.0);
     cost += constants::LOOSE_FIT_PENALTY_S * share_left_free;
@@ -25,8 +25,8 @@
     }
     // Leave machines that are large enough for a gang's task to gangs: preempting other tasks there loses their work.
     let could_hold_gang_task =
-        || cluster.gang_requests.iter().any(|request| machine.total.fits(request));
-    if !job.gang && could_hold_gang_task() {
+        || cluster.gang_requests.iter().any(|request| machine.capacity.can_hold(request));
+    if !job.is_gang && could_hold_gang_task() {
         cost += constants::GANG_MACHINE_PENALTY_S;
     }
     // Use expensive machines last, so that they become idle first and are scaled in.
@@ -48,7 +48,7 @@
 /// one is given. Placing a task lowers the cost of its machine for the next task and leaves the cost of the other
 /// machines unchanged, so one ranking is enough to place any number of tasks.
 pub(super) fn machines_by_cost(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job_index: usize,
     zone: Option<usize>,
     candidates: &[usize],
--- a/crates/policy/src/preemption.rs
+++ b/crates/policy/src/preemption.rs
@@ -6,7 +6,7 @@
 mod victims;
 
 use crate::scheduling_queue::{awaits_first_start, first_start_order};
-use crate::{ClusterSnapshot, JobView, MachineView, TeamView};
+use crate::{JobView, MachineView, SchedulingSnapshot, TeamView};
 use deadlines::preempt_for_deadlines;
 use hookway_constants as constants;
 use hookway_time::millis_f64;
@@ -14,9 +14,9 @@
 pub(crate) use search::{ImageLocality, PricedPreemption, SearchScope, find_preemption};
 pub(crate) use victims::{Displaceable, may_preempt, victims_on_machine};
 
-/// A task that has to leave its machine.
+/// Refers to a placed task that has to leave its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Victim {
+pub struct PlacedTaskRef {
     /// Index of its machine.
     pub machine: usize,
     /// The task's `id` in its [`PlacedTaskView`](crate::PlacedTaskView).
@@ -31,7 +31,7 @@
     /// Indexes of the machines to reserve for the beneficiary until it starts; empty if it needs no reservation.
     pub machines: Vec<usize>,
     /// Tasks to stop for the beneficiary.
-    pub victims: Vec<Victim>,
+    pub victims: Vec<PlacedTaskRef>,
 }
 
 impl Preemption {
@@ -45,7 +45,7 @@
         }
     }
 
-    fn add_victim(&mut self, victim: Victim) {
+    fn add_victim(&mut self, victim: PlacedTaskRef) {
         if !self.victims.contains(&victim) {
             self.victims.push(victim);
         }
@@ -57,7 +57,7 @@
 ///
 /// The latter get only their minimum: all tasks of a gang, all replicas of a daemon (or one, if there are not enough
 /// resources for all), one task of an array per round.
-pub fn preempt(cluster: &ClusterSnapshot) -> Vec<Preemption> {
+pub fn preempt(cluster: &SchedulingSnapshot) -> Vec<Preemption> {
     let mut preemptions = preempt_for_deadlines(cluster);
     let mut taken = vec![false; cluster.machines.len()];
     for job_index in jobs_that_may_preempt(cluster) {
@@ -69,7 +69,7 @@
             continue;
         }
         let mut found = cheapest_preemption(cluster, job_index, tasks, &taken);
-        if found.is_none() && job.daemon {
+        if found.is_none() && job.is_daemon {
             // There are not enough resources for all replicas: place at least one, since each is useful by itself.
             found = cheapest_preemption(cluster, job_index, 1, &taken);
         }
@@ -84,7 +84,7 @@
 }
 
 /// Returns the jobs that wait for their first start and may preempt others, in the order in which they should start.
-fn jobs_that_may_preempt(cluster: &ClusterSnapshot) -> Vec<usize> {
+fn jobs_that_may_preempt(cluster: &SchedulingSnapshot) -> Vec<usize> {
     // Unless some team has a guarantee, only jobs above the lowest priority among the placed tasks can preempt.
     let placed = cluster.machines.iter().flat_map(|machine| &machine.placed_tasks);
     let lowest = placed.map(|task| cluster.jobs[task.job].priority).min();
@@ -100,11 +100,12 @@
     waiting
 }
 
-/// Whether a job has waited for its first start for at least `PREEMPT_AFTER`, and no schedulable machine is reserved
+/// Whether a job has waited for its first start for at least `PREEMPTION_WAIT`, and no schedulable machine is reserved
 /// for it already.
-pub(crate) fn is_due_for_preemption(cluster: &ClusterSnapshot, index: usize) -> bool {
+pub(crate) fn is_due_for_preemption(cluster: &SchedulingSnapshot, index: usize) -> bool {
     let job = &cluster.jobs[index];
-    let not_started = if job.gang { job.startable == job.tasks } else { awaits_first_start(job) };
+    let not_started =
+        if job.is_gang { job.startable == job.tasks } else { awaits_first_start(job) };
     let waited_s = cluster.now - job.waiting_since;
     // A machine that was cleared for the job but is no longer schedulable does not count: the job can't start there.
     let is_cleared_for =
@@ -112,14 +113,14 @@
     job.startable > 0
         && !job.crash_looping
         && not_started
-        && waited_s >= millis_f64(constants::PREEMPT_AFTER) / 1000.0
+        && waited_s >= millis_f64(constants::PREEMPTION_WAIT) / 1000.0
         && !cluster.machines.iter().any(is_cleared_for)
 }
 
 /// Whether preempting tasks for a gang on machines that hold its image costs less than `fetch_cost`, the CPU seconds
 /// lost by an image fetch.
 pub(crate) fn is_preemption_cheaper(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job_index: usize,
     fetch_cost: f64,
 ) -> bool {
@@ -135,7 +136,7 @@
 /// For a gang, the cheapest preemption on machines that hold the image is compared with the cheapest on any machines.
 /// The tasks of a gang start together, so the longest fetch keeps the resources of all of them idle.
 fn cheapest_preemption(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job_index: usize,
     tasks: u32,
     taken: &[bool],
@@ -143,7 +144,7 @@
     let job = &cluster.jobs[job_index];
     let scope = SearchScope::preemption(taken);
     let anywhere = find_preemption(cluster, job_index, tasks, scope);
-    if !job.gang {
+    if !job.is_gang {
         return anywhere.map(|found| found.preemption);
     }
     let cached_only = SearchScope { locality: ImageLocality::Cached, ..scope };
--- a/crates/policy/src/preemption/quota.rs
+++ b/crates/policy/src/preemption/quota.rs
@@ -1,8 +1,8 @@
 //! Preemption within a team whose limit does not allow a job to start.
 
 use super::victims::lost_work;
-use super::{Preemption, Victim};
-use crate::{ClusterSnapshot, PlacedTaskView};
+use super::{PlacedTaskRef, Preemption};
+use crate::{PlacedTaskView, SchedulingSnapshot};
 
 /// A task that could be stopped.
 struct Candidate<'a> {
@@ -15,7 +15,7 @@
 /// Chooses tasks of lower priority in the job's own team to stop, so that the team's limit allows `tasks` more tasks
 /// of the job. Returns `None` if that is not possible, or if the tasks that are terminating already are enough.
 pub(super) fn preempt_for_quota(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job_index: usize,
     tasks: u32,
 ) -> Option<Preemption> {
@@ -43,7 +43,7 @@
             break;
         }
         team.used.subtract(&task.request);
-        preemption.victims.push(Victim { machine, task: task.id });
+        preemption.victims.push(PlacedTaskRef { machine, task: task.id });
     }
     let within_limit = team.remaining_tasks(&job.request) >= tasks;
     (within_limit && !preemption.victims.is_empty()).then_some(preemption)
--- a/crates/policy/src/preemption/search.rs
+++ b/crates/policy/src/preemption/search.rs
@@ -1,8 +1,8 @@
 //! The search for the cheapest set of machines to clear for a job.
 
 use super::victims::{Displaceable, MachineVictims, victims_on_machine};
-use super::{Preemption, Victim};
-use crate::{ClusterSnapshot, JobView};
+use super::{PlacedTaskRef, Preemption};
+use crate::{JobView, SchedulingSnapshot};
 
 /// Which machines a search considers, by the images that they hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -44,14 +44,17 @@
 /// Returns the cheapest preemption that frees resources for `tasks` tasks of a job within a scope, `None` if there is
 /// none. For a job that must be in one zone, all machines are in the zone with the lowest cost.
 pub(crate) fn find_preemption(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job_index: usize,
     tasks: u32,
     scope: SearchScope<'_>,
 ) -> Option<PricedPreemption> {
     let job = &cluster.jobs[job_index];
-    let zones: Vec<Option<usize>> =
-        if job.one_zone { (0..job.placed_per_zone.len()).map(Some).collect() } else { vec![None] };
+    let zones: Vec<Option<usize>> = if job.needs_one_zone {
+        (0..job.placed_per_zone.len()).map(Some).collect()
+    } else {
+        vec![None]
+    };
     let mut cheapest: Option<PricedPreemption> = None;
     for zone in zones {
         let search = Search::new(cluster, job_index, tasks, scope, zone);
@@ -71,7 +74,7 @@
 
 /// A search in one zone, or in all zones together.
 struct Search<'a> {
-    cluster: &'a ClusterSnapshot,
+    cluster: &'a SchedulingSnapshot,
     job: &'a JobView,
     job_index: usize,
     scope: SearchScope<'a>,
@@ -89,7 +92,7 @@
 
 impl<'a> Search<'a> {
     fn new(
-        cluster: &'a ClusterSnapshot,
+        cluster: &'a SchedulingSnapshot,
         job_index: usize,
         tasks: u32,
         scope: SearchScope<'a>,
@@ -117,7 +120,7 @@
         // there is no other way to get resources for it.
         let moves_replicas =
             matches!(self.scope.displaceable, Displaceable::PreemptibleOrMovable(_));
-        let passes = if self.job.daemon || moves_replicas { self.tasks_left } else { 1 };
+        let passes = if self.job.is_daemon || moves_replicas { self.tasks_left } else { 1 };
         for _ in 0..passes {
             let tasks_before = self.tasks_left;
             for candidate in self.candidates() {
@@ -168,7 +171,7 @@
             && machine.eligible_for(self.job_index, self.job)
             && self.job.may_use_zone(machine.zone)
             && self.zone.is_none_or(|zone| zone == machine.zone)
-            && machine.total.fits(&self.job.request.times(self.planned[index] + 1))
+            && machine.capacity.can_hold(&self.job.request.times(self.planned[index] + 1))
             && (self.scope.locality == ImageLocality::Any || has_image())
     }
 
@@ -182,7 +185,7 @@
         }
         self.cost += victims.cost;
         // If tasks fit in what is free already, plan as many as fit; otherwise clear the machine for one task.
-        let free = machine.free.capacity_for(&self.job.request).saturating_sub(self.planned[index]);
+        let free = machine.free.max_tasks(&self.job.request).saturating_sub(self.planned[index]);
         let tasks = free.max(1).min(self.tasks_left);
         self.tasks_left -= tasks;
         self.planned[index] += tasks;
@@ -191,7 +194,7 @@
         }
         self.preemption.add_machine(index);
         for task in victims.tasks {
-            self.preemption.add_victim(Victim { machine: index, task });
+            self.preemption.add_victim(PlacedTaskRef { machine: index, task });
         }
     }
 }
--- a/crates/policy/src/preemption/victims.rs
+++ b/crates/policy/src/preemption/victims.rs
@@ -1,7 +1,7 @@
 //! Which tasks may have to leave one machine for a job, and the cost of that.
 
 use crate::relocation::MovableReplicas;
-use crate::{ClusterSnapshot, PlacedTaskView};
+use crate::{PlacedTaskView, SchedulingSnapshot};
 use hookway_constants as constants;
 
 /// Maximum run time that a checkpointing task loses when it is stopped, s: the time since its last checkpoint.
@@ -23,7 +23,7 @@
     /// Whether a task may leave its machine for a job.
     fn includes(
         self,
-        cluster: &ClusterSnapshot,
+        cluster: &SchedulingSnapshot,
         job_index: usize,
         machine_index: usize,
         task: &PlacedTaskView,
@@ -50,16 +50,20 @@
 
 /// Returns the weighted work lost by stopping a task, in CPU seconds. A checkpointing task loses only the work since
 /// its last checkpoint.
-pub(super) fn lost_work(cluster: &ClusterSnapshot, task: &PlacedTaskView) -> f64 {
+pub(super) fn lost_work(cluster: &SchedulingSnapshot, task: &PlacedTaskView) -> f64 {
     let job = &cluster.jobs[task.job];
-    let seconds = if job.checkpoints { task.elapsed.min(MAX_UNSAVED_S) } else { task.elapsed };
+    let seconds = if job.writes_checkpoints {
+        task.running_time.min(MAX_UNSAVED_S)
+    } else {
+        task.running_time
+    };
     // Stopping one task of a gang stops all of them.
-    let tasks = if job.gang { f64::from(job.tasks) } else { 1.0 };
+    let tasks = if job.is_gang { f64::from(job.tasks) } else { 1.0 };
     // Making a job late is worse than the lost work alone; a job that is late already can't miss its deadline again.
     let restarted_end = cluster.now + job.task_time();
     let weight = match job.deadline {
         Some(deadline) if cluster.now > deadline => constants::LATE_VICTIM_WEIGHT,
-        Some(deadline) if restarted_end > deadline => constants::TIGHT_VICTIM_WEIGHT,
+        Some(deadline) if restarted_end > deadline => constants::DEADLINE_VICTIM_WEIGHT,
         _ => 1.0,
     };
     (1.0 + seconds) * task.request.cpus.max(MIN_VICTIM_CPUS) * tasks * weight
@@ -68,7 +72,7 @@
 /// Whether a job may preempt a task: either the job has the higher priority; or it would stay within its team's
 /// guarantee, and the task belongs to another team that exceeds its own guarantee.
 pub(crate) fn may_preempt(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job_index: usize,
     task: &PlacedTaskView,
 ) -> bool {
@@ -97,7 +101,7 @@
 /// Chooses tasks to stop on a machine so that `tasks` tasks of a job fit there, starting with those that lose least
 /// work; `None` if stopping all displaceable tasks is not enough.
 pub(crate) fn victims_on_machine(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job_index: usize,
     machine_index: usize,
     tasks: u32,
@@ -125,16 +129,16 @@
     let mut victims = Vec::new();
     let mut longest_stop: f64 = 0.0;
     for Candidate { lost_work, task, .. } in candidates {
-        if free.fits(&request) {
+        if free.can_hold(&request) {
             break;
         }
         free.add(&task.request);
         cost += lost_work;
-        let stop = constants::PREEMPTION_DELAY_S + cluster.jobs[task.job].checkpoint_time;
+        let stop = constants::ASSUMED_STOP_DURATION_S + cluster.jobs[task.job].checkpoint_time;
         longest_stop = longest_stop.max(stop);
         victims.push(task.id);
     }
     // The job waits until the victims have been told to stop and have written their checkpoints.
     cost += longest_stop * request.cpus;
-    free.fits(&request).then_some(MachineVictims { cost, tasks: victims })
+    free.can_hold(&request).then_some(MachineVictims { cost, tasks: victims })
 }
--- a/crates/policy/src/relocation.rs
+++ b/crates/policy/src/relocation.rs
@@ -9,7 +9,8 @@
 };
 use crate::scheduling_queue::first_start_order;
 use crate::{
-    ClusterSnapshot, JobView, MachineView, PlacedTaskView, Preemption, Resources, TeamView, Victim,
+    JobView, MachineView, PlacedTaskRef, PlacedTaskView, Preemption, Resources, SchedulingSnapshot,
+    TeamView,
 };
 use hookway_constants as constants;
 use hookway_time::millis_f64;
@@ -21,11 +22,11 @@
     /// Index of the replica's job.
     pub job: usize,
     /// The replica on its present machine.
-    pub replica: Victim,
+    pub replica: PlacedTaskRef,
     /// Index of the machine that the replica moves to.
     pub target: usize,
     /// Tasks to preempt on the target for the replica; empty if the target has enough free resources.
-    pub victims: Vec<Victim>,
+    pub victims: Vec<PlacedTaskRef>,
 }
 
 /// The moves and preemptions that free resources for one job, the beneficiary.
@@ -36,7 +37,7 @@
     /// Index of the machine planned for each task that the beneficiary can start.
     pub task_machines: Vec<usize>,
     /// Tasks to preempt on these machines.
-    pub victims: Vec<Victim>,
+    pub victims: Vec<PlacedTaskRef>,
     /// Moves of replicas away from these machines.
     pub moves: Vec<ReplicaMove>,
 }
@@ -58,7 +59,7 @@
 /// priority are preempted first. Each relocation therefore ends with fewer waiting tasks than it began with, and a
 /// sequence of relocations terminates.
 pub fn relocate(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     preemptions: &[Preemption],
     limits: RelocationLimits,
 ) -> Vec<Relocation> {
@@ -88,9 +89,9 @@
     relocations
 }
 
-/// Returns the gangs and daemons that have waited for at least `RELOCATE_AFTER`, are due for preemption and not busy.
-fn waiting_jobs(cluster: &ClusterSnapshot, busy_jobs: &HashSet<usize>) -> Vec<usize> {
-    let delay_s = millis_f64(constants::RELOCATE_AFTER) / 1000.0;
+/// Returns the gangs and daemons that have waited for at least `RELOCATION_WAIT`, are due for preemption and not busy.
+fn waiting_jobs(cluster: &SchedulingSnapshot, busy_jobs: &HashSet<usize>) -> Vec<usize> {
+    let delay_s = millis_f64(constants::RELOCATION_WAIT) / 1000.0;
     let is_waiting = |index: &usize| {
         let job = &cluster.jobs[*index];
         job.needs_all_tasks_at_once()
@@ -105,13 +106,13 @@
 /// Plans the relocation that lets all startable tasks of a gang, or one replica of a daemon, start; `None` if there is
 /// none, or if preemption alone is enough.
 fn relocate_for(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job_index: usize,
     taken: &[bool],
     busy_jobs: &HashSet<usize>,
 ) -> Option<Relocation> {
     let job = &cluster.jobs[job_index];
-    let tasks = if job.gang { job.startable } else { 1 };
+    let tasks = if job.is_gang { job.startable } else { 1 };
     let team = cluster.teams.get(job.team);
     if team.is_some_and(|team| team.remaining_tasks(&job.request) < tasks) {
         return None;
@@ -129,21 +130,24 @@
     let found = find_preemption(cluster, job_index, tasks, scope)?;
     let mut planner = MovePlanner::new(cluster, taken, &found.task_machines);
     let mut victims = Vec::new();
-    for victim in found.preemption.victims {
-        let placed = placed_task(cluster, &victim)?;
+    for task in found.preemption.victims {
+        let placed = placed_task(cluster, &task)?;
         if may_preempt(cluster, job_index, placed) {
-            victims.push(victim);
+            victims.push(task);
         } else {
-            planner.plan_move(victim, placed.job)?;
+            planner.plan_move(task, placed.job)?;
         }
     }
     let task_machines = found.task_machines;
     Some(Relocation { job: job_index, task_machines, victims, moves: planner.moves })
 }
 
-fn placed_task<'a>(cluster: &'a ClusterSnapshot, victim: &Victim) -> Option<&'a PlacedTaskView> {
-    let machine = &cluster.machines[victim.machine];
-    machine.placed_tasks.iter().find(|placed| placed.id == victim.task)
+fn placed_task<'a>(
+    cluster: &'a SchedulingSnapshot,
+    task_ref: &PlacedTaskRef,
+) -> Option<&'a PlacedTaskView> {
+    let machine = &cluster.machines[task_ref.machine];
+    machine.placed_tasks.iter().find(|placed| placed.id == task_ref.task)
 }
 
 /// Returns the job as it is after one of its replicas in `zone` has stopped.
@@ -167,7 +171,7 @@
 /// Determines how machine `index` with the resources `free` can take a replica of `job`; `None` if it can't. `job`
 /// does not include the replica.
 fn replica_fit(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     job_index: usize,
     job: &JobView,
     index: usize,
@@ -181,7 +185,7 @@
     if !usable {
         return None;
     }
-    if free.fits(&job.request) {
+    if free.can_hold(&job.request) {
         return Some(ReplicaFit::Immediate);
     }
     let victims = victims_on_machine(cluster, job_index, index, 1, Displaceable::Preemptible)?;
@@ -216,8 +220,8 @@
     /// Finds the machines, except `taken` ones, that have free resources for the smallest replica, or a task of lower
     /// priority than that of the highest daemon. If a team has a guarantee, any task counts. This spares a check of
     /// all machines for each of possibly thousands of daemons.
-    fn find(cluster: &ClusterSnapshot, taken: &[bool]) -> Self {
-        let daemons = || cluster.jobs.iter().filter(|job| job.daemon);
+    fn find(cluster: &SchedulingSnapshot, taken: &[bool]) -> Self {
+        let daemons = || cluster.jobs.iter().filter(|job| job.is_daemon);
         let highest = daemons().map(|job| job.priority).max();
         let smallest = smallest_request(daemons());
         let any_guarantee = cluster.teams.iter().any(TeamView::has_guarantee);
@@ -228,7 +232,7 @@
                     || highest.is_some_and(|highest| cluster.jobs[task.job].priority < highest)
             };
             let is_possible_target =
-                machine.free.fits(&smallest) || machine.placed_tasks.iter().any(can_be_cleared);
+                machine.free.can_hold(&smallest) || machine.placed_tasks.iter().any(can_be_cleared);
             if is_possible_target && machine.schedulable && !machine.booting && !taken[index] {
                 by_zone[machine.zone].push(index);
             }
@@ -248,7 +252,7 @@
     /// Finds the replicas on machines that the job may use, of at most the job's priority. Replicas of a daemon stay
     /// if any of its replicas is not placed.
     fn find(
-        cluster: &ClusterSnapshot,
+        cluster: &SchedulingSnapshot,
         job_index: usize,
         taken: &[bool],
         busy_jobs: &HashSet<usize>,
@@ -264,7 +268,7 @@
             }
             for task in &machine.placed_tasks {
                 let other = &cluster.jobs[task.job];
-                let complete_daemon = other.daemon && other.placed >= other.tasks;
+                let complete_daemon = other.is_daemon && other.placed >= other.tasks;
                 if task.job != job_index
                     && complete_daemon
                     && other.priority <= job.priority
@@ -298,7 +302,7 @@
 
 /// Returns the first machines that could take a replica of the group.
 fn find_targets(
-    cluster: &ClusterSnapshot,
+    cluster: &SchedulingSnapshot,
     group: ReplicaGroup,
     possible: &PossibleTargets,
 ) -> Targets {
@@ -331,7 +335,7 @@
 
 /// Assigns the replicas of one relocation to machines.
 struct MovePlanner<'a> {
-    cluster: &'a ClusterSnapshot,
+    cluster: &'a SchedulingSnapshot,
     /// Per machine: whether it takes no (further) replica, since it is taken for another job, cleared for the
     /// beneficiary, or cleared for a replica.
     closed: Vec<bool>,
@@ -343,7 +347,7 @@
 }
 
 impl<'a> MovePlanner<'a> {
-    fn new(cluster: &'a ClusterSnapshot, taken: &[bool], cleared: &[usize]) -> Self {
+    fn new(cluster: &'a SchedulingSnapshot, taken: &[bool], cleared: &[usize]) -> Self {
         let mut closed = taken.to_vec();
         for machine in cleared {
             closed[*machine] = true;
@@ -352,7 +356,7 @@
     }
 
     /// Plans the move of a replica to the best target; `None` if there is none.
-    fn plan_move(&mut self, replica: Victim, job_index: usize) -> Option<()> {
+    fn plan_move(&mut self, replica: PlacedTaskRef, job_index: usize) -> Option<()> {
         let cluster = self.cluster;
         let source_zone = cluster.machines[replica.machine].zone;
         let before_move = self.jobs.get(&job_index).unwrap_or(&cluster.jobs[job_index]);
@@ -366,7 +370,8 @@
             *placed += 1;
         }
         self.jobs.insert(job_index, job);
-        let victims = victims.into_iter().map(|task| Victim { machine: target, task }).collect();
+        let victims =
+            victims.into_iter().map(|task| PlacedTaskRef { machine: target, task }).collect();
         self.moves.push(ReplicaMove { job: job_index, replica, target, victims });
         Some(())
     }
--- a/crates/policy/src/scheduling_queue.rs
+++ b/crates/policy/src/scheduling_queue.rs
@@ -14,9 +14,9 @@
     pub job: usize,
     /// Maximum number of tasks to place for this entry.
     pub tasks: u32,
-    /// Whether the tasks exceed the job's minimum, or belong to a job without an objective. Such tasks get only the
-    /// resources that other entries leave free.
-    pub leftover: bool,
+    /// Whether the tasks are placed as backfill: they exceed the job's minimum, or belong to a job without an
+    /// objective. Such tasks get only the resources that other entries leave free.
+    pub is_backfill: bool,
 }
 
 fn deadline_or_infinity(job: &JobView) -> f64 {
@@ -34,18 +34,18 @@
 }
 
 /// Returns how many of its start objectives a job has missed. Jobs with fewer missed objectives start first. To
-/// prevent starvation, a job that has waited for longer than `START_DEADLINE_S` counts as having missed none.
+/// prevent starvation, a job that has waited for longer than `START_OBJECTIVE_LIMIT_S` counts as having missed none.
 fn missed_start_objectives(job: &JobView, now: f64) -> usize {
-    if now > job.submitted + constants::START_DEADLINE_S {
+    if now > job.submitted + constants::START_OBJECTIVE_LIMIT_S {
         return 0;
     }
-    job.start_by.iter().filter(|by| now > **by).count()
+    job.start_objectives.iter().filter(|by| now > **by).count()
 }
 
 /// Whether the job is a gang of which some tasks are placed and others are not. The placed tasks hold resources
 /// without doing work until the others are placed too, and the workers end them after a time limit.
 fn is_partially_placed_gang(job: &JobView) -> bool {
-    job.gang && job.startable > 0 && job.placed > 0
+    job.is_gang && job.startable > 0 && job.placed > 0
 }
 
 /// Compares two jobs that wait for their first start: higher priority first, then partially placed gangs, then fewer
@@ -87,7 +87,7 @@
     let mut demands: Vec<DeadlineDemand> = Vec::new();
     for (index, job) in jobs.iter().enumerate() {
         if job.needs_all_tasks_at_once() {
-            let tasks = if job.daemon { job.unfinished } else { job.placed.max(job.startable) };
+            let tasks = if job.is_daemon { job.unfinished } else { job.placed.max(job.startable) };
             free_cpus -= f64::from(tasks) * job.request.cpus;
             continue;
         }
@@ -112,7 +112,7 @@
 
 /// Whether the job is backfill: an array without an objective for its start or its end.
 pub(crate) fn has_no_objective(job: &JobView) -> bool {
-    !job.needs_all_tasks_at_once() && job.deadline.is_none() && job.start_by.is_empty()
+    !job.needs_all_tasks_at_once() && job.deadline.is_none() && job.start_objectives.is_empty()
 }
 
 /// Whether the job belongs to those that wait for their first start. Daemons and gangs always do: no other replica
@@ -179,11 +179,11 @@
     }
 
     fn push(&mut self, job: usize, tasks: u32) {
-        self.queue.push(QueueEntry { job, tasks, leftover: false });
+        self.queue.push(QueueEntry { job, tasks, is_backfill: false });
     }
 
-    fn push_leftover_entry(&mut self, job: usize, tasks: u32) {
-        self.queue.push(QueueEntry { job, tasks, leftover: true });
+    fn push_backfill_entry(&mut self, job: usize, tasks: u32) {
+        self.queue.push(QueueEntry { job, tasks, is_backfill: true });
     }
 
     /// Adds the minimum of each job that waits for its first start: one task of an array, all of a gang or daemon.
@@ -195,8 +195,8 @@
         }
     }
 
-    /// Adds deferred jobs and backfill older than `AGING_S`, oldest first, so that feasible jobs cannot starve them.
-    /// Together they get `AGING_CPU_SHARE` of the CPUs, including what their placed tasks use already.
+    /// Adds deferred jobs and backfill older than `AGING_THRESHOLD_S`, oldest first, so that feasible jobs cannot starve
+    /// them. Together they get `AGING_CPU_SHARE` of the CPUs, including what their placed tasks use already.
     fn push_aged(&mut self) {
         let mut aged: Vec<usize> =
             (0..self.jobs.len()).filter(|index| self.is_aged(*index)).collect();
@@ -214,19 +214,21 @@
         }
     }
 
-    /// Whether the job is older than `AGING_S` and would otherwise come after other jobs.
+    /// Whether the job is older than `AGING_THRESHOLD_S` and would otherwise come after other jobs.
     fn is_aged(&self, index: usize) -> bool {
         let job = &self.jobs[index];
         let comes_after_others =
-            has_no_objective(job) || !job.gang && !job.has_never_run() && self.deferred[index];
-        comes_after_others && !job.crash_looping && self.now > job.submitted + constants::AGING_S
+            has_no_objective(job) || !job.is_gang && !job.has_never_run() && self.deferred[index];
+        comes_after_others
+            && !job.crash_looping
+            && self.now > job.submitted + constants::AGING_THRESHOLD_S
     }
 
     /// Adds the tasks that started jobs need beyond their placed ones to reach their minimums.
     fn push_min_tasks(&mut self, started: &[usize]) {
         for &index in started {
             let job = &self.jobs[index];
-            let minimum = if job.gang { job.unfinished } else { min_tasks(job, self.now) };
+            let minimum = if job.is_gang { job.unfinished } else { min_tasks(job, self.now) };
             let missing = minimum.saturating_sub(job.placed).min(job.startable);
             if missing > 0 {
                 self.push(index, missing);
@@ -249,7 +251,7 @@
             feasible_first.then(work(*a).total_cmp(&work(*b)))
         });
         for index in arrays {
-            self.push_leftover_entry(index, self.jobs[index].startable);
+            self.push_backfill_entry(index, self.jobs[index].startable);
         }
     }
 
@@ -260,10 +262,10 @@
             b.priority.cmp(&a.priority).then(a.submitted.total_cmp(&b.submitted))
         });
         for &index in jobs.iter().filter(|index| self.jobs[**index].has_never_run()) {
-            self.push_leftover_entry(index, 1);
+            self.push_backfill_entry(index, 1);
         }
         for index in jobs {
-            self.push_leftover_entry(index, self.jobs[index].startable);
+            self.push_backfill_entry(index, self.jobs[index].startable);
         }
     }
 
--- a/crates/policy/src/scheduling_queue/tests.rs
+++ b/crates/policy/src/scheduling_queue/tests.rs
@@ -19,27 +19,27 @@
     let queue = scheduling_queue(&jobs, 0.0, 1000.0);
     let up_to_minimum: Vec<(usize, u32)> = queue
         .iter()
-        .filter(|entry| !entry.leftover)
+        .filter(|entry| !entry.is_backfill)
         .map(|entry| (entry.job, entry.tasks))
         .collect();
     // Minimum by 20 s: 10 s x 8 / 20 s = 4, of which two are placed. By 40 s: 10 s x 8 / 40 s = 2, both placed.
     assert_eq!(up_to_minimum, [(2, 1), (0, 1), (3, 2)]);
-    let leftover: Vec<usize> =
-        queue.iter().filter(|entry| entry.leftover).map(|entry| entry.job).collect();
+    let backfill: Vec<usize> =
+        queue.iter().filter(|entry| entry.is_backfill).map(|entry| entry.job).collect();
     assert_eq!(
-        leftover,
+        backfill,
         [3, 1, 2, 0],
         "least work left first, with equal work in the order of the groups"
     );
     let mut jobs = jobs;
     jobs[1].startable = 3;
     jobs[3].deadline = Some(-1.0);
-    let leftover: Vec<usize> = scheduling_queue(&jobs, 0.0, 1000.0)
+    let backfill: Vec<usize> = scheduling_queue(&jobs, 0.0, 1000.0)
         .iter()
-        .filter(|entry| entry.leftover)
+        .filter(|entry| entry.is_backfill)
         .map(|entry| entry.job)
         .collect();
-    assert_eq!(leftover, [1, 2, 0, 3], "least work left first, the late job last");
+    assert_eq!(backfill, [1, 2, 0, 3], "least work left first, the late job last");
 }
 
 /// Returns an array with one completed task, and `unfinished` others that should complete by `deadline`.
@@ -77,7 +77,7 @@
     // One late job, and 50 newer ones that could use all CPUs.
     let mut late = started(500, 5.0);
     late.submitted = 0.0;
-    let now = constants::AGING_S + 1.0;
+    let now = constants::AGING_THRESHOLD_S + 1.0;
     let mut jobs = vec![late];
     jobs.extend((0..50).map(|_| JobView { submitted: now - 1.0, ..started(10, now + 15.0) }));
     let queue = scheduling_queue(&jobs, now, 100.0);
@@ -89,24 +89,24 @@
     assert_ne!(
         scheduling_queue(&jobs, 20.0, 100.0)[0].job,
         0,
-        "before AGING_S the late job comes after the others"
+        "before AGING_THRESHOLD_S the late job comes after the others"
     );
 }
 
 #[test]
 fn gang_that_can_start_in_time_precedes_late_gang_until_start_bound() {
     let gang = |submitted: f64| JobView {
-        gang: true,
+        is_gang: true,
         submitted,
-        start_by: vec![submitted + 25.0, submitted + 40.0],
+        start_objectives: vec![submitted + 25.0, submitted + 40.0],
         ..job(1.0, 4)
     };
     let jobs = vec![gang(0.0), gang(50.0), gang(20.0)];
     let order =
         |now| scheduling_queue(&jobs, now, 100.0).iter().map(|entry| entry.job).collect::<Vec<_>>();
     assert_eq!(order(60.0), [1, 2, 0], "both start objectives can be met, one of them, none");
-    let after_bound = 1.0 + constants::START_DEADLINE_S;
-    assert_eq!(order(after_bound)[0], 0, "after START_DEADLINE_S the oldest goes first");
+    let after_bound = 1.0 + constants::START_OBJECTIVE_LIMIT_S;
+    assert_eq!(order(after_bound)[0], 0, "after START_OBJECTIVE_LIMIT_S the oldest goes first");
 }
 
 /// The placed tasks of a partially placed gang hold resources without doing work, and the workers end them after a
@@ -114,7 +114,7 @@
 #[test]
 fn partially_placed_gang_precedes_older_gangs() {
     let gang = |submitted: f64, placed: u32| JobView {
-        gang: true,
+        is_gang: true,
         submitted,
         placed,
         startable: 8 - placed,
