--- a/crates/controller/src/cluster_state/machine_registry.rs
+++ b/crates/controller/src/cluster_state/machine_registry.rs
@@ -1,6 +1,6 @@
 //! The machine registry: the machines that may have tasks, in records that many machines share.
 
-use super::image_numbers::NamedImage;
+use super::image_ids::NamedImage;
 use crate::records::{
     ImageRecord, MachineRegistryEntry, MachineRegistryRecord, fits_value_limit, registry_key,
 };
