--- a/crates/controller/src/actor/events.rs
+++ b/crates/controller/src/actor/events.rs
@@ -34,7 +34,7 @@
                 cluster.add_job(&key, value, at, JobOrigin::ThisTerm)
             }
             ClusterEvent::CommitFinished { commit, result } => {
-                cluster.committed(commit, result, now);
+                cluster.apply_commit_outcome(commit, result, now);
                 self.finish_jobs(active);
                 self.resign_if_leadership_lost(active);
                 self.dispatch(active);
@@ -51,14 +51,14 @@
                 cluster.scale_in_failed(&machines);
             }
             ClusterEvent::DirectStartSent { machine, fencing_token, delivery } => {
-                cluster.direct_start_sent(&machine, fencing_token, delivery, now);
+                cluster.apply_direct_dispatch_outcome(&machine, fencing_token, delivery, now);
             }
             ClusterEvent::MachinesListed { machines, requested_at } => {
                 cluster.machines_listed(&machines, requested_at, now);
                 self.send_state_probes(active, now);
             }
             ClusterEvent::StateProbed { machine, heartbeat } => {
-                cluster.state_probed(&machine, heartbeat, now);
+                cluster.apply_state_probe_outcome(&machine, heartbeat, now);
                 self.send_state_probes(active, now);
             }
         }
--- a/crates/controller/src/actor/requests.rs
+++ b/crates/controller/src/actor/requests.rs
@@ -105,7 +105,7 @@
                 if extension.is_some()
                     && let Some(cluster) = &mut active.cluster
                 {
-                    cluster.worker_lease_extended(&heartbeat.machine, now);
+                    cluster.record_worker_lease_extension(&heartbeat.machine, now);
                 }
                 let _ = reply.send(extension.unwrap_or(HeartbeatReply::Unavailable));
             }
--- a/crates/controller/src/actor/timer.rs
+++ b/crates/controller/src/actor/timer.rs
@@ -25,7 +25,7 @@
             return;
         };
         self.lease_own_shard(cluster, now);
-        cluster.set_time(self.config.clock.timestamp());
+        cluster.update_clocks(self.config.clock.timestamp());
         if self.step_down_if_isolated(cluster, now) {
             return;
         }
@@ -55,7 +55,7 @@
         let is_allowed = self
             .stepped_down_at
             .is_none_or(|last_at| now >= last_at + constants::STEP_DOWN_INTERVAL);
-        let should_step_down = cluster.all_workers_silent(now) && is_allowed;
+        let should_step_down = cluster.is_isolated_from_workers(now) && is_allowed;
         if should_step_down {
             tracing::info!(term = cluster.term(), "stepping down: no worker sends heartbeats");
             self.stepped_down_at = Some(now);
@@ -104,7 +104,7 @@
         let interval = shortest + constants::CLOUD_LIST_PER_MACHINE * machine_count;
         let is_due =
             |interval| timers.last_machine_list_at.is_none_or(|last_at| now >= last_at + interval);
-        let is_needed_sooner = is_due(shortest) && cluster.any_heartbeat_overdue(now);
+        let is_needed_sooner = is_due(shortest) && cluster.has_overdue_heartbeat(now);
         if !(is_due(interval) || is_needed_sooner) {
             return;
         }
@@ -142,7 +142,7 @@
     let process_paused = now >= active.timers.last_tick_at + constants::PROCESS_PAUSE;
     active.timers.last_tick_at = now;
     if process_paused || active.suspended {
-        cluster.resumed(now);
+        cluster.record_resumption(now);
     }
     if active.suspended {
         tracing::info!(term, "leadership lease holds again, decisions resumed");
--- a/crates/controller/src/cluster_state/clocks.rs
+++ b/crates/controller/src/cluster_state/clocks.rs
@@ -70,13 +70,13 @@
     /// Records a new reading of both clocks. The monotonic clock drifts from the wall clock, so
     /// over a long term the reading at the election would be too inaccurate for times that other
     /// controllers read.
-    pub fn set_time(&mut self, at: Timestamp) {
+    pub fn update_clocks(&mut self, at: Timestamp) {
         self.clocks.latest = at;
     }
 
     /// Records that this controller can act as leader again at `now`, after a period in which its
     /// leadership lease was uncertain.
-    pub fn resumed(&mut self, now: MonotonicTime) {
+    pub fn record_resumption(&mut self, now: MonotonicTime) {
         self.clocks.resumed_at = now;
     }
 }
--- a/crates/controller/src/cluster_state/commits.rs
+++ b/crates/controller/src/cluster_state/commits.rs
@@ -58,7 +58,12 @@
     }
 
     /// Applies the outcome of the transaction in flight, received at `now`.
-    pub fn committed(&mut self, commit: PendingCommit, result: CommitResult, now: MonotonicTime) {
+    pub fn apply_commit_outcome(
+        &mut self,
+        commit: PendingCommit,
+        result: CommitResult,
+        now: MonotonicTime,
+    ) {
         self.commit_queue.is_commit_in_flight = false;
         match result {
             CommitResult::Applied(revision) => self.commit_applied(commit, revision),
--- a/crates/controller/src/cluster_state/direct_dispatch.rs
+++ b/crates/controller/src/cluster_state/direct_dispatch.rs
@@ -58,7 +58,7 @@
 
 impl ClusterState {
     /// Returns the starts that should not wait for their workers' next heartbeats. The caller
-    /// passes the outcome of each to [`ClusterState::direct_start_sent`].
+    /// passes the outcome of each to [`ClusterState::apply_direct_dispatch_outcome`].
     ///
     /// Such a command may arrive late, or twice. After a `reap`, a second arrival would start the
     /// task again. So the machine's fencing token is raised with each dispatch: every later
@@ -139,7 +139,7 @@
     /// Processes the outcome, known at `now`, of starts dispatched to a worker under
     /// `fencing_token`. Only the first outcome of a dispatch counts, except that a later answer of
     /// the worker still updates its tasks.
-    pub fn direct_start_sent(
+    pub fn apply_direct_dispatch_outcome(
         &mut self,
         name: &str,
         fencing_token: u64,
--- a/crates/controller/src/cluster_state/gang_repair.rs
+++ b/crates/controller/src/cluster_state/gang_repair.rs
@@ -12,14 +12,14 @@
     /// stopped as well, unless these still wait for the other tasks and the resume deadline has not
     /// passed: then the others are started.
     pub(super) fn repair_gangs(&mut self, now: MonotonicTime) {
-        let reconciled = self.reconciled(now);
-        let completable = if reconciled { self.completable_gangs() } else { HashSet::new() };
+        let is_reconciled = self.is_reconciled(now);
+        let completable = if is_reconciled { self.completable_gangs() } else { HashSet::new() };
         for (key, job) in self.jobs.iter_mut() {
             let is_partial = job.spec.is_gang()
                 && job.is_active()
                 && job.placed > 0
                 && job.placements.contains(&TaskPlacement::Unplaced)
-                && job.start_ground(reconciled) != StartGround::AboveWatermark;
+                && job.start_ground(is_reconciled) != StartGround::AboveWatermark;
             job.gang.completing = is_partial
                 && completable.contains(key)
                 && now
--- a/crates/controller/src/cluster_state/heartbeat_timing.rs
+++ b/crates/controller/src/cluster_state/heartbeat_timing.rs
@@ -49,13 +49,13 @@
     }
 
     /// Whether the machine's worker has sent a heartbeat and has not missed one at `now`.
-    pub(super) fn reports(&self, machine: &Machine, now: MonotonicTime) -> bool {
+    pub(super) fn is_sending_heartbeats(&self, machine: &Machine, now: MonotonicTime) -> bool {
         machine.has_reported && now < machine.last_response_at + self.missed_heartbeat_timeout()
     }
 
     /// Whether the heartbeat of some worker with tasks is overdue while its lease may still be
     /// valid.
-    pub fn any_heartbeat_overdue(&self, now: MonotonicTime) -> bool {
+    pub fn has_overdue_heartbeat(&self, now: MonotonicTime) -> bool {
         let timeout = self.heartbeat_timeout();
         let lease = longest_worker_lease(&self.config.platform);
         let is_overdue = |machine: &Machine| {
@@ -70,7 +70,7 @@
     /// Whether no worker has sent a heartbeat for several intervals although at least
     /// `MIN_SILENT_WORKERS` should have: this controller may be partitioned from the workers alone,
     /// while another controller can still reach them.
-    pub fn all_workers_silent(&self, now: MonotonicTime) -> bool {
+    pub fn is_isolated_from_workers(&self, now: MonotonicTime) -> bool {
         let since = self.clocks.answering_since();
         let mut expected = 0u32;
         let mut latest = since;
--- a/crates/controller/src/cluster_state/job_status_and_cancellation.rs
+++ b/crates/controller/src/cluster_state/job_status_and_cancellation.rs
@@ -98,10 +98,10 @@
             return;
         }
         let leases_expire_in_time = leases_expire_within_cancellation(&self.config.platform);
-        let reconciled = self.reconciled(now);
+        let is_reconciled = self.is_reconciled(now);
         for key in std::mem::take(&mut self.unproven_cancellations) {
             let Some(job) = self.jobs.get(&key) else { continue };
-            if leases_expire_in_time || reconciled && job.placed == 0 {
+            if leases_expire_in_time || is_reconciled && job.placed == 0 {
                 self.commit_queue.finished_jobs.push_back(key);
             } else {
                 self.unproven_cancellations.insert(key);
--- a/crates/controller/src/cluster_state/leases.rs
+++ b/crates/controller/src/cluster_state/leases.rs
@@ -52,7 +52,7 @@
     /// of the worker to end after it. No lease is granted while a task of an unknown job may be on
     /// any machine, or a task of a job whose cancellation another controller decided.
     pub fn shard_lease_length(&self, now: MonotonicTime) -> Duration {
-        if self.unknown_job_tasks > 0 || !self.reconciled(now) {
+        if self.unknown_job_tasks > 0 || !self.is_reconciled(now) {
             return Duration::ZERO;
         }
         let max = max_shard_lease(&self.config);
@@ -73,7 +73,7 @@
 
     /// Records that this controller answered a worker as a lessee at `now`, while its leadership
     /// was uncertain: the answer may have extended the worker's lease.
-    pub fn worker_lease_extended(&mut self, name: &str, now: MonotonicTime) {
+    pub fn record_worker_lease_extension(&mut self, name: &str, now: MonotonicTime) {
         let last_answered_at = &mut self.reconciliation.last_answered_at;
         *last_answered_at = now.max(*last_answered_at);
         if let Some(machine) = self.machines.get_mut(name) {
--- a/crates/controller/src/cluster_state/placement.rs
+++ b/crates/controller/src/cluster_state/placement.rs
@@ -8,10 +8,10 @@
     /// Places one unplaced task of a job on each of `machines`, until the job has none left that
     /// may be started. A machine that is named several times gets several tasks.
     pub(super) fn place_tasks(&mut self, key: JobKey, machines: &[String], now: MonotonicTime) {
-        let reconciled = self.reconciled(now);
+        let is_reconciled = self.is_reconciled(now);
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let gang = job.spec.is_gang();
-        let ground = job.start_ground(reconciled);
+        let ground = job.start_ground(is_reconciled);
         let first = job.first_startable(ground);
         job.log_first_start(ground);
         for name in machines {
--- a/crates/controller/src/cluster_state/reconciliation.rs
+++ b/crates/controller/src/cluster_state/reconciliation.rs
@@ -39,15 +39,15 @@
     /// machine has failed or no longer exists, or the lease of its worker has certainly expired.
     /// With an unreadable registry record, reconciliation ends only when all leases of unreconciled
     /// workers have expired.
-    pub fn reconciled(&self, now: MonotonicTime) -> bool {
+    pub fn is_reconciled(&self, now: MonotonicTime) -> bool {
         let all_known = self.reconciliation.machines.is_empty()
             && self.reconciliation.unreadable_records.is_empty();
         all_known || self.unreconciled_leases_expired(now)
     }
 
     /// Logs the end of reconciliation, once.
-    pub(super) fn log_reconciliation(&mut self, now: MonotonicTime) {
-        if self.reconciliation.is_end_logged || !self.reconciled(now) {
+    pub(super) fn log_reconciliation_end(&mut self, now: MonotonicTime) {
+        if self.reconciliation.is_end_logged || !self.is_reconciled(now) {
             return;
         }
         self.reconciliation.is_end_logged = true;
--- a/crates/controller/src/cluster_state/relocation.rs
+++ b/crates/controller/src/cluster_state/relocation.rs
@@ -249,7 +249,9 @@
         let targets = relocation.moves.iter().filter(awaiting).map(|moving| &moving.to);
         let unusable = |name: &String| {
             let machine = self.machines.get(name);
-            machine.is_none_or(|machine| machine.is_draining() || !self.reports(machine, now))
+            machine.is_none_or(|machine| {
+                machine.is_draining() || !self.is_sending_heartbeats(machine, now)
+            })
         };
         if relocation.task_machines.iter().chain(targets).any(unusable) {
             return Some(AbortReason::MachineUnusable);
@@ -335,7 +337,9 @@
         });
         let target = self.machines.get(&moving.to);
         waits
-            && target.is_some_and(|target| !target.is_draining() && self.reports(target, now))
+            && target.is_some_and(|target| {
+                !target.is_draining() && self.is_sending_heartbeats(target, now)
+            })
             && self.zones_allow(moving.job, std::slice::from_ref(&moving.to))
     }
 
@@ -393,7 +397,7 @@
                 && machine.registered
                 && now >= machine.backoff_until
                 && machine.is_admitted(now)
-                && self.reports(machine, now)
+                && self.is_sending_heartbeats(machine, now)
         };
         self.machines.get(name).is_some_and(takes_tasks) && self.has_held_resources(name)
     }
--- a/crates/controller/src/cluster_state/reservation.rs
+++ b/crates/controller/src/cluster_state/reservation.rs
@@ -55,7 +55,7 @@
         if job.is_none_or(|job| self.startable_now(job, now) == 0) {
             return Some(ReleaseReason::JobNotWaiting);
         }
-        if machine.is_draining() || !self.reports(machine, now) {
+        if machine.is_draining() || !self.is_sending_heartbeats(machine, now) {
             return Some(ReleaseReason::MachineUnusable);
         }
         (now >= reservation.until).then_some(ReleaseReason::TimedOut)
--- a/crates/controller/src/cluster_state/scale_in.rs
+++ b/crates/controller/src/cluster_state/scale_in.rs
@@ -129,7 +129,7 @@
             now,
             resumed_at: self.clocks.resumed_at,
             lease: longest_worker_lease(&self.config.platform),
-            reconciled: self.reconciled(now),
+            reconciled: self.is_reconciled(now),
             machine_types: &self.machine_types,
             idle_timeouts: self.idle_timeouts(),
             needed,
@@ -167,7 +167,7 @@
             .any(|j| j.origin == JobOrigin::EarlierTerm && j.is_active() && !j.unplaced.is_empty());
         let leases_expire_at =
             self.reconciliation.last_answered_at + longest_worker_lease(&self.config.platform);
-        let worthwhile = !self.reconciled(now)
+        let worthwhile = !self.is_reconciled(now)
             && earlier_job_waits
             && now + constants::UNRECONCILED_SCALE_IN_MIN_GAIN < leases_expire_at;
         if !worthwhile {
--- a/crates/controller/src/cluster_state/snapshot.rs
+++ b/crates/controller/src/cluster_state/snapshot.rs
@@ -212,7 +212,7 @@
             price: self.machine_types[machine_type].price(PurchaseOption::from_spot(machine.spot)),
             images: machine.images.iter().map(|cached| cached.image).collect(),
             schedulable: !takes_no_tasks
-                && self.reports(machine, now)
+                && self.is_sending_heartbeats(machine, now)
                 && now >= machine.backoff_until
                 && machine.is_admitted(now),
             booting: !machine.has_reported && !takes_no_tasks,
--- a/crates/controller/src/cluster_state/startable_tasks.rs
+++ b/crates/controller/src/cluster_state/startable_tasks.rs
@@ -18,12 +18,12 @@
 }
 
 impl Job {
-    /// Returns the ground on which tasks of the job may be started. `reconciled`: whether all
+    /// Returns the ground on which tasks of the job may be started. `is_reconciled`: whether all
     /// machines are reconciled.
-    pub(super) fn start_ground(&self, reconciled: bool) -> StartGround {
+    pub(super) fn start_ground(&self, is_reconciled: bool) -> StartGround {
         match self.origin {
             JobOrigin::ThisTerm => StartGround::AcceptedInThisTerm,
-            JobOrigin::EarlierTerm if reconciled => StartGround::Reconciled,
+            JobOrigin::EarlierTerm if is_reconciled => StartGround::Reconciled,
             JobOrigin::EarlierTerm => StartGround::AboveWatermark,
         }
     }
@@ -45,8 +45,8 @@
         // Until all machines are reconciled, a task of a job from an earlier term may be on a
         // machine that has not sent a heartbeat. So may tasks that use an unknown part of a team's
         // quota.
-        let reconciled = self.reconciled(now);
-        let is_quota_uncertain = has_quota && (!reconciled || self.unknown_job_tasks > 0);
+        let is_reconciled = self.is_reconciled(now);
+        let is_quota_uncertain = has_quota && (!is_reconciled || self.unknown_job_tasks > 0);
         if is_quota_uncertain || now < job.backoff_until {
             return 0;
         }
@@ -54,7 +54,7 @@
         // Tasks at or above the start watermark were never started, so they are on none of those
         // machines. But where a job's tasks must be together, or must not all be together, tasks
         // that may be on those machines decide where the others may start: then none is started.
-        let first_startable = job.first_startable(job.start_ground(reconciled));
+        let first_startable = job.first_startable(job.start_ground(is_reconciled));
         if first_startable == 0 {
             return startable;
         }
--- a/crates/controller/src/cluster_state/state_probe.rs
+++ b/crates/controller/src/cluster_state/state_probe.rs
@@ -87,7 +87,7 @@
 
 impl ClusterState {
     /// Returns the workers to be probed at `now`: they have not shown this leader's fencing token.
-    /// The caller passes the outcome of each probe to [`ClusterState::state_probed`].
+    /// The caller passes the outcome of each probe to [`ClusterState::apply_state_probe_outcome`].
     ///
     /// A worker finds a new leader only after its heartbeat to the previous one has failed, which
     /// takes some seconds for each controller that hangs. It shows the new token with the heartbeat
@@ -119,7 +119,12 @@
     /// An answer with this term's fencing token names every task: the worker refuses whatever an
     /// earlier leader sent. The answer extends no lease, but it may be the first message of an
     /// incarnation whose lease began just now.
-    pub fn state_probed(&mut self, name: &str, answer: Option<Heartbeat>, now: MonotonicTime) {
+    pub fn apply_state_probe_outcome(
+        &mut self,
+        name: &str,
+        answer: Option<Heartbeat>,
+        now: MonotonicTime,
+    ) {
         let answer = answer.filter(|a| a.machine == name && a.fencing_token >= self.term);
         let Some(machine) = self.machines.get_mut(name) else { return };
         if machine.state_probe.is_in_flight() {
--- a/crates/controller/tests/cluster_state/commit_queue.rs
+++ b/crates/controller/tests/cluster_state/commit_queue.rs
@@ -38,7 +38,7 @@
     let commit = harness.cluster.next_commit(harness.now).expect("a commit of the final state");
     assert_eq!(harness.cluster.status(&id), JobLookup::CommitInFlight);
     let revision = harness.store.commit(&commit.transaction).expect("applied");
-    harness.cluster.committed(commit, CommitResult::Applied(revision), harness.now);
+    harness.cluster.apply_commit_outcome(commit, CommitResult::Applied(revision), harness.now);
     assert_eq!(harness.cluster.take_completed_jobs()[0].record.state, JobState::Done);
     worker.handle_response(&response);
     harness.now += ms(500);
@@ -62,7 +62,7 @@
     );
     assert_eq!(next.stored_final_state(&id).as_deref(), Some("withdrawn"));
     let result = next.read_after_lost_response(&late);
-    harness.cluster.committed(late, result, harness.now);
+    harness.cluster.apply_commit_outcome(late, result, harness.now);
     assert!(harness.cluster.leadership_lost());
 }
 
@@ -80,7 +80,7 @@
         }
         assert_eq!(harness.cluster.status(&id), JobLookup::CommitInFlight);
         let result = harness.read_after_lost_response(&commit);
-        harness.cluster.committed(commit, result, harness.now);
+        harness.cluster.apply_commit_outcome(commit, result, harness.now);
         harness.commit_pending();
         assert_eq!(harness.stored_final_state(&id).as_deref(), Some("done"));
         assert_eq!(harness.cluster.take_completed_jobs().len(), 1);
@@ -142,7 +142,7 @@
             }
         }
         let revision = harness.store.commit(&commit.transaction).expect("applied");
-        harness.cluster.committed(commit, CommitResult::Applied(revision), harness.now);
+        harness.cluster.apply_commit_outcome(commit, CommitResult::Applied(revision), harness.now);
         harness.now += ms(1_000);
         commits += 1;
     }
@@ -166,7 +166,7 @@
         let commit = harness.cluster.next_commit(harness.now).expect("a pending commit");
         let late = commit.transaction.clone();
         let result = harness.read_after_lost_response(&commit);
-        harness.cluster.committed(commit, result, harness.now);
+        harness.cluster.apply_commit_outcome(commit, result, harness.now);
         late
     };
     harness.cluster.handle_heartbeat(&worker_1.heartbeat(), harness.now);
@@ -225,7 +225,7 @@
             applied.push(operation_count);
             CommitResult::Applied(harness.store.commit(&commit.transaction).expect("applied"))
         };
-        harness.cluster.committed(commit, result, harness.now);
+        harness.cluster.apply_commit_outcome(commit, result, harness.now);
     }
     applied
 }
@@ -269,7 +269,7 @@
         } else {
             CommitResult::Applied(harness.store.commit(&commit.transaction).expect("applied"))
         };
-        harness.cluster.committed(commit, result, harness.now);
+        harness.cluster.apply_commit_outcome(commit, result, harness.now);
         if harness.now == at(4_000) {
             assert_eq!(harness.stored_final_state(&ids[1]).as_deref(), Some("withdrawn"));
             assert_eq!(harness.stored_final_state(&ids[0]), None);
--- a/crates/controller/tests/cluster_state/direct_dispatch.rs
+++ b/crates/controller/tests/cluster_state/direct_dispatch.rs
@@ -22,7 +22,7 @@
     let commands = dispatched_task(&mut harness, &mut worker);
     let heartbeat =
         worker.handle_direct_commands(&commands).expect("the worker executes the command");
-    harness.cluster.direct_start_sent(
+    harness.cluster.apply_direct_dispatch_outcome(
         "m-1",
         commands.fencing_token,
         Delivery::Executed(heartbeat),
@@ -44,7 +44,7 @@
     // The task ends, and its heartbeat arrives before the response to the command is read.
     worker.end_task("req-000001/0", ExitCause::Done);
     harness.run_rounds(&mut [&mut worker]);
-    harness.cluster.direct_start_sent(
+    harness.cluster.apply_direct_dispatch_outcome(
         "m-1",
         commands.fencing_token,
         Delivery::Executed(heartbeat),
@@ -68,7 +68,7 @@
     let (mut worker, mut other) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     let commands = dispatched_task(&mut harness, &mut worker);
     // No response arrives: the command may be delayed in the network for minutes.
-    harness.cluster.direct_start_sent(
+    harness.cluster.apply_direct_dispatch_outcome(
         "m-1",
         commands.fencing_token,
         Delivery::Indeterminate,
@@ -96,7 +96,7 @@
     let mut harness = LeaderHarness::start();
     let (mut worker, mut other) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     let commands = dispatched_task(&mut harness, &mut worker);
-    harness.cluster.direct_start_sent(
+    harness.cluster.apply_direct_dispatch_outcome(
         "m-1",
         commands.fencing_token,
         Delivery::NotSent,
@@ -120,7 +120,7 @@
     let overtaken = worker.heartbeat();
     let heartbeat =
         worker.handle_direct_commands(&commands).expect("the worker executes the command");
-    harness.cluster.direct_start_sent(
+    harness.cluster.apply_direct_dispatch_outcome(
         "m-1",
         commands.fencing_token,
         Delivery::Executed(heartbeat),
@@ -157,7 +157,7 @@
     let response = harness.cluster.handle_heartbeat(&heartbeat, harness.now).expect("a response");
     assert_eq!(response.commands.len(), 1);
     let heartbeat_without_task = worker.heartbeat();
-    harness.cluster.direct_start_sent(
+    harness.cluster.apply_direct_dispatch_outcome(
         "m-1",
         1,
         Delivery::Executed(heartbeat_without_task),
@@ -183,7 +183,7 @@
     worker.handle_direct_commands(&commands).expect("the worker executes the command");
     worker.fencing_token += 1;
     assert_eq!(worker.handle_direct_commands(&commands), None);
-    harness.cluster.direct_start_sent(
+    harness.cluster.apply_direct_dispatch_outcome(
         "m-1",
         commands.fencing_token,
         Delivery::Refused,
@@ -215,7 +215,12 @@
     let heartbeat =
         worker.handle_direct_commands(&commands).expect("the worker executes the command");
     for delivery in [Delivery::Executed(heartbeat), Delivery::Indeterminate] {
-        harness.cluster.direct_start_sent("m-1", commands.fencing_token, delivery, harness.now);
+        harness.cluster.apply_direct_dispatch_outcome(
+            "m-1",
+            commands.fencing_token,
+            delivery,
+            harness.now,
+        );
     }
     assert!(starts_new_task(&mut harness, &mut worker));
 }
@@ -229,7 +234,12 @@
     worker.handle_direct_commands(&commands).expect("the worker executes the command");
     harness.heartbeat(&mut worker);
     let token = commands.fencing_token;
-    harness.cluster.direct_start_sent("m-1", token, Delivery::Indeterminate, harness.now);
+    harness.cluster.apply_direct_dispatch_outcome(
+        "m-1",
+        token,
+        Delivery::Indeterminate,
+        harness.now,
+    );
     assert!(starts_new_task(&mut harness, &mut worker));
 }
 
@@ -239,7 +249,12 @@
     let mut worker = small_worker("m-1", "a");
     let commands = dispatched_task(&mut harness, &mut worker);
     let token = commands.fencing_token;
-    harness.cluster.direct_start_sent("m-1", token, Delivery::Indeterminate, harness.now);
+    harness.cluster.apply_direct_dispatch_outcome(
+        "m-1",
+        token,
+        Delivery::Indeterminate,
+        harness.now,
+    );
     assert!(!starts_new_task(&mut harness, &mut worker));
 }
 
@@ -254,11 +269,11 @@
         worker.handle_direct_commands(&commands).expect("the worker executes the command");
     let first = commands.fencing_token;
     let executed = Delivery::Executed(heartbeat);
-    harness.cluster.direct_start_sent("m-1", first, executed.clone(), harness.now);
+    harness.cluster.apply_direct_dispatch_outcome("m-1", first, executed.clone(), harness.now);
     harness.submit(JobSpec { cpus: 0.5, ..job("req-000002", "array", 1) });
     harness.advance(1_000);
     assert_eq!(harness.cluster.take_direct_starts(harness.now).len(), 1);
-    harness.cluster.direct_start_sent("m-1", first, executed, harness.now);
+    harness.cluster.apply_direct_dispatch_outcome("m-1", first, executed, harness.now);
     harness.submit(JobSpec { cpus: 0.5, ..job("req-000003", "array", 1) });
     harness.advance(1_000);
     assert_eq!(
--- a/crates/controller/tests/cluster_state/heartbeats.rs
+++ b/crates/controller/tests/cluster_state/heartbeats.rs
@@ -11,18 +11,18 @@
     let mut harness = LeaderHarness::start();
     let (mut worker_1, mut worker_2) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
-    assert!(!harness.cluster.all_workers_silent(harness.now));
+    assert!(!harness.cluster.is_isolated_from_workers(harness.now));
     harness.now += ms(3_000);
     harness.heartbeat(&mut worker_2);
     assert!(
-        !harness.cluster.all_workers_silent(harness.now + ms(4_000)),
+        !harness.cluster.is_isolated_from_workers(harness.now + ms(4_000)),
         "one worker still sends heartbeats"
     );
-    assert!(harness.cluster.all_workers_silent(harness.now + ms(6_500)));
+    assert!(harness.cluster.is_isolated_from_workers(harness.now + ms(6_500)));
     // The next leader is partitioned from all workers from its election on.
     let next = LeaderHarness::lead(harness.store.clone(), 2, at(200_000));
-    assert!(!next.cluster.all_workers_silent(at(203_000)));
-    assert!(next.cluster.all_workers_silent(at(207_000)));
+    assert!(!next.cluster.is_isolated_from_workers(at(203_000)));
+    assert!(next.cluster.is_isolated_from_workers(at(207_000)));
 }
 
 #[test]
@@ -100,7 +100,7 @@
     let mut third = small_worker("m-3", "a");
     next.cluster.handle_heartbeat(&duplicate, next.now);
     next.run_rounds(&mut [&mut third]);
-    assert!(!next.cluster.reconciled(next.now));
+    assert!(!next.cluster.is_reconciled(next.now));
     assert_eq!(third.started_attempts, [], "the task may still run on m-2");
 }
 
@@ -118,9 +118,9 @@
     for worker in &mut workers {
         harness.heartbeat(worker);
     }
-    assert!(!harness.cluster.all_workers_silent(harness.now + ms(2_500)));
-    assert!(harness.cluster.all_workers_silent(harness.now + ms(3_500)));
+    assert!(!harness.cluster.is_isolated_from_workers(harness.now + ms(2_500)));
+    assert!(harness.cluster.is_isolated_from_workers(harness.now + ms(3_500)));
     // The leader's own process was paused: missing heartbeats during the pause prove nothing.
-    harness.cluster.resumed(harness.now + ms(3_400));
-    assert!(!harness.cluster.all_workers_silent(harness.now + ms(7_000)));
+    harness.cluster.record_resumption(harness.now + ms(3_400));
+    assert!(!harness.cluster.is_isolated_from_workers(harness.now + ms(7_000)));
 }
--- a/crates/controller/tests/cluster_state/leases.rs
+++ b/crates/controller/tests/cluster_state/leases.rs
@@ -111,7 +111,7 @@
         "a shard lease plus a worker lease must fit within cancel_s"
     );
     let cancel_requested_at = harness.now;
-    harness.cluster.set_time(timestamp(cancel_requested_at));
+    harness.cluster.update_clocks(timestamp(cancel_requested_at));
     harness.cluster.cancel(&JobId::parse("req-000001").expect("an id"));
     assert_eq!(
         harness.cluster.shard_lease_length(cancel_requested_at),
@@ -154,7 +154,7 @@
     next.now = at(30_000);
     let probe = DirectCommands { fencing_token: 5_000, incarnation: 2, commands: vec![] };
     let heartbeat = worker.handle_direct_commands(&probe);
-    next.cluster.state_probed("m-1", heartbeat, next.now);
+    next.cluster.apply_state_probe_outcome("m-1", heartbeat, next.now);
     next.now += ms(500);
     next.advance(0);
     assert_eq!(next.cluster.take_direct_starts(next.now).len(), 1);
@@ -196,7 +196,7 @@
     assert!(!response.commands.is_empty(), "the response reaps the failed task");
     harness.now += ms(8_000);
     let extended_at = harness.now;
-    harness.cluster.worker_lease_extended("m-1", extended_at);
+    harness.cluster.record_worker_lease_extension("m-1", extended_at);
     harness.now += ms(4_000);
     let heartbeat = worker.heartbeat();
     harness.cluster.handle_heartbeat(&heartbeat, harness.now);
--- a/crates/controller/tests/cluster_state/machine_registry.rs
+++ b/crates/controller/tests/cluster_state/machine_registry.rs
@@ -39,7 +39,7 @@
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(100_000));
     reachable.end_task(&reachable.unfinished_tasks()[0].clone(), ExitCause::Done);
     next.run_rounds(&mut [&mut reachable]);
-    assert!(!next.cluster.reconciled(next.now));
+    assert!(!next.cluster.is_reconciled(next.now));
     let listed = listed_machine("m-1", MachineState::Running, 100.0);
     next.cluster.machines_listed(&[listed], next.now, next.now);
     next.run_rounds(&mut [&mut reachable]);
@@ -63,7 +63,7 @@
         next.advance(500);
     }
     assert!(
-        !next.cluster.reconciled(next.now),
+        !next.cluster.is_reconciled(next.now),
         "a young machine that the list lacks is not treated as deleted"
     );
 }
@@ -90,7 +90,7 @@
     store.put("r/m-1", serde_json::json!({ "term": 1, "at_ms": 999_000 }));
     store.put("i/m-1", serde_json::json!({ "images": [["img", 1.0]] }));
     let mut harness = LeaderHarness::lead(store, 2, at(0));
-    assert!(!harness.cluster.reconciled(at(0)), "m-1 of the legacy record may have tasks");
+    assert!(!harness.cluster.is_reconciled(at(0)), "m-1 of the legacy record may have tasks");
     let mut all_workers = workers(1..=60, "a");
     let mut refs: Vec<&mut ScriptedWorker> = all_workers.iter_mut().collect();
     harness.run_rounds(&mut refs);
--- a/crates/controller/tests/cluster_state/reconciliation.rs
+++ b/crates/controller/tests/cluster_state/reconciliation.rs
@@ -52,11 +52,11 @@
     harness.submit(job("req-000001", "array", 2));
     harness.run_rounds(&mut [&mut worker]);
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(10_000));
-    assert!(!next.cluster.reconciled(next.now));
+    assert!(!next.cluster.is_reconciled(next.now));
     next.heartbeat(&mut worker);
     assert_eq!(worker.fencing_token, 2, "the fencing token rises with the term");
     next.heartbeat(&mut worker);
-    assert!(next.cluster.reconciled(next.now));
+    assert!(next.cluster.is_reconciled(next.now));
     next.run_rounds(&mut [&mut worker]);
     assert_eq!(worker.unfinished_tasks(), ["req-000001/0"], "the running task continues");
     assert_eq!(worker.started_attempts.len(), 1);
@@ -83,7 +83,7 @@
     // a heartbeat with the new fencing token is known to have been sent after the failover.
     let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(9_000));
     next.cluster.handle_heartbeat(&delayed, next.now);
-    assert!(!next.cluster.reconciled(next.now));
+    assert!(!next.cluster.is_reconciled(next.now));
     for _ in 0..8 {
         next.heartbeat(&mut reachable);
         next.advance(1_000);
@@ -183,9 +183,9 @@
     assert!(next.cluster.take_state_probes(next.now).is_empty(), "one probe per machine");
 
     // A heartbeat without the new fencing token may be older than the failover.
-    next.cluster.state_probed("m-1", Some(worker_1.heartbeat()), next.now);
-    next.cluster.state_probed("m-2", None, next.now);
-    assert!(!next.cluster.reconciled(next.now));
+    next.cluster.apply_state_probe_outcome("m-1", Some(worker_1.heartbeat()), next.now);
+    next.cluster.apply_state_probe_outcome("m-2", None, next.now);
+    assert!(!next.cluster.is_reconciled(next.now));
 
     let late = harness
         .cluster
@@ -198,9 +198,9 @@
     let probe = DirectCommands { fencing_token: 9_000, incarnation: 1, commands: vec![] };
     for (name, worker) in [("m-1", &mut worker_1), ("m-2", &mut worker_2)] {
         let heartbeat = worker.handle_direct_commands(&probe);
-        next.cluster.state_probed(name, heartbeat, next.now);
+        next.cluster.apply_state_probe_outcome(name, heartbeat, next.now);
     }
-    assert!(next.cluster.reconciled(next.now), "both machines responded to the probe");
+    assert!(next.cluster.is_reconciled(next.now), "both machines responded to the probe");
     assert!(!worker_1.handle_response(&late), "the worker refuses a response of an earlier leader");
     // The queued task starts at once, on the machine whose task has completed.
     next.advance(500);
--- a/crates/controller/tests/cluster_state/start_watermarks.rs
+++ b/crates/controller/tests/cluster_state/start_watermarks.rs
@@ -24,7 +24,7 @@
     reachable.end_task(&reachable.unfinished_tasks()[0].clone(), ExitCause::Done);
     let mut idle = small_worker("m-3", "a");
     next.run_rounds(&mut [&mut reachable, &mut idle]);
-    assert!(!next.cluster.reconciled(next.now), "m-2 may still run task {partitioned_task}");
+    assert!(!next.cluster.is_reconciled(next.now), "m-2 may still run task {partitioned_task}");
     let started_tasks: Vec<String> =
         reachable.unfinished_tasks().into_iter().chain(idle.unfinished_tasks()).collect();
     assert_eq!(started_tasks.len(), 2, "each reachable machine gets a task: {started_tasks:?}");
--- a/crates/controller/tests/cluster_state/unknown_watermarks.rs
+++ b/crates/controller/tests/cluster_state/unknown_watermarks.rs
@@ -41,7 +41,7 @@
     let running = worker.unfinished_tasks();
     let mut third = LeaderHarness::elect(second.store, ElectionResponse::Received, at(20_000));
     let started = started_on_idle_machine(&mut third);
-    assert!(!third.cluster.reconciled(third.now), "the first machine has sent no heartbeat");
+    assert!(!third.cluster.is_reconciled(third.now), "the first machine has sent no heartbeat");
     assert!(
         running.iter().all(|task| !started.contains(task)),
         "{started:?} started while {running:?} run elsewhere"
@@ -70,7 +70,7 @@
     assert!(started_on_idle_machine(&mut short).is_empty(), "no machine is reconciled");
     let mut next = LeaderHarness::elect(short.store, ElectionResponse::Received, at(20_000));
     let started = started_on_idle_machine(&mut next);
-    assert!(!next.cluster.reconciled(next.now), "the first machine has sent no heartbeat");
+    assert!(!next.cluster.is_reconciled(next.now), "the first machine has sent no heartbeat");
     assert_eq!(started, Vec::<String>::new(), "{running:?} runs on the unreachable machine");
 }
 
@@ -94,7 +94,7 @@
     let mut leader = LeaderHarness::elect(store, ElectionResponse::Received, at(10_000));
     leader.writes_refused = true;
     leader.run_rounds(&mut [&mut worker]);
-    assert!(leader.cluster.reconciled(leader.now));
+    assert!(leader.cluster.is_reconciled(leader.now));
     assert_eq!(leader.cluster.summary(leader.now).assumed_started, 1);
     assert_eq!(worker.started_attempts, [], "the assumption is not durable");
     assert!(!is_current(&leader.store, COMPLETE_WATERMARKS_KEY));
@@ -140,7 +140,7 @@
         } else {
             CommitResult::Applied(leader.store.commit(&commit.transaction).expect("one leader"))
         };
-        leader.cluster.committed(commit, result, leader.now);
+        leader.cluster.apply_commit_outcome(commit, result, leader.now);
         leader.now += ms(300);
         assert!(
             !is_current(&leader.store, COMPLETE_WATERMARKS_KEY),
@@ -165,7 +165,7 @@
     let (store, _unreachable_worker) = store_with_waiting_job();
     let mut leader = LeaderHarness::elect(store, ElectionResponse::Lost, at(10_000));
     assert_eq!(started_on_idle_machine(&mut leader), ["req-000001/0"]);
-    assert!(!leader.cluster.reconciled(leader.now));
+    assert!(!leader.cluster.is_reconciled(leader.now));
 }
 
 /// The previous version relies on `lead/marked`, which elections of this version do not write.
@@ -200,7 +200,7 @@
     let mut leader = LeaderHarness::elect(store, ElectionResponse::Received, at(10_000));
     leader.writes_refused = true;
     leader.run_rounds(&mut [&mut worker]);
-    assert!(leader.cluster.reconciled(leader.now));
+    assert!(leader.cluster.is_reconciled(leader.now));
     assert_eq!(worker.started_attempts, []);
     leader.writes_refused = false;
     leader.run_rounds(&mut [&mut worker]);
--- a/crates/controller/tests/concurrent_faults.rs
+++ b/crates/controller/tests/concurrent_faults.rs
@@ -126,10 +126,10 @@
     let first = harness.cluster.next_commit(harness.now).expect("a commit of the final state");
     let late = first.transaction.clone();
     let result = harness.read_after_lost_response(&first);
-    harness.cluster.committed(first, result, harness.now);
+    harness.cluster.apply_commit_outcome(first, result, harness.now);
     assert_eq!(harness.cluster.status(&id), JobLookup::CommitInFlight);
     let second = harness.cluster.next_commit(harness.now).expect("a retry of the commit");
-    harness.cluster.committed(second, CommitResult::NotApplied, harness.now);
+    harness.cluster.apply_commit_outcome(second, CommitResult::NotApplied, harness.now);
     harness.store.commit(&late).expect("applied late");
     assert_eq!(
         harness.cluster.status(&id),
@@ -148,7 +148,7 @@
     let (mut harness, _, id) = one_running_task();
     harness.cluster.cancel(&id);
     let commit = harness.cluster.next_commit(harness.now).expect("a commit of the final state");
-    harness.cluster.committed(commit, CommitResult::NotApplied, harness.now);
+    harness.cluster.apply_commit_outcome(commit, CommitResult::NotApplied, harness.now);
     assert_eq!(harness.job_state(&id), JobState::Running);
 }
 
@@ -242,7 +242,7 @@
         next.now,
         next.now,
     );
-    next.cluster.state_probed("m-1", Some(probe_response), next.now);
+    next.cluster.apply_state_probe_outcome("m-1", Some(probe_response), next.now);
     next.run_rounds(&mut [&mut worker]);
     next.now += ms(60_000);
     while worker.unfinished_tasks().is_empty() {
@@ -287,7 +287,7 @@
         if let Some(commit) = harness.cluster.next_commit(harness.now) {
             without_response.push(commit.transaction.clone());
             let result = harness.read_after_lost_response(&commit);
-            harness.cluster.committed(commit, result, harness.now);
+            harness.cluster.apply_commit_outcome(commit, result, harness.now);
         }
     }
     assert!(!without_response.is_empty());
@@ -300,7 +300,7 @@
     next.cluster.machines_listed(&[], next.now, next.now);
     let mut other = small_worker("m-3", "b");
     next.run_rounds(&mut [&mut first, &mut other]);
-    assert!(next.cluster.reconciled(next.now));
+    assert!(next.cluster.is_reconciled(next.now));
     assert_eq!(other.unfinished_tasks().len(), 1);
 }
 
--- a/crates/controller/tests/fleet_size.rs
+++ b/crates/controller/tests/fleet_size.rs
@@ -71,7 +71,7 @@
             self.check_transaction(&commit.transaction);
             let revision = self.harness.store.commit(&commit.transaction).expect("one writer");
             let result = hookway_controller::cluster_state::CommitResult::Applied(revision);
-            self.harness.cluster.committed(commit, result, self.harness.now);
+            self.harness.cluster.apply_commit_outcome(commit, result, self.harness.now);
         }
     }
 
@@ -138,16 +138,16 @@
     fleet.harness = LeaderHarness::lead(store, 1 + hookway_constants::TOKENS_PER_TERM, now);
     println!("loaded in {:?}", started_at.elapsed());
     assert_eq!(fleet.harness.cluster.machine_count(), MACHINES);
-    assert!(!fleet.harness.cluster.reconciled(now), "no machine has sent a heartbeat yet");
+    assert!(!fleet.harness.cluster.is_reconciled(now), "no machine has sent a heartbeat yet");
     let started_at = Instant::now();
     fleet.heartbeat_all();
     assert!(
-        !fleet.harness.cluster.reconciled(fleet.harness.now),
+        !fleet.harness.cluster.is_reconciled(fleet.harness.now),
         "heartbeats with the old fencing token reconcile no machine"
     );
     fleet.heartbeat_all();
     println!("every machine reconciled in {:?}", started_at.elapsed());
-    assert!(fleet.harness.cluster.reconciled(fleet.harness.now), "every machine is reconciled");
+    assert!(fleet.harness.cluster.is_reconciled(fleet.harness.now), "every machine is reconciled");
     for _ in 0..3 {
         fleet.heartbeat_all();
     }
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -177,13 +177,17 @@
     pub fn commit_pending(&mut self) {
         while let Some(commit) = self.cluster.next_commit(self.now) {
             if self.writes_refused {
-                return self.cluster.committed(commit, CommitResult::NotApplied, self.now);
+                return self.cluster.apply_commit_outcome(
+                    commit,
+                    CommitResult::NotApplied,
+                    self.now,
+                );
             }
             let result = match self.store.commit(&commit.transaction) {
                 Ok(revision) => CommitResult::Applied(revision),
                 Err(_) => self.read_after_lost_response(&commit),
             };
-            self.cluster.committed(commit, result, self.now);
+            self.cluster.apply_commit_outcome(commit, result, self.now);
         }
     }
 
--- a/crates/controller/tests/simulation/commits.rs
+++ b/crates/controller/tests/simulation/commits.rs
@@ -41,7 +41,7 @@
                 || controller.is_refused_by_store && now < controller.store_unreachable_until;
             match controller.leader_in_term(term) {
                 Some(leader) if not_applied => {
-                    leader.cluster.committed(*commit, CommitResult::NotApplied, now);
+                    leader.cluster.apply_commit_outcome(*commit, CommitResult::NotApplied, now);
                 }
                 // Delayed in the network: the transaction may be applied after the partition has healed.
                 _ => {
@@ -64,7 +64,11 @@
         match applied {
             Some(Ok(revision)) if !response_lost && self.controllers[n].is_responsive(now) => {
                 if let Some(leader) = self.controllers[n].leader_in_term(term) {
-                    leader.cluster.committed(*commit, CommitResult::Applied(revision), now);
+                    leader.cluster.apply_commit_outcome(
+                        *commit,
+                        CommitResult::Applied(revision),
+                        now,
+                    );
                 }
             }
             _ => {
@@ -89,7 +93,7 @@
         let reread = |key: String| RereadKey { stored: self.store.get(&key), key };
         let read = commit.keys().into_iter().map(reread).collect();
         if let Some(leader) = self.controllers[n].leader_in_term(term) {
-            leader.cluster.committed(*commit, CommitResult::Indeterminate(read), now);
+            leader.cluster.apply_commit_outcome(*commit, CommitResult::Indeterminate(read), now);
         }
         self.report_completed_jobs(n, term);
     }
--- a/crates/controller/tests/simulation/controllers.rs
+++ b/crates/controller/tests/simulation/controllers.rs
@@ -293,9 +293,9 @@
             return true;
         }
         if std::mem::take(&mut leader.paused) {
-            leader.cluster.resumed(now);
+            leader.cluster.record_resumption(now);
         }
-        leader.cluster.set_time(self.timestamp());
+        leader.cluster.update_clocks(self.timestamp());
         let controller = &mut self.controllers[n];
         let lease = leader.cluster.shard_lease_length(now);
         if !lease.is_zero() {
@@ -304,7 +304,7 @@
         }
         let may_step_down =
             controller.stepped_down_at.is_none_or(|at| now >= at + constants::STEP_DOWN_INTERVAL);
-        let isolated = leader.cluster.all_workers_silent(now) && may_step_down;
+        let isolated = leader.cluster.is_isolated_from_workers(now) && may_step_down;
         if isolated || leader.cluster.leadership_lost() {
             controller.stepped_down_at =
                 if isolated { Some(now) } else { controller.stepped_down_at };
--- a/crates/controller/tests/simulation/leases.rs
+++ b/crates/controller/tests/simulation/leases.rs
@@ -31,7 +31,7 @@
                 match (extension, leader) {
                     (Some(extension), leader) => {
                         if let Some(leader) = leader {
-                            leader.cluster.worker_lease_extended(&heartbeat.machine, now);
+                            leader.cluster.record_worker_lease_extension(&heartbeat.machine, now);
                         }
                         self.counts.lessee_extensions += 1;
                         self.counts.stopped_by_lessees += extension.response.commands.len();
--- a/crates/controller/tests/simulation/messages.rs
+++ b/crates/controller/tests/simulation/messages.rs
@@ -117,14 +117,19 @@
             }
             Message::DirectCommandsOutcome(n, term, name, fencing_token, delivery) => {
                 if let Some(leader) = self.controllers[n].leader_in_term(term) {
-                    leader.cluster.direct_start_sent(&name, fencing_token, delivery, now);
+                    leader.cluster.apply_direct_dispatch_outcome(
+                        &name,
+                        fencing_token,
+                        delivery,
+                        now,
+                    );
                 }
             }
             Message::StateProbe(n, term, m) => self.deliver_state_probe(n, term, m),
             Message::StateProbeOutcome(n, term, name, heartbeat) => {
                 self.counts.probe_responses += usize::from(heartbeat.is_some());
                 if let Some(leader) = self.controllers[n].leader_in_term(term) {
-                    leader.cluster.state_probed(&name, heartbeat, now);
+                    leader.cluster.apply_state_probe_outcome(&name, heartbeat, now);
                 }
             }
             Message::Commit(n, term, commit) => self.deliver_commit(n, term, commit),
--- a/crates/controller/tests/simulation/mod.rs
+++ b/crates/controller/tests/simulation/mod.rs
@@ -288,7 +288,10 @@
         }
         for (controller, (name, zone)) in self.controllers.iter().zip(CONTROLLERS) {
             let leader = controller.leader.as_ref().map(|leader| {
-                (leader.cluster.summary(self.now).to_string(), leader.cluster.reconciled(self.now))
+                (
+                    leader.cluster.summary(self.now).to_string(),
+                    leader.cluster.is_reconciled(self.now),
+                )
             });
             let status = controller.leader.as_ref().map(|leader| leader.cluster.status(id));
             text += &format!("\n{name} in {zone}: {leader:?} {status:?}");
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -35,7 +35,7 @@
     // Only two machines are reachable; the third may have any task.
     let mut reachable: Vec<ScriptedWorker> = workers.drain(..2).collect();
     run_rounds(&mut harness, &mut reachable);
-    assert!(!harness.cluster.reconciled(harness.now));
+    assert!(!harness.cluster.is_reconciled(harness.now));
     let ended_task = reachable[0].unfinished_tasks().remove(0);
     reachable[0].end_task(&ended_task, ExitCause::Stopped);
     run_rounds(&mut harness, &mut reachable);
@@ -135,8 +135,8 @@
     let probe =
         hookway_wire::DirectCommands { fencing_token: term, incarnation: 1, commands: vec![] };
     let other_response = workers[1].handle_direct_commands(&probe);
-    harness.cluster.state_probed("m-1", other_response, harness.now);
-    assert!(!harness.cluster.reconciled(harness.now));
+    harness.cluster.apply_state_probe_outcome("m-1", other_response, harness.now);
+    assert!(!harness.cluster.is_reconciled(harness.now));
 }
 
 #[test]
@@ -239,7 +239,7 @@
         harness.heartbeat(worker);
     }
     assert!(
-        !harness.cluster.reconciled(harness.now),
+        !harness.cluster.is_reconciled(harness.now),
         "heartbeats with the old fencing token may be older than the failover"
     );
     assert!(
@@ -248,7 +248,7 @@
     );
     harness.now += constants::PROMPT_HEARTBEAT;
     assert_eq!(answer_probes(&mut harness, &mut workers), 2);
-    assert!(harness.cluster.reconciled(harness.now));
+    assert!(harness.cluster.is_reconciled(harness.now));
 }
 
 /// A worker that does not answer a state probe is probed again. If it still does not answer although most of its
@@ -292,9 +292,9 @@
     let probed_for = (constants::MAX_UNANSWERED_STATE_PROBES - 1) * constants::STATE_PROBE_RETRY;
     assert!((probed_for..probed_for + ms(1_500)).contains(&elapsed), "deleted after {elapsed:?}");
     assert!(
-        !harness.cluster.reconciled(harness.now),
+        !harness.cluster.is_reconciled(harness.now),
         "only the confirmed deletion reconciles the machine"
     );
     harness.cluster.scale_in_finished(&deleted, harness.now);
-    assert!(harness.cluster.reconciled(harness.now));
+    assert!(harness.cluster.is_reconciled(harness.now));
 }
--- a/crates/controller/tests/standby_gangs.rs
+++ b/crates/controller/tests/standby_gangs.rs
@@ -21,7 +21,7 @@
     let warm_start = fail_over(&mut harness, &copy);
     assert_eq!((warm_start.addresses, warm_start.gangs), (4, 1), "{warm_start}");
     assert_eq!(answer_probes(&mut harness, &mut workers), 4, "every machine is probed at once");
-    assert!(harness.cluster.reconciled(harness.now));
+    assert!(harness.cluster.is_reconciled(harness.now));
     run_rounds(&mut harness, &mut workers);
     let attempts = attempts(&workers);
     assert_eq!(
@@ -110,7 +110,7 @@
     run_rounds(&mut harness, &mut workers);
     let started_tasks = attempts(&workers).len();
     assert_eq!(started_tasks, 2, "the idle machine gets no task");
-    assert!(!harness.cluster.reconciled(harness.now));
+    assert!(!harness.cluster.is_reconciled(harness.now));
     run_rounds(&mut harness, &mut workers);
     assert_eq!(
         attempts(&workers).len(),
--- a/crates/controller/tests/standby_support/mod.rs
+++ b/crates/controller/tests/standby_support/mod.rs
@@ -43,7 +43,7 @@
                 commands: vec![],
             })
         });
-        harness.cluster.state_probed(name, heartbeat, harness.now);
+        harness.cluster.apply_state_probe_outcome(name, heartbeat, harness.now);
     }
     probes.len()
 }
