--- a/crates/controller/src/cluster_state/autoscaling.rs
+++ b/crates/controller/src/cluster_state/autoscaling.rs
@@ -43,7 +43,7 @@
         let mut surplus = self.machines_to_scale_in(now, &needed, &partitioned);
         surplus.truncate(constants::MAX_SCALE_IN_MACHINES);
         if !surplus.is_empty() {
-            self.scaling_in.extend(surplus.iter().cloned());
+            self.machines_being_deleted.extend(surplus.iter().cloned());
             actions.push(ScalingAction::ScaleIn(surplus));
         }
         actions
--- a/crates/controller/src/cluster_state/command_dispatch.rs
+++ b/crates/controller/src/cluster_state/command_dispatch.rs
@@ -123,7 +123,7 @@
     /// Returns the stops that should not wait for the workers' heartbeats. Each stop is returned
     /// once; if it is lost, the response to the next heartbeat has the same command.
     pub fn take_direct_stops(&mut self, now: MonotonicTime) -> Vec<DirectStop> {
-        if !std::mem::take(&mut self.stops_due) {
+        if !std::mem::take(&mut self.has_pending_stops) {
             return Vec::new();
         }
         let names: Vec<String> = self.machines.keys().cloned().collect();
--- a/crates/controller/src/cluster_state/commit_items.rs
+++ b/crates/controller/src/cluster_state/commit_items.rs
@@ -123,10 +123,10 @@
             } else if job.is_active() {
                 let watermarks = &mut self.commit_queue.shared_watermarks;
                 // A record of an earlier leader may exceed the current value limit.
-                let current = job.start_watermark.shared_record();
+                let current = job.start_watermark.shared_record_number();
                 let usable = current.filter(|number| !watermarks.is_too_large(*number));
                 let number = usable.unwrap_or_else(|| watermarks.add(&job.id));
-                job.start_watermark.set_shared_record(number);
+                job.start_watermark.set_shared_record_number(number);
                 shared.entry(number).or_default().push(key);
             }
         }
@@ -166,7 +166,7 @@
     /// Adds the deletions of keys that nothing refers to any more.
     pub(super) fn add_stale_keys(&mut self, commit: &mut PendingCommit) {
         while commit.can_add(1)
-            && let Some(key) = self.commit_queue.stale_keys.pop_front()
+            && let Some(key) = self.commit_queue.keys_to_delete.pop_front()
         {
             commit.delete(key.clone());
             commit.items.push(CommitItem::StaleKey(key));
--- a/crates/controller/src/cluster_state/commit_outcome.rs
+++ b/crates/controller/src/cluster_state/commit_outcome.rs
@@ -44,7 +44,7 @@
                 machine.stored_images = images;
             }
             if let Some(legacy_key) = self.commit_queue.legacy_registry_keys.remove(&name) {
-                self.commit_queue.stale_keys.push_back(legacy_key);
+                self.commit_queue.keys_to_delete.push_back(legacy_key);
             }
         }
     }
@@ -55,7 +55,7 @@
         job.start_watermark.mark_durable(record.start_watermark);
         if job.completion.is_final() {
             let name = scheduling_key(&job.id);
-            self.commit_queue.stale_keys.push_back(name);
+            self.commit_queue.keys_to_delete.push_back(name);
         }
         self.resolve_assumed_watermark(key);
     }
@@ -83,7 +83,7 @@
         }
         // All jobs of the record ended while the transaction was in flight.
         if self.commit_queue.shared_watermarks.jobs(number).is_none() {
-            self.commit_queue.stale_keys.push_back(shared_watermarks_key(number));
+            self.commit_queue.keys_to_delete.push_back(shared_watermarks_key(number));
         }
     }
 
@@ -103,7 +103,7 @@
             CommitItem::MachineRegistry { number, .. } => {
                 self.commit_queue.registry.requeue(number);
             }
-            CommitItem::StaleKey(key) => self.commit_queue.stale_keys.push_back(key),
+            CommitItem::StaleKey(key) => self.commit_queue.keys_to_delete.push_back(key),
             CommitItem::Classes => self.commit_queue.classes_changed = true,
             CommitItem::WatermarkMarker => self.commit_queue.watermark_marker.requeue(),
             CommitItem::SharedWatermarks { jobs, .. } => {
@@ -186,10 +186,10 @@
                 self.commit_queue.progress_pages.push_back(JobPage { job: key, page });
             }
         }
-        self.stops_due = true;
+        self.has_pending_stops = true;
         if job.completion.is_final() && revision != 0 {
             let name = crate::records::progress_key(&job.id, first);
-            self.commit_queue.stale_keys.push_back(name);
+            self.commit_queue.keys_to_delete.push_back(name);
         }
         self.finish_if_complete(key);
     }
--- a/crates/controller/src/cluster_state/commit_queue.rs
+++ b/crates/controller/src/cluster_state/commit_queue.rs
@@ -40,7 +40,7 @@
     /// names the machine.
     pub legacy_registry_keys: HashMap<String, String>,
     /// Keys to be deleted.
-    pub stale_keys: VecDeque<String>,
+    pub keys_to_delete: VecDeque<String>,
     /// Jobs whose scheduling record is to be written as a hint for the next leader.
     pub scheduling_records: BTreeSet<JobKey>,
     /// Whether the record of the job classes is to be written.
@@ -83,7 +83,7 @@
             watermark_marker: WatermarkMarker::new(),
             mod_revisions: HashMap::new(),
             legacy_registry_keys: HashMap::new(),
-            stale_keys: VecDeque::new(),
+            keys_to_delete: VecDeque::new(),
             scheduling_records: BTreeSet::new(),
             classes_changed: false,
             watermark_raises: BTreeSet::new(),
@@ -112,8 +112,8 @@
     }
 
     /// Queues the deletion of a key.
-    pub fn delete_stale(&mut self, key: String) {
-        self.stale_keys.push_back(key);
+    pub fn queue_deletion(&mut self, key: String) {
+        self.keys_to_delete.push_back(key);
     }
 
     /// Queues the move of a machine's registry entry from the older format to a record.
--- a/crates/controller/src/cluster_state/gang_repair.rs
+++ b/crates/controller/src/cluster_state/gang_repair.rs
@@ -1,7 +1,7 @@
 //! Gangs of which only some tasks are placed: the other tasks are started, or the placed ones
 //! stopped.
 
-use super::startable_tasks::StartGround;
+use super::startable_tasks::StartReason;
 use super::{ClusterState, Job, JobKey, TaskPlacement};
 use hookway_constants as constants;
 use hookway_time::MonotonicTime;
@@ -19,13 +19,13 @@
                 && job.is_active()
                 && job.placed > 0
                 && job.placements.contains(&TaskPlacement::Unplaced)
-                && job.start_ground(is_reconciled) != StartGround::AboveWatermark;
+                && job.start_reason(is_reconciled) != StartReason::AboveWatermark;
             job.gang.completing = is_partial
                 && completable.contains(key)
                 && now
                     < *job.gang.resume_deadline.get_or_insert(now + constants::GANG_RESUME_LIMIT);
             if is_partial && !job.gang.completing {
-                self.stops_due |= !job.gang.broken;
+                self.has_pending_stops |= !job.gang.broken;
                 job.gang.broken = true;
             }
         }
--- a/crates/controller/src/cluster_state/heartbeat.rs
+++ b/crates/controller/src/cluster_state/heartbeat.rs
@@ -113,7 +113,9 @@
             machine.last_response_at = now;
         }
         machine.has_reported = true;
-        if machine.cordon_reason == Some(CordonReason::Silent) && !self.scaling_in.contains(name) {
+        if machine.cordon_reason == Some(CordonReason::Silent)
+            && !self.machines_being_deleted.contains(name)
+        {
             machine.cordon_reason = None;
         }
         if !is_outdated {
--- a/crates/controller/src/cluster_state/heartbeat_placement.rs
+++ b/crates/controller/src/cluster_state/heartbeat_placement.rs
@@ -97,7 +97,7 @@
         {
             return 0;
         }
-        let startable = self.startable_now(job, now);
+        let startable = self.startable_task_count(job, now);
         if startable == 0 {
             return 0;
         }
--- a/crates/controller/src/cluster_state/job.rs
+++ b/crates/controller/src/cluster_state/job.rs
@@ -8,7 +8,7 @@
 use super::run_times::RunTimes;
 use super::service_level_objectives::ServiceLevelObjectives;
 use super::start_watermark::StartWatermark;
-use super::startable_tasks::StartGround;
+use super::startable_tasks::StartReason;
 use crate::records::JobRecord;
 use hookway_constants as constants;
 use hookway_policy::Resources;
@@ -124,7 +124,7 @@
     /// Which tasks may have been started, by this leader or earlier ones.
     pub start_watermark: StartWatermark,
     /// The log already says why the first start in this term was allowed.
-    pub start_ground_logged: bool,
+    pub start_reason_logged: bool,
 }
 
 impl Job {
@@ -168,7 +168,7 @@
             min_tasks: 0,
             stored_min_tasks: None,
             start_watermark: StartWatermark::new(record.has_start_watermark),
-            start_ground_logged: false,
+            start_reason_logged: false,
             spec,
         }
     }
@@ -258,14 +258,14 @@
 
     /// Logs, before the first placement in this term, why tasks of a job of an earlier term may be
     /// started.
-    pub fn log_first_start(&mut self, ground: StartGround) {
+    pub fn log_first_start(&mut self, reason: StartReason) {
         if self.origin == JobOrigin::ThisTerm
-            || std::mem::replace(&mut self.start_ground_logged, true)
+            || std::mem::replace(&mut self.start_reason_logged, true)
         {
             return;
         }
-        let from = self.first_startable(ground);
-        tracing::info!(job = %self.id, ?ground, from, "first start of an inherited job");
+        let from = self.first_startable_index(reason);
+        tracing::info!(job = %self.id, ground = ?reason, from, "first start of an inherited job");
     }
 
     /// Whether the job is not ending, so that its tasks may be started.
--- a/crates/controller/src/cluster_state/job_status_and_cancellation.rs
+++ b/crates/controller/src/cluster_state/job_status_and_cancellation.rs
@@ -78,11 +78,11 @@
         }
         if job.completion.request_cancel(now) {
             tracing::info!(job = %id, "cancellation requested");
-            self.stops_due = true;
-            self.unproven_cancellations.insert(key);
-            self.queue_proven_cancellations(now);
+            self.has_pending_stops = true;
+            self.unconfirmed_cancellations.insert(key);
+            self.queue_confirmable_cancellations(now);
         }
-        if self.unproven_cancellations.contains(&key) {
+        if self.unconfirmed_cancellations.contains(&key) {
             CancelOutcome::LeasesOutstanding
         } else {
             CancelOutcome::Pending
@@ -93,18 +93,18 @@
     /// time for a cancellation. Usually these are all of them: a shard lease ends in time, and a
     /// worker's lease is shorter than that time. Where a worker's lease is longer, all machines
     /// must be reconciled and the job's tasks must have left their machines first.
-    pub(super) fn queue_proven_cancellations(&mut self, now: MonotonicTime) {
-        if self.unproven_cancellations.is_empty() {
+    pub(super) fn queue_confirmable_cancellations(&mut self, now: MonotonicTime) {
+        if self.unconfirmed_cancellations.is_empty() {
             return;
         }
         let leases_expire_in_time = leases_expire_within_cancellation(&self.config.platform);
         let is_reconciled = self.is_reconciled(now);
-        for key in std::mem::take(&mut self.unproven_cancellations) {
+        for key in std::mem::take(&mut self.unconfirmed_cancellations) {
             let Some(job) = self.jobs.get(&key) else { continue };
             if leases_expire_in_time || is_reconciled && job.placed == 0 {
                 self.commit_queue.finished_jobs.push_back(key);
             } else {
-                self.unproven_cancellations.insert(key);
+                self.unconfirmed_cancellations.insert(key);
             }
         }
     }
@@ -124,30 +124,30 @@
         tracing::info!(job = %job.id, state = %record.state, "job completed");
         job.unplaced.clear();
         for key in job.progress.stored_keys(&job.id) {
-            self.commit_queue.delete_stale(key);
+            self.commit_queue.queue_deletion(key);
         }
-        match job.start_watermark.shared_record() {
+        match job.start_watermark.shared_record_number() {
             Some(number) if self.commit_queue.shared_watermarks.remove(number, &job.id) => {
-                self.commit_queue.delete_stale(crate::records::shared_watermarks_key(number));
+                self.commit_queue.queue_deletion(crate::records::shared_watermarks_key(number));
             }
             Some(_) => {}
             None => {
                 let scheduling_key = crate::records::scheduling_key(&job.id);
                 if self.commit_queue.has_record(&scheduling_key) {
-                    self.commit_queue.delete_stale(scheduling_key);
+                    self.commit_queue.queue_deletion(scheduling_key);
                 }
             }
         }
-        self.stops_due = true;
+        self.has_pending_stops = true;
         let id = job.id.clone();
         self.jobs.mark_ended(&id);
         self.resolve_assumed_watermark(key);
         self.completed_jobs.push(CompletedJob { id, record });
-        self.forget_if_removed(key);
+        self.remove_if_finished(key);
     }
 
     /// Removes a job from the cluster state if its end is durable and no machine has a task of it.
-    pub(super) fn forget_if_removed(&mut self, key: JobKey) {
+    pub(super) fn remove_if_finished(&mut self, key: JobKey) {
         let removed = self.jobs.get(&key).is_some_and(|j| j.completion.is_final() && j.placed == 0);
         if removed {
             self.jobs.remove(key);
--- a/crates/controller/src/cluster_state/lease_expiry.rs
+++ b/crates/controller/src/cluster_state/lease_expiry.rs
@@ -8,7 +8,7 @@
     /// Removes the tasks on machines whose workers' leases have certainly expired at `now`, and
     /// cancels starts that wait for the heartbeat of a silent machine.
     pub fn expire_leases(&mut self, now: MonotonicTime) {
-        self.queue_proven_cancellations(now);
+        self.queue_confirmable_cancellations(now);
         if self.unreconciled_leases_expired(now) {
             self.commit_queue.registry.treat_unreadable_as_empty();
         }
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -118,7 +118,7 @@
     config: ControllerConfig,
     term: u64,
     /// Counter of the attempts that were numbered in this term.
-    last_attempt: u64,
+    attempt_counter: u64,
     clocks: LeaderClocks,
     machine_types: Vec<MachineType>,
     images: ImageNumbers,
@@ -137,18 +137,18 @@
     completed_jobs: Vec<CompletedJob>,
     /// Cancelled jobs whose tasks are not yet proven to end in time, so that the cancellation can't
     /// be confirmed.
-    unproven_cancellations: BTreeSet<JobKey>,
+    unconfirmed_cancellations: BTreeSet<JobKey>,
     /// What the last scheduling round left for placement at heartbeats.
     last_round: LastRound,
     /// Replicas that move so that other jobs find capacity.
     relocations: Vec<Relocation>,
     scale_outs: ScaleOutState,
     /// Machines whose deletion has been requested.
-    scaling_in: HashSet<String>,
+    machines_being_deleted: HashSet<String>,
     direct_dispatch: DirectDispatch,
     state_probes: StateProbes,
     /// Whether some task may have to be stopped for which no direct stop has been returned yet.
-    stops_due: bool,
+    has_pending_stops: bool,
     /// Machines that may have changed since changes were last published to standbys.
     unpublished_machines: HashSet<String>,
 }
@@ -166,7 +166,7 @@
     ) -> Self {
         let mut cluster = Self {
             term,
-            last_attempt: 0,
+            attempt_counter: 0,
             clocks: LeaderClocks::new(at),
             machine_types,
             images: ImageNumbers::default(),
@@ -185,14 +185,14 @@
             ),
             commit_queue: CommitQueue::new(&config.platform, leader_precondition, at.monotonic),
             completed_jobs: Vec::new(),
-            unproven_cancellations: BTreeSet::new(),
+            unconfirmed_cancellations: BTreeSet::new(),
             last_round: LastRound::default(),
             relocations: Vec::new(),
             scale_outs: ScaleOutState::default(),
-            scaling_in: HashSet::new(),
+            machines_being_deleted: HashSet::new(),
             direct_dispatch: DirectDispatch::default(),
             state_probes: StateProbes::new(at.monotonic),
-            stops_due: false,
+            has_pending_stops: false,
             unpublished_machines: HashSet::new(),
             config,
         };
--- a/crates/controller/src/cluster_state/placement.rs
+++ b/crates/controller/src/cluster_state/placement.rs
@@ -11,14 +11,14 @@
         let is_reconciled = self.is_reconciled(now);
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let gang = job.spec.is_gang();
-        let ground = job.start_ground(is_reconciled);
-        let first = job.first_startable(ground);
-        job.log_first_start(ground);
+        let reason = job.start_reason(is_reconciled);
+        let first = job.first_startable_index(reason);
+        job.log_first_start(reason);
         for name in machines {
             let Some(index) = job.unplaced.range(first..).next().copied() else { break };
             job.unplaced.remove(&index);
             if !job.start_watermark.covers(index) {
-                job.start_watermark.raise_target(job.watermark_for(index));
+                job.start_watermark.set_target(job.watermark_for(index));
                 self.commit_queue.watermark_raises.insert(key);
             }
             let Some(machine) = self.machines.get_mut(name) else {
@@ -28,8 +28,8 @@
             // Attempt numbers are unique: their upper bits are the term, which no two leaders
             // share.
             let attempt = job.gang.attempt.filter(|_| gang).unwrap_or_else(|| {
-                self.last_attempt += 1;
-                (self.term << constants::ATTEMPT_COUNTER_BITS) + self.last_attempt
+                self.attempt_counter += 1;
+                (self.term << constants::ATTEMPT_COUNTER_BITS) + self.attempt_counter
             });
             if gang {
                 job.gang.attempt = Some(attempt);
@@ -71,7 +71,7 @@
         };
         let order = StopOrder { grace_s, decided_at: now };
         let gang = job.spec.is_gang();
-        self.stops_due = true;
+        self.has_pending_stops = true;
         let placed_tasks = self.machines.values_mut().flat_map(|m| &mut m.placed_tasks);
         for placed in placed_tasks {
             let same_attempt = placed.job == Some(key) && placed.attempt == attempt;
--- a/crates/controller/src/cluster_state/recovery.rs
+++ b/crates/controller/src/cluster_state/recovery.rs
@@ -130,7 +130,7 @@
     /// Queues the deletion of a record whose job has ended or was never accepted.
     fn remove_if_orphaned(&mut self, key: String, jobs_with_record: &JobsWithRecord) {
         if jobs_with_record.lacks_job_in_key(&key) {
-            self.commit_queue.delete_stale(key);
+            self.commit_queue.queue_deletion(key);
         }
     }
 
@@ -260,7 +260,7 @@
                 machine.images = images;
             }
         }
-        self.commit_queue.delete_stale(kv.key);
+        self.commit_queue.queue_deletion(kv.key);
     }
 
     /// Marks the small jobs that a shared start watermark record names: an earlier leader may have
@@ -275,12 +275,12 @@
         for id in record.jobs {
             if let Some(job) = self.jobs.by_id_mut(&id) {
                 job.start_watermark.mark_durable(job.spec.tasks);
-                job.start_watermark.set_shared_record(number);
+                job.start_watermark.set_shared_record_number(number);
                 live.insert(id);
             }
         }
         if live.is_empty() {
-            self.commit_queue.delete_stale(key);
+            self.commit_queue.queue_deletion(key);
         }
         self.commit_queue.shared_watermarks.add_loaded(number, live);
     }
--- a/crates/controller/src/cluster_state/relocation.rs
+++ b/crates/controller/src/cluster_state/relocation.rs
@@ -240,7 +240,7 @@
             return None;
         }
         let waiting = self.jobs.get(&relocation.job).is_some_and(|job| {
-            self.startable_now(job, now) as usize >= relocation.task_machines.len()
+            self.startable_task_count(job, now) as usize >= relocation.task_machines.len()
         });
         if !waiting {
             return Some(AbortReason::JobNotWaiting);
@@ -333,7 +333,7 @@
     /// Whether a stopped replica still waits to be started and its target can be used for it.
     fn may_start_replica(&self, moving: &ReplicaMove, now: MonotonicTime) -> bool {
         let waits = self.jobs.get(&moving.job).is_some_and(|job| {
-            job.unplaced.contains(&moving.index) && self.startable_now(job, now) > 0
+            job.unplaced.contains(&moving.index) && self.startable_task_count(job, now) > 0
         });
         let target = self.machines.get(&moving.to);
         waits
--- a/crates/controller/src/cluster_state/reservation.rs
+++ b/crates/controller/src/cluster_state/reservation.rs
@@ -52,7 +52,7 @@
         now: MonotonicTime,
     ) -> Option<ReleaseReason> {
         let job = self.jobs.get(&reservation.job);
-        if job.is_none_or(|job| self.startable_now(job, now) == 0) {
+        if job.is_none_or(|job| self.startable_task_count(job, now) == 0) {
             return Some(ReleaseReason::JobNotWaiting);
         }
         if machine.is_draining() || !self.is_sending_heartbeats(machine, now) {
--- a/crates/controller/src/cluster_state/scale_in.rs
+++ b/crates/controller/src/cluster_state/scale_in.rs
@@ -141,7 +141,7 @@
         let mut surplus = Vec::new();
         for (name, machine) in &mut self.machines {
             machine.update_idle_since(now);
-            if self.scaling_in.contains(name) {
+            if self.machines_being_deleted.contains(name) {
                 continue;
             }
             machine.cordon_reason = context.cordon_reason(name, machine);
@@ -212,7 +212,7 @@
     /// later round if the machine is still to be deleted.
     pub fn scale_in_failed(&mut self, names: &[String]) {
         for name in names {
-            self.scaling_in.remove(name);
+            self.machines_being_deleted.remove(name);
         }
     }
 }
--- a/crates/controller/src/cluster_state/snapshot.rs
+++ b/crates/controller/src/cluster_state/snapshot.rs
@@ -62,7 +62,7 @@
             }
             job_indexes.insert(*key, jobs.len());
             job_keys.push(*key);
-            jobs.push(self.job_view(job, self.startable_now(job, now)));
+            jobs.push(self.job_view(job, self.startable_task_count(job, now)));
         }
         let (machine_names, machines) = self
             .machines
--- a/crates/controller/src/cluster_state/start_watermark.rs
+++ b/crates/controller/src/cluster_state/start_watermark.rs
@@ -23,7 +23,7 @@
     never_started_from: u32,
     /// Number of the record, shared with other small jobs, that names this job as possibly started;
     /// `None` if no shared record names it.
-    shared_record: Option<u64>,
+    shared_record_number: Option<u64>,
 }
 
 impl StartWatermark {
@@ -36,7 +36,7 @@
             durable: 0,
             target: 0,
             never_started_from: 0,
-            shared_record: None,
+            shared_record_number: None,
         }
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// Requests that a record make the tasks below `target` startable.
-    pub fn raise_target(&mut self, target: u32) {
+    pub fn set_target(&mut self, target: u32) {
         self.target = target;
     }
 
@@ -100,13 +100,13 @@
     }
 
     /// Returns the number of the record that names the job together with other small jobs.
-    pub fn shared_record(&self) -> Option<u64> {
-        self.shared_record
+    pub fn shared_record_number(&self) -> Option<u64> {
+        self.shared_record_number
     }
 
     /// Sets the number of the shared record that names the job, or is to name it.
-    pub fn set_shared_record(&mut self, number: u64) {
-        self.shared_record = Some(number);
+    pub fn set_shared_record_number(&mut self, number: u64) {
+        self.shared_record_number = Some(number);
     }
 }
 
--- a/crates/controller/src/cluster_state/start_watermark/tests.rs
+++ b/crates/controller/src/cluster_state/start_watermark/tests.rs
@@ -4,7 +4,7 @@
 fn task_may_start_only_below_the_durable_watermark() {
     let mut watermark = StartWatermark::new(true);
     assert!(!watermark.allows_start(0) && !watermark.needs_record());
-    watermark.raise_target(8);
+    watermark.set_target(8);
     assert!(watermark.covers(7) && !watermark.covers(8));
     assert!(
         watermark.needs_record() && !watermark.allows_start(0),
--- a/crates/controller/src/cluster_state/startable_tasks.rs
+++ b/crates/controller/src/cluster_state/startable_tasks.rs
@@ -7,7 +7,7 @@
 /// Why tasks of a job may be started, if it has any to start: no other attempt of these tasks can
 /// be on any machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum StartGround {
+pub(super) enum StartReason {
     /// The job was accepted in this term: no earlier leader has started any of its tasks.
     AcceptedInThisTerm,
     /// Every task that an earlier leader may have started is known.
@@ -18,28 +18,28 @@
 }
 
 impl Job {
-    /// Returns the ground on which tasks of the job may be started. `is_reconciled`: whether all
-    /// machines are reconciled.
-    pub(super) fn start_ground(&self, is_reconciled: bool) -> StartGround {
+    /// Returns why tasks of the job may be started. `is_reconciled`: whether all machines are
+    /// reconciled.
+    pub(super) fn start_reason(&self, is_reconciled: bool) -> StartReason {
         match self.origin {
-            JobOrigin::ThisTerm => StartGround::AcceptedInThisTerm,
-            JobOrigin::EarlierTerm if is_reconciled => StartGround::Reconciled,
-            JobOrigin::EarlierTerm => StartGround::AboveWatermark,
+            JobOrigin::ThisTerm => StartReason::AcceptedInThisTerm,
+            JobOrigin::EarlierTerm if is_reconciled => StartReason::Reconciled,
+            JobOrigin::EarlierTerm => StartReason::AboveWatermark,
         }
     }
 
-    /// Returns the lowest task index that may be started on this ground.
-    pub(super) fn first_startable(&self, ground: StartGround) -> u32 {
-        match ground {
-            StartGround::AcceptedInThisTerm | StartGround::Reconciled => 0,
-            StartGround::AboveWatermark => self.start_watermark.never_started_from(),
+    /// Returns the lowest task index that may be started for this reason.
+    pub(super) fn first_startable_index(&self, reason: StartReason) -> u32 {
+        match reason {
+            StartReason::AcceptedInThisTerm | StartReason::Reconciled => 0,
+            StartReason::AboveWatermark => self.start_watermark.never_started_from(),
         }
     }
 }
 
 impl ClusterState {
     /// Returns the number of tasks of a job that may be started at `now`.
-    pub(super) fn startable_now(&self, job: &Job, now: MonotonicTime) -> u32 {
+    pub(super) fn startable_task_count(&self, job: &Job, now: MonotonicTime) -> u32 {
         let team = self.config.platform.teams.get(job.team);
         let has_quota = team.is_some_and(Team::limited);
         // Until all machines are reconciled, a task of a job from an earlier term may be on a
@@ -54,14 +54,14 @@
         // Tasks at or above the start watermark were never started, so they are on none of those
         // machines. But where a job's tasks must be together, or must not all be together, tasks
         // that may be on those machines decide where the others may start: then none is started.
-        let first_startable = job.first_startable(job.start_ground(is_reconciled));
-        if first_startable == 0 {
+        let first_startable_index = job.first_startable_index(job.start_reason(is_reconciled));
+        if first_startable_index == 0 {
             return startable;
         }
         if job.spec.is_gang() || job.bound_to_zones() {
             return 0;
         }
-        startable.min(job.unplaced.range(first_startable..).count() as u32)
+        startable.min(job.unplaced.range(first_startable_index..).count() as u32)
     }
 }
 
--- a/crates/controller/src/cluster_state/task_adoption.rs
+++ b/crates/controller/src/cluster_state/task_adoption.rs
@@ -65,7 +65,7 @@
                 );
             }
             orphaned = !job.adopt_attempt(index, reported.attempt);
-            self.stops_due |= orphaned;
+            self.has_pending_stops |= orphaned;
             job.count_placed(self.config.platform.zone(&machine.zone));
         } else {
             self.unknown_job_tasks += 1;
--- a/crates/controller/src/cluster_state/task_end.rs
+++ b/crates/controller/src/cluster_state/task_end.rs
@@ -107,7 +107,7 @@
         }
         job.failures.consecutive = 0;
         let is_gang = job.spec.is_gang();
-        self.stops_due |= is_gang || !job.orphaned.is_empty();
+        self.has_pending_stops |= is_gang || !job.orphaned.is_empty();
         let completed = if is_gang { 0..job.spec.tasks } else { index..index + 1 };
         for i in completed {
             if !job.mark_completed(i) {
--- a/crates/controller/src/cluster_state/task_removal.rs
+++ b/crates/controller/src/cluster_state/task_removal.rs
@@ -33,7 +33,7 @@
         let zone = machine.and_then(|machine| self.config.platform.zone(&machine.zone));
         let Some(job) = self.jobs.get_mut(&key) else { return };
         job.count_removed(zone);
-        self.stops_due |= job.release_attempt(placed, removal);
+        self.has_pending_stops |= job.release_attempt(placed, removal);
         match removal {
             TaskRemoval::NotStarted => {}
             TaskRemoval::Ended(cause) => {
@@ -57,7 +57,7 @@
             }
             job.waiting_since = now;
         }
-        self.forget_if_removed(key);
+        self.remove_if_finished(key);
     }
 
     /// Removes all tasks from a machine on which they no longer exist. Starts that were never sent
@@ -88,7 +88,7 @@
         }
         self.commit_queue.registry.remove(name);
         self.reconciliation.machines.remove(name);
-        self.scaling_in.remove(name);
+        self.machines_being_deleted.remove(name);
         self.removed_machines.insert(name.to_owned());
         tracing::info!(machine = %name, "machine removed");
     }
