--- a/crates/controller/src/cluster_state/acknowledgement.rs
+++ b/crates/controller/src/cluster_state/acknowledgement.rs
@@ -25,8 +25,8 @@
     ) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let expected = std::mem::take(&mut machine.expected_heartbeat);
-        let Some(acknowledged) = expected.acknowledged(heartbeat) else { return };
-        if acknowledged {
+        let Some(is_applied) = expected.shows_response_applied(heartbeat) else { return };
+        if is_applied {
             machine.unacknowledged_responses = 0;
             if machine.cordon_reason == Some(CordonReason::Unacknowledged) {
                 tracing::info!(machine = %name, "response acknowledged again, uncordoned");
@@ -44,7 +44,7 @@
         // is not done if this controller has answered the worker since, as a lessee while its
         // leadership was uncertain.
         if machine.last_response_at <= expected.responded_at {
-            machine.last_response_at = expected.responded_before;
+            machine.last_response_at = expected.previous_response_at;
         }
         // A single response may get lost.
         if machine.unacknowledged_responses > 1 {
--- a/crates/controller/src/cluster_state/command_dispatch.rs
+++ b/crates/controller/src/cluster_state/command_dispatch.rs
@@ -38,7 +38,7 @@
         if placed.orphaned || !job.is_active() || job.is_completed(placed.index) {
             return Some(0.0);
         }
-        if let Some(order) = placed.stop {
+        if let Some(order) = placed.stop_order {
             let stop_timeout = span_of_seconds(job.spec.checkpoint_s) + constants::STOP_TIMEOUT;
             let is_overdue = now.saturating_duration_since(order.decided_at) > stop_timeout;
             return Some(if is_overdue { 0.0 } else { order.grace_s });
@@ -57,7 +57,7 @@
     /// Whether an orphaned attempt of the same task is on some machine.
     pub(super) fn has_orphaned_attempt(&self, placed: &PlacedTask) -> bool {
         let job = placed.job.and_then(|key| self.jobs.get(&key));
-        job.is_some_and(|job| job.orphaned.contains(&placed.index))
+        job.is_some_and(|job| job.orphaned_attempts.contains(&placed.index))
     }
 
     /// Returns the commands for the response to a machine's newest heartbeat, received at `now`,
@@ -67,7 +67,7 @@
         let Some(machine) = self.machines.get(name) else { return Vec::new() };
         let mut commands = self.reap_commands(machine);
         let is_draining = machine.is_draining();
-        let can_start = !is_draining && machine.registered;
+        let can_start = !is_draining && machine.has_durable_registration;
         let mut placed_tasks = machine.placed_tasks.clone();
         let mut cancelled = Vec::new();
         for placed in &mut placed_tasks {
--- a/crates/controller/src/cluster_state/commit_outcome.rs
+++ b/crates/controller/src/cluster_state/commit_outcome.rs
@@ -40,7 +40,7 @@
             // A machine that was removed meanwhile has left its record, which is already marked as
             // stale.
             if let Some(machine) = self.machines.get_mut(&name) {
-                machine.registered = true;
+                machine.has_durable_registration = true;
                 machine.stored_images = images;
             }
             if let Some(legacy_key) = self.commit_queue.legacy_registry_keys.remove(&name) {
@@ -197,7 +197,8 @@
     /// Queues the final record of a job if all of its tasks are completed. Daemons never complete.
     pub(super) fn finish_if_complete(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
-        if job.completed == job.spec.tasks && !job.spec.is_daemon() && job.completion.finish() {
+        if job.completed == job.spec.tasks && !job.spec.is_daemon() && job.completion.decide_done()
+        {
             self.commit_queue.finished_jobs.push_back(key);
         }
     }
--- a/crates/controller/src/cluster_state/completion.rs
+++ b/crates/controller/src/cluster_state/completion.rs
@@ -95,7 +95,7 @@
 
     /// Decides that the job ends as done, since all its tasks are completed. Returns `false`, and
     /// changes nothing, if an end is decided already.
-    pub fn finish(&mut self) -> bool {
+    pub fn decide_done(&mut self) -> bool {
         self.begin_ending(IntendedEnd::Done)
     }
 
@@ -145,7 +145,7 @@
 
     /// Records that a final record is durable, whichever controller decided the end. Returns
     /// `false` if that was known already.
-    pub fn complete(&mut self, record: FinalRecord) -> bool {
+    pub fn mark_final(&mut self, record: FinalRecord) -> bool {
         if self.is_final() {
             return false;
         }
--- a/crates/controller/src/cluster_state/direct_dispatch.rs
+++ b/crates/controller/src/cluster_state/direct_dispatch.rs
@@ -51,7 +51,7 @@
 impl Machine {
     /// Whether the outcome of some start dispatched under this fencing token is unknown.
     fn awaits_direct_starts(&self, fencing_token: u64) -> bool {
-        let unknown_outcome = TaskPhase::SentDirectly(fencing_token);
+        let unknown_outcome = TaskPhase::DispatchedDirectly(fencing_token);
         self.placed_tasks.iter().any(|placed| placed.phase == unknown_outcome)
     }
 }
@@ -82,7 +82,7 @@
             return None;
         };
         if self.direct_dispatch.in_flight.contains_key(name)
-            || !machine.registered
+            || !machine.has_durable_registration
             || now < machine.heartbeat_expected_by
         {
             return None;
@@ -105,7 +105,7 @@
         let mut commands = Vec::with_capacity(selection.positions.len());
         for position in selection.positions {
             let placed = &mut machine.placed_tasks[position];
-            placed.phase = TaskPhase::SentDirectly(fencing_token);
+            placed.phase = TaskPhase::DispatchedDirectly(fencing_token);
             commands.push(placed.run_command());
         }
         let incarnation = machine.newest_message.incarnation;
@@ -190,7 +190,7 @@
         self.mark_unpublished(name);
         let Some(machine) = self.machines.get_mut(name) else { return };
         for placed in &mut machine.placed_tasks {
-            if placed.phase == TaskPhase::SentDirectly(fencing_token) {
+            if placed.phase == TaskPhase::DispatchedDirectly(fencing_token) {
                 placed.phase = TaskPhase::Planned;
             }
         }
--- a/crates/controller/src/cluster_state/draining.rs
+++ b/crates/controller/src/cluster_state/draining.rs
@@ -21,7 +21,7 @@
         let mut to_stop = Vec::new();
         for (name, machine) in self.machines.iter().filter(|(_, m)| m.is_draining()) {
             for (index, placed) in machine.placed_tasks.iter().enumerate() {
-                if placed.stop.is_none() && self.moves_when_drained(machine, placed, now) {
+                if placed.stop_order.is_none() && self.moves_when_drained(machine, placed, now) {
                     to_stop.push(TaskPosition { machine: name.clone(), index });
                 }
             }
@@ -49,7 +49,7 @@
                 |(mean_ms, remaining)| mean_ms - millis_f64(ran) > millis_f64(remaining),
             );
         // A replica of a daemon does not finish by itself.
-        placed.phase.is_before_run()
+        placed.phase.has_made_no_progress()
             || job.spec.checkpoints()
             || job.spec.is_daemon()
             || cannot_finish
@@ -88,7 +88,7 @@
     }
 
     fn is_stuck(&self, placed: &PlacedTask, now: MonotonicTime) -> bool {
-        let (Some(since), None) = (placed.running_since, placed.stop) else { return false };
+        let (Some(since), None) = (placed.running_since, placed.stop_order) else { return false };
         let independent = |job: &&Job| !job.spec.is_gang() && !job.spec.is_daemon();
         let job = placed.job.and_then(|key| self.jobs.get(&key)).filter(independent);
         let Some(job) = job else { return false };
--- a/crates/controller/src/cluster_state/failure_attribution.rs
+++ b/crates/controller/src/cluster_state/failure_attribution.rs
@@ -94,7 +94,7 @@
 
     /// Records that a replica of a daemon exited with success. It is started again; an early exit
     /// counts as a failure and may delay that by a backoff.
-    pub(super) fn replica_completed(
+    pub(super) fn record_replica_exit(
         &mut self,
         machine: &str,
         running_since: Option<MonotonicTime>,
--- a/crates/controller/src/cluster_state/gang_repair.rs
+++ b/crates/controller/src/cluster_state/gang_repair.rs
@@ -17,7 +17,7 @@
         for (key, job) in self.jobs.iter_mut() {
             let is_partial = job.spec.is_gang()
                 && job.is_active()
-                && job.placed > 0
+                && job.placed_attempts > 0
                 && job.placements.contains(&TaskPlacement::Unplaced)
                 && job.start_reason(is_reconciled) != StartReason::AboveWatermark;
             job.gang.completing = is_partial
@@ -37,9 +37,9 @@
     fn completable_gangs(&self) -> HashSet<JobKey> {
         let is_resumable = |job: &Job| {
             job.gang.resumed_attempt.is_some()
-                && !job.unplaced.is_empty()
+                && !job.placeable.is_empty()
                 && job.gang.attempt == job.gang.resumed_attempt
-                && job.orphaned.is_empty()
+                && job.orphaned_attempts.is_empty()
                 && !job.gang.broken
         };
         let mut gangs: HashSet<JobKey> =
@@ -49,7 +49,7 @@
         }
         for placed in self.machines.values().flat_map(|machine| &machine.placed_tasks) {
             if let Some(key) = placed.job
-                && (!placed.phase.is_before_run() || placed.stop.is_some())
+                && (!placed.phase.has_made_no_progress() || placed.stop_order.is_some())
             {
                 gangs.remove(&key);
             }
--- a/crates/controller/src/cluster_state/heartbeat.rs
+++ b/crates/controller/src/cluster_state/heartbeat.rs
@@ -50,9 +50,9 @@
             self.apply_reported_tasks(name, heartbeat, now, MessageKind::Heartbeat);
         }
         let machine = self.machines.get_mut(name)?;
-        let responded_before = std::mem::replace(&mut machine.last_response_at, now);
+        let previous_response_at = std::mem::replace(&mut machine.last_response_at, now);
         self.place_at_heartbeat(name, now);
-        self.respond(heartbeat, responded_before, now)
+        self.respond(heartbeat, previous_response_at, now)
     }
 
     /// Adds the machine if it is not in the cluster state yet.
@@ -128,7 +128,7 @@
     /// first heartbeat: until then the machine has no tasks, and the next leader need not wait for
     /// it.
     fn register_if_new(&mut self, name: &str, now: MonotonicTime) {
-        if self.machines.get(name).is_some_and(|machine| !machine.registered) {
+        if self.machines.get(name).is_some_and(|machine| !machine.has_durable_registration) {
             let registered_at = self.clocks.wall_at(now);
             self.commit_queue.registry.register(name, registered_at);
         }
@@ -158,7 +158,7 @@
     fn respond(
         &mut self,
         heartbeat: &Heartbeat,
-        responded_before: MonotonicTime,
+        previous_response_at: MonotonicTime,
         now: MonotonicTime,
     ) -> Option<HeartbeatResponse> {
         let name = heartbeat.machine.as_str();
@@ -173,7 +173,7 @@
         let fencing_token = self.term + machine.token_offset;
         let mut expected = ExpectedHeartbeat {
             fencing_token: (fencing_token > heartbeat.fencing_token).then_some(fencing_token),
-            responded_before,
+            previous_response_at,
             responded_at: now,
             ..ExpectedHeartbeat::default()
         };
--- a/crates/controller/src/cluster_state/heartbeat_placement.rs
+++ b/crates/controller/src/cluster_state/heartbeat_placement.rs
@@ -58,7 +58,7 @@
         if self.last_round.reserved_machines.contains(name)
             || machine.is_draining()
             || machine.reservation.is_some()
-            || !machine.registered
+            || !machine.has_durable_registration
             || now < machine.backoff_until
             || !machine.is_admitted(now)
         {
@@ -73,7 +73,7 @@
             name,
             machine_type,
             zone,
-            spot: machine.spot,
+            spot: machine.is_spot,
             free,
             images: machine.images.iter().map(|cached| cached.image).collect(),
         })
--- a/crates/controller/src/cluster_state/heartbeat_tasks.rs
+++ b/crates/controller/src/cluster_state/heartbeat_tasks.rs
@@ -184,7 +184,7 @@
         // proves that the command did not arrive and never will.
         TaskPhase::Sent => kind == MessageKind::Heartbeat,
         // A worker that has seen a higher token refuses the command, whenever it arrives.
-        TaskPhase::SentDirectly(token) => heartbeat.fencing_token > token,
+        TaskPhase::DispatchedDirectly(token) => heartbeat.fencing_token > token,
     };
     if start_failed {
         placed.phase = TaskPhase::Planned;
--- a/crates/controller/src/cluster_state/job.rs
+++ b/crates/controller/src/cluster_state/job.rs
@@ -88,18 +88,19 @@
     /// Placement of each task, by task index.
     pub placements: Vec<TaskPlacement>,
     /// Indexes of the tasks that may be placed: unplaced ones without an orphaned attempt.
-    pub unplaced: BTreeSet<u32>,
+    pub placeable: BTreeSet<u32>,
     /// Task indexes of the attempts that should not be on their machine, one entry per attempt.
-    pub orphaned: Vec<u32>,
+    pub orphaned_attempts: Vec<u32>,
     /// Number of completed tasks.
     pub completed: u32,
     /// The results that are durable.
     pub progress: Progress,
     /// Number of attempts that occupy resources of a machine, including orphaned ones.
-    pub placed: u32,
+    pub placed_attempts: u32,
     /// Number of running tasks, as shown to users.
     pub running: u32,
-    /// `placed`, by zone index. Attempts in a zone that is not in the settings are not counted.
+    /// `placed_attempts`, by zone index. Attempts in a zone that is not in the settings are not
+    /// counted.
     pub placed_per_zone: Vec<u32>,
     /// Run times of completed tasks, where they are known.
     pub run_times: RunTimes,
@@ -150,11 +151,11 @@
             start_by_s: objectives.start_s.iter().map(|s| submitted_s + s).collect(),
             origin: context.origin,
             placements: vec![TaskPlacement::Unplaced; tasks],
-            unplaced: (0..spec.tasks).collect(),
-            orphaned: Vec::new(),
+            placeable: (0..spec.tasks).collect(),
+            orphaned_attempts: Vec::new(),
             completed: 0,
             progress: Progress::new(spec.tasks, context.max_value_kb),
-            placed: 0,
+            placed_attempts: 0,
             running: 0,
             placed_per_zone: vec![0; context.zones],
             run_times: RunTimes::default(),
@@ -180,7 +181,7 @@
     }
 
     /// Whether the zones of the placed tasks restrict where the other tasks may start.
-    pub fn bound_to_zones(&self) -> bool {
+    pub fn has_zone_constraint(&self) -> bool {
         self.spec.one_zone || self.spec.spread
     }
 
@@ -211,7 +212,7 @@
             return false;
         }
         self.placements[index as usize] = TaskPlacement::Completed;
-        self.unplaced.remove(&index);
+        self.placeable.remove(&index);
         self.completed += 1;
         true
     }
@@ -219,7 +220,7 @@
     /// Counts an attempt that occupies resources in a zone; `None` for a zone that is not in the
     /// settings.
     pub fn count_placed(&mut self, zone: Option<usize>) {
-        self.placed += 1;
+        self.placed_attempts += 1;
         if let Some(zone) = zone {
             self.placed_per_zone[zone] += 1;
         }
@@ -227,7 +228,7 @@
 
     /// Reverses [`Job::count_placed`] for an attempt that has left its machine.
     pub fn count_removed(&mut self, zone: Option<usize>) {
-        self.placed = self.placed.saturating_sub(1);
+        self.placed_attempts = self.placed_attempts.saturating_sub(1);
         if let Some(zone) = zone {
             self.placed_per_zone[zone] = self.placed_per_zone[zone].saturating_sub(1);
         }
--- a/crates/controller/src/cluster_state/job_status_and_cancellation.rs
+++ b/crates/controller/src/cluster_state/job_status_and_cancellation.rs
@@ -12,7 +12,7 @@
     Known(JobStatus),
     /// The transaction with the final record is in flight, or its outcome is unknown: only the
     /// store can tell whether the job has ended.
-    CommitInFlight,
+    FinalStateIndeterminate,
     /// The job is not in the cluster state: it has ended, was not seen yet, or was never accepted.
     UnknownJob,
 }
@@ -49,7 +49,7 @@
         };
         match job.completion.final_record() {
             Some(record) => JobLookup::Known(record.status(id)),
-            None if job.completion.commit_outstanding() => JobLookup::CommitInFlight,
+            None if job.completion.commit_outstanding() => JobLookup::FinalStateIndeterminate,
             None => JobLookup::Known(self.status_of(job)),
         }
     }
@@ -101,7 +101,7 @@
         let is_reconciled = self.is_reconciled(now);
         for key in std::mem::take(&mut self.unconfirmed_cancellations) {
             let Some(job) = self.jobs.get(&key) else { continue };
-            if leases_expire_in_time || is_reconciled && job.placed == 0 {
+            if leases_expire_in_time || is_reconciled && job.placed_attempts == 0 {
                 self.commit_queue.finished_jobs.push_back(key);
             } else {
                 self.unconfirmed_cancellations.insert(key);
@@ -118,11 +118,11 @@
     /// are queued for deletion.
     pub(super) fn complete_job(&mut self, key: JobKey, record: FinalRecord) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
-        if !job.completion.complete(record.clone()) {
+        if !job.completion.mark_final(record.clone()) {
             return;
         }
         tracing::info!(job = %job.id, state = %record.state, "job completed");
-        job.unplaced.clear();
+        job.placeable.clear();
         for key in job.progress.stored_keys(&job.id) {
             self.commit_queue.queue_deletion(key);
         }
@@ -148,7 +148,8 @@
 
     /// Removes a job from the cluster state if its end is durable and no machine has a task of it.
     pub(super) fn remove_if_finished(&mut self, key: JobKey) {
-        let removed = self.jobs.get(&key).is_some_and(|j| j.completion.is_final() && j.placed == 0);
+        let removed =
+            self.jobs.get(&key).is_some_and(|j| j.completion.is_final() && j.placed_attempts == 0);
         if removed {
             self.jobs.remove(key);
         }
--- a/crates/controller/src/cluster_state/leases.rs
+++ b/crates/controller/src/cluster_state/leases.rs
@@ -56,8 +56,9 @@
             return Duration::ZERO;
         }
         let max = max_shard_lease(&self.config);
-        let is_stopping =
-            |job: &&Job| job.completion.end_state() == Some(JobState::Cancelled) && job.placed > 0;
+        let is_stopping = |job: &&Job| {
+            job.completion.end_state() == Some(JobState::Cancelled) && job.placed_attempts > 0
+        };
         let remaining = |job: &Job| {
             let requested_at = job.completion.cancel_requested_at();
             requested_at
--- a/crates/controller/src/cluster_state/machine.rs
+++ b/crates/controller/src/cluster_state/machine.rs
@@ -100,7 +100,7 @@
     /// Zone; empty until known.
     pub zone: String,
     /// Whether it is a spot machine.
-    pub spot: bool,
+    pub is_spot: bool,
     /// Address where its worker listens; empty until known.
     pub address: String,
     /// Whether its worker has sent this leader a heartbeat or answered a state probe.
@@ -129,7 +129,7 @@
     /// lessor tracks them.
     pub last_response_at: MonotonicTime,
     /// Whether its entry in the machine registry is durable.
-    pub registered: bool,
+    pub has_durable_registration: bool,
     /// When it was requested or first seen; earlier if the machine list shows a greater age.
     pub created_at: MonotonicTime,
     /// Since when it has certainly been in the cloud's machine list; `None` if that is unknown.
@@ -167,7 +167,7 @@
         Self {
             machine_type: String::new(),
             zone: String::new(),
-            spot: false,
+            is_spot: false,
             address: String::new(),
             has_reported: false,
             state_probe: StateProbe::default(),
@@ -179,7 +179,7 @@
             unacknowledged_responses: 0,
             expired_incarnation: 0,
             last_response_at: now,
-            registered: false,
+            has_durable_registration: false,
             created_at: now,
             first_listing: None,
             placed_tasks: Vec::new(),
@@ -217,7 +217,7 @@
         self.address.clone_from(&heartbeat.addr);
         self.machine_type.clone_from(&heartbeat.machine_type);
         self.zone.clone_from(&heartbeat.zone);
-        self.spot = heartbeat.spot;
+        self.is_spot = heartbeat.spot;
     }
 
     /// Admits the machine for new tasks until `until`; a later end of an earlier admission stays.
--- a/crates/controller/src/cluster_state/machine_list.rs
+++ b/crates/controller/src/cluster_state/machine_list.rs
@@ -56,7 +56,7 @@
         if !machine.has_reported {
             machine.machine_type.clone_from(&listed.machine_type);
             machine.zone.clone_from(&listed.zone);
-            machine.spot = listed.spot;
+            machine.is_spot = listed.spot;
             if let Some(address) = &listed.addr {
                 machine.address.clone_from(address);
             }
--- a/crates/controller/src/cluster_state/placed_task.rs
+++ b/crates/controller/src/cluster_state/placed_task.rs
@@ -15,7 +15,7 @@
     Sent,
     /// The command was dispatched directly to the worker with this fencing token, and its outcome
     /// is unknown. It may still arrive until the worker has seen a higher token.
-    SentDirectly(u64),
+    DispatchedDirectly(u64),
     /// The worker has reported the task in this state.
     Reported(TaskState),
 }
@@ -28,7 +28,7 @@
 
     /// Whether the task is known to have made no progress yet: it is planned, fetches its image or
     /// waits for its gang. A start that was sent but is not reported does not count.
-    pub fn is_before_run(self) -> bool {
+    pub fn has_made_no_progress(self) -> bool {
         matches!(
             self,
             Self::Planned | Self::Reported(TaskState::FetchingImage | TaskState::WaitingForGang)
@@ -62,7 +62,7 @@
     /// The attempt should not be on this machine, and is stopped.
     pub orphaned: bool,
     /// The decision to stop the attempt; `None` while it may run on.
-    pub stop: Option<StopOrder>,
+    pub stop_order: Option<StopOrder>,
     /// A command to stop the attempt was handed out for direct dispatch.
     pub stop_dispatched: bool,
     /// When this leader first saw the attempt running; `None` before that.
@@ -140,13 +140,13 @@
     pub responded_at: MonotonicTime,
     /// When the worker may last have been answered before this response. It applies again if this
     /// response turns out not to be applied.
-    pub responded_before: MonotonicTime,
+    pub previous_response_at: MonotonicTime,
 }
 
 impl ExpectedHeartbeat {
     /// Whether the heartbeat shows that the response was applied; `None` if no heartbeat would show
     /// that, because the response has neither a higher token, starts nor reaps.
-    pub fn acknowledged(&self, heartbeat: &Heartbeat) -> Option<bool> {
+    pub fn shows_response_applied(&self, heartbeat: &Heartbeat) -> Option<bool> {
         if self.fencing_token.is_none() && self.starts.is_empty() && self.reaps.is_empty() {
             return None;
         }
--- a/crates/controller/src/cluster_state/placement.rs
+++ b/crates/controller/src/cluster_state/placement.rs
@@ -15,14 +15,14 @@
         let first = job.first_startable_index(reason);
         job.log_first_start(reason);
         for name in machines {
-            let Some(index) = job.unplaced.range(first..).next().copied() else { break };
-            job.unplaced.remove(&index);
+            let Some(index) = job.placeable.range(first..).next().copied() else { break };
+            job.placeable.remove(&index);
             if !job.start_watermark.covers(index) {
                 job.start_watermark.set_target(job.watermark_for(index));
                 self.commit_queue.watermark_raises.insert(key);
             }
             let Some(machine) = self.machines.get_mut(name) else {
-                job.unplaced.insert(index);
+                job.placeable.insert(index);
                 continue;
             };
             // Attempt numbers are unique: their upper bits are the term, which no two leaders
@@ -47,7 +47,7 @@
                 attempt,
                 phase: TaskPhase::Planned,
                 orphaned: false,
-                stop: None,
+                stop_order: None,
                 stop_dispatched: false,
                 running_since: None,
                 placed_at: now,
@@ -76,7 +76,7 @@
         for placed in placed_tasks {
             let same_attempt = placed.job == Some(key) && placed.attempt == attempt;
             if same_attempt && (gang || placed.task == task) {
-                placed.stop.get_or_insert(order);
+                placed.stop_order.get_or_insert(order);
             }
         }
     }
--- a/crates/controller/src/cluster_state/recovery.rs
+++ b/crates/controller/src/cluster_state/recovery.rs
@@ -294,7 +294,7 @@
         at: Timestamp,
     ) {
         let mut machine = Machine::new(at.monotonic);
-        machine.registered = true;
+        machine.has_durable_registration = true;
         machine.images = images;
         machine.stored_images = machine.image_ids();
         // A machine that was registered long enough ago must appear in every machine list from now
--- a/crates/controller/src/cluster_state/relocation.rs
+++ b/crates/controller/src/cluster_state/relocation.rs
@@ -111,7 +111,7 @@
         let moves = self.relocations.iter().flat_map(|relocation| &relocation.moves);
         moves.filter_map(|moving| {
             let job = self.jobs.get(&moving.job)?;
-            job.unplaced.contains(&moving.index).then_some((job.team, job.request))
+            job.placeable.contains(&moving.index).then_some((job.team, job.request))
         })
     }
 
@@ -270,7 +270,7 @@
         let mut moves = std::mem::take(&mut relocation.moves);
         for at in 0..moves.len() {
             let moving = &moves[at];
-            let complete = self.jobs.get(&moving.job).is_some_and(|job| job.unplaced.is_empty());
+            let complete = self.jobs.get(&moving.job).is_some_and(|job| job.placeable.is_empty());
             let one_is_stopping = moves
                 .iter()
                 .any(|other| other.job == moving.job && other.step == MoveStep::Stopping);
@@ -333,7 +333,7 @@
     /// Whether a stopped replica still waits to be started and its target can be used for it.
     fn may_start_replica(&self, moving: &ReplicaMove, now: MonotonicTime) -> bool {
         let waits = self.jobs.get(&moving.job).is_some_and(|job| {
-            job.unplaced.contains(&moving.index) && self.startable_task_count(job, now) > 0
+            job.placeable.contains(&moving.index) && self.startable_task_count(job, now) > 0
         });
         let target = self.machines.get(&moving.to);
         waits
@@ -394,7 +394,7 @@
     fn can_start_on(&self, name: &str, now: MonotonicTime) -> bool {
         let takes_tasks = |machine: &Machine| {
             !machine.is_draining()
-                && machine.registered
+                && machine.has_durable_registration
                 && now >= machine.backoff_until
                 && machine.is_admitted(now)
                 && self.is_sending_heartbeats(machine, now)
--- a/crates/controller/src/cluster_state/scale_in.rs
+++ b/crates/controller/src/cluster_state/scale_in.rs
@@ -97,7 +97,7 @@
         } else {
             constants::SILENT_SCALE_IN_DELAY
         };
-        (machine.has_reported || machine.registered)
+        (machine.has_reported || machine.has_durable_registration)
             && self.now >= silent_since + self.lease + delay
     }
 
@@ -109,7 +109,7 @@
         let timeout = Duration::from_millis((boot_ms * constants::BOOT_TIMEOUT_FACTOR) as u64)
             + constants::BOOT_TIMEOUT_MARGIN;
         !machine.has_reported
-            && !machine.registered
+            && !machine.has_durable_registration
             && self.now >= machine.created_at + timeout
             && self.now >= self.resumed_at + self.lease
     }
@@ -161,10 +161,9 @@
     /// to try each controller while one of them hangs, and to send another heartbeat with the new
     /// fencing token.
     fn unreconciled_to_delete(&self, now: MonotonicTime, max_silence: Duration) -> HashSet<String> {
-        let earlier_job_waits = self
-            .jobs
-            .values()
-            .any(|j| j.origin == JobOrigin::EarlierTerm && j.is_active() && !j.unplaced.is_empty());
+        let earlier_job_waits = self.jobs.values().any(|j| {
+            j.origin == JobOrigin::EarlierTerm && j.is_active() && !j.placeable.is_empty()
+        });
         let leases_expire_at =
             self.reconciliation.last_answered_at + longest_worker_lease(&self.config.platform);
         let worthwhile = !self.is_reconciled(now)
--- a/crates/controller/src/cluster_state/scale_out.rs
+++ b/crates/controller/src/cluster_state/scale_out.rs
@@ -177,7 +177,7 @@
             if !machine.has_reported {
                 machine.machine_type.clone_from(&request.machine_type);
                 machine.zone.clone_from(&request.zone);
-                machine.spot = request.spot;
+                machine.is_spot = request.spot;
             }
         }
     }
--- a/crates/controller/src/cluster_state/scheduling_round.rs
+++ b/crates/controller/src/cluster_state/scheduling_round.rs
@@ -43,7 +43,7 @@
     pub fn round_interval(&self) -> Duration {
         let machines = self.machines.len() as f64;
         let waiting_jobs =
-            self.jobs.values().filter(|j| j.is_active() && !j.unplaced.is_empty()).count() as f64;
+            self.jobs.values().filter(|j| j.is_active() && !j.placeable.is_empty()).count() as f64;
         let per_machine_us =
             constants::ROUND_COST_PER_MACHINE_US + waiting_jobs * constants::ROUND_COST_PER_PAIR_US;
         let cost_ms = machines * per_machine_us / 1000.0;
--- a/crates/controller/src/cluster_state/silence_detection.rs
+++ b/crates/controller/src/cluster_state/silence_detection.rs
@@ -68,7 +68,7 @@
             now >= since.max(self.clocks.resumed_at) + timeout
         };
         let zones = self.count_by_zone(
-            |machine| machine.registered && !machine.zone.is_empty(),
+            |machine| machine.has_durable_registration && !machine.zone.is_empty(),
             |_, machine| is_silent(machine),
         );
         let partitioned = zones.iter().filter(|(_, count)| count.is_partitioned());
--- a/crates/controller/src/cluster_state/snapshot.rs
+++ b/crates/controller/src/cluster_state/snapshot.rs
@@ -57,7 +57,7 @@
         let mut job_keys = Vec::new();
         let mut jobs = Vec::new();
         for (key, job) in self.jobs.iter() {
-            if job.completion.is_final() && job.placed == 0 {
+            if job.completion.is_final() && job.placed_attempts == 0 {
                 continue;
             }
             job_indexes.insert(*key, jobs.len());
@@ -118,7 +118,7 @@
             .collect();
         for job in self.jobs.values() {
             if let Some(team) = teams.get_mut(job.team) {
-                team.used.add(&job.request.times(job.placed));
+                team.used.add(&job.request.times(job.placed_attempts));
             }
         }
         for (team, request) in self.quota_of_moving_replicas() {
@@ -166,7 +166,7 @@
             completed: job.completed,
             mean_task_time: job.run_times.mean_ms().map(|ms| ms / 1000.0),
             unfinished: job.unfinished(),
-            placed: job.placed,
+            placed: job.placed_attempts,
             startable,
             crash_looping: job.is_crash_looping(),
             placed_per_zone: job.placed_per_zone.clone(),
@@ -206,10 +206,11 @@
         Some(MachineView {
             machine_type,
             zone,
-            spot: machine.spot,
+            spot: machine.is_spot,
             total,
             free,
-            price: self.machine_types[machine_type].price(PurchaseOption::from_spot(machine.spot)),
+            price: self.machine_types[machine_type]
+                .price(PurchaseOption::from_spot(machine.is_spot)),
             images: machine.images.iter().map(|cached| cached.image).collect(),
             schedulable: !takes_no_tasks
                 && self.is_sending_heartbeats(machine, now)
@@ -243,7 +244,7 @@
             job: *job_indexes.get(&key)?,
             request: job.request,
             elapsed: running_s,
-            terminating: placed.orphaned || placed.stop.is_some() || !job.is_active(),
+            terminating: placed.orphaned || placed.stop_order.is_some() || !job.is_active(),
         })
     }
 }
--- a/crates/controller/src/cluster_state/spare_machines.rs
+++ b/crates/controller/src/cluster_state/spare_machines.rs
@@ -71,7 +71,7 @@
             } else if self.is_spare_candidate(machine, machine_type, class, now) {
                 let images = &class.history.images;
                 let cached = machine.images.iter().filter(|c| images.contains(&c.image));
-                let price = machine_type.price(PurchaseOption::from_spot(machine.spot));
+                let price = machine_type.price(PurchaseOption::from_spot(machine.is_spot));
                 candidates.push(Candidate { name, cached_images: cached.count(), price });
             }
         }
@@ -106,7 +106,7 @@
         !ready_in_time
             && machine.has_reported
             && !machine.is_draining()
-            && (!machine.spot || history.allows_spot)
+            && (!machine.is_spot || history.allows_spot)
             && Resources::of_machine_type(machine_type).fits(&history.request)
             && now < machine.last_response_at + lease
     }
--- a/crates/controller/src/cluster_state/standby_replication.rs
+++ b/crates/controller/src/cluster_state/standby_replication.rs
@@ -34,7 +34,7 @@
 fn replication_stage(phase: TaskPhase) -> Stage {
     match phase {
         TaskPhase::Planned => Stage::Planned,
-        TaskPhase::Sent | TaskPhase::SentDirectly(_) => Stage::Sent,
+        TaskPhase::Sent | TaskPhase::DispatchedDirectly(_) => Stage::Sent,
         TaskPhase::Reported(TaskState::Running | TaskState::Checkpointing) => Stage::Running,
         TaskPhase::Reported(_) => Stage::Accepted,
     }
--- a/crates/controller/src/cluster_state/startable_tasks.rs
+++ b/crates/controller/src/cluster_state/startable_tasks.rs
@@ -58,10 +58,10 @@
         if first_startable_index == 0 {
             return startable;
         }
-        if job.spec.is_gang() || job.bound_to_zones() {
+        if job.spec.is_gang() || job.has_zone_constraint() {
             return 0;
         }
-        startable.min(job.unplaced.range(first_startable_index..).count() as u32)
+        startable.min(job.placeable.range(first_startable_index..).count() as u32)
     }
 }
 
@@ -70,13 +70,17 @@
     if !job.is_active() {
         return 0;
     }
-    let unplaced = job.unplaced.len() as u32;
+    let placeable = job.placeable.len() as u32;
     if job.spec.is_gang() {
         // A new attempt starts only with all tasks unplaced: tasks of an earlier attempt stay
         // placed until they exit.
-        let is_unstarted = job.placed == 0 && unplaced == job.spec.tasks;
+        let is_unstarted = job.placed_attempts == 0 && placeable == job.spec.tasks;
         let completing = job.gang.completing && !job.gang.broken;
-        return if is_unstarted || completing { unplaced } else { 0 };
+        return if is_unstarted || completing { placeable } else { 0 };
+    }
+    if job.is_crash_looping() {
+        placeable.min(1).saturating_sub(job.placed_attempts)
+    } else {
+        placeable
     }
-    if job.is_crash_looping() { unplaced.min(1).saturating_sub(job.placed) } else { unplaced }
 }
--- a/crates/controller/src/cluster_state/task_adoption.rs
+++ b/crates/controller/src/cluster_state/task_adoption.rs
@@ -81,7 +81,7 @@
             attempt: reported.attempt,
             phase: TaskPhase::Reported(reported.state),
             orphaned,
-            stop: None,
+            stop_order: None,
             stop_dispatched: false,
             running_since: (reported.state == TaskState::Running).then_some(now),
             placed_at: now,
@@ -107,9 +107,9 @@
                 self.gang.attempt = Some(attempt);
             }
         } else {
-            self.orphaned.push(index);
+            self.orphaned_attempts.push(index);
         }
-        self.unplaced.remove(&index);
+        self.placeable.remove(&index);
         adopted
     }
 }
--- a/crates/controller/src/cluster_state/task_end.rs
+++ b/crates/controller/src/cluster_state/task_end.rs
@@ -88,7 +88,7 @@
         match cause {
             ExitCause::Error => self.attribute_failure(name, key, placed.placed_at, now),
             ExitCause::Done => {
-                job.replica_completed(name, placed.running_since, placed.placed_at, now);
+                job.record_replica_exit(name, placed.running_since, placed.placed_at, now);
             }
             ExitCause::InsufficientResources | ExitCause::AttemptConflict => {
                 machine.back_off(now + constants::REJECTED_START_BACKOFF);
@@ -107,7 +107,7 @@
         }
         job.failures.consecutive = 0;
         let is_gang = job.spec.is_gang();
-        self.has_pending_stops |= is_gang || !job.orphaned.is_empty();
+        self.has_pending_stops |= is_gang || !job.orphaned_attempts.is_empty();
         let completed = if is_gang { 0..job.spec.tasks } else { index..index + 1 };
         for i in completed {
             if !job.mark_completed(i) {
--- a/crates/controller/src/cluster_state/task_removal.rs
+++ b/crates/controller/src/cluster_state/task_removal.rs
@@ -51,7 +51,7 @@
             }
         }
         if let Some(job) = self.jobs.get_mut(&key) {
-            if job.placed == 0 {
+            if job.placed_attempts == 0 {
                 job.gang.attempt = None;
                 job.gang.broken = false;
             }
@@ -136,8 +136,10 @@
         let index = placed.index;
         let mut breaks_gang = false;
         if placed.orphaned {
-            if let Some(position) = self.orphaned.iter().position(|orphan| *orphan == index) {
-                self.orphaned.swap_remove(position);
+            if let Some(position) =
+                self.orphaned_attempts.iter().position(|orphan| *orphan == index)
+            {
+                self.orphaned_attempts.swap_remove(position);
             }
         } else if self.placements[index as usize] == TaskPlacement::Placed {
             self.placements[index as usize] = TaskPlacement::Unplaced;
@@ -147,9 +149,9 @@
         // An orphaned attempt on another machine blocks the task as much as the expected one does.
         if self.is_active()
             && self.placements[index as usize] == TaskPlacement::Unplaced
-            && !self.orphaned.contains(&index)
+            && !self.orphaned_attempts.contains(&index)
         {
-            self.unplaced.insert(index);
+            self.placeable.insert(index);
         }
         breaks_gang
     }
--- a/crates/controller/tests/concurrent_faults.rs
+++ b/crates/controller/tests/concurrent_faults.rs
@@ -127,13 +127,13 @@
     let late = first.transaction.clone();
     let result = harness.read_after_lost_response(&first);
     harness.cluster.apply_commit_outcome(first, result, harness.now);
-    assert_eq!(harness.cluster.status(&id), JobLookup::CommitInFlight);
+    assert_eq!(harness.cluster.status(&id), JobLookup::FinalStateIndeterminate);
     let second = harness.cluster.next_commit(harness.now).expect("a retry of the commit");
     harness.cluster.apply_commit_outcome(second, CommitResult::NotApplied, harness.now);
     harness.store.commit(&late).expect("applied late");
     assert_eq!(
         harness.cluster.status(&id),
-        JobLookup::CommitInFlight,
+        JobLookup::FinalStateIndeterminate,
         "the state must be read from the store"
     );
     harness.now += ms(1_000);
--- a/crates/controller/tests/simulation/users.rs
+++ b/crates/controller/tests/simulation/users.rs
@@ -161,12 +161,12 @@
             let cluster = &self.controllers[leader].leader.as_ref()?.cluster;
             match cluster.status(id) {
                 JobLookup::Known(status) => return Some(ObservedState::State(status.state)),
-                JobLookup::CommitInFlight | JobLookup::UnknownJob
+                JobLookup::FinalStateIndeterminate | JobLookup::UnknownJob
                     if leader != n && self.can_reach_store(leader) =>
                 {
                     return self.stored_state(id);
                 }
-                JobLookup::CommitInFlight | JobLookup::UnknownJob => {}
+                JobLookup::FinalStateIndeterminate | JobLookup::UnknownJob => {}
             }
         }
         if self.can_reach_store(n) { self.stored_state(id) } else { None }
