--- a/crates/controller/src/actor/events.rs
+++ b/crates/controller/src/actor/events.rs
@@ -3,7 +3,7 @@
 use super::ControllerActor;
 use super::messages::{ClusterEvent, ControllerEvent};
 use super::term::ActiveTerm;
-use crate::cluster_state::{ClusterState, CompletedJob, JobOrigin, LoadedState, Timestamp};
+use crate::cluster_state::{ClusterState, CompletedJob, JobOrigin, LoadedRecords, Timestamp};
 use hookway_time::MonotonicTime;
 
 impl ControllerActor {
@@ -69,7 +69,7 @@
     fn records_read(
         &mut self,
         active: &mut ActiveTerm,
-        state: LoadedState,
+        state: LoadedRecords,
         revision: u64,
         at: Timestamp,
     ) {
@@ -99,7 +99,7 @@
         match self.config.standby.copy(term, now) {
             Ok(copy) => {
                 let networks = &self.config.cluster.operator.replication.worker_networks;
-                let recovered = cluster.warm_start(copy, networks, now);
+                let recovered = cluster.apply_replicated_state(copy, networks, now);
                 tracing::info!(term, %recovered, "warm start");
             }
             Err(reason) => tracing::info!(term, %reason, "cold start"),
--- a/crates/controller/src/actor/messages.rs
+++ b/crates/controller/src/actor/messages.rs
@@ -1,6 +1,6 @@
 //! The requests to the controller actor, and the events that its background tasks report to it.
 
-use crate::cluster_state::{CancelOutcome, CommitResult, JobLookup, LoadedState, PendingCommit};
+use crate::cluster_state::{CancelOutcome, CommitResult, JobLookup, LoadedRecords, PendingCommit};
 use crate::shard_lease::{ShardLease, ShardLeaseRenewal};
 use hookway_clients::Delivery;
 use hookway_replication::{FollowRequest, FollowResponse};
@@ -116,7 +116,7 @@
 pub(super) enum ControllerEvent {
     /// All records in the store that a new leader needs have been read. Jobs accepted after
     /// `revision` may be missing.
-    RecordsRead { state: LoadedState, revision: u64 },
+    RecordsRead { state: LoadedRecords, revision: u64 },
     /// The store does not respond, or rejects the requests of this controller. Pending writes may
     /// have to wait for a long time.
     StoreUnavailable,
--- a/crates/controller/src/actor/store_io.rs
+++ b/crates/controller/src/actor/store_io.rs
@@ -3,7 +3,7 @@
 use super::ControllerActor;
 use super::messages::{ClusterEvent, ControllerEvent};
 use super::term::ActiveTerm;
-use crate::cluster_state::{CommitResult, LoadedState, PendingCommit, RereadKey};
+use crate::cluster_state::{CommitResult, LoadedRecords, PendingCommit, RereadKey};
 use crate::leadership::StoredWatermarks;
 use crate::records::{
     CLASSES_KEY, JOBS_PREFIX, LEGACY_IMAGES_PREFIX, PROGRESS_PREFIX, REGISTRY_PREFIX,
@@ -54,7 +54,7 @@
 
 /// The records that a new leader needs.
 struct RecordsAtRevision {
-    state: LoadedState,
+    state: LoadedRecords,
     /// The revision of the store at which the jobs were read. Jobs accepted later are not in
     /// `state`.
     revision: u64,
@@ -66,7 +66,7 @@
     stored_watermarks: StoredWatermarks,
 ) -> Result<RecordsAtRevision, StoreError> {
     let jobs = store.list(JOBS_PREFIX).await?;
-    let state = LoadedState {
+    let state = LoadedRecords {
         jobs: jobs.pairs,
         progress: store.list(PROGRESS_PREFIX).await?.pairs,
         scheduling: store.list(SCHEDULING_PREFIX).await?.pairs,
@@ -78,7 +78,7 @@
     Ok(RecordsAtRevision { state, revision: jobs.revision })
 }
 
-fn log_records_read(term: u64, revision: u64, state: &LoadedState) {
+fn log_records_read(term: u64, revision: u64, state: &LoadedRecords) {
     tracing::info!(
         term,
         revision,
--- a/crates/controller/src/cluster_state/commit_items.rs
+++ b/crates/controller/src/cluster_state/commit_items.rs
@@ -52,7 +52,7 @@
     pub(super) fn add_registry_hints(&mut self, commit: &mut PendingCommit, now: MonotonicTime) {
         while commit.can_add(1) && self.commit_queue.hint_bucket.has_token(now) {
             let Some(number) = self.commit_queue.registry.pop_stale() else { break };
-            self.commit_queue.hint_bucket.take(1);
+            self.commit_queue.hint_bucket.consume(1);
             self.add_registry_record(commit, number);
         }
     }
@@ -61,7 +61,7 @@
         let cached_images = |machine: &str| {
             let machine = self.machines.get(machine);
             let cached = machine.map(|m| m.images.as_slice()).unwrap_or_default();
-            self.images.named(cached)
+            self.images.with_names(cached)
         };
         let value_kb = self.config.platform.state.value_kb;
         let Some(value) = self.commit_queue.registry.record_value(number, value_kb, cached_images)
@@ -96,7 +96,7 @@
                 job.progress.unqueue(page);
                 continue;
             }
-            if job.progress.must_wait(page) {
+            if job.progress.must_not_overwrite_yet(page) {
                 waiting.push(JobPage { job: key, page });
                 continue;
             }
@@ -181,7 +181,7 @@
     ) {
         while commit.can_add(1) && self.commit_queue.hint_bucket.has_token(now) {
             let Some(key) = self.commit_queue.scheduling_records.pop_first() else { break };
-            self.commit_queue.hint_bucket.take(1);
+            self.commit_queue.hint_bucket.consume(1);
             self.add_scheduling_record(commit, key);
         }
     }
@@ -218,7 +218,7 @@
         if !fits_value_limit(&value, self.config.platform.state.value_kb) {
             return;
         }
-        self.commit_queue.hint_bucket.take(1);
+        self.commit_queue.hint_bucket.consume(1);
         commit.require_known_revision(&self.commit_queue.mod_revisions, CLASSES_KEY);
         commit.put(CLASSES_KEY.to_owned(), value);
         commit.items.push(CommitItem::Classes);
--- a/crates/controller/src/cluster_state/commit_outcome.rs
+++ b/crates/controller/src/cluster_state/commit_outcome.rs
@@ -177,7 +177,7 @@
         if job.spec.is_daemon() || first >= job.spec.tasks {
             return;
         }
-        let stored = job.progress.learn(first, revision, record);
+        let stored = job.progress.apply_record(first, revision, record);
         for index in stored.done {
             job.mark_completed(index);
         }
--- a/crates/controller/src/cluster_state/commits.rs
+++ b/crates/controller/src/cluster_state/commits.rs
@@ -31,7 +31,7 @@
         if queue.is_commit_in_flight || queue.leadership_lost || now < queue.backoff_until {
             return None;
         }
-        let tokens = queue.write_bucket.fill(now).floor() as usize;
+        let tokens = queue.write_bucket.refill(now).floor() as usize;
         self.retry_rejected(now);
         let max_operations = self.commit_queue.max_operations.min(tokens);
         if max_operations < constants::JOB_COMPLETION_OPERATIONS {
@@ -52,7 +52,7 @@
         if operations == 0 {
             return None;
         }
-        self.commit_queue.write_bucket.take(operations);
+        self.commit_queue.write_bucket.consume(operations);
         self.commit_queue.is_commit_in_flight = true;
         Some(commit)
     }
--- a/crates/controller/src/cluster_state/image_ids.rs
+++ b/crates/controller/src/cluster_state/image_ids.rs
@@ -16,35 +16,35 @@
 /// Assigns a numeric id to each image that this leader has seen. An image keeps its id for the
 /// term.
 #[derive(Debug, Default)]
-pub(super) struct ImageNumbers {
-    numbers: HashMap<String, u32>,
+pub(super) struct ImageIds {
+    ids: HashMap<String, u32>,
     names: Vec<String>,
 }
 
-impl ImageNumbers {
+impl ImageIds {
     /// Returns the numeric id of an image; an image that was not seen before gets the next one.
-    pub fn number(&mut self, name: &str) -> u32 {
-        let next = self.numbers.len() as u32;
-        let number = *self.numbers.entry(name.to_owned()).or_insert(next);
-        if number == next {
+    pub fn id_of(&mut self, name: &str) -> u32 {
+        let next = self.ids.len() as u32;
+        let id = *self.ids.entry(name.to_owned()).or_insert(next);
+        if id == next {
             self.names.push(name.to_owned());
         }
-        number
+        id
     }
 
     /// Returns the cached images with their names; ids that were not assigned are left out.
-    pub fn named(&self, cached: &[CachedImage]) -> Vec<NamedImage<'_>> {
-        let named = |cached: &CachedImage| {
+    pub fn with_names(&self, cached: &[CachedImage]) -> Vec<NamedImage<'_>> {
+        let with_name = |cached: &CachedImage| {
             let name = self.names.get(cached.image as usize)?;
             Some(NamedImage { name, size_gb: cached.size_gb })
         };
-        cached.iter().filter_map(named).collect()
+        cached.iter().filter_map(with_name).collect()
     }
 
     /// Returns the images of a registry record with their numeric ids.
-    pub fn of_record(&mut self, images: &[ImageRecord]) -> Vec<CachedImage> {
+    pub fn with_ids(&mut self, images: &[ImageRecord]) -> Vec<CachedImage> {
         let mut cached = |image: &ImageRecord| CachedImage {
-            image: self.number(&image.name),
+            image: self.id_of(&image.name),
             size_gb: image.size_gb,
         };
         images.iter().map(&mut cached).collect()
--- a/crates/controller/src/cluster_state/job.rs
+++ b/crates/controller/src/cluster_state/job.rs
@@ -53,7 +53,7 @@
 pub(super) struct JobContext {
     /// Index of the job's team in the platform settings.
     pub team: usize,
-    /// Numeric id of the job's image, see [`ImageNumbers`](super::ImageNumbers).
+    /// Numeric id of the job's image, see [`ImageIds`](super::ImageIds).
     pub image: u32,
     /// Number of zones in the platform settings.
     pub zones: usize,
@@ -72,7 +72,7 @@
     pub spec: JobSpec,
     /// Index of the job's team in the platform settings.
     pub team: usize,
-    /// Numeric id of the job's image, see [`ImageNumbers`](super::ImageNumbers).
+    /// Numeric id of the job's image, see [`ImageIds`](super::ImageIds).
     pub image: u32,
     /// Resources that one task requests.
     pub request: Resources,
--- a/crates/controller/src/cluster_state/job_intake.rs
+++ b/crates/controller/src/cluster_state/job_intake.rs
@@ -30,7 +30,7 @@
         };
         log_job(&id, &record.spec);
         let platform = &self.config.platform;
-        let image = self.images.number(&record.spec.image);
+        let image = self.images.id_of(&record.spec.image);
         let team = platform.teams.iter().position(|team| team.name == record.spec.team);
         let objectives = ServiceLevelObjectives::of_job(&record.spec, platform);
         let context = JobContext {
--- a/crates/controller/src/cluster_state/machine.rs
+++ b/crates/controller/src/cluster_state/machine.rs
@@ -86,7 +86,7 @@
 /// A container image in a machine's cache.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct CachedImage {
-    /// Number that this leader gave the image.
+    /// Id that this leader gave the image.
     pub image: u32,
     /// Size of the image, GB.
     pub size_gb: f64,
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -70,8 +70,8 @@
 pub use job::JobOrigin;
 pub use job_status_and_cancellation::{CancelOutcome, CompletedJob, JobLookup};
 pub use leases::{leases_expire_within_cancellation, longest_worker_lease, max_shard_lease};
-pub use recovery::LoadedState;
-pub use standby_replication::WarmStart;
+pub use recovery::LoadedRecords;
+pub use standby_replication::RestoredHints;
 pub use state_probe::StateProbeRequest;
 pub use summary::Summary;
 
@@ -84,13 +84,13 @@
 use direct_dispatch::DirectDispatch;
 use hookway_constants as constants;
 use hookway_wire::{MachineType, Precondition};
-use image_ids::ImageNumbers;
+use image_ids::ImageIds;
 use job::{Job, JobKey, TaskPlacement};
 use job_index::JobIndex;
 use machine::{CachedImage, CordonReason, Machine, MessageVersion};
 use placed_task::{EndedTask, ExpectedHeartbeat, PlacedTask, StopOrder, TaskAttempt, TaskPhase};
 use reconciliation::Reconciliation;
-use relocation::Relocation;
+use relocation::ActiveRelocation;
 use reservation::MachineReservation;
 use scale_out::ScaleOutState;
 use scheduling_round::LastRound;
@@ -121,7 +121,7 @@
     attempt_counter: u64,
     clocks: LeaderClocks,
     machine_types: Vec<MachineType>,
-    images: ImageNumbers,
+    images: ImageIds,
     jobs: JobIndex,
     classes: HashMap<String, ClassHistory>,
     machines: BTreeMap<String, Machine>,
@@ -141,7 +141,7 @@
     /// What the last scheduling round left for placement at heartbeats.
     last_round: LastRound,
     /// Replicas that move so that other jobs find capacity.
-    relocations: Vec<Relocation>,
+    relocations: Vec<ActiveRelocation>,
     scale_outs: ScaleOutState,
     /// Machines whose deletion has been requested.
     machines_being_deleted: HashSet<String>,
@@ -161,7 +161,7 @@
         term: u64,
         leader_precondition: Precondition,
         machine_types: Vec<MachineType>,
-        loaded: LoadedState,
+        loaded: LoadedRecords,
         at: Timestamp,
     ) -> Self {
         let mut cluster = Self {
@@ -169,7 +169,7 @@
             attempt_counter: 0,
             clocks: LeaderClocks::new(at),
             machine_types,
-            images: ImageNumbers::default(),
+            images: ImageIds::default(),
             jobs: JobIndex::new(),
             classes: HashMap::new(),
             machines: BTreeMap::new(),
--- a/crates/controller/src/cluster_state/progress.rs
+++ b/crates/controller/src/cluster_state/progress.rs
@@ -117,7 +117,7 @@
 
     /// Whether a page's record must not be overwritten yet, because it has results of other pages
     /// that are not stored in records of their own.
-    pub fn must_wait(&self, page: usize) -> bool {
+    pub fn must_not_overwrite_yet(&self, page: usize) -> bool {
         let spans_other_pages = self.pages.get(page).is_some_and(|c| c.spans_other_pages);
         spans_other_pages
             && self.rest_of_full_page(page).any(|other| {
@@ -131,7 +131,7 @@
     /// Applies a stored record whose results begin at task `from`, and returns its results.
     /// `record` is `None` if there is no such record, with a `mod_revision` of 0, or if it can't be
     /// parsed.
-    pub fn learn(
+    pub fn apply_record(
         &mut self,
         from: u32,
         mod_revision: u64,
--- a/crates/controller/src/cluster_state/progress/tests.rs
+++ b/crates/controller/src/cluster_state/progress/tests.rs
@@ -25,24 +25,24 @@
     let mut results = vec![false; 16_384];
     results[5] = true;
     results[9_000] = true;
-    let loaded = progress.learn(0, 7, Some(&ProgressRecord::new(&results)));
+    let loaded = progress.apply_record(0, 7, Some(&ProgressRecord::new(&results)));
     assert_eq!(loaded.done, [5, 9_000]);
     assert_eq!(loaded.pages_to_write, [1], "page 1 needs a record of its own");
     assert!(progress.is_durable(5) && progress.is_durable(9_000));
     assert!(progress.queue(1));
-    assert!(progress.must_wait(0), "results of page 1 are stored in this record only");
+    assert!(progress.must_not_overwrite_yet(0), "results of page 1 are stored in this record only");
     progress.unqueue(1);
-    assert!(progress.must_wait(0), "page 1 is not stored yet");
+    assert!(progress.must_not_overwrite_yet(0), "page 1 is not stored yet");
     let part = ProgressRecord::new(&results[8_192..]);
-    assert_eq!(progress.learn(8_192, 8, Some(&part)).pages_to_write, [0usize; 0]);
-    assert!(!progress.must_wait(0));
+    assert_eq!(progress.apply_record(8_192, 8, Some(&part)).pages_to_write, [0usize; 0]);
+    assert!(!progress.must_not_overwrite_yet(0));
 }
 
 #[test]
 fn progress_part_of_unused_size_counts_and_is_not_overwritten() {
     let mut progress = Progress::new(16_384, 8.0);
     let part = ProgressRecord::new(&[true]);
-    assert_eq!(progress.learn(8_192, 8, Some(&part)).pages_to_write, [0usize; 0]);
+    assert_eq!(progress.apply_record(8_192, 8, Some(&part)).pages_to_write, [0usize; 0]);
     assert!(progress.is_durable(8_192));
     assert_eq!(progress.mod_revision(0), 0);
 }
--- a/crates/controller/src/cluster_state/recovery.rs
+++ b/crates/controller/src/cluster_state/recovery.rs
@@ -20,7 +20,7 @@
 
 /// The records that a new leader read from the store.
 #[derive(Debug, Clone)]
-pub struct LoadedState {
+pub struct LoadedRecords {
     /// Job records, under the prefix `j/`: one for each accepted job that has not ended.
     pub jobs: Vec<KeyValue>,
     /// Progress records, under the prefix `p/`.
@@ -37,8 +37,8 @@
     pub stored_watermarks: StoredWatermarks,
 }
 
-impl LoadedState {
-    /// Returns a state without records, with the given completeness of the start watermarks.
+impl LoadedRecords {
+    /// Returns a value without records, with the given completeness of the start watermarks.
     pub fn empty(stored_watermarks: StoredWatermarks) -> Self {
         Self {
             jobs: Vec::new(),
@@ -76,7 +76,7 @@
 impl ClusterState {
     /// Restores the cluster state from all records. Jobs come first, as other records refer to
     /// them.
-    pub(super) fn load_records(&mut self, loaded: LoadedState, at: Timestamp) {
+    pub(super) fn load_records(&mut self, loaded: LoadedRecords, at: Timestamp) {
         let leader_records =
             loaded.scheduling.iter().chain(&loaded.registry).chain(&loaded.classes);
         leader_records.for_each(|kv| self.commit_queue.set_mod_revision(&kv.key, kv.mod_revision));
@@ -241,7 +241,7 @@
                 return;
             }
         };
-        let images = self.images.of_record(&record.images);
+        let images = self.images.with_ids(&record.images);
         for (machine, entry) in record.machines {
             let cached = entry.images.iter().filter_map(|i| images.get(*i).copied()).collect();
             let registered_at = WallTime::from_unix_millis(entry.registered_at_ms);
@@ -255,7 +255,7 @@
     fn load_legacy_images(&mut self, kv: KeyValue) {
         let name = kv.key.strip_prefix(crate::records::LEGACY_IMAGES_PREFIX).unwrap_or_default();
         if let Ok(record) = serde_json::from_value::<ImagesRecord>(kv.value) {
-            let images = self.images.of_record(&record.images);
+            let images = self.images.with_ids(&record.images);
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.images = images;
             }
--- a/crates/controller/src/cluster_state/relocation.rs
+++ b/crates/controller/src/cluster_state/relocation.rs
@@ -48,7 +48,7 @@
 
 /// A relocation in progress: moves of replicas that make capacity for a job.
 #[derive(Debug, Clone)]
-pub(super) struct Relocation {
+pub(super) struct ActiveRelocation {
     /// Key of the job that the relocation makes capacity for, the beneficiary.
     job: JobKey,
     /// Machine for each task of the beneficiary that is to be placed. Empty once they are placed or
@@ -73,7 +73,7 @@
     TimedOut,
 }
 
-impl Relocation {
+impl ActiveRelocation {
     /// Drops everything but the replicas that must be started again, since the beneficiary is
     /// placed or is not to be placed here any more.
     fn keep_only_stopped_replicas(&mut self) {
@@ -125,7 +125,7 @@
     ) {
         let moving = self.relocations.iter().map(|relocation| relocation.moves.len()).sum();
         let busy = |key: &JobKey| {
-            let uses = |relocation: &Relocation| {
+            let uses = |relocation: &ActiveRelocation| {
                 relocation.job == *key || relocation.moves.iter().any(|moving| moving.job == *key)
             };
             self.relocations.iter().any(uses)
@@ -163,12 +163,12 @@
         let victims = victims.filter_map(|victim| self.task_on_machine(snapshot, victim)).collect();
         let task_machines = planned.task_machines.into_iter().map(name).collect();
         let deadline = now + constants::RELOCATION_STEP_TIMEOUT;
-        let relocation = Relocation { job, task_machines, victims, moves, deadline };
+        let relocation = ActiveRelocation { job, task_machines, victims, moves, deadline };
         self.log_moves(&relocation);
         self.relocations.push(relocation);
     }
 
-    fn log_moves(&self, relocation: &Relocation) {
+    fn log_moves(&self, relocation: &ActiveRelocation) {
         let Some(job) = self.jobs.get(&relocation.job) else { return };
         for moving in &relocation.moves {
             tracing::info!(
@@ -222,7 +222,7 @@
 
     /// Gives up a relocation whose purpose is gone. Replicas that were stopped for it are still
     /// started on their targets, until the deadline has passed.
-    fn abort_if_obsolete(&mut self, relocation: &mut Relocation, now: MonotonicTime) {
+    fn abort_if_obsolete(&mut self, relocation: &mut ActiveRelocation, now: MonotonicTime) {
         if let Some(reason) = self.abort_reason(relocation, now) {
             let job = self.jobs.get(&relocation.job).map(|job| &job.id);
             tracing::info!(?job, ?reason, "relocation ended without capacity for the job");
@@ -235,7 +235,11 @@
 
     /// Returns why a relocation must be given up; `None` if it need not be, or if only stopped
     /// replicas have to be started.
-    fn abort_reason(&self, relocation: &Relocation, now: MonotonicTime) -> Option<AbortReason> {
+    fn abort_reason(
+        &self,
+        relocation: &ActiveRelocation,
+        now: MonotonicTime,
+    ) -> Option<AbortReason> {
         if relocation.task_machines.is_empty() {
             return None;
         }
@@ -263,7 +267,7 @@
     /// are held there. One replica of a daemon is stopped at a time, and only while all of the
     /// daemon's replicas are placed. The relocation's other victims are stopped along with the
     /// replicas.
-    fn stop_replicas(&mut self, relocation: &mut Relocation, now: MonotonicTime) {
+    fn stop_replicas(&mut self, relocation: &mut ActiveRelocation, now: MonotonicTime) {
         if !relocation.moves.iter().all(|moving| self.has_held_resources(&moving.to)) {
             return;
         }
@@ -307,7 +311,7 @@
     }
 
     /// Starts stopped replicas on their targets once they have left their machines.
-    fn start_replicas(&mut self, relocation: &mut Relocation, now: MonotonicTime) {
+    fn start_replicas(&mut self, relocation: &mut ActiveRelocation, now: MonotonicTime) {
         let mut moves = std::mem::take(&mut relocation.moves);
         moves.retain(|moving| {
             if self.position_of(&moving.from).is_some() {
@@ -344,7 +348,7 @@
     }
 
     /// Places the tasks of the beneficiary once the resources held for all of them are free.
-    fn start_job(&mut self, relocation: &mut Relocation, now: MonotonicTime) {
+    fn start_job(&mut self, relocation: &mut ActiveRelocation, now: MonotonicTime) {
         let task_machines = &relocation.task_machines;
         let ready = !task_machines.is_empty()
             && task_machines.iter().all(|machine| self.can_start_on(machine, now))
--- a/crates/controller/src/cluster_state/standby_replication.rs
+++ b/crates/controller/src/cluster_state/standby_replication.rs
@@ -15,7 +15,7 @@
 
 /// Counts of what a new leader used of its replicated state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct WarmStart {
+pub struct RestoredHints {
     /// Machines whose address became known, so that they can be probed at once.
     pub addresses: usize,
     /// Jobs whose consecutive failures and backoff were restored.
@@ -24,7 +24,7 @@
     pub gangs: usize,
 }
 
-impl std::fmt::Display for WarmStart {
+impl std::fmt::Display for RestoredHints {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let Self { addresses, failing_jobs, gangs } = self;
         write!(f, "{addresses} addresses, {failing_jobs} jobs with failures, {gangs} gangs")
@@ -125,13 +125,13 @@
     /// Applies the parts of an earlier leader's replicated state that help this leader and can do
     /// no harm. The store's records have precedence: only machines and jobs that they name are
     /// considered.
-    pub fn warm_start(
+    pub fn apply_replicated_state(
         &mut self,
         replicated_state: &ReplicatedState,
         workers: &Networks,
         now: MonotonicTime,
-    ) -> WarmStart {
-        let mut restored = WarmStart::default();
+    ) -> RestoredHints {
+        let mut restored = RestoredHints::default();
         for (name, known) in &replicated_state.machines {
             let Some(machine) = self.machines.get_mut(name) else { continue };
             let needs_address = !machine.has_reported && machine.address.is_empty();
--- a/crates/controller/src/cluster_state/summary.rs
+++ b/crates/controller/src/cluster_state/summary.rs
@@ -10,7 +10,7 @@
     pub jobs: usize,
     /// Jobs among them whose tasks are assumed to have been started although no durable record says
     /// so.
-    pub assumed_started: usize,
+    pub jobs_assumed_started: usize,
     /// Machines, including booting ones.
     pub machines: usize,
     /// Machines of a known type and zone that are not booting.
@@ -28,8 +28,8 @@
 impl std::fmt::Display for Summary {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{} jobs", self.jobs)?;
-        if self.assumed_started > 0 {
-            write!(f, " ({} assumed started)", self.assumed_started)?;
+        if self.jobs_assumed_started > 0 {
+            write!(f, " ({} assumed started)", self.jobs_assumed_started)?;
         }
         write!(f, ", {} machines ({} up), ", self.machines, self.up)?;
         write!(f, "{} tasks placed; CPUs: {:.0} up, ", self.tasks, self.cpus)?;
@@ -48,7 +48,7 @@
             cluster.jobs.iter().map(|job| f64::from(job.startable) * job.request.cpus).sum();
         Summary {
             jobs: self.jobs.len(),
-            assumed_started: self.commit_queue.watermark_marker.assumed_jobs(),
+            jobs_assumed_started: self.commit_queue.watermark_marker.assumed_jobs(),
             machines: self.machines.len(),
             up: up().count(),
             tasks: self.machines.values().map(|machine| machine.placed_tasks.len()).sum(),
--- a/crates/controller/src/cluster_state/token_bucket.rs
+++ b/crates/controller/src/cluster_state/token_bucket.rs
@@ -23,7 +23,7 @@
     }
 
     /// Refills the bucket at `now`, and returns the number of tokens in it.
-    pub fn fill(&mut self, now: MonotonicTime) -> f64 {
+    pub fn refill(&mut self, now: MonotonicTime) -> f64 {
         let elapsed_s = seconds_f64(now.saturating_duration_since(self.filled_at));
         let filled = self.tokens + elapsed_s * self.rate_per_s;
         self.tokens = filled.min(self.rate_per_s.max(MIN_CAPACITY));
@@ -33,11 +33,11 @@
 
     /// Refills the bucket at `now`, and returns whether it has a token.
     pub fn has_token(&mut self, now: MonotonicTime) -> bool {
-        self.fill(now) >= 1.0
+        self.refill(now) >= 1.0
     }
 
     /// Removes tokens for operations that are sent.
-    pub fn take(&mut self, tokens: usize) {
+    pub fn consume(&mut self, tokens: usize) {
         self.tokens -= tokens as f64;
     }
 }
--- a/crates/controller/tests/cluster_state/autoscaling.rs
+++ b/crates/controller/tests/cluster_state/autoscaling.rs
@@ -4,7 +4,7 @@
     LeaderHarness, at, job, listed_machine, ms, small_worker, test_config, timestamp,
 };
 use hookway_controller::cluster_state::{
-    ClusterState, ControllerConfig, LoadedState, ScalingAction,
+    ClusterState, ControllerConfig, LoadedRecords, ScalingAction,
 };
 use hookway_controller::leadership::StoredWatermarks;
 use hookway_controller::records::LEADER_KEY;
@@ -103,10 +103,10 @@
     assert!(harness.store.list("j/").is_empty(), "all jobs of the class are finished");
     // The next leader loads the class history but no job of the class.
     let mod_revision = harness.store.put(LEADER_KEY, serde_json::json!({ "term": 5_000 }));
-    let loaded = LoadedState {
+    let loaded = LoadedRecords {
         registry: harness.store.list("r/"),
         classes: harness.store.get("c/lanes"),
-        ..LoadedState::empty(StoredWatermarks::Complete)
+        ..LoadedRecords::empty(StoredWatermarks::Complete)
     };
     let precondition = Precondition { key: LEADER_KEY.into(), mod_revision };
     let now = at(20_000);
--- a/crates/controller/tests/cluster_state/commit_queue.rs
+++ b/crates/controller/tests/cluster_state/commit_queue.rs
@@ -5,7 +5,7 @@
     LeaderHarness, at, job, ms, one_running_task, small_worker, test_config, timestamp,
 };
 use hookway_controller::cluster_state::{
-    CancelOutcome, ClusterState, CommitResult, JobLookup, LoadedState,
+    CancelOutcome, ClusterState, CommitResult, JobLookup, LoadedRecords,
 };
 use hookway_controller::leadership::StoredWatermarks;
 use hookway_controller::records::{LEADER_KEY, final_state_key, job_key};
@@ -119,7 +119,7 @@
         1,
         precondition,
         machine_types(),
-        LoadedState::empty(StoredWatermarks::Absent),
+        LoadedRecords::empty(StoredWatermarks::Absent),
         elected_at,
     );
     // Thousands of machines register, and thousands of jobs finish at the same time.
--- a/crates/controller/tests/cluster_state/unknown_watermarks.rs
+++ b/crates/controller/tests/cluster_state/unknown_watermarks.rs
@@ -95,13 +95,13 @@
     leader.writes_refused = true;
     leader.run_rounds(&mut [&mut worker]);
     assert!(leader.cluster.is_reconciled(leader.now));
-    assert_eq!(leader.cluster.summary(leader.now).assumed_started, 1);
+    assert_eq!(leader.cluster.summary(leader.now).jobs_assumed_started, 1);
     assert_eq!(worker.started_attempts, [], "the assumption is not durable");
     assert!(!is_current(&leader.store, COMPLETE_WATERMARKS_KEY));
     leader.writes_refused = false;
     leader.run_rounds(&mut [&mut worker]);
     assert_eq!(worker.unfinished_tasks().len(), 1);
-    assert_eq!(leader.cluster.summary(leader.now).assumed_started, 0);
+    assert_eq!(leader.cluster.summary(leader.now).jobs_assumed_started, 0);
 }
 
 /// Once all assumed watermarks are durable, both markers are written: the one that the next leader relies
@@ -151,10 +151,10 @@
         }
     }
     assert!(rejections > 0);
-    assert_eq!(leader.cluster.summary(leader.now).assumed_started, 1);
+    assert_eq!(leader.cluster.summary(leader.now).jobs_assumed_started, 1);
     leader.now += hookway_constants::REJECTED_RETRY;
     leader.commit_pending();
-    assert_eq!(leader.cluster.summary(leader.now).assumed_started, 0);
+    assert_eq!(leader.cluster.summary(leader.now).jobs_assumed_started, 0);
     assert!(is_current(&leader.store, COMPLETE_WATERMARKS_KEY));
 }
 
@@ -187,7 +187,7 @@
     store.put("j/req-000009", serde_json::json!({ "spec": "of a later version" }));
     let mut leader = LeaderHarness::elect(store, ElectionResponse::Received, at(10_000));
     leader.run_rounds(&mut [&mut worker]);
-    assert_eq!(leader.cluster.summary(leader.now).assumed_started, 0);
+    assert_eq!(leader.cluster.summary(leader.now).jobs_assumed_started, 0);
     assert!(!is_current(&leader.store, COMPLETE_WATERMARKS_KEY));
 }
 
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -3,8 +3,8 @@
 #![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 use hookway_controller::cluster_state::{
-    ClusterState, CommitResult, ControllerConfig, JobLookup, JobOrigin, LoadedState, PendingCommit,
-    RereadKey, ScalingAction, Timestamp,
+    ClusterState, CommitResult, ControllerConfig, JobLookup, JobOrigin, LoadedRecords,
+    PendingCommit, RereadKey, ScalingAction, Timestamp,
 };
 use hookway_controller::leadership::{StoredWatermarks, Vacancy};
 use hookway_controller::records::{
@@ -145,7 +145,7 @@
         stored_watermarks: StoredWatermarks,
         now: MonotonicTime,
     ) -> Self {
-        let loaded = LoadedState {
+        let loaded = LoadedRecords {
             jobs: store.list("j/"),
             progress: store.list("p/"),
             scheduling: store.list("m/"),
--- a/crates/controller/tests/simulation/elections.rs
+++ b/crates/controller/tests/simulation/elections.rs
@@ -4,7 +4,7 @@
 use super::controllers::{Leader, Version, leader_lease_expiry};
 use super::{CONTROLLERS, Simulation, StoredLeadership};
 use hookway_constants as constants;
-use hookway_controller::cluster_state::{ClusterState, LoadedState};
+use hookway_controller::cluster_state::{ClusterState, LoadedRecords};
 use hookway_controller::leadership::{StoredWatermarks, Vacancy, last_token};
 use hookway_controller::records::{
     COMPLETE_WATERMARKS_KEY, LEADER_KEY, LEADER_PREFIX, LEADER_TERM_KEY, LEADER_WATERMARKS_KEY,
@@ -53,7 +53,7 @@
         let older_marker_current = self.older_marker_is_current();
         let precondition = self.win_election(n, &vacancy);
         let stored_watermarks = self.known_watermarks(n, &vacancy, older_marker_current);
-        let loaded = LoadedState {
+        let loaded = LoadedRecords {
             jobs: self.store.list("j/"),
             progress: self.store.list("p/"),
             scheduling: self.store.list("m/"),
--- a/crates/controller/tests/simulation/standbys.rs
+++ b/crates/controller/tests/simulation/standbys.rs
@@ -88,7 +88,7 @@
             return;
         };
         self.counts.warm_starts += 1;
-        leader.cluster.warm_start(copy, &Networks::default(), self.now);
+        leader.cluster.apply_replicated_state(copy, &Networks::default(), self.now);
     }
 
     /// Checks that the entries published so far amount to the whole cluster state of the leader.
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -8,7 +8,7 @@
 
 use harness::{LeaderHarness, job, ms, small_worker, test_config};
 use hookway_constants as constants;
-use hookway_controller::cluster_state::{WarmStart, longest_worker_lease};
+use hookway_controller::cluster_state::{RestoredHints, longest_worker_lease};
 use hookway_controller::networks::Networks;
 use hookway_replication::{Entry, PlacedTask, Publisher, ReplicatedJob, ReplicatedState, Stage};
 use hookway_testkit::ScriptedWorker;
@@ -98,8 +98,8 @@
     ] {
         copy.apply(entry).expect("an entry within the limits of a copy");
     }
-    let warm_start = fail_over(&mut harness, &copy);
-    assert_eq!(warm_start, WarmStart { addresses: 1, failing_jobs: 0, gangs: 0 });
+    let restored = fail_over(&mut harness, &copy);
+    assert_eq!(restored, RestoredHints { addresses: 1, failing_jobs: 0, gangs: 0 });
     assert_eq!(harness.cluster.machine_count(), 1);
     let unknown_job = JobId::parse("req-000009").expect("an id");
     assert_eq!(
@@ -117,7 +117,10 @@
     let store = std::mem::take(&mut harness.store);
     harness = LeaderHarness::lead(store, SECOND_TERM, harness.now + ms(5_000));
     let other_networks = Networks::parse("10.1.0.0/16").expect("a network");
-    assert_eq!(harness.cluster.warm_start(&copy, &other_networks, harness.now).addresses, 0);
+    assert_eq!(
+        harness.cluster.apply_replicated_state(&copy, &other_networks, harness.now).addresses,
+        0
+    );
     assert!(harness.cluster.take_state_probes(harness.now).is_empty());
 }
 
@@ -154,8 +157,8 @@
     let copy = copy_of(&mut harness.cluster);
     assert!(copy.jobs[id.as_str()].consecutive_failures > 0);
     let before = attempts(&workers).len();
-    let warm_start = fail_over(&mut harness, &copy);
-    assert_eq!(warm_start.failing_jobs, 1);
+    let restored = fail_over(&mut harness, &copy);
+    assert_eq!(restored.failing_jobs, 1);
     run_rounds(&mut harness, &mut workers);
     let restarted = attempts(&workers).len() - before;
     assert!(
--- a/crates/controller/tests/standby_gangs.rs
+++ b/crates/controller/tests/standby_gangs.rs
@@ -18,8 +18,8 @@
 #[test]
 fn partially_placed_gang_is_completed_under_same_attempt() {
     let (mut harness, mut workers, copy, id) = partially_placed_gang();
-    let warm_start = fail_over(&mut harness, &copy);
-    assert_eq!((warm_start.addresses, warm_start.gangs), (4, 1), "{warm_start}");
+    let restored = fail_over(&mut harness, &copy);
+    assert_eq!((restored.addresses, restored.gangs), (4, 1), "{restored}");
     assert_eq!(answer_probes(&mut harness, &mut workers), 4, "every machine is probed at once");
     assert!(harness.cluster.is_reconciled(harness.now));
     run_rounds(&mut harness, &mut workers);
--- a/crates/controller/tests/standby_support/mod.rs
+++ b/crates/controller/tests/standby_support/mod.rs
@@ -4,7 +4,7 @@
 
 use crate::harness::{LeaderHarness, job, ms, small_worker};
 use hookway_constants as constants;
-use hookway_controller::cluster_state::{ClusterState, WarmStart};
+use hookway_controller::cluster_state::{ClusterState, RestoredHints};
 use hookway_controller::networks::Networks;
 use hookway_replication::{Publisher, ReplicatedState};
 use hookway_testkit::ScriptedWorker;
@@ -21,10 +21,10 @@
 }
 
 /// Replaces the leader by one of the second term, elected 5 s later, that starts from `copy`.
-pub fn fail_over(harness: &mut LeaderHarness, copy: &ReplicatedState) -> WarmStart {
+pub fn fail_over(harness: &mut LeaderHarness, copy: &ReplicatedState) -> RestoredHints {
     let store = std::mem::take(&mut harness.store);
     *harness = LeaderHarness::lead(store, SECOND_TERM, harness.now + ms(5_000));
-    harness.cluster.warm_start(copy, &Networks::default(), harness.now)
+    harness.cluster.apply_replicated_state(copy, &Networks::default(), harness.now)
 }
 
 /// Delivers the due state probes to these workers and their answers to the leader, and returns the number
