--- a/crates/controller/src/actor/events.rs
+++ b/crates/controller/src/actor/events.rs
@@ -3,7 +3,7 @@
 use super::ControllerActor;
 use super::messages::{ClusterEvent, ControllerEvent};
 use super::term::ActiveTerm;
-use crate::cluster_state::{ClusterState, CompletedJob, JobOrigin, LoadedState, Timestamp};
+use crate::cluster_state::{ClusterState, CompletedJob, JobOrigin, LoadedRecords, Timestamp};
 use hookway_time::MonotonicTime;
 
 impl ControllerActor {
@@ -34,7 +34,7 @@
                 cluster.add_job(&key, value, at, JobOrigin::ThisTerm)
             }
             ClusterEvent::CommitFinished { commit, result } => {
-                cluster.committed(commit, result, now);
+                cluster.apply_commit_outcome(commit, result, now);
                 self.finish_jobs(active);
                 self.resign_if_leadership_lost(active);
                 self.dispatch(active);
@@ -51,14 +51,14 @@
                 cluster.scale_in_failed(&machines);
             }
             ClusterEvent::DirectStartSent { machine, fencing_token, delivery } => {
-                cluster.direct_start_sent(&machine, fencing_token, delivery, now);
+                cluster.apply_direct_dispatch_outcome(&machine, fencing_token, delivery, now);
             }
             ClusterEvent::MachinesListed { machines, requested_at } => {
                 cluster.machines_listed(&machines, requested_at, now);
                 self.send_state_probes(active, now);
             }
             ClusterEvent::StateProbed { machine, heartbeat } => {
-                cluster.state_probed(&machine, heartbeat, now);
+                cluster.apply_state_probe_outcome(&machine, heartbeat, now);
                 self.send_state_probes(active, now);
             }
         }
@@ -69,7 +69,7 @@
     fn records_read(
         &mut self,
         active: &mut ActiveTerm,
-        state: LoadedState,
+        state: LoadedRecords,
         revision: u64,
         at: Timestamp,
     ) {
@@ -99,7 +99,7 @@
         match self.config.standby.copy(term, now) {
             Ok(copy) => {
                 let networks = &self.config.cluster.operator.replication.worker_networks;
-                let recovered = cluster.warm_start(copy, networks, now);
+                let recovered = cluster.apply_replicated_state(copy, networks, now);
                 tracing::info!(term, %recovered, "warm start");
             }
             Err(reason) => tracing::info!(term, %reason, "cold start"),
--- a/crates/controller/src/cluster_state/direct_dispatch.rs
+++ b/crates/controller/src/cluster_state/direct_dispatch.rs
@@ -51,14 +51,14 @@
 impl Machine {
     /// Whether the outcome of some start dispatched under this fencing token is unknown.
     fn awaits_direct_starts(&self, fencing_token: u64) -> bool {
-        let unknown_outcome = TaskPhase::SentDirectly(fencing_token);
+        let unknown_outcome = TaskPhase::DispatchedDirectly(fencing_token);
         self.placed_tasks.iter().any(|placed| placed.phase == unknown_outcome)
     }
 }
 
 impl ClusterState {
     /// Returns the starts that should not wait for their workers' next heartbeats. The caller
-    /// passes the outcome of each to [`ClusterState::direct_start_sent`].
+    /// passes the outcome of each to [`ClusterState::apply_direct_dispatch_outcome`].
     ///
     /// Such a command may arrive late, or twice. After a `reap`, a second arrival would start the
     /// task again. So the machine's fencing token is raised with each dispatch: every later
@@ -82,7 +82,7 @@
             return None;
         };
         if self.direct_dispatch.in_flight.contains_key(name)
-            || !machine.registered
+            || !machine.has_durable_registration
             || now < machine.heartbeat_expected_by
         {
             return None;
@@ -105,7 +105,7 @@
         let mut commands = Vec::with_capacity(selection.positions.len());
         for position in selection.positions {
             let placed = &mut machine.placed_tasks[position];
-            placed.phase = TaskPhase::SentDirectly(fencing_token);
+            placed.phase = TaskPhase::DispatchedDirectly(fencing_token);
             commands.push(placed.run_command());
         }
         let incarnation = machine.newest_message.incarnation;
@@ -139,7 +139,7 @@
     /// Processes the outcome, known at `now`, of starts dispatched to a worker under
     /// `fencing_token`. Only the first outcome of a dispatch counts, except that a later answer of
     /// the worker still updates its tasks.
-    pub fn direct_start_sent(
+    pub fn apply_direct_dispatch_outcome(
         &mut self,
         name: &str,
         fencing_token: u64,
@@ -190,7 +190,7 @@
         self.mark_unpublished(name);
         let Some(machine) = self.machines.get_mut(name) else { return };
         for placed in &mut machine.placed_tasks {
-            if placed.phase == TaskPhase::SentDirectly(fencing_token) {
+            if placed.phase == TaskPhase::DispatchedDirectly(fencing_token) {
                 placed.phase = TaskPhase::Planned;
             }
         }
--- a/crates/controller/src/cluster_state/gang_repair.rs
+++ b/crates/controller/src/cluster_state/gang_repair.rs
@@ -1,7 +1,7 @@
 //! Gangs of which only some tasks are placed: the other tasks are started, or the placed ones
 //! stopped.
 
-use super::startable_tasks::StartGround;
+use super::startable_tasks::StartReason;
 use super::{ClusterState, Job, JobKey, TaskPlacement};
 use hookway_constants as constants;
 use hookway_time::MonotonicTime;
@@ -12,14 +12,14 @@
     /// stopped as well, unless these still wait for the other tasks and the resume deadline has not
     /// passed: then the others are started.
     pub(super) fn repair_gangs(&mut self, now: MonotonicTime) {
-        let reconciled = self.reconciled(now);
-        let completable = if reconciled { self.completable_gangs() } else { HashSet::new() };
+        let is_reconciled = self.is_reconciled(now);
+        let completable = if is_reconciled { self.completable_gangs() } else { HashSet::new() };
         for (key, job) in self.jobs.iter_mut() {
             let is_partial = job.spec.is_gang()
                 && job.is_active()
-                && job.placed > 0
+                && job.placed_attempts > 0
                 && job.placements.contains(&TaskPlacement::Unplaced)
-                && job.start_ground(reconciled) != StartGround::AboveWatermark;
+                && job.start_reason(is_reconciled) != StartReason::AboveWatermark;
             job.gang.completing = is_partial
                 && completable.contains(key)
                 && now
@@ -28,7 +28,7 @@
                         .resume_deadline
                         .get_or_insert(now + constants::GANG_COMPLETION_TIMEOUT);
             if is_partial && !job.gang.completing {
-                self.stops_due |= !job.gang.broken;
+                self.has_pending_stops |= !job.gang.broken;
                 job.gang.broken = true;
             }
         }
@@ -40,9 +40,9 @@
     fn completable_gangs(&self) -> HashSet<JobKey> {
         let is_resumable = |job: &Job| {
             job.gang.resumed_attempt.is_some()
-                && !job.unplaced.is_empty()
+                && !job.placeable.is_empty()
                 && job.gang.attempt == job.gang.resumed_attempt
-                && job.orphaned.is_empty()
+                && job.orphaned_attempts.is_empty()
                 && !job.gang.broken
         };
         let mut gangs: HashSet<JobKey> =
@@ -52,7 +52,7 @@
         }
         for placed in self.machines.values().flat_map(|machine| &machine.placed_tasks) {
             if let Some(key) = placed.job
-                && (!placed.phase.is_before_run() || placed.stop.is_some())
+                && (!placed.phase.has_made_no_progress() || placed.stop_order.is_some())
             {
                 gangs.remove(&key);
             }
--- a/crates/controller/src/cluster_state/job.rs
+++ b/crates/controller/src/cluster_state/job.rs
@@ -8,7 +8,7 @@
 use super::run_times::RunTimes;
 use super::service_level_objectives::ServiceLevelObjectives;
 use super::start_watermark::StartWatermark;
-use super::startable_tasks::StartGround;
+use super::startable_tasks::StartReason;
 use crate::records::JobRecord;
 use hookway_constants as constants;
 use hookway_policy::Resources;
@@ -53,7 +53,7 @@
 pub(super) struct JobContext {
     /// Index of the job's team in the platform settings.
     pub team: usize,
-    /// Numeric id of the job's image, see [`ImageNumbers`](super::ImageNumbers).
+    /// Numeric id of the job's image, see [`ImageIds`](super::ImageIds).
     pub image: u32,
     /// Number of zones in the platform settings.
     pub zones: usize,
@@ -72,7 +72,7 @@
     pub spec: JobSpec,
     /// Index of the job's team in the platform settings.
     pub team: usize,
-    /// Numeric id of the job's image, see [`ImageNumbers`](super::ImageNumbers).
+    /// Numeric id of the job's image, see [`ImageIds`](super::ImageIds).
     pub image: u32,
     /// Resources that one task requests.
     pub request: Resources,
@@ -88,18 +88,19 @@
     /// Placement of each task, by task index.
     pub placements: Vec<TaskPlacement>,
     /// Indexes of the tasks that may be placed: unplaced ones without an orphaned attempt.
-    pub unplaced: BTreeSet<u32>,
+    pub placeable: BTreeSet<u32>,
     /// Task indexes of the attempts that should not be on their machine, one entry per attempt.
-    pub orphaned: Vec<u32>,
+    pub orphaned_attempts: Vec<u32>,
     /// Number of completed tasks.
     pub completed: u32,
     /// The results that are durable.
     pub progress: Progress,
     /// Number of attempts that occupy resources of a machine, including orphaned ones.
-    pub placed: u32,
+    pub placed_attempts: u32,
     /// Number of running tasks, as shown to users.
     pub running: u32,
-    /// `placed`, by zone index. Attempts in a zone that is not in the settings are not counted.
+    /// `placed_attempts`, by zone index. Attempts in a zone that is not in the settings are not
+    /// counted.
     pub placed_per_zone: Vec<u32>,
     /// Run times of completed tasks, where they are known.
     pub run_times: RunTimes,
@@ -124,7 +125,7 @@
     /// Which tasks may have been started, by this leader or earlier ones.
     pub start_watermark: StartWatermark,
     /// The log already says why the first start in this term was allowed.
-    pub start_ground_logged: bool,
+    pub start_reason_logged: bool,
 }
 
 impl Job {
@@ -150,11 +151,11 @@
             start_by_s: objectives.start_s.iter().map(|s| submitted_s + s).collect(),
             origin: context.origin,
             placements: vec![TaskPlacement::Unplaced; tasks],
-            unplaced: (0..spec.tasks).collect(),
-            orphaned: Vec::new(),
+            placeable: (0..spec.tasks).collect(),
+            orphaned_attempts: Vec::new(),
             completed: 0,
             progress: Progress::new(spec.tasks, context.max_value_kb),
-            placed: 0,
+            placed_attempts: 0,
             running: 0,
             placed_per_zone: vec![0; context.zones],
             run_times: RunTimes::default(),
@@ -168,7 +169,7 @@
             min_tasks: 0,
             stored_min_tasks: None,
             start_watermark: StartWatermark::new(record.has_start_watermark),
-            start_ground_logged: false,
+            start_reason_logged: false,
             spec,
         }
     }
@@ -180,7 +181,7 @@
     }
 
     /// Whether the zones of the placed tasks restrict where the other tasks may start.
-    pub fn bound_to_zones(&self) -> bool {
+    pub fn has_zone_constraint(&self) -> bool {
         self.spec.one_zone || self.spec.spread
     }
 
@@ -211,7 +212,7 @@
             return false;
         }
         self.placements[index as usize] = TaskPlacement::Completed;
-        self.unplaced.remove(&index);
+        self.placeable.remove(&index);
         self.completed += 1;
         true
     }
@@ -219,7 +220,7 @@
     /// Counts an attempt that occupies resources in a zone; `None` for a zone that is not in the
     /// settings.
     pub fn count_placed(&mut self, zone: Option<usize>) {
-        self.placed += 1;
+        self.placed_attempts += 1;
         if let Some(zone) = zone {
             self.placed_per_zone[zone] += 1;
         }
@@ -227,7 +228,7 @@
 
     /// Reverses [`Job::count_placed`] for an attempt that has left its machine.
     pub fn count_removed(&mut self, zone: Option<usize>) {
-        self.placed = self.placed.saturating_sub(1);
+        self.placed_attempts = self.placed_attempts.saturating_sub(1);
         if let Some(zone) = zone {
             self.placed_per_zone[zone] = self.placed_per_zone[zone].saturating_sub(1);
         }
@@ -258,14 +259,14 @@
 
     /// Logs, before the first placement in this term, why tasks of a job of an earlier term may be
     /// started.
-    pub fn log_first_start(&mut self, ground: StartGround) {
+    pub fn log_first_start(&mut self, reason: StartReason) {
         if self.origin == JobOrigin::ThisTerm
-            || std::mem::replace(&mut self.start_ground_logged, true)
+            || std::mem::replace(&mut self.start_reason_logged, true)
         {
             return;
         }
-        let from = self.first_startable(ground);
-        tracing::info!(job = %self.id, ?ground, from, "first start of an inherited job");
+        let from = self.first_startable_index(reason);
+        tracing::info!(job = %self.id, ground = ?reason, from, "first start of an inherited job");
     }
 
     /// Whether the job is not ending, so that its tasks may be started.
--- a/crates/controller/src/cluster_state/mod.rs
+++ b/crates/controller/src/cluster_state/mod.rs
@@ -22,17 +22,17 @@
 mod gang_repair;
 mod gang_state;
 mod heartbeat;
+mod heartbeat_placement;
 mod heartbeat_tasks;
 mod heartbeat_timing;
-mod image_numbers;
+mod image_ids;
 mod job;
 mod job_index;
 mod job_intake;
-mod job_operations;
+mod job_status_and_cancellation;
 mod lease_expiry;
 mod leases;
 mod machine;
-mod machine_fill;
 mod machine_list;
 mod machine_registry;
 mod placed_task;
@@ -68,10 +68,10 @@
 pub use commit_queue::{CommitResult, PendingCommit, RereadKey};
 pub use direct_dispatch::DirectStart;
 pub use job::JobOrigin;
-pub use job_operations::{CancelOutcome, CompletedJob, JobLookup};
+pub use job_status_and_cancellation::{CancelOutcome, CompletedJob, JobLookup};
 pub use leases::{leases_expire_within_cancellation, longest_worker_lease, max_shard_lease};
-pub use recovery::LoadedState;
-pub use standby_replication::WarmStart;
+pub use recovery::LoadedRecords;
+pub use standby_replication::RestoredHints;
 pub use state_probe::StateProbeRequest;
 pub use summary::Summary;
 
@@ -84,13 +84,13 @@
 use direct_dispatch::DirectDispatch;
 use hookway_constants as constants;
 use hookway_wire::{MachineType, Precondition};
-use image_numbers::ImageNumbers;
+use image_ids::ImageIds;
 use job::{Job, JobKey, TaskPlacement};
 use job_index::JobIndex;
 use machine::{CachedImage, CordonReason, Machine, MessageVersion};
 use placed_task::{EndedTask, ExpectedHeartbeat, PlacedTask, StopOrder, TaskAttempt, TaskPhase};
 use reconciliation::Reconciliation;
-use relocation::Relocation;
+use relocation::ActiveRelocation;
 use reservation::MachineReservation;
 use scale_out::ScaleOutState;
 use scheduling_round::LastRound;
@@ -118,10 +118,10 @@
     config: ControllerConfig,
     term: u64,
     /// Counter of the attempts that were numbered in this term.
-    last_attempt: u64,
+    attempt_counter: u64,
     clocks: LeaderClocks,
     machine_types: Vec<MachineType>,
-    images: ImageNumbers,
+    images: ImageIds,
     jobs: JobIndex,
     classes: HashMap<String, ClassHistory>,
     machines: BTreeMap<String, Machine>,
@@ -137,18 +137,18 @@
     completed_jobs: Vec<CompletedJob>,
     /// Cancelled jobs whose tasks are not yet proven to end in time, so that the cancellation can't
     /// be confirmed.
-    unproven_cancellations: BTreeSet<JobKey>,
+    unconfirmed_cancellations: BTreeSet<JobKey>,
     /// What the last scheduling round left for placement at heartbeats.
     last_round: LastRound,
     /// Replicas that move so that other jobs find capacity.
-    relocations: Vec<Relocation>,
+    relocations: Vec<ActiveRelocation>,
     scale_outs: ScaleOutState,
     /// Machines whose deletion has been requested.
-    scaling_in: HashSet<String>,
+    machines_being_deleted: HashSet<String>,
     direct_dispatch: DirectDispatch,
     state_probes: StateProbes,
     /// Whether some task may have to be stopped for which no direct stop has been returned yet.
-    stops_due: bool,
+    has_pending_stops: bool,
     /// Machines that may have changed since changes were last published to standbys.
     unpublished_machines: HashSet<String>,
 }
@@ -161,15 +161,15 @@
         term: u64,
         leader_precondition: Precondition,
         machine_types: Vec<MachineType>,
-        loaded: LoadedState,
+        loaded: LoadedRecords,
         at: Timestamp,
     ) -> Self {
         let mut cluster = Self {
             term,
-            last_attempt: 0,
+            attempt_counter: 0,
             clocks: LeaderClocks::new(at),
             machine_types,
-            images: ImageNumbers::default(),
+            images: ImageIds::default(),
             jobs: JobIndex::new(),
             classes: HashMap::new(),
             machines: BTreeMap::new(),
@@ -185,14 +185,14 @@
             ),
             commit_queue: CommitQueue::new(&config.platform, leader_precondition, at.monotonic),
             completed_jobs: Vec::new(),
-            unproven_cancellations: BTreeSet::new(),
+            unconfirmed_cancellations: BTreeSet::new(),
             last_round: LastRound::default(),
             relocations: Vec::new(),
             scale_outs: ScaleOutState::default(),
-            scaling_in: HashSet::new(),
+            machines_being_deleted: HashSet::new(),
             direct_dispatch: DirectDispatch::default(),
             state_probes: StateProbes::new(at.monotonic),
-            stops_due: false,
+            has_pending_stops: false,
             unpublished_machines: HashSet::new(),
             config,
         };
--- a/crates/controller/src/cluster_state/relocation.rs
+++ b/crates/controller/src/cluster_state/relocation.rs
@@ -48,7 +48,7 @@
 
 /// A relocation in progress: moves of replicas that make capacity for a job.
 #[derive(Debug, Clone)]
-pub(super) struct Relocation {
+pub(super) struct ActiveRelocation {
     /// Key of the job that the relocation makes capacity for, the beneficiary.
     job: JobKey,
     /// Machine for each task of the beneficiary that is to be placed. Empty once they are placed or
@@ -73,7 +73,7 @@
     TimedOut,
 }
 
-impl Relocation {
+impl ActiveRelocation {
     /// Drops everything but the replicas that must be started again, since the beneficiary is
     /// placed or is not to be placed here any more.
     fn keep_only_stopped_replicas(&mut self) {
@@ -111,7 +111,7 @@
         let moves = self.relocations.iter().flat_map(|relocation| &relocation.moves);
         moves.filter_map(|moving| {
             let job = self.jobs.get(&moving.job)?;
-            job.unplaced.contains(&moving.index).then_some((job.team, job.request))
+            job.placeable.contains(&moving.index).then_some((job.team, job.request))
         })
     }
 
@@ -125,7 +125,7 @@
     ) {
         let moving = self.relocations.iter().map(|relocation| relocation.moves.len()).sum();
         let busy = |key: &JobKey| {
-            let uses = |relocation: &Relocation| {
+            let uses = |relocation: &ActiveRelocation| {
                 relocation.job == *key || relocation.moves.iter().any(|moving| moving.job == *key)
             };
             self.relocations.iter().any(uses)
@@ -163,12 +163,12 @@
         let victims = victims.filter_map(|victim| self.task_on_machine(snapshot, victim)).collect();
         let task_machines = planned.task_machines.into_iter().map(name).collect();
         let deadline = now + constants::RELOCATION_STEP_TIMEOUT;
-        let relocation = Relocation { job, task_machines, victims, moves, deadline };
+        let relocation = ActiveRelocation { job, task_machines, victims, moves, deadline };
         self.log_moves(&relocation);
         self.relocations.push(relocation);
     }
 
-    fn log_moves(&self, relocation: &Relocation) {
+    fn log_moves(&self, relocation: &ActiveRelocation) {
         let Some(job) = self.jobs.get(&relocation.job) else { return };
         for moving in &relocation.moves {
             tracing::info!(
@@ -222,7 +222,7 @@
 
     /// Gives up a relocation whose purpose is gone. Replicas that were stopped for it are still
     /// started on their targets, until the deadline has passed.
-    fn abort_if_obsolete(&mut self, relocation: &mut Relocation, now: MonotonicTime) {
+    fn abort_if_obsolete(&mut self, relocation: &mut ActiveRelocation, now: MonotonicTime) {
         if let Some(reason) = self.abort_reason(relocation, now) {
             let job = self.jobs.get(&relocation.job).map(|job| &job.id);
             tracing::info!(?job, ?reason, "relocation ended without capacity for the job");
@@ -235,12 +235,16 @@
 
     /// Returns why a relocation must be given up; `None` if it need not be, or if only stopped
     /// replicas have to be started.
-    fn abort_reason(&self, relocation: &Relocation, now: MonotonicTime) -> Option<AbortReason> {
+    fn abort_reason(
+        &self,
+        relocation: &ActiveRelocation,
+        now: MonotonicTime,
+    ) -> Option<AbortReason> {
         if relocation.task_machines.is_empty() {
             return None;
         }
         let waiting = self.jobs.get(&relocation.job).is_some_and(|job| {
-            self.startable_now(job, now) as usize >= relocation.task_machines.len()
+            self.startable_task_count(job, now) as usize >= relocation.task_machines.len()
         });
         if !waiting {
             return Some(AbortReason::JobNotWaiting);
@@ -249,7 +253,9 @@
         let targets = relocation.moves.iter().filter(awaiting).map(|moving| &moving.to);
         let unusable = |name: &String| {
             let machine = self.machines.get(name);
-            machine.is_none_or(|machine| machine.is_draining() || !self.reports(machine, now))
+            machine.is_none_or(|machine| {
+                machine.is_draining() || !self.is_sending_heartbeats(machine, now)
+            })
         };
         if relocation.task_machines.iter().chain(targets).any(unusable) {
             return Some(AbortReason::MachineUnusable);
@@ -261,14 +267,14 @@
     /// are held there. One replica of a daemon is stopped at a time, and only while all of the
     /// daemon's replicas are placed. The relocation's other victims are stopped along with the
     /// replicas.
-    fn stop_replicas(&mut self, relocation: &mut Relocation, now: MonotonicTime) {
+    fn stop_replicas(&mut self, relocation: &mut ActiveRelocation, now: MonotonicTime) {
         if !relocation.moves.iter().all(|moving| self.has_held_resources(&moving.to)) {
             return;
         }
         let mut moves = std::mem::take(&mut relocation.moves);
         for at in 0..moves.len() {
             let moving = &moves[at];
-            let complete = self.jobs.get(&moving.job).is_some_and(|job| job.unplaced.is_empty());
+            let complete = self.jobs.get(&moving.job).is_some_and(|job| job.placeable.is_empty());
             let one_is_stopping = moves
                 .iter()
                 .any(|other| other.job == moving.job && other.step == MoveStep::Stopping);
@@ -305,7 +311,7 @@
     }
 
     /// Starts stopped replicas on their targets once they have left their machines.
-    fn start_replicas(&mut self, relocation: &mut Relocation, now: MonotonicTime) {
+    fn start_replicas(&mut self, relocation: &mut ActiveRelocation, now: MonotonicTime) {
         let mut moves = std::mem::take(&mut relocation.moves);
         moves.retain(|moving| {
             if self.position_of(&moving.from).is_some() {
@@ -331,16 +337,18 @@
     /// Whether a stopped replica still waits to be started and its target can be used for it.
     fn may_start_replica(&self, moving: &ReplicaMove, now: MonotonicTime) -> bool {
         let waits = self.jobs.get(&moving.job).is_some_and(|job| {
-            job.unplaced.contains(&moving.index) && self.startable_now(job, now) > 0
+            job.placeable.contains(&moving.index) && self.startable_task_count(job, now) > 0
         });
         let target = self.machines.get(&moving.to);
         waits
-            && target.is_some_and(|target| !target.is_draining() && self.reports(target, now))
+            && target.is_some_and(|target| {
+                !target.is_draining() && self.is_sending_heartbeats(target, now)
+            })
             && self.zones_allow(moving.job, std::slice::from_ref(&moving.to))
     }
 
     /// Places the tasks of the beneficiary once the resources held for all of them are free.
-    fn start_job(&mut self, relocation: &mut Relocation, now: MonotonicTime) {
+    fn start_job(&mut self, relocation: &mut ActiveRelocation, now: MonotonicTime) {
         let task_machines = &relocation.task_machines;
         let ready = !task_machines.is_empty()
             && task_machines.iter().all(|machine| self.can_start_on(machine, now))
@@ -390,10 +398,10 @@
     fn can_start_on(&self, name: &str, now: MonotonicTime) -> bool {
         let takes_tasks = |machine: &Machine| {
             !machine.is_draining()
-                && machine.registered
+                && machine.has_durable_registration
                 && now >= machine.backoff_until
                 && machine.is_admitted(now)
-                && self.reports(machine, now)
+                && self.is_sending_heartbeats(machine, now)
         };
         self.machines.get(name).is_some_and(takes_tasks) && self.has_held_resources(name)
     }
--- a/crates/controller/src/cluster_state/scale_in.rs
+++ b/crates/controller/src/cluster_state/scale_in.rs
@@ -97,7 +97,7 @@
         } else {
             constants::SILENT_SCALE_IN_DELAY
         };
-        (machine.has_reported || machine.registered)
+        (machine.has_reported || machine.has_durable_registration)
             && self.now >= silent_since + self.lease + delay
     }
 
@@ -109,7 +109,7 @@
         let timeout = Duration::from_millis((boot_ms * constants::BOOT_TIMEOUT_FACTOR) as u64)
             + constants::BOOT_TIMEOUT_MARGIN;
         !machine.has_reported
-            && !machine.registered
+            && !machine.has_durable_registration
             && self.now >= machine.created_at + timeout
             && self.now >= self.resumed_at + self.lease
     }
@@ -129,7 +129,7 @@
             now,
             resumed_at: self.clocks.resumed_at,
             lease: longest_worker_lease(&self.config.platform),
-            reconciled: self.reconciled(now),
+            reconciled: self.is_reconciled(now),
             machine_types: &self.machine_types,
             idle_timeouts: self.idle_timeouts(),
             needed,
@@ -141,7 +141,7 @@
         let mut surplus = Vec::new();
         for (name, machine) in &mut self.machines {
             machine.update_idle_since(now);
-            if self.scaling_in.contains(name) {
+            if self.machines_being_deleted.contains(name) {
                 continue;
             }
             machine.cordon_reason = context.cordon_reason(name, machine);
@@ -161,13 +161,12 @@
     /// to try each controller while one of them hangs, and to send another heartbeat with the new
     /// fencing token.
     fn unreconciled_to_delete(&self, now: MonotonicTime, max_silence: Duration) -> HashSet<String> {
-        let earlier_job_waits = self
-            .jobs
-            .values()
-            .any(|j| j.origin == JobOrigin::EarlierTerm && j.is_active() && !j.unplaced.is_empty());
+        let earlier_job_waits = self.jobs.values().any(|j| {
+            j.origin == JobOrigin::EarlierTerm && j.is_active() && !j.placeable.is_empty()
+        });
         let leases_expire_at =
             self.reconciliation.last_answered_at + longest_worker_lease(&self.config.platform);
-        let worthwhile = !self.reconciled(now)
+        let worthwhile = !self.is_reconciled(now)
             && earlier_job_waits
             && now + constants::UNRECONCILED_SCALE_IN_MIN_GAIN < leases_expire_at;
         if !worthwhile {
@@ -212,7 +211,7 @@
     /// later round if the machine is still to be deleted.
     pub fn scale_in_failed(&mut self, names: &[String]) {
         for name in names {
-            self.scaling_in.remove(name);
+            self.machines_being_deleted.remove(name);
         }
     }
 }
--- a/crates/controller/src/cluster_state/task_removal.rs
+++ b/crates/controller/src/cluster_state/task_removal.rs
@@ -33,7 +33,7 @@
         let zone = machine.and_then(|machine| self.config.platform.zone(&machine.zone));
         let Some(job) = self.jobs.get_mut(&key) else { return };
         job.count_removed(zone);
-        self.stops_due |= job.release_attempt(placed, removal);
+        self.has_pending_stops |= job.release_attempt(placed, removal);
         match removal {
             TaskRemoval::NotStarted => {}
             TaskRemoval::Ended(cause) => {
@@ -51,13 +51,13 @@
             }
         }
         if let Some(job) = self.jobs.get_mut(&key) {
-            if job.placed == 0 {
+            if job.placed_attempts == 0 {
                 job.gang.attempt = None;
                 job.gang.broken = false;
             }
             job.waiting_since = now;
         }
-        self.forget_if_removed(key);
+        self.remove_if_finished(key);
     }
 
     /// Removes all tasks from a machine on which they no longer exist. Starts that were never sent
@@ -88,7 +88,7 @@
         }
         self.commit_queue.registry.remove(name);
         self.reconciliation.machines.remove(name);
-        self.scaling_in.remove(name);
+        self.machines_being_deleted.remove(name);
         self.removed_machines.insert(name.to_owned());
         tracing::info!(machine = %name, "machine removed");
     }
@@ -136,8 +136,10 @@
         let index = placed.index;
         let mut breaks_gang = false;
         if placed.orphaned {
-            if let Some(position) = self.orphaned.iter().position(|orphan| *orphan == index) {
-                self.orphaned.swap_remove(position);
+            if let Some(position) =
+                self.orphaned_attempts.iter().position(|orphan| *orphan == index)
+            {
+                self.orphaned_attempts.swap_remove(position);
             }
         } else if self.placements[index as usize] == TaskPlacement::Placed {
             self.placements[index as usize] = TaskPlacement::Unplaced;
@@ -147,9 +149,9 @@
         // An orphaned attempt on another machine blocks the task as much as the expected one does.
         if self.is_active()
             && self.placements[index as usize] == TaskPlacement::Unplaced
-            && !self.orphaned.contains(&index)
+            && !self.orphaned_attempts.contains(&index)
         {
-            self.unplaced.insert(index);
+            self.placeable.insert(index);
         }
         breaks_gang
     }
--- a/crates/controller/tests/cluster_state/commit_queue.rs
+++ b/crates/controller/tests/cluster_state/commit_queue.rs
@@ -5,7 +5,7 @@
     LeaderHarness, at, job, ms, one_running_task, small_worker, test_config, timestamp,
 };
 use hookway_controller::cluster_state::{
-    CancelOutcome, ClusterState, CommitResult, JobLookup, LoadedState,
+    CancelOutcome, ClusterState, CommitResult, JobLookup, LoadedRecords,
 };
 use hookway_controller::leadership::StoredWatermarks;
 use hookway_controller::records::{LEADER_KEY, final_state_key, job_key};
@@ -36,9 +36,9 @@
     );
     assert_eq!(harness.job_state(&id), JobState::Queued);
     let commit = harness.cluster.next_commit(harness.now).expect("a commit of the final state");
-    assert_eq!(harness.cluster.status(&id), JobLookup::CommitInFlight);
+    assert_eq!(harness.cluster.status(&id), JobLookup::FinalStateIndeterminate);
     let revision = harness.store.commit(&commit.transaction).expect("applied");
-    harness.cluster.committed(commit, CommitResult::Applied(revision), harness.now);
+    harness.cluster.apply_commit_outcome(commit, CommitResult::Applied(revision), harness.now);
     assert_eq!(harness.cluster.take_completed_jobs()[0].record.state, JobState::Done);
     worker.handle_response(&response);
     harness.now += ms(500);
@@ -62,7 +62,7 @@
     );
     assert_eq!(next.stored_final_state(&id).as_deref(), Some("withdrawn"));
     let result = next.read_after_lost_response(&late);
-    harness.cluster.committed(late, result, harness.now);
+    harness.cluster.apply_commit_outcome(late, result, harness.now);
     assert!(harness.cluster.leadership_lost());
 }
 
@@ -78,9 +78,9 @@
         if applied {
             harness.store.commit(&late).expect("applied");
         }
-        assert_eq!(harness.cluster.status(&id), JobLookup::CommitInFlight);
+        assert_eq!(harness.cluster.status(&id), JobLookup::FinalStateIndeterminate);
         let result = harness.read_after_lost_response(&commit);
-        harness.cluster.committed(commit, result, harness.now);
+        harness.cluster.apply_commit_outcome(commit, result, harness.now);
         harness.commit_pending();
         assert_eq!(harness.stored_final_state(&id).as_deref(), Some("done"));
         assert_eq!(harness.cluster.take_completed_jobs().len(), 1);
@@ -119,7 +119,7 @@
         1,
         precondition,
         machine_types(),
-        LoadedState::empty(StoredWatermarks::Absent),
+        LoadedRecords::empty(StoredWatermarks::Absent),
         elected_at,
     );
     // Thousands of machines register, and thousands of jobs finish at the same time.
@@ -142,7 +142,7 @@
             }
         }
         let revision = harness.store.commit(&commit.transaction).expect("applied");
-        harness.cluster.committed(commit, CommitResult::Applied(revision), harness.now);
+        harness.cluster.apply_commit_outcome(commit, CommitResult::Applied(revision), harness.now);
         harness.now += ms(1_000);
         commits += 1;
     }
@@ -166,7 +166,7 @@
         let commit = harness.cluster.next_commit(harness.now).expect("a pending commit");
         let late = commit.transaction.clone();
         let result = harness.read_after_lost_response(&commit);
-        harness.cluster.committed(commit, result, harness.now);
+        harness.cluster.apply_commit_outcome(commit, result, harness.now);
         late
     };
     harness.cluster.handle_heartbeat(&worker_1.heartbeat(), harness.now);
@@ -225,7 +225,7 @@
             applied.push(operation_count);
             CommitResult::Applied(harness.store.commit(&commit.transaction).expect("applied"))
         };
-        harness.cluster.committed(commit, result, harness.now);
+        harness.cluster.apply_commit_outcome(commit, result, harness.now);
     }
     applied
 }
@@ -269,7 +269,7 @@
         } else {
             CommitResult::Applied(harness.store.commit(&commit.transaction).expect("applied"))
         };
-        harness.cluster.committed(commit, result, harness.now);
+        harness.cluster.apply_commit_outcome(commit, result, harness.now);
         if harness.now == at(4_000) {
             assert_eq!(harness.stored_final_state(&ids[1]).as_deref(), Some("withdrawn"));
             assert_eq!(harness.stored_final_state(&ids[0]), None);
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -3,8 +3,8 @@
 #![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 use hookway_controller::cluster_state::{
-    ClusterState, CommitResult, ControllerConfig, JobLookup, JobOrigin, LoadedState, PendingCommit,
-    RereadKey, ScalingAction, Timestamp,
+    ClusterState, CommitResult, ControllerConfig, JobLookup, JobOrigin, LoadedRecords,
+    PendingCommit, RereadKey, ScalingAction, Timestamp,
 };
 use hookway_controller::leadership::{StoredWatermarks, Vacancy};
 use hookway_controller::records::{
@@ -145,7 +145,7 @@
         stored_watermarks: StoredWatermarks,
         now: MonotonicTime,
     ) -> Self {
-        let loaded = LoadedState {
+        let loaded = LoadedRecords {
             jobs: store.list("j/"),
             progress: store.list("p/"),
             scheduling: store.list("m/"),
@@ -177,13 +177,17 @@
     pub fn commit_pending(&mut self) {
         while let Some(commit) = self.cluster.next_commit(self.now) {
             if self.writes_refused {
-                return self.cluster.committed(commit, CommitResult::NotApplied, self.now);
+                return self.cluster.apply_commit_outcome(
+                    commit,
+                    CommitResult::NotApplied,
+                    self.now,
+                );
             }
             let result = match self.store.commit(&commit.transaction) {
                 Ok(revision) => CommitResult::Applied(revision),
                 Err(_) => self.read_after_lost_response(&commit),
             };
-            self.cluster.committed(commit, result, self.now);
+            self.cluster.apply_commit_outcome(commit, result, self.now);
         }
     }
 
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -8,7 +8,7 @@
 
 use harness::{LeaderHarness, job, ms, small_worker, test_config};
 use hookway_constants as constants;
-use hookway_controller::cluster_state::{WarmStart, longest_worker_lease};
+use hookway_controller::cluster_state::{RestoredHints, longest_worker_lease};
 use hookway_controller::networks::Networks;
 use hookway_replication::{Entry, PlacedTask, Publisher, ReplicatedJob, ReplicatedState, Stage};
 use hookway_testkit::ScriptedWorker;
@@ -35,7 +35,7 @@
     // Only two machines are reachable; the third may have any task.
     let mut reachable: Vec<ScriptedWorker> = workers.drain(..2).collect();
     run_rounds(&mut harness, &mut reachable);
-    assert!(!harness.cluster.reconciled(harness.now));
+    assert!(!harness.cluster.is_reconciled(harness.now));
     let ended_task = reachable[0].unfinished_tasks().remove(0);
     reachable[0].end_task(&ended_task, ExitCause::Stopped);
     run_rounds(&mut harness, &mut reachable);
@@ -98,8 +98,8 @@
     ] {
         copy.apply(entry).expect("an entry within the limits of a copy");
     }
-    let warm_start = fail_over(&mut harness, &copy);
-    assert_eq!(warm_start, WarmStart { addresses: 1, failing_jobs: 0, gangs: 0 });
+    let restored = fail_over(&mut harness, &copy);
+    assert_eq!(restored, RestoredHints { addresses: 1, failing_jobs: 0, gangs: 0 });
     assert_eq!(harness.cluster.machine_count(), 1);
     let unknown_job = JobId::parse("req-000009").expect("an id");
     assert_eq!(
@@ -117,7 +117,10 @@
     let store = std::mem::take(&mut harness.store);
     harness = LeaderHarness::lead(store, SECOND_TERM, harness.now + ms(5_000));
     let other_networks = Networks::parse("10.1.0.0/16").expect("a network");
-    assert_eq!(harness.cluster.warm_start(&copy, &other_networks, harness.now).addresses, 0);
+    assert_eq!(
+        harness.cluster.apply_replicated_state(&copy, &other_networks, harness.now).addresses,
+        0
+    );
     assert!(harness.cluster.take_state_probes(harness.now).is_empty());
 }
 
@@ -135,8 +138,8 @@
     let probe =
         hookway_wire::DirectCommands { fencing_token: term, incarnation: 1, commands: vec![] };
     let other_response = workers[1].handle_direct_commands(&probe);
-    harness.cluster.state_probed("m-1", other_response, harness.now);
-    assert!(!harness.cluster.reconciled(harness.now));
+    harness.cluster.apply_state_probe_outcome("m-1", other_response, harness.now);
+    assert!(!harness.cluster.is_reconciled(harness.now));
 }
 
 #[test]
@@ -154,8 +157,8 @@
     let copy = copy_of(&mut harness.cluster);
     assert!(copy.jobs[id.as_str()].consecutive_failures > 0);
     let before = attempts(&workers).len();
-    let warm_start = fail_over(&mut harness, &copy);
-    assert_eq!(warm_start.failing_jobs, 1);
+    let restored = fail_over(&mut harness, &copy);
+    assert_eq!(restored.failing_jobs, 1);
     run_rounds(&mut harness, &mut workers);
     let restarted = attempts(&workers).len() - before;
     assert!(
@@ -239,7 +242,7 @@
         harness.heartbeat(worker);
     }
     assert!(
-        !harness.cluster.reconciled(harness.now),
+        !harness.cluster.is_reconciled(harness.now),
         "heartbeats with the old fencing token may be older than the failover"
     );
     assert!(
@@ -248,7 +251,7 @@
     );
     harness.now += constants::MAX_PROMPT_HEARTBEAT_DELAY;
     assert_eq!(answer_probes(&mut harness, &mut workers), 2);
-    assert!(harness.cluster.reconciled(harness.now));
+    assert!(harness.cluster.is_reconciled(harness.now));
 }
 
 /// A worker that does not answer a state probe is probed again. If it still does not answer although most of its
@@ -292,9 +295,9 @@
     let probed_for = (constants::MAX_UNANSWERED_STATE_PROBES - 1) * constants::STATE_PROBE_RETRY;
     assert!((probed_for..probed_for + ms(1_500)).contains(&elapsed), "deleted after {elapsed:?}");
     assert!(
-        !harness.cluster.reconciled(harness.now),
+        !harness.cluster.is_reconciled(harness.now),
         "only the confirmed deletion reconciles the machine"
     );
     harness.cluster.scale_in_finished(&deleted, harness.now);
-    assert!(harness.cluster.reconciled(harness.now));
+    assert!(harness.cluster.is_reconciled(harness.now));
 }
