--- a/crates/controller/src/standby.rs
+++ b/crates/controller/src/standby.rs
@@ -128,7 +128,7 @@
 
     /// Logs only replication snapshots: log entries arrive several times a second.
     fn log_outcome(&self, outcome: &FollowOutcome) {
-        let FollowOutcome::ImageApplied { differing } = outcome else { return };
+        let FollowOutcome::SnapshotApplied { differing } = outcome else { return };
         let state = self.follower.state();
         tracing::info!(
             machines = state.machines.len(),
@@ -236,7 +236,7 @@
             lag_entries: metrics.lag_entries,
             lag_ms: whole_millis(metrics.current_lag(now)),
             lag: duration_status(&metrics.lag),
-            images: metrics.images,
+            snapshots: metrics.snapshots,
             resyncs: metrics.resyncs,
             failover: failover_status(self.promotion.metrics()),
         }
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -18,8 +18,8 @@
 use hookway_controller::shard_lease::{ShardLease, ShardLeaseAcknowledgement, ShardLeaseRenewal};
 use hookway_policy::Resources;
 use hookway_replication::{
-    Entry, FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress, ImageChunk,
-    PlacedTask, Position, RangeDigest, ReplicatedJob, Stage,
+    Entry, FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress, PlacedTask,
+    Position, RangeDigest, ReplicatedJob, SnapshotChunk, Stage,
 };
 use hookway_wire::{
     Command, CommitResponse, DirectCommands, ErrorBody, ExitCause, Heartbeat, HeartbeatRedirect,
@@ -157,7 +157,7 @@
     frame("ask-follow-through", &follow(FollowerProgress::Through(at(300))));
     frame(
         "ask-follow-pieces",
-        &follow(FollowerProgress::ReceivingImage { position: at(300), next_chunk: 2 }),
+        &follow(FollowerProgress::ReceivingSnapshot { position: at(300), next_chunk: 2 }),
     );
     let job = ReplicatedJob {
         gang_attempt: Some(9),
@@ -179,14 +179,14 @@
     let digest = Some(RangeDigest { range: 3, digest: 77 });
     let body = FollowResponseBody::Entries { after: at(300), entries, digest };
     frame("answer-entries", &PeerResponse::Followed(Some(FollowResponse { end: at(400), body })));
-    let chunk = ImageChunk {
+    let chunk = SnapshotChunk {
         position: at(300),
         index: 1,
-        image_bytes: 5,
-        image_digest: 8,
+        snapshot_bytes: 5,
+        snapshot_digest: 8,
         bytes: vec![1, 2],
     };
-    let body = FollowResponseBody::ImageChunk(chunk);
+    let body = FollowResponseBody::SnapshotChunk(chunk);
     frame("answer-piece", &PeerResponse::Followed(Some(FollowResponse { end: at(400), body })));
     frame("answer-follows-not", &PeerResponse::Followed(None));
 }
--- a/crates/controller/tests/message_formats_pinned.rs
+++ b/crates/controller/tests/message_formats_pinned.rs
@@ -198,7 +198,7 @@
         lag_entries: 4,
         lag_ms: 5,
         lag: durations(10),
-        images: 6,
+        snapshots: 6,
         resyncs: 7,
         failover,
     };
--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -5,7 +5,7 @@
 use crate::message::{FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress};
 use crate::metrics::FollowerMetrics;
 use crate::position::Position;
-use crate::snapshot::{ImageChunk, SnapshotAssembly, SnapshotError};
+use crate::snapshot::{SnapshotAssembly, SnapshotChunk, SnapshotError};
 use crate::state::{ApplyError, ReplicatedState};
 use hookway_constants as constants;
 use hookway_time::{MonotonicTime, whole_millis};
@@ -97,7 +97,7 @@
     /// A snapshot chunk was stored; further chunks are missing.
     SnapshotChunkStored,
     /// The last chunk of a snapshot was received, and the snapshot has replaced the copy.
-    ImageApplied {
+    SnapshotApplied {
         /// Machines and jobs that were wrong in a diverged copy, at most `REPLICATION_MAX_NAMED_DIFFERENCES` of them.
         /// Empty if the previous copy had not diverged, or was of another term.
         differing: Vec<String>,
@@ -158,7 +158,7 @@
     /// Returns the next request to the leader.
     pub fn request(&self) -> FollowRequest {
         let progress = match (&self.assembly, self.position) {
-            (Some(assembly), _) => FollowerProgress::ReceivingImage {
+            (Some(assembly), _) => FollowerProgress::ReceivingSnapshot {
                 position: assembly.position,
                 next_chunk: assembly.next_chunk,
             },
@@ -194,7 +194,7 @@
             FollowResponseBody::Entries { after, entries, digest } => {
                 self.apply_entries(end, after, entries, digest)
             }
-            FollowResponseBody::ImageChunk(chunk) => self.add_snapshot_chunk(end, chunk),
+            FollowResponseBody::SnapshotChunk(chunk) => self.add_snapshot_chunk(end, chunk),
         };
         match &outcome {
             Ok(_) => self.metrics.record_lag(self.lag_entries(end), now),
@@ -282,7 +282,7 @@
     fn add_snapshot_chunk(
         &mut self,
         end: Position,
-        chunk: ImageChunk,
+        chunk: SnapshotChunk,
     ) -> Result<FollowOutcome, FollowError> {
         let position = chunk.position;
         if position.term != end.term || position.index > end.index {
@@ -298,12 +298,12 @@
         self.state = state;
         self.position = Some(position);
         self.diverged = false;
-        self.metrics.images += 1;
-        Ok(FollowOutcome::ImageApplied { differing })
+        self.metrics.snapshots += 1;
+        Ok(FollowOutcome::SnapshotApplied { differing })
     }
 
     /// Whether a chunk was received before, or the copy is at least as recent as the chunk's snapshot.
-    fn is_duplicate(&self, chunk: &ImageChunk) -> bool {
+    fn is_duplicate(&self, chunk: &SnapshotChunk) -> bool {
         match &self.assembly {
             Some(assembly) => assembly.matches(chunk) && chunk.index < assembly.next_chunk,
             None => {
@@ -314,7 +314,7 @@
     }
 
     /// Adds a chunk to the snapshot that is being received. Returns the state once the snapshot is complete.
-    fn assemble(&mut self, chunk: ImageChunk) -> Result<Option<ReplicatedState>, SnapshotError> {
+    fn assemble(&mut self, chunk: SnapshotChunk) -> Result<Option<ReplicatedState>, SnapshotError> {
         let current = self.assembly.take().filter(|assembly| assembly.matches(&chunk));
         let mut assembly = match current {
             Some(assembly) => assembly,
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -35,5 +35,5 @@
 pub use position::Position;
 pub use promotion::{Action, Event, Phase, Promotion, TransitionError};
 pub use publisher::{MachineView, Publisher, TaskView};
-pub use snapshot::{ImageChunk, SnapshotError};
+pub use snapshot::{SnapshotChunk, SnapshotError};
 pub use state::{ApplyError, PlacedTask, ReplicatedJob, ReplicatedMachine, ReplicatedState, Stage};
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -3,7 +3,7 @@
 use crate::digest::RangeDigest;
 use crate::entry::Entry;
 use crate::position::Position;
-use crate::snapshot::ImageChunk;
+use crate::snapshot::SnapshotChunk;
 use serde::{Deserialize, Serialize};
 
 /// The part of the leader's state that a follower already has.
@@ -17,7 +17,7 @@
     /// The follower has applied all entries up to and including this position.
     Through(Position),
     /// The follower has received the first chunks of a replication snapshot.
-    ReceivingImage {
+    ReceivingSnapshot {
         /// Position of the log at which the snapshot was taken.
         position: Position,
         /// Index of the next missing chunk, counted from 0.
@@ -51,7 +51,7 @@
         digest: Option<RangeDigest>,
     },
     /// The next chunk of a replication snapshot.
-    ImageChunk(ImageChunk),
+    SnapshotChunk(SnapshotChunk),
 }
 
 /// The leader's response to a [`FollowRequest`].
--- a/crates/replication/src/metrics.rs
+++ b/crates/replication/src/metrics.rs
@@ -55,7 +55,7 @@
     /// Durations of the past periods in which the copy was incomplete; the current one is not included.
     pub lag: DurationHistogram,
     /// Number of snapshots applied since the start of the process.
-    pub images: u64,
+    pub snapshots: u64,
     /// Number of rejected responses after which the follower needed a new snapshot.
     pub resyncs: u64,
 }
--- a/crates/replication/src/publisher.rs
+++ b/crates/replication/src/publisher.rs
@@ -5,7 +5,7 @@
 use crate::log::ReplicationLog;
 use crate::message::{FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress};
 use crate::position::Position;
-use crate::snapshot::{ImageChunk, Snapshot, SnapshotError};
+use crate::snapshot::{Snapshot, SnapshotChunk, SnapshotError};
 use crate::state::{PlacedTask, ReplicatedJob, ReplicatedMachine, ReplicatedState, Stage};
 use hookway_constants as constants;
 use hookway_time::MonotonicTime;
@@ -174,7 +174,7 @@
     ) -> Result<FollowResponse, SnapshotError> {
         let body = match self.missing_entries(request, now) {
             Some(entries) => entries,
-            None => FollowResponseBody::ImageChunk(self.snapshot_chunk(request.progress, now)?),
+            None => FollowResponseBody::SnapshotChunk(self.snapshot_chunk(request.progress, now)?),
         };
         Ok(FollowResponse { end: self.log.end(), body })
     }
@@ -187,7 +187,7 @@
     ) -> Option<FollowResponseBody> {
         match request.progress {
             FollowerProgress::Through(after) => self.entries_after(&request.follower, after, now),
-            FollowerProgress::Empty | FollowerProgress::ReceivingImage { .. } => None,
+            FollowerProgress::Empty | FollowerProgress::ReceivingSnapshot { .. } => None,
         }
     }
 
@@ -230,9 +230,9 @@
         &mut self,
         progress: FollowerProgress,
         now: MonotonicTime,
-    ) -> Result<ImageChunk, SnapshotError> {
+    ) -> Result<SnapshotChunk, SnapshotError> {
         let next_chunk = match progress {
-            FollowerProgress::ReceivingImage { position, next_chunk } => {
+            FollowerProgress::ReceivingSnapshot { position, next_chunk } => {
                 self.chunk_of_current_snapshot(position, next_chunk)
             }
             FollowerProgress::Empty | FollowerProgress::Through(_) => None,
@@ -245,14 +245,14 @@
 
     /// Returns a chunk of the current snapshot; `None` if the snapshot is of another position, the log no longer has
     /// the entries after the snapshot, or the index is beyond the last chunk.
-    fn chunk_of_current_snapshot(&self, position: Position, index: u32) -> Option<ImageChunk> {
+    fn chunk_of_current_snapshot(&self, position: Position, index: u32) -> Option<SnapshotChunk> {
         let snapshot = self.snapshot.as_ref().filter(|snapshot| snapshot.position == position)?;
         if self.log.covers(position) { snapshot.chunk(index) } else { None }
     }
 
     /// Returns the first chunk of the current snapshot, or of a new one if the current snapshot has reached the
     /// end of its lifetime or the log no longer has the entries after it.
-    fn first_chunk(&mut self, now: MonotonicTime) -> Result<ImageChunk, SnapshotError> {
+    fn first_chunk(&mut self, now: MonotonicTime) -> Result<SnapshotChunk, SnapshotError> {
         let log = &self.log;
         let is_reusable = |snapshot: &Snapshot| {
             now < snapshot.taken_at + constants::REPLICATION_IMAGE_LIFETIME
--- a/crates/replication/src/snapshot.rs
+++ b/crates/replication/src/snapshot.rs
@@ -40,15 +40,15 @@
 ///
 /// The fields and their order are a wire format, which never changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ImageChunk {
+pub struct SnapshotChunk {
     /// Position of the log at which the snapshot was taken.
     pub position: Position,
     /// Index of the chunk, counted from 0.
     pub index: u32,
     /// Size of the whole encoded snapshot in bytes.
-    pub image_bytes: u64,
+    pub snapshot_bytes: u64,
     /// XXH3 digest (64 bits) of the whole encoded snapshot.
-    pub image_digest: u64,
+    pub snapshot_digest: u64,
     /// The bytes of this chunk, from 1 to `REPLICATION_CHUNK_BYTES`.
     pub bytes: Vec<u8>,
 }
@@ -80,13 +80,13 @@
     }
 
     /// Returns the chunk with an index; `None` after the last one.
-    pub fn chunk(&self, index: u32) -> Option<ImageChunk> {
+    pub fn chunk(&self, index: u32) -> Option<SnapshotChunk> {
         let bytes = self.bytes.chunks(constants::REPLICATION_CHUNK_BYTES).nth(index as usize)?;
-        Some(ImageChunk {
+        Some(SnapshotChunk {
             position: self.position,
             index,
-            image_bytes: self.bytes.len() as u64,
-            image_digest: self.digest,
+            snapshot_bytes: self.bytes.len() as u64,
+            snapshot_digest: self.digest,
             bytes: bytes.to_vec(),
         })
     }
@@ -99,8 +99,8 @@
     pub position: Position,
     /// Index of the next missing chunk.
     pub next_chunk: u32,
-    image_bytes: u64,
-    image_digest: u64,
+    snapshot_bytes: u64,
+    snapshot_digest: u64,
     bytes: Vec<u8>,
 }
 
@@ -110,24 +110,24 @@
     /// # Errors
     ///
     /// [`SnapshotError::TooLarge`] if the snapshot exceeds the size limit.
-    pub fn begin(chunk: &ImageChunk) -> Result<Self, SnapshotError> {
-        if chunk.image_bytes > constants::REPLICATION_IMAGE_LIMIT as u64 {
-            return Err(SnapshotError::TooLarge(chunk.image_bytes));
+    pub fn begin(chunk: &SnapshotChunk) -> Result<Self, SnapshotError> {
+        if chunk.snapshot_bytes > constants::REPLICATION_IMAGE_LIMIT as u64 {
+            return Err(SnapshotError::TooLarge(chunk.snapshot_bytes));
         }
         Ok(Self {
             position: chunk.position,
             next_chunk: 0,
-            image_bytes: chunk.image_bytes,
-            image_digest: chunk.image_digest,
+            snapshot_bytes: chunk.snapshot_bytes,
+            snapshot_digest: chunk.snapshot_digest,
             bytes: Vec::new(),
         })
     }
 
     /// Whether a chunk belongs to this snapshot.
-    pub fn matches(&self, chunk: &ImageChunk) -> bool {
+    pub fn matches(&self, chunk: &SnapshotChunk) -> bool {
         chunk.position == self.position
-            && chunk.image_bytes == self.image_bytes
-            && chunk.image_digest == self.image_digest
+            && chunk.snapshot_bytes == self.snapshot_bytes
+            && chunk.snapshot_digest == self.snapshot_digest
     }
 
     /// Adds the next chunk. Returns the decoded state once the snapshot is complete.
@@ -135,21 +135,21 @@
     /// # Errors
     ///
     /// Any [`SnapshotError`]; the assembly must then be discarded.
-    pub fn add(&mut self, chunk: ImageChunk) -> Result<Option<ReplicatedState>, SnapshotError> {
+    pub fn add(&mut self, chunk: SnapshotChunk) -> Result<Option<ReplicatedState>, SnapshotError> {
         self.check_next(&chunk)?;
         self.bytes.extend(chunk.bytes);
         self.next_chunk += 1;
         if self.missing_bytes() > 0 {
             return Ok(None);
         }
-        if xxh3_64(&self.bytes) != self.image_digest {
+        if xxh3_64(&self.bytes) != self.snapshot_digest {
             return Err(SnapshotError::DigestMismatch);
         }
         decode(&self.bytes).map(Some)
     }
 
     /// Checks that a chunk is the next one, and that its size fits the limit and the missing bytes.
-    fn check_next(&self, chunk: &ImageChunk) -> Result<(), SnapshotError> {
+    fn check_next(&self, chunk: &SnapshotChunk) -> Result<(), SnapshotError> {
         if chunk.index != self.next_chunk {
             return Err(SnapshotError::OutOfOrder {
                 expected: self.next_chunk,
@@ -166,7 +166,7 @@
 
     /// Returns the number of bytes that have not been received.
     fn missing_bytes(&self) -> u64 {
-        self.image_bytes - self.bytes.len() as u64
+        self.snapshot_bytes - self.bytes.len() as u64
     }
 }
 
--- a/crates/replication/tests/following.rs
+++ b/crates/replication/tests/following.rs
@@ -35,7 +35,7 @@
     publisher.retain_jobs(1, |id| id == "req-000001");
     catch_up(&mut follower, &mut publisher, at(200));
     assert_eq!(
-        follower.metrics().images,
+        follower.metrics().snapshots,
         1,
         "the log had all entries, so no second snapshot was sent"
     );
@@ -109,7 +109,7 @@
     let beyond = follower.handle_response(entries(end + 9, end + 8, vec![]), at(0));
     assert!(matches!(beyond, Err(FollowError::Gap { .. })), "{beyond:?}");
     catch_up(&mut follower, &mut publisher, at(0));
-    assert_eq!((follower.metrics().images, follower.metrics().resyncs), (1, 0));
+    assert_eq!((follower.metrics().snapshots, follower.metrics().resyncs), (1, 0));
 }
 
 #[test]
@@ -145,7 +145,7 @@
     publisher.publish_machine(machine("m-9"), [].into_iter());
     catch_up(&mut follower, &mut publisher, at(0));
     assert_eq!(
-        follower.metrics().images,
+        follower.metrics().snapshots,
         1,
         "the follower kept its copy and needed no second snapshot"
     );
@@ -183,7 +183,7 @@
         "a diverged copy must not be used at a failover"
     );
     let replaced = exchange(&mut follower, &mut publisher, now).expect("a snapshot of one chunk");
-    let FollowOutcome::ImageApplied { differing } = replaced else { panic!("{replaced:?}") };
+    let FollowOutcome::SnapshotApplied { differing } = replaced else { panic!("{replaced:?}") };
     assert!(differing.contains(&"m-7".to_owned()), "{differing:?}");
     catch_up(&mut follower, &mut publisher, now);
 }
--- a/crates/replication/tests/snapshots.rs
+++ b/crates/replication/tests/snapshots.rs
@@ -6,7 +6,7 @@
 use hookway_constants as constants;
 use hookway_replication::{
     Entry, FollowError, FollowOutcome, FollowResponse, FollowResponseBody, FollowerProgress,
-    ImageChunk, Position, Publisher, ReplicatedJob, SnapshotError,
+    Position, Publisher, ReplicatedJob, SnapshotChunk, SnapshotError,
 };
 use support::{TERM, at, catch_up, exchange, follower, leader, machine, running};
 
@@ -21,7 +21,7 @@
         publisher
             .publish_machine(machine(&name), [running("req-000001/7", index as u64)].into_iter());
     }
-    let snapshots_before = follower.metrics().images;
+    let snapshots_before = follower.metrics().snapshots;
     let mut chunks = 0;
     while exchange(&mut follower, &mut publisher, at(100)) == Ok(FollowOutcome::SnapshotChunkStored)
     {
@@ -31,7 +31,7 @@
         publisher.publish_machine(machine(&name), [].into_iter());
     }
     assert!(chunks > 3, "the snapshot must take several chunks, not {chunks}");
-    assert_eq!(follower.metrics().images, snapshots_before + 1);
+    assert_eq!(follower.metrics().snapshots, snapshots_before + 1);
     assert!(
         follower.position() < Some(publisher.end()),
         "entries published during the transfer are not in the snapshot"
@@ -63,12 +63,12 @@
     let end = Position { term: TERM, index: u64::MAX };
     let mut follower = follower();
     // A snapshot of the empty state whose position has the maximum log index.
-    let FollowResponseBody::ImageChunk(chunk) =
+    let FollowResponseBody::SnapshotChunk(chunk) =
         leader(0).respond(&follower.request(), at(0)).expect("the publisher responds").body
     else {
         panic!("the response must have a snapshot chunk");
     };
-    let body = FollowResponseBody::ImageChunk(ImageChunk { position: end, ..chunk });
+    let body = FollowResponseBody::SnapshotChunk(SnapshotChunk { position: end, ..chunk });
     follower
         .handle_response(FollowResponse { end, body }, at(0))
         .expect("the snapshot itself is valid");
@@ -97,7 +97,7 @@
         Ok(FollowOutcome::EntriesApplied(0)),
         "a late chunk of the applied snapshot changes nothing"
     );
-    assert_eq!((follower.metrics().images, follower.metrics().resyncs), (1, 0));
+    assert_eq!((follower.metrics().snapshots, follower.metrics().resyncs), (1, 0));
     assert_eq!(follower.state(), publisher.state());
 }
 
@@ -105,8 +105,8 @@
 type ErrorCheck = fn(&FollowError) -> bool;
 
 /// Returns invalid snapshot chunks, each with a check of the error that it must cause.
-fn invalid_chunks(valid: &ImageChunk) -> Vec<(ImageChunk, ErrorCheck)> {
-    let with = |change: &dyn Fn(&mut ImageChunk)| {
+fn invalid_chunks(valid: &SnapshotChunk) -> Vec<(SnapshotChunk, ErrorCheck)> {
+    let with = |change: &dyn Fn(&mut SnapshotChunk)| {
         let mut chunk = valid.clone();
         change(&mut chunk);
         chunk
@@ -115,7 +115,7 @@
         (with(&|chunk| chunk.bytes[3] ^= 1), |error| {
             matches!(error, FollowError::Snapshot { source: SnapshotError::DigestMismatch, .. })
         }),
-        (with(&|chunk| chunk.image_digest ^= 1), |error| {
+        (with(&|chunk| chunk.snapshot_digest ^= 1), |error| {
             matches!(error, FollowError::Snapshot { source: SnapshotError::DigestMismatch, .. })
         }),
         (with(&|chunk| chunk.index = 4), |error| {
@@ -127,7 +127,7 @@
                 }
             )
         }),
-        (with(&|chunk| chunk.image_bytes = u64::MAX), |error| {
+        (with(&|chunk| chunk.snapshot_bytes = u64::MAX), |error| {
             matches!(error, FollowError::Snapshot { source: SnapshotError::TooLarge(u64::MAX), .. })
         }),
         (with(&|chunk| chunk.bytes.clear()), |error| {
@@ -149,13 +149,13 @@
 fn invalid_snapshot_chunks_are_rejected_with_named_error() {
     let mut publisher = leader(2);
     let response = publisher.respond(&follower().request(), at(0)).expect("the publisher responds");
-    let FollowResponseBody::ImageChunk(valid) = response.body else {
+    let FollowResponseBody::SnapshotChunk(valid) = response.body else {
         panic!("the response must have a snapshot chunk")
     };
     for (chunk, is_expected) in invalid_chunks(&valid) {
         let mut follower = follower();
         let response =
-            FollowResponse { end: response.end, body: FollowResponseBody::ImageChunk(chunk) };
+            FollowResponse { end: response.end, body: FollowResponseBody::SnapshotChunk(chunk) };
         let error = follower.handle_response(response, at(0)).expect_err("the chunk is invalid");
         assert!(is_expected(&error), "unexpected error: {error:?}");
         assert!(follower.state().machines.is_empty());
@@ -169,8 +169,9 @@
     let bytes = vec![0xff; 64];
     let digest = xxhash_rust::xxh3::xxh3_64(&bytes);
     let position = Position { term: TERM, index: 0 };
-    let chunk = ImageChunk { position, index: 0, image_bytes: 64, image_digest: digest, bytes };
-    let response = FollowResponse { end: position, body: FollowResponseBody::ImageChunk(chunk) };
+    let chunk =
+        SnapshotChunk { position, index: 0, snapshot_bytes: 64, snapshot_digest: digest, bytes };
+    let response = FollowResponse { end: position, body: FollowResponseBody::SnapshotChunk(chunk) };
     let result = follower().handle_response(response, at(0));
     assert!(
         matches!(result, Err(FollowError::Snapshot { source: SnapshotError::Undecodable(_), .. })),
--- a/crates/wire/src/replication.rs
+++ b/crates/wire/src/replication.rs
@@ -56,7 +56,8 @@
     /// Durations of the past periods in which the copy was incomplete.
     pub lag: DurationStatus,
     /// Number of replication snapshots applied.
-    pub images: u64,
+    #[serde(rename = "images")]
+    pub snapshots: u64,
     /// Number of responses whose rejection made a new replication snapshot necessary.
     pub resyncs: u64,
     /// Durations of the failovers to this controller.
