--- a/crates/controller/src/cluster_state/standby_replication.rs
+++ b/crates/controller/src/cluster_state/standby_replication.rs
@@ -8,7 +8,7 @@
 use crate::networks::Networks;
 use hookway_constants as constants;
 use hookway_replication::{
-    MachineView, Publisher, ReplicatedJob, ReplicatedState, Stage, TaskView,
+    PublishedMachine, PublishedTask, Publisher, ReplicatedJob, ReplicatedState, Stage,
 };
 use hookway_time::{MonotonicTime, WallTime};
 use hookway_wire::{JobId, TaskState};
@@ -74,17 +74,17 @@
         let Some(machine) = self.machines.get(name).filter(|m| is_published(m)) else {
             return publisher.remove_machine(name);
         };
-        let view = MachineView {
+        let published_machine = PublishedMachine {
             name,
             address: &machine.address,
             incarnation: machine.newest_message.incarnation,
         };
-        let tasks = machine.placed_tasks.iter().map(|placed| TaskView {
+        let tasks = machine.placed_tasks.iter().map(|placed| PublishedTask {
             task: &placed.task,
             attempt: placed.attempt,
             stage: replication_stage(placed.phase),
         });
-        publisher.publish_machine(view, tasks);
+        publisher.publish_machine(published_machine, tasks);
     }
 
     fn publish_jobs(&self, publisher: &mut Publisher) {
--- a/crates/controller/src/standby.rs
+++ b/crates/controller/src/standby.rs
@@ -4,8 +4,9 @@
 
 use crate::leadership::LeadershipView;
 use hookway_replication::{
-    Action, DurationHistogram, Event, FailoverMetrics, FailureDetector, FollowOutcome,
-    FollowRequest, FollowResponse, Follower, Phase, Promotion, ReplicatedState, UnusableCopy,
+    DurationHistogram, FailoverAction, FailoverEvent, FailoverMetrics, FailoverPhase,
+    FailureDetector, FollowOutcome, FollowRequest, FollowResponse, Follower, Promotion,
+    ReplicatedState, UnusableCopy,
 };
 use hookway_time::{MonotonicTime, whole_millis};
 use hookway_wire::{DurationStatus, FailoverStatus, ReplicationStatus};
@@ -78,7 +79,7 @@
         }
         match self.other_leader(view) {
             Some(leader) => self.follow(leader, now),
-            None => self.advance_and_notify(Event::LeaseExpired, now),
+            None => self.advance_and_notify(FailoverEvent::LeaseExpired, now),
         }
     }
 
@@ -91,7 +92,7 @@
     fn follow(&mut self, leader: FollowedLeader, now: MonotonicTime) {
         self.promotion.observe_term(leader.term);
         self.follower.observe_term(leader.term);
-        self.advance_and_notify(Event::OtherLeader, now);
+        self.advance_and_notify(FailoverEvent::OtherLeader, now);
         if self.followed_leader.as_ref() != Some(&leader) {
             // The intervals between the new leader's responses have not been measured yet.
             self.detector.reset();
@@ -106,7 +107,7 @@
             return None;
         }
         if self.detector.suspects(now) {
-            self.advance_and_notify(Event::LeaderSilent, now);
+            self.advance_and_notify(FailoverEvent::LeaderSilent, now);
         }
         self.signals.has_warm_copy.store(self.usable_copy(now).is_ok(), Ordering::Relaxed);
         Some(self.follower.request())
@@ -114,10 +115,10 @@
 
     /// Applies the leader's response to a replication request to the copy.
     pub fn handle_response(&mut self, response: FollowResponse, now: MonotonicTime) {
-        match self.follower.handle_response(response, now) {
+        match self.follower.apply_response(response, now) {
             Ok(outcome) => {
                 self.detector.record_message(now);
-                self.advance_and_notify(Event::LeaderResponded, now);
+                self.advance_and_notify(FailoverEvent::LeaderResponded, now);
                 self.log_outcome(&outcome);
             }
             Err(error) => {
@@ -144,13 +145,13 @@
     /// `term`. Returns `false` if the controller must not lead, because this or a later term is
     /// known already.
     pub fn elected(&mut self, term: u64, now: MonotonicTime) -> bool {
-        self.advance(Event::Elected { term }, now) == Some(Action::ReadRecords)
+        self.advance(FailoverEvent::Elected { term }, now) == Some(FailoverAction::ReadRecords)
     }
 
     /// Makes this controller the active leader, after it has read the records of earlier leaders.
     /// The read began in `term`. Returns `false` if that term has ended since.
     pub fn records_read(&mut self, term: u64, now: MonotonicTime) -> bool {
-        self.advance(Event::RecordsRead { term }, now) == Some(Action::Lead)
+        self.advance(FailoverEvent::RecordsRead { term }, now) == Some(FailoverAction::Lead)
     }
 
     /// Whether the failover has reached the step in which this controller may decide as the leader
@@ -162,9 +163,9 @@
     /// Records that a command that starts a task was dispatched. The first one of a term completes
     /// the failover.
     pub fn start_dispatched(&mut self, now: MonotonicTime) {
-        let completed_before = self.promotion.metrics().whole.count();
-        self.advance_and_notify(Event::Dispatched, now);
-        let duration = &self.promotion.metrics().whole;
+        let completed_before = self.promotion.metrics().total.count();
+        self.advance_and_notify(FailoverEvent::Dispatched, now);
+        let duration = &self.promotion.metrics().total;
         if duration.count() > completed_before {
             tracing::info!(%duration, "failover complete: first task start dispatched");
         }
@@ -172,7 +173,7 @@
 
     /// Returns to following, because this controller no longer leads.
     pub fn deposed(&mut self, now: MonotonicTime) {
-        self.advance_and_notify(Event::Deposed, now);
+        self.advance_and_notify(FailoverEvent::Deposed, now);
         self.detector.reset();
         self.followed_leader = None;
     }
@@ -182,10 +183,10 @@
     ///
     /// # Errors
     ///
-    /// Returns the reason why there is no usable copy; [`UnusableCopy::Empty`] in cold mode.
+    /// Returns the reason why there is no usable copy; [`UnusableCopy::NoCopy`] in cold mode.
     pub fn copy(&self, term: u64, now: MonotonicTime) -> Result<&ReplicatedState, UnusableCopy> {
         if self.mode == StandbyMode::Cold {
-            return Err(UnusableCopy::Empty);
+            return Err(UnusableCopy::NoCopy);
         }
         self.follower.usable_copy(term, now)
     }
@@ -197,8 +198,8 @@
 
     /// Advances the failover, and notifies the election actor if the leader is suspected to have
     /// failed.
-    fn advance_and_notify(&mut self, event: Event, now: MonotonicTime) {
-        if self.advance(event, now) == Some(Action::ReadLeader) {
+    fn advance_and_notify(&mut self, event: FailoverEvent, now: MonotonicTime) {
+        if self.advance(event, now) == Some(FailoverAction::ReadLeader) {
             tracing::info!("leader suspected, reading the leader key");
             self.signals.leader_suspected.notify_one();
         }
@@ -206,8 +207,8 @@
 
     /// Advances the failover and returns the action that follows; `None` if the event is of a wrong
     /// term.
-    fn advance(&mut self, event: Event, now: MonotonicTime) -> Option<Action> {
-        match self.promotion.handle(event, now) {
+    fn advance(&mut self, event: FailoverEvent, now: MonotonicTime) -> Option<FailoverAction> {
+        match self.promotion.apply_event(event, now) {
             Ok(action) => Some(action),
             Err(error) => {
                 tracing::error!(?event, %error, "invalid failover event");
@@ -243,13 +244,13 @@
     }
 }
 
-fn phase_name(phase: Phase) -> &'static str {
+fn phase_name(phase: FailoverPhase) -> &'static str {
     match phase {
-        Phase::Following => "following",
-        Phase::Suspecting => "suspecting",
-        Phase::Fencing => "fencing",
-        Phase::CatchingUp(_) => "catching up",
-        Phase::Active(_) => "active",
+        FailoverPhase::Following => "following",
+        FailoverPhase::Suspecting => "suspecting",
+        FailoverPhase::Fencing => "fencing",
+        FailoverPhase::CatchingUp(_) => "catching up",
+        FailoverPhase::Active(_) => "active",
     }
 }
 
@@ -259,7 +260,7 @@
         election: duration_status(&metrics.election),
         catching_up: duration_status(&metrics.catching_up),
         first_start: duration_status(&metrics.first_dispatch),
-        whole: duration_status(&metrics.whole),
+        total: duration_status(&metrics.total),
     }
 }
 
--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -16,8 +16,9 @@
 use hookway_controller::standby::{Standby, StandbyMode, StandbySignals};
 use hookway_policy::Resources;
 use hookway_replication::{
-    Entry, FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress, MachineView,
-    PlacedTask, Position, Publisher, RangeDigest, ReplicatedJob, ReplicatedState, Stage, TaskView,
+    Entry, FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress, PlacedTask,
+    Position, PublishedMachine, PublishedTask, Publisher, RangeDigest, ReplicatedJob,
+    ReplicatedState, Stage,
 };
 use hookway_time::MonotonicTime;
 use hookway_wire::JobState;
@@ -112,17 +113,17 @@
 /// Returns the publisher of a leader whose cluster state has a task at each stage and two jobs.
 fn publisher_with_cluster_state() -> Publisher {
     let mut publisher = Publisher::new(4_097);
-    let task = |task, attempt, stage| TaskView { task, attempt, stage };
-    let view = MachineView { name: "m-000231", address: "10.1.0.232:9000", incarnation: 2 };
+    let task = |task, attempt, stage| PublishedTask { task, attempt, stage };
+    let machine = PublishedMachine { name: "m-000231", address: "10.1.0.232:9000", incarnation: 2 };
     let tasks = [
         task("req-000412/3", 9, Stage::Planned),
         task("req-000412/4", 9, Stage::Sent),
         task("req-000413/0", 300, Stage::Accepted),
         task("req-000413/1", 70_000, Stage::Running),
     ];
-    publisher.publish_machine(view, tasks.into_iter());
-    let view = MachineView { name: "m-000232", address: "10.1.0.233:9000", incarnation: 1 };
-    publisher.publish_machine(view, std::iter::empty());
+    publisher.publish_machine(machine, tasks.into_iter());
+    let machine = PublishedMachine { name: "m-000232", address: "10.1.0.233:9000", incarnation: 1 };
+    publisher.publish_machine(machine, std::iter::empty());
     let job = ReplicatedJob {
         gang_attempt: Some(9),
         consecutive_failures: 2,
--- a/crates/controller/tests/message_formats_pinned.rs
+++ b/crates/controller/tests/message_formats_pinned.rs
@@ -185,7 +185,7 @@
         election: durations(30),
         catching_up: durations(40),
         first_start: durations(50),
-        whole: durations(60),
+        total: durations(60),
     };
     let status = ReplicationStatus {
         phase: "catching up".into(),
--- a/crates/controller/tests/simulation/standbys.rs
+++ b/crates/controller/tests/simulation/standbys.rs
@@ -61,7 +61,7 @@
         if !response_delivered || controller.leader.is_some() {
             return;
         }
-        let refused = controller.follower.handle_response(response, now).is_err();
+        let refused = controller.follower.apply_response(response, now).is_err();
         self.counts.rejected_follow_responses += usize::from(refused);
     }
 
--- a/crates/replication/examples/embedded.rs
+++ b/crates/replication/examples/embedded.rs
@@ -4,7 +4,8 @@
 //!     cargo run -p hookway-replication --example embedded
 
 use hookway_replication::{
-    Action, Event, FailureDetector, Follower, MachineView, Promotion, Publisher, Stage, TaskView,
+    FailoverAction, FailoverEvent, FailureDetector, Follower, Promotion, PublishedMachine,
+    PublishedTask, Publisher, Stage,
 };
 use hookway_time::MonotonicTime;
 use std::time::Duration;
@@ -24,34 +25,43 @@
     for round in 0..20_u64 {
         now += Duration::from_millis(200);
         let task = format!("render/{round}");
-        let machine = MachineView { name: "box-1", address: "127.0.0.1:9000", incarnation: 1 };
-        let tasks = [TaskView { task: &task, attempt: round, stage: Stage::Running }];
+        let machine = PublishedMachine { name: "box-1", address: "127.0.0.1:9000", incarnation: 1 };
+        let tasks = [PublishedTask { task: &task, attempt: round, stage: Stage::Running }];
         publisher.publish_machine(machine, tasks.into_iter());
         // The embedding program transports the request and the response.
         let request = follower.request();
         let response = publisher.respond(&request, now)?;
-        follower.handle_response(response, now)?;
+        follower.apply_response(response, now)?;
         detector.record_message(now);
-        promotion.handle(Event::LeaderResponded, now)?;
+        promotion.apply_event(FailoverEvent::LeaderResponded, now)?;
     }
     println!("at {} ms the copy has {} tasks", now.as_millis(), follower.state().task_count());
 
     while !detector.suspects(now) {
         now += Duration::from_millis(100);
     }
-    assert_eq!(promotion.handle(Event::LeaderSilent, now)?, Action::ReadLeader);
+    assert_eq!(
+        promotion.apply_event(FailoverEvent::LeaderSilent, now)?,
+        FailoverAction::ReadLeader
+    );
     println!(
         "at {} ms the leader is suspected, so the leadership record has to be read",
         now.as_millis()
     );
 
     now += Duration::from_millis(3_000);
-    promotion.handle(Event::LeaseExpired, now)?;
+    promotion.apply_event(FailoverEvent::LeaseExpired, now)?;
     now += Duration::from_millis(20);
-    assert_eq!(promotion.handle(Event::Elected { term: NEW_TERM }, now)?, Action::ReadRecords);
+    assert_eq!(
+        promotion.apply_event(FailoverEvent::Elected { term: NEW_TERM }, now)?,
+        FailoverAction::ReadRecords
+    );
     assert!(!promotion.may_dispatch(NEW_TERM), "the records have not been read yet");
     now += Duration::from_millis(20);
-    assert_eq!(promotion.handle(Event::RecordsRead { term: NEW_TERM }, now)?, Action::Lead);
+    assert_eq!(
+        promotion.apply_event(FailoverEvent::RecordsRead { term: NEW_TERM }, now)?,
+        FailoverAction::Lead
+    );
     let copy = follower.usable_copy(NEW_TERM, now)?;
     println!(
         "at {} ms the standby is the leader of term {NEW_TERM}; its copy names:",
--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -109,7 +109,7 @@
 pub enum UnusableCopy {
     /// There is no copy: no snapshot has been received since the start, or the controller keeps no copy.
     #[error("no copy")]
-    Empty,
+    NoCopy,
     /// The copy is not of an earlier term than the new leader's. Holds the term of the copy.
     #[error("the copy is of term {0}, which is not earlier")]
     NotEarlier(u64),
@@ -182,7 +182,7 @@
     /// # Errors
     ///
     /// A [`FollowError`], whose documentation says what happens to the copy.
-    pub fn handle_response(
+    pub fn apply_response(
         &mut self,
         response: FollowResponse,
         now: MonotonicTime,
@@ -364,7 +364,7 @@
         term: u64,
         now: MonotonicTime,
     ) -> Result<&ReplicatedState, UnusableCopy> {
-        let position = self.position.ok_or(UnusableCopy::Empty)?;
+        let position = self.position.ok_or(UnusableCopy::NoCopy)?;
         if self.diverged {
             return Err(UnusableCopy::Diverged);
         }
--- a/crates/replication/src/metrics.rs
+++ b/crates/replication/src/metrics.rs
@@ -90,7 +90,7 @@
     /// From the end of reading the records to the first dispatch of a task start.
     pub first_dispatch: DurationHistogram,
     /// The whole failover: from the previous leader's last response to the first dispatch of a task start.
-    pub whole: DurationHistogram,
+    pub total: DurationHistogram,
 }
 
 /// The times of a failover that was completed by the first dispatch of a task start.
@@ -112,7 +112,7 @@
         if let Some(responded_at) = failover.leader_responded_at {
             let detected_at = failover.lease_expired_at.unwrap_or(elected_at);
             self.detection.record(detected_at.saturating_duration_since(responded_at));
-            self.whole.record(dispatched_at.saturating_duration_since(responded_at));
+            self.total.record(dispatched_at.saturating_duration_since(responded_at));
         }
         if let Some(expired_at) = failover.lease_expired_at {
             self.election.record(elected_at.saturating_duration_since(expired_at));
--- a/crates/replication/src/promotion.rs
+++ b/crates/replication/src/promotion.rs
@@ -9,7 +9,7 @@
 
 /// Phase of a controller on its way from standby to leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub enum FailoverPhase {
     /// The controller follows the leader, or does not know one yet.
     Following,
     /// The leader has been silent for unusually long. The only consequence is a read of the leadership record.
@@ -26,7 +26,7 @@
 
 /// An event that may change the phase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Event {
+pub enum FailoverEvent {
     /// The leader responded to a replication request.
     LeaderResponded,
     /// The failure detector suspects the leader.
@@ -69,7 +69,7 @@
 
 /// What the caller has to do after an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Action {
+pub enum FailoverAction {
     /// The caller has nothing to do.
     None,
     /// Read the leadership record in the store now.
@@ -85,7 +85,7 @@
 /// The state machine of a failover to this controller.
 #[derive(Debug)]
 pub struct Promotion {
-    phase: Phase,
+    phase: FailoverPhase,
     /// Latest term that this controller was elected for or has observed.
     term: u64,
     times: FailoverTimes,
@@ -107,7 +107,7 @@
 impl Default for Promotion {
     fn default() -> Self {
         Self {
-            phase: Phase::Following,
+            phase: FailoverPhase::Following,
             term: 0,
             times: FailoverTimes::default(),
             metrics: FailoverMetrics::default(),
@@ -117,13 +117,13 @@
 
 impl Promotion {
     /// Returns the current phase.
-    pub fn phase(&self) -> Phase {
+    pub fn phase(&self) -> FailoverPhase {
         self.phase
     }
 
     /// Whether the controller may dispatch tasks as the leader of `term`.
     pub fn may_dispatch(&self, term: u64) -> bool {
-        self.phase == Phase::Active(term)
+        self.phase == FailoverPhase::Active(term)
     }
 
     /// Returns the durations of the completed failovers to this controller.
@@ -142,40 +142,46 @@
     /// # Errors
     ///
     /// A [`TransitionError`] if the term of the event does not permit the transition.
-    pub fn handle(&mut self, event: Event, now: MonotonicTime) -> Result<Action, TransitionError> {
+    pub fn apply_event(
+        &mut self,
+        event: FailoverEvent,
+        now: MonotonicTime,
+    ) -> Result<FailoverAction, TransitionError> {
         let action = match event {
-            Event::LeaderResponded => self.leader_responded(now),
-            Event::LeaderSilent => self.leader_silent(now),
-            Event::LeaseExpired => self.lease_expired(now),
-            Event::OtherLeader => self.other_leader(),
-            Event::Elected { term } => self.elected(term, now)?,
-            Event::RecordsRead { term } => self.records_read(term, now)?,
-            Event::Dispatched => self.dispatched(now),
-            Event::Deposed => self.deposed(),
+            FailoverEvent::LeaderResponded => self.leader_responded(now),
+            FailoverEvent::LeaderSilent => self.leader_silent(now),
+            FailoverEvent::LeaseExpired => self.lease_expired(now),
+            FailoverEvent::OtherLeader => self.other_leader(),
+            FailoverEvent::Elected { term } => self.elected(term, now)?,
+            FailoverEvent::RecordsRead { term } => self.records_read(term, now)?,
+            FailoverEvent::Dispatched => self.dispatched(now),
+            FailoverEvent::Deposed => self.deposed(),
         };
         Ok(action)
     }
 
-    fn leader_responded(&mut self, now: MonotonicTime) -> Action {
+    fn leader_responded(&mut self, now: MonotonicTime) -> FailoverAction {
         self.times.leader_responded_at = Some(now);
-        if self.phase == Phase::Suspecting {
+        if self.phase == FailoverPhase::Suspecting {
             self.return_to_following();
         }
-        Action::None
+        FailoverAction::None
     }
 
-    fn leader_silent(&mut self, now: MonotonicTime) -> Action {
+    fn leader_silent(&mut self, now: MonotonicTime) -> FailoverAction {
         let should_read_leader = match self.phase {
-            Phase::Following => true,
-            Phase::Suspecting => self.can_read_leader_again(now),
-            Phase::Fencing | Phase::CatchingUp(_) | Phase::Active(_) => false,
+            FailoverPhase::Following => true,
+            FailoverPhase::Suspecting => self.can_read_leader_again(now),
+            FailoverPhase::Fencing | FailoverPhase::CatchingUp(_) | FailoverPhase::Active(_) => {
+                false
+            }
         };
         if !should_read_leader {
-            return Action::None;
+            return FailoverAction::None;
         }
-        self.phase = Phase::Suspecting;
+        self.phase = FailoverPhase::Suspecting;
         self.times.leadership_read_at = Some(now);
-        Action::ReadLeader
+        FailoverAction::ReadLeader
     }
 
     /// Whether the leadership record may be read once more. Repeated reads are needed because an earlier read may have
@@ -185,65 +191,74 @@
         self.times.leadership_read_at.is_none_or(has_interval_passed)
     }
 
-    fn lease_expired(&mut self, now: MonotonicTime) -> Action {
-        if matches!(self.phase, Phase::Following | Phase::Suspecting) {
-            self.phase = Phase::Fencing;
+    fn lease_expired(&mut self, now: MonotonicTime) -> FailoverAction {
+        if matches!(self.phase, FailoverPhase::Following | FailoverPhase::Suspecting) {
+            self.phase = FailoverPhase::Fencing;
             self.times.lease_expired_at = Some(now);
         }
-        Action::None
+        FailoverAction::None
     }
 
-    fn other_leader(&mut self) -> Action {
-        if matches!(self.phase, Phase::Suspecting | Phase::Fencing) {
+    fn other_leader(&mut self) -> FailoverAction {
+        if matches!(self.phase, FailoverPhase::Suspecting | FailoverPhase::Fencing) {
             self.return_to_following();
         }
-        Action::None
+        FailoverAction::None
     }
 
     fn return_to_following(&mut self) {
-        self.phase = Phase::Following;
+        self.phase = FailoverPhase::Following;
         let leader_responded_at = self.times.leader_responded_at;
         self.times = FailoverTimes { leader_responded_at, ..FailoverTimes::default() };
     }
 
-    fn elected(&mut self, term: u64, now: MonotonicTime) -> Result<Action, TransitionError> {
+    fn elected(
+        &mut self,
+        term: u64,
+        now: MonotonicTime,
+    ) -> Result<FailoverAction, TransitionError> {
         if term <= self.term {
             return Err(TransitionError::OldTerm { found: term, known: self.term });
         }
         self.term = term;
-        self.phase = Phase::CatchingUp(term);
+        self.phase = FailoverPhase::CatchingUp(term);
         self.times.elected_at = Some(now);
-        Ok(Action::ReadRecords)
+        Ok(FailoverAction::ReadRecords)
     }
 
-    fn records_read(&mut self, term: u64, now: MonotonicTime) -> Result<Action, TransitionError> {
-        if self.phase != Phase::CatchingUp(term) {
+    fn records_read(
+        &mut self,
+        term: u64,
+        now: MonotonicTime,
+    ) -> Result<FailoverAction, TransitionError> {
+        if self.phase != FailoverPhase::CatchingUp(term) {
             return Err(TransitionError::OldRecords(term));
         }
-        self.phase = Phase::Active(term);
+        self.phase = FailoverPhase::Active(term);
         self.times.records_read_at = Some(now);
-        Ok(Action::Lead)
+        Ok(FailoverAction::Lead)
     }
 
-    fn deposed(&mut self) -> Action {
-        let was_elected = matches!(self.phase, Phase::CatchingUp(_) | Phase::Active(_));
+    fn deposed(&mut self) -> FailoverAction {
+        let was_elected =
+            matches!(self.phase, FailoverPhase::CatchingUp(_) | FailoverPhase::Active(_));
         self.return_to_following();
-        if was_elected { Action::Stop } else { Action::None }
+        if was_elected { FailoverAction::Stop } else { FailoverAction::None }
     }
 
     /// Completes the failover with the first dispatch. Later dispatches have no effect, because the times of the
     /// failover have been reset.
-    fn dispatched(&mut self, now: MonotonicTime) -> Action {
+    fn dispatched(&mut self, now: MonotonicTime) -> FailoverAction {
         if let Some(failover) = self.failover_completed_at(now) {
             self.metrics.record(&failover);
             self.times = FailoverTimes::default();
         }
-        Action::None
+        FailoverAction::None
     }
 
     /// Returns the times of the failover if a dispatch at `now` completes it.
     fn failover_completed_at(&self, now: MonotonicTime) -> Option<CompletedFailover> {
-        let Phase::Active(_) = self.phase else { return None };
+        let FailoverPhase::Active(_) = self.phase else { return None };
         Some(CompletedFailover {
             leader_responded_at: self.times.leader_responded_at,
             lease_expired_at: self.times.lease_expired_at,
--- a/crates/replication/src/publisher.rs
+++ b/crates/replication/src/publisher.rs
@@ -13,7 +13,7 @@
 
 /// The current state of an attempt on a machine, as the leader knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TaskView<'a> {
+pub struct PublishedTask<'a> {
     /// Id of the task in the form `req-000412/3`.
     pub task: &'a str,
     /// Number of the attempt; no two leaders use the same number.
@@ -24,7 +24,7 @@
 
 /// The current state of a machine, as the leader knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct MachineView<'a> {
+pub struct PublishedMachine<'a> {
     /// Unique name of the machine.
     pub name: &'a str,
     /// Address (`host:port`) of the machine's worker.
@@ -88,23 +88,23 @@
     /// Publishes a machine and the complete set of its tasks.
     pub fn publish_machine<'a>(
         &mut self,
-        view: MachineView<'_>,
-        tasks: impl Iterator<Item = TaskView<'a>> + Clone,
+        machine: PublishedMachine<'_>,
+        tasks: impl Iterator<Item = PublishedTask<'a>> + Clone,
     ) {
-        self.publish_worker(view);
-        self.publish_tasks(view.name, tasks);
+        self.publish_worker(machine);
+        self.publish_tasks(machine.name, tasks);
     }
 
-    fn publish_worker(&mut self, view: MachineView<'_>) {
-        let published = self.state.machines.get(view.name);
-        let is_published = published.is_some_and(|machine| {
-            machine.address == view.address && machine.incarnation == view.incarnation
+    fn publish_worker(&mut self, machine: PublishedMachine<'_>) {
+        let published = self.state.machines.get(machine.name);
+        let is_published = published.is_some_and(|published| {
+            published.address == machine.address && published.incarnation == machine.incarnation
         });
         if !is_published {
             self.append(Entry::Machine {
-                name: view.name.to_owned(),
-                address: view.address.to_owned(),
-                incarnation: view.incarnation,
+                name: machine.name.to_owned(),
+                address: machine.address.to_owned(),
+                incarnation: machine.incarnation,
             });
         }
     }
@@ -112,11 +112,11 @@
     fn publish_tasks<'a>(
         &mut self,
         machine: &str,
-        tasks: impl Iterator<Item = TaskView<'a>> + Clone,
+        tasks: impl Iterator<Item = PublishedTask<'a>> + Clone,
     ) {
         let Some(published) = self.state.machines.get(machine) else { return };
         let is_published =
-            |task: TaskView<'_>| published.stage(task.task, task.attempt) == Some(task.stage);
+            |task: PublishedTask<'_>| published.stage(task.task, task.attempt) == Some(task.stage);
         // Most machines have not changed, so this check avoids building entries for them.
         let has_same_count = tasks.clone().count() == published.tasks().len();
         if has_same_count && tasks.clone().all(is_published) {
@@ -271,7 +271,7 @@
 fn task_entries<'a>(
     machine: &str,
     published: &ReplicatedMachine,
-    current: impl Iterator<Item = TaskView<'a>> + Clone,
+    current: impl Iterator<Item = PublishedTask<'a>> + Clone,
 ) -> Vec<Entry> {
     let is_current = |old: &PlacedTask| {
         current.clone().any(|new| new.attempt == old.attempt && new.task == old.task)
@@ -283,7 +283,7 @@
         attempt: old.attempt,
     });
     let is_published =
-        |new: &TaskView<'_>| published.stage(new.task, new.attempt) == Some(new.stage);
+        |new: &PublishedTask<'_>| published.stage(new.task, new.attempt) == Some(new.stage);
     let changed = current.clone().filter(|new| !is_published(new));
     let changes = changed.map(|new| Entry::Task {
         machine: machine.to_owned(),
--- a/crates/replication/tests/following.rs
+++ b/crates/replication/tests/following.rs
@@ -6,7 +6,7 @@
 use hookway_constants as constants;
 use hookway_replication::{
     Entry, FollowError, FollowOutcome, FollowRequest, FollowResponse, FollowResponseBody,
-    FollowerProgress, MachineView, Position, Publisher, RangeDigest, ReplicatedJob, Stage,
+    FollowerProgress, Position, PublishedMachine, Publisher, RangeDigest, ReplicatedJob, Stage,
     UnusableCopy,
 };
 use std::time::Duration;
@@ -23,7 +23,8 @@
     let mut publisher = leader(3);
     let mut follower = follower();
     catch_up(&mut follower, &mut publisher, at(0));
-    let restarted = MachineView { address: "127.0.0.1:9009", incarnation: 2, ..machine("m-0") };
+    let restarted =
+        PublishedMachine { address: "127.0.0.1:9009", incarnation: 2, ..machine("m-0") };
     publisher.publish_machine(restarted, [running("req-000001/0", 9)].into_iter());
     publisher.publish_machine(machine("m-1"), [].into_iter());
     publisher.retain_machines(|name| name != "m-2");
@@ -80,11 +81,11 @@
     publisher.publish_machine(machine("m-9"), [].into_iter());
     let response = publisher.respond(&follower.request(), at(0)).expect("the publisher responds");
     assert_eq!(
-        follower.handle_response(response.clone(), at(0)),
+        follower.apply_response(response.clone(), at(0)),
         Ok(FollowOutcome::EntriesApplied(1))
     );
     assert_eq!(
-        follower.handle_response(response.clone(), at(0)),
+        follower.apply_response(response.clone(), at(0)),
         Ok(FollowOutcome::EntriesApplied(0))
     );
     // The next response is lost; the one after it contains the entries of both.
@@ -97,16 +98,16 @@
     );
     // The response that seemed lost arrives late and changes nothing. If a response begins before the position of the
     // copy, only its new entries are applied.
-    assert_eq!(follower.handle_response(lost, at(0)), Ok(FollowOutcome::EntriesApplied(0)));
+    assert_eq!(follower.apply_response(lost, at(0)), Ok(FollowOutcome::EntriesApplied(0)));
     publisher.remove_machine("m-7");
     let progress = FollowerProgress::Through(response.end);
     let request = FollowRequest { follower: "worker-1".into(), progress };
     let overlapping = publisher.respond(&request, at(0)).expect("the publisher responds");
-    assert_eq!(follower.handle_response(overlapping, at(0)), Ok(FollowOutcome::EntriesApplied(1)));
+    assert_eq!(follower.apply_response(overlapping, at(0)), Ok(FollowOutcome::EntriesApplied(1)));
     assert_eq!(follower.state(), publisher.state());
     // Entries that begin after the position of the copy are rejected; the follower requests the missing ones.
     let end = publisher.end().index;
-    let beyond = follower.handle_response(entries(end + 9, end + 8, vec![]), at(0));
+    let beyond = follower.apply_response(entries(end + 9, end + 8, vec![]), at(0));
     assert!(matches!(beyond, Err(FollowError::Gap { .. })), "{beyond:?}");
     catch_up(&mut follower, &mut publisher, at(0));
     assert_eq!((follower.metrics().snapshots, follower.metrics().resyncs), (1, 0));
@@ -124,7 +125,7 @@
     deposed.publish_machine(machine("m-0"), [running("req-000001/5", 77)].into_iter());
     let late = deposed.respond(&follower.request(), at(10)).expect("the publisher responds");
     assert_eq!(
-        follower.handle_response(late, at(10)),
+        follower.apply_response(late, at(10)),
         Err(FollowError::OldTerm { found: TERM, known: 2 * TERM })
     );
     assert_eq!(follower.state().machines["m-0"].stage("req-000001/5", 77), None);
@@ -140,7 +141,7 @@
     let mut unknown = Publisher::new(u64::MAX);
     unknown.publish_machine(machine("m-8"), [].into_iter());
     let response = unknown.respond(&follower.request(), at(0)).expect("the publisher responds");
-    let result = follower.handle_response(response, at(0));
+    let result = follower.apply_response(response, at(0));
     assert_eq!(result, Err(FollowError::FutureTerm { found: u64::MAX, known: TERM }));
     publisher.publish_machine(machine("m-9"), [].into_iter());
     catch_up(&mut follower, &mut publisher, at(0));
@@ -161,7 +162,7 @@
         Entry::Machine { name: "m-7".into(), address: "127.0.0.1:1".into(), incarnation: 5 };
     let end = publisher.end().index;
     follower
-        .handle_response(entries(end + 1, end, vec![wrong]), at(0))
+        .apply_response(entries(end + 1, end, vec![wrong]), at(0))
         .expect("no digest has been compared yet");
     publisher.publish_machine(machine("m-0"), [].into_iter());
     let mut now = at(0);
@@ -205,7 +206,7 @@
     for response in invalid {
         let mut follower = follower();
         catch_up(&mut follower, &mut publisher, at(0));
-        let result = follower.handle_response(response.clone(), at(0));
+        let result = follower.apply_response(response.clone(), at(0));
         assert!(result.is_err(), "{response:?} must be rejected: {result:?}");
         assert!(follower.usable_copy(TERM + 1, at(0)).is_err());
         catch_up(&mut follower, &mut publisher, at(0));
@@ -218,7 +219,7 @@
     let mut follower = follower();
     assert_eq!(
         follower.usable_copy(TERM + 1, at(0)),
-        Err(UnusableCopy::Empty),
+        Err(UnusableCopy::NoCopy),
         "no response has been received since the start"
     );
     catch_up(&mut follower, &mut publisher, at(1_000));
@@ -234,7 +235,7 @@
 #[test]
 fn reasons_of_unusable_copy_have_the_texts_that_operators_see() {
     let texts = [
-        UnusableCopy::Empty,
+        UnusableCopy::NoCopy,
         UnusableCopy::NotEarlier(TERM),
         UnusableCopy::Diverged,
         UnusableCopy::Stale(Duration::from_millis(60_001)),
--- a/crates/replication/tests/promotion.rs
+++ b/crates/replication/tests/promotion.rs
@@ -1,7 +1,9 @@
 //! The phases of a failover, the conditions of the transitions between them, and the failure detector.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
-use hookway_replication::{Action, Event, FailureDetector, Phase, Promotion, TransitionError};
+use hookway_replication::{
+    FailoverAction, FailoverEvent, FailoverPhase, FailureDetector, Promotion, TransitionError,
+};
 use hookway_time::MonotonicTime;
 use std::time::Duration;
 
@@ -17,29 +19,41 @@
 /// Returns a standby that has been elected for a term and has yet to read the records.
 fn elected(term: u64) -> Promotion {
     let mut promotion = Promotion::default();
-    promotion.handle(Event::LeaderResponded, at(1_000)).expect("a valid transition");
-    promotion.handle(Event::LeaseExpired, at(6_000)).expect("a valid transition");
-    assert_eq!(promotion.handle(Event::Elected { term }, at(6_100)), Ok(Action::ReadRecords));
+    promotion.apply_event(FailoverEvent::LeaderResponded, at(1_000)).expect("a valid transition");
+    promotion.apply_event(FailoverEvent::LeaseExpired, at(6_000)).expect("a valid transition");
+    assert_eq!(
+        promotion.apply_event(FailoverEvent::Elected { term }, at(6_100)),
+        Ok(FailoverAction::ReadRecords)
+    );
     promotion
 }
 
 #[test]
 fn failover_passes_every_phase_and_records_durations() {
     let mut promotion = Promotion::default();
-    promotion.handle(Event::LeaderResponded, at(1_000)).expect("a valid transition");
-    assert_eq!(promotion.handle(Event::LeaderSilent, at(2_500)), Ok(Action::ReadLeader));
-    assert_eq!(promotion.phase(), Phase::Suspecting);
-    promotion.handle(Event::LeaseExpired, at(5_000)).expect("a valid transition");
-    assert_eq!(promotion.phase(), Phase::Fencing);
-    assert_eq!(promotion.handle(Event::Elected { term: 9 }, at(5_100)), Ok(Action::ReadRecords));
+    promotion.apply_event(FailoverEvent::LeaderResponded, at(1_000)).expect("a valid transition");
+    assert_eq!(
+        promotion.apply_event(FailoverEvent::LeaderSilent, at(2_500)),
+        Ok(FailoverAction::ReadLeader)
+    );
+    assert_eq!(promotion.phase(), FailoverPhase::Suspecting);
+    promotion.apply_event(FailoverEvent::LeaseExpired, at(5_000)).expect("a valid transition");
+    assert_eq!(promotion.phase(), FailoverPhase::Fencing);
+    assert_eq!(
+        promotion.apply_event(FailoverEvent::Elected { term: 9 }, at(5_100)),
+        Ok(FailoverAction::ReadRecords)
+    );
     assert!(!promotion.may_dispatch(9), "the records have not been read yet");
-    assert_eq!(promotion.handle(Event::RecordsRead { term: 9 }, at(5_200)), Ok(Action::Lead));
+    assert_eq!(
+        promotion.apply_event(FailoverEvent::RecordsRead { term: 9 }, at(5_200)),
+        Ok(FailoverAction::Lead)
+    );
     assert!(promotion.may_dispatch(9) && !promotion.may_dispatch(8));
-    promotion.handle(Event::Dispatched, at(5_250)).expect("a valid transition");
-    promotion.handle(Event::Dispatched, at(9_999)).expect("a valid transition");
+    promotion.apply_event(FailoverEvent::Dispatched, at(5_250)).expect("a valid transition");
+    promotion.apply_event(FailoverEvent::Dispatched, at(9_999)).expect("a valid transition");
     let metrics = promotion.metrics();
-    assert_eq!(metrics.whole.count(), 1, "only the first dispatch ends the failover");
-    assert!(metrics.whole.quantile(1.0).abs_diff(ms(4_250)) < ms(50), "{}", metrics.whole);
+    assert_eq!(metrics.total.count(), 1, "only the first dispatch ends the failover");
+    assert!(metrics.total.quantile(1.0).abs_diff(ms(4_250)) < ms(50), "{}", metrics.total);
     assert!(metrics.detection.quantile(1.0).abs_diff(ms(4_000)) < ms(50), "{}", metrics.detection);
     assert!(metrics.catching_up.quantile(1.0).abs_diff(ms(100)) < ms(3), "{}", metrics.catching_up);
 }
@@ -47,45 +61,48 @@
 #[test]
 fn suspected_leader_permits_no_decision_until_it_responds_again() {
     let mut promotion = Promotion::default();
-    promotion.handle(Event::LeaderSilent, at(100)).expect("a valid transition");
+    promotion.apply_event(FailoverEvent::LeaderSilent, at(100)).expect("a valid transition");
     assert_eq!(
-        promotion.handle(Event::LeaderSilent, at(200)),
-        Ok(Action::None),
+        promotion.apply_event(FailoverEvent::LeaderSilent, at(200)),
+        Ok(FailoverAction::None),
         "the leadership record was read less than LEADER_CHECK_INTERVAL ago"
     );
-    assert_eq!(promotion.handle(Event::LeaderSilent, at(1_100)), Ok(Action::ReadLeader));
+    assert_eq!(
+        promotion.apply_event(FailoverEvent::LeaderSilent, at(1_100)),
+        Ok(FailoverAction::ReadLeader)
+    );
     assert!(!promotion.may_dispatch(0));
-    promotion.handle(Event::LeaderResponded, at(1_300)).expect("a valid transition");
-    assert_eq!(promotion.phase(), Phase::Following);
+    promotion.apply_event(FailoverEvent::LeaderResponded, at(1_300)).expect("a valid transition");
+    assert_eq!(promotion.phase(), FailoverPhase::Following);
     // Another standby wins the election.
-    promotion.handle(Event::LeaderSilent, at(400)).expect("a valid transition");
-    promotion.handle(Event::LeaseExpired, at(500)).expect("a valid transition");
-    promotion.handle(Event::OtherLeader, at(600)).expect("a valid transition");
-    assert_eq!(promotion.phase(), Phase::Following);
+    promotion.apply_event(FailoverEvent::LeaderSilent, at(400)).expect("a valid transition");
+    promotion.apply_event(FailoverEvent::LeaseExpired, at(500)).expect("a valid transition");
+    promotion.apply_event(FailoverEvent::OtherLeader, at(600)).expect("a valid transition");
+    assert_eq!(promotion.phase(), FailoverPhase::Following);
 }
 
 #[test]
 fn records_read_before_election_or_in_other_term_are_rejected() {
     let mut promotion = Promotion::default();
-    promotion.handle(Event::LeaseExpired, at(50)).expect("a valid transition");
+    promotion.apply_event(FailoverEvent::LeaseExpired, at(50)).expect("a valid transition");
     assert_eq!(
-        promotion.handle(Event::RecordsRead { term: 4 }, at(60)),
+        promotion.apply_event(FailoverEvent::RecordsRead { term: 4 }, at(60)),
         Err(TransitionError::OldRecords(4))
     );
     let mut promotion = elected(4);
     assert_eq!(
-        promotion.handle(Event::RecordsRead { term: 3 }, at(6_200)),
+        promotion.apply_event(FailoverEvent::RecordsRead { term: 3 }, at(6_200)),
         Err(TransitionError::OldRecords(3))
     );
     assert_eq!(
-        promotion.handle(Event::RecordsRead { term: 5 }, at(6_200)),
+        promotion.apply_event(FailoverEvent::RecordsRead { term: 5 }, at(6_200)),
         Err(TransitionError::OldRecords(5))
     );
     assert!(!promotion.may_dispatch(4));
     // The controller is deposed while it reads the records: when the read ends, it must not become the leader.
-    assert_eq!(promotion.handle(Event::Deposed, at(6_300)), Ok(Action::Stop));
+    assert_eq!(promotion.apply_event(FailoverEvent::Deposed, at(6_300)), Ok(FailoverAction::Stop));
     assert_eq!(
-        promotion.handle(Event::RecordsRead { term: 4 }, at(6_400)),
+        promotion.apply_event(FailoverEvent::RecordsRead { term: 4 }, at(6_400)),
         Err(TransitionError::OldRecords(4))
     );
     assert!(!promotion.may_dispatch(4));
@@ -94,30 +111,35 @@
 #[test]
 fn election_for_non_increasing_term_is_rejected() {
     let mut promotion = elected(8);
-    promotion.handle(Event::Deposed, at(7_000)).expect("a valid transition");
+    promotion.apply_event(FailoverEvent::Deposed, at(7_000)).expect("a valid transition");
     promotion.observe_term(20);
     for term in [8, 19, 20] {
-        let result = promotion.handle(Event::Elected { term }, at(8_000));
+        let result = promotion.apply_event(FailoverEvent::Elected { term }, at(8_000));
         assert_eq!(result, Err(TransitionError::OldTerm { found: term, known: 20 }));
         assert!(!promotion.may_dispatch(term));
     }
-    assert_eq!(promotion.handle(Event::Elected { term: 21 }, at(8_000)), Ok(Action::ReadRecords));
+    assert_eq!(
+        promotion.apply_event(FailoverEvent::Elected { term: 21 }, at(8_000)),
+        Ok(FailoverAction::ReadRecords)
+    );
 }
 
 #[test]
 fn deposed_leader_makes_no_decision_and_follows() {
     let mut promotion = elected(4);
-    promotion.handle(Event::RecordsRead { term: 4 }, at(6_200)).expect("a valid transition");
+    promotion
+        .apply_event(FailoverEvent::RecordsRead { term: 4 }, at(6_200))
+        .expect("a valid transition");
     assert!(promotion.may_dispatch(4));
     // Events about another leader do not change the phase of an active leader.
-    promotion.handle(Event::LeaderSilent, at(6_250)).expect("a valid transition");
-    promotion.handle(Event::OtherLeader, at(6_260)).expect("a valid transition");
-    promotion.handle(Event::LeaseExpired, at(6_270)).expect("a valid transition");
+    promotion.apply_event(FailoverEvent::LeaderSilent, at(6_250)).expect("a valid transition");
+    promotion.apply_event(FailoverEvent::OtherLeader, at(6_260)).expect("a valid transition");
+    promotion.apply_event(FailoverEvent::LeaseExpired, at(6_270)).expect("a valid transition");
     assert!(promotion.may_dispatch(4));
-    assert_eq!(promotion.handle(Event::Deposed, at(6_300)), Ok(Action::Stop));
+    assert_eq!(promotion.apply_event(FailoverEvent::Deposed, at(6_300)), Ok(FailoverAction::Stop));
     assert!(!promotion.may_dispatch(4));
-    assert_eq!(promotion.phase(), Phase::Following);
-    assert_eq!(promotion.handle(Event::Deposed, at(6_301)), Ok(Action::None));
+    assert_eq!(promotion.phase(), FailoverPhase::Following);
+    assert_eq!(promotion.apply_event(FailoverEvent::Deposed, at(6_301)), Ok(FailoverAction::None));
 }
 
 #[test]
--- a/crates/replication/tests/snapshots.rs
+++ b/crates/replication/tests/snapshots.rs
@@ -70,11 +70,11 @@
     };
     let body = FollowResponseBody::SnapshotChunk(SnapshotChunk { position: end, ..chunk });
     follower
-        .handle_response(FollowResponse { end, body }, at(0))
+        .apply_response(FollowResponse { end, body }, at(0))
         .expect("the snapshot itself is valid");
     let entries = vec![Entry::Job { id: "req-1".into(), job: ReplicatedJob::default() }];
     let body = FollowResponseBody::Entries { after: end, entries, digest: None };
-    let result = follower.handle_response(FollowResponse { end, body }, at(0));
+    let result = follower.apply_response(FollowResponse { end, body }, at(0));
     assert!(matches!(result, Err(FollowError::Inconsistent { .. })), "{result:?}");
 }
 
@@ -84,16 +84,13 @@
     let mut follower = follower();
     let first = publisher.respond(&follower.request(), at(0)).expect("the publisher responds");
     assert_eq!(
-        follower.handle_response(first.clone(), at(0)),
+        follower.apply_response(first.clone(), at(0)),
         Ok(FollowOutcome::SnapshotChunkStored)
     );
-    assert_eq!(
-        follower.handle_response(first.clone(), at(0)),
-        Ok(FollowOutcome::EntriesApplied(0))
-    );
+    assert_eq!(follower.apply_response(first.clone(), at(0)), Ok(FollowOutcome::EntriesApplied(0)));
     catch_up(&mut follower, &mut publisher, at(0));
     assert_eq!(
-        follower.handle_response(first, at(0)),
+        follower.apply_response(first, at(0)),
         Ok(FollowOutcome::EntriesApplied(0)),
         "a late chunk of the applied snapshot changes nothing"
     );
@@ -156,7 +153,7 @@
         let mut follower = follower();
         let response =
             FollowResponse { end: response.end, body: FollowResponseBody::SnapshotChunk(chunk) };
-        let error = follower.handle_response(response, at(0)).expect_err("the chunk is invalid");
+        let error = follower.apply_response(response, at(0)).expect_err("the chunk is invalid");
         assert!(is_expected(&error), "unexpected error: {error:?}");
         assert!(follower.state().machines.is_empty());
         catch_up(&mut follower, &mut publisher, at(0));
@@ -172,7 +169,7 @@
     let chunk =
         SnapshotChunk { position, index: 0, snapshot_bytes: 64, snapshot_digest: digest, bytes };
     let response = FollowResponse { end: position, body: FollowResponseBody::SnapshotChunk(chunk) };
-    let result = follower().handle_response(response, at(0));
+    let result = follower().apply_response(response, at(0));
     assert!(
         matches!(result, Err(FollowError::Snapshot { source: SnapshotError::Undecodable(_), .. })),
         "{result:?}"
--- a/crates/replication/tests/support/mod.rs
+++ b/crates/replication/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! A publisher and a follower that exchange messages in memory.
 
 use hookway_replication::{
-    FollowError, FollowOutcome, Follower, MachineView, Publisher, Stage, TaskView,
+    FollowError, FollowOutcome, Follower, PublishedMachine, PublishedTask, Publisher, Stage,
 };
 use hookway_time::MonotonicTime;
 
@@ -13,12 +13,12 @@
     MonotonicTime::from_millis(time_ms)
 }
 
-pub fn machine(name: &str) -> MachineView<'_> {
-    MachineView { name, address: "127.0.0.1:9000", incarnation: 1 }
+pub fn machine(name: &str) -> PublishedMachine<'_> {
+    PublishedMachine { name, address: "127.0.0.1:9000", incarnation: 1 }
 }
 
-pub fn running(task: &str, attempt: u64) -> TaskView<'_> {
-    TaskView { task, attempt, stage: Stage::Running }
+pub fn running(task: &str, attempt: u64) -> PublishedTask<'_> {
+    PublishedTask { task, attempt, stage: Stage::Running }
 }
 
 /// Returns the publisher of a leader with this number of machines, each with one task.
@@ -44,7 +44,7 @@
     now: MonotonicTime,
 ) -> Result<FollowOutcome, FollowError> {
     let response = publisher.respond(&follower.request(), now).expect("the publisher responds");
-    follower.handle_response(response, now)
+    follower.apply_response(response, now)
 }
 
 /// Sends requests until the follower has applied all entries, and compares its state with the publisher's.
--- a/crates/wire/src/replication.rs
+++ b/crates/wire/src/replication.rs
@@ -28,7 +28,8 @@
     /// From the end of catching up to the first task start.
     pub first_start: DurationStatus,
     /// The whole failover: from the last response of the previous leader to the first task start.
-    pub whole: DurationStatus,
+    #[serde(rename = "whole")]
+    pub total: DurationStatus,
 }
 
 /// Replication status of a controller: its phase, its copy of the leader's cluster state, and metrics.
