--- a/crates/clients/src/cloud.rs
+++ b/crates/clients/src/cloud.rs
@@ -25,7 +25,7 @@
     Unavailable(u16),
     /// The outcome is unknown: the request may have been executed, or may be later.
     #[error("no response from the cloud: {0}")]
-    Unknown(HttpError),
+    Indeterminate(HttpError),
     /// The response has an unexpected HTTP status or body.
     #[error("unexpected response of the cloud (status {status}): {reason}")]
     Unexpected {
@@ -71,7 +71,7 @@
             .http
             .exchange(method, path, body, constants::CLOUD_TIMEOUT)
             .await
-            .map_err(CloudError::Unknown)?;
+            .map_err(CloudError::Indeterminate)?;
         if response.status == StatusCode::TOO_MANY_REQUESTS {
             return Err(CloudError::Unavailable(response.status.as_u16()));
         }
@@ -119,7 +119,7 @@
     ///
     /// # Errors
     ///
-    /// Any [`CloudError`]. After [`CloudError::Unknown`] the same request may be repeated: its id makes it
+    /// Any [`CloudError`]. After [`CloudError::Indeterminate`] the same request may be repeated: its id makes it
     /// idempotent.
     pub async fn scale_out(
         &self,
@@ -141,7 +141,7 @@
     ///
     /// # Errors
     ///
-    /// Any [`CloudError`]. After [`CloudError::Unknown`] the same request may be repeated.
+    /// Any [`CloudError`]. After [`CloudError::Indeterminate`] the same request may be repeated.
     pub async fn delete(&self, machines: &[String]) -> Result<(), CloudError> {
         let body = Self::encode(&MachineNames { machines: machines.to_vec() })?;
         let response = self.call(Method::POST, "/rentals/delete", Some(body)).await?;
--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -39,16 +39,16 @@
     /// The request was not executed: it exceeds the rate limit of the store, or would wait too long for that of this
     /// client ([`StoreClient::with_queue_limit`]).
     #[error("the state service is asked too often")]
-    TooMany,
+    RateLimited,
     /// The outcome is unknown: the request may have been executed, or may be later.
     #[error("no answer from the state service: {0}")]
-    Unknown(HttpError),
+    Indeterminate(HttpError),
     /// The lease does not exist: it has expired or was released.
     #[error("the lease has ended")]
-    NoLease,
+    LeaseNotFound,
     /// The store has compacted the changes that the watch requested.
     #[error("the revision is too old")]
-    TooOld,
+    RevisionCompacted,
     /// The request was not executed because it is invalid or too large. Holds the start of the response body.
     #[error("refused by the state service: {0}")]
     Rejected(String),
@@ -97,7 +97,7 @@
     }
 
     /// Returns the client with a limit on the time that a request waits for the rate limiter. A request that
-    /// would wait longer fails at once with [`StoreError::TooMany`].
+    /// would wait longer fails at once with [`StoreError::RateLimited`].
     pub fn with_queue_limit(self, queue_limit: Duration) -> Self {
         Self { queue_limit: Some(queue_limit), ..self }
     }
@@ -116,7 +116,7 @@
         if self.rate_limiter.acquire_within(PERMITS_PER_REQUEST, limit).await {
             Ok(())
         } else {
-            Err(StoreError::TooMany)
+            Err(StoreError::RateLimited)
         }
     }
 
@@ -127,12 +127,15 @@
         body: Option<Vec<u8>>,
         timeout: Duration,
     ) -> Result<HttpResponse, StoreError> {
-        let response =
-            self.http.exchange(method, path, body, timeout).await.map_err(StoreError::Unknown)?;
+        let response = self
+            .http
+            .exchange(method, path, body, timeout)
+            .await
+            .map_err(StoreError::Indeterminate)?;
         match response.status {
             StatusCode::SERVICE_UNAVAILABLE => Err(StoreError::Unavailable),
-            StatusCode::TOO_MANY_REQUESTS => Err(StoreError::TooMany),
-            StatusCode::GONE => Err(StoreError::TooOld),
+            StatusCode::TOO_MANY_REQUESTS => Err(StoreError::RateLimited),
+            StatusCode::GONE => Err(StoreError::RevisionCompacted),
             _ => Ok(response),
         }
     }
@@ -215,7 +218,7 @@
     ///
     /// # Errors
     ///
-    /// Any [`StoreError`]; [`StoreError::NoLease`] if an operation attaches a key to a lease that does not
+    /// Any [`StoreError`]; [`StoreError::LeaseNotFound`] if an operation attaches a key to a lease that does not
     /// exist.
     pub async fn commit(&self, transaction: &Transaction) -> Result<CommitOutcome, StoreError> {
         self.acquire().await?;
@@ -228,7 +231,7 @@
             StatusCode::CONFLICT => Self::decode::<CommitResponse>(&response)
                 .map(|commit| CommitOutcome::PreconditionFailed(commit.failed)),
             StatusCode::BAD_REQUEST if body_contains(&response.body, NO_SUCH_LEASE) => {
-                Err(StoreError::NoLease)
+                Err(StoreError::LeaseNotFound)
             }
             StatusCode::BAD_REQUEST => Err(StoreError::Rejected(quoted_body(&response.body))),
             _ => Err(Self::unexpected(&response)),
@@ -239,9 +242,9 @@
     ///
     /// # Errors
     ///
-    /// Any [`StoreError`]. After [`StoreError::Unknown`] a lease may exist whose id nobody knows; it expires,
+    /// Any [`StoreError`]. After [`StoreError::Indeterminate`] a lease may exist whose id nobody knows; it expires,
     /// because nobody extends it.
-    pub async fn grant(&self, ttl: Duration) -> Result<u64, StoreError> {
+    pub async fn grant_lease(&self, ttl: Duration) -> Result<u64, StoreError> {
         self.acquire().await?;
         let body = Self::encode(&LeaseGrantRequest { ttl_ms: whole_millis(ttl) })?;
         let response =
@@ -259,8 +262,8 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::NoLease`] if the lease does not exist, otherwise any other [`StoreError`].
-    pub async fn extend(&self, lease_id: u64) -> Result<(), StoreError> {
+    /// [`StoreError::LeaseNotFound`] if the lease does not exist, otherwise any other [`StoreError`].
+    pub async fn extend_lease(&self, lease_id: u64) -> Result<(), StoreError> {
         let _ = self.rate_limiter.acquire_now(PERMITS_PER_REQUEST);
         let path = format!("/grants/{lease_id}/extend");
         let body = EMPTY_OBJECT.to_vec();
@@ -268,7 +271,7 @@
             self.call(Method::POST, &path, Some(body), constants::EXTEND_TIMEOUT).await?;
         match response.status {
             status if status.is_success() => Ok(()),
-            StatusCode::NOT_FOUND => Err(StoreError::NoLease),
+            StatusCode::NOT_FOUND => Err(StoreError::LeaseNotFound),
             _ => Err(Self::unexpected(&response)),
         }
     }
@@ -277,9 +280,9 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::Unavailable`], [`StoreError::TooMany`], [`StoreError::TooOld`] or
-    /// [`StoreError::Unknown`]; any other status of the response counts as success.
-    pub async fn release(&self, lease_id: u64) -> Result<(), StoreError> {
+    /// [`StoreError::Unavailable`], [`StoreError::RateLimited`], [`StoreError::RevisionCompacted`] or
+    /// [`StoreError::Indeterminate`]; any other status of the response counts as success.
+    pub async fn release_lease(&self, lease_id: u64) -> Result<(), StoreError> {
         let path = format!("/grants/{lease_id}");
         self.call(Method::DELETE, &path, None, constants::STORE_TIMEOUT).await?;
         Ok(())
@@ -289,7 +292,7 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::TooOld`] if the store has compacted that revision, otherwise any other [`StoreError`].
+    /// [`StoreError::RevisionCompacted`] if the store has compacted that revision, otherwise any other [`StoreError`].
     pub async fn watch(
         &self,
         prefix: &str,
--- a/crates/clients/tests/error_texts.rs
+++ b/crates/clients/tests/error_texts.rs
@@ -50,7 +50,7 @@
 #[test]
 fn timeout_of_store_is_reported_without_address() {
     let address = "127.0.0.1:1".to_owned();
-    let timeout = StoreError::Unknown(HttpError::Timeout { address });
+    let timeout = StoreError::Indeterminate(HttpError::Timeout { address });
     assert_eq!(timeout.to_string(), "no answer from the state service: no answer in time");
 }
 
--- a/crates/clients/tests/requests.rs
+++ b/crates/clients/tests/requests.rs
@@ -111,9 +111,9 @@
     assert_eq!(store.commit(&transaction).await.expect("a response"), CommitOutcome::Applied(11));
     let outcome = store.commit(&Transaction::default()).await.expect("a response");
     assert_eq!(outcome, CommitOutcome::PreconditionFailed(vec!["a/b".into()]));
-    assert_eq!(store.grant(Duration::from_millis(5_000)).await.expect("a lease"), 7);
-    store.extend(7).await.expect("extended");
-    store.release(7).await.expect("released");
+    assert_eq!(store.grant_lease(Duration::from_millis(5_000)).await.expect("a lease"), 7);
+    store.extend_lease(7).await.expect("extended");
+    store.release_lease(7).await.expect("released");
     let watched = store.watch("lead/", 9, Duration::from_millis(1_000)).await.expect("a response");
     assert_eq!(watched.revision, 12);
     assert_eq!(
@@ -175,14 +175,14 @@
     let store = StoreClient::new(&address, HIGH_RATE);
     let empty = Transaction::default();
     assert!(matches!(store.get("a").await, Err(StoreError::Unavailable)));
-    assert!(matches!(store.get("a").await, Err(StoreError::TooMany)));
+    assert!(matches!(store.get("a").await, Err(StoreError::RateLimited)));
     let watched = store.watch("a", 1, Duration::from_millis(1)).await;
-    assert!(matches!(watched, Err(StoreError::TooOld)));
-    assert!(matches!(store.commit(&empty).await, Err(StoreError::NoLease)));
+    assert!(matches!(watched, Err(StoreError::RevisionCompacted)));
+    assert!(matches!(store.commit(&empty).await, Err(StoreError::LeaseNotFound)));
     assert!(matches!(store.commit(&empty).await, Err(StoreError::Rejected(_))));
     let result = store.commit(&empty).await;
     assert!(matches!(result, Err(StoreError::Unexpected { status: 418, .. })));
-    assert!(matches!(store.extend(7).await, Err(StoreError::NoLease)));
+    assert!(matches!(store.extend_lease(7).await, Err(StoreError::LeaseNotFound)));
     received(requests).await;
 }
 
--- a/crates/controller/src/actor/store_io.rs
+++ b/crates/controller/src/actor/store_io.rs
@@ -105,7 +105,7 @@
                     }
                 }
             }
-            Err(StoreError::TooOld) => {
+            Err(StoreError::RevisionCompacted) => {
                 let _ = events.send(ControllerEvent::WatchTruncated).await;
                 match store.list(JOBS_PREFIX).await {
                     Ok(jobs) => {
@@ -154,7 +154,7 @@
             report_unavailable();
             return CommitResult::NotApplied;
         }
-        Err(StoreError::TooMany) => return CommitResult::NotApplied,
+        Err(StoreError::RateLimited) => return CommitResult::NotApplied,
         Err(StoreError::Rejected(reason)) => {
             tracing::error!(operations, reason, "transaction rejected");
             return CommitResult::Rejected;
@@ -179,7 +179,7 @@
             Ok(stored) => return RereadKey { key, stored },
             Err(error) => {
                 tracing::debug!(key, %error, "reading a key again failed");
-                if !matches!(error, StoreError::TooMany) {
+                if !matches!(error, StoreError::RateLimited) {
                     report_unavailable();
                 }
                 sleep(constants::LEADER_RETRY).await;
--- a/crates/controller/src/api/job_reader.rs
+++ b/crates/controller/src/api/job_reader.rs
@@ -39,11 +39,14 @@
             && !breaker.allows_request()
         {
             let address = store.address().to_owned();
-            return Err(StoreError::Unknown(HttpError::Timeout { address }));
+            return Err(StoreError::Indeterminate(HttpError::Timeout { address }));
         }
         let stored = read_job(store, job).await;
         if let Ok(mut breaker) = self.breaker.lock() {
-            breaker.record(matches!(stored, Err(StoreError::Unknown(HttpError::Timeout { .. }))));
+            breaker.record(matches!(
+                stored,
+                Err(StoreError::Indeterminate(HttpError::Timeout { .. }))
+            ));
         }
         stored
     }
--- a/crates/controller/src/api/mod.rs
+++ b/crates/controller/src/api/mod.rs
@@ -175,7 +175,7 @@
     ) -> RequestOutcome {
         // All controllers share the rate limits, and another one would send the same requests to
         // the store.
-        let others_may_decide = !matches!(store_error, StoreError::TooMany);
+        let others_may_decide = !matches!(store_error, StoreError::RateLimited);
         if origin == Origin::Client && others_may_decide {
             for peer in self.config.peers.names() {
                 if let Some(outcome) = self.ask_peer(&peer, &request).await {
--- a/crates/controller/src/api/submission.rs
+++ b/crates/controller/src/api/submission.rs
@@ -85,7 +85,7 @@
                 return self.reject_unless_accepted(job, BAD_REQUEST, reason, origin).await;
             }
             // Without a response the transaction may have been applied, or may be applied later.
-            Err(StoreError::Unknown(_)) => match self.outcome_from_store(job, &value).await {
+            Err(StoreError::Indeterminate(_)) => match self.outcome_from_store(job, &value).await {
                 Ok(outcome) => return outcome,
                 Err(error) => error,
             },
--- a/crates/controller/src/cluster_state/command_dispatch.rs
+++ b/crates/controller/src/cluster_state/command_dispatch.rs
@@ -2,7 +2,7 @@
 
 use super::{ClusterState, Machine, PlacedTask, TaskPhase};
 use hookway_constants as constants;
-use hookway_time::{MonotonicTime, span_of_seconds};
+use hookway_time::{MonotonicTime, duration_from_seconds};
 use hookway_wire::{Command, DirectCommands, ExitCause};
 
 /// Number of commands from which no more starts or direct stops are added to a message. Keeps the
@@ -39,7 +39,8 @@
             return Some(0.0);
         }
         if let Some(order) = placed.stop {
-            let stop_timeout = span_of_seconds(job.spec.checkpoint_s) + constants::STOP_TIMEOUT;
+            let stop_timeout =
+                duration_from_seconds(job.spec.checkpoint_s) + constants::STOP_TIMEOUT;
             let is_overdue = now.saturating_duration_since(order.decided_at) > stop_timeout;
             return Some(if is_overdue { 0.0 } else { order.grace_s });
         }
--- a/crates/controller/src/cluster_state/machine.rs
+++ b/crates/controller/src/cluster_state/machine.rs
@@ -4,7 +4,7 @@
 use super::state_probe::StateProbe;
 use super::{JobKey, MachineReservation};
 use hookway_constants as constants;
-use hookway_time::{MonotonicTime, span_of_seconds};
+use hookway_time::{MonotonicTime, duration_from_seconds};
 use hookway_wire::Heartbeat;
 use std::time::Duration;
 
@@ -213,7 +213,7 @@
     pub fn update_from(&mut self, heartbeat: &Heartbeat, now: MonotonicTime) {
         self.newest_message = MessageVersion::of(heartbeat);
         self.interruption_at =
-            heartbeat.interruption_notice_s.map(|notice_s| now + span_of_seconds(notice_s));
+            heartbeat.interruption_notice_s.map(|notice_s| now + duration_from_seconds(notice_s));
         self.address.clone_from(&heartbeat.addr);
         self.machine_type.clone_from(&heartbeat.machine_type);
         self.zone.clone_from(&heartbeat.zone);
--- a/crates/controller/src/cluster_state/machine_list.rs
+++ b/crates/controller/src/cluster_state/machine_list.rs
@@ -4,7 +4,7 @@
 use super::task_removal::TaskRemoval;
 use super::{ClusterState, CordonReason, Machine};
 use hookway_constants as constants;
-use hookway_time::{MonotonicTime, span_of_seconds};
+use hookway_time::{MonotonicTime, duration_from_seconds};
 use hookway_wire::{ListedMachine, MachineState};
 use std::collections::HashSet;
 use std::time::Duration;
@@ -43,7 +43,7 @@
             machine.cordon_reason = Some(CordonReason::Failed);
         } else {
             tracing::info!(machine = %name, age_s = listed.age_s, "machine found in list");
-            machine.created_at = now.saturating_sub(span_of_seconds(listed.age_s));
+            machine.created_at = now.saturating_sub(duration_from_seconds(listed.age_s));
         }
         self.machines.insert(name.clone(), machine);
         !failed
@@ -61,7 +61,7 @@
                 machine.address.clone_from(address);
             }
             machine.created_at =
-                machine.created_at.min(now.saturating_sub(span_of_seconds(listed.age_s)));
+                machine.created_at.min(now.saturating_sub(duration_from_seconds(listed.age_s)));
         }
         machine.first_listing.get_or_insert(FirstListing { learned_at: now, age: Duration::ZERO });
         let known_as_failed = machine.cordon_reason == Some(CordonReason::Failed);
--- a/crates/controller/src/leadership/election.rs
+++ b/crates/controller/src/leadership/election.rs
@@ -121,7 +121,7 @@
                 // process that has ended. Its transactions that are still in flight carry the
                 // precondition of its term and fail once its lease is revoked.
                 tracing::info!(lease_id, "revoking the lease of the previous process");
-                if self.config.store.release(lease_id).await.is_err() {
+                if self.config.store.release_lease(lease_id).await.is_err() {
                     sleep(constants::LEADER_RETRY).await;
                 }
             }
@@ -220,7 +220,7 @@
     async fn campaign(&self, vacancy: &Vacancy) {
         let store = &self.config.store;
         let sent_at = self.config.clock.now();
-        let lease_id = match store.grant(self.config.lease_length).await {
+        let lease_id = match store.grant_lease(self.config.lease_length).await {
             Ok(lease_id) => lease_id,
             Err(error) => {
                 tracing::debug!(%error, "requesting a leadership lease failed");
@@ -240,7 +240,7 @@
                 self.lead(term, Some(expires_at)).await;
             }
             Ok(CommitOutcome::PreconditionFailed(_)) => {
-                let _ = store.release(lease_id).await;
+                let _ = store.release_lease(lease_id).await;
             }
             // It is unknown whether the transaction was applied. The next read of the leader key
             // tells, by the nonce in the leader record.
@@ -270,7 +270,7 @@
         self.config.lease.revoke(term);
         tracing::info!(term, reason = ?end, "leadership lost");
         self.publish(LeadershipView::default());
-        let _ = self.config.store.release(lease_id).await;
+        let _ = self.config.store.release_lease(lease_id).await;
         if end == TermEnd::Resigned {
             // Leaves the next term to another controller.
             sleep(constants::STEP_DOWN_PAUSE).await;
@@ -286,12 +286,12 @@
                 () = self.config.resign_requested.notified() => return TermEnd::Resigned,
             }
             let sent_at = self.config.clock.now();
-            match self.config.store.extend(lease_id).await {
+            match self.config.store.extend_lease(lease_id).await {
                 Ok(()) => {
                     self.config.lease.set(term, lease_expiry(sent_at, self.config.lease_length));
                     delay = constants::LEADER_EXTEND_INTERVAL;
                 }
-                Err(StoreError::NoLease) => return TermEnd::LeaseExpired,
+                Err(StoreError::LeaseNotFound) => return TermEnd::LeaseExpired,
                 Err(error) => {
                     tracing::debug!(%error, term, "extending the leadership lease failed");
                     delay = constants::LEADER_RETRY;
--- a/crates/controller/tests/simulation/machines.rs
+++ b/crates/controller/tests/simulation/machines.rs
@@ -7,7 +7,7 @@
 };
 use hookway_clients::Delivery;
 use hookway_testkit::ScriptedWorker;
-use hookway_time::{MonotonicTime, span_of_seconds};
+use hookway_time::{MonotonicTime, duration_from_seconds};
 use hookway_wire::{DirectCommands, ExitCause, JobSpec, TaskState, TaskStatus};
 use rand::RngExt;
 use std::collections::BTreeMap;
@@ -80,7 +80,7 @@
 
 impl Simulation {
     fn worker_lease(&self) -> Duration {
-        span_of_seconds(self.controllers[0].config.platform.workers.lease_s)
+        duration_from_seconds(self.controllers[0].config.platform.workers.lease_s)
     }
 
     /// If a worker's lease has expired, discards all its tasks and begins its next incarnation. Called before a worker
@@ -397,7 +397,7 @@
 
     /// Checks that no task of a cancelled job runs after the cancellation limit, whatever the faults.
     pub(super) fn check_cancelled_jobs(&self) {
-        let limit = span_of_seconds(self.controllers[0].config.platform.workers.cancel_s);
+        let limit = duration_from_seconds(self.controllers[0].config.platform.workers.cancel_s);
         for (id, reported) in &self.reported {
             let Some(at) = reported.cancelled_at.filter(|at| self.now > *at + limit) else {
                 continue;
--- a/crates/time/src/duration.rs
+++ b/crates/time/src/duration.rs
@@ -13,7 +13,7 @@
 }
 
 /// Returns the duration of this many seconds, truncated to whole milliseconds; zero if `seconds` is negative or NaN.
-pub fn span_of_seconds(seconds: f64) -> Duration {
+pub fn duration_from_seconds(seconds: f64) -> Duration {
     Duration::from_millis((seconds * 1000.0) as u64)
 }
 
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -10,6 +10,6 @@
 mod monotonic;
 mod wall;
 
-pub use duration::{millis_f64, seconds_f64, span_of_seconds, whole_millis};
+pub use duration::{duration_from_seconds, millis_f64, seconds_f64, whole_millis};
 pub use monotonic::MonotonicTime;
 pub use wall::WallTime;
--- a/crates/time/tests/points_in_time.rs
+++ b/crates/time/tests/points_in_time.rs
@@ -1,6 +1,6 @@
 //! Points in time at the ends of their range, and the rounding of conversions.
 
-use hookway_time::{MonotonicTime, WallTime, seconds_f64, span_of_seconds, whole_millis};
+use hookway_time::{MonotonicTime, WallTime, duration_from_seconds, seconds_f64, whole_millis};
 use std::time::Duration;
 
 #[test]
@@ -37,10 +37,10 @@
 #[test]
 fn span_of_seconds_is_cut_off_to_whole_milliseconds() {
     for seconds in [0.0, 0.001, 1.999_9, 4.35, 8.2, 1e9] {
-        assert_eq!(whole_millis(span_of_seconds(seconds)), (seconds * 1000.0) as u64);
+        assert_eq!(whole_millis(duration_from_seconds(seconds)), (seconds * 1000.0) as u64);
     }
     for seconds in [-1.0, f64::NEG_INFINITY, f64::NAN] {
-        assert_eq!(span_of_seconds(seconds), Duration::ZERO);
+        assert_eq!(duration_from_seconds(seconds), Duration::ZERO);
     }
-    assert_eq!(whole_millis(span_of_seconds(f64::INFINITY)), u64::MAX);
+    assert_eq!(whole_millis(duration_from_seconds(f64::INFINITY)), u64::MAX);
 }
