--- a/crates/clients/src/cloud.rs
+++ b/crates/clients/src/cloud.rs
@@ -156,8 +156,8 @@
     pub async fn machines(&self) -> Result<Vec<ListedMachine>, CloudError> {
         let mut all: Vec<ListedMachine> = Vec::new();
         loop {
-            let last_id = all.last().map(|machine| machine.id.as_str());
-            let page = self.machine_page(last_id).await?;
+            let last_name = all.last().map(|machine| machine.name.as_str());
+            let page = self.machine_page(last_name).await?;
             let is_empty = page.machines.is_empty();
             all.extend(page.machines);
             if !page.has_next || is_empty {
--- a/crates/controller/src/api/admission.rs
+++ b/crates/controller/src/api/admission.rs
@@ -67,6 +67,6 @@
                 machine_type.zones.contains(zone) && is_suitable(machine_type, spec, request)
             })
     };
-    let max_zones = if spec.one_zone { 1 } else { usize::MAX };
+    let max_zones = if spec.needs_one_zone { 1 } else { usize::MAX };
     platform.zones.iter().filter(is_suitable_zone).take(max_zones).count()
 }
--- a/crates/controller/src/cluster_state/class_history.rs
+++ b/crates/controller/src/cluster_state/class_history.rs
@@ -74,7 +74,7 @@
         self.request.memory_gb = self.request.memory_gb.max(request.memory_gb);
         self.image_gb = self.image_gb.max(spec.image_gb);
         self.images.insert(image);
-        self.allows_spot &= spec.spot;
+        self.allows_spot &= spec.allows_spot;
     }
 
     /// Records the number of machines needed at `now`, and drops demand that is older than
--- a/crates/controller/src/cluster_state/command_dispatch.rs
+++ b/crates/controller/src/cluster_state/command_dispatch.rs
@@ -40,7 +40,7 @@
         }
         if let Some(order) = placed.stop {
             let stop_timeout =
-                duration_from_seconds(job.spec.checkpoint_s) + constants::STOP_TIMEOUT;
+                duration_from_seconds(job.spec.checkpoint_write_s) + constants::STOP_TIMEOUT;
             let is_overdue = now.saturating_duration_since(order.decided_at) > stop_timeout;
             return Some(if is_overdue { 0.0 } else { order.grace_s });
         }
--- a/crates/controller/src/cluster_state/draining.rs
+++ b/crates/controller/src/cluster_state/draining.rs
@@ -50,7 +50,7 @@
             );
         // A replica of a daemon does not finish by itself.
         placed.phase.is_before_run()
-            || job.spec.checkpoints()
+            || job.spec.writes_checkpoints()
             || job.spec.is_daemon()
             || cannot_finish
     }
--- a/crates/controller/src/cluster_state/job.rs
+++ b/crates/controller/src/cluster_state/job.rs
@@ -181,7 +181,7 @@
 
     /// Whether the zones of the placed tasks restrict where the other tasks may start.
     pub fn bound_to_zones(&self) -> bool {
-        self.spec.one_zone || self.spec.spread
+        self.spec.needs_one_zone || self.spec.must_spread
     }
 
     /// Returns the number of tasks that are not completed.
--- a/crates/controller/src/cluster_state/job_intake.rs
+++ b/crates/controller/src/cluster_state/job_intake.rs
@@ -60,7 +60,7 @@
 fn log_job(id: &JobId, spec: &JobSpec) {
     tracing::info!(
         job = %id, kind = ?spec.kind, tasks = spec.tasks, class = %spec.class,
-        image = %spec.image, image_gb = spec.image_gb, estimate_s = spec.estimate_s,
+        image = %spec.image, image_gb = spec.image_gb, estimate_s = spec.estimated_run_time_s,
         deadline_s = ?spec.deadline_s, "job added"
     );
 }
--- a/crates/controller/src/cluster_state/machine.rs
+++ b/crates/controller/src/cluster_state/machine.rs
@@ -214,7 +214,7 @@
         self.newest_message = MessageVersion::of(heartbeat);
         self.interruption_at =
             heartbeat.interruption_notice_s.map(|notice_s| now + duration_from_seconds(notice_s));
-        self.address.clone_from(&heartbeat.addr);
+        self.address.clone_from(&heartbeat.address);
         self.machine_type.clone_from(&heartbeat.machine_type);
         self.zone.clone_from(&heartbeat.zone);
         self.spot = heartbeat.spot;
--- a/crates/controller/src/cluster_state/machine_list.rs
+++ b/crates/controller/src/cluster_state/machine_list.rs
@@ -19,7 +19,8 @@
         now: MonotonicTime,
     ) {
         for listed in list {
-            if !self.removed_machines.contains(&listed.id) && self.add_listed_machine(listed, now) {
+            if !self.removed_machines.contains(&listed.name) && self.add_listed_machine(listed, now)
+            {
                 self.update_from_list(listed, now);
             }
         }
@@ -33,12 +34,12 @@
     /// before this leader knew it, so that there is nothing more to update; the cloud lists a
     /// failed machine until it is deleted.
     fn add_listed_machine(&mut self, listed: &ListedMachine, now: MonotonicTime) -> bool {
-        let name = &listed.id;
+        let name = &listed.name;
         if self.machines.contains_key(name) {
             return true;
         }
         let mut machine = Machine::new(now);
-        let failed = listed.status == MachineState::Failed;
+        let failed = listed.state == MachineState::Failed;
         if failed {
             machine.cordon_reason = Some(CordonReason::Failed);
         } else {
@@ -51,13 +52,13 @@
 
     /// Updates a known machine from its entry in the list.
     fn update_from_list(&mut self, listed: &ListedMachine, now: MonotonicTime) {
-        let name = &listed.id;
+        let name = &listed.name;
         let Some(machine) = self.machines.get_mut(name) else { return };
         if !machine.has_reported {
             machine.machine_type.clone_from(&listed.machine_type);
             machine.zone.clone_from(&listed.zone);
             machine.spot = listed.spot;
-            if let Some(address) = &listed.addr {
+            if let Some(address) = &listed.address {
                 machine.address.clone_from(address);
             }
             machine.created_at =
@@ -65,7 +66,7 @@
         }
         machine.first_listing.get_or_insert(FirstListing { learned_at: now, age: Duration::ZERO });
         let known_as_failed = machine.cordon_reason == Some(CordonReason::Failed);
-        if listed.status == MachineState::Failed && !known_as_failed {
+        if listed.state == MachineState::Failed && !known_as_failed {
             tracing::info!(machine = %name, "machine failed");
             machine.cordon_reason = Some(CordonReason::Failed);
             machine.expired_incarnation = u64::MAX;
@@ -86,7 +87,7 @@
         let lag_ms =
             self.config.platform.cloud.list_lag_s * 1000.0 * constants::UNLISTED_LAG_FACTOR;
         let lag = Duration::from_millis(lag_ms as u64);
-        let listed: HashSet<&str> = list.iter().map(|machine| machine.id.as_str()).collect();
+        let listed: HashSet<&str> = list.iter().map(|machine| machine.name.as_str()).collect();
         let must_be_listed = |machine: &Machine| {
             machine.first_listing.is_some_and(|listing| listing.precedes(requested_at, lag))
         };
--- a/crates/controller/src/cluster_state/placement.rs
+++ b/crates/controller/src/cluster_state/placement.rs
@@ -64,8 +64,8 @@
         let Some(key) = placed.job else { return };
         let (task, attempt) = (placed.task.clone(), placed.attempt);
         let Some(job) = self.jobs.get(&key) else { return };
-        let grace_s = if job.spec.checkpoints() {
-            job.spec.checkpoint_s + constants::CHECKPOINT_MARGIN_S
+        let grace_s = if job.spec.writes_checkpoints() {
+            job.spec.checkpoint_write_s + constants::CHECKPOINT_MARGIN_S
         } else {
             0.0
         };
--- a/crates/controller/src/cluster_state/scale_in.rs
+++ b/crates/controller/src/cluster_state/scale_in.rs
@@ -196,7 +196,7 @@
         } else {
             sizes_gb.iter().sum::<f64>() / sizes_gb.len() as f64
         };
-        let replacement_s = machine_type.boot_s + machine_type.fetch_s(mean_gb);
+        let replacement_s = machine_type.boot_s + machine_type.image_fetch_s(mean_gb);
         let default_ms = (replacement_s * constants::IDLE_TIMEOUT_FACTOR * 1000.0) as u64;
         self.config.operator.idle_timeout.unwrap_or(Duration::from_millis(default_ms))
     }
--- a/crates/controller/src/cluster_state/service_level_objectives.rs
+++ b/crates/controller/src/cluster_state/service_level_objectives.rs
@@ -25,7 +25,8 @@
         let finished_s = class_objectives(platform, spec, "finished").next();
         // If the last tasks of an array end one task time after the start objective, all have
         // started in time.
-        let started_s = start_s.first().filter(|_| !spec.is_gang()).map(|s| s + spec.estimate_s);
+        let started_s =
+            start_s.first().filter(|_| !spec.is_gang()).map(|s| s + spec.estimated_run_time_s);
         let implied_s = match (finished_s, started_s) {
             (Some(finished_s), Some(started_s)) => Some(finished_s.min(started_s)),
             (finished_s, started_s) => finished_s.or(started_s),
--- a/crates/controller/src/cluster_state/snapshot.rs
+++ b/crates/controller/src/cluster_state/snapshot.rs
@@ -152,17 +152,21 @@
             request: job.request,
             machine_types,
             zone,
-            one_zone: job.spec.one_zone,
+            one_zone: job.spec.needs_one_zone,
             max_tasks_per_zone: job.spec.max_tasks_per_zone(),
-            spot: job.spec.spot,
+            spot: job.spec.allows_spot,
             image: job.image,
             image_gb: job.spec.image_gb,
-            checkpoints: job.spec.checkpoints(),
-            checkpoint_time: if job.spec.checkpoints() { job.spec.checkpoint_s } else { 0.0 },
+            checkpoints: job.spec.writes_checkpoints(),
+            checkpoint_time: if job.spec.writes_checkpoints() {
+                job.spec.checkpoint_write_s
+            } else {
+                0.0
+            },
             submitted: job.submitted_s,
             deadline: job.deadline_s,
             start_by: job.start_by_s.clone(),
-            estimated_task_time: job.spec.estimate_s,
+            estimated_task_time: job.spec.estimated_run_time_s,
             completed: job.completed,
             mean_task_time: job.run_times.mean_ms().map(|ms| ms / 1000.0),
             unfinished: job.unfinished(),
--- a/crates/controller/src/cluster_state/spare_machines.rs
+++ b/crates/controller/src/cluster_state/spare_machines.rs
@@ -100,7 +100,7 @@
         now: MonotonicTime,
     ) -> bool {
         let history = class.history;
-        let ready_s = machine_type.boot_s + machine_type.fetch_s(history.image_gb);
+        let ready_s = machine_type.boot_s + machine_type.image_fetch_s(history.image_gb);
         let lease = longest_worker_lease(&self.config.platform);
         let ready_in_time = ready_s < class.start_within_s;
         !ready_in_time
--- a/crates/controller/src/shard_lease/tests.rs
+++ b/crates/controller/src/shard_lease/tests.rs
@@ -34,7 +34,7 @@
 fn heartbeat(zone: &str, fencing_token: u64) -> Heartbeat {
     Heartbeat {
         machine: "m-1".into(),
-        addr: "127.0.0.1:1".into(),
+        address: "127.0.0.1:1".into(),
         machine_type: "small".into(),
         zone: zone.into(),
         spot: false,
--- a/crates/controller/tests/cluster_state/reconciliation.rs
+++ b/crates/controller/tests/cluster_state/reconciliation.rs
@@ -167,7 +167,7 @@
 
     let mut next = LeaderHarness::lead(harness.store.clone(), 5_000, at(20_000));
     let listed = ["m-1", "m-2"].map(|name| ListedMachine {
-        addr: Some("127.0.0.1:9".into()),
+        address: Some("127.0.0.1:9".into()),
         ..listed_machine(name, MachineState::Running, 60.0)
     });
     next.cluster.machines_listed(&listed, next.now, next.now);
--- a/crates/controller/tests/concurrent_faults.rs
+++ b/crates/controller/tests/concurrent_faults.rs
@@ -16,12 +16,12 @@
 
 fn submit_zone_constrained_job(
     harness: &mut LeaderHarness,
-    one_zone: bool,
-    spread: bool,
+    needs_one_zone: bool,
+    must_spread: bool,
     tasks: u32,
 ) -> JobId {
     let mut spec = job("req-000001", "array", tasks);
-    (spec.one_zone, spec.spread) = (one_zone, spread);
+    (spec.needs_one_zone, spec.must_spread) = (needs_one_zone, must_spread);
     harness.submit(spec)
 }
 
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -39,7 +39,7 @@
     };
     Heartbeat {
         machine: "m-000231".into(),
-        addr: "10.1.0.232:9000".into(),
+        address: "10.1.0.232:9000".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
@@ -278,12 +278,12 @@
     };
     json("cloud-flavors", &MachineTypes { machine_types: vec![machine_type] });
     let listed = ListedMachine {
-        id: "m-000231".into(),
-        addr: Some("10.1.0.232:9000".into()),
+        name: "m-000231".into(),
+        address: Some("10.1.0.232:9000".into()),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
-        status: MachineState::Running,
+        state: MachineState::Running,
         age_s: 61.5,
     };
     json("cloud-listed", &listed);
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -36,7 +36,7 @@
     JobSpec {
         cpus: 1.0,
         priority: Priority::Production,
-        estimate_s: 0.0,
+        estimated_run_time_s: 0.0,
         ..job(id, "daemon", replicas)
     }
 }
@@ -279,14 +279,14 @@
 }
 
 /// An entry of the cloud's list of machines, in zone a.
-pub fn listed_machine(name: &str, status: MachineState, age_s: f64) -> ListedMachine {
+pub fn listed_machine(name: &str, state: MachineState, age_s: f64) -> ListedMachine {
     ListedMachine {
-        id: name.into(),
-        addr: None,
+        name: name.into(),
+        address: None,
         machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
-        status,
+        state,
         age_s,
     }
 }
--- a/crates/controller/tests/message_formats_pinned.rs
+++ b/crates/controller/tests/message_formats_pinned.rs
@@ -80,7 +80,7 @@
     };
     let heartbeat = |tasks| Heartbeat {
         machine: "m-000231".into(),
-        addr: "10.1.0.232:9000".into(),
+        address: "10.1.0.232:9000".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: false,
@@ -148,12 +148,12 @@
     json("pinned-cloud-flavors-nulls", &types);
     read_only("pinned-cloud-flavors-least", &types);
     let listed = ListedMachine {
-        id: "m-000231".into(),
-        addr: None,
+        name: "m-000231".into(),
+        address: None,
         machine_type: "c4".into(),
         zone: "b".into(),
         spot: false,
-        status: MachineState::Booting,
+        state: MachineState::Booting,
         age_s: 0.0,
     };
     let list = MachineList { machines: vec![listed], has_next: false };
--- a/crates/controller/tests/relocation.rs
+++ b/crates/controller/tests/relocation.rs
@@ -14,7 +14,7 @@
 
 /// A daemon whose replicas must be spread over the zones.
 fn spread_daemon(id: &str, replicas: u32) -> JobSpec {
-    JobSpec { spread: true, ..daemon(id, replicas) }
+    JobSpec { must_spread: true, ..daemon(id, replicas) }
 }
 
 /// Returns the number of attempts that both workers have started.
@@ -86,9 +86,9 @@
 fn replica_bound_to_zone_of_its_daemon_gets_capacity_there() {
     let mut harness = LeaderHarness::start();
     let mut first = small_worker("m-1", "a");
-    harness.submit(JobSpec { one_zone: true, ..daemon("req-000002", 1) });
+    harness.submit(JobSpec { needs_one_zone: true, ..daemon("req-000002", 1) });
     harness.submit(daemon("req-000001", 2));
-    harness.submit(JobSpec { one_zone: true, ..daemon("req-000003", 2) });
+    harness.submit(JobSpec { needs_one_zone: true, ..daemon("req-000003", 2) });
     harness.run_rounds(&mut [&mut first]);
     assert_eq!(running(&first, "req-000003"), 1, "m-1 is full");
     let mut workers = [first, small_worker("m-2", "b")];
@@ -144,7 +144,7 @@
 fn replicas_bound_to_their_zone_are_not_relocated() {
     let mut harness = LeaderHarness::start();
     let mut first = small_worker("m-1", "a");
-    harness.submit(JobSpec { one_zone: true, ..daemon("req-000001", 2) });
+    harness.submit(JobSpec { needs_one_zone: true, ..daemon("req-000001", 2) });
     harness.submit(JobSpec { zone: Some("a".into()), ..daemon("req-000003", 2) });
     harness.run_rounds(&mut [&mut first]);
     assert_eq!(first.unfinished_tasks().len(), 4);
--- a/crates/controller/tests/simulation/controllers.rs
+++ b/crates/controller/tests/simulation/controllers.rs
@@ -274,12 +274,12 @@
     fn listed_machines(&self) -> Vec<ListedMachine> {
         let is_listed = |m: &&Machine| !m.terminated && self.now >= m.created_at + LIST_LAG;
         let listed = |m: &Machine| ListedMachine {
-            id: m.name.clone(),
-            addr: Some("127.0.0.1:9".into()),
+            name: m.name.clone(),
+            address: Some("127.0.0.1:9".into()),
             machine_type: "small".into(),
             zone: m.worker.zone().into(),
             spot: false,
-            status: MachineState::Running,
+            state: MachineState::Running,
             age_s: seconds_f64(self.now - m.created_at),
         };
         self.machines.iter().filter(is_listed).map(listed).collect()
--- a/crates/controller/tests/simulation/machines.rs
+++ b/crates/controller/tests/simulation/machines.rs
@@ -217,14 +217,20 @@
             );
         }
         let of_job = |t: &str| t.split_once('/').is_some_and(|(j, _)| j == id);
-        if spec.one_zone || spec.spread {
+        if spec.needs_one_zone || spec.must_spread {
             self.counts.zone_bound_starts += 1;
             let of_job: Vec<&(String, String)> = live.iter().filter(|(t, _)| of_job(t)).collect();
             let elsewhere = of_job.iter().any(|(_, z)| *z != zone);
-            assert!(!(spec.one_zone && elsewhere), "{task} starts in {zone}, others elsewhere");
+            assert!(
+                !(spec.needs_one_zone && elsewhere),
+                "{task} starts in {zone}, others elsewhere"
+            );
             let in_zone = of_job.iter().filter(|(_, z)| *z == zone).count();
             let cap = spec.max_tasks_per_zone() as usize;
-            assert!(!spec.spread || in_zone <= cap, "{task}: {in_zone} in {zone}, limit {cap}");
+            assert!(
+                !spec.must_spread || in_zone <= cap,
+                "{task}: {in_zone} in {zone}, limit {cap}"
+            );
         }
         if spec.team == "tight" {
             self.counts.quota_bound_starts += 1;
--- a/crates/policy/src/autoscaling.rs
+++ b/crates/policy/src/autoscaling.rs
@@ -270,7 +270,7 @@
             }
             let tasks = fitting.min(shortage.tasks).min(shortage.per_zone[offer.zone]);
             // The price is also due while the machine boots and fetches the image.
-            let fetch = machine_type.fetch_s(job.image_gb);
+            let fetch = machine_type.image_fetch_s(job.image_gb);
             let overhead = 1.0 + (machine_type.boot_s + fetch) / NOMINAL_WORK_S;
             let price = offer.price * overhead / f64::from(tasks);
             if cheapest.as_ref().is_none_or(|found| price < found.price_per_task) {
@@ -353,7 +353,7 @@
         .iter()
         .enumerate()
         .filter(|(index, _)| job.machine_types.get(*index).copied().unwrap_or(false))
-        .map(|(_, machine_type)| machine_type.boot_s + machine_type.fetch_s(job.image_gb))
+        .map(|(_, machine_type)| machine_type.boot_s + machine_type.image_fetch_s(job.image_gb))
         .fold(f64::INFINITY, f64::min);
     if fastest.is_finite() { fastest } else { 0.0 }
 }
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -254,7 +254,7 @@
             return 0.0;
         }
         let machine_type = self.machine_types.get(machine.machine_type);
-        machine_type.map_or(0.0, |machine_type| machine_type.fetch_s(job.image_gb))
+        machine_type.map_or(0.0, |machine_type| machine_type.image_fetch_s(job.image_gb))
     }
 
     /// Returns the highest zone index of all machines plus one, 0 without machines: the length of a list by zone.
--- a/crates/testkit/src/fleet/http.rs
+++ b/crates/testkit/src/fleet/http.rs
@@ -86,12 +86,12 @@
 impl CloudHandler {
     fn list_machines(&self) -> MachineList {
         let listed = |machine: &FleetMachine| ListedMachine {
-            id: machine.worker.name().to_owned(),
-            addr: Some(machine.address.clone()),
+            name: machine.worker.name().to_owned(),
+            address: Some(machine.address.clone()),
             machine_type: MACHINE_TYPE.into(),
             zone: machine.worker.zone().to_owned(),
             spot: false,
-            status: MachineState::Running,
+            state: MachineState::Running,
             age_s: MACHINE_AGE_S,
         };
         let state = self.fleet.lock();
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -23,7 +23,7 @@
     pub fn new(machine: &str, machine_type: &str, zone: &str) -> Self {
         let state = Heartbeat {
             machine: machine.into(),
-            addr: "127.0.0.1:9000".into(),
+            address: "127.0.0.1:9000".into(),
             machine_type: machine_type.into(),
             zone: zone.into(),
             spot: false,
@@ -43,7 +43,7 @@
 
     /// Sets the address (`host:port`) that heartbeats give.
     pub fn set_address(&mut self, address: &str) {
-        address.clone_into(&mut self.state.addr);
+        address.clone_into(&mut self.state.address);
     }
 
     /// Returns the name of the machine's zone.
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -58,7 +58,7 @@
 
 impl MachineType {
     /// Returns the nominal time to fetch an image of `image_gb` GB, in seconds.
-    pub fn fetch_s(&self, image_gb: f64) -> f64 {
+    pub fn image_fetch_s(&self, image_gb: f64) -> f64 {
         if self.fetch_gb_per_s > 0.0 { image_gb / self.fetch_gb_per_s } else { 0.0 }
     }
 
@@ -131,10 +131,11 @@
 pub struct ListedMachine {
     /// Unique name of the machine.
     #[serde(rename = "NameId")]
-    pub id: String,
+    pub name: String,
     /// Address (`host:port`) of the machine's worker; `None` while the cloud does not know it.
     #[serde(default)]
-    pub addr: Option<String>,
+    #[serde(rename = "Addr")]
+    pub address: Option<String>,
     /// Name of the machine type.
     #[serde(rename = "Flavor")]
     pub machine_type: String,
@@ -145,7 +146,8 @@
     #[serde(rename = "Loaners")]
     pub spot: bool,
     /// Lifecycle state of the machine, which may be older than the response.
-    pub status: MachineState,
+    #[serde(rename = "Status")]
+    pub state: MachineState,
     /// Time since the scale-out request, in seconds.
     #[serde(default)]
     pub age_s: f64,
--- a/crates/wire/src/job.rs
+++ b/crates/wire/src/job.rs
@@ -128,21 +128,22 @@
     pub zone: Option<String>,
     /// Whether all tasks must run in the same zone.
     #[serde(rename = "Together")]
-    pub one_zone: bool,
+    pub needs_one_zone: bool,
     /// Whether at most half of the tasks (rounded up) may run in one zone.
-    pub spread: bool,
+    #[serde(rename = "Spread")]
+    pub must_spread: bool,
     /// Whether tasks may run on spot machines as well as on on-demand machines.
     #[serde(rename = "Loaners")]
-    pub spot: bool,
+    pub allows_spot: bool,
     /// Run time of each task as estimated by the team, in seconds.
     #[serde(rename = "GuessS")]
-    pub estimate_s: f64,
+    pub estimated_run_time_s: f64,
     /// Interval between two checkpoints of a task, in seconds; 0 if the tasks write no checkpoints.
     #[serde(rename = "SnapshotEveryS")]
-    pub checkpoint_every_s: f64,
+    pub checkpoint_interval_s: f64,
     /// Time that a task needs to write a checkpoint when it is stopped, in seconds.
     #[serde(rename = "SnapshotS")]
-    pub checkpoint_s: f64,
+    pub checkpoint_write_s: f64,
     /// Deadline, in seconds after the submission; `None` for no deadline.
     #[serde(default)]
     #[serde(rename = "DueS")]
@@ -217,9 +218,9 @@
             ("Gpus", self.gpus),
             ("RamGb", self.memory_gb),
             ("ImageGb", self.image_gb),
-            ("GuessS", self.estimate_s),
-            ("SnapshotEveryS", self.checkpoint_every_s),
-            ("SnapshotS", self.checkpoint_s),
+            ("GuessS", self.estimated_run_time_s),
+            ("SnapshotEveryS", self.checkpoint_interval_s),
+            ("SnapshotS", self.checkpoint_write_s),
             ("DueS", self.deadline_s.unwrap_or(0.0)),
         ];
         for (field, amount) in amounts {
@@ -253,12 +254,12 @@
 
     /// Returns the maximum number of tasks that may run in one zone at the same time.
     pub fn max_tasks_per_zone(&self) -> u32 {
-        if self.spread { self.tasks.div_ceil(2) } else { self.tasks }
+        if self.must_spread { self.tasks.div_ceil(2) } else { self.tasks }
     }
 
     /// Whether the tasks write checkpoints, so that they keep their progress when they are stopped.
-    pub fn checkpoints(&self) -> bool {
-        self.checkpoint_every_s > 0.0
+    pub fn writes_checkpoints(&self) -> bool {
+        self.checkpoint_interval_s > 0.0
     }
 }
 
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -97,7 +97,8 @@
     #[serde(rename = "Host")]
     pub machine: String,
     /// Address (`host:port`) of the worker.
-    pub addr: String,
+    #[serde(rename = "Addr")]
+    pub address: String,
     /// Name of the type of the machine.
     #[serde(rename = "Flavor")]
     pub machine_type: String,
