--- a/crates/controller/src/settings/tests.rs
+++ b/crates/controller/src/settings/tests.rs
@@ -1,23 +1,26 @@
 use super::*;
-use hookway_testkit::SETTINGS;
+use hookway_testkit::PLATFORM_SETTINGS;
 use std::time::Duration;
 
 #[test]
 fn unknown_settings_are_ignored_and_invalid_ones_are_named() {
-    assert!(Settings::parse(SETTINGS).is_ok());
-    let invalid_settings = SETTINGS.replace("lease_s = 14.0", "");
+    assert!(Settings::parse(PLATFORM_SETTINGS).is_ok());
+    let invalid_settings = PLATFORM_SETTINGS.replace("lease_s = 14.0", "");
     assert!(Settings::parse(&invalid_settings).unwrap_err().to_string().contains("lease_s"));
-    let invalid_settings = SETTINGS.replace("lease_s = 14.0", "lease_s = 'soon'");
+    let invalid_settings = PLATFORM_SETTINGS.replace("lease_s = 14.0", "lease_s = 'soon'");
     assert!(Settings::parse(&invalid_settings).unwrap_err().to_string().contains("lease_s"));
-    let invalid_settings = SETTINGS.replace("lease_s = 14.0", "lease_s = -1.0");
+    let invalid_settings = PLATFORM_SETTINGS.replace("lease_s = 14.0", "lease_s = -1.0");
     assert!(Settings::parse(&invalid_settings).unwrap_err().to_string().contains("lease_s"));
-    let invalid_settings = format!("{SETTINGS}[settings.machine_limits]\nmax_sockets = 0\n");
+    let invalid_settings =
+        format!("{PLATFORM_SETTINGS}[settings.machine_limits]\nmax_sockets = 0\n");
     assert!(Settings::parse(&invalid_settings).unwrap_err().to_string().contains("max_sockets"));
-    let invalid_settings = format!("{SETTINGS}[settings.machine_limits]\ncore_share = -0.1\n");
+    let invalid_settings =
+        format!("{PLATFORM_SETTINGS}[settings.machine_limits]\ncore_share = -0.1\n");
     assert!(Settings::parse(&invalid_settings).unwrap_err().to_string().contains("core_share"));
-    let invalid_settings = SETTINGS.replace("list_lag_s = 4.0", "list_lag_s = nan");
+    let invalid_settings = PLATFORM_SETTINGS.replace("list_lag_s = 4.0", "list_lag_s = nan");
     assert!(Settings::parse(&invalid_settings).unwrap_err().to_string().contains("list_lag_s"));
-    let invalid_settings = SETTINGS.replace("state = \"127.0.0.1:1\"", "state = \"nowhere\"");
+    let invalid_settings =
+        PLATFORM_SETTINGS.replace("state = \"127.0.0.1:1\"", "state = \"nowhere\"");
     assert!(Settings::parse(&invalid_settings).unwrap_err().to_string().contains("outside.state"));
 }
 
@@ -33,10 +36,10 @@
 
 #[test]
 fn write_limits_are_minimum_of_present_and_next_limits() {
-    let present = Settings::parse(SETTINGS).unwrap().platform.state;
+    let present = Settings::parse(PLATFORM_SETTINGS).unwrap().platform.state;
     assert_eq!((present.write_rps, present.value_kb, present.txn_ops), (25.0, 8.0, 8));
     let next = "[settings.state.next]\nwrite_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 16\nnew = 1\n";
-    let stricter = Settings::parse(&format!("{SETTINGS}{next}")).unwrap().platform.state;
+    let stricter = Settings::parse(&format!("{PLATFORM_SETTINGS}{next}")).unwrap().platform.state;
     assert_eq!((stricter.write_rps, stricter.value_kb, stricter.txn_ops), (18.0, 2.0, 8));
     assert_eq!(stricter.rps, present.rps, "a limit that next lacks keeps its present value");
     assert_eq!((present.largest_value_kb, stricter.largest_value_kb), (8.0, 8.0));
@@ -53,12 +56,12 @@
         "txn_ops = 2",
         "txn_ops = 2.5",
     ] {
-        let invalid_settings = format!("{SETTINGS}[settings.state.next]\n{invalid}\n");
+        let invalid_settings = format!("{PLATFORM_SETTINGS}[settings.state.next]\n{invalid}\n");
         let error = Settings::parse(&invalid_settings).unwrap_err().to_string();
         let name = invalid.split(' ').next().unwrap();
         assert!(error.contains(name), "{invalid}: {error}");
     }
-    assert!(Settings::parse(&SETTINGS.replace("txn_ops = 8", "txn_ops = 2")).is_err());
+    assert!(Settings::parse(&PLATFORM_SETTINGS.replace("txn_ops = 8", "txn_ops = 2")).is_err());
 }
 
 #[test]
--- a/crates/controller/tests/api/replication.rs
+++ b/crates/controller/tests/api/replication.rs
@@ -5,7 +5,7 @@
 use hookway_controller::leadership::LeadershipView;
 use hookway_controller::peers::{PeerHandler, PeerRequest, PeerResponse};
 use hookway_replication::{FollowRequest, FollowerProgress};
-use hookway_testkit::SETTINGS;
+use hookway_testkit::PLATFORM_SETTINGS;
 use hookway_wire::ReplicationStatus;
 use salvo::http::StatusCode;
 
@@ -15,8 +15,14 @@
     let (status, text, _) = get(&api, "/replication").await;
     let replication_status: ReplicationStatus = serde_json::from_str(&text).expect("a status");
     assert_eq!((status, replication_status.phase.as_str()), (StatusCode::OK, "active"));
-    let api_service =
-        api_service_with(SETTINGS, Role::Leader, true, LeadershipView::default(), None, 100.0);
+    let api_service = api_service_with(
+        PLATFORM_SETTINGS,
+        Role::Leader,
+        true,
+        LeadershipView::default(),
+        None,
+        100.0,
+    );
     let request = |name: &str| {
         PeerRequest::Follow(FollowRequest {
             follower: name.into(),
--- a/crates/controller/tests/api/submissions.rs
+++ b/crates/controller/tests/api/submissions.rs
@@ -4,7 +4,7 @@
 use hookway_controller::http::service;
 use hookway_controller::leadership::LeadershipView;
 use hookway_controller::records::{JobRecord, job_key};
-use hookway_testkit::{SETTINGS, StoreServer};
+use hookway_testkit::{PLATFORM_SETTINGS, StoreServer};
 use hookway_wire::{JobId, JobSpec};
 use salvo::http::StatusCode;
 
@@ -97,7 +97,7 @@
 async fn long_job_is_accepted_until_store_lowers_value_limit() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
-    let next = format!("{SETTINGS}[settings.state.next]\nvalue_kb = 2.0\n");
+    let next = format!("{PLATFORM_SETTINGS}[settings.state.next]\nvalue_kb = 2.0\n");
     let api = service(api_service_with(
         &next,
         Role::Follower,
--- a/crates/controller/tests/api/support.rs
+++ b/crates/controller/tests/api/support.rs
@@ -9,7 +9,7 @@
 use hookway_controller::peers::Peers;
 use hookway_controller::settings::Settings;
 use hookway_replication::{FollowResponse, FollowResponseBody, Position};
-use hookway_testkit::SETTINGS;
+use hookway_testkit::PLATFORM_SETTINGS;
 use hookway_wire::{
     ErrorBody, HeartbeatResponse, JobId, JobState, JobStatus, MachineType, ReplicationStatus,
 };
@@ -73,7 +73,7 @@
     store: Option<&str>,
     status_rate: f64,
 ) -> Arc<ApiService> {
-    api_service_with(SETTINGS, role, machine_types_known, leadership, store, status_rate)
+    api_service_with(PLATFORM_SETTINGS, role, machine_types_known, leadership, store, status_rate)
 }
 
 /// Answers the requests of the API service as a controller actor in `role` would.
--- a/crates/controller/tests/cluster_state/autoscaling.rs
+++ b/crates/controller/tests/cluster_state/autoscaling.rs
@@ -9,7 +9,7 @@
 use hookway_controller::leadership::StoredWatermarks;
 use hookway_controller::records::LEADER_KEY;
 use hookway_controller::settings::Settings;
-use hookway_testkit::{SETTINGS, machine_types};
+use hookway_testkit::{PLATFORM_SETTINGS, machine_types};
 use hookway_wire::{ExitCause, MachineState, Precondition};
 
 #[test]
@@ -88,8 +88,8 @@
 fn idle_machine_reserved_for_class_is_kept_across_failover() {
     // The objective requires jobs to start in less time than a machine takes to boot.
     let objective = "kind = \"wait\"\nclass = \"train\"\nwithin_s = 5.0\nshare = 0.8\n[[settings.objectives]]\n";
-    let settings =
-        SETTINGS.replace("kind = \"finished\"", &format!("{objective}kind = \"finished\""));
+    let settings = PLATFORM_SETTINGS
+        .replace("kind = \"finished\"", &format!("{objective}kind = \"finished\""));
     let config = ControllerConfig {
         platform: Settings::parse(&settings).expect("valid settings").platform,
         ..test_config()
--- a/crates/controller/tests/cluster_state/commit_queue.rs
+++ b/crates/controller/tests/cluster_state/commit_queue.rs
@@ -40,7 +40,7 @@
     let revision = harness.store.commit(&commit.transaction).expect("applied");
     harness.cluster.committed(commit, CommitResult::Applied(revision), harness.now);
     assert_eq!(harness.cluster.take_completed_jobs()[0].record.state, JobState::Done);
-    worker.handle_response(&response);
+    worker.execute_response(&response);
     harness.now += ms(500);
     let commands = harness.heartbeat(&mut worker);
     assert!(commands.iter().any(|command| matches!(command, Command::Reap { .. })));
--- a/crates/controller/tests/cluster_state/direct_dispatch.rs
+++ b/crates/controller/tests/cluster_state/direct_dispatch.rs
@@ -21,7 +21,7 @@
     let mut worker = small_worker("m-1", "a");
     let commands = dispatched_task(&mut harness, &mut worker);
     let heartbeat =
-        worker.handle_direct_commands(&commands).expect("the worker executes the command");
+        worker.execute_direct_commands(&commands).expect("the worker executes the command");
     harness.cluster.direct_start_sent(
         "m-1",
         commands.fencing_token,
@@ -40,7 +40,7 @@
     let mut worker = small_worker("m-1", "a");
     let commands = dispatched_task(&mut harness, &mut worker);
     let heartbeat =
-        worker.handle_direct_commands(&commands).expect("the worker executes the command");
+        worker.execute_direct_commands(&commands).expect("the worker executes the command");
     // The task ends, and its heartbeat arrives before the response to the command is read.
     worker.end_task("req-000001/0", ExitCause::Done);
     harness.run_rounds(&mut [&mut worker]);
@@ -58,7 +58,7 @@
     );
     // Having reaped the attempt, the worker no longer knows it: only its higher fencing token keeps it
     // from starting the attempt again.
-    assert_eq!(worker.handle_direct_commands(&commands), None);
+    assert_eq!(worker.execute_direct_commands(&commands), None);
     assert_eq!(worker.started_attempts.len(), 1);
 }
 
@@ -87,7 +87,7 @@
     );
     harness.now += ms(5_000);
     harness.run_rounds(&mut [&mut worker]);
-    assert_eq!(worker.handle_direct_commands(&commands), None, "the delayed command is refused");
+    assert_eq!(worker.execute_direct_commands(&commands), None, "the delayed command is refused");
     assert_eq!(worker.started_attempts.len() + other.started_attempts.len(), 1);
 }
 
@@ -119,7 +119,7 @@
     // after the response to the command.
     let overtaken = worker.heartbeat();
     let heartbeat =
-        worker.handle_direct_commands(&commands).expect("the worker executes the command");
+        worker.execute_direct_commands(&commands).expect("the worker executes the command");
     harness.cluster.direct_start_sent(
         "m-1",
         commands.fencing_token,
@@ -130,7 +130,7 @@
         .cluster
         .handle_heartbeat(&overtaken, harness.now)
         .expect("an overtaken heartbeat gets a response");
-    worker.handle_response(&response);
+    worker.execute_response(&response);
     harness.run_rounds(&mut [&mut worker]);
     assert_eq!(
         worker.started_attempts.len(),
@@ -168,7 +168,7 @@
         harness.advance(800);
     }
     assert_eq!(other.started_attempts, [], "the delayed response may still start the task on m-1");
-    worker.handle_response(&response);
+    worker.execute_response(&response);
     harness.run_rounds(&mut [&mut worker, &mut other]);
     assert_eq!((worker.started_attempts.len(), other.started_attempts.len()), (1, 0));
 }
@@ -180,9 +180,9 @@
     let commands = dispatched_task(&mut harness, &mut worker);
     // A duplicate of the command is executed; then the worker receives a response with a higher fencing
     // token, and rejects the command itself.
-    worker.handle_direct_commands(&commands).expect("the worker executes the command");
+    worker.execute_direct_commands(&commands).expect("the worker executes the command");
     worker.fencing_token += 1;
-    assert_eq!(worker.handle_direct_commands(&commands), None);
+    assert_eq!(worker.execute_direct_commands(&commands), None);
     harness.cluster.direct_start_sent(
         "m-1",
         commands.fencing_token,
@@ -213,7 +213,7 @@
     let mut worker = small_worker("m-1", "a");
     let commands = dispatched_task(&mut harness, &mut worker);
     let heartbeat =
-        worker.handle_direct_commands(&commands).expect("the worker executes the command");
+        worker.execute_direct_commands(&commands).expect("the worker executes the command");
     for delivery in [Delivery::Executed(heartbeat), Delivery::Indeterminate] {
         harness.cluster.direct_start_sent("m-1", commands.fencing_token, delivery, harness.now);
     }
@@ -226,7 +226,7 @@
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
     let commands = dispatched_task(&mut harness, &mut worker);
-    worker.handle_direct_commands(&commands).expect("the worker executes the command");
+    worker.execute_direct_commands(&commands).expect("the worker executes the command");
     harness.heartbeat(&mut worker);
     let token = commands.fencing_token;
     harness.cluster.direct_start_sent("m-1", token, Delivery::Indeterminate, harness.now);
@@ -251,7 +251,7 @@
     let mut worker = small_worker("m-1", "a");
     let commands = dispatched_task(&mut harness, &mut worker);
     let heartbeat =
-        worker.handle_direct_commands(&commands).expect("the worker executes the command");
+        worker.execute_direct_commands(&commands).expect("the worker executes the command");
     let first = commands.fencing_token;
     let executed = Delivery::Executed(heartbeat);
     harness.cluster.direct_start_sent("m-1", first, executed.clone(), harness.now);
--- a/crates/controller/tests/cluster_state/leases.rs
+++ b/crates/controller/tests/cluster_state/leases.rs
@@ -153,7 +153,7 @@
     worker.expire_lease();
     next.now = at(30_000);
     let probe = DirectCommands { fencing_token: 5_000, incarnation: 2, commands: vec![] };
-    let heartbeat = worker.handle_direct_commands(&probe);
+    let heartbeat = worker.execute_direct_commands(&probe);
     next.cluster.state_probed("m-1", heartbeat, next.now);
     next.now += ms(500);
     next.advance(0);
--- a/crates/controller/tests/cluster_state/machine_registry.rs
+++ b/crates/controller/tests/cluster_state/machine_registry.rs
@@ -14,7 +14,7 @@
     let heartbeat = worker.heartbeat();
     let response = harness.cluster.handle_heartbeat(&heartbeat, harness.now).expect("a response");
     assert_eq!(response.commands, [], "no start before the registration is durable");
-    worker.handle_response(&response);
+    worker.execute_response(&response);
     harness.commit_pending();
     assert!(harness.is_registered("m-1"));
     harness.now += ms(500);
--- a/crates/controller/tests/cluster_state/reconciliation.rs
+++ b/crates/controller/tests/cluster_state/reconciliation.rs
@@ -66,7 +66,7 @@
         .cluster
         .handle_heartbeat(&heartbeat, harness.now + ms(1))
         .expect("the deposed leader still responds");
-    assert!(!worker.handle_response(&response));
+    assert!(!worker.execute_response(&response));
 }
 
 #[test]
@@ -197,11 +197,14 @@
     assert_eq!(next.cluster.take_state_probes(next.now).len(), 2);
     let probe = DirectCommands { fencing_token: 9_000, incarnation: 1, commands: vec![] };
     for (name, worker) in [("m-1", &mut worker_1), ("m-2", &mut worker_2)] {
-        let heartbeat = worker.handle_direct_commands(&probe);
+        let heartbeat = worker.execute_direct_commands(&probe);
         next.cluster.state_probed(name, heartbeat, next.now);
     }
     assert!(next.cluster.reconciled(next.now), "both machines responded to the probe");
-    assert!(!worker_1.handle_response(&late), "the worker refuses a response of an earlier leader");
+    assert!(
+        !worker_1.execute_response(&late),
+        "the worker refuses a response of an earlier leader"
+    );
     // The queued task starts at once, on the machine whose task has completed.
     next.advance(500);
     let starts = next.cluster.take_direct_starts(next.now);
--- a/crates/controller/tests/concurrent_faults.rs
+++ b/crates/controller/tests/concurrent_faults.rs
@@ -236,7 +236,7 @@
     let probe =
         DirectCommands { fencing_token: 2, incarnation: worker.incarnation(), commands: vec![] };
     let probe_response =
-        worker.handle_direct_commands(&probe).expect("a probe with a higher fencing token");
+        worker.execute_direct_commands(&probe).expect("a probe with a higher fencing token");
     next.cluster.machines_listed(
         &[listed_machine("m-1", MachineState::Running, 60.0)],
         next.now,
@@ -276,7 +276,7 @@
         let heartbeat = booted.heartbeat();
         let response =
             harness.cluster.handle_heartbeat(&heartbeat, harness.now).expect("the leader responds");
-        assert!(booted.handle_response(&response));
+        assert!(booted.execute_response(&response));
         harness.now += ms(500);
         harness.cluster.scheduling_round(harness.now);
         assert_eq!(
--- a/crates/controller/tests/controller_actor.rs
+++ b/crates/controller/tests/controller_actor.rs
@@ -18,7 +18,7 @@
 use hookway_controller::settings::{OperatorSettings, PeerController, Settings};
 use hookway_controller::shard_lease::ShardLessee;
 use hookway_controller::standby::{Standby, StandbyMode, StandbySignals};
-use hookway_testkit::{SETTINGS, StoreServer, machine_types};
+use hookway_testkit::{PLATFORM_SETTINGS, StoreServer, machine_types};
 use hookway_wire::{JobId, JobState};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -55,7 +55,7 @@
     peer_addresses: &[(&str, &str)],
     campaigns: bool,
 ) -> RunningController {
-    let settings = Settings::parse(SETTINGS).expect("valid settings");
+    let settings = Settings::parse(PLATFORM_SETTINGS).expect("valid settings");
     let client = || StoreClient::new(store, 1_000.0);
     let (view_tx, view) = watch::channel(LeadershipView::default());
     let (machine_types_tx, machine_types_rx) = watch::channel(Some(Arc::new(machine_types())));
--- a/crates/controller/tests/fleet_size.rs
+++ b/crates/controller/tests/fleet_size.rs
@@ -81,7 +81,7 @@
             let heartbeat = self.workers[n].heartbeat();
             let response = self.harness.cluster.handle_heartbeat(&heartbeat, self.harness.now);
             if let Some(response) = response {
-                self.workers[n].handle_response(&response);
+                self.workers[n].execute_response(&response);
             }
             if n % 100 == 0 {
                 self.harness.now += ms(40);
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -11,7 +11,7 @@
     JobRecord, LEADER_KEY, LEADER_PREFIX, LeaderRecord, final_state_key, job_key,
 };
 use hookway_controller::settings::{OperatorSettings, Settings};
-use hookway_testkit::{MemoryStore, SETTINGS, ScriptedWorker, machine_types};
+use hookway_testkit::{MemoryStore, PLATFORM_SETTINGS, ScriptedWorker, machine_types};
 use hookway_time::{MonotonicTime, WallTime};
 use hookway_wire::{
     Command, JobId, JobSpec, JobState, ListedMachine, MachineState, Operation, Precondition,
@@ -86,7 +86,7 @@
 /// The configuration of controller `worker-0` in zone a, without peers.
 pub fn test_config() -> ControllerConfig {
     // At this write rate no commit of a test is delayed.
-    let settings = SETTINGS.replace("write_rps = 25.0", "write_rps = 1000.0");
+    let settings = PLATFORM_SETTINGS.replace("write_rps = 25.0", "write_rps = 1000.0");
     ControllerConfig {
         controller_name: "worker-0".into(),
         zone: "a".into(),
@@ -213,7 +213,7 @@
         let commands =
             response.as_ref().map(|response| response.commands.clone()).unwrap_or_default();
         if let Some(response) = response {
-            worker.handle_response(&response);
+            worker.execute_response(&response);
         }
         self.commit_pending();
         commands
--- a/crates/controller/tests/http_routes.rs
+++ b/crates/controller/tests/http_routes.rs
@@ -9,7 +9,7 @@
 use hookway_controller::leadership::LeadershipView;
 use hookway_controller::peers::Peers;
 use hookway_controller::settings::Settings;
-use hookway_testkit::{SETTINGS, StoreServer, machine_types};
+use hookway_testkit::{PLATFORM_SETTINGS, StoreServer, machine_types};
 use hookway_wire::JobStatus;
 use salvo::Service;
 use salvo::http::Method;
@@ -32,7 +32,7 @@
 
 /// Returns the HTTP service of a controller whose actor has ended, with the store at this address.
 fn api(store: &str) -> Service {
-    let settings = Settings::parse(SETTINGS).expect("valid settings");
+    let settings = Settings::parse(PLATFORM_SETTINGS).expect("valid settings");
     let (requests, _) = mpsc::channel(1);
     let (_, view) = watch::channel(LeadershipView::default());
     let (_, types) = watch::channel(Some(Arc::new(machine_types())));
--- a/crates/controller/tests/leadership.rs
+++ b/crates/controller/tests/leadership.rs
@@ -93,7 +93,7 @@
 async fn restarted_controller_revokes_lease_of_previous_process() {
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
-    let lease_id = server.grant_lease();
+    let lease_id = server.grant_long_lease();
     let record = LeaderRecord { controller_name: "one".into(), term: 4, nonce: 1 };
     let before = Transaction {
         preconditions: vec![],
--- a/crates/controller/tests/simulation/controllers.rs
+++ b/crates/controller/tests/simulation/controllers.rs
@@ -8,7 +8,7 @@
 use hookway_controller::settings::{OperatorSettings, PeerController, Settings};
 use hookway_controller::shard_lease::ShardLessee;
 use hookway_replication::{Follower, Publisher};
-use hookway_testkit::SETTINGS;
+use hookway_testkit::PLATFORM_SETTINGS;
 use hookway_time::{MonotonicTime, WallTime, seconds_f64};
 use hookway_wire::{JobId, ListedMachine, MachineState};
 use rand::RngExt;
@@ -95,7 +95,7 @@
     pub fn new(n: usize, version: Version, nonce: u64, now: MonotonicTime) -> Self {
         let peers = CONTROLLERS.iter().enumerate().filter(|(other, _)| *other != n);
         let limits = if version == Version::New { NEXT_LIMITS } else { "" };
-        let settings = format!("{SETTINGS}{limits}");
+        let settings = format!("{PLATFORM_SETTINGS}{limits}");
         let config = ControllerConfig {
             controller_name: CONTROLLERS[n].0.into(),
             zone: CONTROLLERS[n].1.into(),
--- a/crates/controller/tests/simulation/dispatch.rs
+++ b/crates/controller/tests/simulation/dispatch.rs
@@ -125,7 +125,7 @@
         // the repeated probe is simulated.
         let incarnation = machine.worker.incarnation();
         let probe = DirectCommands { fencing_token: term, incarnation, commands: vec![] };
-        let heartbeat = machine.worker.handle_direct_commands(&probe);
+        let heartbeat = machine.worker.execute_direct_commands(&probe);
         let name = machine.name.clone();
         self.send(|| Message::StateProbeOutcome(n, term, name.clone(), heartbeat.clone()));
     }
--- a/crates/controller/tests/simulation/machines.rs
+++ b/crates/controller/tests/simulation/machines.rs
@@ -126,7 +126,7 @@
         match reply {
             HeartbeatReply::Response(response) => {
                 let before = machine.worker.started_attempts.len();
-                if machine.worker.handle_response(&response) {
+                if machine.worker.execute_response(&response) {
                     machine.lease_started_at = sent_at;
                     if !response.commands.is_empty() {
                         machine.next_heartbeat = machine.next_heartbeat.min(now + ms(500));
@@ -167,7 +167,7 @@
         self.expire_worker_lease(m);
         let machine = &mut self.machines[m];
         let before = machine.worker.started_attempts.len();
-        let heartbeat = machine.worker.handle_direct_commands(&commands);
+        let heartbeat = machine.worker.execute_direct_commands(&commands);
         let name = machine.name.clone();
         self.check_starts(m, before);
         if term > 0 {
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -134,7 +134,7 @@
     assert_eq!(probes.len(), 2);
     let probe =
         hookway_wire::DirectCommands { fencing_token: term, incarnation: 1, commands: vec![] };
-    let other_response = workers[1].handle_direct_commands(&probe);
+    let other_response = workers[1].execute_direct_commands(&probe);
     harness.cluster.state_probed("m-1", other_response, harness.now);
     assert!(!harness.cluster.reconciled(harness.now));
 }
--- a/crates/controller/tests/standby_gangs.rs
+++ b/crates/controller/tests/standby_gangs.rs
@@ -116,6 +116,6 @@
         attempts(&workers).len(),
         started_tasks,
         "the third task may run on {}",
-        unreachable.name()
+        unreachable.machine_name()
     );
 }
--- a/crates/controller/tests/standby_support/mod.rs
+++ b/crates/controller/tests/standby_support/mod.rs
@@ -33,11 +33,11 @@
     let probes = harness.cluster.take_state_probes(harness.now);
     for probe in &probes {
         let name = &probe.machine;
-        let worker = workers.iter_mut().find(|worker| worker.name() == name);
+        let worker = workers.iter_mut().find(|worker| worker.machine_name() == name);
         let fencing_token = harness.cluster.term();
         let heartbeat = worker.and_then(|worker| {
             let incarnation = worker.incarnation();
-            worker.handle_direct_commands(&hookway_wire::DirectCommands {
+            worker.execute_direct_commands(&hookway_wire::DirectCommands {
                 fencing_token,
                 incarnation,
                 commands: vec![],
@@ -59,7 +59,7 @@
     (1..=machines)
         .map(|n| {
             let mut worker = small_worker(&format!("m-{n}"), "a");
-            worker.first_state = TaskState::FetchingImage;
+            worker.state_after_start = TaskState::FetchingImage;
             worker
         })
         .collect()
--- a/crates/hookway/tests/command_line.rs
+++ b/crates/hookway/tests/command_line.rs
@@ -1,7 +1,7 @@
 //! The commands, flags, environment variables, output and exit codes of the binary, which users' scripts rely on.
 #![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
 
-use hookway_testkit::SETTINGS;
+use hookway_testkit::PLATFORM_SETTINGS;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener};
 use std::path::PathBuf;
@@ -140,9 +140,9 @@
 
 #[test]
 fn check_accepts_valid_settings_and_names_errors() {
-    let settings = TempFile::new("check.toml", SETTINGS);
+    let settings = TempFile::new("check.toml", PLATFORM_SETTINGS);
     let invalid =
-        TempFile::new("wrong.toml", &SETTINGS.replace("lease_s = 14.0", "lease_s = -1.0"));
+        TempFile::new("wrong.toml", &PLATFORM_SETTINGS.replace("lease_s = 14.0", "lease_s = -1.0"));
     let operator = TempFile::new("check.ini", "[replication]\nstandby = off\n");
     let unknown_key = TempFile::new("unknown.ini", "[replication]\nfollow = on\n");
     let valid = "worker-0: the settings are sound\n";
@@ -166,7 +166,7 @@
 
 #[test]
 fn operator_settings_are_read_from_flag_or_environment() {
-    let settings = TempFile::new("run.toml", SETTINGS);
+    let settings = TempFile::new("run.toml", PLATFORM_SETTINGS);
     let unknown_key = TempFile::new("run.ini", "[replication]\nfollow = on\n");
     let error = format!("hookway: {}: unknown setting [replication] follow\n", unknown_key.path());
     let output = hookway(&["--config", settings.path(), "--operator", unknown_key.path()]);
--- a/crates/hookway/tests/loopback_cluster/mod.rs
+++ b/crates/hookway/tests/loopback_cluster/mod.rs
@@ -69,7 +69,7 @@
             machines: MACHINES,
             heartbeat_interval: HEARTBEAT_INTERVAL,
             worker_lease: WORKER_LEASE,
-            run_time: RUN_TIME,
+            task_run_time: RUN_TIME,
         };
         let fleet = Fleet::start(config, &addresses).await.expect("free ports");
         let cloud = fleet.start_cloud().await.expect("a free port");
@@ -213,7 +213,7 @@
 
     /// Checks that no task ran on two machines and no attempt started twice.
     pub fn assert_no_violations(&self) {
-        let violations = self.fleet.violations();
+        let violations = self.fleet.invariant_violations();
         assert!(
             violations.is_empty(),
             "a task ran on two machines or an attempt started twice: {violations:?}"
--- a/crates/hookway/tests/standby.rs
+++ b/crates/hookway/tests/standby.rs
@@ -42,7 +42,7 @@
     // Either standby may be elected, so both must have the gang's attempt number.
     let leader = cluster.leader_followed_by_all(MACHINES).await;
     cluster.controllers[leader].kill();
-    cluster.fleet.heal(partitioned);
+    cluster.fleet.end_partition(partitioned);
     let next = cluster.leader_other_than(Some(leader)).await;
     cluster.wait_until_done(&gang).await;
     let started = cluster.fleet.started_attempts(gang.as_str());
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -64,7 +64,7 @@
     /// Time after which a worker without a response to its heartbeats kills all its tasks.
     pub worker_lease: Duration,
     /// Run time of each task, not including the image fetch and the wait for its gang.
-    pub run_time: Duration,
+    pub task_run_time: Duration,
 }
 
 /// A fleet of machines with scripted workers. Machines are indexed from 0.
@@ -82,7 +82,7 @@
         controllers: &[ControllerAddress],
     ) -> std::io::Result<Self> {
         let fleet = Self::default();
-        fleet.lock().run_time = config.run_time;
+        fleet.lock().run_time = config.task_run_time;
         for index in 0..config.machines {
             let handler = CommandHandler { fleet: fleet.clone(), machine: index };
             let address = serve(Router::with_path("orders").post(handler)).await?;
@@ -123,7 +123,7 @@
     }
 
     /// Ends the partition of machines that [`Fleet::partition`] began.
-    pub fn heal(&self, machines: Range<usize>) {
+    pub fn end_partition(&self, machines: Range<usize>) {
         self.lock().machines[machines].iter_mut().for_each(|machine| machine.partitioned = false);
     }
 
@@ -144,7 +144,7 @@
 
     /// Returns a description of each violation of the invariants: a task is on one machine at most, and a worker starts
     /// each attempt at most once.
-    pub fn violations(&self) -> Vec<String> {
+    pub fn invariant_violations(&self) -> Vec<String> {
         self.lock().violations.clone()
     }
 }
--- a/crates/testkit/src/fleet/heartbeats.rs
+++ b/crates/testkit/src/fleet/heartbeats.rs
@@ -99,7 +99,7 @@
         let worker = &mut state.machines[machine].worker;
         let starts_before = worker.started_attempts.len();
         let is_new_leader = response.fencing_token > worker.fencing_token;
-        if worker.handle_response(response) {
+        if worker.execute_response(response) {
             state.machines[machine].lease_started_at = sent_at;
         }
         state.check_starts(machine, starts_before);
--- a/crates/testkit/src/fleet/http.rs
+++ b/crates/testkit/src/fleet/http.rs
@@ -34,7 +34,7 @@
             return;
         }
         let starts_before = machine.worker.started_attempts.len();
-        match machine.worker.handle_direct_commands(&commands) {
+        match machine.worker.execute_direct_commands(&commands) {
             Some(heartbeat) => {
                 res.render(Json(heartbeat));
                 state.check_starts(self.machine, starts_before);
@@ -86,7 +86,7 @@
 impl CloudHandler {
     fn list_machines(&self) -> MachineList {
         let listed = |machine: &FleetMachine| ListedMachine {
-            name: machine.worker.name().to_owned(),
+            name: machine.worker.machine_name().to_owned(),
             address: Some(machine.address.clone()),
             machine_type: MACHINE_TYPE.into(),
             zone: machine.worker.zone().to_owned(),
@@ -102,7 +102,7 @@
     fn delete(&self, names: &[String]) {
         let mut state = self.fleet.lock();
         for index in 0..state.machines.len() {
-            if names.iter().any(|name| *name == state.machines[index].worker.name()) {
+            if names.iter().any(|name| *name == state.machines[index].worker.machine_name()) {
                 state.lose_tasks(index);
                 state.machines[index].deleted = true;
             }
--- a/crates/testkit/src/fleet/state.rs
+++ b/crates/testkit/src/fleet/state.rs
@@ -39,7 +39,7 @@
     /// Adds the machine with this index, whose worker listens at `address`.
     pub(super) fn add_machine(&mut self, index: usize, zone: &str, address: String) {
         let mut worker = ScriptedWorker::new(&format!("m-{index}"), MACHINE_TYPE, zone);
-        worker.first_state = TaskState::FetchingImage;
+        worker.state_after_start = TaskState::FetchingImage;
         worker.set_address(&address);
         self.machines.push(FleetMachine {
             worker,
@@ -52,7 +52,7 @@
     }
 
     fn record(&mut self, index: usize, task: &str, attempt: u64, event: TaskEvent) {
-        let machine = self.machines[index].worker.name().to_owned();
+        let machine = self.machines[index].worker.machine_name().to_owned();
         let (task, at) = (task.to_owned(), Instant::now());
         self.history.push(HistoryEvent { at, machine, task, attempt, event });
     }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub use fleet::{ControllerAddress, Fleet, FleetConfig, HistoryEvent, TaskEvent};
 pub use reserved_address::ReservedAddress;
-pub use settings::{SETTINGS, machine_types};
+pub use settings::{PLATFORM_SETTINGS, machine_types};
 pub use store::MemoryStore;
 pub use store_server::StoreServer;
 pub use worker::ScriptedWorker;
--- a/crates/testkit/src/settings.rs
+++ b/crates/testkit/src/settings.rs
@@ -4,7 +4,7 @@
 
 /// Platform settings (TOML) of a small deployment. They contain an unknown field, `something_new`, which controllers
 /// must ignore. No process listens at the addresses.
-pub const SETTINGS: &str = r#"
+pub const PLATFORM_SETTINGS: &str = r#"
 label = "worker-0"
 domain = "a"
 api_addr = "127.0.0.1:8080"
@@ -48,7 +48,7 @@
 list_lag_s = 4.0
 "#;
 
-/// Returns the machine types of the deployment of [`SETTINGS`]: a single small one.
+/// Returns the machine types of the deployment of [`PLATFORM_SETTINGS`]: a single small one.
 pub fn machine_types() -> Vec<MachineType> {
     vec![MachineType {
         name: "small".into(),
--- a/crates/testkit/src/store_server.rs
+++ b/crates/testkit/src/store_server.rs
@@ -112,7 +112,7 @@
     }
 
     /// Grants a lease that outlasts the test unless the test expires it. Returns its id.
-    pub fn grant_lease(&self) -> u64 {
+    pub fn grant_long_lease(&self) -> u64 {
         self.grant_lease_for(LONG_TTL)
     }
 
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -15,7 +15,7 @@
     /// Task ids and attempts that were started in all incarnations, oldest first.
     pub started_attempts: Vec<(String, u64)>,
     /// State that a task has right after its start.
-    pub first_state: TaskState,
+    pub state_after_start: TaskState,
 }
 
 impl ScriptedWorker {
@@ -33,11 +33,16 @@
             interruption_notice_s: None,
             tasks: vec![],
         };
-        Self { state, fencing_token: 0, started_attempts: vec![], first_state: TaskState::Running }
+        Self {
+            state,
+            fencing_token: 0,
+            started_attempts: vec![],
+            state_after_start: TaskState::Running,
+        }
     }
 
     /// Returns the name of the machine, as heartbeats give it.
-    pub fn name(&self) -> &str {
+    pub fn machine_name(&self) -> &str {
         &self.state.machine
     }
 
@@ -70,7 +75,7 @@
 
     /// Executes the commands in a response to a heartbeat. Returns `false` if the response was discarded because of a
     /// lower fencing token.
-    pub fn handle_response(&mut self, response: &HeartbeatResponse) -> bool {
+    pub fn execute_response(&mut self, response: &HeartbeatResponse) -> bool {
         if response.fencing_token < self.fencing_token {
             return false;
         }
@@ -83,7 +88,7 @@
                         self.state.tasks.push(TaskStatus {
                             task: task.clone(),
                             attempt: *attempt,
-                            state: self.first_state,
+                            state: self.state_after_start,
                             cause: None,
                             checkpointed: None,
                         });
@@ -110,13 +115,13 @@
 
     /// Executes direct commands. Returns the heartbeat after them; `None` if they were refused because of their
     /// incarnation or a lower fencing token.
-    pub fn handle_direct_commands(&mut self, commands: &DirectCommands) -> Option<Heartbeat> {
+    pub fn execute_direct_commands(&mut self, commands: &DirectCommands) -> Option<Heartbeat> {
         if commands.incarnation != self.state.incarnation
             || commands.fencing_token < self.fencing_token
         {
             return None;
         }
-        self.handle_response(&HeartbeatResponse {
+        self.execute_response(&HeartbeatResponse {
             fencing_token: commands.fencing_token,
             commands: commands.commands.clone(),
         });
