--- a/crates/replication/examples/embedded.rs
+++ b/crates/replication/examples/embedded.rs
@@ -40,10 +40,8 @@
     while !detector.suspects(now) {
         now += Duration::from_millis(100);
     }
-    assert_eq!(
-        promotion.apply_event(FailoverEvent::LeaderSilent, now)?,
-        FailoverAction::ReadLeader
-    );
+    let action = promotion.apply_event(FailoverEvent::LeaderSilent, now)?;
+    assert_eq!(action, FailoverAction::ReadLeader);
     println!(
         "at {} ms the leader is suspected, so the leadership record has to be read",
         now.as_millis()
@@ -52,16 +50,12 @@
     now += Duration::from_millis(3_000);
     promotion.apply_event(FailoverEvent::LeaseExpired, now)?;
     now += Duration::from_millis(20);
-    assert_eq!(
-        promotion.apply_event(FailoverEvent::Elected { term: NEW_TERM }, now)?,
-        FailoverAction::ReadRecords
-    );
+    let action = promotion.apply_event(FailoverEvent::Elected { term: NEW_TERM }, now)?;
+    assert_eq!(action, FailoverAction::ReadRecords);
     assert!(!promotion.may_dispatch(NEW_TERM), "the records have not been read yet");
     now += Duration::from_millis(20);
-    assert_eq!(
-        promotion.apply_event(FailoverEvent::RecordsRead { term: NEW_TERM }, now)?,
-        FailoverAction::Lead
-    );
+    let action = promotion.apply_event(FailoverEvent::RecordsRead { term: NEW_TERM }, now)?;
+    assert_eq!(action, FailoverAction::Lead);
     let copy = follower.usable_copy(NEW_TERM, now)?;
     println!(
         "at {} ms the standby is the leader of term {NEW_TERM}; its copy names:",
