--- a/crates/controller/src/cluster_state/job.rs
+++ b/crates/controller/src/cluster_state/job.rs
@@ -182,7 +182,7 @@
 
     /// Whether the zones of the placed tasks restrict where the other tasks may start.
     pub fn has_zone_constraint(&self) -> bool {
-        self.spec.one_zone || self.spec.spread
+        self.spec.needs_one_zone || self.spec.must_spread
     }
 
     /// Returns the number of tasks that are not completed.
--- a/crates/controller/tests/concurrent_faults.rs
+++ b/crates/controller/tests/concurrent_faults.rs
@@ -16,12 +16,12 @@
 
 fn submit_zone_constrained_job(
     harness: &mut LeaderHarness,
-    one_zone: bool,
-    spread: bool,
+    needs_one_zone: bool,
+    must_spread: bool,
     tasks: u32,
 ) -> JobId {
     let mut spec = job("req-000001", "array", tasks);
-    (spec.one_zone, spec.spread) = (one_zone, spread);
+    (spec.needs_one_zone, spec.must_spread) = (needs_one_zone, must_spread);
     harness.submit(spec)
 }
 
@@ -236,7 +236,7 @@
     let probe =
         DirectCommands { fencing_token: 2, incarnation: worker.incarnation(), commands: vec![] };
     let probe_response =
-        worker.handle_direct_commands(&probe).expect("a probe with a higher fencing token");
+        worker.execute_direct_commands(&probe).expect("a probe with a higher fencing token");
     next.cluster.machines_listed(
         &[listed_machine("m-1", MachineState::Running, 60.0)],
         next.now,
@@ -276,7 +276,7 @@
         let heartbeat = booted.heartbeat();
         let response =
             harness.cluster.handle_heartbeat(&heartbeat, harness.now).expect("the leader responds");
-        assert!(booted.handle_response(&response));
+        assert!(booted.execute_response(&response));
         harness.now += ms(500);
         harness.cluster.scheduling_round(harness.now);
         assert_eq!(
--- a/crates/controller/tests/simulation/machines.rs
+++ b/crates/controller/tests/simulation/machines.rs
@@ -7,7 +7,7 @@
 };
 use hookway_clients::Delivery;
 use hookway_testkit::ScriptedWorker;
-use hookway_time::{MonotonicTime, span_of_seconds};
+use hookway_time::{MonotonicTime, duration_from_seconds};
 use hookway_wire::{DirectCommands, ExitCause, JobSpec, TaskState, TaskStatus};
 use rand::RngExt;
 use std::collections::BTreeMap;
@@ -80,7 +80,7 @@
 
 impl Simulation {
     fn worker_lease(&self) -> Duration {
-        span_of_seconds(self.controllers[0].config.platform.workers.lease_s)
+        duration_from_seconds(self.controllers[0].config.platform.workers.lease_s)
     }
 
     /// If a worker's lease has expired, discards all its tasks and begins its next incarnation. Called before a worker
@@ -126,7 +126,7 @@
         match reply {
             HeartbeatReply::Response(response) => {
                 let before = machine.worker.started_attempts.len();
-                if machine.worker.handle_response(&response) {
+                if machine.worker.execute_response(&response) {
                     machine.lease_started_at = sent_at;
                     if !response.commands.is_empty() {
                         machine.next_heartbeat = machine.next_heartbeat.min(now + ms(500));
@@ -167,7 +167,7 @@
         self.expire_worker_lease(m);
         let machine = &mut self.machines[m];
         let before = machine.worker.started_attempts.len();
-        let heartbeat = machine.worker.handle_direct_commands(&commands);
+        let heartbeat = machine.worker.execute_direct_commands(&commands);
         let name = machine.name.clone();
         self.check_starts(m, before);
         if term > 0 {
@@ -217,14 +217,20 @@
             );
         }
         let of_job = |t: &str| t.split_once('/').is_some_and(|(j, _)| j == id);
-        if spec.one_zone || spec.spread {
+        if spec.needs_one_zone || spec.must_spread {
             self.counts.zone_bound_starts += 1;
             let of_job: Vec<&(String, String)> = live.iter().filter(|(t, _)| of_job(t)).collect();
             let elsewhere = of_job.iter().any(|(_, z)| *z != zone);
-            assert!(!(spec.one_zone && elsewhere), "{task} starts in {zone}, others elsewhere");
+            assert!(
+                !(spec.needs_one_zone && elsewhere),
+                "{task} starts in {zone}, others elsewhere"
+            );
             let in_zone = of_job.iter().filter(|(_, z)| *z == zone).count();
             let cap = spec.max_tasks_per_zone() as usize;
-            assert!(!spec.spread || in_zone <= cap, "{task}: {in_zone} in {zone}, limit {cap}");
+            assert!(
+                !spec.must_spread || in_zone <= cap,
+                "{task}: {in_zone} in {zone}, limit {cap}"
+            );
         }
         if spec.team == "tight" {
             self.counts.quota_bound_starts += 1;
@@ -397,7 +403,7 @@
 
     /// Checks that no task of a cancelled job runs after the cancellation limit, whatever the faults.
     pub(super) fn check_cancelled_jobs(&self) {
-        let limit = span_of_seconds(self.controllers[0].config.platform.workers.cancel_s);
+        let limit = duration_from_seconds(self.controllers[0].config.platform.workers.cancel_s);
         for (id, reported) in &self.reported {
             let Some(at) = reported.cancelled_at.filter(|at| self.now > *at + limit) else {
                 continue;
--- a/crates/replication/src/publisher.rs
+++ b/crates/replication/src/publisher.rs
@@ -5,7 +5,7 @@
 use crate::log::ReplicationLog;
 use crate::message::{FollowRequest, FollowResponse, FollowResponseBody, FollowerProgress};
 use crate::position::Position;
-use crate::snapshot::{ImageChunk, Snapshot, SnapshotError};
+use crate::snapshot::{Snapshot, SnapshotChunk, SnapshotError};
 use crate::state::{PlacedTask, ReplicatedJob, ReplicatedMachine, ReplicatedState, Stage};
 use hookway_constants as constants;
 use hookway_time::MonotonicTime;
@@ -13,7 +13,7 @@
 
 /// The current state of an attempt on a machine, as the leader knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TaskView<'a> {
+pub struct PublishedTask<'a> {
     /// Id of the task in the form `req-000412/3`.
     pub task: &'a str,
     /// Number of the attempt; no two leaders use the same number.
@@ -24,7 +24,7 @@
 
 /// The current state of a machine, as the leader knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct MachineView<'a> {
+pub struct PublishedMachine<'a> {
     /// Unique name of the machine.
     pub name: &'a str,
     /// Address (`host:port`) of the machine's worker.
@@ -88,23 +88,23 @@
     /// Publishes a machine and the complete set of its tasks.
     pub fn publish_machine<'a>(
         &mut self,
-        view: MachineView<'_>,
-        tasks: impl Iterator<Item = TaskView<'a>> + Clone,
+        machine: PublishedMachine<'_>,
+        tasks: impl Iterator<Item = PublishedTask<'a>> + Clone,
     ) {
-        self.publish_worker(view);
-        self.publish_tasks(view.name, tasks);
+        self.publish_worker(machine);
+        self.publish_tasks(machine.name, tasks);
     }
 
-    fn publish_worker(&mut self, view: MachineView<'_>) {
-        let published = self.state.machines.get(view.name);
-        let is_published = published.is_some_and(|machine| {
-            machine.address == view.address && machine.incarnation == view.incarnation
+    fn publish_worker(&mut self, machine: PublishedMachine<'_>) {
+        let published = self.state.machines.get(machine.name);
+        let is_published = published.is_some_and(|published| {
+            published.address == machine.address && published.incarnation == machine.incarnation
         });
         if !is_published {
             self.append(Entry::Machine {
-                name: view.name.to_owned(),
-                address: view.address.to_owned(),
-                incarnation: view.incarnation,
+                name: machine.name.to_owned(),
+                address: machine.address.to_owned(),
+                incarnation: machine.incarnation,
             });
         }
     }
@@ -112,11 +112,11 @@
     fn publish_tasks<'a>(
         &mut self,
         machine: &str,
-        tasks: impl Iterator<Item = TaskView<'a>> + Clone,
+        tasks: impl Iterator<Item = PublishedTask<'a>> + Clone,
     ) {
         let Some(published) = self.state.machines.get(machine) else { return };
         let is_published =
-            |task: TaskView<'_>| published.stage(task.task, task.attempt) == Some(task.stage);
+            |task: PublishedTask<'_>| published.stage(task.task, task.attempt) == Some(task.stage);
         // Most machines have not changed, so this check avoids building entries for them.
         let has_same_count = tasks.clone().count() == published.tasks().len();
         if has_same_count && tasks.clone().all(is_published) {
@@ -174,7 +174,7 @@
     ) -> Result<FollowResponse, SnapshotError> {
         let body = match self.missing_entries(request, now) {
             Some(entries) => entries,
-            None => FollowResponseBody::ImageChunk(self.snapshot_chunk(request.progress, now)?),
+            None => FollowResponseBody::SnapshotChunk(self.snapshot_chunk(request.progress, now)?),
         };
         Ok(FollowResponse { end: self.log.end(), body })
     }
@@ -187,7 +187,7 @@
     ) -> Option<FollowResponseBody> {
         match request.progress {
             FollowerProgress::Through(after) => self.entries_after(&request.follower, after, now),
-            FollowerProgress::Empty | FollowerProgress::ReceivingImage { .. } => None,
+            FollowerProgress::Empty | FollowerProgress::ReceivingSnapshot { .. } => None,
         }
     }
 
@@ -230,9 +230,9 @@
         &mut self,
         progress: FollowerProgress,
         now: MonotonicTime,
-    ) -> Result<ImageChunk, SnapshotError> {
+    ) -> Result<SnapshotChunk, SnapshotError> {
         let next_chunk = match progress {
-            FollowerProgress::ReceivingImage { position, next_chunk } => {
+            FollowerProgress::ReceivingSnapshot { position, next_chunk } => {
                 self.chunk_of_current_snapshot(position, next_chunk)
             }
             FollowerProgress::Empty | FollowerProgress::Through(_) => None,
@@ -245,14 +245,14 @@
 
     /// Returns a chunk of the current snapshot; `None` if the snapshot is of another position, the log no longer has
     /// the entries after the snapshot, or the index is beyond the last chunk.
-    fn chunk_of_current_snapshot(&self, position: Position, index: u32) -> Option<ImageChunk> {
+    fn chunk_of_current_snapshot(&self, position: Position, index: u32) -> Option<SnapshotChunk> {
         let snapshot = self.snapshot.as_ref().filter(|snapshot| snapshot.position == position)?;
         if self.log.covers(position) { snapshot.chunk(index) } else { None }
     }
 
     /// Returns the first chunk of the current snapshot, or of a new one if the current snapshot has reached the
     /// end of its lifetime or the log no longer has the entries after it.
-    fn first_chunk(&mut self, now: MonotonicTime) -> Result<ImageChunk, SnapshotError> {
+    fn first_chunk(&mut self, now: MonotonicTime) -> Result<SnapshotChunk, SnapshotError> {
         let log = &self.log;
         let is_reusable = |snapshot: &Snapshot| {
             now < snapshot.taken_at + constants::REPLICATION_SNAPSHOT_LIFETIME
@@ -271,7 +271,7 @@
 fn task_entries<'a>(
     machine: &str,
     published: &ReplicatedMachine,
-    current: impl Iterator<Item = TaskView<'a>> + Clone,
+    current: impl Iterator<Item = PublishedTask<'a>> + Clone,
 ) -> Vec<Entry> {
     let is_current = |old: &PlacedTask| {
         current.clone().any(|new| new.attempt == old.attempt && new.task == old.task)
@@ -283,7 +283,7 @@
         attempt: old.attempt,
     });
     let is_published =
-        |new: &TaskView<'_>| published.stage(new.task, new.attempt) == Some(new.stage);
+        |new: &PublishedTask<'_>| published.stage(new.task, new.attempt) == Some(new.stage);
     let changed = current.clone().filter(|new| !is_published(new));
     let changes = changed.map(|new| Entry::Task {
         machine: machine.to_owned(),
--- a/crates/wire/src/replication.rs
+++ b/crates/wire/src/replication.rs
@@ -28,7 +28,8 @@
     /// From the end of catching up to the first task start.
     pub first_start: DurationStatus,
     /// The whole failover: from the last response of the previous leader to the first task start.
-    pub whole: DurationStatus,
+    #[serde(rename = "whole")]
+    pub total: DurationStatus,
 }
 
 /// Replication status of a controller: its phase, its copy of the leader's cluster state, and metrics.
@@ -56,7 +57,8 @@
     /// Durations of the past periods in which the copy was incomplete.
     pub lag: DurationStatus,
     /// Number of replication snapshots applied.
-    pub images: u64,
+    #[serde(rename = "images")]
+    pub snapshots: u64,
     /// Number of responses whose rejection made a new replication snapshot necessary.
     pub resyncs: u64,
     /// Durations of the failovers to this controller.
