--- a/crates/controller/src/api/cancellation.rs
+++ b/crates/controller/src/api/cancellation.rs
@@ -4,7 +4,7 @@
 use super::{ApiService, Origin};
 use crate::actor::ControllerRequest;
 use crate::cluster_state::{CancelOutcome, leases_expire_within_cancellation};
-use crate::job_snapshot::JobSnapshot;
+use crate::peer_job_status::JobSnapshot;
 use crate::peers::PeerRequest;
 use crate::records::{FinalRecord, LEADER_KEY, final_state_key, job_key};
 use crate::request_outcome::RequestOutcome;
--- a/crates/controller/src/api/job_reader.rs
+++ b/crates/controller/src/api/job_reader.rs
@@ -1,7 +1,7 @@
 //! Reads the records of single jobs from the store.
 
 use crate::circuit_breaker::CircuitBreaker;
-use crate::job_snapshot::JobSnapshot;
+use crate::peer_job_status::JobSnapshot;
 use crate::records::{FinalRecord, final_state_key, job_key};
 use hookway_clients::{HttpError, StoreClient, StoreError};
 use hookway_constants as constants;
--- a/crates/controller/src/api/mod.rs
+++ b/crates/controller/src/api/mod.rs
@@ -13,8 +13,8 @@
 
 use crate::actor::{ControllerHandle, ControllerRequest, HeartbeatReply, MachineTypes};
 use crate::final_state_cache::FinalStateCache;
-use crate::job_snapshot::JobSnapshot;
 use crate::leadership::LeadershipView;
+use crate::peer_job_status::JobSnapshot;
 use crate::peers::{PeerRequest, Peers};
 use crate::request_outcome::RequestOutcome;
 use crate::settings::PlatformSettings;
--- a/crates/controller/src/api/submission.rs
+++ b/crates/controller/src/api/submission.rs
@@ -4,8 +4,8 @@
 use super::admission::check_admission;
 use super::job_reader::StoredJob;
 use super::{ApiService, Origin};
-use crate::job_snapshot::JobSnapshot;
 use crate::leadership::wall_clock;
+use crate::peer_job_status::JobSnapshot;
 use crate::peers::PeerRequest;
 use crate::records::{JobRecord, final_state_key, fits_value_limit, job_key};
 use crate::request_outcome::RequestOutcome;
--- a/crates/controller/src/final_state_cache.rs
+++ b/crates/controller/src/final_state_cache.rs
@@ -1,6 +1,6 @@
 //! A cache of the final states of jobs. A final state never changes, so no entry becomes outdated.
 
-use crate::job_snapshot::JobSnapshot;
+use crate::peer_job_status::JobSnapshot;
 use hookway_constants as constants;
 use hookway_wire::JobId;
 use std::collections::{HashMap, VecDeque};
--- a/crates/controller/src/peers/client.rs
+++ b/crates/controller/src/peers/client.rs
@@ -4,7 +4,7 @@
 use super::messages::{PeerRequest, PeerResponse};
 use super::peer::Peer;
 use crate::frame::FrameVersion;
-use crate::job_snapshot::JobSnapshot;
+use crate::peer_job_status::JobSnapshot;
 use crate::request_outcome::RequestOutcome;
 use crate::shard_lease::{ShardLease, ShardLeaseRenewal};
 use hookway_constants as constants;
--- a/crates/controller/src/peers/messages.rs
+++ b/crates/controller/src/peers/messages.rs
@@ -1,7 +1,7 @@
 //! The messages between controllers. Their encoding names variants by position, so variants are
 //! never reordered or removed, and new ones come last.
 
-use crate::job_snapshot::JobSnapshot;
+use crate::peer_job_status::JobSnapshot;
 use crate::request_outcome::RequestOutcome;
 use crate::shard_lease::{ShardLease, ShardLeaseRenewal};
 use hookway_replication::{FollowRequest, FollowResponse};
--- a/crates/controller/src/request_outcome.rs
+++ b/crates/controller/src/request_outcome.rs
@@ -1,6 +1,6 @@
 //! The outcome of a user's request, before it becomes an HTTP response.
 
-use crate::job_snapshot::JobSnapshot;
+use crate::peer_job_status::JobSnapshot;
 use serde::{Deserialize, Serialize};
 
 /// The outcome of a user's request. Controllers exchange it in frames, whose encoding goes by the
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -7,7 +7,7 @@
 
 use formats_support::{fixture, frame, id, json, spec, status};
 use hookway_controller::frame::{self, CURRENT, Frame, FrameVersion};
-use hookway_controller::job_snapshot::JobSnapshot;
+use hookway_controller::peer_job_status::JobSnapshot;
 use hookway_controller::peers::{PeerRequest, PeerResponse};
 use hookway_controller::records::{
     ClassRecord, FinalRecord, ImageRecord, ImagesRecord, JobRecord, JobSchedulingRecord,
--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -6,8 +6,8 @@
 mod formats_support;
 
 use formats_support::{bare_spec, fixture, frame, json, read_only, status};
-use hookway_controller::job_snapshot::JobSnapshot;
 use hookway_controller::leadership::LeadershipView;
+use hookway_controller::peer_job_status::JobSnapshot;
 use hookway_controller::peers::{PeerRequest, PeerResponse, Peers};
 use hookway_controller::records::{
     ClassRecord, FinalRecord, ImageRecord, ImagesRecord, JobRecord, JobSchedulingRecord,
