--- a/crates/controller/src/actor/mod.rs
+++ b/crates/controller/src/actor/mod.rs
@@ -87,7 +87,7 @@
     pub async fn run(mut self) {
         loop {
             let view = self.config.view.borrow_and_update().clone();
-            self.config.standby.view_changed(&view, self.config.clock.now());
+            self.config.standby.leadership_view_changed(&view, self.config.clock.now());
             match view.own_term {
                 Some(leader_term) => self.lead(leader_term).await,
                 None => {
@@ -106,7 +106,7 @@
     /// Leads until the term ends. Gives up the leadership at once if this or a later term is known
     /// already.
     async fn lead(&mut self, leader_term: LeaderTerm) {
-        if !self.config.standby.elected(leader_term.term, self.config.clock.now()) {
+        if !self.config.standby.election_won(leader_term.term, self.config.clock.now()) {
             self.config.resign_requested.notify_one();
             // Waits until the election actor has given up the leadership.
             let _ = self.config.view.changed().await;
--- a/crates/controller/src/actor/store_io.rs
+++ b/crates/controller/src/actor/store_io.rs
@@ -4,7 +4,7 @@
 use super::messages::{ClusterEvent, ControllerEvent};
 use super::term::ActiveTerm;
 use crate::cluster_state::{CommitResult, LoadedState, PendingCommit, RereadKey};
-use crate::leadership::StoredWatermarks;
+use crate::leadership::WatermarkCompleteness;
 use crate::records::{
     CLASSES_KEY, JOBS_PREFIX, LEGACY_IMAGES_PREFIX, PROGRESS_PREFIX, REGISTRY_PREFIX,
     SCHEDULING_PREFIX,
@@ -63,7 +63,7 @@
 /// Reads all records that a new leader needs, the jobs first.
 async fn read_records(
     store: &StoreClient,
-    stored_watermarks: StoredWatermarks,
+    stored_watermarks: WatermarkCompleteness,
 ) -> Result<RecordsAtRevision, StoreError> {
     let jobs = store.list(JOBS_PREFIX).await?;
     let state = LoadedState {
--- a/crates/controller/src/cluster_state/commit_items.rs
+++ b/crates/controller/src/cluster_state/commit_items.rs
@@ -3,7 +3,7 @@
 use super::commit_queue::{CommitItem, JobPage, PendingCommit, RegistryMember};
 use super::machine_registry::MachineRegistry;
 use super::{ClusterState, JobKey, Machine};
-use crate::leadership::last_token;
+use crate::leadership::last_fencing_token;
 use crate::records::{
     CLASSES_KEY, ClassRecord, FinalRecord, JobSchedulingRecord, ProgressRecord,
     SharedStartWatermarksRecord, final_state_key, fits_value_limit, job_key, scheduling_key,
@@ -157,7 +157,7 @@
             return;
         }
         for key in keys {
-            commit.put((*key).to_owned(), last_token(self.term).into());
+            commit.put((*key).to_owned(), last_fencing_token(self.term).into());
         }
         commit.items.push(CommitItem::WatermarkMarker);
         self.commit_queue.watermark_marker.mark_sent();
--- a/crates/controller/src/cluster_state/recovery.rs
+++ b/crates/controller/src/cluster_state/recovery.rs
@@ -4,7 +4,7 @@
 use super::machine::FirstListing;
 use super::machine_registry::MachineRegistry;
 use super::{CachedImage, ClassHistory, ClusterState, JobKey, JobOrigin, Machine, Timestamp};
-use crate::leadership::StoredWatermarks;
+use crate::leadership::WatermarkCompleteness;
 use crate::records::{
     ClassRecord, ImagesRecord, JobSchedulingRecord, MachineRegistryRecord, ProgressRecord,
     SharedStartWatermarksRecord,
@@ -34,12 +34,12 @@
     /// The record of the job classes; `None` if no leader has written one.
     pub classes: Option<KeyValue>,
     /// Whether the start watermarks that earlier leaders recorded are complete.
-    pub stored_watermarks: StoredWatermarks,
+    pub stored_watermarks: WatermarkCompleteness,
 }
 
 impl LoadedState {
     /// Returns a state without records, with the given completeness of the start watermarks.
-    pub fn empty(stored_watermarks: StoredWatermarks) -> Self {
+    pub fn empty(stored_watermarks: WatermarkCompleteness) -> Self {
         Self {
             jobs: Vec::new(),
             progress: Vec::new(),
@@ -195,10 +195,10 @@
     /// start watermarks, every task of the job may have been started.
     fn finish_loading_watermarks(
         &mut self,
-        stored: StoredWatermarks,
+        stored: WatermarkCompleteness,
         shared_watermarks_complete: bool,
     ) {
-        let watermarks_complete = stored == StoredWatermarks::Complete;
+        let watermarks_complete = stored == WatermarkCompleteness::Complete;
         for job in self.jobs.values_mut() {
             let complete = watermarks_complete && (shared_watermarks_complete || !job.is_small());
             job.start_watermark.finish_loading(job.spec.tasks, complete);
@@ -209,7 +209,7 @@
     /// the next leader knows it as well. Until a job's record is durable, the assumption allows no
     /// start of its tasks; and until all of them are, the store does not say that the watermarks
     /// are complete.
-    fn queue_assumed_watermarks(&mut self, stored: StoredWatermarks, all_jobs_readable: bool) {
+    fn queue_assumed_watermarks(&mut self, stored: WatermarkCompleteness, all_jobs_readable: bool) {
         let assumed = self.jobs.iter().filter(|(_, job)| job.start_watermark.is_assumed());
         let assumed: BTreeSet<JobKey> = assumed.map(|(key, _)| *key).collect();
         tracing::info!(
--- a/crates/controller/src/cluster_state/watermark_marker.rs
+++ b/crates/controller/src/cluster_state/watermark_marker.rs
@@ -6,8 +6,8 @@
 //! first makes its assumed watermarks durable.
 
 use super::JobKey;
-use crate::leadership::StoredWatermarks;
-use crate::records::{COMPLETE_WATERMARKS_KEY, LEADER_WATERMARKS_KEY};
+use crate::leadership::WatermarkCompleteness;
+use crate::records::{COMPLETE_WATERMARKS_KEY, LEGACY_COMPLETE_WATERMARKS_KEY};
 use std::collections::BTreeSet;
 
 /// The progress of this term's marker.
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub(super) struct WatermarkMarker {
     /// Whether the store marks the watermarks of earlier leaders as complete.
-    stored: StoredWatermarks,
+    stored: WatermarkCompleteness,
     /// Jobs whose tasks count as started although no durable record says so.
     assumed: BTreeSet<JobKey>,
     state: MarkerState,
@@ -36,7 +36,7 @@
     /// Creates the marker of a leader that has not loaded the records yet: it is withheld.
     pub fn new() -> Self {
         Self {
-            stored: StoredWatermarks::Absent,
+            stored: WatermarkCompleteness::Absent,
             assumed: BTreeSet::new(),
             state: MarkerState::Withheld,
         }
@@ -47,13 +47,13 @@
     /// it could write no watermark record.
     pub fn records_loaded(
         &mut self,
-        stored: StoredWatermarks,
+        stored: WatermarkCompleteness,
         assumed: BTreeSet<JobKey>,
         all_jobs_readable: bool,
     ) {
         self.stored = stored;
         self.assumed = assumed;
-        let can_become_complete = stored == StoredWatermarks::Complete || all_jobs_readable;
+        let can_become_complete = stored == WatermarkCompleteness::Complete || all_jobs_readable;
         self.state = if can_become_complete { MarkerState::Pending } else { MarkerState::Withheld };
     }
 
@@ -70,11 +70,11 @@
 
     /// Returns the keys to write now; none before the watermarks are complete.
     pub fn due_keys(&self) -> &'static [&'static str] {
-        let complete_before = self.stored == StoredWatermarks::Complete;
+        let complete_before = self.stored == WatermarkCompleteness::Complete;
         match self.state {
-            MarkerState::Pending if complete_before => &[LEADER_WATERMARKS_KEY],
+            MarkerState::Pending if complete_before => &[LEGACY_COMPLETE_WATERMARKS_KEY],
             MarkerState::Pending if self.assumed.is_empty() => {
-                &[LEADER_WATERMARKS_KEY, COMPLETE_WATERMARKS_KEY]
+                &[LEGACY_COMPLETE_WATERMARKS_KEY, COMPLETE_WATERMARKS_KEY]
             }
             MarkerState::Withheld | MarkerState::Pending | MarkerState::Sent => &[],
         }
--- a/crates/controller/src/leadership/campaign.rs
+++ b/crates/controller/src/leadership/campaign.rs
@@ -7,7 +7,7 @@
 
 /// Whether the start watermarks that the leaders of earlier terms stored are complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StoredWatermarks {
+pub enum WatermarkCompleteness {
     /// Every task that may have been started has an index below the durable watermark of its job.
     /// Also the case before the first term, when no task can have been started.
     Complete,
@@ -17,7 +17,7 @@
     Outdated,
 }
 
-impl StoredWatermarks {
+impl WatermarkCompleteness {
     /// Derives the state of the watermarks from `keys`, the keys below `lead/`.
     ///
     /// A leader that did not receive the response to its election reads them after the election.
@@ -33,7 +33,7 @@
     }
 }
 
-impl fmt::Display for StoredWatermarks {
+impl fmt::Display for WatermarkCompleteness {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Complete => "complete",
@@ -44,35 +44,35 @@
 }
 
 /// Returns the last fencing token of the term that begins with the token `term`.
-pub fn last_token(term: u64) -> u64 {
+pub fn last_fencing_token(term: u64) -> u64 {
     term + constants::TOKENS_PER_TERM - 1
 }
 
 /// The contents of the keys below `lead/` while there is no leader. An election builds on them.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Vacancy {
+pub struct LeaderlessState {
     /// The highest fencing token of all terms so far; 0 before the first term.
-    last_token: u64,
+    last_fencing_token: u64,
     /// The revision at which `lead/term` was last written; 0 if the key does not exist.
     term_revision: u64,
     /// Whether the start watermarks of all terms so far are complete.
-    pub stored_watermarks: StoredWatermarks,
+    pub stored_watermarks: WatermarkCompleteness,
 }
 
-impl Vacancy {
+impl LeaderlessState {
     /// Parses `keys`, the keys below `lead/`. Assumes that there is no leader.
     pub fn read(keys: &[KeyValue]) -> Self {
         let term = keys.iter().find(|pair| pair.key == LEADER_TERM_KEY);
         Self {
-            last_token: term.and_then(|pair| pair.value.as_u64()).unwrap_or(0),
+            last_fencing_token: term.and_then(|pair| pair.value.as_u64()).unwrap_or(0),
             term_revision: term.map_or(0, |pair| pair.mod_revision),
-            stored_watermarks: StoredWatermarks::read(keys),
+            stored_watermarks: WatermarkCompleteness::read(keys),
         }
     }
 
     /// Returns the term that the next election begins, which is also its first fencing token.
     pub fn next_term(&self) -> u64 {
-        self.last_token + 1
+        self.last_fencing_token + 1
     }
 
     /// Returns the transaction that wins the election. It writes the leader record, attached to the
@@ -91,7 +91,7 @@
         leader: &LeaderRecord,
         lease_id: u64,
     ) -> Result<Transaction, serde_json::Error> {
-        let last_token = serde_json::json!(last_token(self.next_term()));
+        let last_fencing_token = serde_json::json!(last_fencing_token(self.next_term()));
         let preconditions = vec![
             Precondition { key: LEADER_KEY.into(), mod_revision: 0 },
             Precondition { key: LEADER_TERM_KEY.into(), mod_revision: self.term_revision },
@@ -102,10 +102,10 @@
                 value: serde_json::to_value(leader)?,
                 lease_id: Some(lease_id),
             },
-            Operation::put(LEADER_TERM_KEY, last_token.clone()),
+            Operation::put(LEADER_TERM_KEY, last_fencing_token.clone()),
         ];
-        if self.stored_watermarks == StoredWatermarks::Complete {
-            operations.push(Operation::put(COMPLETE_WATERMARKS_KEY, last_token));
+        if self.stored_watermarks == WatermarkCompleteness::Complete {
+            operations.push(Operation::put(COMPLETE_WATERMARKS_KEY, last_fencing_token));
         }
         Ok(Transaction { preconditions, operations })
     }
--- a/crates/controller/src/leadership/election.rs
+++ b/crates/controller/src/leadership/election.rs
@@ -1,6 +1,6 @@
 //! The election actor: campaigns for leadership, extends the leadership lease and detects its loss.
 
-use super::campaign::{StoredWatermarks, Vacancy};
+use super::campaign::{LeaderlessState, WatermarkCompleteness};
 use super::clock::Clock;
 use super::lease::{LeadershipLease, lease_expiry};
 use super::term::{LeaderTerm, LeadershipView};
@@ -18,7 +18,7 @@
 
 /// The dependencies of the election actor, some of them shared with the rest of the controller.
 #[derive(Debug)]
-pub struct LeadershipConfig {
+pub struct ElectionActorConfig {
     /// The name of this controller, unique in the cluster. One process at a time runs under it.
     pub controller_name: String,
     /// The client of the store, with a request rate of its own.
@@ -38,14 +38,14 @@
     pub lease_length: Duration,
     /// Whether this controller has a usable copy of the cluster state. If so, its delay before a
     /// campaign is shorter than that of controllers without one.
-    pub has_warm_copy: Arc<AtomicBool>,
+    pub has_usable_copy: Arc<AtomicBool>,
 }
 
 /// The election actor. It runs on a thread of its own, so that a long scheduling round does not
 /// delay the extension of the lease.
 #[derive(Debug)]
-pub struct Leadership {
-    config: LeadershipConfig,
+pub struct ElectionActor {
+    config: ElectionActorConfig,
     /// Distinguishes the campaigns of this actor from those of earlier processes of the same name.
     nonce: u64,
 }
@@ -53,7 +53,7 @@
 /// The leadership according to the store.
 enum LeaderState {
     Elected(ElectedLeader),
-    Vacant(Vacancy),
+    Vacant(LeaderlessState),
 }
 
 /// The leader record, and the metadata of its key.
@@ -65,7 +65,7 @@
     read_at_revision: u64,
     /// Whether the start watermarks of the terms before this leader's were complete. Valid only if
     /// the leader is this process.
-    stored_watermarks: StoredWatermarks,
+    stored_watermarks: WatermarkCompleteness,
 }
 
 /// Why a term ended.
@@ -77,9 +77,9 @@
     LeaseExpired,
 }
 
-impl Leadership {
+impl ElectionActor {
     /// Creates the actor. It does nothing until [`run`](Self::run) is called.
-    pub fn new(config: LeadershipConfig) -> Self {
+    pub fn new(config: ElectionActorConfig) -> Self {
         Self { config, nonce: rand::rng().random() }
     }
 
@@ -88,10 +88,10 @@
         loop {
             match self.read_leader().await {
                 Ok(LeaderState::Elected(leader)) => self.leader_found(leader).await,
-                Ok(LeaderState::Vacant(vacancy)) => {
+                Ok(LeaderState::Vacant(leaderless_state)) => {
                     self.publish_vacancy();
                     sleep(self.election_delay()).await;
-                    self.campaign(&vacancy).await;
+                    self.campaign(&leaderless_state).await;
                 }
                 Err(error) => {
                     tracing::debug!(%error, "reading the leader key failed");
@@ -140,7 +140,7 @@
     /// state.
     fn election_delay(&self) -> Duration {
         let jitter_ms = rand::rng().random_range(0..=whole_millis(constants::ELECTION_JITTER));
-        if self.config.has_warm_copy.load(Ordering::Relaxed) {
+        if self.config.has_usable_copy.load(Ordering::Relaxed) {
             Duration::from_millis(jitter_ms / constants::WARM_STANDBY_JITTER_DIVISOR)
         } else {
             Duration::from_millis(jitter_ms)
@@ -181,10 +181,10 @@
                 mod_revision: pair.mod_revision,
                 lease_id: pair.lease_id,
                 read_at_revision: revision,
-                stored_watermarks: StoredWatermarks::read(&pairs),
+                stored_watermarks: WatermarkCompleteness::read(&pairs),
             }));
         }
-        Ok(LeaderState::Vacant(Vacancy::read(&pairs)))
+        Ok(LeaderState::Vacant(LeaderlessState::read(&pairs)))
     }
 
     /// Watches the leader key for changes after `revision`. Returns when it changes, the watch
@@ -217,7 +217,7 @@
     }
 
     /// Tries to win the next term and, if this succeeds, leads until the term ends.
-    async fn campaign(&self, vacancy: &Vacancy) {
+    async fn campaign(&self, leaderless_state: &LeaderlessState) {
         let store = &self.config.store;
         let sent_at = self.config.clock.now();
         let lease_id = match store.grant(self.config.lease_length).await {
@@ -229,14 +229,15 @@
         };
         let record = LeaderRecord {
             controller_name: self.config.controller_name.clone(),
-            term: vacancy.next_term(),
+            term: leaderless_state.next_term(),
             nonce: self.nonce,
         };
-        let Ok(election) = vacancy.election(&record, lease_id) else { return };
+        let Ok(election) = leaderless_state.election(&record, lease_id) else { return };
         match store.commit(&election).await {
             Ok(CommitOutcome::Applied(revision)) => {
                 let expires_at = lease_expiry(sent_at, self.config.lease_length);
-                let term = term_of_record(&record, revision, lease_id, vacancy.stored_watermarks);
+                let term =
+                    term_of_record(&record, revision, lease_id, leaderless_state.stored_watermarks);
                 self.lead(term, Some(expires_at)).await;
             }
             Ok(CommitOutcome::PreconditionFailed(_)) => {
@@ -307,7 +308,7 @@
     record: &LeaderRecord,
     mod_revision: u64,
     lease_id: u64,
-    stored_watermarks: StoredWatermarks,
+    stored_watermarks: WatermarkCompleteness,
 ) -> LeaderTerm {
     LeaderTerm {
         term: record.term,
--- a/crates/controller/src/leadership/mod.rs
+++ b/crates/controller/src/leadership/mod.rs
@@ -16,8 +16,8 @@
 mod lease;
 mod term;
 
-pub use campaign::{StoredWatermarks, Vacancy, last_token};
+pub use campaign::{LeaderlessState, WatermarkCompleteness, last_fencing_token};
 pub use clock::{Clock, wall_clock};
-pub use election::{Leadership, LeadershipConfig};
+pub use election::{ElectionActor, ElectionActorConfig};
 pub use lease::{LeadershipLease, lease_expiry};
 pub use term::{LeaderTerm, LeadershipView};
--- a/crates/controller/src/leadership/term.rs
+++ b/crates/controller/src/leadership/term.rs
@@ -1,6 +1,6 @@
 //! A term won by this controller, and a controller's view of the current leader.
 
-use super::campaign::StoredWatermarks;
+use super::campaign::WatermarkCompleteness;
 use hookway_wire::Precondition;
 
 /// A term for which this controller was elected.
@@ -14,7 +14,7 @@
     /// The id, in the store, of the lease that the leader key is attached to.
     pub lease_id: u64,
     /// Whether the start watermarks of earlier terms were complete when this term began.
-    pub stored_watermarks: StoredWatermarks,
+    pub stored_watermarks: WatermarkCompleteness,
 }
 
 /// What this controller knows about the current leader.
--- a/crates/controller/src/records/keys.rs
+++ b/crates/controller/src/records/keys.rs
@@ -16,7 +16,7 @@
 /// Key of the same marker for versions that lack [`COMPLETE_WATERMARKS_KEY`], and rely on this one.
 /// Those versions write it with every election, even while the watermarks are not complete, so this
 /// version writes it and never reads it.
-pub const LEADER_WATERMARKS_KEY: &str = "lead/marked";
+pub const LEGACY_COMPLETE_WATERMARKS_KEY: &str = "lead/marked";
 /// Prefix of the records of accepted jobs that are not finished.
 pub const JOBS_PREFIX: &str = "j/";
 /// Prefix of the final states of jobs.
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -9,7 +9,9 @@
 use crate::final_state_cache::FinalStateCache;
 use crate::http;
 use crate::leader_sync::LeaderSync;
-use crate::leadership::{Clock, Leadership, LeadershipConfig, LeadershipLease, LeadershipView};
+use crate::leadership::{
+    Clock, ElectionActor, ElectionActorConfig, LeadershipLease, LeadershipView,
+};
 use crate::peers::{self, Peers};
 use crate::settings::{OperatorSettings, PlatformSettings, Settings};
 use crate::shard_lease::{ShardLessee, leader_timeout};
@@ -54,7 +56,7 @@
 
     // However long a scheduling round takes, the leadership lease must be extended and users must
     // be answered. So each actor has a thread of its own.
-    run_on_thread("leadership", components.leadership(view_sender).run())?;
+    run_on_thread("leadership", components.election_actor(view_sender).run())?;
     run_on_thread("controller", components.controller_actor(requests).run())?;
     tokio::spawn(read_machine_types(components.cloud.clone(), machine_types_sender));
     let sync = components.leader_sync(controller.clone());
@@ -144,8 +146,8 @@
         StoreClient::new(&self.settings.endpoints.state, rps)
     }
 
-    fn leadership(&self, view: watch::Sender<LeadershipView>) -> Leadership {
-        Leadership::new(LeadershipConfig {
+    fn election_actor(&self, view: watch::Sender<LeadershipView>) -> ElectionActor {
+        ElectionActor::new(ElectionActorConfig {
             controller_name: self.settings.controller_name.clone(),
             store: self.store_client(constants::LEADERSHIP_REQUEST_SHARE),
             clock: self.clock,
@@ -154,7 +156,7 @@
             resign_requested: self.resign_requested.clone(),
             leader_suspected: self.standby_signals.leader_suspected.clone(),
             lease_length: self.operator.replication.leader_lease,
-            has_warm_copy: self.standby_signals.has_warm_copy.clone(),
+            has_usable_copy: self.standby_signals.has_usable_copy.clone(),
         })
     }
 
--- a/crates/controller/src/standby.rs
+++ b/crates/controller/src/standby.rs
@@ -21,7 +21,7 @@
     pub leader_suspected: Arc<Notify>,
     /// Whether this controller has a usable copy of the cluster state. Updated before each
     /// replication request.
-    pub has_warm_copy: Arc<AtomicBool>,
+    pub has_usable_copy: Arc<AtomicBool>,
 }
 
 /// Whether a controller keeps a copy of the leader's cluster state while it does not lead.
@@ -70,9 +70,9 @@
     }
 
     /// Handles a change of the leadership while this controller does not lead. The beginning and
-    /// end of its own terms are reported by [`elected`](Self::elected) and
+    /// end of its own terms are reported by [`election_won`](Self::election_won) and
     /// [`deposed`](Self::deposed).
-    pub fn view_changed(&mut self, view: &LeadershipView, now: MonotonicTime) {
+    pub fn leadership_view_changed(&mut self, view: &LeadershipView, now: MonotonicTime) {
         if view.own_term.is_some() {
             return;
         }
@@ -108,7 +108,7 @@
         if self.detector.suspects(now) {
             self.advance_and_notify(Event::LeaderSilent, now);
         }
-        self.signals.has_warm_copy.store(self.usable_copy(now).is_ok(), Ordering::Relaxed);
+        self.signals.has_usable_copy.store(self.usable_copy(now).is_ok(), Ordering::Relaxed);
         Some(self.follower.request())
     }
 
@@ -143,13 +143,13 @@
     /// Begins the failover to this controller, which the store has recorded as the leader of
     /// `term`. Returns `false` if the controller must not lead, because this or a later term is
     /// known already.
-    pub fn elected(&mut self, term: u64, now: MonotonicTime) -> bool {
+    pub fn election_won(&mut self, term: u64, now: MonotonicTime) -> bool {
         self.advance(Event::Elected { term }, now) == Some(Action::ReadRecords)
     }
 
     /// Makes this controller the active leader, after it has read the records of earlier leaders.
     /// The read began in `term`. Returns `false` if that term has ended since.
-    pub fn records_read(&mut self, term: u64, now: MonotonicTime) -> bool {
+    pub fn record_reading_completed(&mut self, term: u64, now: MonotonicTime) -> bool {
         self.advance(Event::RecordsRead { term }, now) == Some(Action::Lead)
     }
 
--- a/crates/controller/tests/cluster_state/autoscaling.rs
+++ b/crates/controller/tests/cluster_state/autoscaling.rs
@@ -6,7 +6,7 @@
 use hookway_controller::cluster_state::{
     ClusterState, ControllerConfig, LoadedState, ScalingAction,
 };
-use hookway_controller::leadership::StoredWatermarks;
+use hookway_controller::leadership::WatermarkCompleteness;
 use hookway_controller::records::LEADER_KEY;
 use hookway_controller::settings::Settings;
 use hookway_testkit::{SETTINGS, machine_types};
@@ -106,7 +106,7 @@
     let loaded = LoadedState {
         registry: harness.store.list("r/"),
         classes: harness.store.get("c/lanes"),
-        ..LoadedState::empty(StoredWatermarks::Complete)
+        ..LoadedState::empty(WatermarkCompleteness::Complete)
     };
     let precondition = Precondition { key: LEADER_KEY.into(), mod_revision };
     let now = at(20_000);
--- a/crates/controller/tests/cluster_state/commit_queue.rs
+++ b/crates/controller/tests/cluster_state/commit_queue.rs
@@ -7,7 +7,7 @@
 use hookway_controller::cluster_state::{
     CancelOutcome, ClusterState, CommitResult, JobLookup, LoadedState,
 };
-use hookway_controller::leadership::StoredWatermarks;
+use hookway_controller::leadership::WatermarkCompleteness;
 use hookway_controller::records::{LEADER_KEY, final_state_key, job_key};
 use hookway_testkit::{ScriptedWorker, machine_types};
 use hookway_wire::{Command, ExitCause, JobId, JobState, Operation, Precondition, Transaction};
@@ -119,7 +119,7 @@
         1,
         precondition,
         machine_types(),
-        LoadedState::empty(StoredWatermarks::Absent),
+        LoadedState::empty(WatermarkCompleteness::Absent),
         elected_at,
     );
     // Thousands of machines register, and thousands of jobs finish at the same time.
--- a/crates/controller/tests/cluster_state/start_watermarks.rs
+++ b/crates/controller/tests/cluster_state/start_watermarks.rs
@@ -1,7 +1,7 @@
 //! Start watermarks: they tell a new leader which tasks no earlier leader can have started.
 
 use crate::harness::{LeaderHarness, at, job, small_worker, test_config};
-use hookway_controller::leadership::StoredWatermarks;
+use hookway_controller::leadership::WatermarkCompleteness;
 use hookway_controller::records::LEADER_KEY;
 use hookway_testkit::MemoryStore;
 use hookway_wire::ExitCause;
@@ -47,16 +47,16 @@
     harness.submit(job("req-000001", "array", 300));
     harness.run_rounds(&mut [&mut partitioned]);
     // A leader of version 0.1.0 may have started any of the tasks without storing a watermark.
-    let lead = |mut store: MemoryStore, term: u64, stored: StoredWatermarks, now| {
+    let lead = |mut store: MemoryStore, term: u64, stored: WatermarkCompleteness, now| {
         let mod_revision = store.put(LEADER_KEY, serde_json::json!({ "term": term }));
         LeaderHarness::recover(test_config(), store, (term, mod_revision), stored, now)
     };
-    let mut next = lead(harness.store.clone(), 2, StoredWatermarks::Absent, at(30_000));
+    let mut next = lead(harness.store.clone(), 2, WatermarkCompleteness::Absent, at(30_000));
     let mut idle = small_worker("m-3", "a");
     next.run_rounds(&mut [&mut idle]);
     assert_eq!(idle.started_attempts, [], "without watermarks any task may run on m-2");
     // The leader after that one reads from the store that any task may have been started.
-    let mut third = lead(next.store.clone(), 3, StoredWatermarks::Complete, at(33_000));
+    let mut third = lead(next.store.clone(), 3, WatermarkCompleteness::Complete, at(33_000));
     let mut idle = small_worker("m-4", "a");
     third.run_rounds(&mut [&mut idle]);
     assert_eq!(idle.started_attempts, []);
--- a/crates/controller/tests/cluster_state/unknown_watermarks.rs
+++ b/crates/controller/tests/cluster_state/unknown_watermarks.rs
@@ -10,8 +10,10 @@
 
 use crate::harness::{ElectionResponse, LeaderHarness, at, job, ms, small_worker};
 use hookway_controller::cluster_state::CommitResult;
-use hookway_controller::leadership::{StoredWatermarks, Vacancy};
-use hookway_controller::records::{COMPLETE_WATERMARKS_KEY, LEADER_PREFIX, LEADER_WATERMARKS_KEY};
+use hookway_controller::leadership::{LeaderlessState, WatermarkCompleteness};
+use hookway_controller::records::{
+    COMPLETE_WATERMARKS_KEY, LEADER_PREFIX, LEGACY_COMPLETE_WATERMARKS_KEY,
+};
 use hookway_testkit::{MemoryStore, ScriptedWorker};
 
 /// Returns a store with a job of 14 tasks that no leader has started, and the worker of one registered
@@ -62,8 +64,8 @@
     assert_eq!(running.len(), 1, "the machine has capacity for one task");
     store.put("lead/term", serde_json::json!(2 * hookway_constants::TOKENS_PER_TERM));
     assert_eq!(
-        Vacancy::read(&store.list(LEADER_PREFIX)).stored_watermarks,
-        StoredWatermarks::Outdated
+        LeaderlessState::read(&store.list(LEADER_PREFIX)).stored_watermarks,
+        WatermarkCompleteness::Outdated
     );
     let mut short = LeaderHarness::elect(store, ElectionResponse::Received, at(10_000));
     short.writes_refused = true;
@@ -110,14 +112,14 @@
 fn leader_marks_watermarks_complete_once_assumptions_are_durable() {
     let (store, mut worker) = store_of_older_version();
     let mut leader = LeaderHarness::elect(store, ElectionResponse::Received, at(10_000));
-    for marker in [COMPLETE_WATERMARKS_KEY, LEADER_WATERMARKS_KEY] {
+    for marker in [COMPLETE_WATERMARKS_KEY, LEGACY_COMPLETE_WATERMARKS_KEY] {
         assert!(
             !is_current(&leader.store, marker),
             "{marker} must not be written before the records"
         );
     }
     leader.run_rounds(&mut [&mut worker]);
-    for marker in [COMPLETE_WATERMARKS_KEY, LEADER_WATERMARKS_KEY] {
+    for marker in [COMPLETE_WATERMARKS_KEY, LEGACY_COMPLETE_WATERMARKS_KEY] {
         assert!(is_current(&leader.store, marker), "{marker}");
     }
     let new_job = leader.submit(job("req-000002", "array", 1));
@@ -174,9 +176,9 @@
     let (store, mut worker) = store_with_waiting_job();
     let mut leader = LeaderHarness::elect(store, ElectionResponse::Received, at(10_000));
     assert!(is_current(&leader.store, COMPLETE_WATERMARKS_KEY));
-    assert!(!is_current(&leader.store, LEADER_WATERMARKS_KEY));
+    assert!(!is_current(&leader.store, LEGACY_COMPLETE_WATERMARKS_KEY));
     leader.heartbeat(&mut worker);
-    assert!(is_current(&leader.store, LEADER_WATERMARKS_KEY));
+    assert!(is_current(&leader.store, LEGACY_COMPLETE_WATERMARKS_KEY));
 }
 
 /// A later version may have started tasks of a job that this version can't read and for which it therefore
--- a/crates/controller/tests/controller_actor.rs
+++ b/crates/controller/tests/controller_actor.rs
@@ -9,7 +9,7 @@
 use hookway_controller::api::{ApiService, ApiServiceConfig, Origin, StoreClients};
 use hookway_controller::cluster_state::ControllerConfig;
 use hookway_controller::leadership::{
-    Clock, Leadership, LeadershipConfig, LeadershipLease, LeadershipView,
+    Clock, ElectionActor, ElectionActorConfig, LeadershipLease, LeadershipView,
 };
 use hookway_controller::networks::Networks;
 use hookway_controller::peers::{self, Peers};
@@ -104,7 +104,7 @@
         drop(machine_types_tx);
     });
     if campaigns {
-        let leadership = Leadership::new(LeadershipConfig {
+        let election_actor = ElectionActor::new(ElectionActorConfig {
             controller_name: name.into(),
             store: client(),
             clock,
@@ -113,9 +113,9 @@
             resign_requested,
             leader_suspected: signals.leader_suspected,
             lease_length: hookway_constants::LEADER_TTL,
-            has_warm_copy: signals.has_warm_copy,
+            has_usable_copy: signals.has_usable_copy,
         });
-        tokio::spawn(leadership.run());
+        tokio::spawn(election_actor.run());
     } else {
         std::mem::forget(view_tx);
     }
--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -194,7 +194,7 @@
     let expected = |phase: &str, copy: &str| (phase.to_owned(), copy.to_owned());
     assert_eq!(phase_and_copy(&standby, at(0)), expected("following", "no copy"));
     let (leader, leader_term) = (Some("worker-1".to_owned()), Some(4_097));
-    standby.view_changed(&LeadershipView { leader, leader_term, own_term: None }, at(0));
+    standby.leadership_view_changed(&LeadershipView { leader, leader_term, own_term: None }, at(0));
     let mut publisher = publisher_with_cluster_state();
     for now in (0..10_000).step_by(200).map(at) {
         let request = standby.next_request(now).expect("a request of a follower");
@@ -203,10 +203,10 @@
     assert_eq!(phase_and_copy(&standby, at(10_000)), expected("following", "usable"));
     standby.next_request(at(20_000));
     assert_eq!(standby.status(at(20_000)).phase, "suspecting");
-    standby.view_changed(&LeadershipView::default(), at(20_000));
+    standby.leadership_view_changed(&LeadershipView::default(), at(20_000));
     assert_eq!(standby.status(at(20_000)).phase, "fencing");
-    assert!(standby.elected(8_193, at(20_000)));
+    assert!(standby.election_won(8_193, at(20_000)));
     assert_eq!(standby.status(at(20_000)).phase, "catching up");
-    assert!(standby.records_read(8_193, at(20_000)));
+    assert!(standby.record_reading_completed(8_193, at(20_000)));
     assert_eq!(standby.status(at(20_000)).phase, "active");
 }
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -6,7 +6,7 @@
     ClusterState, CommitResult, ControllerConfig, JobLookup, JobOrigin, LoadedState, PendingCommit,
     RereadKey, ScalingAction, Timestamp,
 };
-use hookway_controller::leadership::{StoredWatermarks, Vacancy};
+use hookway_controller::leadership::{LeaderlessState, WatermarkCompleteness};
 use hookway_controller::records::{
     JobRecord, LEADER_KEY, LEADER_PREFIX, LeaderRecord, final_state_key, job_key,
 };
@@ -115,7 +115,7 @@
         now: MonotonicTime,
     ) -> Self {
         let mod_revision = store.put(LEADER_KEY, serde_json::json!({ "term": term }));
-        Self::recover(config, store, (term, mod_revision), StoredWatermarks::Complete, now)
+        Self::recover(config, store, (term, mod_revision), WatermarkCompleteness::Complete, now)
     }
 
     /// A controller that has won an election as controllers run it, after the lease of the previous leader
@@ -124,15 +124,15 @@
         let leader_expired =
             Transaction { preconditions: vec![], operations: vec![Operation::delete(LEADER_KEY)] };
         store.commit(&leader_expired).expect("a deletion without preconditions");
-        let vacancy = Vacancy::read(&store.list(LEADER_PREFIX));
+        let leaderless_state = LeaderlessState::read(&store.list(LEADER_PREFIX));
         let controller_name = test_config().controller_name;
-        let leader = LeaderRecord { controller_name, term: vacancy.next_term(), nonce: 0 };
+        let leader = LeaderRecord { controller_name, term: leaderless_state.next_term(), nonce: 0 };
         let election =
-            vacancy.election(&leader, LEADERSHIP_LEASE).expect("a record that serializes");
+            leaderless_state.election(&leader, LEADERSHIP_LEASE).expect("a record that serializes");
         let mod_revision = store.commit(&election).expect("nobody else campaigns");
         let stored_watermarks = match response {
-            ElectionResponse::Received => vacancy.stored_watermarks,
-            ElectionResponse::Lost => StoredWatermarks::read(&store.list(LEADER_PREFIX)),
+            ElectionResponse::Received => leaderless_state.stored_watermarks,
+            ElectionResponse::Lost => WatermarkCompleteness::read(&store.list(LEADER_PREFIX)),
         };
         Self::recover(test_config(), store, (leader.term, mod_revision), stored_watermarks, now)
     }
@@ -142,7 +142,7 @@
         config: ControllerConfig,
         store: MemoryStore,
         (term, mod_revision): (u64, u64),
-        stored_watermarks: StoredWatermarks,
+        stored_watermarks: WatermarkCompleteness,
         now: MonotonicTime,
     ) -> Self {
         let loaded = LoadedState {
--- a/crates/controller/tests/leadership.rs
+++ b/crates/controller/tests/leadership.rs
@@ -1,11 +1,11 @@
-//! The leadership actor with a store on loopback whose leases expire when the test says so. The tests
+//! The election actor with a store on loopback whose leases expire when the test says so. The tests
 //! wait for events rather than for a time to pass.
 #![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 use hookway_clients::StoreClient;
 use hookway_controller::leadership::{
-    Clock, LeaderTerm, Leadership, LeadershipConfig, LeadershipLease, LeadershipView,
-    StoredWatermarks,
+    Clock, ElectionActor, ElectionActorConfig, LeaderTerm, LeadershipLease, LeadershipView,
+    WatermarkCompleteness,
 };
 use hookway_controller::records::{
     COMPLETE_WATERMARKS_KEY, LEADER_KEY, LEADER_TERM_KEY, LeaderRecord,
@@ -15,22 +15,22 @@
 use std::sync::Arc;
 use tokio::sync::{Notify, watch};
 
-/// The leadership actor of one controller and its shared handles.
+/// The election actor of one controller and its shared handles.
 struct RunningController {
     view: watch::Receiver<LeadershipView>,
     lease: Arc<LeadershipLease>,
     clock: Clock,
     suspicion: Arc<Notify>,
-    leadership: tokio::task::JoinHandle<()>,
+    election_actor: tokio::task::JoinHandle<()>,
 }
 
-/// Starts the leadership actor of a controller with the store at `address`.
+/// Starts the election actor of a controller with the store at `address`.
 fn start(name: &str, address: &str) -> RunningController {
     let (view_tx, view) = watch::channel(LeadershipView::default());
     let lease = Arc::new(LeadershipLease::default());
     let clock = Clock::default();
     let suspicion = Arc::new(Notify::new());
-    let leadership = Leadership::new(LeadershipConfig {
+    let election_actor = ElectionActor::new(ElectionActorConfig {
         controller_name: name.into(),
         store: StoreClient::new(address, 1_000.0),
         clock,
@@ -39,10 +39,10 @@
         resign_requested: Arc::new(Notify::new()),
         leader_suspected: suspicion.clone(),
         lease_length: hookway_constants::LEADER_TTL,
-        has_warm_copy: Arc::default(),
+        has_usable_copy: Arc::default(),
     });
-    let leadership = tokio::spawn(leadership.run());
-    RunningController { view, lease, clock, suspicion, leadership }
+    let election_actor = tokio::spawn(election_actor.run());
+    RunningController { view, lease, clock, suspicion, election_actor }
 }
 
 /// Waits until the controller leads and returns its term.
@@ -51,7 +51,7 @@
         .view
         .wait_for(|view| view.own_term.is_some())
         .await
-        .expect("the leadership actor runs");
+        .expect("the election actor runs");
     view.own_term.clone().expect("a term that the view has")
 }
 
@@ -68,7 +68,7 @@
         .view
         .wait_for(|view| view.leader.as_deref() == Some("one"))
         .await
-        .expect("the leadership actor runs");
+        .expect("the election actor runs");
     assert_eq!(controller_2.view.borrow().own_term, None, "only one controller leads at a time");
     // The lease expires, as if it had not been extended in time.
     server.expire_lease(first.lease_id);
@@ -76,7 +76,7 @@
         term = wait_for_own_term(&mut controller_2) => term,
         term = async { controller_1.view
             .wait_for(|view| view.own_term.as_ref().is_some_and(|own_term| own_term.term > 1)).await
-            .expect("the leadership actor runs").own_term.clone()
+            .expect("the election actor runs").own_term.clone()
             .expect("a term that the view has") } => term,
     };
     // The new term exceeds every fencing token of the first term, including those of single machines.
@@ -117,22 +117,24 @@
 /// version, which does not maintain the marker, it finds none.
 #[tokio::test]
 async fn candidate_that_lost_election_response_reads_stored_watermarks() {
-    for (last_token, expected) in
-        [(None, StoredWatermarks::Complete), (Some(4_096), StoredWatermarks::Absent)]
+    for (last_fencing_token, expected) in
+        [(None, WatermarkCompleteness::Complete), (Some(4_096), WatermarkCompleteness::Absent)]
     {
         let server = StoreServer::default();
         let address = server.start().await.expect("a free port");
-        if let Some(last_token) = last_token {
-            server.with_store(|store| store.put(LEADER_TERM_KEY, serde_json::json!(last_token)));
+        if let Some(last_fencing_token) = last_fencing_token {
+            server.with_store(|store| {
+                store.put(LEADER_TERM_KEY, serde_json::json!(last_fencing_token))
+            });
         }
         server.lose_next_commit_response();
         let mut controller = start("one", &address);
         let term = wait_for_own_term(&mut controller).await;
-        assert_eq!(term.term, last_token.unwrap_or(0) + 1);
+        assert_eq!(term.term, last_fencing_token.unwrap_or(0) + 1);
         assert_eq!(term.stored_watermarks, expected);
         let value = |key: &str| server.with_store(|store| store.get(key)).map(|pair| pair.value);
         let marked = value(COMPLETE_WATERMARKS_KEY) == value(LEADER_TERM_KEY);
-        assert_eq!(marked, expected == StoredWatermarks::Complete);
+        assert_eq!(marked, expected == WatermarkCompleteness::Complete);
     }
 }
 
@@ -150,7 +152,7 @@
     let mut view = controller_2.view.clone();
     view.wait_for(|view| view.leader.as_deref() == Some("one"))
         .await
-        .expect("the leadership actor runs");
+        .expect("the election actor runs");
     assert_eq!(controller_1.view.borrow().own_term, Some(first));
 }
 
@@ -168,7 +170,7 @@
         .view
         .wait_for(|view| view.leader.as_deref() == Some("one"))
         .await
-        .expect("the leadership actor runs");
+        .expect("the election actor runs");
     server.suppress_watch_events();
     controller_2.suspicion.notify_one();
     tokio::time::sleep(std::time::Duration::from_millis(200)).await;
@@ -179,7 +181,7 @@
     );
     assert_eq!(controller_1.view.borrow().own_term, Some(first.clone()));
     // The leader's process ends, so its lease expires; the suppressed watch delivers no event.
-    controller_1.leadership.abort();
+    controller_1.election_actor.abort();
     server.expire_lease(first.lease_id);
     controller_2.suspicion.notify_one();
     let limit = hookway_constants::WATCH_WAIT;
--- a/crates/controller/tests/simulation/elections.rs
+++ b/crates/controller/tests/simulation/elections.rs
@@ -5,10 +5,10 @@
 use super::{CONTROLLERS, Simulation, StoredLeadership};
 use hookway_constants as constants;
 use hookway_controller::cluster_state::{ClusterState, LoadedState};
-use hookway_controller::leadership::{StoredWatermarks, Vacancy, last_token};
+use hookway_controller::leadership::{LeaderlessState, WatermarkCompleteness, last_fencing_token};
 use hookway_controller::records::{
-    COMPLETE_WATERMARKS_KEY, LEADER_KEY, LEADER_PREFIX, LEADER_TERM_KEY, LEADER_WATERMARKS_KEY,
-    LeaderRecord,
+    COMPLETE_WATERMARKS_KEY, LEADER_KEY, LEADER_PREFIX, LEADER_TERM_KEY,
+    LEGACY_COMPLETE_WATERMARKS_KEY, LeaderRecord,
 };
 use hookway_replication::Publisher;
 use hookway_testkit::machine_types;
@@ -48,11 +48,11 @@
     /// Begins the term of controller `n`: commits its election, and creates the leader from all records in the store.
     pub(super) fn begin_term(&mut self, n: usize) {
         let now = self.now;
-        let vacancy = Vacancy::read(&self.store.list(LEADER_PREFIX));
-        let term = vacancy.next_term();
+        let leaderless_state = LeaderlessState::read(&self.store.list(LEADER_PREFIX));
+        let term = leaderless_state.next_term();
         let older_marker_current = self.older_marker_is_current();
-        let precondition = self.win_election(n, &vacancy);
-        let stored_watermarks = self.known_watermarks(n, &vacancy, older_marker_current);
+        let precondition = self.win_election(n, &leaderless_state);
+        let stored_watermarks = self.known_watermarks(n, &leaderless_state, older_marker_current);
         let loaded = LoadedState {
             jobs: self.store.list("j/"),
             progress: self.store.list("p/"),
@@ -89,11 +89,11 @@
     }
 
     /// Commits the election of controller `n`. Returns the precondition of its later writes.
-    fn win_election(&mut self, n: usize, vacancy: &Vacancy) -> Precondition {
-        let (term, nonce) = (vacancy.next_term(), self.controllers[n].nonce);
+    fn win_election(&mut self, n: usize, leaderless_state: &LeaderlessState) -> Precondition {
+        let (term, nonce) = (leaderless_state.next_term(), self.controllers[n].nonce);
         let record = LeaderRecord { controller_name: CONTROLLERS[n].0.to_owned(), term, nonce };
         let mut election =
-            vacancy.election(&record, LEADERSHIP_LEASE).expect("a record that serializes");
+            leaderless_state.election(&record, LEADERSHIP_LEASE).expect("a record that serializes");
         if self.controllers[n].version == Version::Old {
             self.replace_marker(&mut election, term);
         }
@@ -112,7 +112,8 @@
             |operation| !matches!(operation, Operation::Put { key, .. } if key == COMPLETE_WATERMARKS_KEY),
         );
         if self.older_marker_is_current() {
-            let marker = Operation::put(LEADER_WATERMARKS_KEY, last_token(term).into());
+            let marker =
+                Operation::put(LEGACY_COMPLETE_WATERMARKS_KEY, last_fencing_token(term).into());
             election.operations.push(marker);
         }
     }
@@ -120,7 +121,7 @@
     /// Whether an older version considers the start watermarks complete.
     fn older_marker_is_current(&self) -> bool {
         let value = |key: &str| self.store.get(key).map(|pair| pair.value);
-        value(LEADER_TERM_KEY) == value(LEADER_WATERMARKS_KEY)
+        value(LEADER_TERM_KEY) == value(LEGACY_COMPLETE_WATERMARKS_KEY)
     }
 
     /// Returns what the winner of an election knows about the start watermarks of earlier terms. The response to the
@@ -128,21 +129,23 @@
     fn known_watermarks(
         &mut self,
         n: usize,
-        vacancy: &Vacancy,
+        leaderless_state: &LeaderlessState,
         older_marker_current: bool,
-    ) -> StoredWatermarks {
+    ) -> WatermarkCompleteness {
         let response_lost = self.election_faults.is_some() && self.chance(500);
         self.counts.lost_election_responses += usize::from(response_lost);
         let known = match self.controllers[n].version {
-            Version::Old if older_marker_current && !response_lost => StoredWatermarks::Complete,
-            Version::Old => StoredWatermarks::Outdated,
+            Version::Old if older_marker_current && !response_lost => {
+                WatermarkCompleteness::Complete
+            }
+            Version::Old => WatermarkCompleteness::Outdated,
             Version::New if response_lost => {
-                StoredWatermarks::read(&self.store.list(LEADER_PREFIX))
+                WatermarkCompleteness::read(&self.store.list(LEADER_PREFIX))
             }
-            Version::New => vacancy.stored_watermarks,
+            Version::New => leaderless_state.stored_watermarks,
         };
         self.counts.terms_without_complete_watermarks +=
-            usize::from(known != StoredWatermarks::Complete);
+            usize::from(known != WatermarkCompleteness::Complete);
         known
     }
 
--- a/crates/controller/tests/store_keys.rs
+++ b/crates/controller/tests/store_keys.rs
@@ -6,7 +6,7 @@
 use harness::{LeaderHarness, job, small_worker};
 use hookway_clients::StoreClient;
 use hookway_controller::leadership::{
-    Clock, Leadership, LeadershipConfig, LeadershipLease, LeadershipView,
+    Clock, ElectionActor, ElectionActorConfig, LeadershipLease, LeadershipView,
 };
 use hookway_controller::records;
 use hookway_testkit::StoreServer;
@@ -27,7 +27,7 @@
     assert_eq!(records::LEADER_KEY, "lead/now");
     assert_eq!(records::LEADER_TERM_KEY, "lead/term");
     assert_eq!(records::COMPLETE_WATERMARKS_KEY, "lead/watermarks");
-    assert_eq!(records::LEADER_WATERMARKS_KEY, "lead/marked");
+    assert_eq!(records::LEGACY_COMPLETE_WATERMARKS_KEY, "lead/marked");
     assert_eq!(records::JOBS_PREFIX, "j/");
     assert_eq!(records::FINAL_STATES_PREFIX, "f/");
     assert_eq!(records::PROGRESS_PREFIX, "p/");
@@ -80,7 +80,7 @@
     let server = StoreServer::default();
     let address = server.start().await.expect("a free port");
     let (view_tx, mut view) = watch::channel(LeadershipView::default());
-    let leadership = Leadership::new(LeadershipConfig {
+    let election_actor = ElectionActor::new(ElectionActorConfig {
         controller_name: "worker-0".into(),
         store: StoreClient::new(&address, 1_000.0),
         clock: Clock::default(),
@@ -89,17 +89,14 @@
         resign_requested: Arc::new(Notify::new()),
         leader_suspected: Arc::new(Notify::new()),
         lease_length: std::time::Duration::from_secs(5),
-        has_warm_copy: Arc::default(),
+        has_usable_copy: Arc::default(),
     });
-    tokio::spawn(leadership.run());
+    tokio::spawn(election_actor.run());
     let leads = view.wait_for(|view| view.own_term.is_some());
     let term =
         tokio::time::timeout(Duration::from_secs(10), leads).await.expect("a term within 10 s");
-    let term = term
-        .expect("the leadership actor runs")
-        .own_term
-        .clone()
-        .expect("a term that the view has");
+    let term =
+        term.expect("the election actor runs").own_term.clone().expect("a term that the view has");
     let pairs = server.with_store(|store| store.list(""));
     let keys: Vec<(&str, Option<u64>)> =
         pairs.iter().map(|kv| (kv.key.as_str(), kv.lease_id)).collect();
