--- a/crates/controller/src/actor/events.rs
+++ b/crates/controller/src/actor/events.rs
@@ -113,7 +113,7 @@
         for CompletedJob { id, record } in cluster.take_completed_jobs() {
             // The cluster state no longer has the job, but its user will request the status once
             // more. Without the cache, each of these requests would take two reads of the store.
-            self.config.final_states.remember(&record.status(&id).into());
+            self.config.final_states.insert_if_final(&record.status(&id).into());
             active.pending_cancellations.job_finished(&id, &record);
         }
     }
--- a/crates/controller/src/actor/messages.rs
+++ b/crates/controller/src/actor/messages.rs
@@ -41,7 +41,7 @@
         reply: Reply<CancelOutcome>,
     },
     /// Add a job whose record was found in the store to the leader's cluster state.
-    AdoptJob {
+    AddJob {
         /// The term that this controller led before the record was read. A record that was read in
         /// an earlier term is ignored, because its job may have finished since.
         read_in_term: Option<u64>,
@@ -79,7 +79,7 @@
     /// keeps no copy.
     PrepareFollow(Reply<FollowRequest>),
     /// Apply the leader's response to a replication request of this controller.
-    Followed(FollowResponse),
+    FollowResponseReceived(FollowResponse),
     /// Report the state of replication and the durations of failovers.
     ReplicationStatus(Reply<ReplicationStatus>),
 }
--- a/crates/controller/src/actor/requests.rs
+++ b/crates/controller/src/actor/requests.rs
@@ -19,7 +19,7 @@
             }
             ControllerRequest::Status { reply, .. } => decline(reply),
             ControllerRequest::Cancel { reply, .. } => decline(reply),
-            ControllerRequest::AdoptJob { reply, .. } => decline(reply),
+            ControllerRequest::AddJob { reply, .. } => decline(reply),
             ControllerRequest::RenewShardLease { reply, .. } => decline(reply),
             ControllerRequest::PrepareShardLeaseRenewal(reply) => {
                 let renewal = self.config.shard_lessee.renewal(now);
@@ -32,7 +32,7 @@
             ControllerRequest::PrepareFollow(reply) => {
                 let _ = reply.send(self.config.standby.next_request(now));
             }
-            ControllerRequest::Followed(response) => {
+            ControllerRequest::FollowResponseReceived(response) => {
                 self.config.standby.handle_response(response, now)
             }
             ControllerRequest::ReplicationStatus(reply) => self.replication_status(reply, now),
@@ -69,7 +69,7 @@
                 }
                 outcome => answer(reply, outcome),
             },
-            ControllerRequest::AdoptJob { read_in_term, key, value, reply } => {
+            ControllerRequest::AddJob { read_in_term, key, value, reply } => {
                 if read_in_term == Some(active.leader_term.term) {
                     let at = Timestamp { monotonic: now, wall: wall_clock() };
                     cluster.add_job(&key, value, at, JobOrigin::ThisTerm);
@@ -85,7 +85,8 @@
             // A leader leases its own shard to itself, and does not follow another controller.
             ControllerRequest::PrepareShardLeaseRenewal(reply) => decline(reply),
             ControllerRequest::PrepareFollow(reply) => decline(reply),
-            ControllerRequest::ShardLeaseGranted { .. } | ControllerRequest::Followed(_) => {}
+            ControllerRequest::ShardLeaseGranted { .. }
+            | ControllerRequest::FollowResponseReceived(_) => {}
             ControllerRequest::ReplicationStatus(reply) => self.replication_status(reply, now),
         }
     }
@@ -111,7 +112,8 @@
             }
             ControllerRequest::PrepareShardLeaseRenewal(reply) => decline(reply),
             ControllerRequest::PrepareFollow(reply) => decline(reply),
-            ControllerRequest::ShardLeaseGranted { .. } | ControllerRequest::Followed(_) => {}
+            ControllerRequest::ShardLeaseGranted { .. }
+            | ControllerRequest::FollowResponseReceived(_) => {}
             other => self.handle_as_follower(other),
         }
     }
--- a/crates/controller/src/actor/timer.rs
+++ b/crates/controller/src/actor/timer.rs
@@ -44,7 +44,7 @@
         let lease_length = cluster.shard_lease_length(now);
         if !lease_length.is_zero() {
             let zones = cluster.own_shard();
-            self.config.shard_lessee.hold_as_leader(cluster.term(), zones, lease_length, now);
+            self.config.shard_lessee.lease_own_shard(cluster.term(), zones, lease_length, now);
         }
     }
 
--- a/crates/controller/src/api/cancellation.rs
+++ b/crates/controller/src/api/cancellation.rs
@@ -4,7 +4,7 @@
 use super::{ApiService, Origin};
 use crate::actor::ControllerRequest;
 use crate::cluster_state::{CancelOutcome, leases_expire_within_cancellation};
-use crate::peer_job_status::JobSnapshot;
+use crate::peer_job_status::PeerJobStatus;
 use crate::peers::PeerRequest;
 use crate::records::{FinalRecord, LEADER_KEY, final_state_key, job_key};
 use crate::request_outcome::RequestOutcome;
@@ -21,8 +21,8 @@
     /// controller writes the job's final state itself, on the precondition that the store records
     /// no leader. If this controller can't use the store either, the other controllers are asked.
     pub async fn cancel(&self, job: &JobId, origin: Origin) -> RequestOutcome {
-        if let Some(snapshot) = self.config.final_states.get(job) {
-            return RequestOutcome::Known(snapshot);
+        if let Some(status) = self.config.final_states.get(job) {
+            return RequestOutcome::Known(status);
         }
         if let Some(outcome) = self.cancel_as_leader(job).await {
             return outcome;
@@ -60,7 +60,7 @@
                 CancelOutcome::UnknownJob => {}
             }
             match self.job_reader.read(&self.config.stores.submissions, job).await {
-                Ok(StoredJob::Final(snapshot)) => return Some(self.known_job_outcome(snapshot)),
+                Ok(StoredJob::Final(status)) => return Some(self.known_job_outcome(status)),
                 Ok(StoredJob::Absent) => return Some(RequestOutcome::NotFound),
                 Ok(StoredJob::Active { key, value }) => {
                     self.add_job_from_record(term, key, value).await
@@ -82,11 +82,11 @@
         }
         let store = &self.config.stores.submissions;
         let value = match self.job_reader.read(store, job).await? {
-            StoredJob::Final(snapshot) => return Ok(self.known_job_outcome(snapshot)),
+            StoredJob::Final(status) => return Ok(self.known_job_outcome(status)),
             StoredJob::Absent => return Ok(RequestOutcome::NotFound),
             StoredJob::Active { value, .. } => value,
         };
-        let team = self.queued_snapshot(job, &value).team.unwrap_or_default();
+        let team = self.queued_status(job, &value).team.unwrap_or_default();
         let record = FinalRecord { state: JobState::Cancelled, done: 0, team, notes: vec![] };
         let Ok(final_value) = serde_json::to_value(&record) else {
             return Ok(RequestOutcome::unavailable("internal"));
@@ -102,12 +102,12 @@
     /// Announces a job whose final state is durable to the other controllers, so that a shard
     /// lessee that can't reach the store stops the job's tasks: docs/safety.md, "Cancellations are
     /// facts".
-    fn announce_finished_job(&self, snapshot: JobSnapshot) -> RequestOutcome {
+    fn announce_finished_job(&self, status: PeerJobStatus) -> RequestOutcome {
         for peer in self.config.peers.names() {
-            let (peers, snapshot) = (self.config.peers.clone(), snapshot.clone());
-            tokio::spawn(async move { peers.announce_finished_job(&peer, snapshot).await });
+            let (peers, status) = (self.config.peers.clone(), status.clone());
+            tokio::spawn(async move { peers.announce_finished_job(&peer, status).await });
         }
-        self.known_job_outcome(snapshot)
+        self.known_job_outcome(status)
     }
 }
 
--- a/crates/controller/src/api/job_reader.rs
+++ b/crates/controller/src/api/job_reader.rs
@@ -1,7 +1,7 @@
 //! Reads the records of single jobs from the store.
 
 use crate::circuit_breaker::CircuitBreaker;
-use crate::peer_job_status::JobSnapshot;
+use crate::peer_job_status::PeerJobStatus;
 use crate::records::{FinalRecord, final_state_key, job_key};
 use hookway_clients::{HttpError, StoreClient, StoreError};
 use hookway_constants as constants;
@@ -16,7 +16,7 @@
     /// The job was accepted and is not finished. The key and value of its record.
     Active { key: String, value: serde_json::Value },
     /// The job is finished. Its final state.
-    Final(JobSnapshot),
+    Final(PeerJobStatus),
     /// The job was never accepted.
     Absent,
 }
--- a/crates/controller/src/api/mod.rs
+++ b/crates/controller/src/api/mod.rs
@@ -14,7 +14,7 @@
 use crate::actor::{ControllerHandle, ControllerRequest, HeartbeatReply, MachineTypes};
 use crate::final_state_cache::FinalStateCache;
 use crate::leadership::LeadershipView;
-use crate::peer_job_status::JobSnapshot;
+use crate::peer_job_status::PeerJobStatus;
 use crate::peers::{PeerRequest, Peers};
 use crate::request_outcome::RequestOutcome;
 use crate::settings::PlatformSettings;
@@ -60,7 +60,7 @@
     /// The handle to this controller's actor, which decides if this controller leads.
     pub controller: ControllerHandle,
     /// The current leader, as published by the election actor.
-    pub view: watch::Receiver<LeadershipView>,
+    pub leadership_view: watch::Receiver<LeadershipView>,
     /// The machine types of the cloud; `None` until they have been read.
     pub machine_types: watch::Receiver<MachineTypes>,
     /// The final states of jobs. The cache is shared with the controller actor, which adds the jobs
@@ -103,21 +103,21 @@
     }
 
     /// Caches the state of a job if it is final, and returns it as the outcome of a request.
-    fn known_job_outcome(&self, snapshot: JobSnapshot) -> RequestOutcome {
-        self.config.final_states.remember(&snapshot);
-        RequestOutcome::Known(snapshot)
+    fn known_job_outcome(&self, status: PeerJobStatus) -> RequestOutcome {
+        self.config.final_states.insert_if_final(&status);
+        RequestOutcome::Known(status)
     }
 
     /// Returns the name of the leader that this controller saw last.
     fn leader(&self) -> Option<String> {
-        self.config.view.borrow().leader.clone()
+        self.config.leadership_view.borrow().leader.clone()
     }
 
     /// Returns the term of this controller, if it leads. Must be called before a record is read
     /// from the store, so that the record can't be older than the term in which the leader adds its
     /// job.
     fn own_term(&self) -> Option<u64> {
-        self.config.view.borrow().own_term.as_ref().map(|own| own.term)
+        self.config.leadership_view.borrow().own_term.as_ref().map(|own| own.term)
     }
 
     /// Adds a job to the cluster state of this controller, if it still leads in `read_in_term`, the
@@ -128,14 +128,14 @@
         key: String,
         value: serde_json::Value,
     ) {
-        let add_job = |reply| ControllerRequest::AdoptJob { read_in_term, key, value, reply };
+        let add_job = |reply| ControllerRequest::AddJob { read_in_term, key, value, reply };
         self.config.controller.request(add_job).await;
     }
 
     /// Returns the state of a job whose record is in the store and that no leader schedules yet.
-    fn queued_snapshot(&self, job: &JobId, record: &serde_json::Value) -> JobSnapshot {
+    fn queued_status(&self, job: &JobId, record: &serde_json::Value) -> PeerJobStatus {
         let team = record.pointer(TEAM_POINTER).and_then(|team| team.as_str());
-        JobSnapshot {
+        PeerJobStatus {
             id: job.clone(),
             state: JobState::Queued,
             done: 0,
@@ -154,9 +154,9 @@
         time_limit: Duration,
     ) -> Option<RequestOutcome> {
         let leader = self.leader()?;
-        match self.config.peers.ask(&leader, request, time_limit).await {
+        match self.config.peers.send_user_request(&leader, request, time_limit).await {
             Ok(RequestOutcome::Unavailable(_)) => None,
-            Ok(RequestOutcome::Known(snapshot)) => Some(self.known_job_outcome(snapshot)),
+            Ok(RequestOutcome::Known(status)) => Some(self.known_job_outcome(status)),
             Ok(outcome) => Some(outcome),
             Err(error) => {
                 tracing::debug!(leader, %error, "request to the leader failed");
@@ -189,8 +189,8 @@
     /// Passes a request on to another controller. Returns `None` if that can't decide or does not
     /// respond.
     async fn ask_peer(&self, peer: &str, request: &PeerRequest) -> Option<RequestOutcome> {
-        match self.config.peers.ask(peer, request, constants::PEER_TIMEOUT).await {
-            Ok(RequestOutcome::Known(snapshot)) => Some(self.known_job_outcome(snapshot)),
+        match self.config.peers.send_user_request(peer, request, constants::PEER_TIMEOUT).await {
+            Ok(RequestOutcome::Known(status)) => Some(self.known_job_outcome(status)),
             Ok(RequestOutcome::Unavailable(reason)) => {
                 tracing::debug!(peer, reason, "another controller can't decide the request");
                 None
--- a/crates/controller/src/api/peer_requests.rs
+++ b/crates/controller/src/api/peer_requests.rs
@@ -19,13 +19,13 @@
                 None => RequestOutcome::NotFound,
             },
             PeerRequest::Submit(body) => self.submit(&body, Origin::Peer).await,
-            PeerRequest::JobFinished(snapshot) => self.known_job_outcome(snapshot),
+            PeerRequest::JobFinished(status) => self.known_job_outcome(status),
             PeerRequest::RenewShardLease(renewal) => {
                 let renew = |reply| ControllerRequest::RenewShardLease { renewal, reply };
                 return PeerResponse::ShardLease(self.config.controller.request(renew).await);
             }
             PeerRequest::Follow(request) => {
-                return PeerResponse::Followed(self.follow_response(request).await);
+                return PeerResponse::FollowResponse(self.follow_response(request).await);
             }
         };
         PeerResponse::Outcome(outcome)
--- a/crates/controller/src/api/status.rs
+++ b/crates/controller/src/api/status.rs
@@ -13,8 +13,8 @@
     /// Returns the state of a job. A state that can still change comes from the leader, or from a
     /// read of the store that began after this request; a final state may come from the cache.
     pub async fn status(&self, job: &JobId, origin: Origin) -> RequestOutcome {
-        if let Some(snapshot) = self.config.final_states.get(job) {
-            return RequestOutcome::Known(snapshot);
+        if let Some(status) = self.config.final_states.get(job) {
+            return RequestOutcome::Known(status);
         }
         let term = self.own_term();
         let look_up = |reply| ControllerRequest::Status { job: job.clone(), reply };
@@ -30,13 +30,13 @@
             }
         }
         match self.job_reader.read(&self.config.stores.queries, job).await {
-            Ok(StoredJob::Final(snapshot)) => self.known_job_outcome(snapshot),
+            Ok(StoredJob::Final(status)) => self.known_job_outcome(status),
             Ok(StoredJob::Active { key, value }) => {
-                let snapshot = self.queued_snapshot(job, &value);
+                let status = self.queued_status(job, &value);
                 if is_leader {
                     self.add_job_from_record(term, key, value).await;
                 }
-                RequestOutcome::Known(snapshot)
+                RequestOutcome::Known(status)
             }
             Ok(StoredJob::Absent) => RequestOutcome::NotFound,
             Err(error) => {
--- a/crates/controller/src/api/submission.rs
+++ b/crates/controller/src/api/submission.rs
@@ -5,7 +5,7 @@
 use super::job_reader::StoredJob;
 use super::{ApiService, Origin};
 use crate::leadership::wall_clock;
-use crate::peer_job_status::JobSnapshot;
+use crate::peer_job_status::PeerJobStatus;
 use crate::peers::PeerRequest;
 use crate::records::{JobRecord, final_state_key, fits_value_limit, job_key};
 use crate::request_outcome::RequestOutcome;
@@ -31,8 +31,8 @@
             }
         };
         let job = spec.id.clone();
-        if let Some(snapshot) = self.config.final_states.get(&job) {
-            return RequestOutcome::Known(snapshot);
+        if let Some(status) = self.config.final_states.get(&job) {
+            return RequestOutcome::Known(status);
         }
         let Some(machine_types) = self.config.machine_types.borrow().clone() else {
             return RequestOutcome::unavailable("the machine types are not known yet");
@@ -72,9 +72,9 @@
         let error = match self.config.stores.submissions.commit(&transaction).await {
             Ok(CommitOutcome::Applied(_)) => {
                 let team = Some(spec.team);
-                return RequestOutcome::Accepted(JobSnapshot {
+                return RequestOutcome::Accepted(PeerJobStatus {
                     team,
-                    ..self.queued_snapshot(job, &value)
+                    ..self.queued_status(job, &value)
                 });
             }
             Ok(CommitOutcome::PreconditionFailed(_)) => return self.status(job, origin).await,
@@ -104,8 +104,8 @@
         value: &serde_json::Value,
     ) -> Result<RequestOutcome, StoreError> {
         Ok(match self.job_reader.read(&self.config.stores.submissions, job).await? {
-            StoredJob::Active { .. } => RequestOutcome::Accepted(self.queued_snapshot(job, value)),
-            StoredJob::Final(snapshot) => self.known_job_outcome(snapshot),
+            StoredJob::Active { .. } => RequestOutcome::Accepted(self.queued_status(job, value)),
+            StoredJob::Final(status) => self.known_job_outcome(status),
             StoredJob::Absent => RequestOutcome::unavailable("the state service did not answer"),
         })
     }
--- a/crates/controller/src/cluster_state/leases.rs
+++ b/crates/controller/src/cluster_state/leases.rs
@@ -40,7 +40,7 @@
         now: MonotonicTime,
     ) -> Option<ShardLease> {
         let lease = self.shard_lease_length(now);
-        self.shard_lessor.renew(self.term, renewal, lease, now)
+        self.shard_lessor.respond_to_renewal(self.term, renewal, lease, now)
     }
 
     /// Returns the length of a shard lease that is granted at `now`.
--- a/crates/controller/src/cluster_state/standby_replication.rs
+++ b/crates/controller/src/cluster_state/standby_replication.rs
@@ -135,7 +135,7 @@
         for (name, known) in &replicated_state.machines {
             let Some(machine) = self.machines.get_mut(name) else { continue };
             let needs_address = !machine.has_reported && machine.address.is_empty();
-            if needs_address && workers.allow_socket(&known.address) {
+            if needs_address && workers.allows_socket_address(&known.address) {
                 machine.address.clone_from(&known.address);
                 restored.addresses += 1;
             }
--- a/crates/controller/src/final_state_cache.rs
+++ b/crates/controller/src/final_state_cache.rs
@@ -1,6 +1,6 @@
 //! A cache of the final states of jobs. A final state never changes, so no entry becomes outdated.
 
-use crate::peer_job_status::JobSnapshot;
+use crate::peer_job_status::PeerJobStatus;
 use hookway_constants as constants;
 use hookway_wire::JobId;
 use std::collections::{HashMap, VecDeque};
@@ -16,37 +16,37 @@
 
 #[derive(Debug, Default)]
 struct Entries {
-    snapshots: HashMap<JobId, JobSnapshot>,
+    statuses: HashMap<JobId, PeerJobStatus>,
     /// The cached jobs; the first one to be evicted comes first.
     insertion_order: VecDeque<JobId>,
 }
 
 impl FinalStateCache {
     /// Returns the final state of a job, if it is cached.
-    pub fn get(&self, job: &JobId) -> Option<JobSnapshot> {
-        self.entries.lock().ok()?.snapshots.get(job).cloned()
+    pub fn get(&self, job: &JobId) -> Option<PeerJobStatus> {
+        self.entries.lock().ok()?.statuses.get(job).cloned()
     }
 
     /// Whether a job is known to have finished. A finished job may have been evicted.
     pub fn contains(&self, job: &JobId) -> bool {
-        self.entries.lock().is_ok_and(|entries| entries.snapshots.contains_key(job))
+        self.entries.lock().is_ok_and(|entries| entries.statuses.contains_key(job))
     }
 
     /// Caches the state of a job if it is final; ignores any other state.
-    pub fn remember(&self, snapshot: &JobSnapshot) {
-        if !snapshot.state.is_final() {
+    pub fn insert_if_final(&self, status: &PeerJobStatus) {
+        if !status.state.is_final() {
             return;
         }
         let Ok(mut entries) = self.entries.lock() else { return };
-        let known = entries.snapshots.insert(snapshot.id.clone(), snapshot.clone());
+        let known = entries.statuses.insert(status.id.clone(), status.clone());
         if known.is_some() {
             return;
         }
-        entries.insertion_order.push_back(snapshot.id.clone());
+        entries.insertion_order.push_back(status.id.clone());
         if entries.insertion_order.len() > constants::FINAL_STATE_CACHE_SIZE
             && let Some(oldest) = entries.insertion_order.pop_front()
         {
-            entries.snapshots.remove(&oldest);
+            entries.statuses.remove(&oldest);
         }
     }
 }
--- a/crates/controller/src/frame.rs
+++ b/crates/controller/src/frame.rs
@@ -18,10 +18,10 @@
 pub struct FrameVersion(pub u32);
 
 /// The first version whose controllers answer standbys (`PeerRequest::Follow`).
-pub const REPLICATION: FrameVersion = FrameVersion(2);
+pub const FIRST_REPLICATION_VERSION: FrameVersion = FrameVersion(2);
 
 /// The version of the formats that this build writes.
-pub const CURRENT: FrameVersion = FrameVersion(2);
+pub const CURRENT_VERSION: FrameVersion = FrameVersion(2);
 
 /// A decoded frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -50,7 +50,7 @@
 /// Encodes a message and the version of this build as a frame.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, FrameError> {
     let mut frame = bincode::serde::encode_to_vec(message, config())?;
-    frame.extend(bincode::serde::encode_to_vec(CURRENT, config())?);
+    frame.extend(bincode::serde::encode_to_vec(CURRENT_VERSION, config())?);
     Ok(frame)
 }
 
--- a/crates/controller/src/leader_sync.rs
+++ b/crates/controller/src/leader_sync.rs
@@ -20,7 +20,7 @@
     /// The connections to the other controllers.
     pub peers: Arc<Peers>,
     /// The current leader, published by the election actor.
-    pub view: watch::Receiver<LeadershipView>,
+    pub leadership_view: watch::Receiver<LeadershipView>,
 }
 
 impl LeaderSync {
@@ -53,11 +53,16 @@
             let prepare = ControllerRequest::PrepareFollow;
             let Some(request) = self.controller.request(prepare).await else { continue };
             // The version of the leader is known from its responses to shard lease renewals.
-            let publishes =
-                |leader: &String| self.peers.version(leader) >= Some(frame::REPLICATION);
+            let publishes = |leader: &String| {
+                self.peers.version(leader) >= Some(frame::FIRST_REPLICATION_VERSION)
+            };
             let Some(leader) = self.other_leader().filter(publishes) else { continue };
             match self.peers.follow(&leader, request).await {
-                Ok(response) => self.controller.notify(ControllerRequest::Followed(response)).await,
+                Ok(response) => {
+                    self.controller
+                        .notify(ControllerRequest::FollowResponseReceived(response))
+                        .await
+                }
                 Err(error) => tracing::debug!(leader, %error, "following the leader failed"),
             }
         }
@@ -65,6 +70,10 @@
 
     /// Returns the name of the last known leader, if it is another controller.
     fn other_leader(&self) -> Option<String> {
-        self.view.borrow().leader.clone().filter(|leader| *leader != self.controller_name)
+        self.leadership_view
+            .borrow()
+            .leader
+            .clone()
+            .filter(|leader| *leader != self.controller_name)
     }
 }
--- a/crates/controller/src/networks.rs
+++ b/crates/controller/src/networks.rs
@@ -33,7 +33,7 @@
 
     /// Whether the IP address in a socket address, such as `10.0.0.1:9000`, is allowed. Only the
     /// empty set allows text that is not a socket address, such as a host name.
-    pub fn allow_socket(&self, address: &str) -> bool {
+    pub fn allows_socket_address(&self, address: &str) -> bool {
         self.0.is_empty()
             || address.parse::<SocketAddr>().is_ok_and(|address| self.allows(address.ip()))
     }
--- a/crates/controller/src/peer_job_status.rs
+++ b/crates/controller/src/peer_job_status.rs
@@ -1,12 +1,12 @@
-//! The state of a job at one time, in the form that controllers exchange.
+//! The status of a job, in the form that controllers exchange.
 
 use hookway_wire::{JobId, JobState, JobStatus};
 use serde::{Deserialize, Serialize};
 
-/// The state of a job at one time. Frames encode it by the positions of its fields, so they are
+/// The status of a job at one time. Frames encode it by the positions of its fields, so they are
 /// never reordered, added or removed. [`JobStatus`], which users see, is encoded by names instead.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JobSnapshot {
+pub struct PeerJobStatus {
     /// The id of the job.
     pub id: JobId,
     /// Whether the job is queued, running, done or cancelled.
@@ -24,16 +24,16 @@
     pub notes: Vec<String>,
 }
 
-impl From<JobStatus> for JobSnapshot {
+impl From<JobStatus> for PeerJobStatus {
     fn from(status: JobStatus) -> Self {
         let JobStatus { id, state, done, running, team, leader, notes } = status;
         Self { id, state, done, running, team, leader, notes }
     }
 }
 
-impl From<JobSnapshot> for JobStatus {
-    fn from(snapshot: JobSnapshot) -> Self {
-        let JobSnapshot { id, state, done, running, team, leader, notes } = snapshot;
+impl From<PeerJobStatus> for JobStatus {
+    fn from(status: PeerJobStatus) -> Self {
+        let PeerJobStatus { id, state, done, running, team, leader, notes } = status;
         Self { id, state, done, running, team, leader, notes }
     }
 }
--- a/crates/controller/src/peers/client.rs
+++ b/crates/controller/src/peers/client.rs
@@ -4,7 +4,7 @@
 use super::messages::{PeerRequest, PeerResponse};
 use super::peer::Peer;
 use crate::frame::FrameVersion;
-use crate::peer_job_status::JobSnapshot;
+use crate::peer_job_status::PeerJobStatus;
 use crate::request_outcome::RequestOutcome;
 use crate::shard_lease::{ShardLease, ShardLeaseRenewal};
 use hookway_constants as constants;
@@ -38,7 +38,7 @@
     /// Passes a user's request on to the controller `name`. Fails at once while the circuit breaker
     /// is open because a request has failed: the controller may be paused or partitioned, and users
     /// must not wait for the time limit each time.
-    pub async fn ask(
+    pub async fn send_user_request(
         &self,
         name: &str,
         request: &PeerRequest,
@@ -50,7 +50,7 @@
         }
         match peer.exchange(request, time_limit).await? {
             PeerResponse::Outcome(outcome) => Ok(outcome),
-            PeerResponse::ShardLease(_) | PeerResponse::Followed(_) => {
+            PeerResponse::ShardLease(_) | PeerResponse::FollowResponse(_) => {
                 Err(PeerError::UnexpectedResponse { address: peer.address() })
             }
         }
@@ -58,10 +58,10 @@
 
     /// Announces a finished job to the controller `name`. Nothing depends on the arrival of the
     /// message.
-    pub async fn announce_finished_job(&self, name: &str, job: JobSnapshot) {
+    pub async fn announce_finished_job(&self, name: &str, job: PeerJobStatus) {
         let id = job.id.clone();
         let request = PeerRequest::JobFinished(job);
-        if let Err(error) = self.ask(name, &request, constants::PEER_TIMEOUT).await {
+        if let Err(error) = self.send_user_request(name, &request, constants::PEER_TIMEOUT).await {
             tracing::debug!(job = %id, peer = name, %error, "announcing a finished job failed");
         }
     }
@@ -80,7 +80,7 @@
             PeerResponse::ShardLease(None) => {
                 Err(PeerError::NotLeading { address: peer.address() })
             }
-            PeerResponse::Outcome(_) | PeerResponse::Followed(_) => {
+            PeerResponse::Outcome(_) | PeerResponse::FollowResponse(_) => {
                 Err(PeerError::UnexpectedResponse { address: peer.address() })
             }
         }
@@ -97,8 +97,10 @@
         let peer = self.peer(name)?;
         let request = PeerRequest::Follow(request);
         match peer.exchange(&request, constants::PEER_TIMEOUT).await? {
-            PeerResponse::Followed(Some(response)) => Ok(response),
-            PeerResponse::Followed(None) => Err(PeerError::NotLeading { address: peer.address() }),
+            PeerResponse::FollowResponse(Some(response)) => Ok(response),
+            PeerResponse::FollowResponse(None) => {
+                Err(PeerError::NotLeading { address: peer.address() })
+            }
             PeerResponse::Outcome(_) | PeerResponse::ShardLease(_) => {
                 Err(PeerError::UnexpectedResponse { address: peer.address() })
             }
--- a/crates/controller/src/peers/messages.rs
+++ b/crates/controller/src/peers/messages.rs
@@ -1,7 +1,7 @@
 //! The messages between controllers. Their encoding names variants by position, so variants are
 //! never reordered or removed, and new ones come last.
 
-use crate::peer_job_status::JobSnapshot;
+use crate::peer_job_status::PeerJobStatus;
 use crate::request_outcome::RequestOutcome;
 use crate::shard_lease::{ShardLease, ShardLeaseRenewal};
 use hookway_replication::{FollowRequest, FollowResponse};
@@ -20,7 +20,7 @@
     /// Renew the shard lease of the requesting controller.
     RenewShardLease(ShardLeaseRenewal),
     /// Announces that a job is finished and its final state is durable.
-    JobFinished(JobSnapshot),
+    JobFinished(PeerJobStatus),
     /// Return the replication log entries or the chunk of a replication snapshot that a standby's
     /// copy needs next. Controllers answer it from frame version 2 on.
     Follow(FollowRequest),
@@ -35,5 +35,5 @@
     ShardLease(Option<ShardLease>),
     /// The response to a standby; `None` if the controller does not lead, or does not know the
     /// standby.
-    Followed(Option<FollowResponse>),
+    FollowResponse(Option<FollowResponse>),
 }
--- a/crates/controller/src/request_outcome.rs
+++ b/crates/controller/src/request_outcome.rs
@@ -1,6 +1,6 @@
 //! The outcome of a user's request, before it becomes an HTTP response.
 
-use crate::peer_job_status::JobSnapshot;
+use crate::peer_job_status::PeerJobStatus;
 use serde::{Deserialize, Serialize};
 
 /// The outcome of a user's request. Controllers exchange it in frames, whose encoding goes by the
@@ -8,9 +8,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestOutcome {
     /// This request has accepted the job. The state of the job.
-    Accepted(JobSnapshot),
+    Accepted(PeerJobStatus),
     /// The job was accepted before. The state of the job.
-    Known(JobSnapshot),
+    Known(PeerJobStatus),
     /// No job with this id was ever accepted.
     NotFound,
     /// The submission is invalid, or its job can never run.
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -204,7 +204,7 @@
             stores,
             peers: self.peers.clone(),
             controller,
-            view: self.view.clone(),
+            leadership_view: self.view.clone(),
             machine_types: self.machine_types.clone(),
             final_states: self.final_states.clone(),
         })
@@ -215,7 +215,7 @@
             controller_name: self.settings.controller_name.clone(),
             controller,
             peers: self.peers.clone(),
-            view: self.view.clone(),
+            leadership_view: self.view.clone(),
         }
     }
 
--- a/crates/controller/src/settings/tests.rs
+++ b/crates/controller/src/settings/tests.rs
@@ -69,8 +69,8 @@
     assert_eq!((parsed.standby, parsed.leader_lease), (false, Duration::from_millis(4_400)));
     assert_eq!(parsed.worker_networks, defaults.worker_networks);
     let parsed = parse("worker_networks = 10.1.0.0/16\ncontroller_networks = 10.0.0.0/24").unwrap();
-    assert!(parsed.replication.worker_networks.allow_socket("10.1.2.3:9000"));
-    assert!(!parsed.replication.controller_networks.allow_socket("10.1.2.3:9000"));
+    assert!(parsed.replication.worker_networks.allows_socket_address("10.1.2.3:9000"));
+    assert!(!parsed.replication.controller_networks.allows_socket_address("10.1.2.3:9000"));
     for invalid in [
         "standby = perhaps",
         "leader_lease_s = 2.9",
--- a/crates/controller/src/shard_lease/lessee.rs
+++ b/crates/controller/src/shard_lease/lessee.rs
@@ -99,7 +99,7 @@
 
     /// Leases the leader's own shard to itself for `length`. The caller ensures that this
     /// controller leads `term` and that its leadership lease holds at `now`.
-    pub fn hold_as_leader(
+    pub fn lease_own_shard(
         &mut self,
         term: u64,
         zones: Vec<String>,
--- a/crates/controller/src/shard_lease/lessor.rs
+++ b/crates/controller/src/shard_lease/lessor.rs
@@ -124,7 +124,7 @@
     /// Responds to a renewal; `None` if it comes from an unknown controller. The response grants a
     /// lease only if its length is not zero. `lease_length` must not exceed the length that this
     /// record was created with.
-    pub fn renew(
+    pub fn respond_to_renewal(
         &mut self,
         term: u64,
         renewal: &ShardLeaseRenewal,
--- a/crates/controller/src/shard_lease/tests.rs
+++ b/crates/controller/src/shard_lease/tests.rs
@@ -54,7 +54,7 @@
 
 /// Renews the shard lease in term 5; the request and the response take no time.
 fn renew_shard_lease(lessor: &mut ShardLessor, lessee: &mut ShardLessee, now: MonotonicTime) {
-    let lease = lessor.renew(5, &lessee.renewal(now), LEASE, now).unwrap();
+    let lease = lessor.respond_to_renewal(5, &lessee.renewal(now), LEASE, now).unwrap();
     lessee.lease_granted(lease, now, now);
 }
 
@@ -179,7 +179,7 @@
         "any controller may have led earlier and held the shard of a zone without a controller"
     );
     let mut lessee = ShardLessee::new("one", 1, ms(8_000));
-    lessee.hold_as_leader(1, vec!["b".into()], LEASE, at(90_000));
+    lessee.lease_own_shard(1, vec!["b".into()], LEASE, at(90_000));
     assert!(lessee.extend_worker_lease(&heartbeat("b", 1), at(99_000), |_| false).is_some());
     renew_shard_lease(&mut lessor, &mut lessee, at(101_000));
     assert_eq!(
@@ -206,7 +206,7 @@
     // Delayed renewals neither end the shard lease nor prove that no worker lease was extended
     // since.
     for delayed in [&first_renewal, &late_renewal] {
-        lessor.renew(5, delayed, LEASE, at(30_000));
+        lessor.respond_to_renewal(5, delayed, LEASE, at(30_000));
         assert!(!lessor.worker_lease_expired(
             "b",
             at(1_000),
@@ -220,22 +220,23 @@
     // The controller restarts. Its earlier process may have extended worker leases until then.
     let mut next_process = ShardLessee::new("one", 2, ms(8_000));
     let first_response =
-        lessor.renew(5, &next_process.renewal(at(1_000)), LEASE, at(36_000)).unwrap();
+        lessor.respond_to_renewal(5, &next_process.renewal(at(1_000)), LEASE, at(36_000)).unwrap();
     assert_eq!(
         first_response.lease_ms, 0,
         "no shard lease before it has acknowledged a response of this term"
     );
     next_process.lease_granted(first_response, at(1_000), at(1_000));
-    lessor.renew(5, &next_process.renewal(at(2_000)), LEASE, at(37_000));
+    lessor.respond_to_renewal(5, &next_process.renewal(at(2_000)), LEASE, at(37_000));
     assert!(!lessor.worker_lease_expired(
         "b",
         at(1_000),
         WORKER_LEASE,
         at(37_000) + WORKER_LEASE.saturating_sub(ms(5_000))
     ));
-    let lease = lessor.renew(5, &next_process.renewal(at(2_500)), LEASE, at(38_000)).unwrap();
+    let lease =
+        lessor.respond_to_renewal(5, &next_process.renewal(at(2_500)), LEASE, at(38_000)).unwrap();
     next_process.lease_granted(lease, at(2_500), at(2_500));
-    lessor.renew(5, &renewal_of_ended_process, LEASE, at(39_000));
+    lessor.respond_to_renewal(5, &renewal_of_ended_process, LEASE, at(39_000));
     assert!(next_process.extend_worker_lease(&heartbeat("b", 5), at(30_000), |_| false).is_some());
     assert!(
         !lessor.worker_lease_expired("b", at(1_000), WORKER_LEASE, at(38_000) + LEASE),
--- a/crates/controller/tests/api/replication.rs
+++ b/crates/controller/tests/api/replication.rs
@@ -24,7 +24,7 @@
         })
     };
     let response = api_service.handle(request("worker-1")).await;
-    assert!(matches!(response, PeerResponse::Followed(Some(_))), "{response:?}");
+    assert!(matches!(response, PeerResponse::FollowResponse(Some(_))), "{response:?}");
     let refused = api_service.handle(request("somebody")).await;
-    assert_eq!(refused, PeerResponse::Followed(None));
+    assert_eq!(refused, PeerResponse::FollowResponse(None));
 }
--- a/crates/controller/tests/api/status.rs
+++ b/crates/controller/tests/api/status.rs
@@ -138,8 +138,8 @@
 async fn decided_final_state_is_answered_without_store() {
     let api_service = api_service(Role::Leader, true, LeadershipView::default(), None, 0.1);
     let id = JobId::parse("req-000009").expect("an id");
-    api_service.final_states().remember(&status_in_state(&id, JobState::Done).into());
-    api_service.final_states().remember(
+    api_service.final_states().insert_if_final(&status_in_state(&id, JobState::Done).into());
+    api_service.final_states().insert_if_final(
         &status_in_state(&JobId::parse("req-000010").expect("an id"), JobState::Running).into(),
     );
     let api = service(api_service);
--- a/crates/controller/tests/api/support.rs
+++ b/crates/controller/tests/api/support.rs
@@ -102,7 +102,7 @@
                 let outcome = CancelOutcome::Final(status_in_state(&job, JobState::Cancelled));
                 let _ = reply.send(self.leads().then_some(outcome));
             }
-            ControllerRequest::AdoptJob { reply, .. } => drop(reply.send(Some(()))),
+            ControllerRequest::AddJob { reply, .. } => drop(reply.send(Some(()))),
             ControllerRequest::RenewShardLease { reply, .. } => drop(reply.send(None)),
             ControllerRequest::PrepareShardLeaseRenewal(reply) => drop(reply.send(None)),
             ControllerRequest::Follow { reply, .. } => {
@@ -116,7 +116,8 @@
                 let phase = if self.leads() { "active" } else { "following" }.to_owned();
                 let _ = reply.send(Some(ReplicationStatus { phase, ..Default::default() }));
             }
-            ControllerRequest::ShardLeaseGranted { .. } | ControllerRequest::Followed(_) => {}
+            ControllerRequest::ShardLeaseGranted { .. }
+            | ControllerRequest::FollowResponseReceived(_) => {}
         }
     }
 
@@ -184,7 +185,7 @@
         stores,
         peers: Arc::new(peers),
         controller: ControllerHandle::new(requests),
-        view,
+        leadership_view: view,
         machine_types,
         final_states: Arc::default(),
     });
--- a/crates/controller/tests/controller_actor.rs
+++ b/crates/controller/tests/controller_actor.rs
@@ -74,7 +74,7 @@
         stores,
         peers: Arc::new(Peers::new(addresses)),
         controller: ControllerHandle::new(requests_tx.clone()),
-        view: view.clone(),
+        leadership_view: view.clone(),
         machine_types: machine_types_rx.clone(),
         final_states: Arc::clone(&final_states),
     }));
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -6,8 +6,8 @@
 mod formats_support;
 
 use formats_support::{fixture, frame, id, json, spec, status};
-use hookway_controller::frame::{self, CURRENT, Frame, FrameVersion};
-use hookway_controller::peer_job_status::JobSnapshot;
+use hookway_controller::frame::{self, CURRENT_VERSION, Frame, FrameVersion};
+use hookway_controller::peer_job_status::PeerJobStatus;
 use hookway_controller::peers::{PeerRequest, PeerResponse};
 use hookway_controller::records::{
     ClassRecord, FinalRecord, ImageRecord, ImagesRecord, JobRecord, JobSchedulingRecord,
@@ -109,9 +109,9 @@
 
 #[test]
 fn frames_between_controllers_are_read_and_written_as_in_production() {
-    let snapshot = |state| JobSnapshot::from(status(state));
+    let peer_status = |state| PeerJobStatus::from(status(state));
     let bare =
-        JobSnapshot { team: None, leader: None, notes: vec![], ..snapshot(JobState::Queued) };
+        PeerJobStatus { team: None, leader: None, notes: vec![], ..peer_status(JobState::Queued) };
     frame("ask-status", &PeerRequest::Status("req-000412".into()));
     frame("ask-withdraw", &PeerRequest::Cancel("req-000412".into()));
     frame("ask-submit", &PeerRequest::Submit(b"{\"NameId\":1}".to_vec()));
@@ -125,11 +125,11 @@
     let acknowledged = ShardLeaseAcknowledgement { term: 4_097, granted_at_ms: 300 };
     frame("ask-renew", &PeerRequest::RenewShardLease(renewal(Some(acknowledged), Some(1_500))));
     frame("ask-renew-first", &PeerRequest::RenewShardLease(renewal(None, None)));
-    frame("ask-over", &PeerRequest::JobFinished(snapshot(JobState::Cancelled)));
+    frame("ask-over", &PeerRequest::JobFinished(peer_status(JobState::Cancelled)));
     let response = |outcome| PeerResponse::Outcome(outcome);
     frame("answer-accepted", &response(RequestOutcome::Accepted(bare)));
-    frame("answer-known-running", &response(RequestOutcome::Known(snapshot(JobState::Running))));
-    frame("answer-known-done", &response(RequestOutcome::Known(snapshot(JobState::Done))));
+    frame("answer-known-running", &response(RequestOutcome::Known(peer_status(JobState::Running))));
+    frame("answer-known-done", &response(RequestOutcome::Known(peer_status(JobState::Done))));
     frame("answer-absent", &response(RequestOutcome::NotFound));
     frame(
         "answer-refused",
@@ -178,7 +178,10 @@
     ];
     let digest = Some(RangeDigest { range: 3, digest: 77 });
     let body = FollowResponseBody::Entries { after: at(300), entries, digest };
-    frame("answer-entries", &PeerResponse::Followed(Some(FollowResponse { end: at(400), body })));
+    frame(
+        "answer-entries",
+        &PeerResponse::FollowResponse(Some(FollowResponse { end: at(400), body })),
+    );
     let chunk = ImageChunk {
         position: at(300),
         index: 1,
@@ -187,8 +190,11 @@
         bytes: vec![1, 2],
     };
     let body = FollowResponseBody::ImageChunk(chunk);
-    frame("answer-piece", &PeerResponse::Followed(Some(FollowResponse { end: at(400), body })));
-    frame("answer-follows-not", &PeerResponse::Followed(None));
+    frame(
+        "answer-piece",
+        &PeerResponse::FollowResponse(Some(FollowResponse { end: at(400), body })),
+    );
+    frame("answer-follows-not", &PeerResponse::FollowResponse(None));
 }
 
 #[test]
@@ -203,7 +209,7 @@
         bincode::serde::decode_from_slice(&bytes, config).expect("a frame");
     assert_eq!(read, request);
     let read = frame::decode::<PeerRequest>(&bytes).expect("a frame");
-    assert_eq!(read, Frame { message: request.clone(), version: CURRENT });
+    assert_eq!(read, Frame { message: request.clone(), version: CURRENT_VERSION });
     // A frame of production has no version byte; a frame of a later version may have more bytes.
     let old = &bytes[..bytes.len() - 1];
     let read = frame::decode::<PeerRequest>(old).expect("a frame");
--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -7,7 +7,7 @@
 
 use formats_support::{bare_spec, fixture, frame, json, read_only, status};
 use hookway_controller::leadership::LeadershipView;
-use hookway_controller::peer_job_status::JobSnapshot;
+use hookway_controller::peer_job_status::PeerJobStatus;
 use hookway_controller::peers::{PeerRequest, PeerResponse, Peers};
 use hookway_controller::records::{
     ClassRecord, FinalRecord, ImageRecord, ImagesRecord, JobRecord, JobSchedulingRecord,
@@ -75,7 +75,10 @@
 #[test]
 fn job_state_frames_match_fixtures() {
     let job_finished = |state| {
-        PeerRequest::JobFinished(JobSnapshot { notes: vec![], ..JobSnapshot::from(status(state)) })
+        PeerRequest::JobFinished(PeerJobStatus {
+            notes: vec![],
+            ..PeerJobStatus::from(status(state))
+        })
     };
     frame("pinned-ask-over-queued", &job_finished(JobState::Queued));
     frame("pinned-ask-over-running", &job_finished(JobState::Running));
@@ -103,10 +106,10 @@
     ];
     let body = FollowResponseBody::Entries { after: at(0), entries, digest: None };
     let response = FollowResponse { end: at(5), body };
-    frame("pinned-answer-entries", &PeerResponse::Followed(Some(response)));
+    frame("pinned-answer-entries", &PeerResponse::FollowResponse(Some(response)));
     let body = FollowResponseBody::Entries { after: at(5), entries: vec![], digest: None };
     let response = FollowResponse { end: at(5), body };
-    frame("pinned-answer-no-entries", &PeerResponse::Followed(Some(response)));
+    frame("pinned-answer-no-entries", &PeerResponse::FollowResponse(Some(response)));
 }
 
 /// Returns the publisher of a leader whose cluster state has a task at each stage and two jobs.
@@ -144,7 +147,7 @@
     let request = FollowRequest { follower: "worker-1".into(), progress: FollowerProgress::Empty };
     let response =
         publisher.respond(&request, MonotonicTime::ZERO).expect("a replication snapshot");
-    frame("pinned-answer-image", &PeerResponse::Followed(Some(response)));
+    frame("pinned-answer-image", &PeerResponse::FollowResponse(Some(response)));
     frame("pinned-image-state", publisher.state());
     frame("pinned-image-empty-state", &ReplicatedState::default());
 }
@@ -174,7 +177,7 @@
     let peers = Peers::new([("worker-1".to_owned(), address)].into());
     let request = PeerRequest::Status("req-000412".into());
     let limit = Duration::from_millis(5_000);
-    let response = peers.ask("worker-1", &request, limit).await.expect("a response");
+    let response = peers.send_user_request("worker-1", &request, limit).await.expect("a response");
     assert_eq!(response, hookway_controller::request_outcome::RequestOutcome::NotFound);
     let (sent, _stream) = tokio::time::timeout(Duration::from_secs(5), served)
         .await
--- a/crates/controller/tests/http_routes.rs
+++ b/crates/controller/tests/http_routes.rs
@@ -44,7 +44,7 @@
         stores,
         peers: Arc::new(peers),
         controller: ControllerHandle::new(requests),
-        view,
+        leadership_view: view,
         machine_types: types,
         final_states: Arc::default(),
     });
--- a/crates/controller/tests/settings_keys.rs
+++ b/crates/controller/tests/settings_keys.rs
@@ -198,7 +198,7 @@
         |section: &str, line: &str| OperatorSettings::parse(&format!("[{section}]\n{line}\n"));
     let set = |section, line| parse(section, line).unwrap();
     let allowed = |networks: &hookway_controller::networks::Networks| {
-        (networks.allow_socket("10.1.2.3:9"), networks.allow_socket("10.2.2.3:9"))
+        (networks.allows_socket_address("10.1.2.3:9"), networks.allows_socket_address("10.2.2.3:9"))
     };
     assert_eq!(set("fleet", "idle_return_s = 30.5").idle_timeout, Some(ms(30_500)));
     assert_eq!(set("fleet", "most_machines = 12").max_machines, 12);
@@ -239,8 +239,8 @@
     assert_eq!(parsed.shard_lease, ms(30_000));
     assert!(parsed.replication.standby);
     assert_eq!(parsed.replication.leader_lease, ms(5_000));
-    assert!(parsed.replication.controller_networks.allow_socket("10.1.2.3:9"));
-    assert!(parsed.replication.worker_networks.allow_socket("10.1.2.3:9"));
+    assert!(parsed.replication.controller_networks.allows_socket_address("10.1.2.3:9"));
+    assert!(parsed.replication.worker_networks.allows_socket_address("10.1.2.3:9"));
 }
 
 #[test]
--- a/crates/controller/tests/simulation/controllers.rs
+++ b/crates/controller/tests/simulation/controllers.rs
@@ -300,7 +300,7 @@
         let lease = leader.cluster.shard_lease_length(now);
         if !lease.is_zero() {
             let at = controller.local_time(now);
-            controller.lessee.hold_as_leader(leader.term, leader.cluster.own_shard(), lease, at);
+            controller.lessee.lease_own_shard(leader.term, leader.cluster.own_shard(), lease, at);
         }
         let may_step_down =
             controller.stepped_down_at.is_none_or(|at| now >= at + constants::STEP_DOWN_INTERVAL);
