--- a/crates/controller/src/api/admission.rs
+++ b/crates/controller/src/api/admission.rs
@@ -41,7 +41,7 @@
         }
     }
     let min_tasks = if needs_all_at_once { spec.tasks } else { 1 };
-    let limit = Quota { cpus: team.cpus_max, gpus: team.gpus_max };
+    let limit = Quota { cpus: team.max_cpus, gpus: team.max_gpus };
     let team = TeamView { limit, ..TeamView::default() };
     Ok(check_feasible(&suitable_types, &request, min_tasks, &team)?)
 }
--- a/crates/controller/src/api/submission.rs
+++ b/crates/controller/src/api/submission.rs
@@ -50,7 +50,7 @@
         let Ok(value) = serde_json::to_value(&record) else {
             return RequestOutcome::unavailable("internal");
         };
-        if !fits_value_limit(&value, self.config.platform.state.largest_value_kb) {
+        if !fits_value_limit(&value, self.config.platform.store.max_accepted_value_kb) {
             return self
                 .reject_unless_accepted(&job, BAD_REQUEST, RECORD_TOO_LONG.into(), origin)
                 .await;
--- a/crates/controller/src/cluster_state/class_history.rs
+++ b/crates/controller/src/cluster_state/class_history.rs
@@ -26,7 +26,7 @@
     /// Whether all jobs of the class may use spot machines.
     pub allows_spot: bool,
     /// Whether the first job of the class was a gang; later jobs do not change this.
-    pub has_gangs: bool,
+    pub is_gang_class: bool,
     /// Demand within the last [`constants::DEMAND_WINDOW`], oldest first.
     demand: VecDeque<Demand>,
 }
@@ -39,8 +39,8 @@
             image_gb: record.image_gb,
             images: HashSet::new(),
             demand: VecDeque::new(),
-            allows_spot: record.spot,
-            has_gangs: record.gangs,
+            allows_spot: record.allows_spot,
+            is_gang_class: record.is_gang_class,
         }
     }
 
@@ -50,8 +50,8 @@
         Self::from_record(&ClassRecord {
             request: Resources::of_task(spec),
             image_gb: 0.0,
-            spot: true,
-            gangs: spec.is_gang(),
+            allows_spot: true,
+            is_gang_class: spec.is_gang(),
         })
     }
 
@@ -61,8 +61,8 @@
         ClassRecord {
             request: self.request,
             image_gb: self.image_gb,
-            spot: self.allows_spot,
-            gangs: self.has_gangs,
+            allows_spot: self.allows_spot,
+            is_gang_class: self.is_gang_class,
         }
     }
 
--- a/crates/controller/src/cluster_state/commit_items.rs
+++ b/crates/controller/src/cluster_state/commit_items.rs
@@ -28,7 +28,7 @@
                 team: job.spec.team.clone(),
                 notes: job.notes.iter().cloned().collect(),
             };
-            if !fits_value_limit(&record, self.config.platform.state.value_kb) {
+            if !fits_value_limit(&record, self.config.platform.store.value_kb) {
                 record.notes.clear();
             }
             let Ok(value) = serde_json::to_value(&record) else { continue };
@@ -63,7 +63,7 @@
             let cached = machine.map(|m| m.images.as_slice()).unwrap_or_default();
             self.images.named(cached)
         };
-        let value_kb = self.config.platform.state.value_kb;
+        let value_kb = self.config.platform.store.value_kb;
         let Some(value) = self.commit_queue.registry.record_value(number, value_kb, cached_images)
         else {
             self.commit_queue.registry.split(number);
@@ -215,7 +215,7 @@
             self.classes.iter().map(|(name, class)| (name, class.record())).collect();
         let Ok(value) = serde_json::to_value(&classes) else { return };
         // If the classes exceed the value limit, the next leader gets no hint.
-        if !fits_value_limit(&value, self.config.platform.state.value_kb) {
+        if !fits_value_limit(&value, self.config.platform.store.value_kb) {
             return;
         }
         self.commit_queue.hint_bucket.take(1);
--- a/crates/controller/src/cluster_state/commit_queue.rs
+++ b/crates/controller/src/cluster_state/commit_queue.rs
@@ -72,14 +72,14 @@
         leader_precondition: Precondition,
         now: MonotonicTime,
     ) -> Self {
-        let state = &platform.state;
-        let bucket = |share: f64| TokenBucket::new(state.write_rps * share, now);
+        let limits = &platform.store;
+        let bucket = |share: f64| TokenBucket::new(limits.write_rps * share, now);
         Self {
             leader_precondition,
             finished_jobs: VecDeque::new(),
             progress_pages: VecDeque::new(),
-            registry: MachineRegistry::new(state.value_kb),
-            shared_watermarks: SharedStartWatermarks::new(state.value_kb),
+            registry: MachineRegistry::new(limits.value_kb),
+            shared_watermarks: SharedStartWatermarks::new(limits.value_kb),
             watermark_marker: WatermarkMarker::new(),
             mod_revisions: HashMap::new(),
             legacy_registry_keys: HashMap::new(),
@@ -89,7 +89,7 @@
             watermark_raises: BTreeSet::new(),
             write_bucket: bucket(constants::LEADER_WRITE_SHARE),
             hint_bucket: bucket(constants::HINT_WRITE_SHARE),
-            max_operations: state.txn_ops,
+            max_operations: limits.txn_ops,
             rejected_items: VecDeque::new(),
             is_commit_in_flight: false,
             backoff_until: MonotonicTime::ZERO,
--- a/crates/controller/src/cluster_state/job_intake.rs
+++ b/crates/controller/src/cluster_state/job_intake.rs
@@ -37,7 +37,7 @@
             team: team.unwrap_or(0),
             image,
             zones: platform.zones.len(),
-            max_value_kb: platform.state.value_kb,
+            max_value_kb: platform.store.value_kb,
             origin,
         };
         self.update_class_history(&record.spec, image);
--- a/crates/controller/src/cluster_state/leases.rs
+++ b/crates/controller/src/cluster_state/leases.rs
@@ -14,7 +14,7 @@
     let workers = &config.platform.workers;
     let limit_ms =
         (workers.cancel_s - workers.lease_s) * 1000.0 - millis_f64(constants::CANCEL_MARGIN);
-    config.operator.shard_lease.min(Duration::from_millis(limit_ms.max(0.0) as u64))
+    config.operator.shard_lease_length.min(Duration::from_millis(limit_ms.max(0.0) as u64))
 }
 
 /// Whether the lease of a worker that no controller answers any more ends within the time for a
--- a/crates/controller/src/cluster_state/recovery.rs
+++ b/crates/controller/src/cluster_state/recovery.rs
@@ -6,7 +6,7 @@
 use super::{CachedImage, ClassHistory, ClusterState, JobKey, JobOrigin, Machine, Timestamp};
 use crate::leadership::WatermarkCompleteness;
 use crate::records::{
-    ClassRecord, ImagesRecord, JobSchedulingRecord, MachineRegistryRecord, ProgressRecord,
+    ClassRecord, JobSchedulingRecord, LegacyImagesRecord, MachineRegistryRecord, ProgressRecord,
     SharedStartWatermarksRecord,
 };
 use hookway_time::{WallTime, millis_f64};
@@ -254,7 +254,7 @@
     /// the record: from now on the machine registry holds the images.
     fn load_legacy_images(&mut self, kv: KeyValue) {
         let name = kv.key.strip_prefix(crate::records::LEGACY_IMAGES_PREFIX).unwrap_or_default();
-        if let Ok(record) = serde_json::from_value::<ImagesRecord>(kv.value) {
+        if let Ok(record) = serde_json::from_value::<LegacyImagesRecord>(kv.value) {
             let images = self.images.of_record(&record.images);
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.images = images;
@@ -302,7 +302,7 @@
         // leader that registered the machine, and this one.
         if let Some(registered_at) = registered_at {
             let clock_error_ms =
-                self.config.platform.clock_off_ms * 2.0 + millis_f64(REGISTRATION_AGE_MARGIN);
+                self.config.platform.max_clock_error_ms * 2.0 + millis_f64(REGISTRATION_AGE_MARGIN);
             let age_ms =
                 millis_f64(at.wall.saturating_duration_since(registered_at)) - clock_error_ms;
             if age_ms > 0.0 {
--- a/crates/controller/src/cluster_state/scheduling_round.rs
+++ b/crates/controller/src/cluster_state/scheduling_round.rs
@@ -80,7 +80,7 @@
 
     /// Allows every known machine to take new tasks for the length of a shard lease.
     fn admit_machines(&mut self, now: MonotonicTime) {
-        let until = now + self.config.operator.shard_lease;
+        let until = now + self.config.operator.shard_lease_length;
         for machine in self.machines.values_mut() {
             machine.admit(until);
         }
--- a/crates/controller/src/cluster_state/snapshot.rs
+++ b/crates/controller/src/cluster_state/snapshot.rs
@@ -77,7 +77,7 @@
             gang_requests: self
                 .classes
                 .values()
-                .filter(|c| c.has_gangs)
+                .filter(|c| c.is_gang_class)
                 .map(|c| c.request)
                 .collect(),
             jobs,
@@ -112,8 +112,8 @@
             .iter()
             .map(|team| TeamView {
                 used: Resources::default(),
-                guarantee: Quota { cpus: team.cpus, gpus: team.gpus },
-                limit: Quota { cpus: team.cpus_max, gpus: team.gpus_max },
+                guarantee: Quota { cpus: team.guaranteed_cpus, gpus: team.guaranteed_gpus },
+                limit: Quota { cpus: team.max_cpus, gpus: team.max_gpus },
             })
             .collect();
         for job in self.jobs.values() {
--- a/crates/controller/src/cluster_state/startable_tasks.rs
+++ b/crates/controller/src/cluster_state/startable_tasks.rs
@@ -41,7 +41,7 @@
     /// Returns the number of tasks of a job that may be started at `now`.
     pub(super) fn startable_now(&self, job: &Job, now: MonotonicTime) -> u32 {
         let team = self.config.platform.teams.get(job.team);
-        let has_quota = team.is_some_and(Team::limited);
+        let has_quota = team.is_some_and(Team::has_limit);
         // Until all machines are reconciled, a task of a job from an earlier term may be on a
         // machine that has not sent a heartbeat. So may tasks that use an unknown part of a team's
         // quota.
--- a/crates/controller/src/records/machine_registry.rs
+++ b/crates/controller/src/records/machine_registry.rs
@@ -50,7 +50,7 @@
 
 /// The value of `i/<machine>`, which only version 0.1.0 writes.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct ImagesRecord {
+pub struct LegacyImagesRecord {
     /// The images in the machine's cache; least recently used first.
     pub images: Vec<ImageRecord>,
 }
--- a/crates/controller/src/records/mod.rs
+++ b/crates/controller/src/records/mod.rs
@@ -15,7 +15,7 @@
 //! | `r/record-<n>` | [`MachineRegistryRecord`]: machines that may have tasks |
 //! | `c/lanes` | a [`ClassRecord`] for each class of jobs: hints for the next leader |
 //!
-//! Version 0.1.0 wrote `r/<machine>` and `i/<machine>` ([`ImagesRecord`]) instead of
+//! Version 0.1.0 wrote `r/<machine>` and `i/<machine>` ([`LegacyImagesRecord`]) instead of
 //! `r/record-<n>`. A leader still reads both, and replaces them by `r/record-<n>`.
 
 mod job;
@@ -35,7 +35,7 @@
 };
 pub use leader::LeaderRecord;
 pub use machine_registry::{
-    ImageRecord, ImagesRecord, MachineRegistryEntry, MachineRegistryRecord,
+    ImageRecord, LegacyImagesRecord, MachineRegistryEntry, MachineRegistryRecord,
 };
 pub use progress::ProgressRecord;
 pub use scheduling::{ClassRecord, JobSchedulingRecord, SharedStartWatermarksRecord};
--- a/crates/controller/src/records/scheduling.rs
+++ b/crates/controller/src/records/scheduling.rs
@@ -40,8 +40,9 @@
     pub image_gb: f64,
     /// Whether all jobs of the class may run on spot machines.
     #[serde(rename = "loaners")]
-    pub spot: bool,
+    pub allows_spot: bool,
     /// Whether the first job of the class was a gang, by which the whole class counts as one of
     /// gangs.
-    pub gangs: bool,
+    #[serde(rename = "gangs")]
+    pub is_gang_class: bool,
 }
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -142,8 +142,8 @@
 
     /// Creates a client of the store that may use `rate_share` of this controller's request rate.
     fn store_client(&self, rate_share: f64) -> StoreClient {
-        let rps = self.settings.platform.state.rps * rate_share;
-        StoreClient::new(&self.settings.endpoints.state, rps)
+        let rps = self.settings.platform.store.rps * rate_share;
+        StoreClient::new(&self.settings.endpoints.store, rps)
     }
 
     fn election_actor(&self, view: watch::Sender<LeadershipView>) -> ElectionActor {
@@ -155,7 +155,7 @@
             view,
             resign_requested: self.resign_requested.clone(),
             leader_suspected: self.standby_signals.leader_suspected.clone(),
-            lease_length: self.operator.replication.leader_lease,
+            lease_length: self.operator.replication.leader_lease_length,
             has_usable_copy: self.standby_signals.has_usable_copy.clone(),
         })
     }
@@ -165,7 +165,7 @@
         let name = &settings.controller_name;
         let workers = &settings.platform.workers;
         let leader_timeout = leader_timeout(workers.heartbeat_interval_s, workers.lease_s);
-        let warm = self.operator.replication.standby;
+        let warm = self.operator.replication.keeps_standby_copy;
         let standby_mode = if warm { StandbyMode::Warm } else { StandbyMode::Cold };
         ControllerActor::new(ControllerActorConfig {
             cluster: ControllerConfig {
@@ -233,10 +233,10 @@
     for team in &platform.teams {
         tracing::info!(
             team = team.name,
-            cpus = team.cpus,
-            gpus = team.gpus,
-            max_cpus = team.cpus_max,
-            max_gpus = team.gpus_max,
+            cpus = team.guaranteed_cpus,
+            gpus = team.guaranteed_gpus,
+            max_cpus = team.max_cpus,
+            max_gpus = team.max_gpus,
             "team with guarantee and limit (0: none)"
         );
     }
--- a/crates/controller/src/settings/checks.rs
+++ b/crates/controller/src/settings/checks.rs
@@ -26,7 +26,7 @@
         ("api_addr", &settings.api_addr),
         ("peer_bind", &settings.peer_bind),
         ("outside.cloud", &settings.endpoints.cloud),
-        ("outside.state", &settings.endpoints.state),
+        ("outside.state", &settings.endpoints.store),
     ];
     let peers = settings.peers.iter().map(|peer| ("siblings.address", &peer.address));
     for (name, value) in addresses.into_iter().chain(peers) {
@@ -44,13 +44,13 @@
         ("settings.workers.gang_wait_s", platform.workers.gang_wait_s),
         ("settings.workers.gang_peer_s", platform.workers.gang_peer_s),
         ("settings.workers.cancel_s", platform.workers.cancel_s),
-        ("settings.state.rps", platform.state.rps),
-        ("settings.state.write_rps", platform.state.write_rps),
-        ("settings.state.value_kb", platform.state.value_kb),
+        ("settings.state.rps", platform.store.rps),
+        ("settings.state.write_rps", platform.store.write_rps),
+        ("settings.state.value_kb", platform.store.value_kb),
         ("settings.cloud.rps", platform.cloud.rps),
         ("settings.machine_limits.core_share", platform.machine_limits.core_share),
     ];
-    let next = platform.state.next.clone().unwrap_or_default();
+    let next = platform.store.next.clone().unwrap_or_default();
     let optional = [
         ("settings.state.next.rps", next.rps),
         ("settings.state.next.write_rps", next.write_rps),
@@ -67,7 +67,7 @@
 
 fn check_not_negative(platform: &PlatformSettings) -> Result<(), SettingError> {
     let amounts = [
-        ("settings.clock_off_ms", platform.clock_off_ms),
+        ("settings.clock_off_ms", platform.max_clock_error_ms),
         ("settings.cloud.list_lag_s", platform.cloud.list_lag_s),
     ];
     for (name, value) in amounts {
@@ -79,10 +79,10 @@
 }
 
 fn check_minimums(platform: &PlatformSettings) -> Result<(), SettingError> {
-    let next_operations = platform.state.next.as_ref().and_then(|next| next.txn_ops);
+    let next_operations = platform.store.next.as_ref().and_then(|next| next.txn_ops);
     let minimums = [
         ("settings.machine_limits.max_sockets", Some(platform.machine_limits.max_sockets), 1),
-        ("settings.state.txn_ops", Some(platform.state.txn_ops), constants::ELECTION_OPERATIONS),
+        ("settings.state.txn_ops", Some(platform.store.txn_ops), constants::ELECTION_OPERATIONS),
         ("settings.state.next.txn_ops", next_operations, constants::ELECTION_OPERATIONS),
     ];
     for (name, value, min) in minimums {
@@ -95,7 +95,7 @@
 
 fn check_teams(platform: &PlatformSettings) -> Result<(), SettingError> {
     for team in &platform.teams {
-        let amounts = [team.cpus, team.cpus_max, team.gpus, team.gpus_max];
+        let amounts = [team.guaranteed_cpus, team.max_cpus, team.guaranteed_gpus, team.max_gpus];
         if !amounts.into_iter().all(is_non_negative) {
             return Err(SettingError::NegativeTeamAmount(team.name.clone()));
         }
--- a/crates/controller/src/settings/mod.rs
+++ b/crates/controller/src/settings/mod.rs
@@ -9,8 +9,8 @@
 pub use error::{ConfigError, SettingError};
 pub use operator::{OperatorSettings, ReplicationSettings};
 pub use platform::{
-    CloudSettings, Endpoints, MachineLimits, NextStateLimits, Objective, PeerController,
-    PlatformSettings, Settings, StateSettings, Team, WorkerSettings,
+    CloudSettings, Endpoints, MachineLimits, NextStoreLimits, Objective, PeerController,
+    PlatformSettings, Settings, StoreSettings, Team, WorkerSettings,
 };
 
 use std::path::Path;
--- a/crates/controller/src/settings/operator.rs
+++ b/crates/controller/src/settings/operator.rs
@@ -20,7 +20,7 @@
     /// `[fleet] most_machines`: maximum number of machines at a time.
     pub max_machines: usize,
     /// `[scheduling] block_lease_s`: length of a shard lease.
-    pub shard_lease: Duration,
+    pub shard_lease_length: Duration,
     /// The section `[replication]`.
     pub replication: ReplicationSettings,
 }
@@ -30,7 +30,7 @@
         Self {
             idle_timeout: None,
             max_machines: usize::MAX,
-            shard_lease: constants::SHARD_LEASE,
+            shard_lease_length: constants::SHARD_LEASE,
             replication: ReplicationSettings::default(),
         }
     }
@@ -72,7 +72,7 @@
                     value.parse().map_err(|_| SettingError::NotAWholeNumber(name))?;
             }
             (Some("scheduling"), "block_lease_s") => {
-                self.shard_lease = parse_time(value, name)?;
+                self.shard_lease_length = parse_time(value, name)?;
             }
             (Some("replication"), key) => self.replication.set(key, value, name)?,
             _ => return Err(SettingError::Unknown(name)),
@@ -86,10 +86,10 @@
 pub struct ReplicationSettings {
     /// `standby`: whether this controller keeps a copy of the leader's cluster state while it
     /// follows.
-    pub standby: bool,
+    pub keeps_standby_copy: bool,
     /// `leader_lease_s`: length of the leadership lease. A new leader can't be elected before
     /// the lease of the previous one has expired.
-    pub leader_lease: Duration,
+    pub leader_lease_length: Duration,
     /// `controller_networks`: the networks that other controllers may connect from. Empty: any.
     pub controller_networks: Networks,
     /// `worker_networks`: the networks of the worker addresses that a new leader uses from its copy
@@ -100,8 +100,8 @@
 impl Default for ReplicationSettings {
     fn default() -> Self {
         Self {
-            standby: constants::STANDBY_DEFAULT,
-            leader_lease: constants::LEADER_TTL,
+            keeps_standby_copy: constants::STANDBY_DEFAULT,
+            leader_lease_length: constants::LEADER_TTL,
             controller_networks: Networks::default(),
             worker_networks: Networks::default(),
         }
@@ -112,13 +112,13 @@
     fn set(&mut self, key: &str, value: &str, name: String) -> Result<(), SettingError> {
         match key {
             "standby" => {
-                self.standby = match value {
+                self.keeps_standby_copy = match value {
                     "on" => true,
                     "off" => false,
                     _ => return Err(SettingError::NotOnOrOff(name)),
                 }
             }
-            "leader_lease_s" => self.leader_lease = parse_leader_lease(value, name)?,
+            "leader_lease_s" => self.leader_lease_length = parse_leader_lease(value, name)?,
             "controller_networks" => self.controller_networks = parse_networks(value, name)?,
             "worker_networks" => self.worker_networks = parse_networks(value, name)?,
             _ => return Err(SettingError::Unknown(name)),
--- a/crates/controller/src/settings/platform.rs
+++ b/crates/controller/src/settings/platform.rs
@@ -44,7 +44,7 @@
     pub fn parse(text: &str) -> Result<Self, SettingError> {
         let mut settings: Self = toml::from_str(text).map_err(|error| toml_error(&error, text))?;
         checks::check(&settings)?;
-        settings.platform.state.apply_stricter_limits();
+        settings.platform.store.apply_stricter_limits();
         Ok(settings)
     }
 }
@@ -77,15 +77,16 @@
     /// Address of the cloud's API.
     pub cloud: String,
     /// Address of the store.
-    pub state: String,
+    #[serde(rename = "state")]
+    pub store: String,
 }
 
 /// The `settings` table, which is the same for all controllers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct PlatformSettings {
     /// Maximum error of a controller's wall clock in either direction, ms.
-    #[serde(default)]
-    pub clock_off_ms: f64,
+    #[serde(rename = "clock_off_ms", default)]
+    pub max_clock_error_ms: f64,
     /// The names of the zones that machines can run in.
     pub zones: Vec<String>,
     /// The teams that may submit jobs.
@@ -97,7 +98,8 @@
     /// The timing of the protocol with the workers.
     pub workers: WorkerSettings,
     /// The limits of the store.
-    pub state: StateSettings,
+    #[serde(rename = "state")]
+    pub store: StoreSettings,
     /// The limits of the cloud's API.
     pub cloud: CloudSettings,
     /// The limits of this controller's machine.
@@ -118,23 +120,23 @@
     /// The name of the team, as jobs give it.
     pub name: String,
     /// Guaranteed number of CPUs; 0: no guarantee.
-    #[serde(default)]
-    pub cpus: f64,
+    #[serde(rename = "cpus", default)]
+    pub guaranteed_cpus: f64,
     /// Maximum number of CPUs that the team's tasks may use at a time; 0: no limit.
-    #[serde(default)]
-    pub cpus_max: f64,
+    #[serde(rename = "cpus_max", default)]
+    pub max_cpus: f64,
     /// Guaranteed number of GPUs; 0: no guarantee.
-    #[serde(default)]
-    pub gpus: f64,
+    #[serde(rename = "gpus", default)]
+    pub guaranteed_gpus: f64,
     /// Maximum number of GPUs that the team's tasks may use at a time; 0: no limit.
-    #[serde(default)]
-    pub gpus_max: f64,
+    #[serde(rename = "gpus_max", default)]
+    pub max_gpus: f64,
 }
 
 impl Team {
     /// Whether the team has a limit on CPUs or GPUs.
-    pub fn limited(&self) -> bool {
-        self.cpus_max > 0.0 || self.gpus_max > 0.0
+    pub fn has_limit(&self) -> bool {
+        self.max_cpus > 0.0 || self.max_gpus > 0.0
     }
 }
 
@@ -173,7 +175,8 @@
 
 /// The limits of the store, which all controllers share.
 #[derive(Debug, Clone, Deserialize)]
-pub struct StateSettings {
+#[serde(expecting = "struct StateSettings")]
+pub struct StoreSettings {
     /// Maximum number of requests per second.
     pub rps: f64,
     /// Maximum number of operations in transactions per second.
@@ -184,16 +187,17 @@
     pub txn_ops: usize,
     /// Limits that will replace the present ones at an unannounced time.
     #[serde(default)]
-    pub next: Option<NextStateLimits>,
+    pub next: Option<NextStoreLimits>,
     /// Largest size of a value that the store can accept at this time, KiB: the larger one of the
     /// present and the next `value_kb`. Not a key of the file; set when the file is parsed.
     #[serde(skip)]
-    pub largest_value_kb: f64,
+    pub max_accepted_value_kb: f64,
 }
 
 /// The next limits of the store. A limit that is missing keeps its present value.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
-pub struct NextStateLimits {
+#[serde(expecting = "struct NextStateLimits")]
+pub struct NextStoreLimits {
     /// Maximum number of requests per second.
     #[serde(default)]
     pub rps: Option<f64>,
@@ -208,14 +212,15 @@
     pub txn_ops: Option<usize>,
 }
 
-impl StateSettings {
+impl StoreSettings {
     /// Lowers each limit to the smaller one of the present and the next limit, and sets
-    /// `largest_value_kb`. The time of the change is unannounced, so requests must be within both
-    /// limits.
+    /// `max_accepted_value_kb`. The time of the change is unannounced, so requests must be within
+    /// both limits.
     fn apply_stricter_limits(&mut self) {
-        self.largest_value_kb = self.value_kb;
+        self.max_accepted_value_kb = self.value_kb;
         let Some(next) = &self.next else { return };
-        self.largest_value_kb = next.value_kb.map_or(self.value_kb, |kb| kb.max(self.value_kb));
+        self.max_accepted_value_kb =
+            next.value_kb.map_or(self.value_kb, |kb| kb.max(self.value_kb));
         self.rps = next.rps.map_or(self.rps, |rps| rps.min(self.rps));
         self.write_rps = next.write_rps.map_or(self.write_rps, |rps| rps.min(self.write_rps));
         self.value_kb = next.value_kb.map_or(self.value_kb, |kb| kb.min(self.value_kb));
--- a/crates/controller/src/settings/tests.rs
+++ b/crates/controller/src/settings/tests.rs
@@ -33,13 +33,13 @@
 
 #[test]
 fn write_limits_are_minimum_of_present_and_next_limits() {
-    let present = Settings::parse(SETTINGS).unwrap().platform.state;
+    let present = Settings::parse(SETTINGS).unwrap().platform.store;
     assert_eq!((present.write_rps, present.value_kb, present.txn_ops), (25.0, 8.0, 8));
     let next = "[settings.state.next]\nwrite_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 16\nnew = 1\n";
-    let stricter = Settings::parse(&format!("{SETTINGS}{next}")).unwrap().platform.state;
+    let stricter = Settings::parse(&format!("{SETTINGS}{next}")).unwrap().platform.store;
     assert_eq!((stricter.write_rps, stricter.value_kb, stricter.txn_ops), (18.0, 2.0, 8));
     assert_eq!(stricter.rps, present.rps, "a limit that next lacks keeps its present value");
-    assert_eq!((present.largest_value_kb, stricter.largest_value_kb), (8.0, 8.0));
+    assert_eq!((present.max_accepted_value_kb, stricter.max_accepted_value_kb), (8.0, 8.0));
 }
 
 #[test]
@@ -66,7 +66,10 @@
     let parse = |text: &str| OperatorSettings::parse(&format!("[replication]\n{text}\n"));
     let defaults = OperatorSettings::default().replication;
     let parsed = parse("standby = off\nleader_lease_s = 4.4").unwrap().replication;
-    assert_eq!((parsed.standby, parsed.leader_lease), (false, Duration::from_millis(4_400)));
+    assert_eq!(
+        (parsed.keeps_standby_copy, parsed.leader_lease_length),
+        (false, Duration::from_millis(4_400))
+    );
     assert_eq!(parsed.worker_networks, defaults.worker_networks);
     let parsed = parse("worker_networks = 10.1.0.0/16\ncontroller_networks = 10.0.0.0/24").unwrap();
     assert!(parsed.replication.worker_networks.allows_socket_address("10.1.2.3:9000"));
--- a/crates/controller/tests/api/support.rs
+++ b/crates/controller/tests/api/support.rs
@@ -174,7 +174,7 @@
     let (_, view) = watch::channel(leadership);
     let (_, machine_types) =
         watch::channel(machine_types_known.then(|| Arc::new(vec![gpu_machine_type()])));
-    let store_address = store.unwrap_or(&settings.endpoints.state);
+    let store_address = store.unwrap_or(&settings.endpoints.store);
     let submissions = StoreClient::new(store_address, 2000.0);
     // No process listens at this address.
     let peers = Peers::new(HashMap::from([("worker-1".into(), "127.0.0.1:1".into())]));
--- a/crates/controller/tests/cluster_state/commit_queue.rs
+++ b/crates/controller/tests/cluster_state/commit_queue.rs
@@ -107,8 +107,8 @@
 fn transactions_are_split_by_bytes_regardless_of_operation_limit() {
     let mut harness = LeaderHarness::start();
     let mut config = test_config();
-    config.platform.state.txn_ops = 10_000;
-    config.platform.state.write_rps = 100_000.0;
+    config.platform.store.txn_ops = 10_000;
+    config.platform.store.write_rps = 100_000.0;
     let precondition = Precondition {
         key: LEADER_KEY.into(),
         mod_revision: harness.store.put(LEADER_KEY, 1.into()),
--- a/crates/controller/tests/fleet_size.rs
+++ b/crates/controller/tests/fleet_size.rs
@@ -21,7 +21,7 @@
 
 /// Returns the store's maximum number of operations in a transaction, and of KiB in a value.
 fn store_limits(config: &ControllerConfig) -> (usize, f64) {
-    (config.platform.state.txn_ops, config.platform.state.value_kb)
+    (config.platform.store.txn_ops, config.platform.store.value_kb)
 }
 
 /// Returns the resident memory of this process in KiB, or 0 where the system does not report it.
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -10,8 +10,8 @@
 use hookway_controller::peer_job_status::PeerJobStatus;
 use hookway_controller::peers::{PeerRequest, PeerResponse};
 use hookway_controller::records::{
-    ClassRecord, FinalRecord, ImageRecord, ImagesRecord, JobRecord, JobSchedulingRecord,
-    LeaderRecord, MachineRegistryEntry, MachineRegistryRecord, ProgressRecord,
+    ClassRecord, FinalRecord, ImageRecord, JobRecord, JobSchedulingRecord, LeaderRecord,
+    LegacyImagesRecord, MachineRegistryEntry, MachineRegistryRecord, ProgressRecord,
     SharedStartWatermarksRecord,
 };
 use hookway_controller::request_outcome::RequestOutcome;
@@ -102,9 +102,12 @@
     let machines =
         BTreeMap::from([("m-000231".to_owned(), entry), ("m-000232".to_owned(), without_images)]);
     json("record-roster", &MachineRegistryRecord { machines, images: images.clone() });
-    json("record-images", &ImagesRecord { images });
+    json("record-images", &LegacyImagesRecord { images });
     let request = Resources { cpus: 8.0, gpus: 1.0, memory_gb: 64.0 };
-    json("record-lane", &ClassRecord { request, image_gb: 6.2, spot: true, gangs: false });
+    json(
+        "record-lane",
+        &ClassRecord { request, image_gb: 6.2, allows_spot: true, is_gang_class: false },
+    );
 }
 
 #[test]
--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -10,7 +10,7 @@
 use hookway_controller::peer_job_status::PeerJobStatus;
 use hookway_controller::peers::{PeerRequest, PeerResponse, Peers};
 use hookway_controller::records::{
-    ClassRecord, FinalRecord, ImageRecord, ImagesRecord, JobRecord, JobSchedulingRecord,
+    ClassRecord, FinalRecord, ImageRecord, JobRecord, JobSchedulingRecord, LegacyImagesRecord,
     MachineRegistryEntry, MachineRegistryRecord, ProgressRecord, SharedStartWatermarksRecord,
 };
 use hookway_controller::standby::{Standby, StandbyMode, StandbySignals};
@@ -59,15 +59,15 @@
         .map(|(name, size_gb)| ImageRecord { name: name.into(), size_gb })
         .to_vec();
     json("pinned-record-roster-images", &MachineRegistryRecord { machines, images });
-    json("pinned-record-images-empty", &ImagesRecord::default());
+    json("pinned-record-images-empty", &LegacyImagesRecord::default());
 }
 
 #[test]
 fn class_statistics_record_is_map_keyed_by_class() {
     let request = Resources { cpus: 8.0, gpus: 1.0, memory_gb: 64.0 };
-    let gang = ClassRecord { request, image_gb: 6.2, spot: true, gangs: true };
+    let gang = ClassRecord { request, image_gb: 6.2, allows_spot: true, is_gang_class: true };
     let request = Resources { cpus: 0.5, gpus: 0.0, memory_gb: 2.0 };
-    let array = ClassRecord { request, image_gb: 0.0, spot: false, gangs: false };
+    let array = ClassRecord { request, image_gb: 0.0, allows_spot: false, is_gang_class: false };
     let classes = BTreeMap::from([("cleanup".to_owned(), array), ("train".to_owned(), gang)]);
     json("pinned-record-classes", &classes);
 }
--- a/crates/controller/tests/settings_keys.rs
+++ b/crates/controller/tests/settings_keys.rs
@@ -101,14 +101,19 @@
         parsed.peers.iter().map(|peer| [&*peer.name, &*peer.zone, &*peer.address]).collect();
     assert_eq!(peers, [["worker-1", "b", "127.0.0.1:9081"], ["worker-2", "", "127.0.0.1:9082"]]);
     assert_eq!(parsed.endpoints.cloud, "127.0.0.1:1");
-    assert_eq!(parsed.endpoints.state, "127.0.0.1:2");
+    assert_eq!(parsed.endpoints.store, "127.0.0.1:2");
     let params = parsed.platform;
-    assert_eq!(params.clock_off_ms, 3.0);
+    assert_eq!(params.max_clock_error_ms, 3.0);
     assert_eq!(params.zones, ["a", "b"]);
     let teams: Vec<(&str, [f64; 4])> = params
         .teams
         .iter()
-        .map(|team| (team.name.as_str(), [team.cpus, team.cpus_max, team.gpus, team.gpus_max]))
+        .map(|team| {
+            (
+                team.name.as_str(),
+                [team.guaranteed_cpus, team.max_cpus, team.guaranteed_gpus, team.max_gpus],
+            )
+        })
         .collect();
     assert_eq!(teams, [("vision", [11.0, 12.0, 13.0, 14.0]), ("free", [0.0; 4])]);
     let objectives: Vec<(&str, Option<&str>, Option<f64>)> = params
@@ -133,23 +138,23 @@
 
 #[test]
 fn each_next_limit_key_lowers_current_limit() {
-    let state = |text: &str| Settings::parse(text).unwrap().platform.state;
-    let present = state(REQUIRED_KEYS);
+    let store = |text: &str| Settings::parse(text).unwrap().platform.store;
+    let present = store(REQUIRED_KEYS);
     assert_eq!(
         (present.rps, present.write_rps, present.value_kb, present.txn_ops),
         (200.0, 25.0, 8.0, 16)
     );
     assert_eq!(present.next, None);
-    let stricter = state(ALL_KEYS);
+    let stricter = store(ALL_KEYS);
     assert_eq!(
         (stricter.rps, stricter.write_rps, stricter.value_kb, stricter.txn_ops),
         (100.0, 20.0, 4.0, 12)
     );
-    assert_eq!(stricter.largest_value_kb, 8.0);
+    assert_eq!(stricter.max_accepted_value_kb, 8.0);
     let next = stricter.next.unwrap();
     let next = (next.rps, next.write_rps, next.value_kb, next.txn_ops);
     assert_eq!(next, (Some(100.0), Some(20.0), Some(4.0), Some(12)));
-    let empty_next = state(&format!("{REQUIRED_KEYS}[settings.state.next]\n"));
+    let empty_next = store(&format!("{REQUIRED_KEYS}[settings.state.next]\n"));
     assert_eq!(
         (empty_next.rps, empty_next.write_rps, empty_next.value_kb, empty_next.txn_ops),
         (200.0, 25.0, 8.0, 16)
@@ -162,7 +167,7 @@
     assert_eq!(parsed.zone, "");
     assert!(parsed.peers.is_empty());
     let params = parsed.platform;
-    assert_eq!(params.clock_off_ms, 0.0);
+    assert_eq!(params.max_clock_error_ms, 0.0);
     assert!(params.teams.is_empty());
     assert!(params.objectives.is_empty());
     let limits = params.machine_limits;
@@ -202,10 +207,13 @@
     };
     assert_eq!(set("fleet", "idle_return_s = 30.5").idle_timeout, Some(ms(30_500)));
     assert_eq!(set("fleet", "most_machines = 12").max_machines, 12);
-    assert_eq!(set("scheduling", "block_lease_s = 20").shard_lease, ms(20_000));
-    assert!(set("replication", "standby = on").replication.standby);
-    assert!(!set("replication", "standby = off").replication.standby);
-    assert_eq!(set("replication", "leader_lease_s = 4.3").replication.leader_lease, ms(4_300));
+    assert_eq!(set("scheduling", "block_lease_s = 20").shard_lease_length, ms(20_000));
+    assert!(set("replication", "standby = on").replication.keeps_standby_copy);
+    assert!(!set("replication", "standby = off").replication.keeps_standby_copy);
+    assert_eq!(
+        set("replication", "leader_lease_s = 4.3").replication.leader_lease_length,
+        ms(4_300)
+    );
     let parsed = set("replication", "controller_networks = 10.1.0.0/16").replication;
     assert_eq!(allowed(&parsed.controller_networks), (true, false));
     assert_eq!(allowed(&parsed.worker_networks), (true, true));
@@ -236,9 +244,9 @@
     assert_eq!(parsed, OperatorSettings::default());
     assert_eq!(parsed.idle_timeout, None);
     assert_eq!(parsed.max_machines, usize::MAX);
-    assert_eq!(parsed.shard_lease, ms(30_000));
-    assert!(parsed.replication.standby);
-    assert_eq!(parsed.replication.leader_lease, ms(5_000));
+    assert_eq!(parsed.shard_lease_length, ms(30_000));
+    assert!(parsed.replication.keeps_standby_copy);
+    assert_eq!(parsed.replication.leader_lease_length, ms(5_000));
     assert!(parsed.replication.controller_networks.allows_socket_address("10.1.2.3:9"));
     assert!(parsed.replication.worker_networks.allows_socket_address("10.1.2.3:9"));
 }
--- a/crates/controller/tests/simulation/commits.rs
+++ b/crates/controller/tests/simulation/commits.rs
@@ -10,7 +10,7 @@
 impl Simulation {
     /// Checks that a controller's transaction stays within the store's limits that the controller's version knows.
     pub(super) fn check_transaction_limits(&mut self, n: usize, transaction: &Transaction) {
-        let limits = &self.controllers[n].config.platform.state;
+        let limits = &self.controllers[n].config.platform.store;
         let operation_count = transaction.operations.len();
         assert!(
             operation_count <= limits.txn_ops,
