--- a/crates/controller/tests/cluster_state/autoscaling.rs
+++ b/crates/controller/tests/cluster_state/autoscaling.rs
@@ -45,10 +45,10 @@
     let mut harness = LeaderHarness::start();
     let (mut worker_1, mut worker_2) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.submit(job("req-000001", "array", 1));
-    harness.run_rounds(&mut [&mut worker_1]);
+    harness.run_four_rounds(&mut [&mut worker_1]);
     let listed = listed_machine("m-1", MachineState::Failed, 60.0);
     harness.cluster.machines_listed(&[listed], harness.now, harness.now);
-    harness.run_rounds(&mut [&mut worker_2]);
+    harness.run_four_rounds(&mut [&mut worker_2]);
     assert_eq!(worker_2.unfinished_tasks(), ["req-000001/0"]);
 }
 
@@ -97,9 +97,9 @@
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
     harness.submit(job("req-000001", "group", 1));
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     worker.end_task("req-000001/0", ExitCause::Done);
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     assert!(harness.store.list("j/").is_empty(), "all jobs of the class are finished");
     // The next leader loads the class history but no job of the class.
     let mod_revision = harness.store.put(LEADER_KEY, serde_json::json!({ "term": 5_000 }));
@@ -116,7 +116,7 @@
     let mut next =
         LeaderHarness { cluster, store: harness.store.clone(), now, writes_refused: false };
     for _ in 0..60 {
-        next.run_rounds(&mut [&mut worker]);
+        next.run_four_rounds(&mut [&mut worker]);
         for action in next.cluster.autoscaling_round(next.now) {
             assert!(
                 !matches!(action, ScalingAction::ScaleIn(_)),
--- a/crates/controller/tests/cluster_state/cancellation.rs
+++ b/crates/controller/tests/cluster_state/cancellation.rs
@@ -32,11 +32,11 @@
     let mut harness = LeaderHarness::start();
     let (mut worker, mut idle_worker) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     let id = harness.submit(job("req-000001", "array", 5));
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     assert_eq!(worker.unfinished_tasks().len(), 1);
     harness.cluster.cancel(&id);
     harness.commit_pending();
-    harness.run_rounds(&mut [&mut worker, &mut idle_worker]);
+    harness.run_four_rounds(&mut [&mut worker, &mut idle_worker]);
     assert_eq!(
         (
             worker.unfinished_tasks().len(),
@@ -54,7 +54,7 @@
     let value = serde_json::to_value(record).expect("a job record that serializes");
     let delivered_at = Timestamp { monotonic: harness.now, wall: WallTime::default() };
     harness.cluster.add_job(&job_key(&id), value, delivered_at, JobOrigin::ThisTerm);
-    harness.run_rounds(&mut [&mut worker, &mut idle_worker]);
+    harness.run_four_rounds(&mut [&mut worker, &mut idle_worker]);
     assert_eq!((worker.started_attempts.len(), idle_worker.started_attempts.len()), (1, 0));
 }
 
@@ -63,7 +63,7 @@
     let (mut harness, mut worker, id) = one_running_task();
     harness.cluster.cancel(&id);
     harness.commit_pending();
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(9_000));
-    next.run_rounds(&mut [&mut worker]);
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, at(9_000));
+    next.run_four_rounds(&mut [&mut worker]);
     assert_eq!(worker.unfinished_tasks().len(), 0);
 }
--- a/crates/controller/tests/cluster_state/commit_queue.rs
+++ b/crates/controller/tests/cluster_state/commit_queue.rs
@@ -17,7 +17,7 @@
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
     let id = harness.submit(job("req-000001", "array", 2));
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     assert_eq!(
         worker.unfinished_tasks(),
         ["req-000001/0"],
@@ -25,7 +25,7 @@
     );
     assert_eq!(harness.job_state(&id), JobState::Running);
     worker.end_task("req-000001/0", ExitCause::Done);
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     assert_eq!(worker.unfinished_tasks(), ["req-000001/1"]);
     worker.end_task("req-000001/1", ExitCause::Done);
     let heartbeat = worker.heartbeat();
@@ -53,7 +53,7 @@
     let heartbeat = worker.heartbeat();
     harness.cluster.handle_heartbeat(&heartbeat, harness.now);
     let late = harness.cluster.next_commit(harness.now).expect("a commit of the final state");
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(9_000));
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, at(9_000));
     assert_eq!(next.cluster.cancel(&id), CancelOutcome::Pending);
     next.commit_pending();
     assert!(
@@ -92,7 +92,7 @@
 fn resubmission_of_finished_job_fails_its_precondition() {
     let (mut harness, mut worker, id) = one_running_task();
     worker.end_task("req-000001/0", ExitCause::Done);
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     let resubmission = Transaction {
         preconditions: vec![
             Precondition { key: job_key(&id), mod_revision: 0 },
@@ -207,7 +207,7 @@
     if let Some(task) = running {
         worker_1.end_task(&task, ExitCause::Done);
     }
-    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+    harness.run_four_rounds(&mut [&mut worker_1, &mut worker_2]);
     assert!(!harness.cluster.leadership_lost());
 }
 
--- a/crates/controller/tests/cluster_state/direct_dispatch.rs
+++ b/crates/controller/tests/cluster_state/direct_dispatch.rs
@@ -7,7 +7,7 @@
 
 /// Submits a job of one task and returns the direct commands that start it on the idle machine m-1.
 fn dispatched_task(harness: &mut LeaderHarness, worker: &mut ScriptedWorker) -> DirectCommands {
-    harness.run_rounds(&mut [worker]);
+    harness.run_four_rounds(&mut [worker]);
     harness.submit(job("req-000001", "array", 1));
     harness.advance(1_000);
     let start = harness.cluster.take_direct_starts(harness.now).pop().expect("a direct start");
@@ -29,7 +29,7 @@
         harness.now,
     );
     assert_eq!(worker.unfinished_tasks(), ["req-000001/0"]);
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     assert_eq!(worker.started_attempts.len(), 1);
     assert_eq!(harness.job_state(&JobId::parse("req-000001").expect("an id")), JobState::Running);
 }
@@ -43,14 +43,14 @@
         worker.handle_direct_commands(&commands).expect("the worker executes the command");
     // The task ends, and its heartbeat arrives before the response to the command is read.
     worker.end_task("req-000001/0", ExitCause::Done);
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     harness.cluster.direct_start_sent(
         "m-1",
         commands.fencing_token,
         Delivery::Executed(heartbeat),
         harness.now,
     );
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     assert_eq!(
         worker.unfinished_tasks().len() + worker.heartbeat().tasks.len(),
         0,
@@ -74,19 +74,19 @@
         Delivery::Indeterminate,
         harness.now,
     );
-    harness.run_rounds(&mut [&mut other]);
+    harness.run_four_rounds(&mut [&mut other]);
     assert_eq!(other.started_attempts, [], "the delayed command may still start the task on m-1");
     // The next response raises the fencing token of m-1; only the heartbeat after it proves that.
     harness.heartbeat(&mut worker);
     assert!(worker.fencing_token > commands.fencing_token);
-    harness.run_rounds(&mut [&mut other]);
+    harness.run_four_rounds(&mut [&mut other]);
     assert_eq!(
         other.started_attempts,
         [],
         "the heartbeat was sent before the higher fencing token arrived"
     );
     harness.now += ms(5_000);
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     assert_eq!(worker.handle_direct_commands(&commands), None, "the delayed command is refused");
     assert_eq!(worker.started_attempts.len() + other.started_attempts.len(), 1);
 }
@@ -102,7 +102,7 @@
         Delivery::NotSent,
         harness.now,
     );
-    harness.run_rounds(&mut [&mut other]);
+    harness.run_four_rounds(&mut [&mut other]);
     assert_eq!(
         other.unfinished_tasks(),
         ["req-000001/0"],
@@ -131,7 +131,7 @@
         .handle_heartbeat(&overtaken, harness.now)
         .expect("an overtaken heartbeat gets a response");
     worker.handle_response(&response);
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     assert_eq!(
         worker.started_attempts.len(),
         1,
@@ -148,7 +148,7 @@
 fn direct_response_without_task_does_not_discard_pending_start() {
     let mut harness = LeaderHarness::start();
     let (mut worker, mut other) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     harness.submit(job("req-000001", "array", 1));
     harness.advance(1_000);
     // The start command is in a heartbeat response that is delayed; meanwhile the worker answers a
@@ -169,7 +169,7 @@
     }
     assert_eq!(other.started_attempts, [], "the delayed response may still start the task on m-1");
     worker.handle_response(&response);
-    harness.run_rounds(&mut [&mut worker, &mut other]);
+    harness.run_four_rounds(&mut [&mut worker, &mut other]);
     assert_eq!((worker.started_attempts.len(), other.started_attempts.len()), (1, 0));
 }
 
@@ -189,9 +189,9 @@
         Delivery::Refused,
         harness.now,
     );
-    harness.run_rounds(&mut [&mut other]);
+    harness.run_four_rounds(&mut [&mut other]);
     assert_eq!(other.started_attempts, [], "a duplicate was executed: the task runs on m-1");
-    harness.run_rounds(&mut [&mut worker, &mut other]);
+    harness.run_four_rounds(&mut [&mut worker, &mut other]);
     assert_eq!((worker.unfinished_tasks().len(), other.started_attempts.len()), (1, 0));
 }
 
--- a/crates/controller/tests/cluster_state/failure_attribution.rs
+++ b/crates/controller/tests/cluster_state/failure_attribution.rs
@@ -11,10 +11,10 @@
     let mut worker = small_worker("m-1", "a");
     harness.submit(job("req-000001", "array", 1));
     for _ in 0..6 {
-        harness.run_rounds(&mut [&mut worker]);
+        harness.run_four_rounds(&mut [&mut worker]);
         worker.end_task("req-000001/0", ExitCause::Error);
         harness.now += ms(31_000 / 4);
-        harness.run_rounds(&mut [&mut worker]);
+        harness.run_four_rounds(&mut [&mut worker]);
     }
     let actions = harness.cluster.autoscaling_round(harness.now);
     assert!(!actions.iter().any(|action| matches!(action, ScalingAction::ScaleIn(_))));
--- a/crates/controller/tests/cluster_state/gangs.rs
+++ b/crates/controller/tests/cluster_state/gangs.rs
@@ -8,7 +8,7 @@
     let mut harness = LeaderHarness::start();
     let (mut worker_1, mut worker_2) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     harness.submit(job("req-000001", "group", 2));
-    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+    harness.run_four_rounds(&mut [&mut worker_1, &mut worker_2]);
     assert_eq!((worker_1.unfinished_tasks().len(), worker_2.unfinished_tasks().len()), (1, 1));
     let first_attempt = worker_1.started_attempts[0].1;
     assert_eq!(first_attempt, worker_2.started_attempts[0].1, "both tasks have the same attempt");
@@ -20,7 +20,7 @@
     harness.heartbeat(&mut worker_1);
     assert_eq!(worker_1.unfinished_tasks().len(), 0, "the other task of the attempt is stopped");
     harness.now += ms(4_000);
-    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+    harness.run_four_rounds(&mut [&mut worker_1, &mut worker_2]);
     assert_eq!((worker_1.unfinished_tasks().len(), worker_2.unfinished_tasks().len()), (1, 1));
     assert_ne!(worker_1.started_attempts[1].1, first_attempt, "the next attempt has a new number");
 }
@@ -30,11 +30,11 @@
     let mut harness = LeaderHarness::start();
     let (mut worker_1, mut worker_2) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     harness.submit(job("req-000001", "group", 2));
-    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(9_000));
+    harness.run_four_rounds(&mut [&mut worker_1, &mut worker_2]);
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, at(9_000));
     worker_2.expire_lease();
-    next.run_rounds(&mut [&mut worker_1, &mut worker_2]);
-    next.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+    next.run_four_rounds(&mut [&mut worker_1, &mut worker_2]);
+    next.run_four_rounds(&mut [&mut worker_1, &mut worker_2]);
     assert_eq!((worker_1.unfinished_tasks().len(), worker_2.unfinished_tasks().len()), (1, 1));
     assert_eq!(
         worker_1.started_attempts.last().map(|start| start.1),
--- a/crates/controller/tests/cluster_state/heartbeats.rs
+++ b/crates/controller/tests/cluster_state/heartbeats.rs
@@ -10,7 +10,7 @@
 fn leader_without_heartbeats_detects_its_isolation() {
     let mut harness = LeaderHarness::start();
     let (mut worker_1, mut worker_2) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
-    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+    harness.run_four_rounds(&mut [&mut worker_1, &mut worker_2]);
     assert!(!harness.cluster.all_workers_silent(harness.now));
     harness.now += ms(3_000);
     harness.heartbeat(&mut worker_2);
@@ -20,7 +20,7 @@
     );
     assert!(harness.cluster.all_workers_silent(harness.now + ms(6_500)));
     // The next leader is partitioned from all workers from its election on.
-    let next = LeaderHarness::lead(harness.store.clone(), 2, at(200_000));
+    let next = LeaderHarness::with_term(harness.store.clone(), 2, at(200_000));
     assert!(!next.cluster.all_workers_silent(at(203_000)));
     assert!(next.cluster.all_workers_silent(at(207_000)));
 }
@@ -32,14 +32,14 @@
     harness.submit(job("req-000001", "array", 1));
     harness.heartbeat(&mut worker);
     let delayed = worker.heartbeat();
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     assert_eq!(worker.unfinished_tasks().len(), 1);
     assert_eq!(
         harness.cluster.handle_heartbeat(&delayed, harness.now),
         None,
         "a heartbeat with an older sequence number is refused"
     );
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     assert_eq!(worker.started_attempts.len(), 1);
 }
 
@@ -57,7 +57,7 @@
     harness.heartbeat(&mut worker);
     assert_eq!(worker.started_attempts.len(), 1);
     let before = harness.now;
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     assert_eq!(worker.started_attempts.len(), 1, "not restarted after {before:?}");
 }
 
@@ -66,13 +66,13 @@
     let mut harness = LeaderHarness::start();
     let (mut worker, mut other) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.submit(job("req-000001", "array", 1));
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     let duplicate = worker.heartbeat();
     harness.cluster.handle_heartbeat(&duplicate, harness.now);
     // After the worker began its next incarnation.
     worker.expire_lease();
     harness.now += longest_worker_lease(&test_config().platform) + ms(1_000);
-    harness.run_rounds(&mut [&mut other]);
+    harness.run_four_rounds(&mut [&mut other]);
     harness.heartbeat(&mut worker);
     let before = harness.cluster.status(&JobId::parse("req-000001").expect("an id"));
     assert_eq!(
@@ -96,10 +96,10 @@
     // After a failover: the duplicate carries the old fencing token and reconciles no machine.
     let duplicate = other.heartbeat();
     harness.cluster.handle_heartbeat(&duplicate, harness.now);
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now);
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, harness.now);
     let mut third = small_worker("m-3", "a");
     next.cluster.handle_heartbeat(&duplicate, next.now);
-    next.run_rounds(&mut [&mut third]);
+    next.run_four_rounds(&mut [&mut third]);
     assert!(!next.cluster.reconciled(next.now));
     assert_eq!(third.started_attempts, [], "the task may still run on m-2");
 }
--- a/crates/controller/tests/cluster_state/leases.rs
+++ b/crates/controller/tests/cluster_state/leases.rs
@@ -10,7 +10,7 @@
     let mut harness = LeaderHarness::start();
     let (mut worker, mut other) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.submit(job("req-000001", "array", 1));
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     assert_eq!(worker.unfinished_tasks().len(), 1);
     let delayed = worker.heartbeat();
     for _ in 0..30 {
@@ -24,10 +24,10 @@
     );
     // The delayed heartbeat arrives after the lease expired and still names the task.
     assert_eq!(harness.cluster.handle_heartbeat(&delayed, harness.now), None);
-    harness.run_rounds(&mut [&mut other]);
+    harness.run_four_rounds(&mut [&mut other]);
     assert_eq!(other.unfinished_tasks(), ["req-000001/0"]);
     worker.expire_lease();
-    harness.run_rounds(&mut [&mut worker, &mut other]);
+    harness.run_four_rounds(&mut [&mut worker, &mut other]);
     assert_eq!(worker.unfinished_tasks().len(), 0);
 }
 
@@ -35,9 +35,9 @@
 fn one_way_partitioned_machine_is_deleted_and_blocks_no_gang() {
     let mut harness = LeaderHarness::start();
     let (mut one_way, mut reachable) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
-    harness.run_rounds(&mut [&mut reachable]);
+    harness.run_four_rounds(&mut [&mut reachable]);
     harness.submit(job("req-000001", "group", 2));
-    harness.run_rounds(&mut [&mut one_way, &mut reachable]);
+    harness.run_four_rounds(&mut [&mut one_way, &mut reachable]);
     assert_eq!(
         (one_way.unfinished_tasks().len(), reachable.unfinished_tasks().len()),
         (1, 1),
@@ -56,7 +56,7 @@
         let heartbeat = one_way.heartbeat();
         harness.cluster.handle_heartbeat(&heartbeat, harness.now);
         harness.commit_pending();
-        harness.run_rounds(&mut [&mut reachable, &mut third]);
+        harness.run_four_rounds(&mut [&mut reachable, &mut third]);
     }
     assert_eq!(
         (reachable.unfinished_tasks().len(), third.unfinished_tasks().len()),
@@ -71,7 +71,7 @@
         let heartbeat = one_way.heartbeat();
         harness.cluster.handle_heartbeat(&heartbeat, harness.now);
         harness.commit_pending();
-        harness.run_rounds(&mut [&mut reachable, &mut third]);
+        harness.run_four_rounds(&mut [&mut reachable, &mut third]);
         deleted.extend(harness.requested_deletions());
     }
     assert!(deleted.contains(&"m-1".to_owned()), "the one-way partitioned machine is deleted");
@@ -83,7 +83,7 @@
     let mut harness = LeaderHarness::start();
     let (mut one_way, mut reachable) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.submit(job("req-000001", "array", 1));
-    harness.run_rounds(&mut [&mut one_way]);
+    harness.run_four_rounds(&mut [&mut one_way]);
     assert_eq!(one_way.unfinished_tasks().len(), 1);
     let last_response_at = harness.now;
     let id = JobId::parse("req-000001").expect("an id");
@@ -94,7 +94,7 @@
         let heartbeat = one_way.heartbeat();
         harness.cluster.handle_heartbeat(&heartbeat, harness.now);
         harness.advance(1_000);
-        harness.run_rounds(&mut [&mut reachable]);
+        harness.run_four_rounds(&mut [&mut reachable]);
     }
     assert_eq!(reachable.started_attempts, []);
     assert_eq!(harness.stored_final_state(&id).as_deref(), Some("withdrawn"));
@@ -129,14 +129,14 @@
             "{elapsed:?} after the request"
         );
     }
-    harness.run_rounds_all(&mut workers);
+    harness.run_four_rounds_of_all(&mut workers);
     assert_eq!(
         harness.cluster.shard_lease_length(harness.now),
         lease,
         "not shortened once the tasks have ended"
     );
     // Until every machine is reconciled, the next leader may not know all cancelled jobs.
-    let next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(1_000));
+    let next = LeaderHarness::with_term(harness.store.clone(), 2, harness.now + ms(1_000));
     assert_eq!(next.cluster.shard_lease_length(next.now), ms(0));
 }
 
@@ -148,8 +148,8 @@
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
     harness.submit(job("req-000001", "array", 2));
-    harness.run_rounds(&mut [&mut worker]);
-    let mut next = LeaderHarness::lead(harness.store.clone(), 5_000, at(20_000));
+    harness.run_four_rounds(&mut [&mut worker]);
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 5_000, at(20_000));
     worker.expire_lease();
     next.now = at(30_000);
     let probe = DirectCommands { fencing_token: 5_000, incarnation: 2, commands: vec![] };
@@ -181,11 +181,11 @@
     let mut harness = LeaderHarness::start();
     let (mut worker, mut reachable) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.submit(job("req-000001", "array", 1));
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     let task = worker.unfinished_tasks()[0].clone();
-    harness.run_rounds(&mut [&mut reachable]);
+    harness.run_four_rounds(&mut [&mut reachable]);
     harness.submit(job("req-000002", "array", 1));
-    harness.run_rounds(&mut [&mut reachable]);
+    harness.run_four_rounds(&mut [&mut reachable]);
     let last_heartbeat_at = harness.now;
     // This response is lost; the next heartbeat shows that, as the reaped task is still in it.
     harness.submit(job("req-000003", "array", 1));
--- a/crates/controller/tests/cluster_state/machine_registry.rs
+++ b/crates/controller/tests/cluster_state/machine_registry.rs
@@ -32,17 +32,17 @@
     let mut harness = LeaderHarness::start();
     let (mut reachable, mut deleted) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     harness.submit(job("req-000001", "array", 2));
-    harness.run_rounds(&mut [&mut reachable, &mut deleted]);
+    harness.run_four_rounds(&mut [&mut reachable, &mut deleted]);
     let lost_task = deleted.unfinished_tasks()[0].clone();
     // The cloud deletes m-2 while no controller leads. The machine had been up for a long time, so the
     // first list without it proves its deletion.
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(100_000));
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, at(100_000));
     reachable.end_task(&reachable.unfinished_tasks()[0].clone(), ExitCause::Done);
-    next.run_rounds(&mut [&mut reachable]);
+    next.run_four_rounds(&mut [&mut reachable]);
     assert!(!next.cluster.reconciled(next.now));
     let listed = listed_machine("m-1", MachineState::Running, 100.0);
     next.cluster.machines_listed(&[listed], next.now, next.now);
-    next.run_rounds(&mut [&mut reachable]);
+    next.run_four_rounds(&mut [&mut reachable]);
     assert_eq!(reachable.unfinished_tasks(), [lost_task]);
 }
 
@@ -53,10 +53,10 @@
     harness.now = at(300_000);
     let mut young = small_worker("m-9", "a");
     harness.submit(job("req-000001", "array", 1));
-    harness.run_rounds(&mut [&mut young]);
+    harness.run_four_rounds(&mut [&mut young]);
     assert_eq!(young.unfinished_tasks().len(), 1);
     // The leader changes 2 s later; the first list does not contain the machine yet.
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(2_000));
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, harness.now + ms(2_000));
     next.cluster.machines_listed(&[], next.now, next.now);
     for _ in 0..4 {
         next.heartbeat(&mut small_worker("m-2", "b"));
@@ -73,13 +73,13 @@
     let mut harness = LeaderHarness::start();
     let (mut cold, mut warm) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.submit(job("req-000001", "array", 1));
-    harness.run_rounds(&mut [&mut warm]);
+    harness.run_four_rounds(&mut [&mut warm]);
     warm.end_task("req-000001/0", ExitCause::Done);
-    harness.run_rounds(&mut [&mut cold, &mut warm]);
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(9_000));
-    next.run_rounds(&mut [&mut cold, &mut warm]);
+    harness.run_four_rounds(&mut [&mut cold, &mut warm]);
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, at(9_000));
+    next.run_four_rounds(&mut [&mut cold, &mut warm]);
     next.submit(job("req-000002", "array", 1));
-    next.run_rounds(&mut [&mut cold, &mut warm]);
+    next.run_four_rounds(&mut [&mut cold, &mut warm]);
     assert_eq!((cold.started_attempts.len(), warm.unfinished_tasks().len()), (0, 1));
 }
 
@@ -89,16 +89,16 @@
     // Records that version 0.1.0 wrote: one per machine.
     store.put("r/m-1", serde_json::json!({ "term": 1, "at_ms": 999_000 }));
     store.put("i/m-1", serde_json::json!({ "images": [["img", 1.0]] }));
-    let mut harness = LeaderHarness::lead(store, 2, at(0));
+    let mut harness = LeaderHarness::with_term(store, 2, at(0));
     assert!(!harness.cluster.reconciled(at(0)), "m-1 of the legacy record may have tasks");
     let mut all_workers = workers(1..=60, "a");
     let mut refs: Vec<&mut ScriptedWorker> = all_workers.iter_mut().collect();
-    harness.run_rounds(&mut refs);
+    harness.run_four_rounds(&mut refs);
     assert!((1..=60).all(|n| harness.is_registered(&format!("m-{n}"))));
     assert!(harness.store.list("r/").len() <= 2, "one record holds dozens of machines");
     assert!(harness.store.get("i/m-1").is_none() && harness.store.get("r/m-1").is_none());
     // The next leader knows every machine, and the cached image of the first.
-    let next = LeaderHarness::lead(harness.store.clone(), 3, at(50_000));
+    let next = LeaderHarness::with_term(harness.store.clone(), 3, at(50_000));
     assert_eq!(next.cluster.machine_count(), 60);
     let record = next.store.list("r/").remove(0).value;
     assert_eq!(record["images"][0][0], "img");
@@ -108,7 +108,7 @@
 fn unreadable_registry_record_number_is_not_reused_within_lease() {
     let mut store = MemoryStore::default();
     store.put("r/record-0", serde_json::json!({ "hosts": "from a later version" }));
-    let mut harness = LeaderHarness::lead(store, 1, at(0));
+    let mut harness = LeaderHarness::with_term(store, 1, at(0));
     let mut worker = small_worker("m-1", "a");
     harness.heartbeat(&mut worker);
     harness.heartbeat(&mut worker);
--- a/crates/controller/tests/cluster_state/reconciliation.rs
+++ b/crates/controller/tests/cluster_state/reconciliation.rs
@@ -9,11 +9,11 @@
     let mut harness = LeaderHarness::start();
     let (mut reachable, mut partitioned) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     harness.submit(job("req-000001", "array", 2));
-    harness.run_rounds(&mut [&mut reachable, &mut partitioned]);
+    harness.run_four_rounds(&mut [&mut reachable, &mut partitioned]);
     assert_eq!((reachable.unfinished_tasks().len(), partitioned.unfinished_tasks().len()), (1, 1));
     let lost_task = partitioned.unfinished_tasks()[0].clone();
     // The previous leader is partitioned together with m-2. A new leader is elected at 30 s.
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(30_000));
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, at(30_000));
     let fresh = next.submit(job("req-000002", "array", 1));
     let mut idle = small_worker("m-3", "a");
     for _ in 0..20 {
@@ -50,14 +50,14 @@
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
     harness.submit(job("req-000001", "array", 2));
-    harness.run_rounds(&mut [&mut worker]);
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(10_000));
+    harness.run_four_rounds(&mut [&mut worker]);
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, at(10_000));
     assert!(!next.cluster.reconciled(next.now));
     next.heartbeat(&mut worker);
     assert_eq!(worker.fencing_token, 2, "the fencing token rises with the term");
     next.heartbeat(&mut worker);
     assert!(next.cluster.reconciled(next.now));
-    next.run_rounds(&mut [&mut worker]);
+    next.run_four_rounds(&mut [&mut worker]);
     assert_eq!(worker.unfinished_tasks(), ["req-000001/0"], "the running task continues");
     assert_eq!(worker.started_attempts.len(), 1);
     // The deposed leader's response carries the lower fencing token and is dropped.
@@ -77,11 +77,11 @@
     // The network delays this heartbeat; the start command is in the response to the next one.
     let delayed = partitioned.heartbeat();
     harness.submit(job("req-000001", "array", 1));
-    harness.run_rounds(&mut [&mut partitioned]);
+    harness.run_four_rounds(&mut [&mut partitioned]);
     assert_eq!(partitioned.unfinished_tasks(), ["req-000001/0"]);
     // A new leader receives the delayed heartbeat first. It names no task, but that proves nothing: only
     // a heartbeat with the new fencing token is known to have been sent after the failover.
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(9_000));
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, at(9_000));
     next.cluster.handle_heartbeat(&delayed, next.now);
     assert!(!next.cluster.reconciled(next.now));
     for _ in 0..8 {
@@ -98,10 +98,10 @@
     let mut spec = job("req-000001", "array", 1);
     spec.team = "tight".into();
     harness.submit(spec.clone());
-    harness.run_rounds(&mut [&mut worker_1]);
+    harness.run_four_rounds(&mut [&mut worker_1]);
     assert_eq!(worker_1.unfinished_tasks().len(), 1);
     // m-1 becomes unreachable together with the leader; its task may still use 3 of the team's 4 CPUs.
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(9_000));
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, at(9_000));
     spec.id = JobId::parse("req-000002").expect("an id");
     next.submit(spec);
     for _ in 0..10 {
@@ -136,9 +136,9 @@
             harness.advance(500);
         }
         let next_term = 1 + term * hookway_constants::TOKENS_PER_TERM;
-        harness = LeaderHarness::lead(harness.store.clone(), next_term, harness.now + ms(200));
+        harness = LeaderHarness::with_term(harness.store.clone(), next_term, harness.now + ms(200));
     }
-    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+    harness.run_four_rounds(&mut [&mut worker_1, &mut worker_2]);
     let started_by_worker = (&worker_1.started_attempts, &worker_2.started_attempts);
     assert_eq!(harness.stored_final_state(&id).as_deref(), Some("done"), "{started_by_worker:?}");
     let mut started: Vec<&String> = worker_1
@@ -161,11 +161,11 @@
     let (mut worker_1, mut worker_2) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     // Each machine has capacity for one task; the third task is queued.
     harness.submit(job("req-000001", "array", 3));
-    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+    harness.run_four_rounds(&mut [&mut worker_1, &mut worker_2]);
     assert_eq!(worker_1.unfinished_tasks().len() + worker_2.unfinished_tasks().len(), 2);
     worker_1.end_task(&worker_1.unfinished_tasks()[0].clone(), ExitCause::Done);
 
-    let mut next = LeaderHarness::lead(harness.store.clone(), 5_000, at(20_000));
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 5_000, at(20_000));
     let listed = ["m-1", "m-2"].map(|name| ListedMachine {
         addr: Some("127.0.0.1:9".into()),
         ..listed_machine(name, MachineState::Running, 60.0)
@@ -191,7 +191,7 @@
         .cluster
         .handle_heartbeat(&worker_1.heartbeat(), harness.now + ms(1_000))
         .expect("a response");
-    let mut next = LeaderHarness::lead(next.store.clone(), 9_000, at(30_000));
+    let mut next = LeaderHarness::with_term(next.store.clone(), 9_000, at(30_000));
     next.cluster.machines_listed(&listed, next.now, next.now);
     next.now += ms(1_500);
     assert_eq!(next.cluster.take_state_probes(next.now).len(), 2);
--- a/crates/controller/tests/cluster_state/runtime_estimates.rs
+++ b/crates/controller/tests/cluster_state/runtime_estimates.rs
@@ -11,10 +11,10 @@
     let mut harness = LeaderHarness::start();
     let (mut healthy, mut slow) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.submit(job("req-000001", "array", 7));
-    harness.run_rounds(&mut [&mut healthy, &mut slow]);
+    harness.run_four_rounds(&mut [&mut healthy, &mut slow]);
     let slow_task = slow.unfinished_tasks()[0].clone();
     for _ in 0..40 {
-        harness.run_rounds(&mut [&mut healthy, &mut slow]);
+        harness.run_four_rounds(&mut [&mut healthy, &mut slow]);
         if let Some(task) = healthy.unfinished_tasks().first().cloned() {
             healthy.end_task(&task, ExitCause::Done);
         }
@@ -30,7 +30,7 @@
     let (mut worker_1, mut worker_2) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.submit(job("req-000001", "array", 7));
     for _ in 0..80 {
-        harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+        harness.run_four_rounds(&mut [&mut worker_1, &mut worker_2]);
         for worker in [&mut worker_1, &mut worker_2] {
             if let Some(task) =
                 worker.unfinished_tasks().first().filter(|task| !task.ends_with("/0")).cloned()
@@ -53,21 +53,21 @@
     // The first four tasks, of 20 s each, give the runtime estimate.
     for n in 0..4 {
         for _ in 0..10 {
-            harness.run_rounds(&mut [&mut worker]);
+            harness.run_four_rounds(&mut [&mut worker]);
         }
         assert!(worker.end_task(&format!("req-000001/{n}"), ExitCause::Done));
         harness.heartbeat(&mut worker);
     }
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     assert_eq!(worker.unfinished_tasks(), ["req-000001/4"]);
     worker.set_interruption_notice(30.0);
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     assert_eq!(worker.unfinished_tasks(), ["req-000001/4"], "the task ends within the notice");
     worker.set_interruption_notice(8.0);
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     assert_eq!(worker.unfinished_tasks(), [] as [&str; 0]);
     let mut other = small_worker("m-2", "a");
-    harness.run_rounds(&mut [&mut other]);
+    harness.run_four_rounds(&mut [&mut other]);
     assert_eq!(other.unfinished_tasks(), ["req-000001/4"]);
 }
 
@@ -77,18 +77,18 @@
     let mut workers = workers(1..=6, "a");
     harness.submit(job("req-000001", "array", 6));
     for _ in 0..10 {
-        harness.run_rounds_all(&mut workers);
+        harness.run_four_rounds_of_all(&mut workers);
     }
     // The new leader sees five tasks complete after a second; they ran for twenty seconds before the
     // failover.
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(1_000));
-    next.run_rounds_all(&mut workers);
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, harness.now + ms(1_000));
+    next.run_four_rounds_of_all(&mut workers);
     for worker in &mut workers[..5] {
         let task = worker.unfinished_tasks()[0].clone();
         worker.end_task(&task, ExitCause::Done);
     }
     for _ in 0..10 {
-        next.run_rounds_all(&mut workers);
+        next.run_four_rounds_of_all(&mut workers);
     }
     assert_eq!(workers[5].unfinished_tasks().len(), 1, "the sixth task is not treated as slow");
     assert_eq!(workers.iter().map(|worker| worker.started_attempts.len()).sum::<usize>(), 6);
--- a/crates/controller/tests/cluster_state/start_watermarks.rs
+++ b/crates/controller/tests/cluster_state/start_watermarks.rs
@@ -11,7 +11,7 @@
     let mut harness = LeaderHarness::start();
     let (mut reachable, mut partitioned) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     harness.submit(job("req-000001", "array", 300));
-    harness.run_rounds(&mut [&mut reachable, &mut partitioned]);
+    harness.run_four_rounds(&mut [&mut reachable, &mut partitioned]);
     let queued = harness.submit(job("req-000002", "group", 1));
     // The leader is partitioned together with m-2; the task on m-1 completes.
     let partitioned_task: u32 = partitioned.unfinished_tasks()[0]
@@ -20,10 +20,10 @@
         .expect("a number")
         .parse()
         .expect("a number");
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(30_000));
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, at(30_000));
     reachable.end_task(&reachable.unfinished_tasks()[0].clone(), ExitCause::Done);
     let mut idle = small_worker("m-3", "a");
-    next.run_rounds(&mut [&mut reachable, &mut idle]);
+    next.run_four_rounds(&mut [&mut reachable, &mut idle]);
     assert!(!next.cluster.reconciled(next.now), "m-2 may still run task {partitioned_task}");
     let started_tasks: Vec<String> =
         reachable.unfinished_tasks().into_iter().chain(idle.unfinished_tasks()).collect();
@@ -45,20 +45,20 @@
     let mut harness = LeaderHarness::start();
     let mut partitioned = small_worker("m-2", "b");
     harness.submit(job("req-000001", "array", 300));
-    harness.run_rounds(&mut [&mut partitioned]);
+    harness.run_four_rounds(&mut [&mut partitioned]);
     // A leader of version 0.1.0 may have started any of the tasks without storing a watermark.
     let lead = |mut store: MemoryStore, term: u64, stored: WatermarkCompleteness, now| {
         let mod_revision = store.put(LEADER_KEY, serde_json::json!({ "term": term }));
-        LeaderHarness::recover(test_config(), store, (term, mod_revision), stored, now)
+        LeaderHarness::with_leadership(test_config(), store, (term, mod_revision), stored, now)
     };
     let mut next = lead(harness.store.clone(), 2, WatermarkCompleteness::Absent, at(30_000));
     let mut idle = small_worker("m-3", "a");
-    next.run_rounds(&mut [&mut idle]);
+    next.run_four_rounds(&mut [&mut idle]);
     assert_eq!(idle.started_attempts, [], "without watermarks any task may run on m-2");
     // The leader after that one reads from the store that any task may have been started.
     let mut third = lead(next.store.clone(), 3, WatermarkCompleteness::Complete, at(33_000));
     let mut idle = small_worker("m-4", "a");
-    third.run_rounds(&mut [&mut idle]);
+    third.run_four_rounds(&mut [&mut idle]);
     assert_eq!(idle.started_attempts, []);
 }
 
@@ -73,14 +73,14 @@
     for n in 0..100 {
         harness.submit(job(&format!("req-{n:06}"), "array", 1));
     }
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     let started_tasks: Vec<String> = worker.unfinished_tasks();
     assert_eq!(started_tasks.len(), 1, "the machine has capacity for one task");
     let watermark_records = harness.store.list("m/");
     assert_eq!(watermark_records.len(), 1, "{watermark_records:?}");
     assert!(watermark_records[0].value["jobs"].as_array().is_some_and(|jobs| jobs.len() < 100));
     // The next leader can't reach the machine: its task waits, the others need not.
-    let mut next = LeaderHarness::lead(harness.store.clone(), 5_000, at(20_000));
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 5_000, at(20_000));
     let mut other = small_worker("m-2", "a");
     for _ in 0..3 {
         next.heartbeat(&mut other);
@@ -89,7 +89,7 @@
     assert_eq!(other.unfinished_tasks().len(), 1, "a task that no leader has started");
     assert_ne!(other.unfinished_tasks(), started_tasks);
     // The record is deleted when all of its jobs have finished.
-    let mut harness = LeaderHarness::lead(harness.store.clone(), 9_000, at(40_000));
+    let mut harness = LeaderHarness::with_term(harness.store.clone(), 9_000, at(40_000));
     for _ in 0..300 {
         harness.heartbeat(&mut worker);
         for task in worker.unfinished_tasks() {
@@ -110,10 +110,10 @@
     let mut worker = small_worker("m-1", "a");
     harness.heartbeat(&mut worker);
     harness.submit(job("req-000001", "array", 1));
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     let mut store = harness.store.clone();
     store.put("m/shared-0", serde_json::json!({ "jobs": 7 }));
-    let mut next = LeaderHarness::lead(store, 5_000, at(20_000));
+    let mut next = LeaderHarness::with_term(store, 5_000, at(20_000));
     let mut other = small_worker("m-2", "a");
     for _ in 0..3 {
         next.heartbeat(&mut other);
--- a/crates/controller/tests/cluster_state/support.rs
+++ b/crates/controller/tests/cluster_state/support.rs
@@ -10,7 +10,7 @@
     let mut workers: Vec<ScriptedWorker> =
         names.iter().map(|name| small_worker(name, "a")).collect();
     harness.submit(job("req-000001", "array", count as u32));
-    harness.run_rounds_all(&mut workers);
+    harness.run_four_rounds_of_all(&mut workers);
     assert!(workers.iter().all(|worker| worker.unfinished_tasks().len() == 1));
     (harness, workers)
 }
--- a/crates/controller/tests/cluster_state/unknown_watermarks.rs
+++ b/crates/controller/tests/cluster_state/unknown_watermarks.rs
@@ -19,9 +19,10 @@
 /// Returns a store with a job of 14 tasks that no leader has started, and the worker of one registered
 /// machine without tasks.
 fn store_with_waiting_job() -> (MemoryStore, ScriptedWorker) {
-    let mut first = LeaderHarness::elect(MemoryStore::default(), ElectionResponse::Received, at(0));
+    let mut first =
+        LeaderHarness::after_election(MemoryStore::default(), ElectionResponse::Received, at(0));
     let mut worker = small_worker("m-1", "a");
-    first.run_rounds(&mut [&mut worker]);
+    first.run_four_rounds(&mut [&mut worker]);
     first.submit(job("req-000001", "array", 14));
     first.commit_pending();
     (first.store, worker)
@@ -30,18 +31,19 @@
 /// Returns the tasks that a leader starts on a new idle machine while no other machine sends heartbeats.
 fn started_on_idle_machine(leader: &mut LeaderHarness) -> Vec<String> {
     let mut idle = small_worker("m-2", "a");
-    leader.run_rounds(&mut [&mut idle]);
+    leader.run_four_rounds(&mut [&mut idle]);
     idle.unfinished_tasks()
 }
 
 #[test]
 fn task_started_by_leader_whose_writes_are_refused_is_not_started_by_next_leader() {
     let (store, mut worker) = store_with_waiting_job();
-    let mut second = LeaderHarness::elect(store, ElectionResponse::Lost, at(10_000));
+    let mut second = LeaderHarness::after_election(store, ElectionResponse::Lost, at(10_000));
     second.writes_refused = true;
-    second.run_rounds(&mut [&mut worker]);
+    second.run_four_rounds(&mut [&mut worker]);
     let running = worker.unfinished_tasks();
-    let mut third = LeaderHarness::elect(second.store, ElectionResponse::Received, at(20_000));
+    let mut third =
+        LeaderHarness::after_election(second.store, ElectionResponse::Received, at(20_000));
     let started = started_on_idle_machine(&mut third);
     assert!(!third.cluster.reconciled(third.now), "the first machine has sent no heartbeat");
     assert!(
@@ -58,8 +60,9 @@
 fn watermarks_missing_before_a_short_term_are_still_missing_after_it() {
     let (mut store, mut worker) = store_with_waiting_job();
     // A leader of a version without watermarks starts a task, and its term is recorded.
-    let mut older = LeaderHarness::elect(store.clone(), ElectionResponse::Received, at(5_000));
-    older.run_rounds(&mut [&mut worker]);
+    let mut older =
+        LeaderHarness::after_election(store.clone(), ElectionResponse::Received, at(5_000));
+    older.run_four_rounds(&mut [&mut worker]);
     let running = worker.unfinished_tasks();
     assert_eq!(running.len(), 1, "the machine has capacity for one task");
     store.put("lead/term", serde_json::json!(2 * hookway_constants::TOKENS_PER_TERM));
@@ -67,10 +70,11 @@
         LeaderlessState::read(&store.list(LEADER_PREFIX)).stored_watermarks,
         WatermarkCompleteness::Outdated
     );
-    let mut short = LeaderHarness::elect(store, ElectionResponse::Received, at(10_000));
+    let mut short = LeaderHarness::after_election(store, ElectionResponse::Received, at(10_000));
     short.writes_refused = true;
     assert!(started_on_idle_machine(&mut short).is_empty(), "no machine is reconciled");
-    let mut next = LeaderHarness::elect(short.store, ElectionResponse::Received, at(20_000));
+    let mut next =
+        LeaderHarness::after_election(short.store, ElectionResponse::Received, at(20_000));
     let started = started_on_idle_machine(&mut next);
     assert!(!next.cluster.reconciled(next.now), "the first machine has sent no heartbeat");
     assert_eq!(started, Vec::<String>::new(), "{running:?} runs on the unreachable machine");
@@ -93,15 +97,15 @@
 #[test]
 fn assumed_watermark_allows_starts_only_once_it_is_durable() {
     let (store, mut worker) = store_of_older_version();
-    let mut leader = LeaderHarness::elect(store, ElectionResponse::Received, at(10_000));
+    let mut leader = LeaderHarness::after_election(store, ElectionResponse::Received, at(10_000));
     leader.writes_refused = true;
-    leader.run_rounds(&mut [&mut worker]);
+    leader.run_four_rounds(&mut [&mut worker]);
     assert!(leader.cluster.reconciled(leader.now));
     assert_eq!(leader.cluster.summary(leader.now).assumed_started, 1);
     assert_eq!(worker.started_attempts, [], "the assumption is not durable");
     assert!(!is_current(&leader.store, COMPLETE_WATERMARKS_KEY));
     leader.writes_refused = false;
-    leader.run_rounds(&mut [&mut worker]);
+    leader.run_four_rounds(&mut [&mut worker]);
     assert_eq!(worker.unfinished_tasks().len(), 1);
     assert_eq!(leader.cluster.summary(leader.now).assumed_started, 0);
 }
@@ -111,19 +115,20 @@
 #[test]
 fn leader_marks_watermarks_complete_once_assumptions_are_durable() {
     let (store, mut worker) = store_of_older_version();
-    let mut leader = LeaderHarness::elect(store, ElectionResponse::Received, at(10_000));
+    let mut leader = LeaderHarness::after_election(store, ElectionResponse::Received, at(10_000));
     for marker in [COMPLETE_WATERMARKS_KEY, LEGACY_COMPLETE_WATERMARKS_KEY] {
         assert!(
             !is_current(&leader.store, marker),
             "{marker} must not be written before the records"
         );
     }
-    leader.run_rounds(&mut [&mut worker]);
+    leader.run_four_rounds(&mut [&mut worker]);
     for marker in [COMPLETE_WATERMARKS_KEY, LEGACY_COMPLETE_WATERMARKS_KEY] {
         assert!(is_current(&leader.store, marker), "{marker}");
     }
     let new_job = leader.submit(job("req-000002", "array", 1));
-    let mut next = LeaderHarness::elect(leader.store, ElectionResponse::Received, at(20_000));
+    let mut next =
+        LeaderHarness::after_election(leader.store, ElectionResponse::Received, at(20_000));
     assert_eq!(started_on_idle_machine(&mut next), [format!("{new_job}/0")]);
 }
 
@@ -131,7 +136,7 @@
 #[test]
 fn marker_of_complete_watermarks_waits_for_rejected_record() {
     let (store, _unreachable_worker) = store_of_older_version();
-    let mut leader = LeaderHarness::elect(store, ElectionResponse::Received, at(10_000));
+    let mut leader = LeaderHarness::after_election(store, ElectionResponse::Received, at(10_000));
     leader.submit(job("req-000002", "array", 14));
     let mut rejections = 0;
     while let Some(commit) = leader.cluster.next_commit(leader.now) {
@@ -165,7 +170,7 @@
 #[test]
 fn lost_election_response_after_complete_term_delays_no_start() {
     let (store, _unreachable_worker) = store_with_waiting_job();
-    let mut leader = LeaderHarness::elect(store, ElectionResponse::Lost, at(10_000));
+    let mut leader = LeaderHarness::after_election(store, ElectionResponse::Lost, at(10_000));
     assert_eq!(started_on_idle_machine(&mut leader), ["req-000001/0"]);
     assert!(!leader.cluster.reconciled(leader.now));
 }
@@ -174,7 +179,7 @@
 #[test]
 fn first_commit_of_term_tells_older_version_that_watermarks_are_complete() {
     let (store, mut worker) = store_with_waiting_job();
-    let mut leader = LeaderHarness::elect(store, ElectionResponse::Received, at(10_000));
+    let mut leader = LeaderHarness::after_election(store, ElectionResponse::Received, at(10_000));
     assert!(is_current(&leader.store, COMPLETE_WATERMARKS_KEY));
     assert!(!is_current(&leader.store, LEGACY_COMPLETE_WATERMARKS_KEY));
     leader.heartbeat(&mut worker);
@@ -187,8 +192,8 @@
 fn unreadable_job_keeps_watermarks_from_being_marked_complete() {
     let (mut store, mut worker) = store_of_older_version();
     store.put("j/req-000009", serde_json::json!({ "spec": "of a later version" }));
-    let mut leader = LeaderHarness::elect(store, ElectionResponse::Received, at(10_000));
-    leader.run_rounds(&mut [&mut worker]);
+    let mut leader = LeaderHarness::after_election(store, ElectionResponse::Received, at(10_000));
+    leader.run_four_rounds(&mut [&mut worker]);
     assert_eq!(leader.cluster.summary(leader.now).assumed_started, 0);
     assert!(!is_current(&leader.store, COMPLETE_WATERMARKS_KEY));
 }
@@ -199,13 +204,13 @@
 fn unreadable_scheduling_record_allows_starts_only_once_it_is_replaced() {
     let (mut store, mut worker) = store_with_waiting_job();
     store.put("m/req-000001", serde_json::json!({ "opened": "of a later version" }));
-    let mut leader = LeaderHarness::elect(store, ElectionResponse::Received, at(10_000));
+    let mut leader = LeaderHarness::after_election(store, ElectionResponse::Received, at(10_000));
     leader.writes_refused = true;
-    leader.run_rounds(&mut [&mut worker]);
+    leader.run_four_rounds(&mut [&mut worker]);
     assert!(leader.cluster.reconciled(leader.now));
     assert_eq!(worker.started_attempts, []);
     leader.writes_refused = false;
-    leader.run_rounds(&mut [&mut worker]);
+    leader.run_four_rounds(&mut [&mut worker]);
     assert_eq!(worker.unfinished_tasks().len(), 1);
     let record = leader.store.get("m/req-000001").map(|kv| kv.value["opened"].clone());
     assert_eq!(record, Some(14.into()));
--- a/crates/controller/tests/cluster_state/unreachable_machines.rs
+++ b/crates/controller/tests/cluster_state/unreachable_machines.rs
@@ -15,14 +15,14 @@
     let names = deleted_machines(&mut harness, &mut workers, 12_000);
     assert_eq!(names, ["m-1"], "the machine is deleted before its worker lease expires");
     let mut idle = small_worker("m-9", "a");
-    harness.run_rounds(&mut [&mut idle]);
+    harness.run_four_rounds(&mut [&mut idle]);
     assert_eq!(
         idle.unfinished_tasks(),
         [] as [&str; 0],
         "no restart before the cloud has confirmed the deletion"
     );
     harness.cluster.scale_in_finished(&names, harness.now);
-    harness.run_rounds(&mut [&mut idle]);
+    harness.run_four_rounds(&mut [&mut idle]);
     assert_eq!(idle.unfinished_tasks(), [lost_task]);
 }
 
@@ -66,8 +66,8 @@
     };
     let (mut zone_a, mut zone_b) = (zone(reachable, 1, "a"), zone(partitioned, 50, "b"));
     harness.submit(job("req-000001", "array", (reachable + partitioned + 1) as u32));
-    harness.run_rounds(&mut zone_a.iter_mut().chain(zone_b.iter_mut()).collect::<Vec<_>>());
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(30_000));
+    harness.run_four_rounds(&mut zone_a.iter_mut().chain(zone_b.iter_mut()).collect::<Vec<_>>());
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, at(30_000));
     let listed: Vec<ListedMachine> = zone_a
         .iter_mut()
         .chain(zone_b.iter_mut())
@@ -103,7 +103,7 @@
         (1..7).map(|n| small_worker(&format!("m-{n}"), "a")).collect();
     let mut zone_b: Vec<ScriptedWorker> =
         (7..10).map(|n| small_worker(&format!("m-{n}"), "b")).collect();
-    harness.run_rounds(&mut zone_a.iter_mut().chain(zone_b.iter_mut()).collect::<Vec<_>>());
+    harness.run_four_rounds(&mut zone_a.iter_mut().chain(zone_b.iter_mut()).collect::<Vec<_>>());
     harness.submit(job("req-000001", "array", 40));
     // Demand for many more machines arrives while zone b is unreachable, for longer than its leases.
     let mut scale_out_zones = Vec::new();
@@ -127,7 +127,7 @@
     assert!(!scale_out_zones.is_empty());
     assert!(scale_out_zones.iter().all(|zone| zone == "a"), "{scale_out_zones:?}");
     zone_b.iter_mut().for_each(ScriptedWorker::expire_lease);
-    harness.run_rounds_all(&mut zone_b);
+    harness.run_four_rounds_of_all(&mut zone_b);
     assert!(
         zone_b.iter().all(|worker| worker.unfinished_tasks().len() == 1),
         "each machine gets a task once it is reachable again"
--- a/crates/controller/tests/concurrent_faults.rs
+++ b/crates/controller/tests/concurrent_faults.rs
@@ -33,17 +33,17 @@
     let mut harness = LeaderHarness::start();
     let mut partitioned = small_worker("m-1", "a");
     submit_zone_constrained_job(&mut harness, true, false, 300);
-    harness.run_rounds(&mut [&mut partitioned]);
+    harness.run_four_rounds(&mut [&mut partitioned]);
     assert_eq!(partitioned.unfinished_tasks().len(), 1, "the job is bound to zone a");
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(30_000));
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, at(30_000));
     let mut other = small_worker("m-2", "b");
-    next.run_rounds(&mut [&mut other]);
+    next.run_four_rounds(&mut [&mut other]);
     assert_eq!(other.started_attempts, [], "the job may still run in zone a");
     let lease = longest_worker_lease(&test_config().platform);
     while next.now < at(30_000) + lease {
-        next.run_rounds(&mut [&mut other]);
+        next.run_four_rounds(&mut [&mut other]);
     }
-    next.run_rounds(&mut [&mut other]);
+    next.run_four_rounds(&mut [&mut other]);
     assert_eq!(other.unfinished_tasks().len(), 1, "the lease in zone a has expired");
 }
 
@@ -56,15 +56,15 @@
     submit_zone_constrained_job(&mut harness, false, true, 40);
     let mut reachable: Vec<&mut ScriptedWorker> = partitioned.iter_mut().collect();
     reachable.push(&mut distant);
-    harness.run_rounds(&mut reachable);
+    harness.run_four_rounds(&mut reachable);
     assert_eq!(
         partitioned.iter().map(|worker| worker.unfinished_tasks().len()).sum::<usize>(),
         20,
         "half of the job runs in zone a"
     );
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(30_000));
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, at(30_000));
     let mut idle = small_worker("m-100", "a");
-    next.run_rounds(&mut [&mut distant, &mut idle]);
+    next.run_four_rounds(&mut [&mut distant, &mut idle]);
     assert_eq!(idle.started_attempts, [], "half of the job may still run in zone a");
 }
 
@@ -74,10 +74,10 @@
     let mut harness = LeaderHarness::start();
     let mut partitioned = small_worker("m-1", "a");
     submit_zone_constrained_job(&mut harness, false, false, 300);
-    harness.run_rounds(&mut [&mut partitioned]);
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(30_000));
+    harness.run_four_rounds(&mut [&mut partitioned]);
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, at(30_000));
     let mut other = small_worker("m-2", "b");
-    next.run_rounds(&mut [&mut other]);
+    next.run_four_rounds(&mut [&mut other]);
     assert_eq!(other.unfinished_tasks().len(), 1);
 }
 
@@ -88,16 +88,16 @@
     let mut harness = LeaderHarness::start();
     let mut partitioned = small_worker("m-1", "a");
     let id = harness.submit(job("req-000001", "array", 300));
-    harness.run_rounds(&mut [&mut partitioned]);
+    harness.run_four_rounds(&mut [&mut partitioned]);
     let mut store = harness.store.clone();
     assert!(store.get(&scheduling_key(&id)).is_some());
     store.put(&scheduling_key(&id), serde_json::json!({ "least": "of a later version" }));
-    let mut next = LeaderHarness::lead(store, 2, at(30_000));
+    let mut next = LeaderHarness::with_term(store, 2, at(30_000));
     let mut other = small_worker("m-2", "b");
-    next.run_rounds(&mut [&mut other]);
+    next.run_four_rounds(&mut [&mut other]);
     assert_eq!(other.started_attempts, [], "any task of the job may run on m-1");
     partitioned.end_task(&partitioned.unfinished_tasks()[0].clone(), ExitCause::Done);
-    next.run_rounds(&mut [&mut other, &mut partitioned]);
+    next.run_four_rounds(&mut [&mut other, &mut partitioned]);
     assert!(!other.started_attempts.is_empty(), "every machine is reconciled");
 }
 
@@ -107,10 +107,10 @@
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
     let id = harness.submit(job("req-000001", "array", 300));
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     let mut store = harness.store.clone();
     store.put(&format!("j/{id}"), serde_json::json!({ "spec": 7 }));
-    let mut next = LeaderHarness::lead(store, 2, at(30_000));
+    let mut next = LeaderHarness::with_term(store, 2, at(30_000));
     next.advance(1_000);
     assert!(next.store.get(&scheduling_key(&id)).is_some(), "a later version may read it");
 }
@@ -158,10 +158,10 @@
 fn cancellation_waits_for_tasks_when_worker_lease_exceeds_its_limit() {
     let mut config = test_config();
     config.platform.workers.cancel_s = config.platform.workers.lease_s - 4.0;
-    let mut harness = LeaderHarness::lead_with(config, MemoryStore::default(), 1, at(0));
+    let mut harness = LeaderHarness::with_config(config, MemoryStore::default(), 1, at(0));
     let mut worker = small_worker("m-1", "a");
     let id = harness.submit(job("req-000001", "array", 1));
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     assert_eq!(harness.cluster.cancel(&id), CancelOutcome::LeasesOutstanding);
     // The worker is partitioned; the user repeats the request.
     let heartbeat = worker.heartbeat();
@@ -194,29 +194,29 @@
     let (mut worker_1, mut worker_2) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     harness.submit(job("req-000001", "array", 1));
     let older = worker_1.heartbeat();
-    harness.run_rounds(&mut [&mut worker_1]);
+    harness.run_four_rounds(&mut [&mut worker_1]);
     assert_eq!(worker_1.unfinished_tasks().len(), 1);
     let (with_task, without_task) = (worker_1.heartbeat(), worker_2.heartbeat());
     // m-1 refuses the task for lack of resources, and the task then runs on m-2.
     worker_1.end_task(&worker_1.unfinished_tasks()[0].clone(), ExitCause::InsufficientResources);
-    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+    harness.run_four_rounds(&mut [&mut worker_1, &mut worker_2]);
     while worker_2.unfinished_tasks().is_empty() {
-        harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+        harness.run_four_rounds(&mut [&mut worker_1, &mut worker_2]);
     }
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(6_000));
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, harness.now + ms(6_000));
     // Duplicates arrive first; their responses reach no worker.
     let mut idle = small_worker("m-3", "a");
     next.cluster.handle_heartbeat(&older, next.now);
     next.cluster.handle_heartbeat(&without_task, next.now);
     for _ in 0..4 {
-        next.run_rounds(&mut [&mut idle]);
+        next.run_four_rounds(&mut [&mut idle]);
         assert_eq!(idle.started_attempts, [], "the task runs on m-2, which is not reconciled yet");
     }
     next.cluster.handle_heartbeat(&with_task, next.now);
-    next.run_rounds(&mut [&mut idle]);
+    next.run_four_rounds(&mut [&mut idle]);
     assert_eq!(idle.started_attempts, []);
-    next.run_rounds(&mut [&mut worker_1, &mut worker_2, &mut idle]);
-    next.run_rounds(&mut [&mut worker_1, &mut worker_2, &mut idle]);
+    next.run_four_rounds(&mut [&mut worker_1, &mut worker_2, &mut idle]);
+    next.run_four_rounds(&mut [&mut worker_1, &mut worker_2, &mut idle]);
     let live: usize =
         [&worker_1, &worker_2, &idle].iter().map(|worker| worker.unfinished_tasks().len()).sum();
     assert_eq!(live, 1, "the task runs on one machine");
@@ -231,7 +231,7 @@
     let (harness, mut worker, _) = one_running_task();
     worker.end_task(&worker.unfinished_tasks()[0].clone(), ExitCause::Error);
     let delayed = worker.heartbeat();
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(6_000));
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, harness.now + ms(6_000));
     // The response to the state probe lists the tasks under the new fencing token.
     let probe =
         DirectCommands { fencing_token: 2, incarnation: worker.incarnation(), commands: vec![] };
@@ -243,10 +243,10 @@
         next.now,
     );
     next.cluster.state_probed("m-1", Some(probe_response), next.now);
-    next.run_rounds(&mut [&mut worker]);
+    next.run_four_rounds(&mut [&mut worker]);
     next.now += ms(60_000);
     while worker.unfinished_tasks().is_empty() {
-        next.run_rounds(&mut [&mut worker]);
+        next.run_four_rounds(&mut [&mut worker]);
     }
     let before = worker.started_attempts.len();
     assert_eq!(
@@ -255,7 +255,7 @@
         "an older heartbeat is refused"
     );
     for _ in 0..5 {
-        next.run_rounds(&mut [&mut worker]);
+        next.run_four_rounds(&mut [&mut worker]);
     }
     assert_eq!((worker.unfinished_tasks().len(), worker.started_attempts.len()), (1, before));
 }
@@ -268,7 +268,7 @@
     let mut harness = LeaderHarness::start();
     let (mut first, mut booted) = (small_worker("m-1", "a"), small_worker("m-2", "a"));
     harness.submit(job("req-000001", "array", 300));
-    harness.run_rounds(&mut [&mut first]);
+    harness.run_four_rounds(&mut [&mut first]);
     assert_eq!(first.unfinished_tasks().len(), 1, "the start watermark is stored");
     // The commits of the new machine's registration get no response; they reach the store after the leader's term.
     let mut without_response = Vec::new();
@@ -292,14 +292,14 @@
     }
     assert!(!without_response.is_empty());
     assert_eq!(booted.started_attempts, [], "no start before the registration is stored");
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now);
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, harness.now);
     for transaction in &without_response {
         assert!(next.store.commit(transaction).is_err(), "commits of the deposed leader fail");
     }
     // Neither listed nor registered: the machine has no task, and reconciliation does not wait for it.
     next.cluster.machines_listed(&[], next.now, next.now);
     let mut other = small_worker("m-3", "b");
-    next.run_rounds(&mut [&mut first, &mut other]);
+    next.run_four_rounds(&mut [&mut first, &mut other]);
     assert!(next.cluster.reconciled(next.now));
     assert_eq!(other.unfinished_tasks().len(), 1);
 }
@@ -317,16 +317,17 @@
     let mut harness = LeaderHarness::start();
     let (mut partitioned, mut reachable) = (small_worker("m-1", "b"), small_worker("m-2", "a"));
     let id = harness.submit(quota_job("req-000001"));
-    harness.run_rounds(&mut [&mut partitioned]);
+    harness.run_four_rounds(&mut [&mut partitioned]);
     assert_eq!(partitioned.unfinished_tasks().len(), 1, "three of the team's four CPUs are in use");
     harness.submit(quota_job("req-000002"));
     // Cancelled before or after the failover.
     for (case, term) in ["before", "after"].iter().zip([40_000, 80_000]) {
-        let mut harness = LeaderHarness::lead(harness.store.clone(), term, at(term));
+        let mut harness = LeaderHarness::with_term(harness.store.clone(), term, at(term));
         if *case == "before" {
             harness.cluster.cancel(&id);
             harness.commit_pending();
-            harness = LeaderHarness::lead(harness.store.clone(), term + 4_096, at(term + 1_000));
+            harness =
+                LeaderHarness::with_term(harness.store.clone(), term + 4_096, at(term + 1_000));
         } else {
             harness.advance(1_000);
             harness.cluster.cancel(&id);
@@ -336,11 +337,11 @@
         let end = harness.now + (longest_worker_lease(&test_config().platform) - ms(3_000));
         let mut reachable = reachable.clone();
         while harness.now < end {
-            harness.run_rounds(&mut [&mut reachable]);
+            harness.run_four_rounds(&mut [&mut reachable]);
             assert_eq!(reachable.started_attempts, [], "{case}: the task may still run on m-1");
         }
         for _ in 0..5 {
-            harness.run_rounds(&mut [&mut reachable]);
+            harness.run_four_rounds(&mut [&mut reachable]);
         }
         assert_eq!(reachable.unfinished_tasks().len(), 1, "{case}: the lease on m-1 has expired");
     }
@@ -354,15 +355,15 @@
     let mut workers: Vec<ScriptedWorker> =
         (1..=3).map(|n| small_worker(&format!("m-{n}"), "a")).collect();
     let id = harness.submit(job("req-000001", "array", 3));
-    harness.run_rounds_all(&mut workers);
+    harness.run_four_rounds_of_all(&mut workers);
     for term in 2..=4 {
         let index = term as usize - 2;
         let task = workers[index].unfinished_tasks()[0].clone();
         workers[index].end_task(&task, ExitCause::Done);
-        harness.run_rounds_all(&mut workers);
+        harness.run_four_rounds_of_all(&mut workers);
         let final_state = harness.stored_final_state(&id);
         assert_eq!(final_state.is_some(), term == 4, "done only after the last task");
-        harness = LeaderHarness::lead(harness.store.clone(), term, harness.now + ms(6_000));
+        harness = LeaderHarness::with_term(harness.store.clone(), term, harness.now + ms(6_000));
     }
     assert_eq!(harness.stored_final_state(&id).as_deref(), Some("done"));
     let started: usize = workers.iter().map(|worker| worker.started_attempts.len()).sum();
@@ -377,16 +378,16 @@
     let mut workers: Vec<ScriptedWorker> =
         (1..=3).map(|n| small_worker(&format!("m-{n}"), "a")).collect();
     let id = harness.submit(job("req-000001", "array", 3));
-    harness.run_rounds_all(&mut workers);
+    harness.run_four_rounds_of_all(&mut workers);
     let before_outage: Vec<_> = workers.iter_mut().map(ScriptedWorker::heartbeat).collect();
     workers.iter_mut().for_each(ScriptedWorker::expire_lease);
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, harness.now + ms(30_000));
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, harness.now + ms(30_000));
     // Duplicated heartbeats from before the outage arrive first.
     for heartbeat in &before_outage {
         next.cluster.handle_heartbeat(heartbeat, next.now);
     }
     for _ in 0..4 {
-        next.run_rounds_all(&mut workers);
+        next.run_four_rounds_of_all(&mut workers);
     }
     assert!(
         workers.iter().all(|worker| worker.unfinished_tasks().len() == 1),
@@ -398,6 +399,6 @@
     for worker in &mut workers {
         worker.end_task(&worker.unfinished_tasks()[0].clone(), ExitCause::Done);
     }
-    next.run_rounds_all(&mut workers);
+    next.run_four_rounds_of_all(&mut workers);
     assert_eq!(next.stored_final_state(&id).as_deref(), Some("done"));
 }
--- a/crates/controller/tests/daemons.rs
+++ b/crates/controller/tests/daemons.rs
@@ -14,7 +14,7 @@
 /// Submits a daemon of one replica and runs rounds until the replica runs on the worker.
 fn submit_running_daemon(harness: &mut LeaderHarness, worker: &mut ScriptedWorker) -> JobId {
     let id = harness.submit(daemon("req-000001", 1));
-    harness.run_rounds(&mut [&mut *worker]);
+    harness.run_four_rounds(&mut [&mut *worker]);
     assert_eq!(worker.unfinished_tasks(), ["req-000001/0"]);
     id
 }
@@ -43,7 +43,7 @@
         run_for(&mut harness, &mut worker, whole_millis(constants::REPLICA_STEADY));
         worker.end_task("req-000001/0", cause);
         for _ in 0..4 {
-            harness.run_rounds(&mut [&mut worker]);
+            harness.run_four_rounds(&mut [&mut worker]);
         }
         assert_eq!(worker.unfinished_tasks(), ["req-000001/0"], "after {cause:?}");
         assert_eq!(worker.heartbeat().tasks.len(), 1, "the earlier attempt is reaped");
@@ -70,11 +70,11 @@
             harness.advance(500);
         }
     }
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     assert!(worker.started_attempts.len() > 40);
     assert_eq!(harness.store.revision(), before, "a replica restart writes no record");
     harness.cluster.cancel(&id);
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     assert_eq!(harness.stored_final_state(&id).as_deref(), Some("withdrawn"));
     assert_eq!(worker.unfinished_tasks(), [""; 0]);
     let remaining: Vec<String> = harness.store.list("").into_iter().map(|kv| kv.key).collect();
@@ -122,11 +122,11 @@
     let mut harness = LeaderHarness::start();
     let (mut worker_1, mut worker_2) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     harness.submit(daemon("req-000001", 6));
-    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+    harness.run_four_rounds(&mut [&mut worker_1, &mut worker_2]);
     assert_eq!(worker_1.unfinished_tasks().len() + worker_2.unfinished_tasks().len(), 6);
     let failed_replica = worker_1.unfinished_tasks()[0].clone();
     worker_1.end_task(&failed_replica, ExitCause::Error);
-    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+    harness.run_four_rounds(&mut [&mut worker_1, &mut worker_2]);
     assert_eq!(
         worker_1.unfinished_tasks().len() + worker_2.unfinished_tasks().len(),
         6,
@@ -182,10 +182,10 @@
     let mut harness = LeaderHarness::start();
     let (mut worker_1, mut worker_2) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     let id = harness.submit(daemon("req-000001", 6));
-    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+    harness.run_four_rounds(&mut [&mut worker_1, &mut worker_2]);
     let (before_1, before_2) = (worker_1.unfinished_tasks(), worker_2.unfinished_tasks());
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(30_000));
-    next.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, at(30_000));
+    next.run_four_rounds(&mut [&mut worker_1, &mut worker_2]);
     assert_eq!((worker_1.unfinished_tasks(), worker_2.unfinished_tasks()), (before_1, before_2));
     assert_eq!(next.job_state(&id), JobState::Running);
     assert_eq!(worker_1.started_attempts.len() + worker_2.started_attempts.len(), 6);
@@ -197,10 +197,10 @@
     let mut worker = small_worker("m-1", "a");
     let lower_priority = JobSpec { cpus: 1.0, ..job("req-000002", "array", 4) };
     harness.submit(lower_priority);
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     assert_eq!(worker.unfinished_tasks().len(), 4, "the machine is full");
     harness.submit(daemon("req-000001", 2));
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     let replicas =
         worker.unfinished_tasks().iter().filter(|task| task.starts_with("req-000001")).count();
     assert_eq!((replicas, worker.unfinished_tasks().len()), (2, 4));
@@ -212,11 +212,11 @@
     let mut worker = small_worker("m-1", "a");
     let id = submit_running_daemon(&mut harness, &mut worker);
     worker.end_task("req-000001/0", ExitCause::Done);
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(60_000));
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, at(60_000));
     let commands = next.heartbeat(&mut worker);
     assert!(commands.iter().any(|command| matches!(command, Command::Reap { .. })), "{commands:?}");
     for _ in 0..4 {
-        next.run_rounds(&mut [&mut worker]);
+        next.run_four_rounds(&mut [&mut worker]);
     }
     assert_eq!(worker.unfinished_tasks(), ["req-000001/0"]);
     assert_eq!(next.job_state(&id), JobState::Running);
--- a/crates/controller/tests/fleet_size.rs
+++ b/crates/controller/tests/fleet_size.rs
@@ -135,7 +135,7 @@
     let now = fleet.harness.now + ms(6_000);
     let store = std::mem::take(&mut fleet.harness.store);
     let started_at = Instant::now();
-    fleet.harness = LeaderHarness::lead(store, 1 + hookway_constants::TOKENS_PER_TERM, now);
+    fleet.harness = LeaderHarness::with_term(store, 1 + hookway_constants::TOKENS_PER_TERM, now);
     println!("loaded in {:?}", started_at.elapsed());
     assert_eq!(fleet.harness.cluster.machine_count(), MACHINES);
     assert!(!fleet.harness.cluster.reconciled(now), "no machine has sent a heartbeat yet");
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -99,28 +99,38 @@
 impl LeaderHarness {
     /// The leader of the first term, with an empty store, at time zero.
     pub fn start() -> Self {
-        Self::lead(MemoryStore::default(), 1, MonotonicTime::ZERO)
+        Self::with_term(MemoryStore::default(), 1, MonotonicTime::ZERO)
     }
 
     /// A controller that has won the election for `term` and has read every record.
-    pub fn lead(store: MemoryStore, term: u64, now: MonotonicTime) -> Self {
-        Self::lead_with(test_config(), store, term, now)
+    pub fn with_term(store: MemoryStore, term: u64, now: MonotonicTime) -> Self {
+        Self::with_config(test_config(), store, term, now)
     }
 
-    /// [`Self::lead`] with another configuration.
-    pub fn lead_with(
+    /// [`Self::with_term`] with another configuration.
+    pub fn with_config(
         config: ControllerConfig,
         mut store: MemoryStore,
         term: u64,
         now: MonotonicTime,
     ) -> Self {
         let mod_revision = store.put(LEADER_KEY, serde_json::json!({ "term": term }));
-        Self::recover(config, store, (term, mod_revision), WatermarkCompleteness::Complete, now)
+        Self::with_leadership(
+            config,
+            store,
+            (term, mod_revision),
+            WatermarkCompleteness::Complete,
+            now,
+        )
     }
 
     /// A controller that has won an election as controllers run it, after the lease of the previous leader
     /// expired, and has read every record.
-    pub fn elect(mut store: MemoryStore, response: ElectionResponse, now: MonotonicTime) -> Self {
+    pub fn after_election(
+        mut store: MemoryStore,
+        response: ElectionResponse,
+        now: MonotonicTime,
+    ) -> Self {
         let leader_expired =
             Transaction { preconditions: vec![], operations: vec![Operation::delete(LEADER_KEY)] };
         store.commit(&leader_expired).expect("a deletion without preconditions");
@@ -134,11 +144,17 @@
             ElectionResponse::Received => leaderless_state.stored_watermarks,
             ElectionResponse::Lost => WatermarkCompleteness::read(&store.list(LEADER_PREFIX)),
         };
-        Self::recover(test_config(), store, (leader.term, mod_revision), stored_watermarks, now)
+        Self::with_leadership(
+            test_config(),
+            store,
+            (leader.term, mod_revision),
+            stored_watermarks,
+            now,
+        )
     }
 
     /// A leader that was elected for `term` at store revision `mod_revision` and has read every record.
-    pub fn recover(
+    pub fn with_leadership(
         config: ControllerConfig,
         store: MemoryStore,
         (term, mod_revision): (u64, u64),
@@ -227,7 +243,7 @@
     }
 
     /// Runs `rounds` times one heartbeat of each worker and then a scheduling round.
-    pub fn run_rounds_of(&mut self, workers: &mut [ScriptedWorker], rounds: usize) {
+    pub fn run_rounds_with_count(&mut self, workers: &mut [ScriptedWorker], rounds: usize) {
         for _ in 0..rounds {
             for worker in workers.iter_mut() {
                 self.heartbeat(worker);
@@ -237,7 +253,7 @@
     }
 
     /// Runs four times one heartbeat of each worker and then a scheduling round.
-    pub fn run_rounds(&mut self, workers: &mut [&mut ScriptedWorker]) {
+    pub fn run_four_rounds(&mut self, workers: &mut [&mut ScriptedWorker]) {
         for _ in 0..4 {
             for worker in workers.iter_mut() {
                 self.heartbeat(worker);
@@ -246,9 +262,9 @@
         }
     }
 
-    /// [`Self::run_rounds`] for a slice of workers.
-    pub fn run_rounds_all(&mut self, workers: &mut [ScriptedWorker]) {
-        self.run_rounds(&mut workers.iter_mut().collect::<Vec<_>>());
+    /// [`Self::run_four_rounds`] for a slice of workers.
+    pub fn run_four_rounds_of_all(&mut self, workers: &mut [ScriptedWorker]) {
+        self.run_four_rounds(&mut workers.iter_mut().collect::<Vec<_>>());
     }
 
     /// Whether the machine registry in the store names the machine.
@@ -296,6 +312,6 @@
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
     let id = harness.submit(job("req-000001", "array", 1));
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     (harness, worker, id)
 }
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -115,7 +115,7 @@
     run_rounds(&mut harness, &mut workers);
     let copy = copy_of(&mut harness.cluster);
     let store = std::mem::take(&mut harness.store);
-    harness = LeaderHarness::lead(store, SECOND_TERM, harness.now + ms(5_000));
+    harness = LeaderHarness::with_term(store, SECOND_TERM, harness.now + ms(5_000));
     let other_networks = Networks::parse("10.1.0.0/16").expect("a network");
     assert_eq!(harness.cluster.warm_start(&copy, &other_networks, harness.now).addresses, 0);
     assert!(harness.cluster.take_state_probes(harness.now).is_empty());
--- a/crates/controller/tests/standby_support/mod.rs
+++ b/crates/controller/tests/standby_support/mod.rs
@@ -23,7 +23,7 @@
 /// Replaces the leader by one of the second term, elected 5 s later, that starts from `copy`.
 pub fn fail_over(harness: &mut LeaderHarness, copy: &ReplicatedState) -> WarmStart {
     let store = std::mem::take(&mut harness.store);
-    *harness = LeaderHarness::lead(store, SECOND_TERM, harness.now + ms(5_000));
+    *harness = LeaderHarness::with_term(store, SECOND_TERM, harness.now + ms(5_000));
     harness.cluster.warm_start(copy, &Networks::default(), harness.now)
 }
 
@@ -51,7 +51,7 @@
 /// Runs four times one heartbeat of each worker and then a scheduling round.
 pub fn run_rounds(harness: &mut LeaderHarness, workers: &mut [ScriptedWorker]) {
     let mut all_workers: Vec<&mut ScriptedWorker> = workers.iter_mut().collect();
-    harness.run_rounds(&mut all_workers);
+    harness.run_four_rounds(&mut all_workers);
 }
 
 /// Returns workers `m-1`, `m-2` and so on in zone a whose tasks start by fetching their image.
--- a/crates/controller/tests/store_keys.rs
+++ b/crates/controller/tests/store_keys.rs
@@ -117,15 +117,15 @@
     let (mut worker_1, mut worker_2) = (small_worker("m-1", "a"), small_worker("m-2", "b"));
     harness.submit(job("req-000001", "array", 300));
     harness.submit(job("req-000002", "group", 1));
-    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+    harness.run_four_rounds(&mut [&mut worker_1, &mut worker_2]);
     for worker in [&mut worker_1, &mut worker_2] {
         for task in worker.unfinished_tasks() {
             worker.end_task(&task, ExitCause::Done);
         }
     }
-    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+    harness.run_four_rounds(&mut [&mut worker_1, &mut worker_2]);
     harness.advance(60_000);
-    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+    harness.run_four_rounds(&mut [&mut worker_1, &mut worker_2]);
     let keys: Vec<String> = harness.store.list("").into_iter().map(|kv| kv.key).collect();
     // The array is unfinished, the gang has finished.
     let pinned = [
