--- a/crates/clients/tests/error_texts.rs
+++ b/crates/clients/tests/error_texts.rs
@@ -1,5 +1,5 @@
 //! The exact texts of errors, which appear in logs and in responses to users.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 use hookway_clients::{CloudClient, CloudError, HttpError, StoreClient, StoreError};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/clients/tests/requests.rs
+++ b/crates/clients/tests/requests.rs
@@ -1,6 +1,6 @@
 //! The requests of the clients to the store, the cloud, workers and the API: method, path, query and body, and the
 //! result for each response status. The server is a socket with scripted responses that uses no type of this project.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 use hookway_clients::{
     ApiClient, ApiError, CloudClient, CloudError, CommitOutcome, Delivery, ScaleOutOutcome,
--- a/crates/controller/tests/cluster_state/direct_dispatch.rs
+++ b/crates/controller/tests/cluster_state/direct_dispatch.rs
@@ -203,9 +203,9 @@
     worker.unfinished_tasks().iter().any(|task| task.starts_with("req-000002"))
 }
 
-/// Guards against a reachable machine that counts as unreachable and gets no task for 4 s (simulation, seed 62).
-/// Its worker had executed a direct dispatch and responded within 0.1 s. The sender's time limit expired
-/// 1.3 s later and was recorded as the outcome of the same dispatch, so the machine backed off; a
+/// Guards against a reachable machine that counts as unreachable and gets no task for 4 s (simulation with election
+/// faults, seed 62). Its worker had executed a direct dispatch and responded within 0.1 s. The sender's time limit
+/// expired 1.3 s later and was recorded as the outcome of the same dispatch, so the machine backed off; a
 /// relocated replica, for which capacity on it had been freed, started 4 s late.
 #[test]
 fn timeout_after_direct_dispatch_response_does_not_back_off_machine() {
--- a/crates/controller/tests/cluster_state/reservations.rs
+++ b/crates/controller/tests/cluster_state/reservations.rs
@@ -1,8 +1,8 @@
 //! Reservations of machines: after a preemption the machine of the victims is reserved for the
 //! beneficiary, and these tests show what ends the reservation.
 //!
-//! They guard against a job that waits for a machine which accepts no tasks (simulation, seed 62): a job with a
-//! reserved machine preempts nothing else, so it waited 4 s for a machine that was backing off, while
+//! They guard against a job that waits for a machine which accepts no tasks (simulation with election faults, seed 62):
+//! a job with a reserved machine preempts nothing else, so it waited 4 s for a machine that was backing off, while
 //! two other machines of the zone ran tasks of lower priority.
 
 use crate::harness::{LeaderHarness, job, running, small_worker};
--- a/crates/controller/tests/concurrent_faults.rs
+++ b/crates/controller/tests/concurrent_faults.rs
@@ -1,6 +1,6 @@
 //! One scripted test for each combination of concurrent faults, with a leader, a store in memory, scripted workers,
 //! and a clock that the test advances. docs/safety.md has the table of concurrent faults.
-#![allow(clippy::expect_used, reason = "test helpers may panic like the tests that use them")]
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 mod harness;
 
--- a/crates/controller/tests/relocation.rs
+++ b/crates/controller/tests/relocation.rs
@@ -1,8 +1,8 @@
 //! Relocation: replicas of daemons move to other machines to make capacity for another job.
 //!
-//! These tests guard against a job that waits without end (simulation, seed 2915): replicas of two daemons filled
-//! the only machine of zone a, and the cloud could provide no more machines. A daemon that must spread had
-//! one replica in zone b and waited for capacity in zone a, since a job preempts only lower priorities.
+//! These tests guard against a job that waits without end (simulation with random faults, seed 2915): replicas of two
+//! daemons filled the only machine of zone a, and the cloud could provide no more machines. A daemon that must spread
+//! had one replica in zone b and waited for capacity in zone a, since a job preempts only lower priorities.
 //! The machines of zone b ran tasks of lower priority that the replicas in zone a could have preempted.
 #![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
@@ -81,7 +81,7 @@
     assert_eq!((running(&workers[0], "req-000001"), running(&workers[1], "req-000001")), (3, 1));
 }
 
-/// A replica must run in the same zone as the other replicas of its daemon (simulation, seed 7319).
+/// A replica must run in the same zone as the other replicas of its daemon (simulation with random faults, seed 7319).
 #[test]
 fn replica_bound_to_zone_of_its_daemon_gets_capacity_there() {
     let mut harness = LeaderHarness::start();
--- a/crates/controller/tests/simulated_days.rs
+++ b/crates/controller/tests/simulated_days.rs
@@ -1,7 +1,7 @@
 //! Simulated days of a cluster (`simulation`), one for each seed: controllers, workers, users and the network between
 //! them, with injected faults. Every task start and every response to a user is checked against the invariants, and
 //! every job must finish after the faults have ended.
-#![allow(clippy::expect_used, reason = "test helpers may panic like the tests that use them")]
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 mod simulation;
 
--- a/crates/controller/tests/simulation/mod.rs
+++ b/crates/controller/tests/simulation/mod.rs
@@ -7,7 +7,7 @@
 //! lose one direction of their network, or fail with all of their tasks.
 //!
 //! Every task start and every response to a user is checked against the invariants.
-#![allow(clippy::expect_used, reason = "test helpers may panic like the tests that use them")]
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 mod commits;
 mod controllers;
--- a/crates/hookway/tests/command_line.rs
+++ b/crates/hookway/tests/command_line.rs
@@ -1,5 +1,5 @@
 //! The commands, flags, environment variables, output and exit codes of the binary, which users' scripts rely on.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 use hookway_testkit::SETTINGS;
 use std::io::{Read, Write};
--- a/crates/hookway/tests/commands.rs
+++ b/crates/hookway/tests/commands.rs
@@ -1,5 +1,5 @@
 //! The `cancel` command of the binary and its alias.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 use std::process::{Command, Output};
 
--- a/crates/hookway/tests/docs.rs
+++ b/crates/hookway/tests/docs.rs
@@ -4,7 +4,7 @@
 //! state a condition and the expected result, those of functions and settings have two or three words
 //! (`take_direct_starts`, `leader_lease_s`).
 //! Paths (`ClusterState::cancel`) and constants (`TOKENS_PER_TERM`) do not count.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
--- a/crates/hookway/tests/loopback_cluster/mod.rs
+++ b/crates/hookway/tests/loopback_cluster/mod.rs
@@ -1,5 +1,5 @@
 //! Three controller processes on loopback, with test doubles of the store, the cloud and the workers.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 mod controller;
 
--- a/crates/policy/src/preemption/tests.rs
+++ b/crates/policy/src/preemption/tests.rs
@@ -85,8 +85,8 @@
 
 /// Guards against preemption in a zone that the job must not use. A daemon whose replicas must be in one zone had one
 /// of two in zone a, and tasks were stopped for the other one on machines of zone b four times; each time the machine
-/// stayed reserved for 10 s while the job waited. Seen with seed 7319 of the random days (`task preempted` for
-/// req-000019).
+/// stayed reserved for 10 s while the job waited. Seen with seed 7319 of the days with random faults (`task preempted`
+/// for req-000019).
 #[test]
 fn job_bound_to_the_zone_of_its_tasks_preempts_only_there() {
     let together = JobView {
--- a/crates/replication/tests/following.rs
+++ b/crates/replication/tests/following.rs
@@ -1,5 +1,5 @@
 //! A follower that applies a publisher's entries: lost, delayed, duplicated and invalid responses, and digests.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 mod support;
 
--- a/crates/replication/tests/promotion.rs
+++ b/crates/replication/tests/promotion.rs
@@ -1,5 +1,5 @@
 //! The phases of a failover, the conditions of the transitions between them, and the failure detector.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 use hookway_replication::{Action, Event, FailureDetector, Phase, Promotion, TransitionError};
 use hookway_time::MonotonicTime;
--- a/crates/replication/tests/snapshots.rs
+++ b/crates/replication/tests/snapshots.rs
@@ -1,5 +1,5 @@
 //! Replication snapshots: transfer in chunks, and duplicated, invalid and interrupted transfers.
-#![allow(clippy::expect_used, reason = "a helper of a test may fail like the test itself")]
+#![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 mod support;
 
