--- a/crates/controller/src/api/submission.rs
+++ b/crates/controller/src/api/submission.rs
@@ -4,8 +4,8 @@
 use super::admission::check_admission;
 use super::job_reader::StoredJob;
 use super::{ApiService, Origin};
-use crate::job_snapshot::JobSnapshot;
 use crate::leadership::wall_clock;
+use crate::peer_job_status::PeerJobStatus;
 use crate::peers::PeerRequest;
 use crate::records::{JobRecord, final_state_key, fits_value_limit, job_key};
 use crate::request_outcome::RequestOutcome;
@@ -31,8 +31,8 @@
             }
         };
         let job = spec.id.clone();
-        if let Some(snapshot) = self.config.final_states.get(&job) {
-            return RequestOutcome::Known(snapshot);
+        if let Some(status) = self.config.final_states.get(&job) {
+            return RequestOutcome::Known(status);
         }
         let Some(machine_types) = self.config.machine_types.borrow().clone() else {
             return RequestOutcome::unavailable("the machine types are not known yet");
@@ -50,7 +50,7 @@
         let Ok(value) = serde_json::to_value(&record) else {
             return RequestOutcome::unavailable("internal");
         };
-        if !fits_value_limit(&value, self.config.platform.state.largest_value_kb) {
+        if !fits_value_limit(&value, self.config.platform.store.max_accepted_value_kb) {
             return self
                 .reject_unless_accepted(&job, BAD_REQUEST, RECORD_TOO_LONG.into(), origin)
                 .await;
@@ -72,9 +72,9 @@
         let error = match self.config.stores.submissions.commit(&transaction).await {
             Ok(CommitOutcome::Applied(_)) => {
                 let team = Some(spec.team);
-                return RequestOutcome::Accepted(JobSnapshot {
+                return RequestOutcome::Accepted(PeerJobStatus {
                     team,
-                    ..self.queued_snapshot(job, &value)
+                    ..self.queued_status(job, &value)
                 });
             }
             Ok(CommitOutcome::PreconditionFailed(_)) => return self.status(job, origin).await,
@@ -104,8 +104,8 @@
         value: &serde_json::Value,
     ) -> Result<RequestOutcome, StoreError> {
         Ok(match self.job_reader.read(&self.config.stores.submissions, job).await? {
-            StoredJob::Active { .. } => RequestOutcome::Accepted(self.queued_snapshot(job, value)),
-            StoredJob::Final(snapshot) => self.known_job_outcome(snapshot),
+            StoredJob::Active { .. } => RequestOutcome::Accepted(self.queued_status(job, value)),
+            StoredJob::Final(status) => self.known_job_outcome(status),
             StoredJob::Absent => RequestOutcome::unavailable("the state service did not answer"),
         })
     }
--- a/crates/controller/src/cluster_state/recovery.rs
+++ b/crates/controller/src/cluster_state/recovery.rs
@@ -4,9 +4,9 @@
 use super::machine::FirstListing;
 use super::machine_registry::MachineRegistry;
 use super::{CachedImage, ClassHistory, ClusterState, JobKey, JobOrigin, Machine, Timestamp};
-use crate::leadership::StoredWatermarks;
+use crate::leadership::WatermarkCompleteness;
 use crate::records::{
-    ClassRecord, ImagesRecord, JobSchedulingRecord, MachineRegistryRecord, ProgressRecord,
+    ClassRecord, JobSchedulingRecord, LegacyImagesRecord, MachineRegistryRecord, ProgressRecord,
     SharedStartWatermarksRecord,
 };
 use hookway_time::{WallTime, millis_f64};
@@ -34,12 +34,12 @@
     /// The record of the job classes; `None` if no leader has written one.
     pub classes: Option<KeyValue>,
     /// Whether the start watermarks that earlier leaders recorded are complete.
-    pub stored_watermarks: StoredWatermarks,
+    pub stored_watermarks: WatermarkCompleteness,
 }
 
 impl LoadedRecords {
     /// Returns a value without records, with the given completeness of the start watermarks.
-    pub fn empty(stored_watermarks: StoredWatermarks) -> Self {
+    pub fn empty(stored_watermarks: WatermarkCompleteness) -> Self {
         Self {
             jobs: Vec::new(),
             progress: Vec::new(),
@@ -195,10 +195,10 @@
     /// start watermarks, every task of the job may have been started.
     fn finish_loading_watermarks(
         &mut self,
-        stored: StoredWatermarks,
+        stored: WatermarkCompleteness,
         shared_watermarks_complete: bool,
     ) {
-        let watermarks_complete = stored == StoredWatermarks::Complete;
+        let watermarks_complete = stored == WatermarkCompleteness::Complete;
         for job in self.jobs.values_mut() {
             let complete = watermarks_complete && (shared_watermarks_complete || !job.is_small());
             job.start_watermark.finish_loading(job.spec.tasks, complete);
@@ -209,7 +209,7 @@
     /// the next leader knows it as well. Until a job's record is durable, the assumption allows no
     /// start of its tasks; and until all of them are, the store does not say that the watermarks
     /// are complete.
-    fn queue_assumed_watermarks(&mut self, stored: StoredWatermarks, all_jobs_readable: bool) {
+    fn queue_assumed_watermarks(&mut self, stored: WatermarkCompleteness, all_jobs_readable: bool) {
         let assumed = self.jobs.iter().filter(|(_, job)| job.start_watermark.is_assumed());
         let assumed: BTreeSet<JobKey> = assumed.map(|(key, _)| *key).collect();
         tracing::info!(
@@ -254,7 +254,7 @@
     /// the record: from now on the machine registry holds the images.
     fn load_legacy_images(&mut self, kv: KeyValue) {
         let name = kv.key.strip_prefix(crate::records::LEGACY_IMAGES_PREFIX).unwrap_or_default();
-        if let Ok(record) = serde_json::from_value::<ImagesRecord>(kv.value) {
+        if let Ok(record) = serde_json::from_value::<LegacyImagesRecord>(kv.value) {
             let images = self.images.with_ids(&record.images);
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.images = images;
@@ -302,7 +302,7 @@
         // leader that registered the machine, and this one.
         if let Some(registered_at) = registered_at {
             let clock_error_ms =
-                self.config.platform.clock_off_ms * 2.0 + millis_f64(REGISTRATION_AGE_MARGIN);
+                self.config.platform.max_clock_error_ms * 2.0 + millis_f64(REGISTRATION_AGE_MARGIN);
             let age_ms =
                 millis_f64(at.wall.saturating_duration_since(registered_at)) - clock_error_ms;
             if age_ms > 0.0 {
--- a/crates/controller/src/records/mod.rs
+++ b/crates/controller/src/records/mod.rs
@@ -15,7 +15,7 @@
 //! | `r/record-<n>` | [`MachineRegistryRecord`]: machines that may have tasks |
 //! | `c/lanes` | a [`ClassRecord`] for each class of jobs: hints for the next leader |
 //!
-//! Version 0.1.0 wrote `r/<machine>` and `i/<machine>` ([`ImagesRecord`]) instead of
+//! Version 0.1.0 wrote `r/<machine>` and `i/<machine>` ([`LegacyImagesRecord`]) instead of
 //! `r/record-<n>`. A leader still reads both, and replaces them by `r/record-<n>`.
 
 mod job;
@@ -28,13 +28,14 @@
 pub use job::{FinalRecord, JobRecord};
 pub use keys::{
     CLASSES_KEY, COMPLETE_WATERMARKS_KEY, FINAL_STATES_PREFIX, JOBS_PREFIX, LEADER_KEY,
-    LEADER_PREFIX, LEADER_TERM_KEY, LEADER_WATERMARKS_KEY, LEGACY_IMAGES_PREFIX, PROGRESS_PREFIX,
-    REGISTRY_PREFIX, SCHEDULING_PREFIX, final_state_key, job_key, parse_progress_key,
-    parse_shared_watermarks_key, progress_key, registry_key, scheduling_key, shared_watermarks_key,
+    LEADER_PREFIX, LEADER_TERM_KEY, LEGACY_COMPLETE_WATERMARKS_KEY, LEGACY_IMAGES_PREFIX,
+    PROGRESS_PREFIX, REGISTRY_PREFIX, SCHEDULING_PREFIX, final_state_key, job_key,
+    parse_progress_key, parse_shared_watermarks_key, progress_key, registry_key, scheduling_key,
+    shared_watermarks_key,
 };
 pub use leader::LeaderRecord;
 pub use machine_registry::{
-    ImageRecord, ImagesRecord, MachineRegistryEntry, MachineRegistryRecord,
+    ImageRecord, LegacyImagesRecord, MachineRegistryEntry, MachineRegistryRecord,
 };
 pub use progress::ProgressRecord;
 pub use scheduling::{ClassRecord, JobSchedulingRecord, SharedStartWatermarksRecord};
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -9,7 +9,9 @@
 use crate::final_state_cache::FinalStateCache;
 use crate::http;
 use crate::leader_sync::LeaderSync;
-use crate::leadership::{Clock, Leadership, LeadershipConfig, LeadershipLease, LeadershipView};
+use crate::leadership::{
+    Clock, ElectionActor, ElectionActorConfig, LeadershipLease, LeadershipView,
+};
 use crate::peers::{self, Peers};
 use crate::settings::{OperatorSettings, PlatformSettings, Settings};
 use crate::shard_lease::{ShardLessee, leader_timeout};
@@ -54,7 +56,7 @@
 
     // However long a scheduling round takes, the leadership lease must be extended and users must
     // be answered. So each actor has a thread of its own.
-    run_on_thread("leadership", components.leadership(view_sender).run())?;
+    run_on_thread("leadership", components.election_actor(view_sender).run())?;
     run_on_thread("controller", components.controller_actor(requests).run())?;
     tokio::spawn(read_machine_types(components.cloud.clone(), machine_types_sender));
     let sync = components.leader_sync(controller.clone());
@@ -140,12 +142,12 @@
 
     /// Creates a client of the store that may use `rate_share` of this controller's request rate.
     fn store_client(&self, rate_share: f64) -> StoreClient {
-        let rps = self.settings.platform.state.rps * rate_share;
-        StoreClient::new(&self.settings.endpoints.state, rps)
+        let rps = self.settings.platform.store.rps * rate_share;
+        StoreClient::new(&self.settings.endpoints.store, rps)
     }
 
-    fn leadership(&self, view: watch::Sender<LeadershipView>) -> Leadership {
-        Leadership::new(LeadershipConfig {
+    fn election_actor(&self, view: watch::Sender<LeadershipView>) -> ElectionActor {
+        ElectionActor::new(ElectionActorConfig {
             controller_name: self.settings.controller_name.clone(),
             store: self.store_client(constants::LEADERSHIP_REQUEST_SHARE),
             clock: self.clock,
@@ -153,8 +155,8 @@
             view,
             resign_requested: self.resign_requested.clone(),
             leader_suspected: self.standby_signals.leader_suspected.clone(),
-            lease_length: self.operator.replication.leader_lease,
-            has_warm_copy: self.standby_signals.has_warm_copy.clone(),
+            lease_length: self.operator.replication.leader_lease_length,
+            has_usable_copy: self.standby_signals.has_usable_copy.clone(),
         })
     }
 
@@ -163,7 +165,7 @@
         let name = &settings.controller_name;
         let workers = &settings.platform.workers;
         let leader_timeout = leader_timeout(workers.heartbeat_interval_s, workers.lease_s);
-        let warm = self.operator.replication.standby;
+        let warm = self.operator.replication.keeps_standby_copy;
         let standby_mode = if warm { StandbyMode::Warm } else { StandbyMode::Cold };
         ControllerActor::new(ControllerActorConfig {
             cluster: ControllerConfig {
@@ -202,7 +204,7 @@
             stores,
             peers: self.peers.clone(),
             controller,
-            view: self.view.clone(),
+            leadership_view: self.view.clone(),
             machine_types: self.machine_types.clone(),
             final_states: self.final_states.clone(),
         })
@@ -213,7 +215,7 @@
             controller_name: self.settings.controller_name.clone(),
             controller,
             peers: self.peers.clone(),
-            view: self.view.clone(),
+            leadership_view: self.view.clone(),
         }
     }
 
@@ -231,10 +233,10 @@
     for team in &platform.teams {
         tracing::info!(
             team = team.name,
-            cpus = team.cpus,
-            gpus = team.gpus,
-            max_cpus = team.cpus_max,
-            max_gpus = team.gpus_max,
+            cpus = team.guaranteed_cpus,
+            gpus = team.guaranteed_gpus,
+            max_cpus = team.max_cpus,
+            max_gpus = team.max_gpus,
             "team with guarantee and limit (0: none)"
         );
     }
--- a/crates/controller/src/standby.rs
+++ b/crates/controller/src/standby.rs
@@ -22,7 +22,7 @@
     pub leader_suspected: Arc<Notify>,
     /// Whether this controller has a usable copy of the cluster state. Updated before each
     /// replication request.
-    pub has_warm_copy: Arc<AtomicBool>,
+    pub has_usable_copy: Arc<AtomicBool>,
 }
 
 /// Whether a controller keeps a copy of the leader's cluster state while it does not lead.
@@ -71,9 +71,9 @@
     }
 
     /// Handles a change of the leadership while this controller does not lead. The beginning and
-    /// end of its own terms are reported by [`elected`](Self::elected) and
+    /// end of its own terms are reported by [`election_won`](Self::election_won) and
     /// [`deposed`](Self::deposed).
-    pub fn view_changed(&mut self, view: &LeadershipView, now: MonotonicTime) {
+    pub fn leadership_view_changed(&mut self, view: &LeadershipView, now: MonotonicTime) {
         if view.own_term.is_some() {
             return;
         }
@@ -109,7 +109,7 @@
         if self.detector.suspects(now) {
             self.advance_and_notify(FailoverEvent::LeaderSilent, now);
         }
-        self.signals.has_warm_copy.store(self.usable_copy(now).is_ok(), Ordering::Relaxed);
+        self.signals.has_usable_copy.store(self.usable_copy(now).is_ok(), Ordering::Relaxed);
         Some(self.follower.request())
     }
 
@@ -144,13 +144,13 @@
     /// Begins the failover to this controller, which the store has recorded as the leader of
     /// `term`. Returns `false` if the controller must not lead, because this or a later term is
     /// known already.
-    pub fn elected(&mut self, term: u64, now: MonotonicTime) -> bool {
+    pub fn election_won(&mut self, term: u64, now: MonotonicTime) -> bool {
         self.advance(FailoverEvent::Elected { term }, now) == Some(FailoverAction::ReadRecords)
     }
 
     /// Makes this controller the active leader, after it has read the records of earlier leaders.
     /// The read began in `term`. Returns `false` if that term has ended since.
-    pub fn records_read(&mut self, term: u64, now: MonotonicTime) -> bool {
+    pub fn record_reading_completed(&mut self, term: u64, now: MonotonicTime) -> bool {
         self.advance(FailoverEvent::RecordsRead { term }, now) == Some(FailoverAction::Lead)
     }
 
--- a/crates/controller/tests/cluster_state/commit_queue.rs
+++ b/crates/controller/tests/cluster_state/commit_queue.rs
@@ -7,7 +7,7 @@
 use hookway_controller::cluster_state::{
     CancelOutcome, ClusterState, CommitResult, JobLookup, LoadedRecords,
 };
-use hookway_controller::leadership::StoredWatermarks;
+use hookway_controller::leadership::WatermarkCompleteness;
 use hookway_controller::records::{LEADER_KEY, final_state_key, job_key};
 use hookway_testkit::{ScriptedWorker, machine_types};
 use hookway_wire::{Command, ExitCause, JobId, JobState, Operation, Precondition, Transaction};
@@ -17,7 +17,7 @@
     let mut harness = LeaderHarness::start();
     let mut worker = small_worker("m-1", "a");
     let id = harness.submit(job("req-000001", "array", 2));
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     assert_eq!(
         worker.unfinished_tasks(),
         ["req-000001/0"],
@@ -25,7 +25,7 @@
     );
     assert_eq!(harness.job_state(&id), JobState::Running);
     worker.end_task("req-000001/0", ExitCause::Done);
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     assert_eq!(worker.unfinished_tasks(), ["req-000001/1"]);
     worker.end_task("req-000001/1", ExitCause::Done);
     let heartbeat = worker.heartbeat();
@@ -53,7 +53,7 @@
     let heartbeat = worker.heartbeat();
     harness.cluster.handle_heartbeat(&heartbeat, harness.now);
     let late = harness.cluster.next_commit(harness.now).expect("a commit of the final state");
-    let mut next = LeaderHarness::lead(harness.store.clone(), 2, at(9_000));
+    let mut next = LeaderHarness::with_term(harness.store.clone(), 2, at(9_000));
     assert_eq!(next.cluster.cancel(&id), CancelOutcome::Pending);
     next.commit_pending();
     assert!(
@@ -92,7 +92,7 @@
 fn resubmission_of_finished_job_fails_its_precondition() {
     let (mut harness, mut worker, id) = one_running_task();
     worker.end_task("req-000001/0", ExitCause::Done);
-    harness.run_rounds(&mut [&mut worker]);
+    harness.run_four_rounds(&mut [&mut worker]);
     let resubmission = Transaction {
         preconditions: vec![
             Precondition { key: job_key(&id), mod_revision: 0 },
@@ -107,8 +107,8 @@
 fn transactions_are_split_by_bytes_regardless_of_operation_limit() {
     let mut harness = LeaderHarness::start();
     let mut config = test_config();
-    config.platform.state.txn_ops = 10_000;
-    config.platform.state.write_rps = 100_000.0;
+    config.platform.store.txn_ops = 10_000;
+    config.platform.store.write_rps = 100_000.0;
     let precondition = Precondition {
         key: LEADER_KEY.into(),
         mod_revision: harness.store.put(LEADER_KEY, 1.into()),
@@ -119,7 +119,7 @@
         1,
         precondition,
         machine_types(),
-        LoadedRecords::empty(StoredWatermarks::Absent),
+        LoadedRecords::empty(WatermarkCompleteness::Absent),
         elected_at,
     );
     // Thousands of machines register, and thousands of jobs finish at the same time.
@@ -207,7 +207,7 @@
     if let Some(task) = running {
         worker_1.end_task(&task, ExitCause::Done);
     }
-    harness.run_rounds(&mut [&mut worker_1, &mut worker_2]);
+    harness.run_four_rounds(&mut [&mut worker_1, &mut worker_2]);
     assert!(!harness.cluster.leadership_lost());
 }
 
--- a/crates/controller/tests/fleet_size.rs
+++ b/crates/controller/tests/fleet_size.rs
@@ -21,7 +21,7 @@
 
 /// Returns the store's maximum number of operations in a transaction, and of KiB in a value.
 fn store_limits(config: &ControllerConfig) -> (usize, f64) {
-    (config.platform.state.txn_ops, config.platform.state.value_kb)
+    (config.platform.store.txn_ops, config.platform.store.value_kb)
 }
 
 /// Returns the resident memory of this process in KiB, or 0 where the system does not report it.
@@ -135,7 +135,7 @@
     let now = fleet.harness.now + ms(6_000);
     let store = std::mem::take(&mut fleet.harness.store);
     let started_at = Instant::now();
-    fleet.harness = LeaderHarness::lead(store, 1 + hookway_constants::TOKENS_PER_TERM, now);
+    fleet.harness = LeaderHarness::with_term(store, 1 + hookway_constants::TOKENS_PER_TERM, now);
     println!("loaded in {:?}", started_at.elapsed());
     assert_eq!(fleet.harness.cluster.machine_count(), MACHINES);
     assert!(!fleet.harness.cluster.is_reconciled(now), "no machine has sent a heartbeat yet");
--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -6,11 +6,11 @@
 mod formats_support;
 
 use formats_support::{bare_spec, fixture, frame, json, read_only, status};
-use hookway_controller::job_snapshot::JobSnapshot;
 use hookway_controller::leadership::LeadershipView;
+use hookway_controller::peer_job_status::PeerJobStatus;
 use hookway_controller::peers::{PeerRequest, PeerResponse, Peers};
 use hookway_controller::records::{
-    ClassRecord, FinalRecord, ImageRecord, ImagesRecord, JobRecord, JobSchedulingRecord,
+    ClassRecord, FinalRecord, ImageRecord, JobRecord, JobSchedulingRecord, LegacyImagesRecord,
     MachineRegistryEntry, MachineRegistryRecord, ProgressRecord, SharedStartWatermarksRecord,
 };
 use hookway_controller::standby::{Standby, StandbyMode, StandbySignals};
@@ -60,15 +60,15 @@
         .map(|(name, size_gb)| ImageRecord { name: name.into(), size_gb })
         .to_vec();
     json("pinned-record-roster-images", &MachineRegistryRecord { machines, images });
-    json("pinned-record-images-empty", &ImagesRecord::default());
+    json("pinned-record-images-empty", &LegacyImagesRecord::default());
 }
 
 #[test]
 fn class_statistics_record_is_map_keyed_by_class() {
     let request = Resources { cpus: 8.0, gpus: 1.0, memory_gb: 64.0 };
-    let gang = ClassRecord { request, image_gb: 6.2, spot: true, gangs: true };
+    let gang = ClassRecord { request, image_gb: 6.2, allows_spot: true, is_gang_class: true };
     let request = Resources { cpus: 0.5, gpus: 0.0, memory_gb: 2.0 };
-    let array = ClassRecord { request, image_gb: 0.0, spot: false, gangs: false };
+    let array = ClassRecord { request, image_gb: 0.0, allows_spot: false, is_gang_class: false };
     let classes = BTreeMap::from([("cleanup".to_owned(), array), ("train".to_owned(), gang)]);
     json("pinned-record-classes", &classes);
 }
@@ -76,7 +76,10 @@
 #[test]
 fn job_state_frames_match_fixtures() {
     let job_finished = |state| {
-        PeerRequest::JobFinished(JobSnapshot { notes: vec![], ..JobSnapshot::from(status(state)) })
+        PeerRequest::JobFinished(PeerJobStatus {
+            notes: vec![],
+            ..PeerJobStatus::from(status(state))
+        })
     };
     frame("pinned-ask-over-queued", &job_finished(JobState::Queued));
     frame("pinned-ask-over-running", &job_finished(JobState::Running));
@@ -104,10 +107,10 @@
     ];
     let body = FollowResponseBody::Entries { after: at(0), entries, digest: None };
     let response = FollowResponse { end: at(5), body };
-    frame("pinned-answer-entries", &PeerResponse::Followed(Some(response)));
+    frame("pinned-answer-entries", &PeerResponse::FollowResponse(Some(response)));
     let body = FollowResponseBody::Entries { after: at(5), entries: vec![], digest: None };
     let response = FollowResponse { end: at(5), body };
-    frame("pinned-answer-no-entries", &PeerResponse::Followed(Some(response)));
+    frame("pinned-answer-no-entries", &PeerResponse::FollowResponse(Some(response)));
 }
 
 /// Returns the publisher of a leader whose cluster state has a task at each stage and two jobs.
@@ -145,7 +148,7 @@
     let request = FollowRequest { follower: "worker-1".into(), progress: FollowerProgress::Empty };
     let response =
         publisher.respond(&request, MonotonicTime::ZERO).expect("a replication snapshot");
-    frame("pinned-answer-image", &PeerResponse::Followed(Some(response)));
+    frame("pinned-answer-image", &PeerResponse::FollowResponse(Some(response)));
     frame("pinned-image-state", publisher.state());
     frame("pinned-image-empty-state", &ReplicatedState::default());
 }
@@ -175,7 +178,7 @@
     let peers = Peers::new([("worker-1".to_owned(), address)].into());
     let request = PeerRequest::Status("req-000412".into());
     let limit = Duration::from_millis(5_000);
-    let response = peers.ask("worker-1", &request, limit).await.expect("a response");
+    let response = peers.send_user_request("worker-1", &request, limit).await.expect("a response");
     assert_eq!(response, hookway_controller::request_outcome::RequestOutcome::NotFound);
     let (sent, _stream) = tokio::time::timeout(Duration::from_secs(5), served)
         .await
@@ -195,7 +198,7 @@
     let expected = |phase: &str, copy: &str| (phase.to_owned(), copy.to_owned());
     assert_eq!(phase_and_copy(&standby, at(0)), expected("following", "no copy"));
     let (leader, leader_term) = (Some("worker-1".to_owned()), Some(4_097));
-    standby.view_changed(&LeadershipView { leader, leader_term, own_term: None }, at(0));
+    standby.leadership_view_changed(&LeadershipView { leader, leader_term, own_term: None }, at(0));
     let mut publisher = publisher_with_cluster_state();
     for now in (0..10_000).step_by(200).map(at) {
         let request = standby.next_request(now).expect("a request of a follower");
@@ -204,10 +207,10 @@
     assert_eq!(phase_and_copy(&standby, at(10_000)), expected("following", "usable"));
     standby.next_request(at(20_000));
     assert_eq!(standby.status(at(20_000)).phase, "suspecting");
-    standby.view_changed(&LeadershipView::default(), at(20_000));
+    standby.leadership_view_changed(&LeadershipView::default(), at(20_000));
     assert_eq!(standby.status(at(20_000)).phase, "fencing");
-    assert!(standby.elected(8_193, at(20_000)));
+    assert!(standby.election_won(8_193, at(20_000)));
     assert_eq!(standby.status(at(20_000)).phase, "catching up");
-    assert!(standby.records_read(8_193, at(20_000)));
+    assert!(standby.record_reading_completed(8_193, at(20_000)));
     assert_eq!(standby.status(at(20_000)).phase, "active");
 }
