--- a/crates/constants/src/cloud.rs
+++ b/crates/constants/src/cloud.rs
@@ -31,8 +31,8 @@
 pub const BOOT_TIMEOUT_FACTOR: f64 = 4.0;
 /// Added to the boot timeout, for delays that do not grow with the nominal boot time.
 pub const BOOT_TIMEOUT_MARGIN: Duration = Duration::from_millis(10_000);
-/// A registered machine that was listed at least this long before the election counts as booted: if it sends no
-/// heartbeat, boot time is not the reason. Longer than most boot times.
+/// A registered machine that was first listed at least this long before the election counts as booted: a missing
+/// heartbeat is not explained by its boot time. Longer than most boot times.
 pub const MAX_ASSUMED_BOOT_TIME: Duration = Duration::from_millis(60_000);
 /// Window over which the peak demand of a class of jobs is determined. The peak determines how many spare machines are
 /// kept for the class.
--- a/crates/constants/src/failures.rs
+++ b/crates/constants/src/failures.rs
@@ -14,15 +14,15 @@
 /// Number of consecutive failures from which a gang or a daemon counts as crash-looping. An array counts from the
 /// first failure; a gang or a daemon needs many machines and so is more likely to use a faulty one.
 pub const GANG_MAX_FAILURES: u32 = 3;
-/// Number of consecutive failures after which a job backs off that is known to run, such as one with completed tasks.
-/// Any other job backs off at the first failure, since nothing shows that it can run.
+/// Number of consecutive failures after which a job backs off although it is known to run, for example because tasks
+/// of it have completed. Any other job backs off at the first failure, since nothing shows that it can run.
 pub const PROVEN_JOB_MAX_FAILURES: u32 = 3;
 /// A replica of a daemon that has run for this long counts as working: if it ends, the daemon does not back off.
 pub const STABLE_REPLICA_RUN_TIME: Duration = Duration::from_millis(30_000);
 /// Time without a failure after which the failure count of a daemon is reset, since a daemon has no completed tasks
 /// that would reset it. Longer than the longest backoff with its jitter.
 pub const REPLICA_FAILURE_RESET_DELAY: Duration = Duration::from_millis(120_000);
-/// Number of finished tasks from which the mean run time of a job is reliable enough to detect slow machines and stuck
+/// Number of completed tasks from which the mean run time of a job is reliable enough to detect slow machines and stuck
 /// tasks.
 pub const RELIABLE_MEAN_TASKS: u32 = 4;
 /// A task counts as slow if its run time exceeds this many times the mean run time of its job. Run times within a job
@@ -35,7 +35,7 @@
 pub const STUCK_TASK_RATIO: f64 = 5.0;
 /// First backoff after a failed task of a job; it doubles with each further failure.
 pub const FAILURE_BACKOFF: Duration = Duration::from_millis(1_000);
-/// Upper bound of the backoff after failed tasks. `REPLICA_FAILURE_RESET_DELAY` relies on being longer.
+/// Upper bound of the backoff after failed tasks. Must stay below `REPLICA_FAILURE_RESET_DELAY`, also with its jitter.
 pub const FAILURE_BACKOFF_MAX: Duration = Duration::from_millis(45_000);
 /// Maximum count of consecutive failures that a new leader adopts from its standby copy. The backoff reaches its
 /// maximum at a lower count.
@@ -43,5 +43,5 @@
 /// Maximum number of ended jobs, and of deleted machines, that a leader remembers to ignore late messages about them.
 /// This many cover days, while messages are minutes late at most.
 pub const MAX_REMEMBERED_NAMES: usize = 20_000;
-/// Maximum number of notes that the status of a job shows the user; the oldest ones are dropped.
+/// Maximum number of notes in the status of a job; the oldest ones are dropped.
 pub const MAX_JOB_NOTES: usize = 6;
--- a/crates/constants/src/replication.rs
+++ b/crates/constants/src/replication.rs
@@ -18,8 +18,8 @@
 /// Maximum size of the entries, or of a chunk of a replication snapshot, in one message between controllers, bytes.
 /// Well below [`MAX_PEER_FRAME_BYTES`](crate::MAX_PEER_FRAME_BYTES).
 pub const MAX_REPLICATION_CHUNK_BYTES: usize = 32 * 1024;
-/// Maximum size of a replication snapshot, bytes. A machine with its tasks takes some 200, so this is enough for
-/// 100,000 machines.
+/// Maximum size of a replication snapshot, bytes. A machine with its tasks takes some 200 bytes, so this is enough
+/// for 100,000 machines.
 pub const MAX_REPLICATION_SNAPSHOT_BYTES: usize = 32 * 1024 * 1024;
 /// Time that a leader serves the chunks of a replication snapshot before it creates a new one.
 pub const REPLICATION_SNAPSHOT_LIFETIME: Duration = Duration::from_millis(5_000);
@@ -32,7 +32,7 @@
 pub const MAX_REPLICATION_COPY_AGE: Duration = Duration::from_millis(60_000);
 /// Maximum number of names in the log line about the differences between a standby copy and the leader.
 pub const REPLICATION_MAX_NAMED_DIFFERENCES: usize = 8;
-/// Number of intervals between messages of the leader that the failure detector keeps; the oldest are dropped.
+/// Maximum number of intervals between messages of the leader that the failure detector keeps, the most recent ones.
 pub const DETECTOR_WINDOW: usize = 64;
 /// Minimum number of intervals between messages that the failure detector needs before it suspects the leader.
 pub const DETECTOR_MIN_SAMPLES: usize = 8;
--- a/crates/constants/src/scheduling.rs
+++ b/crates/constants/src/scheduling.rs
@@ -13,8 +13,8 @@
 pub const ROUND_COST_PER_MACHINE_US: f64 = 3.0;
 /// Estimated cost of a scheduling round per pair of a machine and a waiting job, microseconds of a core.
 pub const ROUND_COST_PER_PAIR_US: f64 = 0.03;
-/// Share of the configured share of a core that scheduling rounds may use. The rest is for heartbeats, whose responses
-/// start tasks on the resources that the heartbeats report as free.
+/// Part of the configured `core_share` that scheduling rounds may use. The rest is for heartbeats, whose responses start
+/// tasks on the resources that the heartbeats report as free.
 pub const ROUND_CORE_SHARE: f64 = 0.25;
 /// A job counts as late once its deadline is less than this many task times away; with 0, once the deadline has
 /// passed.
@@ -26,8 +26,8 @@
 /// Age from which deferred jobs and backfill get a share of the CPUs of their own, s. Half of the four minutes in
 /// which users expect the largest jobs to start.
 pub const AGING_THRESHOLD_S: f64 = 120.0;
-/// Share of the CPUs of all machines in service for jobs older than `AGING_THRESHOLD_S` that would otherwise come after
-/// others.
+/// Share of the CPUs of all machines that take tasks, for jobs older than `AGING_THRESHOLD_S` that would otherwise come
+/// after others.
 pub const AGING_CPU_SHARE: f64 = 0.15;
 /// Deadline assumed for jobs without one when the fleet is sized, as a multiple of the task time.
 pub const ASSUMED_DEADLINE_FACTOR: f64 = 2.0;
--- a/crates/constants/src/store.rs
+++ b/crates/constants/src/store.rs
@@ -7,8 +7,8 @@
 /// Time limit of an extension of the leadership lease. After a request on a connection that failed unnoticed, there
 /// must be time for retries within one lease.
 pub const LEASE_EXTENSION_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time that the store waits for events before it responds to a watch. Bounds the delay of events on jobs or on the
-/// leader by a connection that failed unnoticed.
+/// Time that the store waits for events before it responds to a watch. If the connection fails unnoticed, events on
+/// jobs or on the leader are delayed by about this time at most.
 pub const WATCH_WAIT: Duration = Duration::from_millis(5_000);
 /// Added to the waiting time of a watch to get the time limit of its request, so that the response can arrive.
 pub const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_millis(2_000);
@@ -28,8 +28,8 @@
 /// Share of the store's request rate for submissions and cancellations at each controller. All of them may come to one
 /// controller while others are down.
 pub const SUBMISSION_REQUEST_SHARE: f64 = 0.25;
-/// Share of the store's request rate for status requests at each controller, which read the store while no leader
-/// responds. Clients repeat status requests beyond this share within seconds.
+/// Share of the store's request rate for status requests at each controller. Status requests read the store while no
+/// leader responds. Those beyond this share fail at once; clients repeat them within seconds.
 pub const STATUS_REQUEST_SHARE: f64 = 0.12;
 /// Share of the store's request rate for leader election, whose requests must not queue behind others.
 pub const LEADERSHIP_REQUEST_SHARE: f64 = 0.1;
@@ -40,7 +40,7 @@
 /// Delay before a record is written again that the store rejected although it was alone in its transaction. There is
 /// no telling when the store would accept the record, and no other record waits for it.
 pub const REJECTED_RECORD_RETRY_DELAY: Duration = Duration::from_millis(5_000);
-/// Number of steps in which the start watermark of a job increases to its task count. With more steps, a new leader
+/// Number of steps in which the start watermark of a job increases to the job's task count. With more steps, a new leader
 /// can start more tasks of the job before reconciliation; each step costs a write.
 pub const START_WATERMARK_STEPS: u32 = 4;
 /// Minimum step by which a start watermark increases, tasks.
@@ -61,7 +61,7 @@
 pub const REGISTRY_ENTRY_IMAGES: usize = 16;
 /// Prefix of the names of registry records, which distinguishes them from the machine names of the 0.1.0 format.
 pub const REGISTRY_RECORD_PREFIX: &str = "record-";
-/// Maximum number of tasks in one progress page. One bit per task makes 2 KiB, which as base64 fit any reasonable
+/// Maximum number of tasks in one progress page. One bit per task makes 2 KiB, which as base64 fits any reasonable
 /// value limit.
 pub const PROGRESS_PAGE_TASKS: u32 = 16_384;
 /// Minimum number of tasks in a progress page if the store allows only small values. With fewer tasks, large jobs
--- a/crates/constants/src/workers.rs
+++ b/crates/constants/src/workers.rs
@@ -56,14 +56,14 @@
 /// Number of consecutive unanswered state probes after which a machine counts as lost at a failover, if most machines
 /// of its zone responded.
 pub const MAX_UNANSWERED_STATE_PROBES: u32 = 3;
-/// Number of heartbeat intervals without any heartbeat, though some are due, after which a leader steps down: a
-/// network partition may separate it from the workers, but not from the store.
+/// Number of heartbeat intervals without any heartbeat, although workers should have sent some, after which a leader steps
+/// down: a network partition may separate it from the workers, but not from the store.
 pub const WORKER_SILENCE_INTERVALS: f64 = 3.0;
 /// Minimum time without any heartbeat before a leader steps down. Longer than a pause of the process or the
 /// retransmission of a packet.
 pub const WORKER_SILENCE_MIN: Duration = Duration::from_millis(5_000);
-/// Number of machines from which a leader steps down after a shorter time without any heartbeat. If fewer machines are
-/// silent together, it may be coincidence.
+/// Number of workers above which a leader steps down after a shorter time without any heartbeat: the time is divided by
+/// their number and multiplied by this one. Fewer workers may be silent together by coincidence.
 pub const WORKER_SILENCE_FLEET_SIZE: f64 = 20.0;
 /// Minimum time without any heartbeat before a leader steps down in a large fleet. Longer than a pause of the process
 /// or the retransmission of a packet.
