--- a/crates/clients/src/http.rs
+++ b/crates/clients/src/http.rs
@@ -8,7 +8,7 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use std::time::Duration;
 
-/// Maximum idle connections to each address in the default pool.
+/// Maximum number of idle connections to each address in the default pool.
 const MAX_IDLE_CONNECTIONS: usize = 8;
 /// Maximum length of the part of an unexpected body that an error text quotes, in bytes.
 const MAX_QUOTED_BYTES: usize = 200;
--- a/crates/clients/src/store.rs
+++ b/crates/clients/src/store.rs
@@ -19,7 +19,7 @@
 const ENCODED_CHARACTERS: &AsciiSet =
     &NON_ALPHANUMERIC.remove(b'/').remove(b'-').remove(b'_').remove(b'.').remove(b'~');
 
-/// Maximum keys in a page of a range read.
+/// Maximum number of keys in a page of a range read.
 const LIST_PAGE_KEYS: u32 = 1_000;
 /// Timeout of the request for a page, as a multiple of the timeout of other requests: pages are large.
 const LIST_TIMEOUT_FACTOR: u32 = 2;
@@ -238,12 +238,12 @@
         }
     }
 
-    /// Requests a lease that expires `ttl` after its last extension, and returns its id.
+    /// Requests a lease that expires `ttl` after it was granted or last extended, and returns its id.
     ///
     /// # Errors
     ///
-    /// Any [`StoreError`]. After [`StoreError::Indeterminate`] a lease may exist whose id nobody knows; it expires,
-    /// because nobody extends it.
+    /// Any [`StoreError`]. After [`StoreError::Indeterminate`] a lease may exist whose id no controller knows; it
+    /// expires, because none can extend it.
     pub async fn grant_lease(&self, ttl: Duration) -> Result<u64, StoreError> {
         self.acquire().await?;
         let body = Self::encode(&LeaseGrantRequest { ttl_ms: whole_millis(ttl) })?;
--- a/crates/clients/src/worker.rs
+++ b/crates/clients/src/worker.rs
@@ -9,14 +9,14 @@
 
 /// Path of the workers' API for direct commands.
 const COMMANDS_PATH: &str = "/orders";
-/// Maximum idle connections to each worker.
+/// Maximum number of idle connections to each worker.
 const MAX_IDLE_CONNECTIONS: usize = 1;
 /// Placeholder address of the client; each request replaces it with the address of its worker.
 const NO_ADDRESS: &str = "0.0.0.0:0";
 /// The incarnation that a state probe tries first: a worker that has never restarted has this one.
 const FIRST_INCARNATION: u64 = 1;
-/// Maximum requests of a state probe: one with the first incarnation, and one with the incarnation that the
-/// refusal names.
+/// Maximum number of requests of a state probe: one with the first incarnation, and one with the incarnation that the
+/// worker names when it refuses the first request.
 const PROBE_ATTEMPTS: u32 = 2;
 
 /// The outcome of the direct dispatch of commands to a worker.
@@ -33,8 +33,8 @@
     Indeterminate,
 }
 
-/// A client of all workers. A request may arrive minutes late, or twice: callers have to ensure that the
-/// worker refuses a late start command because of its lower fencing token.
+/// A client of all workers. A request may arrive minutes late, or twice. A worker refuses a late start command only if
+/// it has received a higher fencing token in the meantime, which callers have to ensure.
 #[derive(Debug, Clone)]
 pub struct WorkerClient {
     http: HttpClient,
@@ -68,9 +68,10 @@
     }
 
     /// Sends a state probe, which carries a new leader's fencing token and no commands, and returns the
-    /// worker's heartbeat; `None` if the worker does not respond with one. The worker's incarnation is unknown:
-    /// if it is not the first one, the worker refuses the probe and names its incarnation, with which the probe
-    /// is repeated.
+    /// worker's heartbeat; `None` if the worker does not respond with one.
+    ///
+    /// The worker's incarnation is unknown, so the first request assumes the first incarnation. A worker with another
+    /// one refuses the probe and names its incarnation, with which the probe is repeated.
     pub async fn probe_state(&self, address: &str, fencing_token: u64) -> Option<Heartbeat> {
         let mut incarnation = FIRST_INCARNATION;
         for _ in 0..PROBE_ATTEMPTS {
--- a/crates/wire/src/job.rs
+++ b/crates/wire/src/job.rs
@@ -313,7 +313,7 @@
     /// Name of the controller that is the leader (an extension of the protocol).
     #[serde(rename = "Commander", default, skip_serializing_if = "Option::is_none")]
     pub leader: Option<String>,
-    /// Reasons why attempts ended, newest last (an extension of the protocol).
+    /// Notes for the user, such as why an attempt ended; newest last (an extension of the protocol).
     #[serde(rename = "Notes", default, skip_serializing_if = "Vec::is_empty")]
     pub notes: Vec<String>,
 }
--- a/crates/wire/src/replication.rs
+++ b/crates/wire/src/replication.rs
@@ -37,8 +37,8 @@
 pub struct ReplicationStatus {
     /// Phase of the promotion: `following`, `suspecting`, `fencing`, `catching up` or `active`.
     pub phase: String,
-    /// Name of the leader that this controller follows, or followed last; `None` if there was none since the
-    /// start of the process or the end of this controller's own last term.
+    /// Name of the leader that this controller follows, or followed last; `None` if it has followed none since the
+    /// start of the process or, if it was the leader itself, since the end of its own last term.
     pub leader: Option<String>,
     /// `usable`, or the reason why the replicated copy of the cluster state is not usable.
     pub copy: String,
@@ -59,7 +59,7 @@
     /// Number of replication snapshots applied.
     #[serde(rename = "images")]
     pub snapshots: u64,
-    /// Number of responses whose rejection made a new replication snapshot necessary.
+    /// Number of rejected responses after which a new replication snapshot was necessary.
     pub resyncs: u64,
     /// Durations of the failovers to this controller.
     #[serde(rename = "takeover")]
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -118,7 +118,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct LeaseGrantRequest {
-    /// Time to live of the lease in ms, counted from its last extension.
+    /// Time to live of the lease in ms, counted from the grant or the last extension.
     pub ttl_ms: u64,
 }
 
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -52,7 +52,7 @@
 }
 
 impl ExitCause {
-    /// Returns a description of the cause for the notes of a job, which continues a sentence that begins with the task.
+    /// Returns the predicate of a sentence whose subject is the task, for the notes of a job.
     pub fn description(self) -> &'static str {
         match self {
             Self::Done => "completed",
@@ -99,7 +99,7 @@
     /// Address (`host:port`) of the worker.
     #[serde(rename = "Addr")]
     pub address: String,
-    /// Name of the type of the machine.
+    /// Name of the machine type.
     #[serde(rename = "Flavor")]
     pub machine_type: String,
     /// Name of the zone that the machine is in.
