--- a/crates/hookway/src/main.rs
+++ b/crates/hookway/src/main.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// Runs a controller until it fails.
+/// Runs a controller until the process ends; fails if the controller cannot start.
 fn run_controller(runtime: &Runtime, config: &Path, operator: Option<&Path>) -> ExitCode {
     logging::start();
     match load_settings(config, operator) {
--- a/crates/time/src/duration.rs
+++ b/crates/time/src/duration.rs
@@ -19,8 +19,8 @@
 
 /// Returns a duration in seconds, for calculations in floating point and for the log.
 ///
-/// The result is the number of whole milliseconds divided by 1000. [`Duration::as_secs_f64`] may differ from it
-/// by a rounding error.
+/// The result is the number of whole milliseconds divided by 1000. [`Duration::as_secs_f64`] differs from it: it keeps
+/// fractions of a millisecond, and may round differently.
 pub fn seconds_f64(duration: Duration) -> f64 {
     millis_f64(duration) / 1000.0
 }
