--- a/crates/constants/src/scheduling.rs
+++ b/crates/constants/src/scheduling.rs
@@ -13,8 +13,8 @@
 pub const ROUND_COST_PER_MACHINE_US: f64 = 3.0;
 /// Estimated cost of a scheduling round per pair of a machine and a waiting job, microseconds of a core.
 pub const ROUND_COST_PER_PAIR_US: f64 = 0.03;
-/// Part of the configured `core_share` that scheduling rounds may use. The rest is for heartbeats, whose responses start
-/// tasks on the resources that the heartbeats report as free.
+/// Part of the configured `core_share` that scheduling rounds may use. The rest is for heartbeats, whose responses
+/// start tasks on the resources that the heartbeats report as free.
 pub const ROUND_CORE_SHARE: f64 = 0.25;
 /// A job counts as late once its deadline is less than this many task times away; with 0, once the deadline has
 /// passed.
--- a/crates/constants/src/store.rs
+++ b/crates/constants/src/store.rs
@@ -40,8 +40,8 @@
 /// Delay before a record is written again that the store rejected although it was alone in its transaction. There is
 /// no telling when the store would accept the record, and no other record waits for it.
 pub const REJECTED_RECORD_RETRY_DELAY: Duration = Duration::from_millis(5_000);
-/// Number of steps in which the start watermark of a job increases to the job's task count. With more steps, a new leader
-/// can start more tasks of the job before reconciliation; each step costs a write.
+/// Number of steps in which the start watermark of a job increases to the job's task count. With more steps, a new
+/// leader can start more tasks of the job before reconciliation; each step costs a write.
 pub const START_WATERMARK_STEPS: u32 = 4;
 /// Minimum step by which a start watermark increases, tasks.
 pub const START_WATERMARK_MIN_STEP: u32 = 32;
--- a/crates/constants/src/workers.rs
+++ b/crates/constants/src/workers.rs
@@ -56,8 +56,8 @@
 /// Number of consecutive unanswered state probes after which a machine counts as lost at a failover, if most machines
 /// of its zone responded.
 pub const MAX_UNANSWERED_STATE_PROBES: u32 = 3;
-/// Number of heartbeat intervals without any heartbeat, although workers should have sent some, after which a leader steps
-/// down: a network partition may separate it from the workers, but not from the store.
+/// Number of heartbeat intervals without any heartbeat, although workers should have sent some, after which a leader
+/// steps down: a network partition may separate it from the workers, but not from the store.
 pub const WORKER_SILENCE_INTERVALS: f64 = 3.0;
 /// Minimum time without any heartbeat before a leader steps down. Longer than a pause of the process or the
 /// retransmission of a packet.
