--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -39,7 +39,7 @@
         /// Number of the removed attempt.
         attempt: u64,
     },
-    /// The part of a job's state that is not in the store changed, or the job was added.
+    /// A job was added, or the part of its state that the leader keeps in memory only changed.
     Job {
         /// Id of the job in the form `req-000412`.
         id: String,
--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -12,8 +12,8 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// Why a response was rejected. A response of another term, or one that does not continue the copy, is ignored.
-/// After any other error the copy counts as diverged, and the follower requests a snapshot.
+/// Why a response was rejected. A response of another term, or one that does not continue the copy, leaves the copy
+/// valid. After any other error the copy counts as diverged, and the follower requests a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FollowError {
     /// The response is of an earlier term than the current leader's.
@@ -92,7 +92,7 @@
 /// The effect of an accepted response on the copy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FollowOutcome {
-    /// This number of new entries was applied; 0 if there are none, or the response was delayed or duplicated.
+    /// This number of new entries was applied; 0 if the response has no new ones, or was delayed or duplicated.
     EntriesApplied(usize),
     /// A snapshot chunk was stored; further chunks are missing.
     SnapshotChunkStored,
@@ -265,7 +265,7 @@
             .ok_or(FollowError::Gap { expected: self.position, found: after })
     }
 
-    /// Compares the copy, which is at `position`, with the leader's digest of one range.
+    /// Compares one range of the copy, which is at `position`, with the leader's digest of it.
     fn compare_digest(
         &self,
         digest: Option<RangeDigest>,
@@ -380,8 +380,8 @@
     }
 }
 
-/// Returns the position of the last of `count` entries after `after`, unless that is beyond the end of the log or of
-/// another term.
+/// Returns the position of the last of `count` entries that follow `after`. Fails if that position is beyond the end of
+/// the log, or of another term than the end.
 fn last_position(after: Position, count: usize, end: Position) -> Result<Position, FollowError> {
     let last_index = after.index.checked_add(count as u64);
     let last = Position { index: last_index.unwrap_or(u64::MAX), ..after };
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -6,7 +6,7 @@
 use crate::snapshot::SnapshotChunk;
 use serde::{Deserialize, Serialize};
 
-/// The part of the leader's state that a follower already has.
+/// How much of the leader's state a follower has received.
 ///
 /// The order of the variants and of their fields is a wire format: new variants are added at the end, and existing
 /// ones keep their fields.
--- a/crates/replication/src/promotion.rs
+++ b/crates/replication/src/promotion.rs
@@ -47,7 +47,7 @@
     },
     /// A task start was dispatched. Only the first one after a failover has an effect.
     Dispatched,
-    /// This controller no longer is the leader.
+    /// This controller is no longer the leader.
     Deposed,
 }
 
@@ -70,7 +70,7 @@
 /// What the caller has to do after an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailoverAction {
-    /// The caller has nothing to do.
+    /// Nothing.
     None,
     /// Read the leadership record in the store now.
     ReadLeader,
@@ -95,7 +95,8 @@
 /// Times of the failover in progress, from which its metrics are computed.
 #[derive(Debug, Default)]
 struct FailoverTimes {
-    /// Time of the previous leader's last response; kept when a suspicion proves false.
+    /// Time of the last response of the leader that this controller follows or followed last; kept when the controller
+    /// returns to following.
     leader_responded_at: Option<MonotonicTime>,
     /// Time of the last read of the leadership record because of a suspicion.
     leadership_read_at: Option<MonotonicTime>,
@@ -184,8 +185,8 @@
         FailoverAction::ReadLeader
     }
 
-    /// Whether the leadership record may be read once more. Repeated reads are needed because an earlier read may have
-    /// preceded the expiry of the lease.
+    /// Whether enough time has passed since the last read of the leadership record for another one. Repeated reads are
+    /// needed because an earlier read may have preceded the expiry of the lease.
     fn can_read_leader_again(&self, now: MonotonicTime) -> bool {
         let has_interval_passed = |last_read| now >= last_read + constants::LEADER_CHECK_INTERVAL;
         self.times.leadership_read_at.is_none_or(has_interval_passed)
--- a/crates/replication/src/publisher.rs
+++ b/crates/replication/src/publisher.rs
@@ -141,7 +141,7 @@
         removed.iter().for_each(|name| self.remove_machine(name));
     }
 
-    /// Publishes the part of a job's state that is not in the store.
+    /// Publishes the part of a job's state that the leader keeps in memory only.
     pub fn publish_job(&mut self, id: &str, job: ReplicatedJob) {
         if self.state.jobs.get(id) != Some(&job) {
             self.append(Entry::Job { id: id.to_owned(), job });
@@ -149,7 +149,7 @@
     }
 
     /// Removes all published jobs for which `exists` is false. `existing_jobs` is the number of jobs for which `exists`
-    /// is true, all of which must have been published: if no other job is published, the check is skipped.
+    /// is true; all of them must have been published. If no more than these are published, no job is checked.
     pub fn retain_jobs(&mut self, existing_jobs: usize, exists: impl Fn(&str) -> bool) {
         if self.state.jobs.len() == existing_jobs {
             return;
@@ -294,7 +294,8 @@
 
 /// Returns an upper estimate of the encoded size of an entry, in bytes.
 fn max_encoded_bytes(entry: &Entry) -> usize {
-    /// Upper estimate of the encoded variant, lengths and numbers of an entry, and of the numbers of a job's state.
+    /// Upper estimate of the encoded size of an entry's variant, lengths and numbers. An entry for a job counts it
+    /// twice, because the job's state has more numbers.
     const FIXED_BYTES: usize = 32;
     let variable_bytes = match entry {
         Entry::Machine { name, address, .. } => name.len() + address.len(),
--- a/crates/replication/src/snapshot.rs
+++ b/crates/replication/src/snapshot.rs
@@ -17,7 +17,7 @@
         limit = constants::MAX_REPLICATION_SNAPSHOT_BYTES
     )]
     TooLarge(u64),
-    /// A chunk is not the one that has to follow the received ones.
+    /// A chunk is not the next missing one.
     #[error("chunk {found} of the snapshot instead of chunk {expected}")]
     OutOfOrder {
         /// Index of the chunk that the assembly needs next.
@@ -174,7 +174,7 @@
     }
 }
 
-/// Encodes a state; fails above the size limit.
+/// Encodes a state; fails if the result exceeds the size limit.
 fn encode(state: &ReplicatedState) -> Result<Vec<u8>, SnapshotError> {
     let bytes = bincode::serde::encode_to_vec(state, codec())
         .map_err(|error| SnapshotError::Unencodable(error.to_string()))?;
@@ -193,8 +193,8 @@
     Ok(state)
 }
 
-/// Returns the codec of snapshots. Its limit prevents forged lengths from allocating more memory than a snapshot can
-/// need.
+/// Returns the codec of snapshots. Its limit prevents a forged length from allocating more memory than the largest
+/// snapshot needs.
 fn codec() -> impl bincode::config::Config {
     bincode::config::standard().with_limit::<{ constants::MAX_REPLICATION_SNAPSHOT_BYTES }>()
 }
