--- a/crates/replication/src/snapshot.rs
+++ b/crates/replication/src/snapshot.rs
@@ -70,8 +70,8 @@
     ///
     /// # Errors
     ///
-    /// [`SnapshotError::TooLarge`] if the encoded state exceeds the size limit, [`SnapshotError::Unencodable`] if the state
-    /// cannot be encoded.
+    /// [`SnapshotError::TooLarge`] if the encoded state exceeds the size limit, [`SnapshotError::Unencodable`] if the
+    /// state cannot be encoded.
     pub fn new(
         state: &ReplicatedState,
         position: Position,
