--- a/crates/policy/src/feasibility.rs
+++ b/crates/policy/src/feasibility.rs
@@ -13,9 +13,11 @@
     ExceedsTeamLimit,
 }
 
-/// Checks that a task fits some machine type (`machine_types` tells for each type whether the job allows it and a task
-/// fits), and that the team's limit allows `tasks` tasks, the number that must run at the same time: one of an array,
-/// all of a gang. Resources in use do not count.
+/// Checks that a task fits some machine type, and that the team's limit allows the tasks that must run at the same
+/// time.
+///
+/// `machine_types` says for each type whether the job allows it and a task fits. `tasks` is the number of tasks that
+/// must run at the same time: one of an array, all of a gang. The resources that the team uses now do not count.
 pub fn check_feasible(
     machine_types: &[bool],
     request: &Resources,
--- a/crates/policy/src/min_tasks.rs
+++ b/crates/policy/src/min_tasks.rs
@@ -6,9 +6,9 @@
 /// Returns the minimum task count: how many tasks of the job should run at the same time so that it meets its
 /// deadline.
 ///
-/// This is the mean run time of the finished tasks times the number of unfinished tasks, divided by the time to the
-/// deadline; all unfinished tasks, if less than one mean run time is left. Until a task has finished it is the number
-/// of placed tasks, afterwards 0 for a job without a deadline. For a daemon it is always all replicas.
+/// This is the mean run time of the completed tasks times the number of unfinished tasks, divided by the time to the
+/// deadline; if less than one mean run time is left, it is all unfinished tasks. While no mean run time is known, it is
+/// the number of placed tasks. After that it is 0 for a job without a deadline. For a daemon it is always all replicas.
 pub fn min_tasks(job: &JobView, now: f64) -> u32 {
     if job.is_daemon {
         return job.unfinished;
@@ -18,8 +18,8 @@
     min_tasks_by_deadline(mean, job.unfinished, deadline - now)
 }
 
-/// Returns how many tasks must run at the same time to finish `unfinished` tasks of `mean` seconds each in `time_left`
-/// seconds.
+/// Returns how many tasks must run at the same time to complete `unfinished` tasks of `mean` seconds each in
+/// `time_left` seconds.
 pub(crate) fn min_tasks_by_deadline(mean: f64, unfinished: u32, time_left: f64) -> u32 {
     if time_left < mean || time_left <= 0.0 {
         return unfinished;
@@ -32,7 +32,7 @@
 /// otherwise those that must run at the same time to meet the deadline.
 ///
 /// Machines added now need `provisioning_time` seconds for boot and image fetch, which are subtracted from the time
-/// left. Until a task has finished, the team's estimate stands for the task time. A job without a deadline gets
+/// left. While no mean run time is known, the team's estimate stands for the task time. A job without a deadline gets
 /// `ASSUMED_DEADLINE_FACTOR` task times from its submission, plus the provisioning time.
 pub fn desired_tasks(job: &JobView, now: f64, provisioning_time: f64) -> u32 {
     if job.needs_all_tasks_at_once() {
@@ -50,8 +50,8 @@
     tasks.min(job.unfinished)
 }
 
-/// Whether the minimum task count differs enough from the `stored` one for its record to be written again. Without a
-/// stored one, or with 0, any count above 0 does.
+/// Whether the minimum task count differs enough from the `stored` one for its record to be written again. If none or 0
+/// is stored, any count above 0 does.
 pub fn should_rewrite_min_tasks(stored: Option<u32>, current: u32) -> bool {
     match stored {
         None | Some(0) => current > 0,
--- a/crates/policy/src/min_tasks/tests.rs
+++ b/crates/policy/src/min_tasks/tests.rs
@@ -5,7 +5,7 @@
 fn min_tasks_matches_closed_form() {
     let mut array = job(1.0, 40);
     array.placed = 7;
-    assert_eq!(min_tasks(&array, 0.0), 7, "no task has finished: the number of placed tasks");
+    assert_eq!(min_tasks(&array, 0.0), 7, "no task has completed: the number of placed tasks");
     array.mean_task_time = Some(20.0);
     array.completed = 1;
     array.unfinished = 39;
--- a/crates/policy/src/scheduling_queue.rs
+++ b/crates/policy/src/scheduling_queue.rs
@@ -15,7 +15,8 @@
     /// Maximum number of tasks to place for this entry.
     pub tasks: u32,
     /// Whether the tasks are placed as backfill: they exceed the job's minimum, or belong to a job without an
-    /// objective. Such tasks get only the resources that other entries leave free.
+    /// objective. Such tasks get only the resources that other entries leave free. The entries of aged and
+    /// crash-looping jobs in parts 2 and 6 of the queue ([`scheduling_queue()`]) do not count as backfill.
     pub is_backfill: bool,
 }
 
@@ -58,8 +59,8 @@
         .then(a.submitted.total_cmp(&b.submitted))
 }
 
-/// Returns the minimum task count of a job with this deadline, using the team's estimate of the task time until a task
-/// has finished.
+/// Returns the minimum task count of a job with this deadline, using the team's estimate of the task time while no
+/// mean is known.
 pub(crate) fn min_tasks_or_estimate(job: &JobView, now: f64, deadline: f64) -> u32 {
     if job.mean_task_time.is_some() {
         return min_tasks(job, now);
@@ -115,8 +116,8 @@
     !job.needs_all_tasks_at_once() && job.deadline.is_none() && job.start_objectives.is_empty()
 }
 
-/// Whether the job belongs to those that wait for their first start. Daemons and gangs always do: no other replica
-/// does the work of a missing one, and a partially placed gang has not started.
+/// Whether the job counts as waiting for its first start. Daemons and gangs always do: no other replica does the work
+/// of a missing one, and a partially placed gang has not started.
 pub(crate) fn awaits_first_start(job: &JobView) -> bool {
     job.has_never_run() || job.needs_all_tasks_at_once()
 }
@@ -129,7 +130,7 @@
     started: Vec<usize>,
     /// Backfill: arrays without any objective.
     without_objective: Vec<usize>,
-    /// Jobs that have failed on every machine that ran them.
+    /// Jobs that have failed wherever they were tried.
     crash_looping: Vec<usize>,
 }
 
@@ -137,7 +138,7 @@
 struct QueueBuilder<'a> {
     jobs: &'a [JobView],
     now: f64,
-    /// CPUs of all machines that take tasks, used ones included.
+    /// CPUs of all machines that take tasks, CPUs in use included.
     cpu_capacity: f64,
     /// Per job: whether it is late, or infeasible together with the others. Deferred jobs come after those that can
     /// meet their deadlines.
@@ -195,8 +196,8 @@
         }
     }
 
-    /// Adds deferred jobs and backfill older than `AGING_THRESHOLD_S`, oldest first, so that feasible jobs cannot starve
-    /// them. Together they get `AGING_CPU_SHARE` of the CPUs, including what their placed tasks use already.
+    /// Adds deferred jobs and backfill older than `AGING_THRESHOLD_S`, oldest first, so that feasible jobs cannot
+    /// starve them. Together they get `AGING_CPU_SHARE` of the CPUs, including what their placed tasks use already.
     fn push_aged(&mut self) {
         let mut aged: Vec<usize> =
             (0..self.jobs.len()).filter(|index| self.is_aged(*index)).collect();
@@ -238,7 +239,7 @@
 
     /// Adds the remaining startable tasks of arrays: feasible jobs first, then those with the least work left, so that
     /// as many jobs as possible meet their deadlines when there are not enough resources for all. Priority is not
-    /// considered here: the entries for the minimums take account of it.
+    /// considered here, since the entries for the minimums are in the order of priority.
     fn push_leftovers(&mut self, jobs: impl Iterator<Item = usize>) {
         let work = |index: usize| {
             let job = &self.jobs[index];
@@ -277,7 +278,7 @@
     }
 }
 
-/// Returns the scheduling queue for a cluster with `cpu_capacity` CPUs in total. Its parts, in order:
+/// Returns the scheduling queue for machines with `cpu_capacity` CPUs in total. Its parts, in order:
 ///
 /// 1. Jobs that wait for their first start, by priority, each with its minimum.
 /// 2. Deferred jobs and backfill that have waited longest, up to a share of the CPUs. A job is deferred if it is late,
--- a/crates/policy/src/scheduling_queue/tests.rs
+++ b/crates/policy/src/scheduling_queue/tests.rs
@@ -105,8 +105,8 @@
     let order =
         |now| scheduling_queue(&jobs, now, 100.0).iter().map(|entry| entry.job).collect::<Vec<_>>();
     assert_eq!(order(60.0), [1, 2, 0], "both start objectives can be met, one of them, none");
-    let after_bound = 1.0 + constants::START_OBJECTIVE_LIMIT_S;
-    assert_eq!(order(after_bound)[0], 0, "after START_OBJECTIVE_LIMIT_S the oldest goes first");
+    let after_limit = 1.0 + constants::START_OBJECTIVE_LIMIT_S;
+    assert_eq!(order(after_limit)[0], 0, "after START_OBJECTIVE_LIMIT_S the oldest goes first");
 }
 
 /// The placed tasks of a partially placed gang hold resources without doing work, and the workers end them after a
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -22,7 +22,7 @@
     pub tasks: u32,
     /// Resources that one task requests.
     pub request: Resources,
-    /// Per machine type: whether the job allows it and a task fits on an empty machine of it.
+    /// Per machine type: whether the job allows it and a task fits on an empty machine of this type.
     pub machine_types: Vec<bool>,
     /// Index of the only zone that the job allows; `None` if it allows all. The index of a zone that does not exist
     /// matches no machine.
@@ -60,8 +60,8 @@
     pub placed: u32,
     /// Number of tasks that could be placed now.
     pub startable: u32,
-    /// Whether the job has failed on every machine that ran it. Such a job is retried only on resources that other
-    /// jobs leave free, and preempts nothing.
+    /// Whether the job has failed wherever it was tried. Such a job is retried only on resources that other jobs leave
+    /// free, and preempts nothing.
     pub crash_looping: bool,
     /// Number of placed tasks per zone.
     pub placed_per_zone: Vec<u32>,
@@ -80,7 +80,7 @@
         self.completed == 0 && self.placed == 0
     }
 
-    /// Returns the mean task time, s, or the team's estimate until a task has finished.
+    /// Returns the mean task time, s, or the team's estimate while no mean is known.
     pub fn task_time(&self) -> f64 {
         self.mean_task_time.unwrap_or(self.estimated_task_time).max(MIN_DIVISOR)
     }
@@ -142,7 +142,8 @@
     pub images: Vec<u32>,
     /// Whether the machine may get new tasks.
     pub schedulable: bool,
-    /// Whether the machine has not sent a heartbeat yet. It counts when the fleet is sized, but gets no tasks.
+    /// Whether the machine has not sent a heartbeat yet. Such a machine counts when the fleet is sized, but gets no
+    /// tasks.
     pub booting: bool,
     /// Indexes of jobs that failed on this machine and should not be retried on it.
     pub excluded_jobs: Vec<usize>,
@@ -189,7 +190,7 @@
 /// The usage and the quotas of a team.
 #[derive(Debug, Clone, Default)]
 pub struct TeamView {
-    /// Resources of the team's placed tasks, and what is reserved for the team.
+    /// Resources of the team's placed tasks, and those reserved for the team's other tasks.
     pub used: Resources,
     /// Resources that the team gets back by preemption when other teams use them.
     pub guarantee: Quota,
@@ -238,7 +239,7 @@
     pub cheapest_cpu_price: f64,
     /// Per class of gangs seen recently: the resources that one task requests.
     pub gang_requests: Vec<Resources>,
-    /// Unfinished jobs, and finished or cancelled ones that still have tasks on machines.
+    /// Jobs that have not ended, and completed or cancelled ones that still have tasks on machines.
     pub jobs: Vec<JobView>,
     /// Machines whose type and zone are known.
     pub machines: Vec<MachineView>,
@@ -258,7 +259,8 @@
         machine_type.map_or(0.0, |machine_type| machine_type.image_fetch_s(job.image_gb))
     }
 
-    /// Returns the highest zone index of all machines plus one, 0 without machines: the length of a list by zone.
+    /// Returns the length of a list with an entry for each zone: the highest zone index of all machines plus one, or 0
+    /// without machines.
     pub(crate) fn zone_count(&self) -> usize {
         self.machines.iter().map(|machine| machine.zone + 1).max().unwrap_or(0)
     }
