--- a/crates/policy/src/autoscaling.rs
+++ b/crates/policy/src/autoscaling.rs
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Returns the tasks to provide resources for, within the limit of the job's team. Counts these resources as used
-    /// by the team, and drops machines with less free resources than `smallest`.
+    /// Returns the tasks to provide resources for, within the limit of the job's team, and counts their resources as
+    /// used by the team. Also drops the machines whose free resources are less than `smallest`.
     fn compute_shortage(&mut self, job_index: usize, smallest: &Resources) -> Shortage {
         let job = &self.cluster.jobs[job_index];
         let provisioning_time = provisioning_time(self.cluster, job);
@@ -238,8 +238,8 @@
         }
     }
 
-    /// Adds a machine for a crash-looping array that no existing or planned machine could run. One machine serves all
-    /// such arrays that it could run.
+    /// Adds a machine for each crash-looping array that no existing or planned machine could run, earlier additions
+    /// included. One machine thus serves all such arrays that it could run.
     fn add_machines_for_crash_looping_arrays(&mut self) {
         for (job_index, job) in self.cluster.jobs.iter().enumerate() {
             if !job.crash_looping || job.is_gang || job.startable == 0 {
@@ -325,16 +325,16 @@
 
 /// Returns the jobs that machines may be added for, by priority and age.
 ///
-/// Machines are added for a crash-looping job only if the existing ones could not run it: the machines may have caused
-/// its failures, and it must not wait indefinitely. This is done for one crash-looping gang at a time; for
-/// crash-looping arrays see [`Planner::add_machines_for_crash_looping_arrays`].
+/// For a crash-looping job, machines are added only if the existing ones could not run it. Such a job must not wait
+/// indefinitely, since machines may have caused its failures. Machines are added for one crash-looping gang at a time;
+/// for crash-looping arrays see [`Planner::add_machines_for_crash_looping_arrays`].
 fn jobs_to_scale_for(cluster: &SchedulingSnapshot) -> Vec<usize> {
-    let stranded_gang = (0..cluster.jobs.len()).find(|index| {
+    let gang_beyond_fleet = (0..cluster.jobs.len()).find(|index| {
         let job = &cluster.jobs[*index];
         job.crash_looping && job.is_gang && job.startable > 0 && !fleet_could_hold(cluster, *index)
     });
     let mut order: Vec<usize> = (0..cluster.jobs.len())
-        .filter(|index| !cluster.jobs[*index].crash_looping || Some(*index) == stranded_gang)
+        .filter(|index| !cluster.jobs[*index].crash_looping || Some(*index) == gang_beyond_fleet)
         .collect();
     order.sort_by(|a, b| {
         let (a, b) = (&cluster.jobs[*a], &cluster.jobs[*b]);
--- a/crates/policy/src/preemption.rs
+++ b/crates/policy/src/preemption.rs
@@ -52,11 +52,12 @@
     }
 }
 
-/// Plans the preemptions of one round: first of backfill, for arrays that would miss their deadlines; then for jobs
-/// that wait for their first start and have a higher priority, or are within their team's guarantee.
+/// Plans the preemptions of one round. Backfill is preempted first, for arrays and daemons that would miss their
+/// deadlines. Then tasks are preempted for jobs that wait for their first start and have a higher priority, or are
+/// within their team's guarantee.
 ///
-/// The latter get only their minimum: all tasks of a gang, all replicas of a daemon (or one, if there are not enough
-/// resources for all), one task of an array per round.
+/// Jobs that wait for their first start get only their minimum: all tasks of a gang, all replicas of a daemon (or one,
+/// if there are not enough resources for all), one task of an array per round.
 pub fn preempt(cluster: &SchedulingSnapshot) -> Vec<Preemption> {
     let mut preemptions = preempt_for_deadlines(cluster);
     let mut taken = vec![false; cluster.machines.len()];
@@ -117,8 +118,8 @@
         && !cluster.machines.iter().any(is_cleared_for)
 }
 
-/// Whether preempting tasks for a gang on machines that hold its image costs less than `fetch_cost`, the CPU seconds
-/// lost by an image fetch.
+/// Whether a preemption for a gang on machines that hold its image costs less than `fetch_cost`, the CPU seconds that
+/// an image fetch on other machines would cost.
 pub(crate) fn is_preemption_cheaper(
     cluster: &SchedulingSnapshot,
     job_index: usize,
--- a/crates/policy/src/preemption/deadlines.rs
+++ b/crates/policy/src/preemption/deadlines.rs
@@ -1,11 +1,12 @@
-//! Preemption of backfill for arrays that would miss their deadlines.
+//! Preemption of backfill for arrays and daemons that would miss their deadlines.
 
 use super::{PlacedTaskRef, Preemption};
 use crate::scheduling_queue::{has_no_objective, is_late, min_tasks_or_estimate};
 use crate::{PlacedTaskView, Resources, SchedulingSnapshot};
 use hookway_constants as constants;
 
-/// The free resources of the machines and the backfill that could be stopped on them, as the plan uses them up.
+/// The free resources of the machines and the backfill that could be stopped on them, less what the plan has used
+/// already.
 struct Backfill<'a> {
     /// Per machine: unassigned resources, those of terminating tasks and of victims included.
     free: Vec<Resources>,
@@ -13,16 +14,16 @@
     stoppable: Vec<Vec<&'a PlacedTaskView>>,
 }
 
-/// Preempts backfill for arrays that have fewer tasks placed than their deadlines require. Only tasks of lower
-/// priority that write checkpoints are stopped. Without this, backfill tasks that run for minutes would make a burst
-/// of short tasks miss their deadlines.
+/// Preempts backfill for arrays and daemons that have fewer tasks placed than their deadlines require. Only tasks of
+/// lower priority that write checkpoints are stopped. Without this preemption, backfill tasks that run for minutes
+/// would make a burst of short tasks miss their deadlines.
 pub(super) fn preempt_for_deadlines(cluster: &SchedulingSnapshot) -> Vec<Preemption> {
     let mut backfill = Backfill::of(cluster);
     if backfill.stoppable.iter().all(Vec::is_empty) {
         return Vec::new();
     }
     let mut preemptions = Vec::new();
-    for waiting in waiting_arrays_by_deadline(cluster) {
+    for waiting in waiting_jobs_by_deadline(cluster) {
         let preemption = backfill.preempt_for(cluster, waiting.job, waiting.deadline);
         if !preemption.victims.is_empty() {
             preemptions.push(preemption);
@@ -31,19 +32,19 @@
     preemptions
 }
 
-/// An array that waits for resources, with its deadline.
-struct WaitingArray {
+/// An array or a daemon that waits for resources, with its deadline.
+struct WaitingJob {
     job: usize,
     deadline: f64,
 }
 
-/// Returns the waiting arrays that can still meet their deadlines, earliest deadline first.
-fn waiting_arrays_by_deadline(cluster: &SchedulingSnapshot) -> Vec<WaitingArray> {
-    let mut waiting: Vec<WaitingArray> = Vec::new();
+/// Returns the waiting arrays and daemons that can still meet their deadlines, earliest deadline first.
+fn waiting_jobs_by_deadline(cluster: &SchedulingSnapshot) -> Vec<WaitingJob> {
+    let mut waiting: Vec<WaitingJob> = Vec::new();
     for (index, job) in cluster.jobs.iter().enumerate() {
         let Some(deadline) = job.deadline else { continue };
         if !job.is_gang && !job.crash_looping && job.startable > 0 && !is_late(job, cluster.now) {
-            waiting.push(WaitingArray { job: index, deadline });
+            waiting.push(WaitingJob { job: index, deadline });
         }
     }
     waiting.sort_by(|a, b| a.deadline.total_cmp(&b.deadline).then(a.job.cmp(&b.job)));
@@ -74,8 +75,8 @@
         Self { free, stoppable }
     }
 
-    /// Assigns the tasks missing from the job's minimum to free resources, and chooses victims where these are too
-    /// few.
+    /// Assigns the tasks missing from the job's minimum to free resources, and chooses victims on machines where these
+    /// do not suffice.
     fn preempt_for(
         &mut self,
         cluster: &SchedulingSnapshot,
--- a/crates/policy/src/preemption/quota.rs
+++ b/crates/policy/src/preemption/quota.rs
@@ -13,7 +13,7 @@
 }
 
 /// Chooses tasks of lower priority in the job's own team to stop, so that the team's limit allows `tasks` more tasks
-/// of the job. Returns `None` if that is not possible, or if the tasks that are terminating already are enough.
+/// of the job. Returns `None` if that is not possible, or if it is enough that terminating tasks end.
 pub(super) fn preempt_for_quota(
     cluster: &SchedulingSnapshot,
     job_index: usize,
--- a/crates/policy/src/preemption/search.rs
+++ b/crates/policy/src/preemption/search.rs
@@ -18,7 +18,7 @@
 pub(crate) struct SearchScope<'a> {
     /// Per machine: whether a plan for another job uses it already, which excludes it.
     pub taken: &'a [bool],
-    /// Which of the other machines are considered.
+    /// Which of the machines that are not taken are considered.
     pub locality: ImageLocality,
     /// Which tasks may have to leave these machines.
     pub displaceable: Displaceable<'a>,
--- a/crates/policy/src/preemption/victims.rs
+++ b/crates/policy/src/preemption/victims.rs
@@ -1,10 +1,11 @@
-//! Which tasks may have to leave one machine for a job, and the cost of that.
+//! Which tasks have to leave one machine for a job, and what that costs.
 
 use crate::relocation::MovableReplicas;
 use crate::{PlacedTaskView, SchedulingSnapshot};
 use hookway_constants as constants;
 
-/// Maximum run time that a checkpointing task loses when it is stopped, s: the time since its last checkpoint.
+/// Assumed maximum of the run time that a checkpointing task loses when it is stopped, s: the time since its last
+/// checkpoint.
 const MAX_UNSAVED_S: f64 = 5.0;
 
 /// Minimum number of CPUs in the cost of a victim, so that stopping a task that requests no CPUs has a cost too.
@@ -91,15 +92,16 @@
 
 /// A task that could be stopped.
 struct Candidate<'a> {
-    /// Whether the task is a replica that moves to another machine. These leave only if preemption is not enough.
+    /// Whether the task is a replica that would move to another machine. Replicas move only if preemption is not
+    /// enough.
     is_movable: bool,
     /// Work lost by stopping the task, CPU seconds.
     lost_work: f64,
     task: &'a PlacedTaskView,
 }
 
-/// Chooses tasks to stop on a machine so that `tasks` tasks of a job fit there, starting with those that lose least
-/// work; `None` if stopping all displaceable tasks is not enough.
+/// Chooses tasks to stop on a machine so that `tasks` tasks of a job fit there: preempted ones before moved replicas,
+/// and among these first those that lose the least work. `None` if stopping all displaceable tasks is not enough.
 pub(crate) fn victims_on_machine(
     cluster: &SchedulingSnapshot,
     job_index: usize,
--- a/crates/policy/src/relocation.rs
+++ b/crates/policy/src/relocation.rs
@@ -55,9 +55,10 @@
 /// Plans relocations for gangs and daemons that neither found resources nor can get any by preemption. `preemptions`
 /// are those of the same round: relocations use neither their machines nor their beneficiaries.
 ///
-/// For every replica that moves, the plan has a target with enough free resources, or one on which tasks of lower
-/// priority are preempted first. Each relocation therefore ends with fewer waiting tasks than it began with, and a
-/// sequence of relocations terminates.
+/// For every replica that moves, the plan has a target with enough free resources, or one on which tasks that the
+/// replica's job may preempt are stopped first. These have a lower priority, unless they are preempted for a team's
+/// guarantee. Apart from that case, each relocation therefore ends with fewer waiting tasks of at least the
+/// beneficiary's priority than it began with, and a sequence of relocations terminates.
 pub fn relocate(
     cluster: &SchedulingSnapshot,
     preemptions: &[Preemption],
@@ -189,7 +190,7 @@
         return Some(ReplicaFit::Immediate);
     }
     let victims = victims_on_machine(cluster, job_index, index, 1, Displaceable::Preemptible)?;
-    // No victims: the machine has the resources, but other replicas of the plan use them.
+    // Without victims the machine has the resources, but the plan has assigned them to other replicas.
     (!victims.tasks.is_empty()).then_some(ReplicaFit::AfterPreemption(victims.tasks))
 }
 
@@ -200,8 +201,8 @@
     zone: usize,
 }
 
-/// Up to two machines that could take one replica of a group. One of two differs from the machine that the replica is
-/// on.
+/// The first two machines that could take one replica of a group, as far as there are any. Two suffice: at least one of
+/// them is not the machine that the replica is on.
 type Targets = [Option<usize>; 2];
 
 /// The replicas that may move to another machine for a job, with their possible targets.
@@ -218,8 +219,8 @@
 
 impl PossibleTargets {
     /// Finds the machines, except `taken` ones, that have free resources for the smallest replica, or a task of lower
-    /// priority than that of the highest daemon. If a team has a guarantee, any task counts. This spares a check of
-    /// all machines for each of possibly thousands of daemons.
+    /// priority than the daemon with the highest priority. If a team has a guarantee, any task counts. With this
+    /// selection, not all machines have to be checked for each of possibly thousands of daemons.
     fn find(cluster: &SchedulingSnapshot, taken: &[bool]) -> Self {
         let daemons = || cluster.jobs.iter().filter(|job| job.is_daemon);
         let highest = daemons().map(|job| job.priority).max();
@@ -300,7 +301,7 @@
     }
 }
 
-/// Returns the first machines that could take a replica of the group.
+/// Returns the first two machines that could take a replica of the group.
 fn find_targets(
     cluster: &SchedulingSnapshot,
     group: ReplicaGroup,
