--- a/crates/controller/src/cluster_state/gang_repair.rs
+++ b/crates/controller/src/cluster_state/gang_repair.rs
@@ -13,31 +13,31 @@
     /// passed: then the others are started.
     pub(super) fn repair_gangs(&mut self, now: MonotonicTime) {
         let is_reconciled = self.is_reconciled(now);
-        let completable = if is_reconciled { self.completable_gangs() } else { HashSet::new() };
+        let resumable = if is_reconciled { self.resumable_gangs() } else { HashSet::new() };
         for (key, job) in self.jobs.iter_mut() {
             let is_partial = job.spec.is_gang()
                 && job.is_active()
                 && job.placed_attempts > 0
                 && job.placements.contains(&TaskPlacement::Unplaced)
                 && job.start_reason(is_reconciled) != StartReason::AboveWatermark;
-            job.gang.completing = is_partial
-                && completable.contains(key)
+            job.gang.resuming = is_partial
+                && resumable.contains(key)
                 && now
                     < *job
                         .gang
                         .resume_deadline
                         .get_or_insert(now + constants::GANG_COMPLETION_TIMEOUT);
-            if is_partial && !job.gang.completing {
+            if is_partial && !job.gang.resuming {
                 self.has_pending_stops |= !job.gang.broken;
                 job.gang.broken = true;
             }
         }
     }
 
-    /// Returns the gangs whose attempt an earlier leader was starting and which can still be
-    /// completed: the tasks found of the attempt wait for the others, and none of them runs or is
+    /// Returns the gangs with an attempt that an earlier leader was starting and this leader can
+    /// resume: the tasks found of the attempt wait for the others, and none of them runs or is
     /// being stopped.
-    fn completable_gangs(&self) -> HashSet<JobKey> {
+    fn resumable_gangs(&self) -> HashSet<JobKey> {
         let is_resumable = |job: &Job| {
             job.gang.resumed_attempt.is_some()
                 && !job.placeable.is_empty()
--- a/crates/controller/src/cluster_state/gang_state.rs
+++ b/crates/controller/src/cluster_state/gang_state.rs
@@ -9,11 +9,12 @@
     pub attempt: Option<u64>,
     /// The attempt that an earlier leader was starting, according to the replicated state.
     pub resumed_attempt: Option<u64>,
-    /// Time until which that attempt may be completed; set after all machines are reconciled.
+    /// Time until which the missing tasks of that attempt may be started. Set once reconciliation
+    /// has ended and the attempt is found to be resumable.
     pub resume_deadline: Option<MonotonicTime>,
-    /// Whether the tasks found of that attempt wait for the other ones, so that those may be
-    /// started.
-    pub completing: bool,
+    /// Whether the attempt is being resumed: the tasks found of it wait for the other ones, so
+    /// those may be started.
+    pub resuming: bool,
     /// Whether the attempt has lost a task or is being stopped, so that all of its tasks must be
     /// stopped.
     pub broken: bool,
--- a/crates/controller/src/cluster_state/startable_tasks.rs
+++ b/crates/controller/src/cluster_state/startable_tasks.rs
@@ -75,8 +75,8 @@
         // A new attempt starts only with all tasks unplaced: tasks of an earlier attempt stay
         // placed until they exit.
         let is_unstarted = job.placed_attempts == 0 && placeable == job.spec.tasks;
-        let completing = job.gang.completing && !job.gang.broken;
-        return if is_unstarted || completing { placeable } else { 0 };
+        let resuming = job.gang.resuming && !job.gang.broken;
+        return if is_unstarted || resuming { placeable } else { 0 };
     }
     if job.is_crash_looping() {
         placeable.min(1).saturating_sub(job.placed_attempts)
