--- a/crates/controller/src/cluster_state/commit_items.rs
+++ b/crates/controller/src/cluster_state/commit_items.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Adds registry records that must be durable before some machine gets tasks.
+    /// Adds registry records that must be durable before tasks start on some machine in them.
     pub(super) fn add_registry(&mut self, commit: &mut PendingCommit) {
         while commit.can_add(1)
             && let Some(number) = self.commit_queue.registry.pop_urgent()
@@ -164,12 +164,12 @@
     }
 
     /// Adds the deletions of keys that nothing refers to any more.
-    pub(super) fn add_stale_keys(&mut self, commit: &mut PendingCommit) {
+    pub(super) fn add_key_deletions(&mut self, commit: &mut PendingCommit) {
         while commit.can_add(1)
             && let Some(key) = self.commit_queue.keys_to_delete.pop_front()
         {
             commit.delete(key.clone());
-            commit.items.push(CommitItem::StaleKey(key));
+            commit.items.push(CommitItem::KeyDeletion(key));
         }
     }
 
--- a/crates/controller/src/cluster_state/commit_outcome.rs
+++ b/crates/controller/src/cluster_state/commit_outcome.rs
@@ -29,7 +29,7 @@
             CommitItem::SharedWatermarks { number, jobs } => {
                 self.shared_watermarks_stored(number, &jobs);
             }
-            CommitItem::StaleKey(_) | CommitItem::Classes | CommitItem::WatermarkMarker => {}
+            CommitItem::KeyDeletion(_) | CommitItem::Classes | CommitItem::WatermarkMarker => {}
         }
     }
 
@@ -54,8 +54,8 @@
         job.stored_min_tasks = Some(record.min_tasks);
         job.start_watermark.mark_durable(record.start_watermark);
         if job.completion.is_final() {
-            let name = scheduling_key(&job.id);
-            self.commit_queue.keys_to_delete.push_back(name);
+            let store_key = scheduling_key(&job.id);
+            self.commit_queue.keys_to_delete.push_back(store_key);
         }
         self.resolve_assumed_watermark(key);
     }
@@ -81,7 +81,8 @@
             }
             self.resolve_assumed_watermark(*key);
         }
-        // All jobs of the record ended while the transaction was in flight.
+        // The record was removed, because all of its jobs ended while the transaction was in
+        // flight.
         if self.commit_queue.shared_watermarks.jobs(number).is_none() {
             self.commit_queue.keys_to_delete.push_back(shared_watermarks_key(number));
         }
@@ -103,7 +104,7 @@
             CommitItem::MachineRegistry { number, .. } => {
                 self.commit_queue.registry.requeue(number);
             }
-            CommitItem::StaleKey(key) => self.commit_queue.keys_to_delete.push_back(key),
+            CommitItem::KeyDeletion(key) => self.commit_queue.keys_to_delete.push_back(key),
             CommitItem::Classes => self.commit_queue.classes_changed = true,
             CommitItem::WatermarkMarker => self.commit_queue.watermark_marker.requeue(),
             CommitItem::SharedWatermarks { jobs, .. } => {
@@ -188,8 +189,8 @@
         }
         self.has_pending_stops = true;
         if job.completion.is_final() && revision != 0 {
-            let name = crate::records::progress_key(&job.id, first);
-            self.commit_queue.keys_to_delete.push_back(name);
+            let store_key = crate::records::progress_key(&job.id, first);
+            self.commit_queue.keys_to_delete.push_back(store_key);
         }
         self.finish_if_complete(key);
     }
--- a/crates/controller/src/cluster_state/commit_queue.rs
+++ b/crates/controller/src/cluster_state/commit_queue.rs
@@ -15,8 +15,8 @@
 use hookway_wire::{KeyValue, Operation, Precondition, Transaction};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// Length of keys and values, bytes, from which a transaction gets no more operations; the limit
-/// for a whole transaction is 64 KiB.
+/// Estimated length of a transaction, bytes, from which no more operations are added to it. The
+/// limit for a whole transaction is 64 KiB.
 const MAX_TRANSACTION_BYTES: usize = 48 * 1024;
 
 /// Encoded length of a precondition or an operation without its key and value, bytes.
@@ -153,7 +153,7 @@
     /// A record of the machine registry.
     MachineRegistry { number: u64, members: Vec<RegistryMember> },
     /// The deletion of a key.
-    StaleKey(String),
+    KeyDeletion(String),
     /// A job's minimum task count, run times and start watermark.
     Scheduling { job: JobKey, record: JobSchedulingRecord },
     /// A shared start watermark record of small jobs, and the jobs that wait for it.
@@ -194,7 +194,7 @@
     /// Certainly not applied, because it is larger than the store accepts; its items are tried
     /// again in smaller transactions.
     Rejected,
-    /// Some precondition failed, or the outcome is unknown. Has the keys that were read again
+    /// Some precondition failed, or the outcome is unknown. Holds the keys that were read again
     /// since.
     Indeterminate(Vec<RereadKey>),
 }
@@ -217,9 +217,8 @@
         Self { transaction, items: vec![], max_operations, bytes: 0 }
     }
 
-    /// Whether `operations` more operations may be added. The length counts as well as the number:
-    /// however many operations the store accepts in a transaction, the length of a transaction is
-    /// limited.
+    /// Whether `operations` more operations may be added. However many operations the store accepts
+    /// in a transaction, the length of a transaction is limited as well.
     pub(super) fn can_add(&self, operations: usize) -> bool {
         self.transaction.operations.len() + operations <= self.max_operations
             && self.bytes < MAX_TRANSACTION_BYTES
--- a/crates/controller/src/cluster_state/commits.rs
+++ b/crates/controller/src/cluster_state/commits.rs
@@ -44,7 +44,7 @@
         self.add_watermark_raises(&mut commit);
         self.add_watermark_marker(&mut commit);
         self.add_progress_pages(&mut commit);
-        self.add_stale_keys(&mut commit);
+        self.add_key_deletions(&mut commit);
         self.add_scheduling_records(&mut commit, now);
         self.add_classes(&mut commit, now);
         self.add_registry_hints(&mut commit, now);
@@ -118,7 +118,7 @@
         self.requeue(item);
     }
 
-    /// If an item is a final record, tells its job what is known about the transaction.
+    /// If an item is a final record, records in its job what is known about the transaction.
     fn mark_final_unconfirmed(&mut self, item: &CommitItem, outcome: UnconfirmedOutcome) {
         let CommitItem::Final { job, .. } = item else { return };
         let Some(job) = self.jobs.get_mut(job) else { return };
