--- a/crates/controller/src/cluster_state/reconciliation.rs
+++ b/crates/controller/src/cluster_state/reconciliation.rs
@@ -13,8 +13,9 @@
     pub machines: BTreeSet<String>,
     /// Keys of unreadable registry records: the machines that they name are unknown.
     pub unreadable_records: BTreeSet<String>,
-    /// When a worker without a heartbeat to this leader may last have been answered by another
-    /// controller, or by this one as a lessee: its lease may have been extended until then.
+    /// Latest time at which an earlier leader, or this controller as a lessee, may have answered a
+    /// worker that has sent this leader no heartbeat, and so extended its lease. Answers of other
+    /// controllers as lessees are not included: the shard lessor tracks them.
     pub last_answered_at: MonotonicTime,
     /// Whether the end of reconciliation has been logged.
     is_end_logged: bool,
--- a/crates/controller/src/cluster_state/recovery.rs
+++ b/crates/controller/src/cluster_state/recovery.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// Returns the job in a key of the form `<prefix>/<job>...`; `None` if there is no valid job id.
+/// Returns the job id in a key of the form `<prefix>/<job>...`; `None` if it has no valid one.
 fn job_id_in_key(key: &str) -> Option<JobId> {
     key.split('/').nth(1).and_then(JobId::parse)
 }
@@ -67,8 +67,8 @@
         Self(jobs.iter().filter_map(|kv| job_id_in_key(&kv.key)).collect())
     }
 
-    /// Whether a record belongs to no accepted job, or to one that has ended.
-    fn lacks_job_in_key(&self, key: &str) -> bool {
+    /// Whether the record under `key` belongs to a job that has ended, or to no accepted job.
+    fn lacks_job_of(&self, key: &str) -> bool {
         job_id_in_key(key).is_none_or(|id| !self.0.contains(&id))
     }
 }
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Loads the histories of the job classes. Without its history, a leader that finds no job of a
-    /// class would scale in the spare machines of that class.
+    /// Loads the histories of the job classes. Without the history of a class of which it finds no
+    /// job, a leader would scale in the spare machines of that class.
     fn load_classes(&mut self, classes: Option<KeyValue>) {
         let classes = classes.map(|kv| serde_json::from_value(kv.value));
         match classes.transpose() {
@@ -127,9 +127,9 @@
         }
     }
 
-    /// Queues the deletion of a record whose job has ended or was never accepted.
+    /// Queues the deletion of a record if its job has ended or was never accepted.
     fn remove_if_orphaned(&mut self, key: String, jobs_with_record: &JobsWithRecord) {
-        if jobs_with_record.lacks_job_in_key(&key) {
+        if jobs_with_record.lacks_job_of(&key) {
             self.commit_queue.queue_deletion(key);
         }
     }
@@ -143,15 +143,15 @@
         match serde_json::from_value::<ProgressRecord>(kv.value) {
             Ok(record) => self.apply_progress_record(job, from, kv.mod_revision, Some(&record)),
             Err(error) => {
-                // The completed tasks that it recorded run again, and the new record replaces only
-                // this revision.
+                // The completed tasks that it recorded run again. The new record is written only if
+                // the stored one still has this revision.
                 tracing::error!(key = %kv.key, %error, "progress record can't be read");
                 self.apply_progress_record(job, from, kv.mod_revision, None);
             }
         }
     }
 
-    /// Loads a start watermark record that small jobs share; `false` if it is unreadable.
+    /// Loads a start watermark record that small jobs share. Returns `false` if it is unreadable.
     fn load_shared_watermark_record(&mut self, kv: KeyValue, number: u64) -> bool {
         match serde_json::from_value::<SharedStartWatermarksRecord>(kv.value) {
             Ok(record) => {
@@ -191,8 +191,8 @@
         }
     }
 
-    /// Determines for each job from which task on it was certainly never started. Without complete
-    /// start watermarks, every task of the job may have been started.
+    /// Determines for each job the index from which on no task was started in an earlier term.
+    /// Without complete start watermarks, every task of the job may have been started.
     fn finish_loading_watermarks(
         &mut self,
         stored: WatermarkCompleteness,
@@ -207,8 +207,8 @@
 
     /// Queues start watermark records for the jobs that are assumed to have been started, so that
     /// the next leader knows it as well. Until a job's record is durable, the assumption allows no
-    /// start of its tasks; and until all of them are, the store does not say that the watermarks
-    /// are complete.
+    /// start of its tasks. Where the store did not mark the watermarks as complete at the election,
+    /// it does so only once all these records are durable.
     fn queue_assumed_watermarks(&mut self, stored: WatermarkCompleteness, all_jobs_readable: bool) {
         let assumed = self.jobs.iter().filter(|(_, job)| job.start_watermark.is_assumed());
         let assumed: BTreeSet<JobKey> = assumed.map(|(key, _)| *key).collect();
@@ -264,7 +264,7 @@
     }
 
     /// Marks the small jobs that a shared start watermark record names: an earlier leader may have
-    /// started them. Queues the deletion of a record none of whose jobs is left.
+    /// started them. Queues the deletion of the record if none of its jobs is left.
     fn load_shared_watermarks(
         &mut self,
         key: String,
--- a/crates/controller/src/cluster_state/shared_watermarks.rs
+++ b/crates/controller/src/cluster_state/shared_watermarks.rs
@@ -8,8 +8,8 @@
 /// be submitted within a minute or two. One record for each would use up the write budget of all
 /// other records, so many jobs share a record.
 ///
-/// A job that is named in a record that may be stored may have been started. It stays in its record
-/// until it has ended.
+/// A job may have been started once a record that names it may be in the store. So it stays in that
+/// record until it has ended.
 #[derive(Debug)]
 pub(super) struct SharedStartWatermarks {
     /// Maximum number of jobs in a record.
--- a/crates/controller/src/cluster_state/start_watermark.rs
+++ b/crates/controller/src/cluster_state/start_watermark.rs
@@ -6,8 +6,9 @@
 //! machines that have not sent a heartbeat yet.
 //!
 //! Assumed and durable watermarks are kept apart. Where the records of earlier leaders are not
-//! reliable, all tasks are assumed to have been started. The assumption forbids starts at once; it
-//! allows starts only after a record that says the same is durable.
+//! reliable, all tasks are assumed to have been started. Where the assumption forbids starts,
+//! because the tasks don't count as never started, it does so at once. It allows starts only once a
+//! record that says the same is durable.
 
 /// The start watermark of one job. All bounds are task indexes.
 #[derive(Debug)]
@@ -21,15 +22,15 @@
     /// No earlier leader has started a task with this index or a higher one. A value above
     /// `durable` is assumed.
     never_started_from: u32,
-    /// Number of the record, shared with other small jobs, that names this job as possibly started;
-    /// `None` if no shared record names it.
+    /// Number of the record, shared with other small jobs, that names this job as possibly started
+    /// or is to name it; `None` if there is none.
     shared_record_number: Option<u64>,
 }
 
 impl StartWatermark {
-    /// Creates the watermark 0, of a job none of whose tasks may have been started; loaded records
-    /// raise it. `accepted_with_watermark`: whether the version that accepted the job keeps
-    /// watermarks.
+    /// Creates the watermark 0: no task of the job has been started, unless a record that is loaded
+    /// later says otherwise. `accepted_with_watermark`: whether the version that accepted the job
+    /// keeps watermarks.
     pub fn new(accepted_with_watermark: bool) -> Self {
         Self {
             accepted_with_watermark,
@@ -56,7 +57,7 @@
         self.durable.max(self.target)
     }
 
-    /// Requests that a record make the tasks below `target` startable.
+    /// Requests a record with the watermark `target`, so that the tasks below it may be started.
     pub fn set_target(&mut self, target: u32) {
         self.target = target;
     }
@@ -71,8 +72,7 @@
         self.never_started_from > self.durable
     }
 
-    /// Marks this watermark as durable: a record with it, of this leader or an earlier one, is
-    /// stored.
+    /// Marks a watermark as durable: this leader or an earlier one has stored a record with it.
     pub fn mark_durable(&mut self, watermark: u32) {
         self.durable = self.durable.max(watermark);
     }
@@ -99,7 +99,8 @@
         self.never_started_from
     }
 
-    /// Returns the number of the record that names the job together with other small jobs.
+    /// Returns the number of the shared record that names the job, or is to name it; `None` if
+    /// there is none.
     pub fn shared_record_number(&self) -> Option<u64> {
         self.shared_record_number
     }
--- a/crates/controller/src/cluster_state/watermark_marker.rs
+++ b/crates/controller/src/cluster_state/watermark_marker.rs
@@ -1,8 +1,8 @@
 //! The marker in the store that says that the start watermarks in the store are complete.
 //!
 //! The next leader relies on the marker: a task that no watermark covers then counts as never
-//! started. So the marker is written only once that holds. A leader that found the watermarks of
-//! earlier terms complete wrote the marker in the transaction of its election. Any other leader
+//! started. So the marker is written only once that is certain. A leader that found the watermarks
+//! of earlier terms complete wrote the marker in the transaction of its election. Any other leader
 //! first makes its assumed watermarks durable.
 
 use super::JobKey;
@@ -10,7 +10,7 @@
 use crate::records::{COMPLETE_WATERMARKS_KEY, LEGACY_COMPLETE_WATERMARKS_KEY};
 use std::collections::BTreeSet;
 
-/// The progress of this term's marker.
+/// Whether this term's marker has been written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum MarkerState {
     /// Not to be written: the records are not loaded yet, or an unreadable job record keeps the
@@ -42,9 +42,9 @@
         }
     }
 
-    /// Records that all records are loaded. `assumed`: the jobs whose watermarks are assumed.
-    /// `all_jobs_readable`: whether this version can read every job record. For an unreadable job
-    /// it could write no watermark record.
+    /// Records that the records of earlier leaders are loaded. `assumed`: the jobs whose watermarks
+    /// are assumed. `all_jobs_readable`: whether this version can read every job record; for a job
+    /// with an unreadable one, it can't write a watermark record.
     pub fn records_loaded(
         &mut self,
         stored: WatermarkCompleteness,
@@ -85,7 +85,7 @@
         self.state = MarkerState::Sent;
     }
 
-    /// Has the marker written again, as the transaction may not have been applied.
+    /// Queues the marker again, as its transaction may not have been applied.
     pub fn requeue(&mut self) {
         self.state = MarkerState::Pending;
     }
