--- a/crates/controller/src/cluster_state/acknowledgement.rs
+++ b/crates/controller/src/cluster_state/acknowledgement.rs
@@ -1,4 +1,4 @@
-//! Checks whether workers apply the responses to their heartbeats.
+//! Detection of workers that do not apply the responses to their heartbeats.
 
 use super::{ClusterState, CordonReason};
 use hookway_constants as constants;
@@ -9,14 +9,15 @@
 const FEW_MACHINES_DIVISOR: usize = 4;
 
 impl ClusterState {
-    /// Checks whether the worker applied the last response, as far as its next heartbeat shows
-    /// that.
+    /// Checks whether the worker applied the last response before it sent `heartbeat`. If that
+    /// response had nothing whose effect a heartbeat shows, nothing is checked.
     ///
     /// A worker has at most one heartbeat in flight and ignores the response to an earlier one. So
-    /// a response without effect was not received and never will be: it extended no lease. A
-    /// machine whose worker did not apply several consecutive responses gets no new task and is
-    /// cordoned. Its tasks still count as placed until the lease of its worker has certainly
-    /// expired.
+    /// a response without effect was not received and never will be: it extended no lease. From
+    /// the second consecutive response without effect on, the machine gets no new task for the
+    /// longest interval between heartbeats. From [`constants::MAX_UNACKNOWLEDGED_RESPONSES`] on, it
+    /// is cordoned if few machines are affected. Its tasks still count as placed until the lease of
+    /// its worker has certainly expired.
     pub(super) fn check_acknowledgement(
         &mut self,
         name: &str,
@@ -34,15 +35,14 @@
             }
             return;
         }
-        // Counting all machines is done only after a missed response, not for every heartbeat.
+        // All machines are counted only after a missed response, not for every heartbeat.
         let few_affected = self.few_machines_miss_responses();
         let backoff_until = now + self.max_heartbeat_interval();
         let Some(machine) = self.machines.get_mut(name) else { return };
         machine.unacknowledged_responses += 1;
-        // The response extended no lease, so the time is reset to that of the response
-        // before it. That
-        // is not done if this controller has answered the worker since, as a lessee while its
-        // leadership was uncertain.
+        // The response extended no lease, so the time of the response before it applies again.
+        // Not so if this controller has answered the worker since, as a lessee while its leadership
+        // was uncertain.
         if machine.last_response_at <= expected.responded_at {
             machine.last_response_at = expected.previous_response_at;
         }
--- a/crates/controller/src/cluster_state/heartbeat_timing.rs
+++ b/crates/controller/src/cluster_state/heartbeat_timing.rs
@@ -68,8 +68,8 @@
     }
 
     /// Whether no worker has sent a heartbeat for several intervals although at least
-    /// `MIN_SILENT_WORKERS` should have: this controller may be partitioned from the workers alone,
-    /// while another controller can still reach them.
+    /// `MIN_SILENT_WORKERS` should have: this controller may be partitioned from the workers but
+    /// not from the store, while another controller can still reach them.
     pub fn is_isolated_from_workers(&self, now: MonotonicTime) -> bool {
         let since = self.clocks.answering_since();
         let mut expected = 0u32;
@@ -101,16 +101,17 @@
             && self.reconciliation.machines.contains(name)
     }
 
-    /// Returns the silence of all workers that indicates a fault before any heartbeat has arrived.
+    /// Returns how long all workers must be silent to indicate a fault of this controller, if it
+    /// has received no heartbeat since it became able to answer workers.
     fn silence_limit(&self) -> Duration {
         let intervals_ms = self.heartbeat_interval_ms() * constants::WORKER_SILENCE_INTERVALS;
         Duration::from_millis(intervals_ms as u64).max(constants::WORKER_SILENCE_MIN)
     }
 
-    /// Returns the silence of all `expected` workers that indicates a fault once heartbeats have
-    /// arrived. Hundreds of workers become silent together within seconds only if this controller
-    /// is partitioned from them. Before the first heartbeat this shorter limit does not apply,
-    /// because workers that look for a new leader find it one by one.
+    /// Returns how long all `expected` workers must be silent to indicate a fault of this
+    /// controller, once heartbeats have arrived. Hundreds of workers become silent together within
+    /// seconds only if this controller is partitioned from them. Before the first heartbeat this
+    /// shorter limit does not apply, because workers that look for a new leader find it one by one.
     fn silence_limit_after_heartbeats(&self, expected: u32) -> Duration {
         let share = (constants::WORKER_SILENCE_FLEET_SIZE / f64::from(expected.max(1))).min(1.0);
         let intervals_ms = self.heartbeat_interval_ms() * constants::WORKER_SILENCE_INTERVALS;
--- a/crates/controller/src/cluster_state/lease_expiry.rs
+++ b/crates/controller/src/cluster_state/lease_expiry.rs
@@ -6,7 +6,7 @@
 
 impl ClusterState {
     /// Removes the tasks on machines whose workers' leases have certainly expired at `now`, and
-    /// cancels starts that wait for the heartbeat of a silent machine.
+    /// cancels planned starts on machines that have sent no heartbeat for too long.
     pub fn expire_leases(&mut self, now: MonotonicTime) {
         self.queue_confirmable_cancellations(now);
         if self.unreconciled_leases_expired(now) {
--- a/crates/controller/src/cluster_state/leases.rs
+++ b/crates/controller/src/cluster_state/leases.rs
@@ -25,7 +25,7 @@
 }
 
 /// Returns the length of a worker's lease with clock drift and margin. This long after the last
-/// moment when any entitled controller could have answered the worker, the worker has killed its
+/// moment at which the leader or a lessee could have answered the worker, the worker has killed its
 /// tasks.
 pub fn longest_worker_lease(platform: &PlatformSettings) -> Duration {
     let drifted_ms = platform.workers.lease_s * 1000.0 * (1.0 + constants::CLOCK_DRIFT);
@@ -33,7 +33,8 @@
 }
 
 impl ClusterState {
-    /// Renews the shard lease of another controller at `now`; `None` if that controller gets none.
+    /// Responds at `now` to the renewal of another controller's shard lease; `None` if that
+    /// controller is unknown.
     pub fn renew_shard_lease(
         &mut self,
         renewal: &ShardLeaseRenewal,
@@ -46,11 +47,12 @@
     /// Returns the length of a shard lease that is granted at `now`.
     ///
     /// Tasks of a cancelled job must have ended within the time for a cancellation, even where no
-    /// controller can reach their worker to stop them and a lessee extends its lease. So while such
-    /// a task may be on any machine, a lease ends no later than one that was granted when the user
-    /// requested the cancellation, before any controller was told of it: early enough for the lease
-    /// of the worker to end after it. No lease is granted while a task of an unknown job may be on
-    /// any machine, or a task of a job whose cancellation another controller decided.
+    /// controller can reach their worker to stop them and a lessee extends the worker's lease. So
+    /// while such a task may be on any machine, a shard lease ends no later than one of maximum
+    /// length that was granted when the user requested the cancellation, before any controller was
+    /// told of it. A worker's lease that was extended up to that end then ends in time as well. No
+    /// shard lease is granted before reconciliation has ended, or while any machine may have a task
+    /// of an unknown job, or of a job whose cancellation another controller decided.
     pub fn shard_lease_length(&self, now: MonotonicTime) -> Duration {
         if self.unknown_job_tasks > 0 || !self.is_reconciled(now) {
             return Duration::ZERO;
@@ -67,7 +69,7 @@
         self.jobs.values().filter(is_stopping).map(remaining).min().unwrap_or(max)
     }
 
-    /// Returns the zones whose shard this leader does not lease to another controller.
+    /// Returns the zones of this leader's own shard, which it leases to no other controller.
     pub fn own_shard(&self) -> Vec<String> {
         self.shard_lessor.own_shard()
     }
--- a/crates/controller/src/cluster_state/machine.rs
+++ b/crates/controller/src/cluster_state/machine.rs
@@ -115,8 +115,9 @@
     /// Added to the term to get the machine's fencing token. Raised with each direct dispatch of
     /// starts.
     pub token_offset: u64,
-    /// Time before which the prompt heartbeat after commands is expected. Starts wait for it
-    /// instead of a direct dispatch. [`MonotonicTime::ZERO`] if the last response had no commands.
+    /// Time until which a prompt heartbeat is expected, because the last response had commands.
+    /// Until then, starts wait for that heartbeat instead of being dispatched directly.
+    /// [`MonotonicTime::ZERO`] if the last response had no commands.
     pub heartbeat_expected_by: MonotonicTime,
     /// The leases of incarnations up to this one have certainly expired.
     pub expired_incarnation: u64,
@@ -124,9 +125,9 @@
     pub expected_heartbeat: ExpectedHeartbeat,
     /// Number of consecutive responses that its worker certainly did not apply.
     pub unacknowledged_responses: u32,
-    /// Last time at which an entitled controller may have answered its worker, which may then have
-    /// extended its lease. Answers of other controllers as lessees are not included: the shard
-    /// lessor tracks them.
+    /// Latest time at which the lease of its worker may have begun, or may have been extended by an
+    /// answer of this controller or of an earlier leader. Answers of other controllers as lessees
+    /// are not included: the shard lessor tracks them.
     pub last_response_at: MonotonicTime,
     /// Whether its entry in the machine registry is durable.
     pub has_durable_registration: bool,
@@ -152,7 +153,8 @@
     pub idle_since: Option<MonotonicTime>,
     /// Images in its cache, least recently used first.
     pub images: Vec<CachedImage>,
-    /// Images that its entry in the machine registry names, in ascending order.
+    /// Ids of the images in its cache when its entry in the machine registry was last written or
+    /// loaded, in ascending order.
     pub stored_images: Vec<u32>,
     /// Reservation for a job for which tasks were preempted on it.
     pub reservation: Option<MachineReservation>,
@@ -198,8 +200,8 @@
     }
 
     /// Whether the worker of an unreconciled machine should be probed at `now`: its address is
-    /// known, it is not cordoned, its next heartbeat is not expected at once, and no probe is in
-    /// flight or recent.
+    /// known, it is not cordoned, its next heartbeat is not expected at once, no probe is in
+    /// flight, and the last one was long enough ago.
     pub fn needs_state_probe(&self, now: MonotonicTime) -> bool {
         let is_heartbeat_expected = self.has_reported
             && now < self.last_response_at + constants::MAX_PROMPT_HEARTBEAT_DELAY;
@@ -269,7 +271,7 @@
         was_uncordoned
     }
 
-    /// Returns the numbers of the images in its cache, in ascending order.
+    /// Returns the ids of the images in its cache, in ascending order.
     pub fn image_ids(&self) -> Vec<u32> {
         let mut images: Vec<u32> = self.images.iter().map(|cached| cached.image).collect();
         images.sort_unstable();
--- a/crates/controller/src/cluster_state/machine_registry.rs
+++ b/crates/controller/src/cluster_state/machine_registry.rs
@@ -21,7 +21,8 @@
     /// Records whose stored version may lack a machine. No task starts on such a machine before its
     /// record is durable.
     urgent: BTreeSet<u64>,
-    /// Records whose stored version has outdated hints or names machines that have left the record.
+    /// Records whose stored version has outdated hints, names machines that have left the record,
+    /// or lacks machines that the stored version of another record still names.
     stale: BTreeSet<u64>,
     /// Records that are unreadable. They stay as they are until the leases of the workers on their
     /// machines have certainly expired: the next leader must be able to tell that it does not know
--- a/crates/controller/src/cluster_state/silence_detection.rs
+++ b/crates/controller/src/cluster_state/silence_detection.rs
@@ -6,7 +6,7 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// Numbers of machines in a zone: all that count, and those that are missing.
+/// Numbers of machines in a zone: all that were counted, and those of them that are missing.
 #[derive(Debug, Clone, Copy, Default)]
 struct ZoneCount {
     all: usize,
@@ -55,8 +55,7 @@
     }
 
     /// Returns the zones that are partitioned at `now`. No machines are added there, and the
-    /// machines there are kept for a while: those that no longer exist are missing from the machine
-    /// list.
+    /// machines there are kept for a while, since the machine list shows which of them still exist.
     pub(super) fn partitioned_zones(&self, now: MonotonicTime) -> HashSet<String> {
         let timeout = self.heartbeat_timeout();
         let is_silent = |machine: &Machine| {
