--- a/crates/controller/src/cluster_state/clocks.rs
+++ b/crates/controller/src/cluster_state/clocks.rs
@@ -48,7 +48,7 @@
         Self { elected, latest: elected, resumed_at: elected.monotonic }
     }
 
-    /// Returns the monotonic reading of the election.
+    /// Returns when this leader was elected, by the monotonic clock.
     pub fn elected_at(&self) -> MonotonicTime {
         self.elected.monotonic
     }
@@ -68,8 +68,8 @@
 
 impl ClusterState {
     /// Records a new reading of both clocks. The monotonic clock drifts from the wall clock, so
-    /// over a long term the reading at the election would be too inaccurate for times that other
-    /// controllers read.
+    /// late in a long term the readings at the election would give too inaccurate times for the
+    /// records that other controllers read.
     pub fn update_clocks(&mut self, at: Timestamp) {
         self.clocks.latest = at;
     }
--- a/crates/controller/src/cluster_state/command_dispatch.rs
+++ b/crates/controller/src/cluster_state/command_dispatch.rs
@@ -29,8 +29,8 @@
 }
 
 impl ClusterState {
-    /// Returns the time for a checkpoint, s, if a placed task must be stopped; `None` if it must
-    /// not.
+    /// Returns the time for a checkpoint, s, if a placed task must be stopped; `None` if it may run
+    /// on.
     pub(super) fn stop_grace_s(&self, placed: &PlacedTask, now: MonotonicTime) -> Option<f64> {
         let job = placed.job.and_then(|key| self.jobs.get(&key));
         let Some(job) = job else { return Some(0.0) };
@@ -134,20 +134,20 @@
     fn take_direct_stop_for(&mut self, name: &str, now: MonotonicTime) -> Option<DirectStop> {
         let timeout = self.heartbeat_timeout();
         let machine = self.machines.get(name)?;
-        // A connection to a machine whose heartbeat is overdue would most likely be held without
-        // effect until its time limit.
+        // A connection to a machine whose heartbeat is overdue would most likely hang until it
+        // times out.
         let answered_at = machine.last_response_at.max(self.clocks.resumed_at);
         let is_silent = now >= answered_at + timeout;
         if !machine.has_reported || machine.address.is_empty() || is_silent {
             return None;
         }
-        let is_new =
+        let is_undispatched =
             |p: &PlacedTask| !p.stop_dispatched && matches!(p.phase, TaskPhase::Reported(_));
         let stops: Vec<SelectedStop> = machine
             .placed_tasks
             .iter()
             .enumerate()
-            .filter(|(_, placed)| is_new(placed))
+            .filter(|(_, placed)| is_undispatched(placed))
             .filter_map(|(position, placed)| {
                 let grace_s = self.stop_grace_s(placed, now)?;
                 Some(SelectedStop { position, grace_s })
--- a/crates/controller/src/cluster_state/heartbeat.rs
+++ b/crates/controller/src/cluster_state/heartbeat.rs
@@ -91,8 +91,8 @@
         Some(())
     }
 
-    /// Records that the machine is up and, unless the heartbeat is outdated, the properties that it
-    /// reports. `None`: the lease of the incarnation has certainly expired.
+    /// Records that the machine is up. Unless the heartbeat is outdated, also records the
+    /// properties that it reports. `None`: the lease of the incarnation has certainly expired.
     fn record_arrival(&mut self, heartbeat: &Heartbeat, now: MonotonicTime) -> Option<Arrival> {
         let name = &heartbeat.machine;
         let version = MessageVersion::of(heartbeat);
@@ -108,7 +108,7 @@
             tracing::info!(machine = %name, age_s, "machine up");
         }
         // The lease of an incarnation that was unknown until now may have begun just now, no matter
-        // when the machine was last answered.
+        // when an earlier incarnation was last answered.
         if is_new_incarnation || !machine.has_reported {
             machine.last_response_at = now;
         }
--- a/crates/controller/src/cluster_state/heartbeat_tasks.rs
+++ b/crates/controller/src/cluster_state/heartbeat_tasks.rs
@@ -166,7 +166,8 @@
     changes.kept.push(placed);
 }
 
-/// Decides what has become of a placed task that the message does not name.
+/// Determines whether a placed task that the message does not name is lost, was certainly not
+/// started, or may still be started.
 fn apply_unreported(
     mut placed: PlacedTask,
     heartbeat: &Heartbeat,
--- a/crates/controller/src/cluster_state/standby_replication.rs
+++ b/crates/controller/src/cluster_state/standby_replication.rs
@@ -153,9 +153,9 @@
                     replicated.consecutive_failures.min(constants::MAX_RESUMED_FAILURES);
                 let elected = self.clocks.elected;
                 let failed_at = WallTime::from_unix_millis(replicated.last_failure_unix_ms);
-                let paused_until = WallTime::from_unix_millis(replicated.backoff_until_unix_ms);
+                let backoff_until = WallTime::from_unix_millis(replicated.backoff_until_unix_ms);
                 job.failures.last_at = elected.monotonic_at_wall(failed_at).min(now);
-                job.backoff_until = elected.monotonic_at_wall(paused_until).min(latest);
+                job.backoff_until = elected.monotonic_at_wall(backoff_until).min(latest);
                 let kept = replicated.failed_machines.iter().take(constants::MAX_FAILED_MACHINES);
                 job.failures.machines = kept.cloned().collect();
                 restored.failing_jobs += 1;
--- a/crates/controller/src/cluster_state/state_probe.rs
+++ b/crates/controller/src/cluster_state/state_probe.rs
@@ -16,7 +16,7 @@
 }
 
 impl StateProbes {
-    /// Creates the probes, none of them sent, of a leader that was elected at `elected_at`.
+    /// Creates the state of a leader that was elected at `elected_at` and has sent no probe.
     pub fn new(elected_at: MonotonicTime) -> Self {
         Self { in_flight: 0, start_at: elected_at + constants::STATE_PROBE_DELAY }
     }
--- a/crates/controller/src/cluster_state/task_end.rs
+++ b/crates/controller/src/cluster_state/task_end.rs
@@ -54,8 +54,8 @@
     }
 
     /// Returns the run time of a task that ended, if it is known. After a silence it is unknown
-    /// when the task ended, and the start of an adopted task is unknown: such times would make the
-    /// mean too short.
+    /// when the task ended, and the start of an adopted task is unknown: the measured time would be
+    /// too long or too short for the mean.
     fn known_run_time(
         &self,
         name: &str,
