--- a/crates/controller/src/cluster_state/machine.rs
+++ b/crates/controller/src/cluster_state/machine.rs
@@ -14,7 +14,8 @@
 pub(super) enum CordonReason {
     /// The machine had no task for longer than the idle timeout of its type.
     Idle,
-    /// The machine sent no heartbeat for longer than its worker's lease.
+    /// The machine has tasks and sends no heartbeats while most other machines of its zone do, or it
+    /// sent no heartbeat for longer than its worker's lease.
     Silent,
     /// The worker sent no heartbeat within the boot timeout.
     BootTimeout,
--- a/crates/controller/src/cluster_state/task_removal.rs
+++ b/crates/controller/src/cluster_state/task_removal.rs
@@ -11,8 +11,8 @@
     NotStarted,
     /// The worker reported the end of the task, with this cause.
     Ended(ExitCause),
-    /// The machine, or the incarnation of its worker, no longer exists, or the worker no longer
-    /// reports the task.
+    /// The machine has failed or no longer exists, its worker has restarted, the worker's lease has
+    /// certainly expired, or the worker no longer reports the task.
     Lost,
 }
 
