--- a/crates/controller/src/cluster_state/autoscaling.rs
+++ b/crates/controller/src/cluster_state/autoscaling.rs
@@ -8,7 +8,7 @@
 use hookway_wire::ScaleOutRequest;
 use std::collections::HashSet;
 
-/// A request to the cloud.
+/// A request that the caller is to send to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ScalingAction {
     /// Requests machines; the caller reports the outcome to [`ClusterState::scale_out_finished`].
--- a/crates/controller/src/cluster_state/bounded_set.rs
+++ b/crates/controller/src/cluster_state/bounded_set.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashSet, VecDeque};
 
 /// Keeps the most recently inserted members of a set. Older members are dropped, so that memory use
-/// stays bounded over a long term.
+/// stays bounded however long a leader's term lasts.
 #[derive(Debug)]
 pub(super) struct BoundedSet<T> {
     members: HashSet<T>,
--- a/crates/controller/src/cluster_state/class_history.rs
+++ b/crates/controller/src/cluster_state/class_history.rs
@@ -1,4 +1,5 @@
-//! The requests and the demand that the leader has seen of each job class.
+//! What the leader knows of a job class: the requests and constraints of its jobs, and their recent
+//! demand.
 
 use crate::records::ClassRecord;
 use hookway_constants as constants;
@@ -21,7 +22,7 @@
     pub request: Resources,
     /// Size of the largest image of the class, GB.
     pub image_gb: f64,
-    /// Numeric ids of the images that jobs of the class used in this term.
+    /// Numeric ids of the images of those jobs of the class that this leader has added.
     pub images: HashSet<u32>,
     /// Whether all jobs of the class may use spot machines.
     pub allows_spot: bool,
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Creates the history of a class that has had no job before `spec`, which decides whether the
-    /// class counts as one of gangs.
+    /// Creates the history of a class whose first job is `spec`, without that job itself. The first
+    /// job decides whether the class is a gang class.
     pub fn before_first_job(spec: &JobSpec) -> Self {
         Self::from_record(&ClassRecord {
             request: Resources::of_task(spec),
--- a/crates/controller/src/cluster_state/completion.rs
+++ b/crates/controller/src/cluster_state/completion.rs
@@ -125,9 +125,9 @@
         state
     }
 
-    /// Records that the last transaction was certainly not applied. An earlier one whose outcome is
-    /// unknown may still be applied; other controllers then report the end that they read from the
-    /// store.
+    /// Records that the last transaction was certainly not applied. The state stays indeterminate
+    /// if the outcome of an earlier one is unknown: if that one is applied after all, other
+    /// controllers report the end that they read from the store.
     pub fn commit_not_applied(&mut self) {
         if let Phase::Ending { commit, .. } = &mut self.0
             && *commit == FinalCommit::InFlight
--- a/crates/controller/src/cluster_state/failure_history.rs
+++ b/crates/controller/src/cluster_state/failure_history.rs
@@ -7,7 +7,8 @@
 /// Failures of one job's tasks.
 #[derive(Debug, Default)]
 pub(super) struct FailureHistory {
-    /// Consecutive tries that failed. A completed task resets the count but not the machines.
+    /// Number of consecutive tries that failed. A completed task resets the count but not the
+    /// machines.
     pub consecutive: u32,
     /// When the last counted try failed.
     pub last_at: MonotonicTime,
--- a/crates/controller/src/cluster_state/heartbeat_placement.rs
+++ b/crates/controller/src/cluster_state/heartbeat_placement.rs
@@ -52,7 +52,8 @@
         self.last_round.unplaced = unplaced;
     }
 
-    /// Returns the machine with its free resources; `None` if it may not take tasks at `now`.
+    /// Returns the machine with its free resources; `None` if it may not take tasks at `now`, or if
+    /// its free resources are unknown.
     fn fill_target<'a>(&self, name: &'a str, now: MonotonicTime) -> Option<FillTarget<'a>> {
         let machine = self.machines.get(name)?;
         if self.last_round.reserved_machines.contains(name)
--- a/crates/controller/src/cluster_state/image_ids.rs
+++ b/crates/controller/src/cluster_state/image_ids.rs
@@ -4,7 +4,7 @@
 use crate::records::ImageRecord;
 use std::collections::HashMap;
 
-/// A cached image under its name instead of its numeric id.
+/// A cached image, identified by its name instead of its numeric id.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct NamedImage<'a> {
     /// Name of the image, as jobs and the machine registry give it.
--- a/crates/controller/src/cluster_state/job_status_and_cancellation.rs
+++ b/crates/controller/src/cluster_state/job_status_and_cancellation.rs
@@ -20,7 +20,7 @@
 /// The outcome of a request to cancel a job.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CancelOutcome {
-    /// The end of the job is durable, by this cancellation or by an earlier event.
+    /// The end of the job is durable, whether through this cancellation or not.
     Final(JobStatus),
     /// The final record is being written. Once it is durable,
     /// [`ClusterState::take_completed_jobs`] returns the job.
@@ -90,9 +90,9 @@
     }
 
     /// Queues the final records of those cancelled jobs whose tasks are certain to end within the
-    /// time for a cancellation. Usually these are all of them: a shard lease ends in time, and a
-    /// worker's lease is shorter than that time. Where a worker's lease is longer, all machines
-    /// must be reconciled and the job's tasks must have left their machines first.
+    /// time for a cancellation. Usually these are all of them, because shard leases and worker
+    /// leases expire within that time. Where worker leases are longer, a final record is queued
+    /// only once all machines are reconciled and the job's tasks have left their machines.
     pub(super) fn queue_confirmable_cancellations(&mut self, now: MonotonicTime) {
         if self.unconfirmed_cancellations.is_empty() {
             return;
--- a/crates/controller/src/cluster_state/machine_list.rs
+++ b/crates/controller/src/cluster_state/machine_list.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 impl ClusterState {
-    /// Applies a machine list that was requested at `requested_at` and received at `now`: adds and updates
-    /// listed machines, and removes those that no longer exist.
+    /// Applies a machine list that was requested at `requested_at` and received at `now`: adds and
+    /// updates listed machines, and removes those that no longer exist.
     pub fn machines_listed(
         &mut self,
         list: &[ListedMachine],
@@ -75,10 +75,10 @@
         }
     }
 
-    /// Returns the machines that no longer exist, because a list requested at `requested_at` lacks them. A
-    /// listed machine stays listed for as long as it exists, but a list may be older than the
-    /// previous one by up to twice the lag of lists. So only machines that were listed for longer
-    /// count.
+    /// Returns the machines that no longer exist, because a list requested at `requested_at` lacks
+    /// them. A listed machine stays listed for as long as it exists, but a list may be older than
+    /// the previous one by up to twice the lag of lists. So a machine is returned only if it was
+    /// listed for longer than that before the request.
     fn machines_missing_from(
         &self,
         list: &[ListedMachine],
