--- a/crates/controller/src/cluster_state/draining.rs
+++ b/crates/controller/src/cluster_state/draining.rs
@@ -5,29 +5,29 @@
 use hookway_time::{MonotonicTime, millis_f64};
 use std::time::Duration;
 
-/// Position of a task on a machine.
+/// Refers to a task on a machine.
 struct TaskPosition {
     machine: String,
     /// Index into the machine's placed tasks.
-    index: usize,
+    position: usize,
 }
 
 impl ClusterState {
     /// Drains cordoned machines and those with an interruption notice. Tasks that can write a
-    /// checkpoint, replicas of daemons, tasks without any progress, and tasks that can't finish
-    /// before the cloud takes the machine back are stopped and start elsewhere. Other tasks run on,
-    /// because they may finish first.
+    /// checkpoint, replicas of daemons, tasks without any progress, and tasks outside gangs that
+    /// can't finish before the cloud reclaims the machine are stopped and start elsewhere. Other
+    /// tasks run on, because they may finish first.
     pub(super) fn drain_machines(&mut self, now: MonotonicTime) {
         let mut to_stop = Vec::new();
         for (name, machine) in self.machines.iter().filter(|(_, m)| m.is_draining()) {
-            for (index, placed) in machine.placed_tasks.iter().enumerate() {
+            for (position, placed) in machine.placed_tasks.iter().enumerate() {
                 if placed.stop_order.is_none() && self.moves_when_drained(machine, placed, now) {
-                    to_stop.push(TaskPosition { machine: name.clone(), index });
+                    to_stop.push(TaskPosition { machine: name.clone(), position });
                 }
             }
         }
         for task in to_stop {
-            self.stop_task(&task.machine, task.index, now);
+            self.stop_task(&task.machine, task.position, now);
         }
     }
 
@@ -55,12 +55,12 @@
             || cannot_finish
     }
 
-    /// Restarts tasks elsewhere that have run many times longer than the mean of their job. Their
-    /// machine is most likely faulty, so it is cordoned.
+    /// Stops stuck tasks, so that they start elsewhere: those that have run many times longer than
+    /// the mean of their job. Most likely their machine is the cause, so it is cordoned as slow.
     pub(super) fn restart_stuck_tasks(&mut self, now: MonotonicTime) {
         for task in self.stuck_tasks(now) {
             let Some(machine) = self.machines.get_mut(&task.machine) else { continue };
-            let placed = &machine.placed_tasks[task.index];
+            let placed = &machine.placed_tasks[task.position];
             tracing::info!(machine = %task.machine, task = %placed.task, "task stuck");
             let (key, index) = (placed.job, placed.index);
             machine.cordon(CordonReason::Slow);
@@ -71,16 +71,16 @@
                     task.machine
                 ));
             }
-            self.stop_task(&task.machine, task.index, now);
+            self.stop_task(&task.machine, task.position, now);
         }
     }
 
     fn stuck_tasks(&self, now: MonotonicTime) -> Vec<TaskPosition> {
         let mut stuck = Vec::new();
         for (name, machine) in &self.machines {
-            for (index, placed) in machine.placed_tasks.iter().enumerate() {
+            for (position, placed) in machine.placed_tasks.iter().enumerate() {
                 if self.is_stuck(placed, now) {
-                    stuck.push(TaskPosition { machine: name.clone(), index });
+                    stuck.push(TaskPosition { machine: name.clone(), position });
                 }
             }
         }
--- a/crates/controller/src/cluster_state/failure_attribution.rs
+++ b/crates/controller/src/cluster_state/failure_attribution.rs
@@ -2,8 +2,8 @@
 //!
 //! A job that fails on many machines is faulty; a machine on which many jobs fail is faulty. A
 //! faulty job is retried with growing backoff, one task at a time. It neither causes machines to be
-//! cordoned nor takes resources from jobs that work. A job that works and met a faulty machine is
-//! restarted elsewhere without backoff.
+//! cordoned nor takes resources from jobs that work. A job that is known to run is restarted
+//! elsewhere, without backoff until several consecutive tries have failed.
 
 use super::{ClusterState, CordonReason, Job, JobKey};
 use hookway_constants as constants;
@@ -50,7 +50,7 @@
         self.failures.machines.iter().rev().take(max_excluded).any(|machine| machine == name)
     }
 
-    /// Records that a task placed at `placed_at` failed on a machine, and backs the job off if
+    /// Records that a task placed at `placed_at` failed on a machine, and starts a backoff if
     /// needed. Failures of tasks that were placed before the last counted failure belong to the
     /// same try and are not counted again.
     fn record_failure(&mut self, machine: &str, placed_at: MonotonicTime, now: MonotonicTime) {
@@ -93,8 +93,8 @@
         backoff + Duration::from_millis(jitter_ms)
     }
 
-    /// Records that a replica of a daemon exited with success. It is started again; an early exit
-    /// counts as a failure and may delay that by a backoff.
+    /// Records that a replica of a daemon exited with success. The replica is started again; if it
+    /// exited early, that counts as a failure, and a backoff may delay the start.
     pub(super) fn record_replica_exit(
         &mut self,
         machine: &str,
@@ -111,25 +111,26 @@
 }
 
 impl ClusterState {
-    /// Clears the failures of daemons with a replica that has run for
-    /// [`constants::STABLE_REPLICA_RUN_TIME`]. A daemon has no completed tasks that would show that it
-    /// works.
-    pub(super) fn reset_steady_daemons(&mut self, now: MonotonicTime) {
+    /// Clears the failures of daemons with a stable replica, one that has run for
+    /// [`constants::STABLE_REPLICA_RUN_TIME`]: a daemon has no completed tasks that would show that
+    /// it works.
+    pub(super) fn clear_failures_of_stable_daemons(&mut self, now: MonotonicTime) {
         let failed = |job: &Job| job.spec.is_daemon() && job.failures.consecutive > 0;
         if !self.jobs.values().any(failed) {
             return;
         }
-        let steady = |since: &MonotonicTime| now >= *since + constants::STABLE_REPLICA_RUN_TIME;
+        let stable = |since: &MonotonicTime| now >= *since + constants::STABLE_REPLICA_RUN_TIME;
         for placed in self.machines.values().flat_map(|machine| &machine.placed_tasks) {
             let Some(job) = placed.job.and_then(|key| self.jobs.get_mut(&key)) else { continue };
-            if failed(job) && placed.running_since.as_ref().is_some_and(steady) {
+            if failed(job) && placed.running_since.as_ref().is_some_and(stable) {
                 job.failures.clear();
             }
         }
     }
 
-    /// Records that a task of job `key`, placed at `placed_at`, failed on a machine, and cordons
-    /// the machine if enough jobs failed there.
+    /// Records that a task of job `key`, placed at `placed_at`, failed on a machine. Keeps new
+    /// tasks off the machine for a while if the job is known to run elsewhere, and cordons the
+    /// machine if enough jobs failed there.
     pub(super) fn attribute_failure(
         &mut self,
         name: &str,
@@ -139,12 +140,12 @@
     ) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         job.record_failure(name, placed_at, now);
-        let proven = job.failure_weight() >= 1.0;
+        let machine_is_suspect = job.failure_weight() >= 1.0;
         let Some(machine) = self.machines.get_mut(name) else { return };
         if !machine.failed_jobs.contains(&key) {
             machine.failed_jobs.push(key);
         }
-        if proven {
+        if machine_is_suspect {
             machine.back_off(now + constants::REJECTED_START_BACKOFF);
         }
         let weights = machine.failed_jobs.iter().filter_map(|key| self.jobs.get(key));
--- a/crates/controller/src/cluster_state/scheduling_round.rs
+++ b/crates/controller/src/cluster_state/scheduling_round.rs
@@ -39,7 +39,7 @@
 
 impl ClusterState {
     /// Returns the minimum interval between two rounds: the estimated CPU time of a round, divided
-    /// by the share of a core that rounds may use.
+    /// by the share of a core that rounds may use, within fixed bounds.
     pub fn round_interval(&self) -> Duration {
         let machines = self.machines.len() as f64;
         let waiting_jobs =
@@ -61,7 +61,7 @@
         self.repair_gangs(now);
         self.drain_machines(now);
         self.restart_stuck_tasks(now);
-        self.reset_steady_daemons(now);
+        self.clear_failures_of_stable_daemons(now);
         self.release_reservations(now);
         self.advance_relocations(now);
         if self.jobs.is_empty() || self.machine_types.is_empty() {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Preempts tasks for jobs that found no free resources, and reserves the machines of the
+    /// Preempts tasks for jobs that lack free resources, and reserves the machines of the
     /// victims for those jobs. Where preemption is not enough, relocations begin.
     fn preempt_for_unplaced_tasks(&mut self, snapshot: &IndexedSnapshot, now: MonotonicTime) {
         let until = now + constants::PREEMPTED_MACHINE_RESERVATION;
