--- a/crates/controller/src/cluster_state/progress.rs
+++ b/crates/controller/src/cluster_state/progress.rs
@@ -89,7 +89,7 @@
     /// Marks a page as queued to be written. Returns `false` if it was queued already or there is
     /// no such page.
     pub fn queue(&mut self, page: usize) -> bool {
-        self.pages.get_mut(page).is_some_and(|c| !std::mem::replace(&mut c.queued, true))
+        self.pages.get_mut(page).is_some_and(|page| !std::mem::replace(&mut page.queued, true))
     }
 
     /// Marks a page as not queued: its record is being written or is not needed.
@@ -101,7 +101,7 @@
 
     /// Returns the modification revision of a page's record; 0 if the store has none.
     pub fn mod_revision(&self, page: usize) -> u64 {
-        self.pages.get(page).map_or(0, |c| c.mod_revision)
+        self.pages.get(page).map_or(0, |page| page.mod_revision)
     }
 
     /// Returns the store key of a page's record.
@@ -118,7 +118,7 @@
     /// Whether a page's record must not be overwritten yet, because it has results of other pages
     /// that are not stored in records of their own.
     pub fn must_not_overwrite_yet(&self, page: usize) -> bool {
-        let spans_other_pages = self.pages.get(page).is_some_and(|c| c.spans_other_pages);
+        let spans_other_pages = self.pages.get(page).is_some_and(|page| page.spans_other_pages);
         spans_other_pages
             && self.rest_of_full_page(page).any(|other| {
                 self.has_results(other) && {
@@ -129,8 +129,8 @@
     }
 
     /// Applies a stored record whose results begin at task `from`, and returns its results.
-    /// `record` is `None` if there is no such record, with a `mod_revision` of 0, or if it can't be
-    /// parsed.
+    /// `record` is `None` if it can't be parsed, or if the store has no such record; in the latter
+    /// case `mod_revision` is 0.
     pub fn apply_record(
         &mut self,
         from: u32,
--- a/crates/controller/src/cluster_state/progress/tests.rs
+++ b/crates/controller/src/cluster_state/progress/tests.rs
@@ -33,16 +33,16 @@
     assert!(progress.must_not_overwrite_yet(0), "results of page 1 are stored in this record only");
     progress.unqueue(1);
     assert!(progress.must_not_overwrite_yet(0), "page 1 is not stored yet");
-    let part = ProgressRecord::new(&results[8_192..]);
-    assert_eq!(progress.apply_record(8_192, 8, Some(&part)).pages_to_write, [0usize; 0]);
+    let own_record = ProgressRecord::new(&results[8_192..]);
+    assert_eq!(progress.apply_record(8_192, 8, Some(&own_record)).pages_to_write, [0usize; 0]);
     assert!(!progress.must_not_overwrite_yet(0));
 }
 
 #[test]
 fn progress_part_of_unused_size_counts_and_is_not_overwritten() {
     let mut progress = Progress::new(16_384, 8.0);
-    let part = ProgressRecord::new(&[true]);
-    assert_eq!(progress.apply_record(8_192, 8, Some(&part)).pages_to_write, [0usize; 0]);
+    let smaller_page = ProgressRecord::new(&[true]);
+    assert_eq!(progress.apply_record(8_192, 8, Some(&smaller_page)).pages_to_write, [0usize; 0]);
     assert!(progress.is_durable(8_192));
     assert_eq!(progress.mod_revision(0), 0);
 }
--- a/crates/controller/src/cluster_state/reservation.rs
+++ b/crates/controller/src/cluster_state/reservation.rs
@@ -3,7 +3,8 @@
 use super::{ClusterState, JobKey, Machine};
 use hookway_time::MonotonicTime;
 
-/// Reserves a machine for the job that tasks were preempted for there: it takes no other tasks.
+/// The reservation of a machine for the job that tasks on it were preempted for. The machine takes
+/// no tasks of other jobs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct MachineReservation {
     /// Key of the only job whose tasks the machine takes.
@@ -21,7 +22,7 @@
     JobNotWaiting,
     /// The machine is cordoned, has an interruption notice, or misses its heartbeats.
     MachineUnusable,
-    /// The victims did not stop in time.
+    /// The time limit has passed, most likely because the victims did not stop in time.
     TimedOut,
 }
 
--- a/crates/controller/src/cluster_state/run_times.rs
+++ b/crates/controller/src/cluster_state/run_times.rs
@@ -25,8 +25,8 @@
         (self.count > 0).then(|| millis_f64(self.sum) / f64::from(self.count))
     }
 
-    /// Returns the mean run time, ms, once it is reliable enough to call a machine slow by it: from
-    /// [`constants::RELIABLE_MEAN_TASKS`] run times on.
+    /// Returns the mean run time, ms; `None` while fewer than [`constants::RELIABLE_MEAN_TASKS`]
+    /// run times are known, too few to detect slow machines and stuck tasks reliably.
     pub fn reliable_mean_ms(&self) -> Option<f64> {
         self.mean_ms().filter(|_| self.count >= constants::RELIABLE_MEAN_TASKS)
     }
--- a/crates/controller/src/cluster_state/scale_in.rs
+++ b/crates/controller/src/cluster_state/scale_in.rs
@@ -13,10 +13,10 @@
 /// Inputs of the scale-in decisions of one round.
 struct ScaleInContext<'a> {
     now: MonotonicTime,
-    /// When this leader could last not answer workers. The machines are not to blame for silence
-    /// before that.
+    /// End of the last period in which this leader could not answer workers. Silence before it does
+    /// not count against the machines.
     resumed_at: MonotonicTime,
-    /// Time after the last response from which the lease of a worker is certain to have expired.
+    /// Time after the last response by which the lease of a worker has certainly expired.
     lease: Duration,
     reconciled: bool,
     machine_types: &'a [MachineType],
@@ -39,8 +39,8 @@
     /// Returns why a machine is to be cordoned or stay cordoned; `None` if it is not to be
     /// cordoned.
     fn cordon_reason(&self, name: &str, machine: &Machine) -> Option<CordonReason> {
-        // Deleting the machine proves that its tasks have ended, sooner than the expiry of the
-        // lease.
+        // Deletion proves that the machine's tasks have ended sooner than the expiry of the lease
+        // would.
         if self.silent.contains(name) {
             return Some(CordonReason::Silent);
         }
@@ -156,10 +156,11 @@
     }
 
     /// Returns the machines without a heartbeat since the failover that are to be deleted now.
-    /// There are none unless jobs of earlier terms wait for them and the deletion is sooner than
-    /// the expiry of their leases. `max_silence` covers the time for a worker to send a heartbeat,
-    /// to try each controller while one of them hangs, and to send another heartbeat with the new
-    /// fencing token.
+    /// There are none unless jobs of earlier terms wait for them, and their deletion would prove the
+    /// end of their tasks sooner than the expiry of their leases by at least
+    /// [`constants::UNRECONCILED_SCALE_IN_MIN_GAIN`]. `max_silence` covers the time for a worker to
+    /// send a heartbeat, to try each controller while one of them hangs, and to send another
+    /// heartbeat with the new fencing token.
     fn unreconciled_to_delete(&self, now: MonotonicTime, max_silence: Duration) -> HashSet<String> {
         let earlier_job_waits = self.jobs.values().any(|j| {
             j.origin == JobOrigin::EarlierTerm && j.is_active() && !j.placeable.is_empty()
@@ -186,8 +187,8 @@
 
     /// Returns how long a machine of this type may be idle before it is scaled in: the operator's
     /// setting, or a multiple of the time that a new machine takes to boot and to fetch an image.
-    /// As in the ski rental problem, an idle machine has by then cost as much as replacing it,
-    /// since that time is paid for without work.
+    /// As in the ski rental problem, keeping an idle machine for that time costs as much as
+    /// replacing it, since a new machine is paid for while it boots and fetches.
     fn idle_timeout(&self, machine_type: &MachineType) -> Duration {
         let sizes_gb: Vec<f64> = self.jobs.values().map(|job| job.spec.image_gb).collect();
         let mean_gb = if sizes_gb.is_empty() {
--- a/crates/controller/src/cluster_state/scale_out.rs
+++ b/crates/controller/src/cluster_state/scale_out.rs
@@ -80,7 +80,7 @@
         offers
     }
 
-    /// Returns the policy's view of the machines that are requested and not yet known, as booting.
+    /// Returns the policy's views of the machines of requests in flight, which count as booting.
     pub(super) fn pending_machine_views(&self) -> Vec<MachineView> {
         let mut views = Vec::new();
         for PendingScaleOut { pool, count, .. } in &self.scale_outs.pending {
--- a/crates/controller/src/cluster_state/service_level_objectives.rs
+++ b/crates/controller/src/cluster_state/service_level_objectives.rs
@@ -13,9 +13,9 @@
 }
 
 impl ServiceLevelObjectives {
-    /// Returns the objectives of a job. The job's own deadline precedes the one that the platform's
-    /// objectives imply for its class. A daemon has no objectives: all its replicas are wanted all
-    /// the time, and a late one is wanted no less.
+    /// Returns the objectives of a job. The job's own deadline takes precedence over the one that
+    /// the platform's objectives imply for its class. A daemon has no objectives: all its replicas
+    /// are needed at all times, and a late start makes none of them less needed.
     pub fn of_job(spec: &JobSpec, platform: &PlatformSettings) -> Self {
         if spec.is_daemon() {
             return Self::default();
--- a/crates/controller/src/cluster_state/snapshot.rs
+++ b/crates/controller/src/cluster_state/snapshot.rs
@@ -30,8 +30,8 @@
 }
 
 impl ClusterState {
-    /// Returns what is left of a machine's `capacity` after its placed tasks and the
-    /// resources that relocations hold on it.
+    /// Returns what is left of a machine's `capacity` after its placed tasks and the resources that
+    /// relocations hold on it.
     pub(super) fn free_resources(
         &self,
         name: &str,
--- a/crates/controller/src/cluster_state/spare_machines.rs
+++ b/crates/controller/src/cluster_state/spare_machines.rs
@@ -35,9 +35,9 @@
                 .filter(|j| j.is_active() && !j.is_crash_looping() && j.spec.class == *name)
                 .map(Job::unfinished)
                 .sum();
-            let capacity =
+            let max_tasks =
                 |t: &MachineType| Resources::of_machine_type(t).max_tasks(&class.request);
-            let tasks_per_machine = self.machine_types.iter().map(capacity).max();
+            let tasks_per_machine = self.machine_types.iter().map(max_tasks).max();
             let machines = tasks.div_ceil(tasks_per_machine.unwrap_or(0).max(1));
             class.record_demand(machines as usize, now);
         }
--- a/crates/controller/src/cluster_state/summary.rs
+++ b/crates/controller/src/cluster_state/summary.rs
@@ -46,6 +46,7 @@
         let free: f64 = up().map(|machine| machine.free.cpus).sum();
         let waiting: f64 =
             cluster.jobs.iter().map(|job| f64::from(job.startable) * job.request.cpus).sum();
+        // `abs`: the sum of no CPUs is -0.0, which would be printed with its sign.
         Summary {
             jobs: self.jobs.len(),
             jobs_assumed_started: self.commit_queue.watermark_marker.assumed_jobs(),
--- a/crates/controller/src/cluster_state/token_bucket.rs
+++ b/crates/controller/src/cluster_state/token_bucket.rs
@@ -6,8 +6,8 @@
 /// has two operations.
 const MIN_CAPACITY: f64 = 2.0;
 
-/// Tokens that are refilled at a steady rate, up to those of one second but at least
-/// [`MIN_CAPACITY`].
+/// Tokens that are refilled at a steady rate. The capacity is the refill of one second, but at
+/// least [`MIN_CAPACITY`].
 #[derive(Debug)]
 pub(super) struct TokenBucket {
     rate_per_s: f64,
