--- a/crates/controller/src/cluster_state/relocation.rs
+++ b/crates/controller/src/cluster_state/relocation.rs
@@ -1,14 +1,14 @@
-//! Relocations in progress: replicas of daemons that move to other machines to make capacity for
-//! another job. `hookway_policy::relocate` plans them.
+//! Relocations in progress: replicas of daemons that move to other machines to free resources for
+//! another job, the beneficiary. `hookway_policy::relocate` plans them.
 //!
-//! A relocation has two steps. While lower-priority tasks are cleared from the machines that the
-//! replicas move to (the targets), no replica is stopped. Once every target has the free resources,
-//! the replicas are stopped, at most one of a daemon at a time, and started on their targets. Until
-//! then the resources on the targets and on the machines that the job will use are held: they count
-//! as used for all other jobs, and a stopped replica still counts against its team's limit. A
-//! relocation ends when the job is placed and its stopped replicas are started, or when its purpose
-//! is gone. Only the leader's memory has it: a replica that was stopped and not started again is
-//! started by the next leader like any unplaced task.
+//! A relocation has two steps. First, lower-priority tasks are stopped on the machines that the
+//! replicas move to (the targets), and all replicas run on. Once every target has the free
+//! resources, the replicas are stopped, at most one of a daemon at a time, and started on their
+//! targets. Throughout, the resources on the targets and on the machines that the beneficiary will
+//! use are held: they count as used for all other jobs, and a stopped replica still counts against
+//! its team's limit. A relocation ends when the beneficiary is placed and the stopped replicas are
+//! started, or when it is aborted. It is kept only in the leader's memory: a replica that was
+//! stopped and not started again is started by the next leader like any unplaced task.
 
 use super::snapshot::IndexedSnapshot;
 use super::{ClusterState, JobKey, Machine, TaskAttempt};
@@ -32,7 +32,7 @@
     Stopping,
 }
 
-/// The move of one replica of a daemon.
+/// The move of one replica of a daemon to its target.
 #[derive(Debug, Clone)]
 struct ReplicaMove {
     /// Key of the daemon.
@@ -46,28 +46,29 @@
     step: MoveStep,
 }
 
-/// A relocation in progress: moves of replicas that make capacity for a job.
+/// A relocation in progress.
 #[derive(Debug, Clone)]
 pub(super) struct ActiveRelocation {
-    /// Key of the job that the relocation makes capacity for, the beneficiary.
-    job: JobKey,
+    /// Key of the job that the relocation frees resources for.
+    beneficiary: JobKey,
     /// Machine for each task of the beneficiary that is to be placed. Empty once they are placed or
-    /// the purpose of the relocation is gone, so that only stopped replicas have to be started.
+    /// the relocation is aborted, so that only stopped replicas have to be started.
     task_machines: Vec<String>,
     /// Lower-priority tasks on the beneficiary's machines, to be stopped when the replicas are.
     victims: Vec<TaskOnMachine>,
     moves: Vec<ReplicaMove>,
-    /// The relocation is given up at this time; each stop of a replica extends it.
+    /// The relocation is aborted at this time; each stop of a replica extends it.
     deadline: MonotonicTime,
 }
 
 /// Why a relocation ends before its beneficiary is placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AbortReason {
-    /// The job does not have that many tasks to start any more: it has ended, was cancelled, backs
-    /// off, or was placed elsewhere.
+    /// The beneficiary has fewer tasks to start than the relocation has machines for: it has ended,
+    /// was cancelled, backs off, or was placed elsewhere.
     JobNotWaiting,
-    /// A machine of the job, or a target, is gone, draining or misses its heartbeats.
+    /// A machine of the beneficiary, or a target, was removed, is draining or misses its
+    /// heartbeats.
     MachineUnusable,
     /// A step exceeded [`constants::RELOCATION_STEP_TIMEOUT`].
     TimedOut,
@@ -75,7 +76,7 @@
 
 impl ActiveRelocation {
     /// Drops everything but the replicas that must be started again, since the beneficiary is
-    /// placed or is not to be placed here any more.
+    /// placed or the relocation is aborted.
     fn keep_only_stopped_replicas(&mut self) {
         self.task_machines.clear();
         self.victims.clear();
@@ -94,7 +95,7 @@
         let mut held = Resources::default();
         for relocation in &self.relocations {
             let task_machines =
-                relocation.task_machines.iter().map(|machine| (relocation.job, machine));
+                relocation.task_machines.iter().map(|machine| (relocation.beneficiary, machine));
             let moves = relocation.moves.iter().map(|moving| (moving.job, &moving.to));
             for (key, _) in task_machines.chain(moves).filter(|(_, machine)| *machine == name) {
                 if let Some(job) = self.jobs.get(&key) {
@@ -115,8 +116,8 @@
         })
     }
 
-    /// Plans and begins relocations for jobs that the round found no free resources for, based on
-    /// the scheduling snapshot of the round. `preemptions` are those of the same round.
+    /// Plans relocations for jobs that the round found no free resources for, and begins them.
+    /// `snapshot` and `preemptions` are those of the round.
     pub(super) fn begin_relocations(
         &mut self,
         snapshot: &IndexedSnapshot,
@@ -126,7 +127,8 @@
         let moving = self.relocations.iter().map(|relocation| relocation.moves.len()).sum();
         let busy = |key: &JobKey| {
             let uses = |relocation: &ActiveRelocation| {
-                relocation.job == *key || relocation.moves.iter().any(|moving| moving.job == *key)
+                relocation.beneficiary == *key
+                    || relocation.moves.iter().any(|moving| moving.job == *key)
             };
             self.relocations.iter().any(uses)
         };
@@ -147,7 +149,7 @@
         now: MonotonicTime,
     ) {
         let name = |machine: usize| snapshot.machine_names[machine].clone();
-        let job = snapshot.job_keys[planned.job];
+        let beneficiary = snapshot.job_keys[planned.job];
         let mut moves = Vec::new();
         for replica_move in planned.moves {
             let key = snapshot.job_keys[replica_move.job];
@@ -163,13 +165,13 @@
         let victims = victims.filter_map(|victim| self.task_on_machine(snapshot, victim)).collect();
         let task_machines = planned.task_machines.into_iter().map(name).collect();
         let deadline = now + constants::RELOCATION_STEP_TIMEOUT;
-        let relocation = ActiveRelocation { job, task_machines, victims, moves, deadline };
+        let relocation = ActiveRelocation { beneficiary, task_machines, victims, moves, deadline };
         self.log_moves(&relocation);
         self.relocations.push(relocation);
     }
 
     fn log_moves(&self, relocation: &ActiveRelocation) {
-        let Some(job) = self.jobs.get(&relocation.job) else { return };
+        let Some(job) = self.jobs.get(&relocation.beneficiary) else { return };
         for moving in &relocation.moves {
             tracing::info!(
                 job = %job.id, replica = %moving.from.attempt.task, from = %moving.from.machine,
@@ -205,26 +207,31 @@
         Some(self.machines.get(&task.machine)?.placed_tasks.get(position)?.index)
     }
 
-    /// Advances the relocations in progress at `now`, and ends those whose purpose is gone.
+    /// Advances the relocations in progress at `now`, and removes the finished ones.
     pub(super) fn advance_relocations(&mut self, now: MonotonicTime) {
-        let steps =
-            [Self::abort_if_obsolete, Self::start_replicas, Self::start_job, Self::stop_replicas];
-        for at in 0..self.relocations.len() {
-            let mut relocation = self.relocations[at].clone();
+        let steps = [
+            Self::abort_if_obsolete,
+            Self::start_replicas,
+            Self::place_beneficiary,
+            Self::stop_replicas,
+        ];
+        for i in 0..self.relocations.len() {
+            let mut relocation = self.relocations[i].clone();
             for step in steps {
                 step(self, &mut relocation, now);
                 // The next step must see the resources that the relocation holds after this one.
-                self.relocations[at] = relocation.clone();
+                self.relocations[i] = relocation.clone();
             }
         }
         self.relocations.retain(|relocation| !relocation.is_finished());
     }
 
-    /// Gives up a relocation whose purpose is gone. Replicas that were stopped for it are still
-    /// started on their targets, until the deadline has passed.
+    /// Aborts a relocation that is obsolete or timed out. Replicas that were stopped for it are
+    /// still started on their targets until the deadline has passed; after that they are placed
+    /// like any other task.
     fn abort_if_obsolete(&mut self, relocation: &mut ActiveRelocation, now: MonotonicTime) {
         if let Some(reason) = self.abort_reason(relocation, now) {
-            let job = self.jobs.get(&relocation.job).map(|job| &job.id);
+            let job = self.jobs.get(&relocation.beneficiary).map(|job| &job.id);
             tracing::info!(?job, ?reason, "relocation ended without capacity for the job");
             relocation.keep_only_stopped_replicas();
         }
@@ -233,7 +240,7 @@
         }
     }
 
-    /// Returns why a relocation must be given up; `None` if it need not be, or if only stopped
+    /// Returns why a relocation must be aborted; `None` if it need not be, or if only stopped
     /// replicas have to be started.
     fn abort_reason(
         &self,
@@ -243,7 +250,7 @@
         if relocation.task_machines.is_empty() {
             return None;
         }
-        let waiting = self.jobs.get(&relocation.job).is_some_and(|job| {
+        let waiting = self.jobs.get(&relocation.beneficiary).is_some_and(|job| {
             self.startable_task_count(job, now) as usize >= relocation.task_machines.len()
         });
         if !waiting {
@@ -272,8 +279,8 @@
             return;
         }
         let mut moves = std::mem::take(&mut relocation.moves);
-        for at in 0..moves.len() {
-            let moving = &moves[at];
+        for i in 0..moves.len() {
+            let moving = &moves[i];
             let complete = self.jobs.get(&moving.job).is_some_and(|job| job.placeable.is_empty());
             let one_is_stopping = moves
                 .iter()
@@ -282,15 +289,15 @@
                 continue;
             }
             if let Some(position) = self.position_of(&moving.from) {
-                self.stop_moving_replica(moving, position, relocation.job, now);
+                self.stop_moving_replica(moving, position, relocation.beneficiary, now);
                 relocation.deadline = now + constants::RELOCATION_STEP_TIMEOUT;
             }
-            moves[at].step = MoveStep::Stopping;
+            moves[i].step = MoveStep::Stopping;
         }
         relocation.moves = moves;
         for victim in std::mem::take(&mut relocation.victims) {
             if let Some(position) = self.position_of(&victim) {
-                self.preempt_task(&victim.machine, position, relocation.job, now);
+                self.preempt_task(&victim.machine, position, relocation.beneficiary, now);
             }
         }
     }
@@ -348,14 +355,14 @@
     }
 
     /// Places the tasks of the beneficiary once the resources held for all of them are free.
-    fn start_job(&mut self, relocation: &mut ActiveRelocation, now: MonotonicTime) {
+    fn place_beneficiary(&mut self, relocation: &mut ActiveRelocation, now: MonotonicTime) {
         let task_machines = &relocation.task_machines;
         let ready = !task_machines.is_empty()
             && task_machines.iter().all(|machine| self.can_start_on(machine, now))
-            && self.zones_allow(relocation.job, task_machines)
-            && self.quota_allows(relocation.job, task_machines.len());
+            && self.zones_allow(relocation.beneficiary, task_machines)
+            && self.quota_allows(relocation.beneficiary, task_machines.len());
         if ready {
-            self.place_tasks(relocation.job, task_machines, now);
+            self.place_tasks(relocation.beneficiary, task_machines, now);
             relocation.keep_only_stopped_replicas();
         }
     }
@@ -381,8 +388,8 @@
         teams.get(job.team).is_none_or(|team| team.remaining_tasks(&job.request) as usize >= tasks)
     }
 
-    /// Whether a machine has all the resources that relocations hold on it: nothing that is placed
-    /// there uses them.
+    /// Whether the placed tasks of a machine leave free all the resources that relocations hold on
+    /// it.
     fn has_held_resources(&self, name: &str) -> bool {
         let Some(machine) = self.machines.get(name) else { return false };
         let machine_type = self.machine_types.iter().find(|t| t.name == machine.machine_type);
