--- a/crates/controller/src/cluster_state/heartbeat_placement.rs
+++ b/crates/controller/src/cluster_state/heartbeat_placement.rs
@@ -29,9 +29,9 @@
         }
         let Some(mut target) = self.fill_target(name, now) else { return };
         let mut unplaced = std::mem::take(&mut self.last_round.unplaced);
-        for cached_backfill_only in [true, false] {
+        for skip_uncached_backfill in [true, false] {
             for demand in &mut unplaced {
-                if cached_backfill_only
+                if skip_uncached_backfill
                     && demand.is_backfill
                     && !self.has_cached_image(&target, demand)
                 {
--- a/crates/controller/src/cluster_state/placed_task.rs
+++ b/crates/controller/src/cluster_state/placed_task.rs
@@ -138,8 +138,8 @@
     pub reaps: Vec<TaskAttempt>,
     /// When the response was sent.
     pub responded_at: MonotonicTime,
-    /// When the worker may last have been answered before this response. It applies again if this
-    /// response turns out not to be applied.
+    /// When the worker may last have been answered before this response. This becomes the time of
+    /// the last response again if this response turns out not to have been applied.
     pub previous_response_at: MonotonicTime,
 }
 
--- a/crates/controller/src/cluster_state/scale_in.rs
+++ b/crates/controller/src/cluster_state/scale_in.rs
@@ -28,7 +28,7 @@
     partitioned: &'a HashSet<String>,
     /// Machines to keep although they may be idle.
     spares: HashSet<String>,
-    /// Machines with tasks that are silent while most other machines of their zone are not.
+    /// Machines that have tasks and are silent while most other machines of their zone are not.
     silent: HashSet<String>,
     /// Machines to delete because they sent no heartbeat since the failover, while most other
     /// machines of their zone did.
@@ -156,8 +156,8 @@
     }
 
     /// Returns the machines without a heartbeat since the failover that are to be deleted now.
-    /// There are none unless jobs of earlier terms wait for them, and their deletion would prove the
-    /// end of their tasks sooner than the expiry of their leases by at least
+    /// There are none unless jobs of earlier terms wait for them, and deletion would prove the end
+    /// of their tasks sooner than the expiry of their leases by more than
     /// [`constants::UNRECONCILED_SCALE_IN_MIN_GAIN`]. `max_silence` covers the time for a worker to
     /// send a heartbeat, to try each controller while one of them hangs, and to send another
     /// heartbeat with the new fencing token.
