--- a/crates/testkit/src/fleet/heartbeats.rs
+++ b/crates/testkit/src/fleet/heartbeats.rs
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Expires the worker's lease if it is due and advances the tasks. Returns the heartbeat if one is due.
+    /// Applies the expiry of the worker's lease if its time has come, and advances the tasks. Returns the heartbeat if
+    /// one is due.
     fn next_heartbeat(
         &self,
         machine: usize,
@@ -98,12 +99,12 @@
         let mut state = self.lock();
         let worker = &mut state.machines[machine].worker;
         let starts_before = worker.started_attempts.len();
-        let is_new_leader = response.fencing_token > worker.fencing_token;
+        let has_higher_token = response.fencing_token > worker.fencing_token;
         if worker.execute_response(response) {
             state.machines[machine].lease_started_at = sent_at;
         }
         state.check_starts(machine, starts_before);
-        is_new_leader || !response.commands.is_empty()
+        has_higher_token || !response.commands.is_empty()
     }
 }
 
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,7 +1,8 @@
 //! Test doubles for tests of hookway, which follow the published protocol: a store in memory, the same store over HTTP
 //! on loopback, a scripted worker, and a fleet of such workers with their cloud over HTTP.
 //!
-//! Only [`Fleet`] and [`StoreServer::expire_leases_by_clock`] depend on the real clock.
+//! Apart from the waiting time of watches, only [`Fleet`] and [`StoreServer::expire_leases_by_clock`] depend on the
+//! real clock.
 
 mod fleet;
 mod loopback;
--- a/crates/testkit/src/store_server.rs
+++ b/crates/testkit/src/store_server.rs
@@ -14,7 +14,7 @@
 
 /// Interval at which expired leases are searched for and removed.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Time to live of a lease that a test grants itself: longer than any test.
+/// Time to live of a lease that a test grants directly: longer than any test.
 const LONG_TTL: Duration = Duration::from_secs(3_600);
 
 #[derive(Debug)]
@@ -54,7 +54,7 @@
     }
 }
 
-/// A store over HTTP on loopback. Leases last until the test expires them; after
+/// A store over HTTP on loopback. Leases last until a client releases them or the test expires them; after
 /// [`StoreServer::expire_leases_by_clock`] they also expire by the real clock.
 #[derive(Debug, Clone, Default)]
 pub struct StoreServer {
