--- a/crates/controller/src/cluster_state/heartbeat_placement.rs
+++ b/crates/controller/src/cluster_state/heartbeat_placement.rs
@@ -29,9 +29,9 @@
         }
         let Some(mut target) = self.fill_target(name, now) else { return };
         let mut unplaced = std::mem::take(&mut self.last_round.unplaced);
-        for cached_backfill_only in [true, false] {
+        for skip_uncached_backfill in [true, false] {
             for demand in &mut unplaced {
-                if cached_backfill_only
+                if skip_uncached_backfill
                     && demand.is_backfill
                     && !self.has_cached_image(&target, demand)
                 {
@@ -52,7 +52,8 @@
         self.last_round.unplaced = unplaced;
     }
 
-    /// Returns the machine with its free resources; `None` if it may not take tasks at `now`.
+    /// Returns the machine with its free resources; `None` if it may not take tasks at `now`, or if
+    /// its free resources are unknown.
     fn fill_target<'a>(&self, name: &'a str, now: MonotonicTime) -> Option<FillTarget<'a>> {
         let machine = self.machines.get(name)?;
         if self.last_round.reserved_machines.contains(name)
