--- a/crates/controller/src/actor/store_io.rs
+++ b/crates/controller/src/actor/store_io.rs
@@ -21,10 +21,11 @@
     /// succeeds.
     pub(super) fn spawn_record_read(&self, active: &mut ActiveTerm) {
         let (store, events) = (self.config.store.clone(), active.background_tasks.events.clone());
-        let (term, stored_watermarks) = (active.term(), active.leader_term.stored_watermarks);
+        let (term, watermark_completeness) =
+            (active.term(), active.leader_term.watermark_completeness);
         active.background_tasks.spawn(async move {
             loop {
-                match read_records(&store, stored_watermarks).await {
+                match read_records(&store, watermark_completeness).await {
                     Ok(RecordsAtRevision { state, revision }) => {
                         log_records_read(term, revision, &state);
                         let loaded = ControllerEvent::RecordsRead { state, revision };
@@ -63,7 +64,7 @@
 /// Reads all records that a new leader needs, the jobs first.
 async fn read_records(
     store: &StoreClient,
-    stored_watermarks: WatermarkCompleteness,
+    watermark_completeness: WatermarkCompleteness,
 ) -> Result<RecordsAtRevision, StoreError> {
     let jobs = store.list(JOBS_PREFIX).await?;
     let state = LoadedRecords {
@@ -73,7 +74,7 @@
         registry: store.list(REGISTRY_PREFIX).await?.pairs,
         images: store.list(LEGACY_IMAGES_PREFIX).await?.pairs,
         classes: store.get(CLASSES_KEY).await?,
-        stored_watermarks,
+        stored_watermarks: watermark_completeness,
     };
     Ok(RecordsAtRevision { state, revision: jobs.revision })
 }
--- a/crates/controller/src/leadership/campaign.rs
+++ b/crates/controller/src/leadership/campaign.rs
@@ -56,7 +56,7 @@
     /// The revision at which `lead/term` was last written; 0 if the key does not exist.
     term_revision: u64,
     /// Whether the start watermarks of all terms so far are complete.
-    pub stored_watermarks: WatermarkCompleteness,
+    pub watermark_completeness: WatermarkCompleteness,
 }
 
 impl LeaderlessState {
@@ -66,7 +66,7 @@
         Self {
             last_fencing_token: term.and_then(|pair| pair.value.as_u64()).unwrap_or(0),
             term_revision: term.map_or(0, |pair| pair.mod_revision),
-            stored_watermarks: WatermarkCompleteness::read(keys),
+            watermark_completeness: WatermarkCompleteness::read(keys),
         }
     }
 
@@ -104,7 +104,7 @@
             },
             Operation::put(LEADER_TERM_KEY, last_fencing_token.clone()),
         ];
-        if self.stored_watermarks == WatermarkCompleteness::Complete {
+        if self.watermark_completeness == WatermarkCompleteness::Complete {
             operations.push(Operation::put(COMPLETE_WATERMARKS_KEY, last_fencing_token));
         }
         Ok(Transaction { preconditions, operations })
--- a/crates/controller/src/leadership/election.rs
+++ b/crates/controller/src/leadership/election.rs
@@ -53,7 +53,7 @@
 /// The leadership according to the store.
 enum LeaderState {
     Elected(ElectedLeader),
-    Vacant(LeaderlessState),
+    Leaderless(LeaderlessState),
 }
 
 /// The leader record, and the metadata of its key.
@@ -65,7 +65,7 @@
     read_at_revision: u64,
     /// Whether the start watermarks of the terms before this leader's were complete. Valid only if
     /// the leader is this process.
-    stored_watermarks: WatermarkCompleteness,
+    watermark_completeness: WatermarkCompleteness,
 }
 
 /// Why a term ended.
@@ -88,8 +88,8 @@
         loop {
             match self.read_leader().await {
                 Ok(LeaderState::Elected(leader)) => self.leader_found(leader).await,
-                Ok(LeaderState::Vacant(leaderless_state)) => {
-                    self.publish_vacancy();
+                Ok(LeaderState::Leaderless(leaderless_state)) => {
+                    self.publish_no_leader();
                     sleep(self.election_delay()).await;
                     self.campaign(&leaderless_state).await;
                 }
@@ -112,7 +112,7 @@
                 // This process won the election but did not receive the response. It is unknown
                 // here when the lease was granted, so the lease counts as expired until its first
                 // extension.
-                let watermarks = leader.stored_watermarks;
+                let watermarks = leader.watermark_completeness;
                 let term = term_of_record(&record, leader.mod_revision, lease_id, watermarks);
                 self.lead(term, None).await;
                 self.nonce = rand::rng().random();
@@ -149,7 +149,7 @@
 
     /// Publishes that there is no leader. The view keeps the name of the previous leader, which is
     /// the best guess where to send requests.
-    fn publish_vacancy(&self) {
+    fn publish_no_leader(&self) {
         self.config.view.send_if_modified(|view| view.leader_term.take().is_some());
     }
 
@@ -181,10 +181,10 @@
                 mod_revision: pair.mod_revision,
                 lease_id: pair.lease_id,
                 read_at_revision: revision,
-                stored_watermarks: WatermarkCompleteness::read(&pairs),
+                watermark_completeness: WatermarkCompleteness::read(&pairs),
             }));
         }
-        Ok(LeaderState::Vacant(LeaderlessState::read(&pairs)))
+        Ok(LeaderState::Leaderless(LeaderlessState::read(&pairs)))
     }
 
     /// Watches the leader key for changes after `revision`. Returns when it changes, the watch
@@ -236,8 +236,12 @@
         match store.commit(&election).await {
             Ok(CommitOutcome::Applied(revision)) => {
                 let expires_at = lease_expiry(sent_at, self.config.lease_length);
-                let term =
-                    term_of_record(&record, revision, lease_id, leaderless_state.stored_watermarks);
+                let term = term_of_record(
+                    &record,
+                    revision,
+                    lease_id,
+                    leaderless_state.watermark_completeness,
+                );
                 self.lead(term, Some(expires_at)).await;
             }
             Ok(CommitOutcome::PreconditionFailed(_)) => {
@@ -256,9 +260,9 @@
     /// of the lease; `None` if it is unknown: the lease then counts as expired and is extended at
     /// once.
     async fn lead(&self, leader_term: LeaderTerm, expires_at: Option<MonotonicTime>) {
-        let LeaderTerm { term, lease_id, stored_watermarks, .. } = leader_term;
+        let LeaderTerm { term, lease_id, watermark_completeness, .. } = leader_term;
         let response = if expires_at.is_some() { "received" } else { "lost" };
-        tracing::info!(term, response, watermarks = %stored_watermarks, "elected leader");
+        tracing::info!(term, response, watermarks = %watermark_completeness, "elected leader");
         self.config.lease.set(term, expires_at.unwrap_or(MonotonicTime::ZERO));
         self.publish(LeadershipView {
             leader: Some(self.config.controller_name.clone()),
@@ -308,12 +312,12 @@
     record: &LeaderRecord,
     mod_revision: u64,
     lease_id: u64,
-    stored_watermarks: WatermarkCompleteness,
+    watermark_completeness: WatermarkCompleteness,
 ) -> LeaderTerm {
     LeaderTerm {
         term: record.term,
         precondition: Precondition { key: LEADER_KEY.into(), mod_revision },
         lease_id,
-        stored_watermarks,
+        watermark_completeness,
     }
 }
--- a/crates/controller/src/leadership/term.rs
+++ b/crates/controller/src/leadership/term.rs
@@ -14,7 +14,7 @@
     /// The id, in the store, of the lease that the leader key is attached to.
     pub lease_id: u64,
     /// Whether the start watermarks of earlier terms were complete when this term began.
-    pub stored_watermarks: WatermarkCompleteness,
+    pub watermark_completeness: WatermarkCompleteness,
 }
 
 /// What this controller knows about the current leader.
--- a/crates/controller/tests/cluster_state/unknown_watermarks.rs
+++ b/crates/controller/tests/cluster_state/unknown_watermarks.rs
@@ -67,7 +67,7 @@
     assert_eq!(running.len(), 1, "the machine has capacity for one task");
     store.put("lead/term", serde_json::json!(2 * hookway_constants::TOKENS_PER_TERM));
     assert_eq!(
-        LeaderlessState::read(&store.list(LEADER_PREFIX)).stored_watermarks,
+        LeaderlessState::read(&store.list(LEADER_PREFIX)).watermark_completeness,
         WatermarkCompleteness::Outdated
     );
     let mut short = LeaderHarness::after_election(store, ElectionResponse::Received, at(10_000));
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -141,7 +141,7 @@
             leaderless_state.election(&leader, LEADERSHIP_LEASE).expect("a record that serializes");
         let mod_revision = store.commit(&election).expect("nobody else campaigns");
         let stored_watermarks = match response {
-            ElectionResponse::Received => leaderless_state.stored_watermarks,
+            ElectionResponse::Received => leaderless_state.watermark_completeness,
             ElectionResponse::Lost => WatermarkCompleteness::read(&store.list(LEADER_PREFIX)),
         };
         Self::with_leadership(
--- a/crates/controller/tests/leadership.rs
+++ b/crates/controller/tests/leadership.rs
@@ -131,7 +131,7 @@
         let mut controller = start("one", &address);
         let term = wait_for_own_term(&mut controller).await;
         assert_eq!(term.term, last_fencing_token.unwrap_or(0) + 1);
-        assert_eq!(term.stored_watermarks, expected);
+        assert_eq!(term.watermark_completeness, expected);
         let value = |key: &str| server.with_store(|store| store.get(key)).map(|pair| pair.value);
         let marked = value(COMPLETE_WATERMARKS_KEY) == value(LEADER_TERM_KEY);
         assert_eq!(marked, expected == WatermarkCompleteness::Complete);
--- a/crates/controller/tests/simulation/elections.rs
+++ b/crates/controller/tests/simulation/elections.rs
@@ -142,7 +142,7 @@
             Version::New if response_lost => {
                 WatermarkCompleteness::read(&self.store.list(LEADER_PREFIX))
             }
-            Version::New => leaderless_state.stored_watermarks,
+            Version::New => leaderless_state.watermark_completeness,
         };
         self.counts.terms_without_complete_watermarks +=
             usize::from(known != WatermarkCompleteness::Complete);
