--- a/crates/controller/src/api/cancellation.rs
+++ b/crates/controller/src/api/cancellation.rs
@@ -101,7 +101,7 @@
 
     /// Announces a job whose final state is durable to the other controllers, so that a shard
     /// lessee that can't reach the store stops the job's tasks: docs/safety.md, "Cancellations are
-    /// facts".
+    /// facts". Returns the outcome of the user's request.
     fn announce_finished_job(&self, status: PeerJobStatus) -> RequestOutcome {
         for peer in self.config.peers.names() {
             let (peers, status) = (self.config.peers.clone(), status.clone());
--- a/crates/controller/src/api/job_reader.rs
+++ b/crates/controller/src/api/job_reader.rs
@@ -13,9 +13,9 @@
 
 /// What the store records about a job.
 pub(super) enum StoredJob {
-    /// The job was accepted and is not finished. The key and value of its record.
+    /// The job was accepted and is not finished. Holds the key and value of its record.
     Active { key: String, value: serde_json::Value },
-    /// The job is finished. Its final state.
+    /// The job is finished. Holds its final state.
     Final(PeerJobStatus),
     /// The job was never accepted.
     Absent,
@@ -58,8 +58,8 @@
     if let Some(pair) = store.get(&job_key(job)).await? {
         return Ok(StoredJob::Active { key: pair.key, value: pair.value });
     }
-    // The first read is useless without the second, so the second one waits for the rate limit
-    // rather than fail by it.
+    // The first read is useless without the second, so the second one waits until the rate limit
+    // allows it instead of failing.
     let store = store.clone().with_queue_limit(constants::STATUS_TIMEOUT);
     let Some(pair) = store.get(&final_state_key(job)).await? else {
         return Ok(StoredJob::Absent);
--- a/crates/controller/src/api/mod.rs
+++ b/crates/controller/src/api/mod.rs
@@ -154,7 +154,7 @@
         time_limit: Duration,
     ) -> Option<RequestOutcome> {
         let leader = self.leader()?;
-        match self.config.peers.send_user_request(&leader, request, time_limit).await {
+        match self.config.peers.send_through_breaker(&leader, request, time_limit).await {
             Ok(RequestOutcome::Unavailable(_)) => None,
             Ok(RequestOutcome::Known(status)) => Some(self.known_job_outcome(status)),
             Ok(outcome) => Some(outcome),
@@ -186,10 +186,10 @@
         RequestOutcome::Unavailable(store_error.to_string())
     }
 
-    /// Passes a request on to another controller. Returns `None` if that can't decide or does not
-    /// respond.
+    /// Passes a request on to another controller. Returns `None` if that controller can't decide or
+    /// does not respond.
     async fn ask_peer(&self, peer: &str, request: &PeerRequest) -> Option<RequestOutcome> {
-        match self.config.peers.send_user_request(peer, request, constants::PEER_TIMEOUT).await {
+        match self.config.peers.send_through_breaker(peer, request, constants::PEER_TIMEOUT).await {
             Ok(RequestOutcome::Known(status)) => Some(self.known_job_outcome(status)),
             Ok(RequestOutcome::Unavailable(reason)) => {
                 tracing::debug!(peer, reason, "another controller can't decide the request");
--- a/crates/controller/src/api/submission.rs
+++ b/crates/controller/src/api/submission.rs
@@ -58,8 +58,9 @@
         self.store_job(record.spec, value, body, origin).await
     }
 
-    /// Writes the record of a job, unless the store has one or the job's final state. `body` is the
-    /// body of the submission, for other controllers.
+    /// Writes the record of a job, unless the store already has the record or the final state of the
+    /// job. `body` is the body of the submission, which is passed on to the other controllers if
+    /// this one can't use the store.
     async fn store_job(
         &self,
         spec: JobSpec,
@@ -96,8 +97,8 @@
         self.ask_other_controllers(PeerRequest::Submit(body.to_vec()), &error, origin).await
     }
 
-    /// Returns the outcome of a submission whose transaction got no response, by what the store has
-    /// now.
+    /// Returns the outcome of a submission whose transaction got no response, according to what the
+    /// store has now.
     async fn outcome_from_store(
         &self,
         job: &JobId,
--- a/crates/controller/src/peers/client.rs
+++ b/crates/controller/src/peers/client.rs
@@ -35,10 +35,10 @@
         self.peers.contains_key(name)
     }
 
-    /// Passes a user's request on to the controller `name`. Fails at once while the circuit breaker
-    /// is open because a request has failed: the controller may be paused or partitioned, and users
-    /// must not wait for the time limit each time.
-    pub async fn send_user_request(
+    /// Sends a user's request or the announcement of a finished job to the controller `name`. Fails
+    /// at once while the circuit breaker is open: the controller may be paused or partitioned, and
+    /// users must not wait for the time limit each time.
+    pub async fn send_through_breaker(
         &self,
         name: &str,
         request: &PeerRequest,
@@ -61,7 +61,8 @@
     pub async fn announce_finished_job(&self, name: &str, job: PeerJobStatus) {
         let id = job.id.clone();
         let request = PeerRequest::JobFinished(job);
-        if let Err(error) = self.send_user_request(name, &request, constants::PEER_TIMEOUT).await {
+        if let Err(error) = self.send_through_breaker(name, &request, constants::PEER_TIMEOUT).await
+        {
             tracing::debug!(job = %id, peer = name, %error, "announcing a finished job failed");
         }
     }
--- a/crates/controller/src/peers/connection.rs
+++ b/crates/controller/src/peers/connection.rs
@@ -16,8 +16,8 @@
     /// The frame could not be encoded or decoded.
     #[error("frame: {0}")]
     Frame(#[from] FrameError),
-    /// A received frame exceeds `MAX_PEER_FRAME_BYTES`, or a frame to send is too long for a length of
-    /// four bytes.
+    /// A received frame exceeds `MAX_PEER_FRAME_BYTES`, or the length of a frame to send doesn't fit
+    /// in four bytes.
     #[error("a frame exceeds the maximum length")]
     TooLong,
 }
--- a/crates/controller/src/peers/peer.rs
+++ b/crates/controller/src/peers/peer.rs
@@ -1,5 +1,5 @@
-//! The client of one other controller: its connections, and what it has learned from the responses,
-//! which is the frame version and whether the controller responds at all.
+//! The client of one other controller: its idle connections, the circuit breaker, and the frame
+//! version of the controller.
 
 use super::PeerError;
 use super::connection::{ConnectionError, receive, send};
@@ -44,8 +44,8 @@
         *self.version.lock().ok()?
     }
 
-    /// Whether the circuit breaker lets a user's request through. Every exchange updates the
-    /// breaker, so a renewal of the shard lease that succeeds closes it without a user's request.
+    /// Whether the circuit breaker allows a request. Every exchange updates the breaker, also one
+    /// that did not ask it first: a successful renewal of the shard lease closes it.
     pub(super) fn allows_request(&self) -> bool {
         self.breaker.lock().map_or(true, |mut breaker| breaker.allows_request())
     }
@@ -73,8 +73,8 @@
         &self,
         request: &PeerRequest,
     ) -> Result<PeerResponse, ConnectionError> {
-        // An idle connection may have failed since its last use, so the request is then sent again
-        // over a new one. Every kind of request may be received twice.
+        // An idle connection may have failed since its last use. The request is then sent again
+        // over a new one, which is safe because every kind of request may be received twice.
         if let Some(mut stream) = self.take_idle_connection()
             && let Ok(response) = self.exchange_over(&mut stream, request).await
         {
--- a/crates/controller/tests/api/circuit_breakers.rs
+++ b/crates/controller/tests/api/circuit_breakers.rs
@@ -18,7 +18,7 @@
     let address = listener.local_addr().expect("a bound address").to_string();
     let peers = Peers::new(HashMap::from([("worker-1".into(), address)]));
     let request = PeerRequest::Status("req-000001".into());
-    let send = || peers.send_user_request("worker-1", &request, Duration::from_millis(600));
+    let send = || peers.send_through_breaker("worker-1", &request, Duration::from_millis(600));
     assert!(matches!(send().await, Err(PeerError::Timeout { .. })));
     for _ in 0..20 {
         assert!(matches!(send().await, Err(PeerError::CircuitOpen { .. })));
--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -178,7 +178,8 @@
     let peers = Peers::new([("worker-1".to_owned(), address)].into());
     let request = PeerRequest::Status("req-000412".into());
     let limit = Duration::from_millis(5_000);
-    let response = peers.send_user_request("worker-1", &request, limit).await.expect("a response");
+    let response =
+        peers.send_through_breaker("worker-1", &request, limit).await.expect("a response");
     assert_eq!(response, hookway_controller::request_outcome::RequestOutcome::NotFound);
     let (sent, _stream) = tokio::time::timeout(Duration::from_secs(5), served)
         .await
