--- a/crates/controller/src/actor/dispatch.rs
+++ b/crates/controller/src/actor/dispatch.rs
@@ -19,7 +19,8 @@
 const CLOUD_RETRY: Duration = Duration::from_secs(1);
 
 impl ControllerActor {
-    /// Sends the direct dispatches and the transaction that are due, if the leadership lease holds.
+    /// Sends the commands for direct dispatch and the transaction that are due, if the leadership
+    /// lease holds.
     pub(super) fn dispatch(&mut self, active: &mut ActiveTerm) {
         let now = self.config.clock.now();
         if !active.background_tasks.authority.holds_at(now) {
--- a/crates/controller/src/actor/events.rs
+++ b/crates/controller/src/actor/events.rs
@@ -10,11 +10,11 @@
     pub(super) fn handle_event(&mut self, active: &mut ActiveTerm, event: ControllerEvent) {
         let at = self.config.clock.timestamp();
         match event {
-            ControllerEvent::RecordsRead { state, revision } => {
-                self.records_read(active, state, revision, at);
+            ControllerEvent::RecordsRead { records, revision } => {
+                self.records_read(active, records, revision, at);
             }
             ControllerEvent::StoreUnavailable => active.pending_cancellations.store_unavailable(),
-            ControllerEvent::WatchTruncated => {
+            ControllerEvent::JobWatchFellBehind => {
                 tracing::info!(term = active.term(), "job watch fell behind, reading all jobs");
             }
             ControllerEvent::Cluster(event) => self.handle_cluster_event(active, event, at),
@@ -69,7 +69,7 @@
     fn records_read(
         &mut self,
         active: &mut ActiveTerm,
-        state: LoadedRecords,
+        records: LoadedRecords,
         revision: u64,
         at: Timestamp,
     ) {
@@ -83,7 +83,7 @@
             term,
             active.leader_term.precondition.clone(),
             machine_types.unwrap_or_default(),
-            state,
+            records,
             at,
         );
         self.warm_start(&mut cluster, at.monotonic);
@@ -112,7 +112,7 @@
         let Some(cluster) = &mut active.cluster else { return };
         for CompletedJob { id, record } in cluster.take_completed_jobs() {
             // The cluster state no longer has the job, but its user will request the status once
-            // more. Without the cache, each of these requests would take two reads of the store.
+            // more. Without the cache, that request would take two reads of the store.
             self.config.final_states.insert_if_final(&record.status(&id).into());
             active.pending_cancellations.job_finished(&id, &record);
         }
--- a/crates/controller/src/actor/messages.rs
+++ b/crates/controller/src/actor/messages.rs
@@ -116,13 +116,13 @@
 pub(super) enum ControllerEvent {
     /// All records in the store that a new leader needs have been read. Jobs accepted after
     /// `revision` may be missing.
-    RecordsRead { state: LoadedRecords, revision: u64 },
+    RecordsRead { records: LoadedRecords, revision: u64 },
     /// The store does not respond, or rejects the requests of this controller. Pending writes may
     /// have to wait for a long time.
     StoreUnavailable,
     /// The store no longer has the events that the watch for jobs would continue from, so all jobs
     /// are read again.
-    WatchTruncated,
+    JobWatchFellBehind,
     /// An event that changes the cluster state.
     Cluster(ClusterEvent),
 }
--- a/crates/controller/src/actor/store_io.rs
+++ b/crates/controller/src/actor/store_io.rs
@@ -26,10 +26,10 @@
         active.background_tasks.spawn(async move {
             loop {
                 match read_records(&store, watermark_completeness).await {
-                    Ok(RecordsAtRevision { state, revision }) => {
-                        log_records_read(term, revision, &state);
-                        let loaded = ControllerEvent::RecordsRead { state, revision };
-                        let _ = events.send(loaded).await;
+                    Ok(RecordsAtRevision { records, revision }) => {
+                        log_records_read(term, revision, &records);
+                        let event = ControllerEvent::RecordsRead { records, revision };
+                        let _ = events.send(event).await;
                         return;
                     }
                     Err(error) => {
@@ -55,9 +55,8 @@
 
 /// The records that a new leader needs.
 struct RecordsAtRevision {
-    state: LoadedRecords,
-    /// The revision of the store at which the jobs were read. Jobs accepted later are not in
-    /// `state`.
+    records: LoadedRecords,
+    /// The revision of the store at which the jobs were read. Jobs accepted later may be missing.
     revision: u64,
 }
 
@@ -67,7 +66,7 @@
     watermark_completeness: WatermarkCompleteness,
 ) -> Result<RecordsAtRevision, StoreError> {
     let jobs = store.list(JOBS_PREFIX).await?;
-    let state = LoadedRecords {
+    let records = LoadedRecords {
         jobs: jobs.pairs,
         progress: store.list(PROGRESS_PREFIX).await?.pairs,
         scheduling: store.list(SCHEDULING_PREFIX).await?.pairs,
@@ -76,17 +75,17 @@
         classes: store.get(CLASSES_KEY).await?,
         stored_watermarks: watermark_completeness,
     };
-    Ok(RecordsAtRevision { state, revision: jobs.revision })
+    Ok(RecordsAtRevision { records, revision: jobs.revision })
 }
 
-fn log_records_read(term: u64, revision: u64, state: &LoadedRecords) {
+fn log_records_read(term: u64, revision: u64, records: &LoadedRecords) {
     tracing::info!(
         term,
         revision,
-        jobs = state.jobs.len(),
-        progress = state.progress.len(),
-        watermarks = state.scheduling.len(),
-        registry = state.registry.len(),
+        jobs = records.jobs.len(),
+        progress = records.progress.len(),
+        watermarks = records.scheduling.len(),
+        registry = records.registry.len(),
         "records read"
     );
 }
@@ -107,7 +106,7 @@
                 }
             }
             Err(StoreError::RevisionCompacted) => {
-                let _ = events.send(ControllerEvent::WatchTruncated).await;
+                let _ = events.send(ControllerEvent::JobWatchFellBehind).await;
                 match store.list(JOBS_PREFIX).await {
                     Ok(jobs) => {
                         revision = jobs.revision;
@@ -141,8 +140,8 @@
 /// Commits a transaction. If a precondition fails or the outcome is unclear, reads the keys of the
 /// transaction again.
 ///
-/// Calls `report_unavailable` when the store does not respond, or rejects the requests of this
-/// controller.
+/// Calls `report_unavailable` when the store has an outage or rejects all requests of this
+/// controller, and after each read that fails for another reason than the rate limit.
 pub(super) async fn commit_and_reread(
     store: &StoreClient,
     commit: &PendingCommit,
--- a/crates/controller/src/clock_drift.rs
+++ b/crates/controller/src/clock_drift.rs
@@ -25,6 +25,6 @@
 
 /// Returns the latest possible time, on this clock, of an event that happened `age` before `now`
 /// according to another clock.
-pub(crate) fn latest_time_ago(now: MonotonicTime, age: Duration) -> MonotonicTime {
+pub(crate) fn latest_event_time(now: MonotonicTime, age: Duration) -> MonotonicTime {
     now.saturating_sub(age) + drift(age)
 }
--- a/crates/controller/src/leadership/campaign.rs
+++ b/crates/controller/src/leadership/campaign.rs
@@ -18,11 +18,11 @@
 }
 
 impl WatermarkCompleteness {
-    /// Derives the state of the watermarks from `keys`, the keys below `lead/`.
+    /// Derives the completeness of the watermarks from `keys`, the keys below `lead/`.
     ///
-    /// A leader that did not receive the response to its election reads them after the election.
-    /// The result is the same: the election marked the watermarks of its own term as complete only
-    /// if those of all earlier terms were.
+    /// A leader that did not receive the response to its election reads the keys after the
+    /// election. The result is the same as before it: the election marked the watermarks of its own
+    /// term as complete only if those of all earlier terms were.
     pub fn read(keys: &[KeyValue]) -> Self {
         let value = |key: &str| keys.iter().find(|pair| pair.key == key).map(|pair| &pair.value);
         match (value(LEADER_TERM_KEY), value(COMPLETE_WATERMARKS_KEY)) {
--- a/crates/controller/src/leadership/election.rs
+++ b/crates/controller/src/leadership/election.rs
@@ -148,7 +148,7 @@
     }
 
     /// Publishes that there is no leader. The view keeps the name of the previous leader, which is
-    /// the best guess where to send requests.
+    /// the best guess of where to send requests.
     fn publish_no_leader(&self) {
         self.config.view.send_if_modified(|view| view.leader_term.take().is_some());
     }
--- a/crates/controller/src/leadership/term.rs
+++ b/crates/controller/src/leadership/term.rs
@@ -20,8 +20,8 @@
 /// What this controller knows about the current leader.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LeadershipView {
-    /// The name of the last known leader, which may have lost its term since; `None` before the
-    /// first and after the end of a term of this controller.
+    /// The name of the last known leader, which may have lost its term since. `None` if no leader
+    /// has been found since this process started, or since the last term that it led.
     pub leader: Option<String>,
     /// The leader's term; `None` while the store has no leader record.
     pub leader_term: Option<u64>,
--- a/crates/controller/src/shard_lease/lessee.rs
+++ b/crates/controller/src/shard_lease/lessee.rs
@@ -97,8 +97,9 @@
         }
     }
 
-    /// Leases the leader's own shard to itself for `length`. The caller ensures that this
-    /// controller leads `term` and that its leadership lease holds at `now`.
+    /// Leases the leader's own shard, which is in `zones`, to this controller for `length`. The
+    /// caller ensures that this controller leads `term` and that its leadership lease holds at
+    /// `now`.
     pub fn lease_own_shard(
         &mut self,
         term: u64,
@@ -111,7 +112,8 @@
         self.shard = Some(LeasedShard { term, zones, expires_at: earliest_expiry(now, length) });
     }
 
-    /// Drops the shard lease of an earlier term, because this controller was elected for `term`.
+    /// Drops the shard lease of an earlier term, because this controller was elected for `term`. An
+    /// expired lease of `term` replaces it, so that late responses of earlier leaders are ignored.
     pub fn leadership_won(&mut self, term: u64) {
         self.shard = Some(LeasedShard { term, zones: vec![], expires_at: MonotonicTime::ZERO });
         self.acknowledged = None;
--- a/crates/controller/src/shard_lease/lessor.rs
+++ b/crates/controller/src/shard_lease/lessor.rs
@@ -2,14 +2,14 @@
 //! may have extended worker leases.
 
 use super::messages::{ShardLease, ShardLeaseRenewal};
-use crate::clock_drift::{latest_expiry, latest_time_ago};
+use crate::clock_drift::{latest_event_time, latest_expiry};
 use crate::settings::PeerController;
 use hookway_time::{MonotonicTime, whole_millis};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Stands for the zone of a worker that has not sent a heartbeat to this leader, so that its zone
-/// is not known.
+/// Stands for the zone of a worker that has sent no heartbeat to this leader, which therefore
+/// doesn't know the zone.
 pub const UNKNOWN_ZONE: &str = "";
 
 /// What the leader knows about the shard leases of another controller. All times are readings of
@@ -32,7 +32,7 @@
 impl LesseeState {
     /// Creates the state of a controller that may have a shard lease of an earlier leader until
     /// `lease_expires_at`.
-    fn of_earlier_term(zone: String, lease_expires_at: MonotonicTime) -> Self {
+    fn with_lease_of_earlier_term(zone: String, lease_expires_at: MonotonicTime) -> Self {
         Self { zone, lease_expires_at, ..Self::default() }
     }
 
@@ -42,9 +42,9 @@
         self.lease_expires_at > self.extensions_known_until
     }
 
-    /// Applies the report in a renewal. Returns whether the renewal is proven to come from the
-    /// running process, after that process dropped the leases of earlier terms. Only then may a
-    /// lease be granted.
+    /// Applies the report in a renewal. Returns whether the renewal proves that the running process
+    /// sent it, after that process dropped the leases of earlier terms. Only then may a lease be
+    /// granted.
     fn apply_renewal(
         &mut self,
         renewal: &ShardLeaseRenewal,
@@ -70,14 +70,14 @@
             return false;
         }
         if let Some(age_ms) = renewal.extended_ago_ms {
-            let extended_at = latest_time_ago(now, Duration::from_millis(age_ms));
+            let extended_at = latest_event_time(now, Duration::from_millis(age_ms));
             self.last_extension_at = self.last_extension_at.max(extended_at);
         }
         if is_other_process {
             // This process has dropped the leases of other terms. The previous process of this
             // controller had ended when this one started, so it extended no worker lease
             // afterwards.
-            let started_at = latest_time_ago(now, Duration::from_millis(renewal.uptime_ms));
+            let started_at = latest_event_time(now, Duration::from_millis(renewal.uptime_ms));
             self.last_extension_at =
                 self.last_extension_at.max(self.lease_expires_at.min(started_at));
             self.process_nonce = Some(renewal.process_nonce);
@@ -111,7 +111,8 @@
     ) -> Self {
         let expires_at = latest_expiry(elected_at, lease_length);
         let lessee = |controller: &PeerController| {
-            let state = LesseeState::of_earlier_term(controller.zone.clone(), expires_at);
+            let state =
+                LesseeState::with_lease_of_earlier_term(controller.zone.clone(), expires_at);
             (controller.name.clone(), state)
         };
         Self {
@@ -121,9 +122,9 @@
         }
     }
 
-    /// Responds to a renewal; `None` if it comes from an unknown controller. The response grants a
-    /// lease only if its length is not zero. `lease_length` must not exceed the length that this
-    /// record was created with.
+    /// Responds to a renewal; `None` if it comes from an unknown controller. A response whose
+    /// `lease_ms` is 0 grants no lease. `lease_length`, the length of a lease granted at `now`, must
+    /// not exceed the length that this record was created with; if it is 0, no lease is granted.
     pub fn respond_to_renewal(
         &mut self,
         term: u64,
--- a/crates/controller/src/shard_lease/mod.rs
+++ b/crates/controller/src/shard_lease/mod.rs
@@ -2,9 +2,10 @@
 //! cannot.
 //!
 //! The shard of a zone consists of all machines in the zone. The leader leases it to a controller
-//! in that zone, the lessee. While the leader is reachable, the lessee redirects workers to it. The
-//! leader can become unreachable because the zone is partitioned, or because it has no leadership
-//! lease while the store is unavailable. After a timeout, the lessee then answers the heartbeats of
+//! in that zone, the lessee; the shards of its own zone and of zones without a controller it leases
+//! to itself. While the leader is reachable, the lessee redirects workers to it. The leader can
+//! become unreachable because the zone is partitioned, or because its leadership lease has expired
+//! while the store is unavailable. After a timeout, the lessee then answers the heartbeats of
 //! the workers of its shard itself, with the higher one of the fencing token that the worker
 //! reports and that of the term of the shard lease. This extends the worker leases, so that tasks
 //! continue. The lessee starts no task and stops only tasks of durably finished jobs. It no longer
--- a/crates/controller/src/standby.rs
+++ b/crates/controller/src/standby.rs
@@ -44,8 +44,8 @@
     /// The state machine of a failover. It is used in both modes.
     promotion: Promotion,
     signals: StandbySignals,
-    /// The other controller that this one followed last. `None` before the first one, and after a
-    /// term of this controller until another controller leads.
+    /// The other controller that this one followed last. `None` until this controller first follows
+    /// another one, and again from the end of each term of its own.
     followed_leader: Option<FollowedLeader>,
 }
 
@@ -154,8 +154,8 @@
         self.advance(FailoverEvent::RecordsRead { term }, now) == Some(FailoverAction::Lead)
     }
 
-    /// Whether the failover has reached the step in which this controller may decide as the leader
-    /// of `term`. This does not check the leadership lease.
+    /// Whether the failover has reached the phase in which this controller may decide as the leader
+    /// of `term`. Does not check the leadership lease.
     pub fn may_decide(&self, term: u64) -> bool {
         self.promotion.may_dispatch(term)
     }
@@ -191,7 +191,7 @@
         self.follower.usable_copy(term, now)
     }
 
-    /// Returns the copy, for the leader of any later term.
+    /// Returns the copy if this controller could use it as the leader of a later term.
     fn usable_copy(&self, now: MonotonicTime) -> Result<&ReplicatedState, UnusableCopy> {
         self.copy(u64::MAX, now)
     }
