--- a/crates/controller/src/concurrency_limiter.rs
+++ b/crates/controller/src/concurrency_limiter.rs
@@ -6,7 +6,7 @@
 
 /// The limit is multiplied by this factor after each slow response.
 const DECREASE_FACTOR: f64 = 0.95;
-/// The limit grows by this many requests over as many fast responses as the limit itself.
+/// Growth of the limit, in requests, over a number of fast responses equal to the limit.
 const ADDITIVE_INCREASE: f64 = 1.0;
 
 /// Limits the number of requests in progress by their latency: additive increase after fast
@@ -45,8 +45,8 @@
         Some(Permit(self))
     }
 
-    /// Adapts the limit to the latency of a completed request. It is slow if the latency exceeds
-    /// `CONCURRENCY_LATENCY_TARGET`.
+    /// Adapts the limit to the latency of a completed request, whose response counts as slow if the
+    /// latency exceeds `CONCURRENCY_LATENCY_TARGET`.
     pub fn record_latency(&self, latency: Duration) {
         let Ok(mut state) = self.state.lock() else { return };
         let adapted = if latency > constants::CONCURRENCY_LATENCY_TARGET {
--- a/crates/controller/src/connection_table.rs
+++ b/crates/controller/src/connection_table.rs
@@ -1,8 +1,8 @@
 //! The inbound connections of a controller, whose number is limited by the sockets of its machine.
 //!
 //! Each worker keeps a connection to the leader open, users keep theirs open, and a network
-//! partition leaves connections whose peer can no longer be reached. When the table is full, the
-//! connections that have been idle longest are closed; a worker or user opens a new one when
+//! partition leaves connections whose other end can't be reached any more. When the table is full,
+//! the connections that have been idle longest are closed; a worker or user opens a new one when
 //! needed. The remaining sockets are for the store, the cloud, the other controllers and direct
 //! dispatch to workers.
 
@@ -78,7 +78,7 @@
                 OpenConnection { last_traffic: last_traffic.clone(), ctrl: ctrl.clone() };
             open.insert(id, connection);
         }
-        Some(Arc::new(ConnectionActivity { id, table: self.table.clone(), last_traffic }))
+        Some(Arc::new(TrafficObserver { id, table: self.table.clone(), last_traffic }))
     }
 }
 
@@ -143,19 +143,19 @@
 
 /// Observes the traffic of a connection. It is dropped together with the stream of the connection,
 /// and then removes the connection from the table.
-struct ConnectionActivity {
+struct TrafficObserver {
     id: u64,
     table: Arc<Connections>,
     last_traffic: Arc<TrafficTime>,
 }
 
-impl ConnectionActivity {
+impl TrafficObserver {
     fn record_traffic(&self) {
         self.last_traffic.set(self.table.now());
     }
 }
 
-impl ConnObserver for ConnectionActivity {
+impl ConnObserver for TrafficObserver {
     fn on_read(&self, _: usize) {
         self.record_traffic();
     }
@@ -165,7 +165,7 @@
     }
 }
 
-impl Drop for ConnectionActivity {
+impl Drop for TrafficObserver {
     fn drop(&mut self) {
         self.table.held_sockets.fetch_sub(1, Ordering::Relaxed);
         if let Ok(mut open) = self.table.open.lock() {
--- a/crates/controller/src/connection_table/tests.rs
+++ b/crates/controller/src/connection_table/tests.rs
@@ -10,8 +10,8 @@
     }
 }
 
-/// While connections to partitioned peers fill the table, the controller must neither run out of
-/// sockets nor refuse users.
+/// While connections whose other end is partitioned fill the table, the controller must neither run
+/// out of sockets nor refuse users.
 #[tokio::test]
 async fn full_connection_table_closes_only_longest_idle_connection() {
     let connections = ConnectionTable::new(4, Duration::from_secs(20));
--- a/crates/controller/src/final_state_cache.rs
+++ b/crates/controller/src/final_state_cache.rs
@@ -27,7 +27,8 @@
         self.entries.lock().ok()?.statuses.get(job).cloned()
     }
 
-    /// Whether a job is known to have finished. A finished job may have been evicted.
+    /// Whether the final state of a job is cached. A finished job may lack an entry, because it was
+    /// evicted or never inserted.
     pub fn contains(&self, job: &JobId) -> bool {
         self.entries.lock().is_ok_and(|entries| entries.statuses.contains_key(job))
     }
--- a/crates/controller/src/http.rs
+++ b/crates/controller/src/http.rs
@@ -161,7 +161,7 @@
     }
 }
 
-/// Parses the heartbeat in the body of a request. The error says why the body is not one.
+/// Reads the heartbeat from the body of a request. The error says why the body has no valid one.
 async fn read_heartbeat(req: &mut Request) -> Result<Heartbeat, String> {
     let body = req
         .payload_with_max_size(constants::MAX_REQUEST_BODY_BYTES)
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -3,8 +3,10 @@
 //! [`ClusterState`] is the leader's model of jobs and machines. It does no I/O and reads no clock,
 //! so a test can apply any sequence of events to it. The actors and services of a controller
 //! surround it: the election of the leader (`leadership`), the actor that owns the cluster state
-//! while the controller leads (`actor`), the API for users and workers (`api`, `http`) and the
-//! protocol between controllers (`peers`, `leader_sync`).
+//! while the controller leads (`actor`), the API for users and workers (`api`, `http`), the
+//! protocol between controllers (`peers`, `leader_sync`), the standby's copy of the leader's state
+//! (`standby`), and the leases of controllers that answer workers while the leader is unreachable
+//! (`shard_lease`).
 
 pub mod actor;
 pub mod api;
--- a/crates/controller/src/records/scheduling.rs
+++ b/crates/controller/src/records/scheduling.rs
@@ -41,8 +41,7 @@
     /// Whether all jobs of the class may run on spot machines.
     #[serde(rename = "loaners")]
     pub allows_spot: bool,
-    /// Whether the first job of the class was a gang, by which the whole class counts as one of
-    /// gangs.
+    /// Whether the first job of the class was a gang. If so, the class counts as one of gangs.
     #[serde(rename = "gangs")]
     pub is_gang_class: bool,
 }
--- a/crates/controller/src/shard_lease/lessor.rs
+++ b/crates/controller/src/shard_lease/lessor.rs
@@ -123,8 +123,9 @@
     }
 
     /// Responds to a renewal; `None` if it comes from an unknown controller. A response whose
-    /// `lease_ms` is 0 grants no lease. `lease_length`, the length of a lease granted at `now`, must
-    /// not exceed the length that this record was created with; if it is 0, no lease is granted.
+    /// `lease_ms` is 0 grants no lease. `lease_length`, the length of a lease granted at `now`,
+    /// must not exceed the length that this record was created with; if it is 0, no lease is
+    /// granted.
     pub fn respond_to_renewal(
         &mut self,
         term: u64,
