--- a/crates/controller/src/actor/store_io.rs
+++ b/crates/controller/src/actor/store_io.rs
@@ -56,7 +56,7 @@
 /// The records that a new leader needs.
 struct RecordsAtRevision {
     records: LoadedRecords,
-    /// The revision of the store at which the jobs were read. Jobs accepted later may be missing.
+    /// The revision of the store at which the jobs were read. Later jobs are not in `records`.
     revision: u64,
 }
 
