--- a/crates/controller/src/leadership/election.rs
+++ b/crates/controller/src/leadership/election.rs
@@ -269,9 +269,9 @@
             leader_term: Some(term),
             own_term: Some(leader_term),
         });
-        let first_extension =
+        let first_extension_delay =
             expires_at.map_or(Duration::ZERO, |_| constants::LEADER_EXTEND_INTERVAL);
-        let end = self.extend_until_lost(term, lease_id, first_extension).await;
+        let end = self.extend_until_lost(term, lease_id, first_extension_delay).await;
         self.config.lease.revoke(term);
         tracing::info!(term, reason = ?end, "leadership lost");
         self.publish(LeadershipView::default());
