--- a/crates/controller/src/leadership/term.rs
+++ b/crates/controller/src/leadership/term.rs
@@ -14,14 +14,14 @@
     /// The id, in the store, of the lease that the leader key is attached to.
     pub lease_id: u64,
     /// Whether the start watermarks of earlier terms were complete when this term began.
-    pub stored_watermarks: WatermarkCompleteness,
+    pub watermark_completeness: WatermarkCompleteness,
 }
 
 /// What this controller knows about the current leader.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LeadershipView {
-    /// The name of the last known leader, which may have lost its term since; `None` before the
-    /// first and after the end of a term of this controller.
+    /// The name of the last known leader, which may have lost its term since. `None` if no leader
+    /// has been found since this process started, or since the last term that it led.
     pub leader: Option<String>,
     /// The leader's term; `None` while the store has no leader record.
     pub leader_term: Option<u64>,
