--- a/crates/controller/tests/simulated_days.rs
+++ b/crates/controller/tests/simulated_days.rs
@@ -26,7 +26,7 @@
     simulation.counts
 }
 
-/// The seeds from 0 to `default_count`, or those in `HOOKWAY_MODEL_SEEDS`. To run more seeds:
+/// The seeds `0..default_count`, or those in `HOOKWAY_MODEL_SEEDS`. To run more seeds:
 /// `HOOKWAY_MODEL_SEEDS=2000..3000 cargo test --release --test simulated_days`.
 fn seeds(default_count: u64) -> std::ops::Range<u64> {
     seeds_or(0..default_count)
@@ -47,8 +47,8 @@
     days.iter().fold(EventCounts::default(), EventCounts::plus)
 }
 
-/// Cancellations are confirmed by another controller while the store refuses the leader. Still no task of a cancelled
-/// job may run beyond the cancellation limit (`check_cancelled_jobs`).
+/// Cancellations are confirmed by another controller while the store refuses the leader. Even so, no task of a
+/// cancelled job may run beyond the cancellation limit (`check_cancelled_jobs`).
 #[test]
 fn tasks_cancelled_while_leader_is_refused_are_removed_within_limit() {
     let totals = run_scenario_days(FaultScenario::LeaderRefused, 24);
@@ -56,7 +56,7 @@
     assert!(totals.cancelled_without_leader > 40 && totals.lessee_extensions > 100, "{totals:?}");
     assert!(
         totals.stopped_by_lessees > 40,
-        "the old leader stops tasks as a shard lessee: {totals:?}"
+        "the previous leader stops tasks as a shard lessee: {totals:?}"
     );
 }
 
@@ -149,7 +149,7 @@
 }
 
 /// A replica of a daemon that must spread moves away from a machine that is drained because it is slow. The failure:
-/// the resources for the replica are free after 3.5 s but stay reserved for another 4 s, which is longer than a replica
+/// the resources for the replica are free after 3.5 s but stay reserved for another 4 s, in total longer than a replica
 /// may take to move.
 #[test]
 fn replica_moves_from_slow_machine_within_limit_amid_election_faults() {
@@ -157,8 +157,8 @@
 }
 
 /// A daemon that must spread gets resources in a zone with a single machine. The failure: replicas of two other daemons
-/// fill that machine, and the simulated cloud creates no other one, since seven of its eight machines are in the other
-/// zone.
+/// fill that machine, and the simulated cloud creates no other one: it has at most eight machines, and seven of them are
+/// in the other zone.
 #[test]
 fn spread_daemon_gets_resources_in_zone_with_one_machine() {
     run_day(2915, Simulation::new(2915));
--- a/crates/controller/tests/simulation/elections.rs
+++ b/crates/controller/tests/simulation/elections.rs
@@ -17,10 +17,10 @@
 use rand::RngExt;
 use std::collections::BTreeSet;
 
-/// Id of the leadership lease. `Simulation::expire_store_leases` expires it, not the `MemoryStore`.
+/// Id of the leadership lease. `Simulation::step_store` expires it, not the `MemoryStore`.
 const LEADERSHIP_LEASE: u64 = 1;
 
-/// State of the election faults.
+/// Election faults that are still to be injected.
 #[derive(Debug, Default)]
 pub(super) struct ElectionFaults {
     /// The next kill, if one is scheduled.
@@ -37,7 +37,7 @@
 
 impl Simulation {
     /// Creates a day on which responses to elections are lost, and every new leader is killed soon, alone or with all
-    /// other controllers. The store refuses all writes of about every second one, so that none of them is durable.
+    /// other controllers. After the election, the store refuses all writes of about half of these leaders.
     pub fn with_election_faults(seed: u64) -> Self {
         let mut simulation = Self::new(seed);
         simulation.election_faults = Some(ElectionFaults::default());
@@ -124,8 +124,8 @@
         value(LEADER_TERM_KEY) == value(LEGACY_COMPLETE_WATERMARKS_KEY)
     }
 
-    /// Returns what the winner of an election knows about the start watermarks of earlier terms. The response to the
-    /// election may be lost; a controller of the new version then reads the markers afterwards.
+    /// Returns what the winner of an election knows about the start watermarks of earlier terms. If the response to the
+    /// election is lost, a controller of the new version reads the markers again after the election.
     fn known_watermarks(
         &mut self,
         n: usize,
@@ -149,8 +149,8 @@
         known
     }
 
-    /// Schedules the kill of a new leader, on days with election faults. The store refuses all writes of about every
-    /// second leader until then.
+    /// Schedules the kill of a new leader, on days with election faults. Until then, the store refuses all further
+    /// writes of about half of these leaders, so that none of them is durable.
     fn schedule_term_end(&mut self, n: usize) {
         if self.election_faults.is_none() || !self.chance(1_000) {
             return;
--- a/crates/controller/tests/simulation/messages.rs
+++ b/crates/controller/tests/simulation/messages.rs
@@ -51,14 +51,14 @@
 pub(super) enum HeartbeatReply {
     /// From the leader or a shard lessee: extends the worker's lease.
     Response(HeartbeatResponse),
-    /// To the controller that leads, if it is known and reachable.
+    /// To the leader, if it is known and reachable.
     Redirect(Option<usize>),
     /// From a controller that leads or led, but has no response to this heartbeat.
     Unavailable,
 }
 
 impl Simulation {
-    /// Delivers a message. It is lost if its receiver, a controller, is down.
+    /// Delivers a message. A message to a controller is lost while the controller is down.
     #[expect(clippy::too_many_lines, reason = "one short arm for each kind of message")]
     pub(super) fn deliver(&mut self, message: Message) {
         let now = self.now;
--- a/crates/controller/tests/simulation/mod.rs
+++ b/crates/controller/tests/simulation/mod.rs
@@ -1,8 +1,8 @@
 //! A deterministic simulation of a cluster: controllers, machines, users, the store, the cloud and the network between
 //! them, on a simulated clock with an event queue. All random choices come from one seed.
 //!
-//! Fault injection: Messages are delayed, lost, duplicated and reordered. Controllers are killed, frozen, or
-//! partitioned from the store, from one another or from workers; the store refuses single controllers. The store has
+//! Injected faults: messages are delayed, lost, duplicated and reordered. Controllers are killed, frozen, or partitioned
+//! from the store, from one another or from workers. The store refuses the requests of individual controllers, and has
 //! outages, after which its leases get their full duration again. Zones and machines are partitioned; machines hang,
 //! lose one direction of their network, or fail with all of their tasks.
 //!
@@ -47,8 +47,8 @@
 const UPGRADE_INTERVAL: Duration = Duration::from_millis(10_000);
 /// Time at which every replica of every daemon must have been running recently.
 pub const REPLICAS_CHECKED_AT: MonotonicTime = MonotonicTime::from_millis(200_000 + 60_000);
-/// Time at which every job must have finished. A team at its quota of four tasks may have a dozen tasks of 90 s
-/// queued.
+/// Time by which every job must have finished. Long after the faults, since a team at its quota of four tasks may have
+/// a dozen tasks of 90 s queued.
 pub const END_AT: MonotonicTime = MonotonicTime::from_millis(1_200_000);
 /// Simulated time between two steps.
 const STEP_LENGTH: Duration = Duration::from_millis(100);
@@ -135,7 +135,7 @@
             outage_until: MonotonicTime::ZERO,
             zone_partitioned_until: [MonotonicTime::ZERO; ZONES.len()],
             controllers,
-            machines: (1..=6).map(|n| Machine::new(n, MonotonicTime::ZERO)).collect(),
+            machines: (1..=6).map(|number| Machine::new(number, MonotonicTime::ZERO)).collect(),
             event_queue: BTreeMap::new(),
             messages_scheduled: 0,
             scenario: None,
@@ -151,8 +151,8 @@
         }
     }
 
-    /// Creates a day on which all controllers have the new version, and so follow the leader, from the beginning, most
-    /// jobs are gangs, and leaders often fail while a gang is partially placed.
+    /// Creates a day on which most jobs are gangs, and leaders often fail while a gang is partially placed. All
+    /// controllers have the new version from the beginning, so that they follow the leader.
     pub fn with_standbys(seed: u64) -> Self {
         let mut simulation = Self::new(seed);
         simulation.controllers = (0..CONTROLLERS.len())
@@ -168,7 +168,8 @@
         Self { has_one_way_partitions: true, ..Self::with_standbys(seed) }
     }
 
-    /// Creates a day with one scenario of concurrent faults and no other fault of controllers or zones.
+    /// Creates a day with one scenario of concurrent faults and no other fault of controllers or zones. All
+    /// controllers keep the old version.
     pub fn with_scenario(kind: FaultScenario, seed: u64) -> Self {
         let mut simulation = Self::new(seed);
         let starts_at = MonotonicTime::ZERO + simulation.random_duration(45_000, 60_000);
@@ -181,13 +182,14 @@
         simulation
     }
 
-    /// Whether the job's tasks run for longer than the cancellation limit.
+    /// Whether the tasks of a job run for longer than the cancellation limit. `id` is the job's id or number, which end
+    /// with the same digit.
     fn is_long_running(&self, id: &str) -> bool {
         self.scenario.is_some()
             || id.bytes().next_back().is_some_and(|digit| digit == b'3' || digit == b'8')
     }
 
-    /// Whether an event of this probability, per mille, occurs. Never after the end of the faults.
+    /// Returns `true` with this probability (per mille), and always `false` from [`FAULTS_END_AT`].
     fn chance(&mut self, per_mille: u32) -> bool {
         self.now < FAULTS_END_AT && self.rng.random_range(0..1000) < per_mille
     }
@@ -207,8 +209,8 @@
         self.now.as_millis().is_multiple_of(whole_millis(span))
     }
 
-    /// Expires the leadership lease, except during an outage of the store, and begins random outages.
-    fn expire_store_leases(&mut self) {
+    /// Runs one step of the store: expires the leadership lease, except during an outage, and may begin an outage.
+    fn step_store(&mut self) {
         let now = self.now;
         if now < self.outage_until {
             return;
@@ -242,7 +244,7 @@
         while self.now < END_AT && !self.is_finished() {
             self.now += STEP_LENGTH;
             self.inject_faults();
-            self.expire_store_leases();
+            self.step_store();
             self.submit_random_job();
             while let Some(entry) = self.event_queue.first_entry()
                 && entry.key().0 <= self.now
--- a/crates/controller/tests/simulation/scenarios.rs
+++ b/crates/controller/tests/simulation/scenarios.rs
@@ -10,13 +10,14 @@
 /// Length of the other faults of a scenario: they outlast the outage.
 const PARTITION_LENGTH: Duration = Duration::from_millis(100_000);
 
-/// A combination of concurrent faults.
+/// A combination of concurrent faults. In each one, the store becomes unavailable to all controllers a few seconds after
+/// the first faults, for longer than the cancellation limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultScenario {
-    /// The store refuses the leader alone, and another controller confirms cancellations. Then the store is unavailable
-    /// to all for longer than `cancel_s`, while workers send heartbeats to the old leader.
+    /// The store refuses the leader alone, and another controller confirms cancellations. During the store's outage,
+    /// workers send heartbeats to the previous leader.
     LeaderRefused,
-    /// As `LeaderRefused`, and the old leader can't reach the other controllers either, so it is not told of the
+    /// As `LeaderRefused`, and the previous leader can't reach the other controllers either, so it is not told of the
     /// cancellations.
     LeaderIsolated,
     /// The leader's zone is partitioned; controllers of the other zone can't reach its workers.
@@ -87,7 +88,8 @@
         }
     }
 
-    /// Cancels every job, at the controller that the scenario requires, between its start and the store's outage.
+    /// Cancels every job between the start of the scenario and the store's outage: in `OnlyLesseeReachable` at the
+    /// leader, in the other scenarios at a random controller once that leader has lost its leadership.
     pub(super) fn cancel_in_scenario(&mut self) {
         let now = self.now;
         let Some(scenario) = self.scenario.as_ref().filter(|scenario| {
