--- a/crates/controller/tests/simulation/commits.rs
+++ b/crates/controller/tests/simulation/commits.rs
@@ -43,7 +43,8 @@
                 Some(leader) if not_applied => {
                     leader.cluster.apply_commit_outcome(*commit, CommitResult::NotApplied, now);
                 }
-                // Delayed in the network: the transaction may be applied after the partition has healed.
+                // Delayed in the network, or its sender no longer leads the term: the transaction may be applied after
+                // the partition has healed.
                 _ => {
                     let at = now + self.random_duration(1_200, 40_000);
                     self.schedule(at, Message::DelayedTransaction(commit.transaction.clone()));
--- a/crates/controller/tests/simulation/controllers.rs
+++ b/crates/controller/tests/simulation/controllers.rs
@@ -1,4 +1,4 @@
-//! Controllers: their processes, leadership leases, elections and the rounds of a leader.
+//! Controllers: their processes, leadership leases and campaigns, and the steps of a leader.
 
 use super::{CONTROLLERS, Message, Simulation, ms};
 use crate::simulation::machines::Machine;
@@ -71,9 +71,11 @@
 /// The software version of a controller's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Version {
-    /// Writes records up to the store's current value limit.
+    /// Stays within the store's current limits, does not follow the leader, and writes only the older marker of complete
+    /// start watermarks.
     Old,
-    /// Stays within the limits that the store will have later.
+    /// Stays within the limits that the store will have later, follows a leader of the same version, and supports
+    /// daemons.
     New,
 }
 
@@ -92,7 +94,8 @@
 }
 
 impl Controller {
-    pub fn new(n: usize, version: Version, nonce: u64, now: MonotonicTime) -> Self {
+    /// Creates a process that starts at `starts_at` and is down until then.
+    pub fn new(n: usize, version: Version, nonce: u64, starts_at: MonotonicTime) -> Self {
         let peers = CONTROLLERS.iter().enumerate().filter(|(other, _)| *other != n);
         let limits = if version == Version::New { NEXT_LIMITS } else { "" };
         let settings = format!("{PLATFORM_SETTINGS}{limits}");
@@ -110,7 +113,7 @@
             follower: Follower::new(CONTROLLERS[n].0),
             responses_lost_until: MonotonicTime::ZERO,
             nonce,
-            started_at: now,
+            started_at: starts_at,
             leader: None,
             observed_leader: None,
             finished_jobs: BTreeSet::new(),
@@ -120,7 +123,7 @@
             peers_unreachable_until: MonotonicTime::ZERO,
             workers_unreachable_until: MonotonicTime::ZERO,
             frozen_until: MonotonicTime::ZERO,
-            down_until: now,
+            down_until: starts_at,
             no_campaign_until: MonotonicTime::ZERO,
             stepped_down_at: None,
             store_outage_at: None,
@@ -171,8 +174,8 @@
         self.restart_with_version(n, self.controllers[n].version);
     }
 
-    /// Kills a controller's process, and restarts it after a random delay in this version. Partitions of the controller
-    /// outlast its process.
+    /// Kills a controller's process, and restarts it after a random delay in this version. Partitions of the controller,
+    /// except one-way ones, outlast its process.
     pub(super) fn restart_with_version(&mut self, n: usize, version: Version) {
         let nonce = self.rng.random();
         let restart_delay = match self.rng.random_range(0..2) {
@@ -254,7 +257,7 @@
             return;
         }
         match &self.leadership {
-            // Its own earlier process still holds the leadership lease: revokes it.
+            // An earlier process of this controller still holds the leadership lease.
             Some(leadership) if leadership.controller == n => self.revoke_leadership(),
             Some(leadership) => {
                 self.controllers[n].observed_leader = Some(leadership.controller);
@@ -285,7 +288,7 @@
         self.machines.iter().filter(is_listed).map(listed).collect()
     }
 
-    /// Runs one step of a leader. Returns `false` if it steps down.
+    /// Runs one step of a leader. Returns `false` if it steps down or has lost its leadership.
     fn step_leader(&mut self, n: usize, leader: &mut Leader) -> bool {
         let now = self.now;
         if now >= leader.valid_until {
--- a/crates/controller/tests/simulation/standbys.rs
+++ b/crates/controller/tests/simulation/standbys.rs
@@ -61,8 +61,8 @@
         if !response_delivered || controller.leader.is_some() {
             return;
         }
-        let refused = controller.follower.apply_response(response, now).is_err();
-        self.counts.rejected_follow_responses += usize::from(refused);
+        let rejected = controller.follower.apply_response(response, now).is_err();
+        self.counts.rejected_follow_responses += usize::from(rejected);
     }
 
     /// May inject a one-way partition: a controller's requests reach the others, but their responses don't reach it.
--- a/crates/controller/tests/simulation/users.rs
+++ b/crates/controller/tests/simulation/users.rs
@@ -6,8 +6,8 @@
 use hookway_wire::{JobId, JobSpec, JobState, Operation, Precondition, Transaction};
 use rand::RngExt;
 
-/// Maximum number of replicas per daemon, and of daemons. All replicas together fit the smaller zone, whatever zone
-/// constraints other jobs have.
+/// Maximum number of replicas per daemon, and of daemons. The replicas of all daemons fit into one zone of the first six
+/// machines, so that they can run whatever their zone constraints are.
 const MAX_REPLICAS: u64 = 2;
 const MAX_DAEMONS: usize = 4;
 
@@ -52,8 +52,8 @@
         let all_upgraded =
             self.controllers.iter().all(|controller| controller.version == Version::New);
         let daemons = self.jobs.iter().filter(|spec| spec.is_daemon()).count();
-        let fits = all_upgraded && !gang && team == "team" && daemons < MAX_DAEMONS;
-        let daemon = fits && self.rng.random_range(0..2) == 0;
+        let may_be_daemon = all_upgraded && !gang && team == "team" && daemons < MAX_DAEMONS;
+        let daemon = may_be_daemon && self.rng.random_range(0..2) == 0;
         let (kind, priority) = match (gang, daemon) {
             (true, _) => ("group", "normal"),
             (_, true) => ("daemon", "production"),
@@ -85,7 +85,7 @@
         let value = serde_json::to_value(record).expect("a job record that serializes");
         let key = job_key(&spec.id);
         self.store.put(&key, value);
-        // The job counts as accepted even if the response is lost: the user then submits it again and finds it.
+        // The job counts as accepted even if the response is lost: the user then submits it again and finds it accepted.
         self.reported.entry(spec.id.clone()).or_default().accepted = true;
         self.jobs.push(spec);
     }
@@ -197,7 +197,8 @@
         serde_json::from_value(kv.value["state"].clone()).ok().map(ObservedState::State)
     }
 
-    /// Cancels a job at a controller: at the leader if that is reachable, otherwise in the store if nobody leads.
+    /// Requests the cancellation of a job at controller `n`. It passes the request to the leader if that is reachable;
+    /// otherwise it writes the final state itself, on the precondition that nobody leads.
     pub(super) fn cancel_at(&mut self, n: usize, id: &JobId) {
         if !self.controllers[n].is_responsive(self.now)
             || self.controllers[n].finished_jobs.contains(id)
@@ -211,7 +212,6 @@
             }
             return;
         }
-        // No leader is reachable: the transaction has the precondition that nobody leads.
         if !self.can_reach_store(n) || self.store.get(&job_key(id)).is_none() {
             return;
         }
