--- a/crates/controller/tests/simulation/dispatch.rs
+++ b/crates/controller/tests/simulation/dispatch.rs
@@ -40,9 +40,9 @@
     pub(super) fn send_commands(&mut self, n: usize, leader: &mut Leader) {
         let (now, term) = (self.now, leader.term);
         let mut messages: Vec<(usize, DirectCommands, bool)> = Vec::new();
-        let index = |machine: &str| -> usize { machine[2..].parse().expect("a machine number") };
+        let number = |machine: &str| -> usize { machine[2..].parse().expect("a machine number") };
         for DirectStart { machine, commands, .. } in leader.cluster.take_direct_starts(now) {
-            messages.push((index(&machine) - 1, commands, true));
+            messages.push((number(&machine) - 1, commands, true));
         }
         let probes = leader.cluster.take_state_probes(now);
         let stops = leader.cluster.take_direct_stops(now);
@@ -92,7 +92,7 @@
             }
         }
         for StateProbeRequest { machine, .. } in probes {
-            self.send(|| Message::StateProbe(n, term, index(&machine) - 1));
+            self.send(|| Message::StateProbe(n, term, number(&machine) - 1));
             // The sender's timeout, which occurs whether or not a response arrived.
             self.schedule(
                 now + constants::WORKER_TIMEOUT,
--- a/crates/controller/tests/simulation/gangs.rs
+++ b/crates/controller/tests/simulation/gangs.rs
@@ -16,8 +16,8 @@
 const GANG_LOSS_TIMEOUT: Duration = Duration::from_millis(4_000);
 
 impl Simulation {
-    /// Kills the leader, or freezes it for longer than its lease, while a gang is partially placed. Most of
-    /// its direct dispatches in flight are lost with its connections.
+    /// May kill the leader, or freeze it, in most cases for longer than its lease, while a gang is partially placed.
+    /// Most of its direct commands in flight are lost with its connections.
     pub(super) fn fail_leader_amid_gangs(&mut self) {
         let Some(leader) = self.leadership.as_ref().map(|leadership| leadership.controller) else {
             return;
@@ -71,6 +71,7 @@
             return;
         }
         self.machines[m].worker.set_task_state(task, TaskState::FetchingImage);
+        // The bits of an attempt number above the lowest 28 (`ATTEMPT_COUNTER_BITS`) are the term that numbered it.
         let of_earlier_term =
             self.leadership.as_ref().is_some_and(|leadership| attempt >> 28 < leadership.term);
         let leads = |controller: &Controller| {
@@ -84,7 +85,7 @@
     pub(super) fn advance_gangs(&mut self, m: usize) {
         let tasks: Vec<TaskStatus> = self.machines[m].worker.tasks().to_vec();
         for status in tasks.iter().filter(|status| status.state != TaskState::Ended) {
-            let (id, _) = status.task.split_once('/').expect("a task name");
+            let (id, _) = status.task.split_once('/').expect("a task id");
             let spec =
                 self.jobs.iter().find(|spec| spec.is_gang() && spec.id.as_str() == id).cloned();
             if let Some(spec) = spec {
@@ -97,9 +98,9 @@
         let now = self.now;
         let (task, attempt) = (status.task.as_str(), status.attempt);
         let started_at = self.machines[m].task_started_at.get(task).copied().unwrap_or(now);
-        let name = |index: u32| format!("{}/{index}", spec.id);
+        let task_id = |index: u32| format!("{}/{index}", spec.id);
         let state = |index: u32| {
-            let task_state = |worker: &ScriptedWorker| worker.task_state(&name(index), attempt);
+            let task_state = |worker: &ScriptedWorker| worker.task_state(&task_id(index), attempt);
             self.machines.iter().filter(|m| !m.terminated).find_map(|m| task_state(&m.worker))
         };
         match status.state {
@@ -116,7 +117,7 @@
             }
             TaskState::Running => {
                 let lost = |index: u32| {
-                    state(index).is_none() && !self.completed_tasks.contains(&name(index))
+                    state(index).is_none() && !self.completed_tasks.contains(&task_id(index))
                 };
                 if now >= started_at + GANG_LOSS_TIMEOUT && (0..spec.tasks).any(lost) {
                     self.machines[m].worker.end_task(task, ExitCause::GangMemberLost);
@@ -157,11 +158,11 @@
     /// these tasks has run. Lost tasks count because the leader learns of a loss only later, and until then completes a
     /// gang that it has seen waiting.
     fn gang_waits_for(&self, m: usize, task: &str, attempt: u64) -> bool {
-        let (id, _) = task.split_once('/').expect("a task name");
+        let (id, _) = task.split_once('/').expect("a task id");
         if !self.jobs.iter().any(|spec| spec.is_gang() && spec.id.as_str() == id) {
             return false;
         }
-        let others = self.machines.iter().enumerate().filter(|(n, _)| *n != m);
+        let others = self.machines.iter().enumerate().filter(|(other, _)| *other != m);
         let tasks =
             others.flat_map(|(_, other)| other.worker.tasks().iter().chain(&other.discarded));
         let mut of_attempt = tasks.filter(|status| status.attempt == attempt).peekable();
--- a/crates/controller/tests/simulation/machines.rs
+++ b/crates/controller/tests/simulation/machines.rs
@@ -51,20 +51,20 @@
 }
 
 impl Machine {
-    pub fn new(n: usize, now: MonotonicTime) -> Self {
-        let name = format!("m-{n}");
+    pub fn new(number: usize, now: MonotonicTime) -> Self {
+        let name = format!("m-{number}");
         Self {
             worker: ScriptedWorker::new(
                 &name,
                 "small",
-                if n.is_multiple_of(2) { "a" } else { "b" },
+                if number.is_multiple_of(2) { "a" } else { "b" },
             ),
             name,
             created_at: now,
             lease_started_at: now,
             heartbeat_in_flight: None,
             next_heartbeat: now,
-            controller: n % CONTROLLERS.len(),
+            controller: number % CONTROLLERS.len(),
             partitioned_until: MonotonicTime::ZERO,
             partitioned_from: None,
             inbound_lost_until: MonotonicTime::ZERO,
@@ -179,8 +179,8 @@
         }
     }
 
-    /// Checks the invariants at every start since the first `before` ones: a task runs on one machine at most, and once
-    /// there.
+    /// Checks the invariants at every start on a machine after its first `before` ones: a task runs on one machine at
+    /// most, and once there, and its start violates no zone constraint and no quota.
     fn check_starts(&mut self, m: usize, before: usize) {
         let started = self.machines[m].worker.started_attempts[before..].to_vec();
         for (task, attempt) in started {
@@ -206,7 +206,7 @@
 
     /// Checks the zone constraints and the quota of a task that has just been started.
     fn check_zones_and_quota(&mut self, m: usize, task: &str) {
-        let (id, _) = task.split_once('/').expect("a task name");
+        let (id, _) = task.split_once('/').expect("a task id");
         let spec = self.jobs.iter().find(|j| j.id.as_str() == id).expect("a submitted job").clone();
         let zone = self.machines[m].worker.zone().to_owned();
         let mut live: Vec<(String, String)> = Vec::new();
@@ -219,13 +219,14 @@
         let of_job = |t: &str| t.split_once('/').is_some_and(|(j, _)| j == id);
         if spec.needs_one_zone || spec.must_spread {
             self.counts.zone_bound_starts += 1;
-            let of_job: Vec<&(String, String)> = live.iter().filter(|(t, _)| of_job(t)).collect();
-            let elsewhere = of_job.iter().any(|(_, z)| *z != zone);
+            let job_tasks: Vec<&(String, String)> =
+                live.iter().filter(|(t, _)| of_job(t)).collect();
+            let elsewhere = job_tasks.iter().any(|(_, z)| *z != zone);
             assert!(
                 !(spec.needs_one_zone && elsewhere),
                 "{task} starts in {zone}, others elsewhere"
             );
-            let in_zone = of_job.iter().filter(|(_, z)| *z == zone).count();
+            let in_zone = job_tasks.iter().filter(|(_, z)| *z == zone).count();
             let cap = spec.max_tasks_per_zone() as usize;
             assert!(
                 !spec.must_spread || in_zone <= cap,
@@ -314,7 +315,7 @@
                 return;
             }
             self.send(|| Message::Heartbeat(m, controller, heartbeat.clone()));
-            // A duplicate reaches every controller, each after its own delay.
+            // Duplicates reach all controllers, each after its own delay.
             if self.chance(20) {
                 for n in 0..CONTROLLERS.len() {
                     let at = now + self.random_duration(2_000, 60_000);
@@ -327,17 +328,14 @@
     /// Ends the tasks on a machine that fail or have run for their run time.
     fn advance_tasks(&mut self, m: usize, transient_failure: bool) {
         let now = self.now;
-        // Most tasks run for a few seconds, some for much longer than the timeouts of controllers, and all tasks of
-        // some jobs for longer than the cancellation limit.
         for task in self.machines[m].worker.unfinished_tasks() {
-            let (id, _) = task.split_once('/').expect("a task name");
+            let (id, _) = task.split_once('/').expect("a task id");
             let is_long = self.is_long_running(id);
             let machine = &mut self.machines[m];
             let started_at = machine.task_started_at.get(&task).copied().unwrap_or(now);
-            // A permanent or a transient failure.
-            let fails = always_fails(id) && now >= started_at + ms(1_000);
-            let fails_once = transient_failure && started_at + ms(2_000) == now;
-            if fails || fails_once {
+            let permanent = always_fails(id) && now >= started_at + ms(1_000);
+            let transient = transient_failure && started_at + ms(2_000) == now;
+            if permanent || transient {
                 self.counts.task_errors += 1;
                 machine.worker.end_task(&task, ExitCause::Error);
                 machine.next_heartbeat = machine.next_heartbeat.min(now + ms(100));
@@ -346,6 +344,8 @@
             // A daemon's replicas exit after a while as long as faults are injected, and run on afterwards.
             let daemon = |j: &JobSpec| j.id.as_str() == id && j.is_daemon();
             let daemon = self.jobs.iter().any(daemon);
+            // Most tasks run for a few seconds, some for much longer than the timeouts of controllers, and all tasks of
+            // some jobs for longer than the cancellation limit.
             let run_time = match task.ends_with('7') {
                 _ if daemon => REPLICA_RUN_TIME,
                 _ if is_long => ms(90_000),
@@ -358,9 +358,10 @@
             }
             machine.worker.end_task(&task, ExitCause::Done);
             machine.next_heartbeat = machine.next_heartbeat.min(now + ms(100));
-            let (id, _) = task.split_once('/').expect("a task name");
+            let (id, _) = task.split_once('/').expect("a task id");
             let gang = self.jobs.iter().find(|j| j.id.as_str() == id && j.is_gang());
             match gang {
+                // When one task of a gang is done, all of them count as completed.
                 Some(spec) => {
                     self.completed_tasks.extend((0..spec.tasks).map(|i| format!("{id}/{i}")))
                 }
