--- a/crates/controller/tests/concurrent_faults.rs
+++ b/crates/controller/tests/concurrent_faults.rs
@@ -294,7 +294,7 @@
     assert_eq!(booted.started_attempts, [], "no start before the registration is stored");
     let mut next = LeaderHarness::with_term(harness.store.clone(), 2, harness.now);
     for transaction in &without_response {
-        assert!(next.store.commit(transaction).is_err(), "commits of the deposed leader fail");
+        assert!(next.store.commit(transaction).is_err(), "commits of the previous leader fail");
     }
     // Neither listed nor registered: the machine has no task, and reconciliation does not wait for it.
     next.cluster.machines_listed(&[], next.now, next.now);
--- a/crates/controller/tests/formats_support/mod.rs
+++ b/crates/controller/tests/formats_support/mod.rs
@@ -8,9 +8,9 @@
 
 /// Formats as the build in production wrote them.
 const PRODUCTION_FIXTURES: &str = include_str!("../fixtures/production.txt");
-/// Frames that frame version 2 added, as its first build wrote them.
+/// Frames that were added in frame version 2, as the first build with that version wrote them.
 const REPLICATION_FIXTURES: &str = include_str!("../fixtures/replication.txt");
-/// Formats that the other two files do not cover, as commit cd798ce wrote them.
+/// Formats that the other two fixture files do not cover, as commit cd798ce wrote them.
 const PINNED_FIXTURES: &str = include_str!("../fixtures/pinned.txt");
 
 /// Returns the fixture `name`. Panics if there is none.
@@ -69,7 +69,8 @@
     }
 }
 
-/// Checks that the JSON of the fixture `name` is read as `value`. The value itself is written differently.
+/// Checks that the JSON of the fixture `name`, which this version would write differently, is
+/// read as `value`.
 pub fn read_only<T: DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
     let read: T = serde_json::from_str(fixture(name)).expect("a value");
     assert_eq!(&read, value, "{name} is read differently");
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -124,8 +124,8 @@
         )
     }
 
-    /// A controller that has won an election as controllers run it, after the lease of the previous leader
-    /// expired, and has read every record.
+    /// A controller that has won an election with the transaction that controllers commit, after the lease of the
+    /// previous leader expired, and has read every record.
     pub fn after_election(
         mut store: MemoryStore,
         response: ElectionResponse,
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Returns the result of a commit whose response was lost, which the leader finds by rereading its keys.
+    /// Rereads the keys of a commit whose response was lost, as the leader does. Returns the result.
     pub fn read_after_lost_response(&self, commit: &PendingCommit) -> CommitResult {
         let keys = commit.keys().into_iter();
         let reread = |key: String| RereadKey { stored: self.store.get(&key), key };
--- a/crates/controller/tests/standby_support/mod.rs
+++ b/crates/controller/tests/standby_support/mod.rs
@@ -27,8 +27,8 @@
     harness.cluster.apply_replicated_state(copy, &Networks::default(), harness.now)
 }
 
-/// Delivers the due state probes to these workers and their answers to the leader, and returns the number
-/// of probes. A machine without a worker in `workers` does not answer.
+/// Delivers the due state probes to these workers and their responses to the leader, and returns the number of probes.
+/// A machine without a worker in `workers` does not respond.
 pub fn answer_probes(harness: &mut LeaderHarness, workers: &mut [ScriptedWorker]) -> usize {
     let probes = harness.cluster.take_state_probes(harness.now);
     for probe in &probes {
