--- a/crates/controller/tests/cluster_state/commit_queue.rs
+++ b/crates/controller/tests/cluster_state/commit_queue.rs
@@ -122,7 +122,7 @@
         LoadedRecords::empty(WatermarkCompleteness::Absent),
         elected_at,
     );
-    // Thousands of machines register, and thousands of jobs finish at the same time.
+    // Thousands of machines register, and thousands of jobs are cancelled at the same time.
     for n in 0..6_000 {
         let name = format!("m-{n:06}");
         harness.cluster.handle_heartbeat(&small_worker(&name, "a").heartbeat(), at(0));
--- a/crates/controller/tests/cluster_state/direct_dispatch.rs
+++ b/crates/controller/tests/cluster_state/direct_dispatch.rs
@@ -195,7 +195,7 @@
     assert_eq!((worker.unfinished_tasks().len(), other.started_attempts.len()), (1, 0));
 }
 
-/// Whether m-1, whose worker this is, starts a task of a new job after one scheduling round.
+/// Submits another job, and returns whether `worker`, that of m-1, starts its task after one scheduling round.
 fn starts_new_task(harness: &mut LeaderHarness, worker: &mut ScriptedWorker) -> bool {
     harness.submit(JobSpec { cpus: 1.0, ..job("req-000002", "array", 1) });
     harness.advance(100);
@@ -204,7 +204,7 @@
 }
 
 /// Guards against a reachable machine that counts as unreachable and gets no task for 4 s (simulation with election
-/// faults, seed 62). Its worker had executed a direct dispatch and responded within 0.1 s. The sender's time limit
+/// faults, seed 62). Its worker had executed a direct dispatch and responded within 0.1 s. The sender's timeout
 /// expired 1.3 s later and was recorded as the outcome of the same dispatch, so the machine backed off; a
 /// relocated replica, for which capacity on it had been freed, started 4 s late.
 #[test]
@@ -225,7 +225,7 @@
     assert!(starts_new_task(&mut harness, &mut worker));
 }
 
-/// The same case with a lost response: a heartbeat shows the started task before the time limit expires.
+/// The same case with a lost response: a heartbeat shows the started task before the timeout expires.
 #[test]
 fn timeout_after_heartbeat_with_dispatched_task_does_not_back_off_machine() {
     let mut harness = LeaderHarness::start();
--- a/crates/controller/tests/cluster_state/failure_attribution.rs
+++ b/crates/controller/tests/cluster_state/failure_attribution.rs
@@ -60,8 +60,8 @@
     assert!(status.notes.iter().any(|note| note.contains("ran on none")), "{:?}", status.notes);
 }
 
-/// The opposite case: a task that failed once, on a faulty machine, restarts on another one at once, and a
-/// machine on which several jobs fail that succeed elsewhere is deleted.
+/// The opposite case: a task that failed once, on a faulty machine, restarts on another one at once; and a
+/// machine is deleted if several jobs fail on it that succeed elsewhere.
 #[test]
 fn faulty_machine_is_deleted_and_its_failed_tasks_run_elsewhere() {
     let mut harness = LeaderHarness::start();
--- a/crates/controller/tests/cluster_state/heartbeats.rs
+++ b/crates/controller/tests/cluster_state/heartbeats.rs
@@ -104,7 +104,7 @@
     assert_eq!(third.started_attempts, [], "the task may still run on m-2");
 }
 
-/// Guards against a leader that is partitioned from its workers alone and keeps the leadership lease for
+/// Guards against a leader that can reach the store but not the workers, and keeps the leadership lease for
 /// 24 s: it waited for three heartbeat intervals, although 150 heartbeats per second had been arriving.
 #[test]
 fn more_reporting_workers_shorten_isolation_detection() {
--- a/crates/controller/tests/cluster_state/leases.rs
+++ b/crates/controller/tests/cluster_state/leases.rs
@@ -187,7 +187,7 @@
     harness.submit(job("req-000002", "array", 1));
     harness.run_four_rounds(&mut [&mut reachable]);
     let last_heartbeat_at = harness.now;
-    // This response is lost; the next heartbeat shows that, as the reaped task is still in it.
+    // This response is lost; the next heartbeat shows that, as it still lists the task to be reaped.
     harness.submit(job("req-000003", "array", 1));
     worker.end_task(&task, ExitCause::Error);
     harness.now += ms(2_000);
--- a/crates/controller/tests/cluster_state/reservations.rs
+++ b/crates/controller/tests/cluster_state/reservations.rs
@@ -20,9 +20,9 @@
     (harness, workers)
 }
 
-/// Extends `full_machines` with a job that needs a whole machine and preempts the tasks on one of them.
-/// Its worker has received the stop commands; the leader has not received the results yet. Also returns
-/// the index of that machine.
+/// Extends `full_machines` with a job that needs a whole machine and preempts the tasks on one of the two.
+/// The worker there has received the stop commands; the leader has not received the results yet. Also
+/// returns the index of that worker.
 fn preempting_job(spec: JobSpec) -> (LeaderHarness, [ScriptedWorker; 2], usize) {
     let (mut harness, mut workers) = full_machines();
     harness.submit(JobSpec { cpus: 4.0, ..spec });
@@ -46,8 +46,8 @@
     let (mut harness, mut workers) = full_machines();
     harness.submit(JobSpec { cpus: 4.0, ..high_priority_job("daemon") });
     harness.advance(500);
-    // The leader has decided to stop the tasks on m-1. Then its worker rejects a task for lack of
-    // resources, so the leader sends no new task to m-1 for 3 s.
+    // The leader has decided to stop the tasks on m-1. Then the worker on m-1 rejects a task for lack of
+    // resources, so the leader sends no new task there for 3 s.
     let task = workers[0].unfinished_tasks().remove(0);
     workers[0].end_task(&task, ExitCause::InsufficientResources);
     harness.run_rounds_with_count(&mut workers, 5);
--- a/crates/controller/tests/cluster_state/support.rs
+++ b/crates/controller/tests/cluster_state/support.rs
@@ -34,7 +34,7 @@
     names
 }
 
-/// Returns workers on machines `m-<n>` for each of these numbers, all in one zone.
+/// Returns one worker for each of these numbers, on the machine `m-<n>` in `zone`.
 pub fn workers(numbers: std::ops::RangeInclusive<usize>, zone: &str) -> Vec<ScriptedWorker> {
     numbers.map(|n| small_worker(&format!("m-{n}"), zone)).collect()
 }
--- a/crates/controller/tests/cluster_state/unreachable_machines.rs
+++ b/crates/controller/tests/cluster_state/unreachable_machines.rs
@@ -78,7 +78,7 @@
         })
         .collect();
     next.cluster.machines_listed(&listed, next.now, next.now);
-    // One heartbeat of the partitioned zone still arrives: it was sent before the partition.
+    // From a zone of more than four machines one heartbeat still arrives: it was sent before the partition.
     if partitioned > 4 {
         next.heartbeat(&mut zone_b[0]);
     }
