--- a/crates/controller/tests/api/circuit_breakers.rs
+++ b/crates/controller/tests/api/circuit_breakers.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 /// A paused or partitioned controller does not respond. Requests of users that its peers forward to it must not
-/// wait for the full time limit each time.
+/// wait for the full timeout each time.
 #[tokio::test(start_paused = true)]
 async fn unresponsive_controller_trips_circuit_breaker() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -29,7 +29,7 @@
 }
 
 /// Guards against requests that fail although another controller could answer them: without a circuit breaker,
-/// a request spent its whole time limit on a store that does not respond to this controller.
+/// a request spent its whole timeout on a store that does not respond to this controller.
 #[tokio::test(start_paused = true)]
 async fn unresponsive_store_trips_circuit_breaker() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
--- a/crates/controller/tests/api/heartbeats.rs
+++ b/crates/controller/tests/api/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Responses to heartbeats by the leader, a former leader and a follower.
+//! Responses to heartbeats by a leader, by a leader whose leadership lease has expired, and by a follower.
 
 use crate::support::*;
 use hookway_controller::http::service;
@@ -10,9 +10,9 @@
 async fn heartbeat_response_is_withheld_after_lease_expiry() {
     let heartbeat = r#"{"Host":"m-1","Addr":"127.0.0.1:9","Flavor":"g8","Yard":"a","Loaners":false,
         "Tenure":1,"Tick":1,"Baton":1,"EvictionS":null,"Pieces":[]}"#;
-    let former_leader =
-        service(api_service(Role::FormerLeader, true, LeadershipView::default(), None, 2000.0));
-    let (status, _, retry) = post(&former_leader, "/checkin", heartbeat).await;
+    let expired_leader =
+        service(api_service(Role::ExpiredLeader, true, LeadershipView::default(), None, 2000.0));
+    let (status, _, retry) = post(&expired_leader, "/checkin", heartbeat).await;
     assert_eq!((status, retry), (StatusCode::SERVICE_UNAVAILABLE, true));
     assert_eq!(post(&api(Role::Leader, true), "/checkin", heartbeat).await.0, StatusCode::OK);
 }
--- a/crates/controller/tests/api/status.rs
+++ b/crates/controller/tests/api/status.rs
@@ -132,7 +132,7 @@
 }
 
 /// Guards against failed status queries of finished jobs: after a crash of all controllers, the last query for
-/// each finished job took two reads from the store, half of them without effect, and thousands of
+/// each finished job took two reads from the store, the first of which found nothing, and thousands of
 /// queries failed for minutes.
 #[tokio::test]
 async fn decided_final_state_is_answered_without_store() {
--- a/crates/controller/tests/api/support.rs
+++ b/crates/controller/tests/api/support.rs
@@ -31,8 +31,8 @@
 #[derive(Clone, Copy, PartialEq)]
 pub enum Role {
     Leader,
-    /// The leadership lease expired between the decision and the response.
-    FormerLeader,
+    /// A leader whose leadership lease expires between the decision and the response.
+    ExpiredLeader,
     Follower,
 }
 
@@ -128,7 +128,7 @@
             Role::Leader => {
                 HeartbeatReply::Respond { response, valid_until: now + Duration::from_secs(60) }
             }
-            Role::FormerLeader => HeartbeatReply::Respond { response, valid_until: now },
+            Role::ExpiredLeader => HeartbeatReply::Respond { response, valid_until: now },
             Role::Follower => HeartbeatReply::Redirect(Some("worker-2".into())),
         }
     }
