--- a/crates/controller/tests/controller_actor.rs
+++ b/crates/controller/tests/controller_actor.rs
@@ -1,5 +1,5 @@
 //! Whole controllers (leadership, cluster state and API service) with a store on loopback. The tests wait for
-//! events; time limits only end a test that would otherwise hang.
+//! events; timeouts only end a test that would otherwise hang.
 #![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 use hookway_clients::{CloudClient, StoreClient, WorkerClient};
@@ -34,7 +34,7 @@
 /// No process listens at this address.
 const NOWHERE: &str = "127.0.0.1:1";
 
-/// A running controller: its API service, the requests of its actor, and its view of the leadership.
+/// A running controller: its API service, the channel of requests to its actor, and its view of the leadership.
 struct RunningController {
     api_service: Arc<ApiService>,
     requests: mpsc::Sender<ControllerRequest>,
@@ -48,7 +48,7 @@
 
 /// Starts a controller in zone a with the store at address `store`. It takes part in elections only if
 /// `campaigns`.
-#[expect(clippy::too_many_lines, reason = "one scripted controller, set up in order")]
+#[expect(clippy::too_many_lines, reason = "one controller, set up in order")]
 async fn start(
     name: &str,
     store: &str,
@@ -150,7 +150,7 @@
     id
 }
 
-/// Guards against users who wait for the full time limit of a request during an outage of the store: a
+/// Guards against users who wait for the full timeout of a request during an outage of the store: a
 /// request that can't be decided gets a response at once, not when the store is available again.
 #[tokio::test]
 async fn cancellation_without_store_is_answered_at_once() {
--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -1,6 +1,7 @@
 //! The formats as production reads and writes them: records in the store, frames between controllers, and HTTP
-//! messages. Each line of `fixtures/production.txt` is what commit a77378733694 wrote for a value below.
-//! Whatever is renamed in the code, each line must be read as that value, and the value written as that line.
+//! messages. Each line of `fixtures/production.txt` is what commit a77378733694 wrote for a value below;
+//! `fixtures/replication.txt` has the frames that were added later. Whatever is renamed in the code, each line must
+//! be read as that value, and the value written as that line.
 #![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 mod formats_support;
@@ -149,8 +150,8 @@
     frame("answer-no-block", &PeerResponse::ShardLease(None));
 }
 
-/// Frames that frame version 2 added. A controller of an earlier version, or of production, which has none, never
-/// receives them: the sender first checks the version in the leader's responses.
+/// Frames that frame version 2 added. A controller of an earlier version, or one in production, whose frames have no
+/// version, never receives them: the sender first checks the version in the leader's responses.
 #[test]
 fn frames_of_replication_are_read_and_written_as_in_version_2() {
     let at = |index| Position { term: 4_097, index };
--- a/crates/controller/tests/leadership.rs
+++ b/crates/controller/tests/leadership.rs
@@ -1,5 +1,5 @@
-//! The election actor with a store on loopback whose leases expire when the test says so. The tests
-//! wait for events rather than for a time to pass.
+//! The election actor with a store on loopback whose leases expire only when the test expires them. The
+//! tests wait for events; one also checks that a leader is not deposed within 200 ms.
 #![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 use hookway_clients::StoreClient;
--- a/crates/controller/tests/relocation.rs
+++ b/crates/controller/tests/relocation.rs
@@ -1,6 +1,6 @@
-//! Relocation: replicas of daemons move to other machines to make capacity for another job.
+//! Relocation: replicas of daemons move to other machines to free capacity for another job.
 //!
-//! These tests guard against a job that waits without end (simulation with random faults, seed 2915): replicas of two
+//! These tests guard against a job that waits forever (simulation with random faults, seed 2915): replicas of two
 //! daemons filled the only machine of zone a, and the cloud could provide no more machines. A daemon that must spread
 //! had one replica in zone b and waited for capacity in zone a, since a job preempts only lower priorities.
 //! The machines of zone b ran tasks of lower priority that the replicas in zone a could have preempted.
@@ -104,7 +104,7 @@
     );
 }
 
-/// The same for a gang, whose tasks need capacity at the same time.
+/// A gang needs capacity for all of its tasks at the same time, so several replicas are relocated.
 #[test]
 fn gang_bound_to_full_zone_gets_capacity_of_several_replicas() {
     let (mut harness, mut workers) = full_zone();
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -1,5 +1,5 @@
 //! A new leader that was a standby and has a copy of the previous leader's cluster state: what the copy
-//! speeds up, and what it never decides. The copy is a hint; what tasks exist and where they may run is
+//! speeds up, and what it never decides. The copy is a hint; which tasks exist and where they may run is
 //! proven only by the store, heartbeats and expired leases.
 #![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
