--- a/crates/hookway/tests/docs.rs
+++ b/crates/hookway/tests/docs.rs
@@ -1,9 +1,8 @@
 //! Checks that the tests named in docs/safety.md exist.
 //!
-//! A lower-case word in backquotes with at least three underscores counts as the name of a test: the names of tests
-//! state a condition and the expected result, those of functions and settings have two or three words
-//! (`take_direct_starts`, `leader_lease_s`).
-//! Paths (`ClusterState::cancel`) and constants (`TOKENS_PER_TERM`) do not count.
+//! A lower-case word in backquotes with at least three underscores counts as the name of a test, since the names of
+//! tests state a condition and the expected result. Shorter names of functions and settings (`take_direct_starts`,
+//! `leader_lease_s`), paths (`ClusterState::cancel`) and constants (`TOKENS_PER_TERM`) do not count.
 #![allow(clippy::expect_used, reason = "a test helper fails the test that calls it")]
 
 use std::collections::BTreeSet;
--- a/crates/hookway/tests/loopback_cluster/mod.rs
+++ b/crates/hookway/tests/loopback_cluster/mod.rs
@@ -105,7 +105,8 @@
         .await
     }
 
-    /// Waits until a standby has a usable copy with at least `tasks` tasks.
+    /// Waits until a controller other than `leader` has a usable copy with at least `tasks` tasks. Returns at once if
+    /// the standbys keep no copy.
     pub async fn wait_for_copy(&self, leader: usize, tasks: usize) {
         if !has_warm_standbys() {
             return;
@@ -123,7 +124,7 @@
     }
 
     /// Waits until every controller but the leader has a usable copy with at least `tasks` tasks, and returns the
-    /// index of the leader.
+    /// index of the leader. If the standbys keep no copy, only waits for the leader.
     pub async fn leader_followed_by_all(&self, tasks: usize) -> usize {
         if !has_warm_standbys() {
             return self.leader().await;
--- a/crates/hookway/tests/standby.rs
+++ b/crates/hookway/tests/standby.rs
@@ -12,7 +12,7 @@
 
 /// Number of failovers unless `HOOKWAY_TAKEOVERS` sets it.
 const DEFAULT_FAILOVERS: usize = 4;
-/// Maximum delay of commands that a leader has sent before it was killed or paused.
+/// Maximum delay of commands that a leader sent before it was killed or paused.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 
 fn print_quantiles(name: &str, durations: &mut [Duration]) {
