--- a/crates/constants/src/preemption.rs
+++ b/crates/constants/src/preemption.rs
@@ -23,10 +23,10 @@
 /// Time that a gang waits before its reservations end, if the schedulable and booting machines could not hold it.
 /// Longer than most boot times; shorter than the 90 s in which users expect other jobs of the gang's team to start.
 pub const MAX_GANG_RESERVATION_WAIT: Duration = Duration::from_millis(60_000);
-/// Time from the end of reconciliation that a new leader tries to complete a gang of which only some tasks were
+/// Time from the end of reconciliation that a new leader tries to resume a gang of which only some tasks were
 /// started in an earlier term. Then the gang is restarted, since workers end tasks that wait too long for the rest of
 /// their gang.
-pub const GANG_COMPLETION_TIMEOUT: Duration = Duration::from_millis(5_000);
+pub const GANG_RESUME_TIMEOUT: Duration = Duration::from_millis(5_000);
 /// Time that the machines of victims stay reserved for the beneficiary: as long as a stop may take before it is
 /// repeated.
 pub const PREEMPTED_MACHINE_RESERVATION: Duration = super::STOP_TIMEOUT;
--- a/crates/constants/src/replication.rs
+++ b/crates/constants/src/replication.rs
@@ -4,7 +4,7 @@
 
 /// Whether controllers keep a standby copy of the leader's cluster state unless the operator settings say
 /// otherwise.
-pub const STANDBY_DEFAULT: bool = true;
+pub const DEFAULT_STANDBY: bool = true;
 /// Interval between two requests of a standby to the leader. The standby copy lags by up to this time.
 pub const FOLLOW_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval at which the leader compares its whole cluster state with what it has published. In between, it
@@ -31,7 +31,7 @@
 /// Maximum age of the leader's last response for a standby copy to be used at a failover.
 pub const MAX_REPLICATION_COPY_AGE: Duration = Duration::from_millis(60_000);
 /// Maximum number of names in the log line about the differences between a standby copy and the leader.
-pub const REPLICATION_MAX_NAMED_DIFFERENCES: usize = 8;
+pub const MAX_REPLICATION_NAMED_DIFFERENCES: usize = 8;
 /// Maximum number of intervals between messages of the leader that the failure detector keeps, the most recent ones.
 pub const DETECTOR_WINDOW: usize = 64;
 /// Minimum number of intervals between messages that the failure detector needs before it suspects the leader.
--- a/crates/controller/src/cluster_state/commit_items.rs
+++ b/crates/controller/src/cluster_state/commit_items.rs
@@ -100,7 +100,7 @@
                 waiting.push(JobPage { job: key, page });
                 continue;
             }
-            let record = ProgressRecord::new(&job.results(page));
+            let record = ProgressRecord::new(&job.completed_flags(page));
             let Ok(value) = serde_json::to_value(&record) else { continue };
             job.progress.unqueue(page);
             let store_key = job.progress.key(&job.id, page);
--- a/crates/controller/src/cluster_state/draining.rs
+++ b/crates/controller/src/cluster_state/draining.rs
@@ -49,7 +49,7 @@
                 |(mean_ms, remaining)| mean_ms - millis_f64(ran) > millis_f64(remaining),
             );
         // A replica of a daemon does not finish by itself.
-        placed.phase.has_made_no_progress()
+        placed.phase.is_known_without_progress()
             || job.spec.writes_checkpoints()
             || job.spec.is_daemon()
             || cannot_finish
--- a/crates/controller/src/cluster_state/gang_repair.rs
+++ b/crates/controller/src/cluster_state/gang_repair.rs
@@ -23,10 +23,7 @@
             job.gang.resuming = is_partial
                 && resumable.contains(key)
                 && now
-                    < *job
-                        .gang
-                        .resume_deadline
-                        .get_or_insert(now + constants::GANG_COMPLETION_TIMEOUT);
+                    < *job.gang.resume_deadline.get_or_insert(now + constants::GANG_RESUME_TIMEOUT);
             if is_partial && !job.gang.resuming {
                 self.has_pending_stops |= !job.gang.broken;
                 job.gang.broken = true;
@@ -52,7 +49,7 @@
         }
         for placed in self.machines.values().flat_map(|machine| &machine.placed_tasks) {
             if let Some(key) = placed.job
-                && (!placed.phase.has_made_no_progress() || placed.stop_order.is_some())
+                && (!placed.phase.is_known_without_progress() || placed.stop_order.is_some())
             {
                 gangs.remove(&key);
             }
--- a/crates/controller/src/cluster_state/heartbeat_placement.rs
+++ b/crates/controller/src/cluster_state/heartbeat_placement.rs
@@ -121,8 +121,8 @@
     /// Returns how many more tasks of a job its team's limit allows, not counting the part that is
     /// reserved for waiting gangs.
     fn tasks_within_quota(&self, job: &JobView) -> u32 {
-        let has_quota = self.config.platform.teams.get(job.team).is_some_and(Team::has_limit);
-        let team = has_quota.then(|| self.team_views().into_iter().nth(job.team)).flatten();
+        let has_limit = self.config.platform.teams.get(job.team).is_some_and(Team::has_limit);
+        let team = has_limit.then(|| self.team_views().into_iter().nth(job.team)).flatten();
         let Some(mut team) = team else { return u32::MAX };
         let reservations = self.last_round.quota_reservations.iter();
         for reserved in reservations.filter(|reserved| reserved.team == job.team) {
--- a/crates/controller/src/cluster_state/job.rs
+++ b/crates/controller/src/cluster_state/job.rs
@@ -235,7 +235,7 @@
     }
 
     /// Returns whether each task of a progress page is completed, durable or not.
-    pub fn results(&self, page: usize) -> Vec<bool> {
+    pub fn completed_flags(&self, page: usize) -> Vec<bool> {
         self.progress.range(page).map(|index| self.is_completed(index)).collect()
     }
 
--- a/crates/controller/src/cluster_state/placed_task.rs
+++ b/crates/controller/src/cluster_state/placed_task.rs
@@ -28,7 +28,7 @@
 
     /// Whether the task is known to have made no progress yet: it is planned, fetches its image or
     /// waits for its gang. A start that was sent but is not reported does not count.
-    pub fn has_made_no_progress(self) -> bool {
+    pub fn is_known_without_progress(self) -> bool {
         matches!(
             self,
             Self::Planned | Self::Reported(TaskState::FetchingImage | TaskState::WaitingForGang)
--- a/crates/controller/src/cluster_state/relocation.rs
+++ b/crates/controller/src/cluster_state/relocation.rs
@@ -360,7 +360,7 @@
         let ready = !task_machines.is_empty()
             && task_machines.iter().all(|machine| self.can_start_on(machine, now))
             && self.zones_allow(relocation.beneficiary, task_machines)
-            && self.quota_allows(relocation.beneficiary, task_machines.len());
+            && self.limit_allows(relocation.beneficiary, task_machines.len());
         if ready {
             self.place_tasks(relocation.beneficiary, task_machines, now);
             relocation.keep_only_stopped_replicas();
@@ -382,7 +382,7 @@
     }
 
     /// Whether the limit of a job's team allows `tasks` more tasks.
-    fn quota_allows(&self, key: JobKey, tasks: usize) -> bool {
+    fn limit_allows(&self, key: JobKey, tasks: usize) -> bool {
         let Some(job) = self.jobs.get(&key) else { return false };
         let teams = self.team_views();
         teams.get(job.team).is_none_or(|team| team.remaining_tasks(&job.request) as usize >= tasks)
--- a/crates/controller/src/cluster_state/startable_tasks.rs
+++ b/crates/controller/src/cluster_state/startable_tasks.rs
@@ -41,12 +41,12 @@
     /// Returns the number of tasks of a job that may be started at `now`.
     pub(super) fn startable_task_count(&self, job: &Job, now: MonotonicTime) -> u32 {
         let team = self.config.platform.teams.get(job.team);
-        let has_quota = team.is_some_and(Team::has_limit);
+        let has_limit = team.is_some_and(Team::has_limit);
         // Until all machines are reconciled, a task of a job from an earlier term may be on a
         // machine that has not sent a heartbeat. So may tasks that use an unknown part of a team's
         // quota.
         let is_reconciled = self.is_reconciled(now);
-        let is_quota_uncertain = has_quota && (!is_reconciled || self.unknown_job_tasks > 0);
+        let is_quota_uncertain = has_limit && (!is_reconciled || self.unknown_job_tasks > 0);
         if is_quota_uncertain || now < job.backoff_until {
             return 0;
         }
--- a/crates/controller/src/cluster_state/summary.rs
+++ b/crates/controller/src/cluster_state/summary.rs
@@ -20,9 +20,9 @@
     /// CPUs of the machines that are up.
     pub cpus: f64,
     /// CPUs of the machines that are up that tasks use or relocations hold.
-    pub placed: f64,
+    pub placed_cpus: f64,
     /// CPUs that startable tasks are waiting for.
-    pub waiting: f64,
+    pub waiting_cpus: f64,
 }
 
 impl std::fmt::Display for Summary {
@@ -33,7 +33,7 @@
         }
         write!(f, ", {} machines ({} up), ", self.machines, self.up)?;
         write!(f, "{} tasks placed; CPUs: {:.0} up, ", self.tasks, self.cpus)?;
-        write!(f, "{:.0} placed, {:.0} waited for", self.placed, self.waiting)
+        write!(f, "{:.0} placed, {:.0} waited for", self.placed_cpus, self.waiting_cpus)
     }
 }
 
@@ -44,7 +44,7 @@
         let up = || cluster.machines.iter().filter(|machine| !machine.booting);
         let total: f64 = up().map(|machine| machine.capacity.cpus).sum();
         let free: f64 = up().map(|machine| machine.free.cpus).sum();
-        let waiting: f64 =
+        let waiting_cpus: f64 =
             cluster.jobs.iter().map(|job| f64::from(job.startable) * job.request.cpus).sum();
         // `abs`: the sum of no CPUs is -0.0, which would be printed with its sign.
         Summary {
@@ -54,8 +54,8 @@
             up: up().count(),
             tasks: self.machines.values().map(|machine| machine.placed_tasks.len()).sum(),
             cpus: total.abs(),
-            placed: (total - free).abs(),
-            waiting: waiting.abs(),
+            placed_cpus: (total - free).abs(),
+            waiting_cpus: waiting_cpus.abs(),
         }
     }
 }
--- a/crates/controller/src/settings/operator.rs
+++ b/crates/controller/src/settings/operator.rs
@@ -100,7 +100,7 @@
 impl Default for ReplicationSettings {
     fn default() -> Self {
         Self {
-            keeps_standby_copy: constants::STANDBY_DEFAULT,
+            keeps_standby_copy: constants::DEFAULT_STANDBY,
             leader_lease_length: constants::DEFAULT_LEADER_LEASE,
             controller_networks: Networks::default(),
             worker_networks: Networks::default(),
--- a/crates/controller/tests/standby_gangs.rs
+++ b/crates/controller/tests/standby_gangs.rs
@@ -82,7 +82,7 @@
     }
     run_rounds(&mut harness, &mut workers);
     assert_eq!(workers[0].unfinished_tasks().len(), 1, "not stopped before the time limit");
-    harness.advance(whole_millis(constants::GANG_COMPLETION_TIMEOUT));
+    harness.advance(whole_millis(constants::GANG_RESUME_TIMEOUT));
     run_rounds(&mut harness, &mut workers);
     assert!(
         workers.iter().all(|worker| worker.unfinished_tasks().is_empty()),
--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -98,7 +98,7 @@
     SnapshotChunkStored,
     /// The last chunk of a snapshot was received, and the snapshot has replaced the copy.
     SnapshotApplied {
-        /// Machines and jobs that were wrong in a diverged copy, at most `REPLICATION_MAX_NAMED_DIFFERENCES` of them.
+        /// Machines and jobs that were wrong in a diverged copy, at most `MAX_REPLICATION_NAMED_DIFFERENCES` of them.
         /// Empty if the previous copy had not diverged, or was of another term.
         differing: Vec<String>,
     },
@@ -335,7 +335,7 @@
         if !self.diverged || !same_term {
             return Vec::new();
         }
-        self.state.differing(snapshot, constants::REPLICATION_MAX_NAMED_DIFFERENCES)
+        self.state.differing(snapshot, constants::MAX_REPLICATION_NAMED_DIFFERENCES)
     }
 
     /// Returns the position of the copy; `None` without a copy.
