--- a/crates/controller/src/actor/events.rs
+++ b/crates/controller/src/actor/events.rs
@@ -74,7 +74,7 @@
         at: Timestamp,
     ) {
         let term = active.term();
-        if !self.config.standby.record_reading_completed(term, at.monotonic) {
+        if !self.config.standby.records_read(term, at.monotonic) {
             return;
         }
         let machine_types = self.config.machine_types.borrow().as_ref().map(|types| types.to_vec());
--- a/crates/controller/src/actor/messages.rs
+++ b/crates/controller/src/actor/messages.rs
@@ -62,7 +62,7 @@
     /// Prepare a renewal of the shard lease of this controller. The reply is `None` if it leads.
     PrepareShardLeaseRenewal(Reply<PreparedRenewal>),
     /// Apply the leader's response to a renewal of this controller.
-    ShardLeaseGranted {
+    ShardLeaseRenewalAnswered {
         /// The lease, whose length is 0 if none was granted.
         lease: ShardLease,
         /// When the renewal was sent: [`PreparedRenewal::sent_at`].
--- a/crates/controller/src/actor/mod.rs
+++ b/crates/controller/src/actor/mod.rs
@@ -52,7 +52,7 @@
     /// The leadership lease. The election actor updates it.
     pub lease: Arc<LeadershipLease>,
     /// The current leader, published by the election actor.
-    pub view: watch::Receiver<LeadershipView>,
+    pub leadership_view: watch::Receiver<LeadershipView>,
     /// Notified by the controller actor when this controller should give up its leadership.
     pub resign_requested: Arc<Notify>,
     /// The machine types that the cloud offers, read periodically.
@@ -86,13 +86,13 @@
     /// process ends.
     pub async fn run(mut self) {
         loop {
-            let view = self.config.view.borrow_and_update().clone();
+            let view = self.config.leadership_view.borrow_and_update().clone();
             self.config.standby.leadership_view_changed(&view, self.config.clock.now());
             match view.own_term {
                 Some(leader_term) => self.lead(leader_term).await,
                 None => {
                     tokio::select! {
-                        changed = self.config.view.changed() => if changed.is_err() { return },
+                        changed = self.config.leadership_view.changed() => if changed.is_err() { return },
                         request = self.config.requests.recv() => match request {
                             Some(request) => self.handle_as_follower(request),
                             None => return,
@@ -109,7 +109,7 @@
         if !self.config.standby.election_won(leader_term.term, self.config.clock.now()) {
             self.config.resign_requested.notify_one();
             // Waits until the election actor has given up the leadership.
-            let _ = self.config.view.changed().await;
+            let _ = self.config.leadership_view.changed().await;
             return;
         }
         self.lead_term(leader_term).await;
@@ -127,8 +127,8 @@
         timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                changed = self.config.view.changed() => {
-                    let own_term = self.config.view.borrow_and_update().own_term.clone();
+                changed = self.config.leadership_view.changed() => {
+                    let own_term = self.config.leadership_view.borrow_and_update().own_term.clone();
                     if changed.is_err() || own_term.as_ref() != Some(&active.leader_term) {
                         return;
                     }
--- a/crates/controller/src/actor/requests.rs
+++ b/crates/controller/src/actor/requests.rs
@@ -25,8 +25,8 @@
                 let renewal = self.config.shard_lessee.renewal(now);
                 answer(reply, PreparedRenewal { renewal, sent_at: now });
             }
-            ControllerRequest::ShardLeaseGranted { lease, sent_at } => {
-                self.config.shard_lessee.lease_granted(lease, sent_at, now);
+            ControllerRequest::ShardLeaseRenewalAnswered { lease, sent_at } => {
+                self.config.shard_lessee.apply_renewal_response(lease, sent_at, now);
             }
             ControllerRequest::Follow { reply, .. } => decline(reply),
             ControllerRequest::PrepareFollow(reply) => {
@@ -85,7 +85,7 @@
             // A leader leases its own shard to itself, and does not follow another controller.
             ControllerRequest::PrepareShardLeaseRenewal(reply) => decline(reply),
             ControllerRequest::PrepareFollow(reply) => decline(reply),
-            ControllerRequest::ShardLeaseGranted { .. }
+            ControllerRequest::ShardLeaseRenewalAnswered { .. }
             | ControllerRequest::FollowResponseReceived(_) => {}
             ControllerRequest::ReplicationStatus(reply) => self.replication_status(reply, now),
         }
@@ -112,7 +112,7 @@
             }
             ControllerRequest::PrepareShardLeaseRenewal(reply) => decline(reply),
             ControllerRequest::PrepareFollow(reply) => decline(reply),
-            ControllerRequest::ShardLeaseGranted { .. }
+            ControllerRequest::ShardLeaseRenewalAnswered { .. }
             | ControllerRequest::FollowResponseReceived(_) => {}
             other => self.handle_as_follower(other),
         }
@@ -122,7 +122,7 @@
     /// another controller and has been reachable recently.
     fn redirect(&self, now: MonotonicTime) -> HeartbeatReply {
         let reachable = self.config.shard_lessee.leader_reachable(now);
-        let leader = self.config.view.borrow().leader.clone().filter(|_| reachable);
+        let leader = self.config.leadership_view.borrow().leader.clone().filter(|_| reachable);
         let own_name = &self.config.cluster.controller_name;
         HeartbeatReply::Redirect(leader.filter(|name| name != own_name))
     }
--- a/crates/controller/src/actor/store_io.rs
+++ b/crates/controller/src/actor/store_io.rs
@@ -63,7 +63,7 @@
 /// Reads all records that a new leader needs, the jobs first.
 async fn read_records(
     store: &StoreClient,
-    stored_watermarks: WatermarkCompleteness,
+    watermark_completeness: WatermarkCompleteness,
 ) -> Result<RecordsAtRevision, StoreError> {
     let jobs = store.list(JOBS_PREFIX).await?;
     let records = LoadedRecords {
@@ -73,7 +73,7 @@
         registry: store.list(REGISTRY_PREFIX).await?.pairs,
         images: store.list(LEGACY_IMAGES_PREFIX).await?.pairs,
         classes: store.get(CLASSES_KEY).await?,
-        stored_watermarks,
+        watermark_completeness,
     };
     Ok(RecordsAtRevision { records, revision: jobs.revision })
 }
--- a/crates/controller/src/api/cancellation.rs
+++ b/crates/controller/src/api/cancellation.rs
@@ -28,7 +28,7 @@
             return outcome;
         }
         let request = PeerRequest::Cancel(job.to_string());
-        if origin == Origin::Client
+        if origin == Origin::User
             && let Some(outcome) = self.ask_leader(&request, constants::STATUS_TIMEOUT).await
         {
             return outcome;
--- a/crates/controller/src/api/mod.rs
+++ b/crates/controller/src/api/mod.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
     /// A user.
-    Client,
+    User,
     /// Another controller. This controller answers its requests itself and never passes them on to
     /// a third one, so they can't circulate.
     Peer,
@@ -176,7 +176,7 @@
         // All controllers share the rate limits, and another one would send the same requests to
         // the store.
         let others_may_decide = !matches!(store_error, StoreError::RateLimited);
-        if origin == Origin::Client && others_may_decide {
+        if origin == Origin::User && others_may_decide {
             for peer in self.config.peers.names() {
                 if let Some(outcome) = self.ask_peer(&peer, &request).await {
                     return outcome;
--- a/crates/controller/src/api/status.rs
+++ b/crates/controller/src/api/status.rs
@@ -23,7 +23,7 @@
         if let Some(JobLookup::Known(status)) = lookup {
             return self.known_job_outcome(status.into());
         }
-        if !is_leader && origin == Origin::Client {
+        if !is_leader && origin == Origin::User {
             let request = PeerRequest::Status(job.to_string());
             if let Some(outcome) = self.ask_leader(&request, constants::PEER_TIMEOUT).await {
                 return outcome;
--- a/crates/controller/src/cluster_state/recovery.rs
+++ b/crates/controller/src/cluster_state/recovery.rs
@@ -34,12 +34,12 @@
     /// The record of the job classes; `None` if no leader has written one.
     pub classes: Option<KeyValue>,
     /// Whether the start watermarks that earlier leaders recorded are complete.
-    pub stored_watermarks: WatermarkCompleteness,
+    pub watermark_completeness: WatermarkCompleteness,
 }
 
 impl LoadedRecords {
     /// Returns a value without records, with the given completeness of the start watermarks.
-    pub fn empty(stored_watermarks: WatermarkCompleteness) -> Self {
+    pub fn empty(watermark_completeness: WatermarkCompleteness) -> Self {
         Self {
             jobs: Vec::new(),
             progress: Vec::new(),
@@ -47,7 +47,7 @@
             registry: Vec::new(),
             images: Vec::new(),
             classes: None,
-            stored_watermarks,
+            watermark_completeness,
         }
     }
 }
@@ -99,8 +99,8 @@
                 None => self.load_scheduling_record(kv, &jobs_with_record),
             }
         }
-        self.finish_loading_watermarks(loaded.stored_watermarks, shared_watermarks_complete);
-        self.queue_assumed_watermarks(loaded.stored_watermarks, all_jobs_readable);
+        self.finish_loading_watermarks(loaded.watermark_completeness, shared_watermarks_complete);
+        self.queue_assumed_watermarks(loaded.watermark_completeness, all_jobs_readable);
         for kv in loaded.registry {
             self.load_registry_record(kv, at);
         }
--- a/crates/controller/src/http.rs
+++ b/crates/controller/src/http.rs
@@ -116,15 +116,15 @@
             return RequestOutcome::NotFound;
         };
         if self.kind == UserRequestKind::Status {
-            self.api.status(&job, Origin::Client).await
+            self.api.status(&job, Origin::User).await
         } else {
-            self.api.cancel(&job, Origin::Client).await
+            self.api.cancel(&job, Origin::User).await
         }
     }
 
     async fn submit(&self, req: &mut Request) -> RequestOutcome {
         match req.payload_with_max_size(constants::MAX_REQUEST_BODY_BYTES).await {
-            Ok(body) => self.api.submit(body, Origin::Client).await,
+            Ok(body) => self.api.submit(body, Origin::User).await,
             Err(_) => RequestOutcome::Rejected {
                 status: StatusCode::BAD_REQUEST.as_u16(),
                 reason: "the body is over 64 KiB or broken".into(),
--- a/crates/controller/src/leader_sync.rs
+++ b/crates/controller/src/leader_sync.rs
@@ -37,8 +37,8 @@
             };
             match self.peers.renew_shard_lease(&leader, renewal).await {
                 Ok(lease) => {
-                    let granted = ControllerRequest::ShardLeaseGranted { lease, sent_at };
-                    self.controller.notify(granted).await;
+                    let answered = ControllerRequest::ShardLeaseRenewalAnswered { lease, sent_at };
+                    self.controller.notify(answered).await;
                 }
                 Err(error) => tracing::debug!(leader, %error, "renewing the shard lease failed"),
             }
--- a/crates/controller/src/leadership/election.rs
+++ b/crates/controller/src/leadership/election.rs
@@ -28,7 +28,7 @@
     /// The lease of the current term. This actor updates it; the controller actor reads it.
     pub lease: Arc<LeadershipLease>,
     /// The channel on which this actor publishes who leads.
-    pub view: watch::Sender<LeadershipView>,
+    pub leadership_view: watch::Sender<LeadershipView>,
     /// Notified by the controller actor when this controller should give up its leadership.
     pub resign_requested: Arc<Notify>,
     /// Notified when the leader has been silent for unusually long. The election actor then reads
@@ -150,11 +150,11 @@
     /// Publishes that there is no leader. The view keeps the name of the previous leader, which is
     /// the best guess of where to send requests.
     fn publish_no_leader(&self) {
-        self.config.view.send_if_modified(|view| view.leader_term.take().is_some());
+        self.config.leadership_view.send_if_modified(|view| view.leader_term.take().is_some());
     }
 
     fn publish(&self, new_view: LeadershipView) {
-        self.config.view.send_if_modified(|view| {
+        self.config.leadership_view.send_if_modified(|view| {
             let changed = *view != new_view;
             *view = new_view;
             changed
--- a/crates/controller/src/run.rs
+++ b/crates/controller/src/run.rs
@@ -146,13 +146,13 @@
         StoreClient::new(&self.settings.endpoints.store, rps)
     }
 
-    fn election_actor(&self, view: watch::Sender<LeadershipView>) -> ElectionActor {
+    fn election_actor(&self, leadership_view: watch::Sender<LeadershipView>) -> ElectionActor {
         ElectionActor::new(ElectionActorConfig {
             controller_name: self.settings.controller_name.clone(),
             store: self.store_client(constants::LEADERSHIP_REQUEST_SHARE),
             clock: self.clock,
             lease: self.lease.clone(),
-            view,
+            leadership_view,
             resign_requested: self.resign_requested.clone(),
             leader_suspected: self.standby_signals.leader_suspected.clone(),
             lease_length: self.operator.replication.leader_lease_length,
@@ -180,7 +180,7 @@
             workers: WorkerClient::default(),
             clock: self.clock,
             lease: self.lease.clone(),
-            view: self.view.clone(),
+            leadership_view: self.view.clone(),
             resign_requested: self.resign_requested.clone(),
             machine_types: self.machine_types.clone(),
             requests,
--- a/crates/controller/src/shard_lease/lessee.rs
+++ b/crates/controller/src/shard_lease/lessee.rs
@@ -72,7 +72,12 @@
 
     /// Applies the leader's response to a renewal that was sent at `sent_at`. Drops the lease of
     /// another term.
-    pub fn lease_granted(&mut self, lease: ShardLease, sent_at: MonotonicTime, now: MonotonicTime) {
+    pub fn apply_renewal_response(
+        &mut self,
+        lease: ShardLease,
+        sent_at: MonotonicTime,
+        now: MonotonicTime,
+    ) {
         let shard_term = self.shard.as_ref().map(|shard| shard.term);
         let known_term = shard_term.max(self.acknowledged.map(|acknowledged| acknowledged.term));
         // A response of an earlier leader does not prove contact with the current one.
--- a/crates/controller/src/shard_lease/tests.rs
+++ b/crates/controller/src/shard_lease/tests.rs
@@ -55,7 +55,7 @@
 /// Renews the shard lease in term 5; the request and the response take no time.
 fn renew_shard_lease(lessor: &mut ShardLessor, lessee: &mut ShardLessee, now: MonotonicTime) {
     let lease = lessor.respond_to_renewal(5, &lessee.renewal(now), LEASE, now).unwrap();
-    lessee.lease_granted(lease, now, now);
+    lessee.apply_renewal_response(lease, now, now);
 }
 
 #[test]
@@ -225,7 +225,7 @@
         first_response.lease_ms, 0,
         "no shard lease before it has acknowledged a response of this term"
     );
-    next_process.lease_granted(first_response, at(1_000), at(1_000));
+    next_process.apply_renewal_response(first_response, at(1_000), at(1_000));
     lessor.respond_to_renewal(5, &next_process.renewal(at(2_000)), LEASE, at(37_000));
     assert!(!lessor.worker_lease_expired(
         "b",
@@ -235,7 +235,7 @@
     ));
     let lease =
         lessor.respond_to_renewal(5, &next_process.renewal(at(2_500)), LEASE, at(38_000)).unwrap();
-    next_process.lease_granted(lease, at(2_500), at(2_500));
+    next_process.apply_renewal_response(lease, at(2_500), at(2_500));
     lessor.respond_to_renewal(5, &renewal_of_ended_process, LEASE, at(39_000));
     assert!(next_process.extend_worker_lease(&heartbeat("b", 5), at(30_000), |_| false).is_some());
     assert!(
@@ -256,7 +256,7 @@
     // Another controller of its zone holds the shard lease. A response of the leader that grants no
     // lease still proves contact.
     renew_shard_lease(&mut lessor, &mut ShardLessee::new("one", 1, ms(4_000)), at(9_000));
-    without_lease.lease_granted(
+    without_lease.apply_renewal_response(
         ShardLease { term: 5, granted_at_ms: 1, zones: vec![], lease_ms: 0 },
         at(10_000),
         at(10_000),
--- a/crates/controller/src/standby.rs
+++ b/crates/controller/src/standby.rs
@@ -150,7 +150,7 @@
 
     /// Makes this controller the active leader, after it has read the records of earlier leaders.
     /// The read began in `term`. Returns `false` if that term has ended since.
-    pub fn record_reading_completed(&mut self, term: u64, now: MonotonicTime) -> bool {
+    pub fn records_read(&mut self, term: u64, now: MonotonicTime) -> bool {
         self.advance(FailoverEvent::RecordsRead { term }, now) == Some(FailoverAction::Lead)
     }
 
--- a/crates/controller/tests/api/circuit_breakers.rs
+++ b/crates/controller/tests/api/circuit_breakers.rs
@@ -39,7 +39,7 @@
     let id = JobId::parse("req-000001").expect("an id");
     let elapsed = async || {
         let started_at = Instant::now();
-        let outcome = api_service.status(&id, Origin::Client).await;
+        let outcome = api_service.status(&id, Origin::User).await;
         assert!(matches!(outcome, RequestOutcome::Unavailable(_)), "{outcome:?}");
         started_at.elapsed()
     };
--- a/crates/controller/tests/api/support.rs
+++ b/crates/controller/tests/api/support.rs
@@ -116,7 +116,7 @@
                 let phase = if self.leads() { "active" } else { "following" }.to_owned();
                 let _ = reply.send(Some(ReplicationStatus { phase, ..Default::default() }));
             }
-            ControllerRequest::ShardLeaseGranted { .. }
+            ControllerRequest::ShardLeaseRenewalAnswered { .. }
             | ControllerRequest::FollowResponseReceived(_) => {}
         }
     }
--- a/crates/controller/tests/controller_actor.rs
+++ b/crates/controller/tests/controller_actor.rs
@@ -91,7 +91,7 @@
         workers: WorkerClient::default(),
         clock,
         lease: lease.clone(),
-        view: view.clone(),
+        leadership_view: view.clone(),
         resign_requested: resign_requested.clone(),
         machine_types: machine_types_rx,
         requests: requests_rx,
@@ -109,7 +109,7 @@
             store: client(),
             clock,
             lease,
-            view: view_tx,
+            leadership_view: view_tx,
             resign_requested,
             leader_suspected: signals.leader_suspected,
             lease_length: hookway_constants::DEFAULT_LEADER_LEASE,
@@ -131,7 +131,7 @@
 /// queries, and returns the job's id.
 async fn submit_to_leader(controller_1: &mut RunningController) -> JobId {
     controller_1.view.wait_for(|view| view.own_term.is_some()).await.expect("the actor runs");
-    let outcome = controller_1.api_service.submit(JOB.as_bytes(), Origin::Client).await;
+    let outcome = controller_1.api_service.submit(JOB.as_bytes(), Origin::User).await;
     assert!(matches!(outcome, RequestOutcome::Accepted(_)), "{outcome:?}");
     let id = JobId::parse("req-000412").expect("an id");
     // Wait until the leader has loaded its cluster state.
@@ -160,7 +160,7 @@
         let mut controller_1 = start("one", &address, &[], true).await;
         let id = submit_to_leader(&mut controller_1).await;
         server.begin_outage();
-        let outcome = within_20_s(controller_1.api_service.cancel(&id, Origin::Client)).await;
+        let outcome = within_20_s(controller_1.api_service.cancel(&id, Origin::User)).await;
         assert!(matches!(outcome, RequestOutcome::Unavailable(_)), "{outcome:?}");
         assert!(server.with_store(|store| store.get(&final_state_key(&id))).is_none());
         server.end_outage();
@@ -168,7 +168,7 @@
         let status = within_20_s(async {
             loop {
                 if let RequestOutcome::Known(status) =
-                    controller_1.api_service.cancel(&id, Origin::Client).await
+                    controller_1.api_service.cancel(&id, Origin::User).await
                 {
                     break status;
                 }
@@ -195,7 +195,7 @@
         let mut controller_1 = start("one", &address, &[("two", &peer_address)], true).await;
         let id = submit_to_leader(&mut controller_1).await;
         assert!(!controller_2.api_service.final_states().contains(&id));
-        let outcome = within_20_s(controller_1.api_service.cancel(&id, Origin::Client)).await;
+        let outcome = within_20_s(controller_1.api_service.cancel(&id, Origin::User)).await;
         assert!(matches!(outcome, RequestOutcome::Known(_)), "{outcome:?}");
         within_20_s(async {
             while !controller_2.api_service.final_states().contains(&id) {
@@ -204,7 +204,7 @@
         })
         .await;
         let RequestOutcome::Known(status) =
-            controller_2.api_service.status(&id, Origin::Client).await
+            controller_2.api_service.status(&id, Origin::User).await
         else {
             panic!("the final state is unknown without the store")
         };
@@ -228,24 +228,24 @@
         let controller_1 = start("one", NOWHERE, &[("two", &peer_address)], false).await;
         let id = JobId::parse("req-000412").expect("an id");
         let outcome =
-            within_20_s(controller_1.api_service.submit(JOB.as_bytes(), Origin::Client)).await;
+            within_20_s(controller_1.api_service.submit(JOB.as_bytes(), Origin::User)).await;
         assert!(matches!(outcome, RequestOutcome::Accepted(_)), "{outcome:?}");
-        let outcome = within_20_s(controller_1.api_service.status(&id, Origin::Client)).await;
+        let outcome = within_20_s(controller_1.api_service.status(&id, Origin::User)).await;
         assert!(
             matches!(outcome, RequestOutcome::Known(status) if status.state == JobState::Queued)
         );
-        let outcome = within_20_s(controller_1.api_service.cancel(&id, Origin::Client)).await;
+        let outcome = within_20_s(controller_1.api_service.cancel(&id, Origin::User)).await;
         assert!(
             matches!(outcome, RequestOutcome::Known(status) if status.state == JobState::Cancelled)
         );
         let absent = JobId::parse("req-000999").expect("an id");
         assert_eq!(
-            within_20_s(controller_1.api_service.status(&absent, Origin::Client)).await,
+            within_20_s(controller_1.api_service.status(&absent, Origin::User)).await,
             RequestOutcome::NotFound
         );
         // During an outage of the store no controller can tell whether the job exists.
         server.begin_outage();
-        let outcome = within_20_s(controller_1.api_service.status(&absent, Origin::Client)).await;
+        let outcome = within_20_s(controller_1.api_service.status(&absent, Origin::User)).await;
         assert!(matches!(outcome, RequestOutcome::Unavailable(_)), "{outcome:?}");
     };
     LocalSet::new().run_until(work).await;
--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -212,6 +212,6 @@
     assert_eq!(standby.status(at(20_000)).phase, "fencing");
     assert!(standby.election_won(8_193, at(20_000)));
     assert_eq!(standby.status(at(20_000)).phase, "catching up");
-    assert!(standby.record_reading_completed(8_193, at(20_000)));
+    assert!(standby.records_read(8_193, at(20_000)));
     assert_eq!(standby.status(at(20_000)).phase, "active");
 }
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -140,7 +140,7 @@
         let election =
             leaderless_state.election(&leader, LEADERSHIP_LEASE).expect("a record that serializes");
         let mod_revision = store.commit(&election).expect("nobody else campaigns");
-        let stored_watermarks = match response {
+        let watermark_completeness = match response {
             ElectionResponse::Received => leaderless_state.watermark_completeness,
             ElectionResponse::Lost => WatermarkCompleteness::read(&store.list(LEADER_PREFIX)),
         };
@@ -148,7 +148,7 @@
             test_config(),
             store,
             (leader.term, mod_revision),
-            stored_watermarks,
+            watermark_completeness,
             now,
         )
     }
@@ -158,7 +158,7 @@
         config: ControllerConfig,
         store: MemoryStore,
         (term, mod_revision): (u64, u64),
-        stored_watermarks: WatermarkCompleteness,
+        watermark_completeness: WatermarkCompleteness,
         now: MonotonicTime,
     ) -> Self {
         let loaded = LoadedRecords {
@@ -168,7 +168,7 @@
             registry: store.list("r/"),
             images: store.list("i/"),
             classes: store.get("c/lanes"),
-            stored_watermarks,
+            watermark_completeness,
         };
         let precondition = Precondition { key: LEADER_KEY.into(), mod_revision };
         let elected_at = timestamp(now);
--- a/crates/controller/tests/leadership.rs
+++ b/crates/controller/tests/leadership.rs
@@ -35,7 +35,7 @@
         store: StoreClient::new(address, 1_000.0),
         clock,
         lease: lease.clone(),
-        view: view_tx,
+        leadership_view: view_tx,
         resign_requested: Arc::new(Notify::new()),
         leader_suspected: suspicion.clone(),
         lease_length: hookway_constants::DEFAULT_LEADER_LEASE,
--- a/crates/controller/tests/simulation/elections.rs
+++ b/crates/controller/tests/simulation/elections.rs
@@ -52,7 +52,8 @@
         let term = leaderless_state.next_term();
         let older_marker_current = self.older_marker_is_current();
         let precondition = self.win_election(n, &leaderless_state);
-        let stored_watermarks = self.known_watermarks(n, &leaderless_state, older_marker_current);
+        let watermark_completeness =
+            self.known_watermarks(n, &leaderless_state, older_marker_current);
         let loaded = LoadedRecords {
             jobs: self.store.list("j/"),
             progress: self.store.list("p/"),
@@ -60,7 +61,7 @@
             registry: self.store.list("r/"),
             images: vec![],
             classes: self.store.get("c/lanes"),
-            stored_watermarks,
+            watermark_completeness,
         };
         let elected_at = self.timestamp();
         let controller = &mut self.controllers[n];
--- a/crates/controller/tests/simulation/leases.rs
+++ b/crates/controller/tests/simulation/leases.rs
@@ -93,7 +93,7 @@
             && in_time
             && controller.leader.is_none()
         {
-            controller.lessee.lease_granted(lease, sent_at, local_now);
+            controller.lessee.apply_renewal_response(lease, sent_at, local_now);
         }
     }
 }
--- a/crates/controller/tests/store_keys.rs
+++ b/crates/controller/tests/store_keys.rs
@@ -85,7 +85,7 @@
         store: StoreClient::new(&address, 1_000.0),
         clock: Clock::default(),
         lease: Arc::new(LeadershipLease::default()),
-        view: view_tx,
+        leadership_view: view_tx,
         resign_requested: Arc::new(Notify::new()),
         leader_suspected: Arc::new(Notify::new()),
         lease_length: std::time::Duration::from_secs(5),
