--- a/crates/controller/src/cluster_state/progress/tests.rs
+++ b/crates/controller/src/cluster_state/progress/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn oversized_progress_record_is_overwritten_only_after_parts_are_stored() {
+fn oversized_progress_record_is_overwritten_only_after_smaller_pages_are_stored() {
     let mut progress = Progress::new(16_384, SMALL_VALUE_KB);
     let mut results = vec![false; 16_384];
     results[5] = true;
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn progress_part_of_unused_size_counts_and_is_not_overwritten() {
+fn smaller_progress_page_of_unused_size_counts_and_is_not_overwritten() {
     let mut progress = Progress::new(16_384, 8.0);
     let smaller_page = ProgressRecord::new(&[true]);
     assert_eq!(progress.apply_record(8_192, 8, Some(&smaller_page)).pages_to_write, [0usize; 0]);
--- a/crates/controller/tests/cluster_state/reservations.rs
+++ b/crates/controller/tests/cluster_state/reservations.rs
@@ -13,9 +13,9 @@
 fn full_machines() -> (LeaderHarness, [ScriptedWorker; 2]) {
     let mut harness = LeaderHarness::start();
     let mut workers = [small_worker("m-1", "a"), small_worker("m-2", "a")];
-    harness.run_rounds_with_count(&mut workers, 2);
+    harness.run_rounds(&mut workers, 2);
     harness.submit(JobSpec { cpus: 1.0, ..job("req-000001", "array", 8) });
-    harness.run_rounds_with_count(&mut workers, 4);
+    harness.run_rounds(&mut workers, 4);
     assert_eq!(running(&workers[0], "req-000001") + running(&workers[1], "req-000001"), 8);
     (harness, workers)
 }
@@ -50,7 +50,7 @@
     // resources, so the leader sends no new task there for 3 s.
     let task = workers[0].unfinished_tasks().remove(0);
     workers[0].end_task(&task, ExitCause::InsufficientResources);
-    harness.run_rounds_with_count(&mut workers, 5);
+    harness.run_rounds(&mut workers, 5);
     assert_eq!(running(&workers[0], "req-000001"), 0, "the tasks on m-1 were stopped");
     assert_eq!(running(&workers[1], "req-000002"), 1, "the job does not wait for m-1");
 }
@@ -60,7 +60,7 @@
     for kind in ["daemon", "group"] {
         let (mut harness, mut workers, cleared) = preempting_job(high_priority_job(kind));
         harness.cluster.cancel(&JobId::parse("req-000002").expect("an id"));
-        harness.run_rounds_with_count(&mut workers, 4);
+        harness.run_rounds(&mut workers, 4);
         assert_eq!(
             running(&workers[cleared], "req-000001"),
             4,
@@ -79,7 +79,7 @@
     harness.advance(100);
     harness.heartbeat(&mut third);
     assert_eq!(running(&third, "req-000002"), 1, "the job starts on the new machine first");
-    harness.run_rounds_with_count(&mut workers, 4);
+    harness.run_rounds(&mut workers, 4);
     assert_eq!(running(&workers[cleared], "req-000001"), 4, "the capacity is used again");
 }
 
@@ -87,7 +87,7 @@
 fn reservation_stays_while_its_job_waits_for_the_stops() {
     for kind in ["daemon", "group"] {
         let (mut harness, mut workers, cleared) = preempting_job(high_priority_job(kind));
-        harness.run_rounds_with_count(&mut workers, 4);
+        harness.run_rounds(&mut workers, 4);
         assert_eq!(running(&workers[cleared], "req-000002"), 1, "{kind}");
     }
 }
--- a/crates/controller/tests/harness/mod.rs
+++ b/crates/controller/tests/harness/mod.rs
@@ -247,7 +247,7 @@
     }
 
     /// Runs `rounds` times one heartbeat of each worker and then a scheduling round.
-    pub fn run_rounds_with_count(&mut self, workers: &mut [ScriptedWorker], rounds: usize) {
+    pub fn run_rounds(&mut self, workers: &mut [ScriptedWorker], rounds: usize) {
         for _ in 0..rounds {
             for worker in workers.iter_mut() {
                 self.heartbeat(worker);
--- a/crates/controller/tests/relocation.rs
+++ b/crates/controller/tests/relocation.rs
@@ -31,7 +31,7 @@
     harness.run_four_rounds(&mut [&mut first]);
     assert_eq!(running(&first, "req-000001"), 4);
     let mut workers = [first, small_worker("m-2", "b")];
-    harness.run_rounds_with_count(&mut workers, 2);
+    harness.run_rounds(&mut workers, 2);
     (harness, workers)
 }
 
@@ -40,7 +40,7 @@
 fn waiting_spread_daemon() -> (LeaderHarness, [ScriptedWorker; 2]) {
     let (mut harness, mut workers) = full_zone();
     harness.submit(spread_daemon("req-000002", 2));
-    harness.run_rounds_with_count(&mut workers, 2);
+    harness.run_rounds(&mut workers, 2);
     assert_eq!((running(&workers[0], "req-000002"), running(&workers[1], "req-000002")), (0, 1));
     (harness, workers)
 }
@@ -50,7 +50,7 @@
     let (mut harness, mut workers) = waiting_spread_daemon();
     let before = starts(&workers);
     for _ in 0..40 {
-        harness.run_rounds_with_count(&mut workers, 1);
+        harness.run_rounds(&mut workers, 1);
         let replicas = running(&workers[0], "req-000001") + running(&workers[1], "req-000001");
         assert!(replicas >= 3, "at most one replica is stopped at a time, {replicas} run");
     }
@@ -63,10 +63,10 @@
 fn relocated_replica_preempts_lower_priority_on_target_machine() {
     let (mut harness, mut workers) = full_zone();
     harness.submit(JobSpec { cpus: 1.0, ..job("req-000003", "array", 4) });
-    harness.run_rounds_with_count(&mut workers, 3);
+    harness.run_rounds(&mut workers, 3);
     assert_eq!(running(&workers[1], "req-000003"), 4);
     harness.submit(spread_daemon("req-000002", 2));
-    harness.run_rounds_with_count(&mut workers, 40);
+    harness.run_rounds(&mut workers, 40);
     assert_eq!((running(&workers[0], "req-000002"), running(&workers[1], "req-000002")), (1, 1));
     assert_eq!((running(&workers[0], "req-000001"), running(&workers[1], "req-000001")), (3, 1));
     assert_eq!(running(&workers[1], "req-000003"), 2, "no more tasks are stopped than necessary");
@@ -76,7 +76,7 @@
 fn job_bound_to_full_zone_gets_capacity_of_relocated_replica() {
     let (mut harness, mut workers) = full_zone();
     harness.submit(JobSpec { zone: Some("a".into()), ..daemon("req-000002", 1) });
-    harness.run_rounds_with_count(&mut workers, 40);
+    harness.run_rounds(&mut workers, 40);
     assert_eq!(running(&workers[0], "req-000002"), 1);
     assert_eq!((running(&workers[0], "req-000001"), running(&workers[1], "req-000001")), (3, 1));
 }
@@ -93,7 +93,7 @@
     assert_eq!(running(&first, "req-000003"), 1, "m-1 is full");
     let mut workers = [first, small_worker("m-2", "b")];
     harness.submit(JobSpec { cpus: 1.0, ..job("req-000004", "array", 4) });
-    harness.run_rounds_with_count(&mut workers, 40);
+    harness.run_rounds(&mut workers, 40);
     assert_eq!(running(&workers[0], "req-000003"), 2);
     let replicas = running(&workers[0], "req-000001") + running(&workers[1], "req-000001");
     assert_eq!(replicas, 2, "both still run");
@@ -116,7 +116,7 @@
     };
     harness.submit(gang);
     for _ in 0..60 {
-        harness.run_rounds_with_count(&mut workers, 1);
+        harness.run_rounds(&mut workers, 1);
         let replicas = running(&workers[0], "req-000001") + running(&workers[1], "req-000001");
         assert!(replicas >= 3, "at most one replica is stopped at a time, {replicas} run");
     }
@@ -128,13 +128,13 @@
 fn replicas_without_capacity_elsewhere_are_not_relocated() {
     let (mut harness, mut workers) = full_zone();
     harness.submit(daemon("req-000003", 3));
-    harness.run_rounds_with_count(&mut workers, 3);
+    harness.run_rounds(&mut workers, 3);
     assert_eq!(running(&workers[1], "req-000003"), 3);
     harness.submit(spread_daemon("req-000002", 2));
-    harness.run_rounds_with_count(&mut workers, 3);
+    harness.run_rounds(&mut workers, 3);
     assert_eq!(running(&workers[1], "req-000002"), 1, "m-2 is full");
     let before = starts(&workers);
-    harness.run_rounds_with_count(&mut workers, 40);
+    harness.run_rounds(&mut workers, 40);
     assert_eq!(starts(&workers), before, "no replica is stopped that can't run elsewhere");
     assert_eq!(running(&workers[0], "req-000001"), 4);
 }
@@ -150,7 +150,7 @@
     assert_eq!(first.unfinished_tasks().len(), 4);
     let mut workers = [first, small_worker("m-2", "b")];
     harness.submit(spread_daemon("req-000002", 2));
-    harness.run_rounds_with_count(&mut workers, 40);
+    harness.run_rounds(&mut workers, 40);
     assert_eq!(workers[0].started_attempts.len(), 4, "no replica is stopped");
     assert_eq!(running(&workers[1], "req-000002"), 1);
 }
@@ -159,12 +159,12 @@
 #[test]
 fn replicas_are_not_relocated_back_and_forth() {
     let (mut harness, mut workers) = waiting_spread_daemon();
-    harness.run_rounds_with_count(&mut workers, 40);
+    harness.run_rounds(&mut workers, 40);
     let before = starts(&workers);
     for term in 2..6 {
         let now = harness.now;
         harness = LeaderHarness::with_term(harness.store.clone(), term, now);
-        harness.run_rounds_with_count(&mut workers, 60);
+        harness.run_rounds(&mut workers, 60);
     }
     assert_eq!(starts(&workers), before, "no replica is relocated again");
     assert_eq!(running(&workers[0], "req-000002"), 1);
@@ -176,7 +176,7 @@
 fn replica_stopped_by_earlier_leader_runs_again() {
     let (mut harness, mut workers) = waiting_spread_daemon();
     for _ in 0..40 {
-        harness.run_rounds_with_count(&mut workers, 1);
+        harness.run_rounds(&mut workers, 1);
         if running(&workers[0], "req-000001") < 4 {
             break;
         }
@@ -184,7 +184,7 @@
     assert_eq!(running(&workers[0], "req-000001"), 3, "a replica was stopped");
     let now = harness.now;
     let mut next = LeaderHarness::with_term(harness.store.clone(), 2, now);
-    next.run_rounds_with_count(&mut workers, 60);
+    next.run_rounds(&mut workers, 60);
     assert_eq!(running(&workers[0], "req-000001") + running(&workers[1], "req-000001"), 4);
     assert_eq!(running(&workers[0], "req-000002") + running(&workers[1], "req-000002"), 2);
 }
@@ -195,13 +195,13 @@
 fn cancellation_during_relocation_releases_held_capacity() {
     for rounds in 0..12 {
         let (mut harness, mut workers) = waiting_spread_daemon();
-        harness.run_rounds_with_count(&mut workers, rounds);
+        harness.run_rounds(&mut workers, rounds);
         harness.cluster.cancel(&JobId::parse("req-000002").expect("an id"));
-        harness.run_rounds_with_count(&mut workers, 12);
+        harness.run_rounds(&mut workers, 12);
         let replicas = running(&workers[0], "req-000001") + running(&workers[1], "req-000001");
         assert_eq!(replicas, 4, "cancelled after {rounds} rounds");
         harness.submit(daemon("req-000004", 4));
-        harness.run_rounds_with_count(&mut workers, 6);
+        harness.run_rounds(&mut workers, 6);
         let others = running(&workers[0], "req-000004") + running(&workers[1], "req-000004");
         assert_eq!(others, 4, "cancelled after {rounds} rounds: all capacity is released");
     }
@@ -212,9 +212,9 @@
 fn replica_stays_if_its_target_is_lost_before_the_stop() {
     let (mut harness, mut workers) = full_zone();
     harness.submit(JobSpec { cpus: 1.0, ..job("req-000003", "array", 4) });
-    harness.run_rounds_with_count(&mut workers, 3);
+    harness.run_rounds(&mut workers, 3);
     harness.submit(spread_daemon("req-000002", 2));
-    harness.run_rounds_with_count(&mut workers, 3);
+    harness.run_rounds(&mut workers, 3);
     // m-2 becomes unreachable while its tasks are being stopped.
     for _ in 0..30 {
         harness.heartbeat(&mut workers[0]);
@@ -237,11 +237,11 @@
     harness.run_four_rounds(&mut [&mut first]);
     assert_eq!(running(&first, "req-000001"), 4, "the team is at its quota");
     let mut workers = [first, small_worker("m-2", "b")];
-    harness.run_rounds_with_count(&mut workers, 2);
+    harness.run_rounds(&mut workers, 2);
     let waiting = JobSpec { team: "tight".into(), cpus: 1.0, ..job("req-000003", "array", 8) };
     harness.submit(waiting);
     harness.submit(spread_daemon("req-000002", 2));
-    harness.run_rounds_with_count(&mut workers, 40);
+    harness.run_rounds(&mut workers, 40);
     assert_eq!((running(&workers[0], "req-000001"), running(&workers[1], "req-000001")), (3, 1));
     assert_eq!(running(&workers[0], "req-000002"), 1);
     assert_eq!(running(&workers[1], "req-000003"), 0, "the replicas use the quota");
@@ -252,11 +252,11 @@
 fn replica_that_ends_during_relocation_runs_again() {
     for rounds in 0..12 {
         let (mut harness, mut workers) = waiting_spread_daemon();
-        harness.run_rounds_with_count(&mut workers, rounds);
+        harness.run_rounds(&mut workers, rounds);
         let replica =
             workers[0].unfinished_tasks().into_iter().find(|t| t.starts_with("req-000001"));
         workers[0].end_task(&replica.expect("a replica on m-1"), ExitCause::Done);
-        harness.run_rounds_with_count(&mut workers, 60);
+        harness.run_rounds(&mut workers, 60);
         let replicas = running(&workers[0], "req-000001") + running(&workers[1], "req-000001");
         assert_eq!(replicas, 4, "ended after {rounds} rounds");
         assert_eq!(running(&workers[0], "req-000002"), 1, "ended after {rounds} rounds");
--- a/crates/controller/tests/standby.rs
+++ b/crates/controller/tests/standby.rs
@@ -15,8 +15,8 @@
 use hookway_time::whole_millis;
 use hookway_wire::{ExitCause, JobId, ListedMachine, MachineState, TaskState};
 use standby_support::{
-    SECOND_TERM, answer_probes, attempts, copy_of, fail_over, fleet, partially_placed_gang,
-    run_rounds,
+    SECOND_TERM, attempts, fail_over, fleet, partially_placed_gang, respond_to_probes,
+    run_four_rounds, standby_copy,
 };
 
 /// The previous leader may have sent a start command that the copy lacks.
@@ -24,28 +24,28 @@
 fn start_missing_from_copy_is_not_repeated() {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(3);
-    run_rounds(&mut harness, &mut workers);
+    run_four_rounds(&mut harness, &mut workers);
     // The standby lags behind: its copy contains nothing after this point.
-    let copy = copy_of(&mut harness.cluster);
+    let copy = standby_copy(&mut harness.cluster);
     harness.submit(job("req-000001", "array", 3));
-    run_rounds(&mut harness, &mut workers);
+    run_four_rounds(&mut harness, &mut workers);
     let before = attempts(&workers).len();
     assert_eq!(before, 3);
     fail_over(&mut harness, &copy);
     // Only two machines are reachable; the third may have any task.
     let mut reachable: Vec<ScriptedWorker> = workers.drain(..2).collect();
-    run_rounds(&mut harness, &mut reachable);
+    run_four_rounds(&mut harness, &mut reachable);
     assert!(!harness.cluster.is_reconciled(harness.now));
     let ended_task = reachable[0].unfinished_tasks().remove(0);
     reachable[0].end_task(&ended_task, ExitCause::Stopped);
-    run_rounds(&mut harness, &mut reachable);
+    run_four_rounds(&mut harness, &mut reachable);
     assert_eq!(
         attempts(&reachable).len(),
         2,
         "a task that may run on the unreachable machine is not started"
     );
-    run_rounds(&mut harness, &mut workers);
-    run_rounds(&mut harness, &mut reachable);
+    run_four_rounds(&mut harness, &mut workers);
+    run_four_rounds(&mut harness, &mut reachable);
     assert_eq!(
         attempts(&reachable).len(),
         3,
@@ -59,23 +59,23 @@
 fn copy_without_tasks_does_not_reconcile_machine() {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(1);
-    run_rounds(&mut harness, &mut workers);
+    run_four_rounds(&mut harness, &mut workers);
     harness.submit(job("req-000001", "array", 1));
-    run_rounds(&mut harness, &mut workers);
-    let mut copy = copy_of(&mut harness.cluster);
+    run_four_rounds(&mut harness, &mut workers);
+    let mut copy = standby_copy(&mut harness.cluster);
     let removed = copy.machines["m-1"].tasks()[0].clone();
     let machine = "m-1".to_owned();
     let entry = Entry::TaskRemoved { machine, task: removed.task, attempt: removed.attempt };
     copy.apply(entry).expect("an entry for a task of the copy");
     fail_over(&mut harness, &copy);
     let mut idle = vec![small_worker("m-2", "a")];
-    run_rounds(&mut harness, &mut idle);
+    run_four_rounds(&mut harness, &mut idle);
     assert!(idle[0].started_attempts.is_empty(), "the task may still run on m-1");
     let lease_expires_at = harness.now + longest_worker_lease(&test_config().platform);
     while harness.now < lease_expires_at {
-        run_rounds(&mut harness, &mut idle);
+        run_four_rounds(&mut harness, &mut idle);
     }
-    run_rounds(&mut harness, &mut idle);
+    run_four_rounds(&mut harness, &mut idle);
     assert_eq!(idle[0].started_attempts.len(), 1, "the worker lease of m-1 has expired");
 }
 
@@ -83,8 +83,8 @@
 fn records_override_copy_with_unknown_machines_and_jobs() {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(1);
-    run_rounds(&mut harness, &mut workers);
-    let mut copy = copy_of(&mut harness.cluster);
+    run_four_rounds(&mut harness, &mut workers);
+    let mut copy = standby_copy(&mut harness.cluster);
     let unknown_machine = || "m-99".to_owned();
     let task = PlacedTask { task: "req-000009/0".into(), attempt: 7, stage: Stage::Running };
     for entry in [
@@ -112,8 +112,8 @@
 fn address_outside_worker_networks_is_not_probed() {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(1);
-    run_rounds(&mut harness, &mut workers);
-    let copy = copy_of(&mut harness.cluster);
+    run_four_rounds(&mut harness, &mut workers);
+    let copy = standby_copy(&mut harness.cluster);
     let store = std::mem::take(&mut harness.store);
     harness = LeaderHarness::with_term(store, SECOND_TERM, harness.now + ms(5_000));
     let other_networks = Networks::parse("10.1.0.0/16").expect("a network");
@@ -129,8 +129,8 @@
 fn probe_answered_by_other_machine_reconciles_nothing() {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(2);
-    run_rounds(&mut harness, &mut workers);
-    let copy = copy_of(&mut harness.cluster);
+    run_four_rounds(&mut harness, &mut workers);
+    let copy = standby_copy(&mut harness.cluster);
     fail_over(&mut harness, &copy);
     let term = harness.cluster.term();
     let probes = harness.cluster.take_state_probes(harness.now);
@@ -146,20 +146,20 @@
 fn failing_job_is_known_to_next_leader_from_copy() {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(3);
-    run_rounds(&mut harness, &mut workers);
+    run_four_rounds(&mut harness, &mut workers);
     let id = harness.submit(job("req-000001", "array", 3));
-    run_rounds(&mut harness, &mut workers);
+    run_four_rounds(&mut harness, &mut workers);
     for worker in &mut workers {
         let task = worker.unfinished_tasks().remove(0);
         worker.end_task(&task, ExitCause::Error);
     }
-    run_rounds(&mut harness, &mut workers);
-    let copy = copy_of(&mut harness.cluster);
+    run_four_rounds(&mut harness, &mut workers);
+    let copy = standby_copy(&mut harness.cluster);
     assert!(copy.jobs[id.as_str()].consecutive_failures > 0);
     let before = attempts(&workers).len();
     let restored = fail_over(&mut harness, &copy);
     assert_eq!(restored.failing_jobs, 1);
-    run_rounds(&mut harness, &mut workers);
+    run_four_rounds(&mut harness, &mut workers);
     let restarted = attempts(&workers).len() - before;
     assert!(
         restarted <= 1,
@@ -172,7 +172,7 @@
 fn excessive_backoff_in_copy_is_bounded() {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(1);
-    run_rounds(&mut harness, &mut workers);
+    run_four_rounds(&mut harness, &mut workers);
     harness.submit(job("req-000001", "array", 1));
     harness.commit_pending();
     let job = ReplicatedJob {
@@ -184,11 +184,11 @@
     copy.apply(Entry::Job { id: "req-000001".into(), job })
         .expect("an entry within the limits of a copy");
     fail_over(&mut harness, &copy);
-    run_rounds(&mut harness, &mut workers);
+    run_four_rounds(&mut harness, &mut workers);
     assert!(workers[0].unfinished_tasks().is_empty(), "the job is in backoff");
     for _ in 0..whole_millis(constants::FAILURE_BACKOFF_MAX) / 2_000 + 5 {
         harness.now += ms(1_500);
-        run_rounds(&mut harness, &mut workers);
+        run_four_rounds(&mut harness, &mut workers);
     }
     assert_eq!(workers[0].unfinished_tasks().len(), 1);
 }
@@ -205,15 +205,15 @@
         .flat_map(|machine| machine.tasks().iter().map(|task| task.stage))
         .collect();
     assert_eq!(stages, [Stage::Sent, Stage::Sent, Stage::Planned, Stage::Planned]);
-    run_rounds(&mut harness, &mut workers);
+    run_four_rounds(&mut harness, &mut workers);
     for worker in &mut workers {
         worker.set_all_task_states(TaskState::Running);
     }
-    run_rounds(&mut harness, &mut workers);
+    run_four_rounds(&mut harness, &mut workers);
     harness.cluster.publish(&mut publisher);
     assert_eq!(
         publisher.state(),
-        &copy_of(&mut harness.cluster),
+        &standby_copy(&mut harness.cluster),
         "the published entries add up to the whole cluster state"
     );
     assert!(publisher.state().jobs.contains_key(id.as_str()));
@@ -221,10 +221,10 @@
         let task = worker.unfinished_tasks().remove(0);
         worker.end_task(&task, ExitCause::Done);
     }
-    run_rounds(&mut harness, &mut workers);
+    run_four_rounds(&mut harness, &mut workers);
     harness.cluster.scale_in_finished(&["m-4".to_owned()], harness.now);
     harness.cluster.publish(&mut publisher);
-    assert_eq!(publisher.state(), &copy_of(&mut harness.cluster));
+    assert_eq!(publisher.state(), &standby_copy(&mut harness.cluster));
     assert_eq!((publisher.state().machines.len(), publisher.state().task_count()), (3, 0));
     assert!(publisher.state().jobs.is_empty());
 }
@@ -235,8 +235,8 @@
 fn workers_with_old_fencing_token_are_probed() {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(2);
-    run_rounds(&mut harness, &mut workers);
-    let copy = copy_of(&mut harness.cluster);
+    run_four_rounds(&mut harness, &mut workers);
+    let copy = standby_copy(&mut harness.cluster);
     fail_over(&mut harness, &copy);
     for worker in &mut workers {
         harness.heartbeat(worker);
@@ -250,7 +250,7 @@
         "no probe while prompt heartbeats are due"
     );
     harness.now += constants::MAX_PROMPT_HEARTBEAT_DELAY;
-    assert_eq!(answer_probes(&mut harness, &mut workers), 2);
+    assert_eq!(respond_to_probes(&mut harness, &mut workers), 2);
     assert!(harness.cluster.is_reconciled(harness.now));
 }
 
@@ -260,10 +260,10 @@
 fn machine_not_answering_probes_is_deleted_soon_after_failover() {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(8);
-    run_rounds(&mut harness, &mut workers);
+    run_four_rounds(&mut harness, &mut workers);
     harness.submit(job("req-000001", "array", 9));
-    run_rounds(&mut harness, &mut workers);
-    let copy = copy_of(&mut harness.cluster);
+    run_four_rounds(&mut harness, &mut workers);
+    let copy = standby_copy(&mut harness.cluster);
     workers.pop();
     fail_over(&mut harness, &copy);
     // The cloud still lists the machine, with its zone.
@@ -273,7 +273,7 @@
     harness.cluster.machines_listed(&listed, harness.now, harness.now);
     let started_at = harness.now;
     let deleted = loop {
-        answer_probes(&mut harness, &mut workers);
+        respond_to_probes(&mut harness, &mut workers);
         for worker in &mut workers {
             harness.heartbeat(worker);
         }
--- a/crates/controller/tests/standby_support/mod.rs
+++ b/crates/controller/tests/standby_support/mod.rs
@@ -14,7 +14,7 @@
 pub const SECOND_TERM: u64 = 1 + constants::TOKENS_PER_TERM;
 
 /// Returns the copy of a standby that has applied every entry.
-pub fn copy_of(cluster: &mut ClusterState) -> ReplicatedState {
+pub fn standby_copy(cluster: &mut ClusterState) -> ReplicatedState {
     let mut publisher = Publisher::new(cluster.term());
     cluster.publish_all(&mut publisher);
     publisher.state().clone()
@@ -29,7 +29,7 @@
 
 /// Delivers the due state probes to these workers and their responses to the leader, and returns the number of probes.
 /// A machine without a worker in `workers` does not respond.
-pub fn answer_probes(harness: &mut LeaderHarness, workers: &mut [ScriptedWorker]) -> usize {
+pub fn respond_to_probes(harness: &mut LeaderHarness, workers: &mut [ScriptedWorker]) -> usize {
     let probes = harness.cluster.take_state_probes(harness.now);
     for probe in &probes {
         let name = &probe.machine;
@@ -49,7 +49,7 @@
 }
 
 /// Runs four times one heartbeat of each worker and then a scheduling round.
-pub fn run_rounds(harness: &mut LeaderHarness, workers: &mut [ScriptedWorker]) {
+pub fn run_four_rounds(harness: &mut LeaderHarness, workers: &mut [ScriptedWorker]) {
     let mut all_workers: Vec<&mut ScriptedWorker> = workers.iter_mut().collect();
     harness.run_four_rounds(&mut all_workers);
 }
@@ -70,14 +70,14 @@
 pub fn partially_placed_gang() -> (LeaderHarness, Vec<ScriptedWorker>, ReplicatedState, JobId) {
     let mut harness = LeaderHarness::start();
     let mut workers = fleet(4);
-    run_rounds(&mut harness, &mut workers);
+    run_four_rounds(&mut harness, &mut workers);
     let id = harness.submit(job("req-000001", "group", 4));
     harness.advance(500);
     for worker in &mut workers[..2] {
         harness.heartbeat(worker);
     }
     assert_eq!(workers.iter().filter(|worker| !worker.unfinished_tasks().is_empty()).count(), 2);
-    let copy = copy_of(&mut harness.cluster);
+    let copy = standby_copy(&mut harness.cluster);
     (harness, workers, copy, id)
 }
 
--- a/crates/policy/src/scheduling_queue/tests.rs
+++ b/crates/policy/src/scheduling_queue/tests.rs
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn gang_that_can_start_in_time_precedes_late_gang_until_start_bound() {
+fn gang_that_can_start_in_time_precedes_late_gang_until_start_objective_limit() {
     let gang = |submitted: f64| JobView {
         is_gang: true,
         submitted,
