--- a/crates/constants/src/cloud.rs
+++ b/crates/constants/src/cloud.rs
@@ -44,7 +44,7 @@
 /// it deletes those that have sent no heartbeat. A worker can try each controller in this time, even if one of them
 /// accepts the request without responding.
 pub const UNRECONCILED_SCALE_IN_DELAY: Duration = Duration::from_millis(7_000);
-/// A registered machine without heartbeats after a failover is deleted only if its worker's lease would last at least
+/// A registered machine without heartbeats after a failover is deleted only if its worker's lease would last more than
 /// this much longer. Otherwise the expiry of the lease soon proves as well that its tasks have ended, and the machine
 /// is kept.
 pub const UNRECONCILED_SCALE_IN_MIN_GAIN: Duration = Duration::from_millis(6_000);
--- a/crates/controller/src/cluster_state/machine.rs
+++ b/crates/controller/src/cluster_state/machine.rs
@@ -25,7 +25,7 @@
     Interrupted,
     /// The cloud lists the machine as failed.
     Failed,
-    /// Tasks take far longer on the machine than on other machines.
+    /// Tasks take far longer on the machine than on other machines, or one task on it is stuck.
     Slow,
     /// Tasks of different jobs fail on the machine.
     Faulty,
--- a/crates/controller/src/cluster_state/placed_task.rs
+++ b/crates/controller/src/cluster_state/placed_task.rs
@@ -69,7 +69,8 @@
     pub running_since: Option<MonotonicTime>,
     /// When this leader placed or adopted the attempt.
     pub placed_at: MonotonicTime,
-    /// Adopted from a heartbeat instead of placed by this leader: when it started is unknown.
+    /// Adopted from a heartbeat, or from the response to a state probe or to direct commands, instead
+    /// of placed by this leader: when it started is unknown.
     pub adopted: bool,
 }
 
--- a/crates/controller/src/cluster_state/scheduling_round.rs
+++ b/crates/controller/src/cluster_state/scheduling_round.rs
@@ -19,7 +19,9 @@
     pub job: JobKey,
     /// Number of tasks that heartbeats may still place before the next round.
     pub tasks: u32,
-    /// The tasks exceed the job's minimum task count, so they are placed as backfill only.
+    /// Whether the tasks are placed as backfill only: they exceed the job's minimum task count, or
+    /// belong to a job without an objective. `false` for entries of aged and of crash-looping jobs,
+    /// even without an objective (see [`QueueEntry::is_backfill`]).
     pub is_backfill: bool,
 }
 
--- a/crates/controller/tests/relocation.rs
+++ b/crates/controller/tests/relocation.rs
@@ -1,4 +1,4 @@
-//! Relocation: replicas of daemons move to other machines to free capacity for another job.
+//! Relocation: replicas of daemons move to other machines to free resources for another job.
 //!
 //! These tests guard against a job that waits forever (simulation with random faults, seed 2915): replicas of two
 //! daemons filled the only machine of zone a, and the cloud could provide no more machines. A daemon that must spread
