--- a/crates/controller/tests/formats.rs
+++ b/crates/controller/tests/formats.rs
@@ -6,7 +6,7 @@
 
 mod formats_support;
 
-use formats_support::{check_frame, check_json, fixture, id, spec, status};
+use formats_support::{fixture, frame, id, json, spec, status};
 use hookway_controller::frame::{self, CURRENT_VERSION, Frame, FrameVersion};
 use hookway_controller::peer_job_status::PeerJobStatus;
 use hookway_controller::peers::{PeerRequest, PeerResponse};
@@ -75,37 +75,37 @@
         accepted_at_ms: 1_764_654_219_000,
         has_start_watermark: true,
     };
-    check_json("record-job-array", &job("array"));
-    check_json("record-job-group", &job("group"));
-    check_json("record-job-daemon", &job("daemon"));
-    check_json(
+    json("record-job-array", &job("array"));
+    json("record-job-group", &job("group"));
+    json("record-job-daemon", &job("daemon"));
+    json(
         "record-lead",
         &LeaderRecord { controller_name: "worker-1".into(), term: 4_097, nonce: 77 },
     );
     let final_record = |state, notes| FinalRecord { state, done: 3, team: "vision".into(), notes };
-    check_json("record-final-done", &final_record(JobState::Done, vec![]));
-    check_json("record-final-withdrawn", &final_record(JobState::Cancelled, vec!["a note".into()]));
+    json("record-final-done", &final_record(JobState::Done, vec![]));
+    json("record-final-withdrawn", &final_record(JobState::Cancelled, vec!["a note".into()]));
     let mut results = vec![false; 20];
     (results[0], results[9], results[19]) = (true, true, true);
-    check_json("record-progress", &ProgressRecord::new(&results));
+    json("record-progress", &ProgressRecord::new(&results));
     let scheduling = JobSchedulingRecord {
         min_tasks: 7,
         run_time_count: 4,
         run_time_sum_ms: 91_000,
         start_watermark: 32,
     };
-    check_json("record-minimum", &scheduling);
-    check_json("record-marks", &SharedStartWatermarksRecord { jobs: BTreeSet::from([id()]) });
+    json("record-minimum", &scheduling);
+    json("record-marks", &SharedStartWatermarksRecord { jobs: BTreeSet::from([id()]) });
     let entry = MachineRegistryEntry { registered_at_ms: 1_764_654_219_000, images: vec![0] };
     let images = vec![ImageRecord { name: "img-07".into(), size_gb: 6.2 }];
     let without_images =
         MachineRegistryEntry { registered_at_ms: 1_764_654_219_001, images: vec![] };
     let machines =
         BTreeMap::from([("m-000231".to_owned(), entry), ("m-000232".to_owned(), without_images)]);
-    check_json("record-roster", &MachineRegistryRecord { machines, images: images.clone() });
-    check_json("record-images", &LegacyImagesRecord { images });
+    json("record-roster", &MachineRegistryRecord { machines, images: images.clone() });
+    json("record-images", &LegacyImagesRecord { images });
     let request = Resources { cpus: 8.0, gpus: 1.0, memory_gb: 64.0 };
-    check_json(
+    json(
         "record-lane",
         &ClassRecord { request, image_gb: 6.2, allows_spot: true, is_gang_class: false },
     );
@@ -116,9 +116,9 @@
     let peer_status = |state| PeerJobStatus::from(status(state));
     let bare =
         PeerJobStatus { team: None, leader: None, notes: vec![], ..peer_status(JobState::Queued) };
-    check_frame("ask-status", &PeerRequest::Status("req-000412".into()));
-    check_frame("ask-withdraw", &PeerRequest::Cancel("req-000412".into()));
-    check_frame("ask-submit", &PeerRequest::Submit(b"{\"NameId\":1}".to_vec()));
+    frame("ask-status", &PeerRequest::Status("req-000412".into()));
+    frame("ask-withdraw", &PeerRequest::Cancel("req-000412".into()));
+    frame("ask-submit", &PeerRequest::Submit(b"{\"NameId\":1}".to_vec()));
     let renewal = |acknowledged, extended_ago_ms| ShardLeaseRenewal {
         controller: "worker-1".into(),
         process_nonce: u64::MAX,
@@ -127,33 +127,27 @@
         extended_ago_ms,
     };
     let acknowledged = ShardLeaseAcknowledgement { term: 4_097, granted_at_ms: 300 };
-    check_frame(
-        "ask-renew",
-        &PeerRequest::RenewShardLease(renewal(Some(acknowledged), Some(1_500))),
-    );
-    check_frame("ask-renew-first", &PeerRequest::RenewShardLease(renewal(None, None)));
-    check_frame("ask-over", &PeerRequest::JobFinished(peer_status(JobState::Cancelled)));
+    frame("ask-renew", &PeerRequest::RenewShardLease(renewal(Some(acknowledged), Some(1_500))));
+    frame("ask-renew-first", &PeerRequest::RenewShardLease(renewal(None, None)));
+    frame("ask-over", &PeerRequest::JobFinished(peer_status(JobState::Cancelled)));
     let response = |outcome| PeerResponse::Outcome(outcome);
-    check_frame("answer-accepted", &response(RequestOutcome::Accepted(bare)));
-    check_frame(
-        "answer-known-running",
-        &response(RequestOutcome::Known(peer_status(JobState::Running))),
-    );
-    check_frame("answer-known-done", &response(RequestOutcome::Known(peer_status(JobState::Done))));
-    check_frame("answer-absent", &response(RequestOutcome::NotFound));
-    check_frame(
+    frame("answer-accepted", &response(RequestOutcome::Accepted(bare)));
+    frame("answer-known-running", &response(RequestOutcome::Known(peer_status(JobState::Running))));
+    frame("answer-known-done", &response(RequestOutcome::Known(peer_status(JobState::Done))));
+    frame("answer-absent", &response(RequestOutcome::NotFound));
+    frame(
         "answer-refused",
         &response(RequestOutcome::Rejected { status: 422, reason: "no room".into() }),
     );
-    check_frame("answer-later", &response(RequestOutcome::Unavailable("not now".into())));
+    frame("answer-later", &response(RequestOutcome::Unavailable("not now".into())));
     let lease = ShardLease {
         term: 4_097,
         granted_at_ms: 70_000,
         zones: vec!["a".into()],
         lease_ms: 30_000,
     };
-    check_frame("answer-block", &PeerResponse::ShardLease(Some(lease)));
-    check_frame("answer-no-block", &PeerResponse::ShardLease(None));
+    frame("answer-block", &PeerResponse::ShardLease(Some(lease)));
+    frame("answer-no-block", &PeerResponse::ShardLease(None));
 }
 
 /// Frames that frame version 2 added. A controller of an earlier version, or one in production, whose frames have no
@@ -163,9 +157,9 @@
     let at = |index| Position { term: 4_097, index };
     let follow =
         |progress| PeerRequest::Follow(FollowRequest { follower: "worker-1".into(), progress });
-    check_frame("ask-follow-nothing", &follow(FollowerProgress::Empty));
-    check_frame("ask-follow-through", &follow(FollowerProgress::Through(at(300))));
-    check_frame(
+    frame("ask-follow-nothing", &follow(FollowerProgress::Empty));
+    frame("ask-follow-through", &follow(FollowerProgress::Through(at(300))));
+    frame(
         "ask-follow-pieces",
         &follow(FollowerProgress::ReceivingSnapshot { position: at(300), next_chunk: 2 }),
     );
@@ -188,7 +182,7 @@
     ];
     let digest = Some(RangeDigest { range: 3, digest: 77 });
     let body = FollowResponseBody::Entries { after: at(300), entries, digest };
-    check_frame(
+    frame(
         "answer-entries",
         &PeerResponse::FollowResponse(Some(FollowResponse { end: at(400), body })),
     );
@@ -200,11 +194,11 @@
         bytes: vec![1, 2],
     };
     let body = FollowResponseBody::SnapshotChunk(chunk);
-    check_frame(
+    frame(
         "answer-piece",
         &PeerResponse::FollowResponse(Some(FollowResponse { end: at(400), body })),
     );
-    check_frame("answer-follows-not", &PeerResponse::FollowResponse(None));
+    frame("answer-follows-not", &PeerResponse::FollowResponse(None));
 }
 
 #[test]
@@ -237,22 +231,19 @@
 
 #[test]
 fn messages_of_users_and_workers_are_read_and_written_as_in_production() {
-    check_json("http-job", &spec("group"));
-    check_json("http-status", &status(JobState::Running));
+    json("http-job", &spec("group"));
+    json("http-status", &status(JobState::Running));
     let bare = JobStatus { team: None, leader: None, notes: vec![], ..status(JobState::Done) };
-    check_json("http-status-bare", &bare);
-    check_json("http-error", &ErrorBody { error: "no such job".into() });
-    check_json("http-report", &heartbeat());
-    check_json(
-        "http-report-answer",
-        &HeartbeatResponse { fencing_token: 41, commands: commands() },
-    );
-    check_json(
+    json("http-status-bare", &bare);
+    json("http-error", &ErrorBody { error: "no such job".into() });
+    json("http-report", &heartbeat());
+    json("http-report-answer", &HeartbeatResponse { fencing_token: 41, commands: commands() });
+    json(
         "http-orders",
         &DirectCommands { fencing_token: 41, incarnation: 1, commands: commands() },
     );
-    check_json("http-elsewhere", &HeartbeatRedirect { leader: Some("worker-2".into()) });
-    check_json("http-nowhere", &HeartbeatRedirect { leader: None });
+    json("http-elsewhere", &HeartbeatRedirect { leader: Some("worker-2".into()) });
+    json("http-nowhere", &HeartbeatRedirect { leader: None });
 }
 
 #[test]
@@ -261,22 +252,19 @@
     let put = Operation::Put { key: "a/b".into(), value: value.clone(), lease_id: Some(7) };
     let preconditions = vec![Precondition { key: "a/b".into(), mod_revision: 0 }];
     let operations = vec![put, Operation::put("a/c", value.clone()), Operation::delete("c/d")];
-    check_json("store-commit", &Transaction { preconditions, operations });
-    check_json(
-        "store-commit-answer",
-        &CommitResponse { failed: vec!["a/b".into()], revision: 431 },
-    );
+    json("store-commit", &Transaction { preconditions, operations });
+    json("store-commit-answer", &CommitResponse { failed: vec!["a/b".into()], revision: 431 });
     let pair =
         KeyValue { key: "a/b".into(), value: value.clone(), mod_revision: 412, lease_id: Some(7) };
-    check_json("store-pair", &pair);
-    check_json("store-page", &KeyPage { pairs: vec![pair], has_next: true, revision: 431 });
-    check_json("store-grant-request", &LeaseGrantRequest { ttl_ms: 5_000 });
-    check_json("store-grant", &LeaseGrant { lease_id: 7 });
+    json("store-pair", &pair);
+    json("store-page", &KeyPage { pairs: vec![pair], has_next: true, revision: 431 });
+    json("store-grant-request", &LeaseGrantRequest { ttl_ms: 5_000 });
+    json("store-grant", &LeaseGrant { lease_id: 7 });
     let events = vec![
         WatchEvent::Put { key: "c/9".into(), value, mod_revision: 433 },
         WatchEvent::Delete { key: "c/d".into(), mod_revision: 432 },
     ];
-    check_json("store-watch", &WatchResponse { revision: 433, events });
+    json("store-watch", &WatchResponse { revision: 433, events });
     let scale_out = ScaleOutRequest {
         request_id: "h-4097-1".into(),
         machine_type: "g8".into(),
@@ -284,8 +272,8 @@
         spot: true,
         count: 12,
     };
-    check_json("cloud-rent", &scale_out);
-    check_json("cloud-hosts", &MachineNames { machines: vec!["m-000231".into()] });
+    json("cloud-rent", &scale_out);
+    json("cloud-hosts", &MachineNames { machines: vec!["m-000231".into()] });
     let machine_type = MachineType {
         name: "g8".into(),
         cpus: 96.0,
@@ -298,7 +286,7 @@
         boot_s: 45.0,
         zones: vec!["a".into(), "b".into()],
     };
-    check_json("cloud-flavors", &MachineTypes { machine_types: vec![machine_type] });
+    json("cloud-flavors", &MachineTypes { machine_types: vec![machine_type] });
     let listed = ListedMachine {
         name: "m-000231".into(),
         address: Some("10.1.0.232:9000".into()),
@@ -308,6 +296,6 @@
         state: MachineState::Running,
         age_s: 61.5,
     };
-    check_json("cloud-listed", &listed);
-    check_json("cloud-list", &MachineList { machines: vec![listed], has_next: true });
+    json("cloud-listed", &listed);
+    json("cloud-list", &MachineList { machines: vec![listed], has_next: true });
 }
--- a/crates/controller/tests/formats_pinned.rs
+++ b/crates/controller/tests/formats_pinned.rs
@@ -5,7 +5,7 @@
 
 mod formats_support;
 
-use formats_support::{bare_spec, check_frame, check_json, check_reading, fixture, status};
+use formats_support::{bare_spec, fixture, frame, json, read_only, status};
 use hookway_controller::leadership::LeadershipView;
 use hookway_controller::peer_job_status::PeerJobStatus;
 use hookway_controller::peers::{PeerRequest, PeerResponse, Peers};
@@ -38,29 +38,29 @@
         accepted_at_ms: 1_764_654_219_000,
         has_start_watermark,
     };
-    check_json("pinned-record-job-bare", &record(false));
-    check_reading("pinned-record-job-of-0.1.0", &record(false));
-    check_reading("pinned-record-job-unknown-field", &record(true));
+    json("pinned-record-job-bare", &record(false));
+    read_only("pinned-record-job-of-0.1.0", &record(false));
+    read_only("pinned-record-job-unknown-field", &record(true));
     let final_record = |state, notes| FinalRecord { state, done: 3, team: "vision".into(), notes };
-    check_reading("pinned-record-final-unknown-field", &final_record(JobState::Done, vec![]));
+    read_only("pinned-record-final-unknown-field", &final_record(JobState::Done, vec![]));
     let scheduling = JobSchedulingRecord {
         min_tasks: 7,
         run_time_count: 4,
         run_time_sum_ms: 91_000,
         start_watermark: 0,
     };
-    check_json("pinned-record-minimum-unopened", &scheduling);
-    check_reading("pinned-record-minimum-of-0.1.0", &scheduling);
-    check_json("pinned-record-progress-empty", &ProgressRecord::new(&[]));
-    check_json("pinned-record-marks-empty", &SharedStartWatermarksRecord { jobs: BTreeSet::new() });
-    check_json("pinned-record-roster-empty", &MachineRegistryRecord::default());
+    json("pinned-record-minimum-unopened", &scheduling);
+    read_only("pinned-record-minimum-of-0.1.0", &scheduling);
+    json("pinned-record-progress-empty", &ProgressRecord::new(&[]));
+    json("pinned-record-marks-empty", &SharedStartWatermarksRecord { jobs: BTreeSet::new() });
+    json("pinned-record-roster-empty", &MachineRegistryRecord::default());
     let entry = MachineRegistryEntry { registered_at_ms: 1_764_654_219_000, images: vec![1, 0] };
     let machines = BTreeMap::from([("m-000231".to_owned(), entry)]);
     let images = [("img-07", 6.2), ("img-08", 0.5)]
         .map(|(name, size_gb)| ImageRecord { name: name.into(), size_gb })
         .to_vec();
-    check_json("pinned-record-roster-images", &MachineRegistryRecord { machines, images });
-    check_json("pinned-record-images-empty", &LegacyImagesRecord::default());
+    json("pinned-record-roster-images", &MachineRegistryRecord { machines, images });
+    json("pinned-record-images-empty", &LegacyImagesRecord::default());
 }
 
 #[test]
@@ -70,7 +70,7 @@
     let request = Resources { cpus: 0.5, gpus: 0.0, memory_gb: 2.0 };
     let array = ClassRecord { request, image_gb: 0.0, allows_spot: false, is_gang_class: false };
     let classes = BTreeMap::from([("cleanup".to_owned(), array), ("train".to_owned(), gang)]);
-    check_json("pinned-record-classes", &classes);
+    json("pinned-record-classes", &classes);
 }
 
 #[test]
@@ -81,10 +81,10 @@
             ..PeerJobStatus::from(status(state))
         })
     };
-    check_frame("pinned-ask-over-queued", &job_finished(JobState::Queued));
-    check_frame("pinned-ask-over-running", &job_finished(JobState::Running));
-    check_frame("pinned-ask-over-done", &job_finished(JobState::Done));
-    check_frame("pinned-ask-over-cancelled", &job_finished(JobState::Cancelled));
+    frame("pinned-ask-over-queued", &job_finished(JobState::Queued));
+    frame("pinned-ask-over-running", &job_finished(JobState::Running));
+    frame("pinned-ask-over-done", &job_finished(JobState::Done));
+    frame("pinned-ask-over-cancelled", &job_finished(JobState::Cancelled));
 }
 
 #[test]
@@ -107,10 +107,10 @@
     ];
     let body = FollowResponseBody::Entries { after: at(0), entries, digest: None };
     let response = FollowResponse { end: at(5), body };
-    check_frame("pinned-answer-entries", &PeerResponse::FollowResponse(Some(response)));
+    frame("pinned-answer-entries", &PeerResponse::FollowResponse(Some(response)));
     let body = FollowResponseBody::Entries { after: at(5), entries: vec![], digest: None };
     let response = FollowResponse { end: at(5), body };
-    check_frame("pinned-answer-no-entries", &PeerResponse::FollowResponse(Some(response)));
+    frame("pinned-answer-no-entries", &PeerResponse::FollowResponse(Some(response)));
 }
 
 /// Returns the publisher of a leader whose cluster state has a task at each stage and two jobs.
@@ -148,9 +148,9 @@
     let request = FollowRequest { follower: "worker-1".into(), progress: FollowerProgress::Empty };
     let response =
         publisher.respond(&request, MonotonicTime::ZERO).expect("a replication snapshot");
-    check_frame("pinned-answer-image", &PeerResponse::FollowResponse(Some(response)));
-    check_frame("pinned-image-state", publisher.state());
-    check_frame("pinned-image-empty-state", &ReplicatedState::default());
+    frame("pinned-answer-image", &PeerResponse::FollowResponse(Some(response)));
+    frame("pinned-image-state", publisher.state());
+    frame("pinned-image-empty-state", &ReplicatedState::default());
 }
 
 #[test]
--- a/crates/controller/tests/formats_support/mod.rs
+++ b/crates/controller/tests/formats_support/mod.rs
@@ -22,7 +22,7 @@
 }
 
 /// Checks that `value` is written as the JSON of the fixture `name` and read back from it.
-pub fn check_json<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
+pub fn json<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
     let written = serde_json::to_value(value).expect("a value");
     let pinned: serde_json::Value = serde_json::from_str(fixture(name)).expect("JSON");
     assert_eq!(written, pinned, "{name} is written differently");
@@ -31,7 +31,7 @@
 }
 
 /// Checks that `value` is written as the bytes of the fixture `name` (in hexadecimal) and read back from them.
-pub fn check_frame<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
+pub fn frame<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
     let config = bincode::config::standard();
     let bytes = bincode::serde::encode_to_vec(value, config).expect("a frame");
     let written: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
@@ -71,7 +71,7 @@
 
 /// Checks that the JSON of the fixture `name`, which this version would write differently, is
 /// read as `value`.
-pub fn check_reading<T: DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
+pub fn read_only<T: DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
     let read: T = serde_json::from_str(fixture(name)).expect("a value");
     assert_eq!(&read, value, "{name} is read differently");
 }
--- a/crates/controller/tests/message_formats_pinned.rs
+++ b/crates/controller/tests/message_formats_pinned.rs
@@ -4,7 +4,7 @@
 
 mod formats_support;
 
-use formats_support::{bare_spec, check_json, check_reading, status};
+use formats_support::{bare_spec, json, read_only, status};
 use hookway_wire::{
     Command, CommitResponse, DurationStatus, ExitCause, FailoverStatus, Heartbeat,
     HeartbeatResponse, JobKind, JobState, JobStatus, KeyPage, KeyValue, ListedMachine, MachineList,
@@ -17,7 +17,7 @@
     for (kind, name) in
         [(JobKind::Array, "array"), (JobKind::Gang, "group"), (JobKind::Daemon, "daemon")]
     {
-        check_json(&format!("pinned-kind-{name}"), &kind);
+        json(&format!("pinned-kind-{name}"), &kind);
     }
     for (priority, name) in [
         (Priority::Low, "low"),
@@ -25,21 +25,21 @@
         (Priority::High, "high"),
         (Priority::Production, "production"),
     ] {
-        check_json(&format!("pinned-priority-{name}"), &priority);
+        json(&format!("pinned-priority-{name}"), &priority);
     }
-    check_json("pinned-http-job-nulls", &bare_spec());
-    check_reading("pinned-http-job-bare", &bare_spec());
+    json("pinned-http-job-nulls", &bare_spec());
+    read_only("pinned-http-job-bare", &bare_spec());
 }
 
 #[test]
 fn job_status_json_matches_fixtures_for_every_state() {
     let bare = |state| JobStatus { team: None, leader: None, notes: vec![], ..status(state) };
-    check_json("pinned-http-status-queued", &bare(JobState::Queued));
-    check_json("pinned-http-status-running", &bare(JobState::Running));
-    check_json("pinned-http-status-done", &bare(JobState::Done));
-    check_json("pinned-http-status-cancelled", &bare(JobState::Cancelled));
+    json("pinned-http-status-queued", &bare(JobState::Queued));
+    json("pinned-http-status-running", &bare(JobState::Running));
+    json("pinned-http-status-done", &bare(JobState::Done));
+    json("pinned-http-status-cancelled", &bare(JobState::Cancelled));
     let minimal = JobStatus { done: 0, running: 0, ..bare(JobState::Queued) };
-    check_reading("pinned-http-status-least", &minimal);
+    read_only("pinned-http-status-least", &minimal);
 }
 
 #[test]
@@ -55,9 +55,9 @@
         (ExitCause::UnknownJob, "unknown"),
         (ExitCause::Other, "other"),
     ] {
-        check_json(&format!("pinned-cause-{name}"), &cause);
+        json(&format!("pinned-cause-{name}"), &cause);
     }
-    check_reading("pinned-cause-of-a-later-version", &ExitCause::Other);
+    read_only("pinned-cause-of-a-later-version", &ExitCause::Other);
     for (state, name) in [
         (TaskState::FetchingImage, "pulling"),
         (TaskState::WaitingForGang, "waiting"),
@@ -65,7 +65,7 @@
         (TaskState::Checkpointing, "saving"),
         (TaskState::Ended, "ended"),
     ] {
-        check_json(&format!("pinned-task-{name}"), &state);
+        json(&format!("pinned-task-{name}"), &state);
     }
 }
 
@@ -90,9 +90,9 @@
         interruption_notice_s: None,
         tasks,
     };
-    check_reading("pinned-http-report-least", &heartbeat(vec![]));
-    check_reading("pinned-http-report-least-task", &heartbeat(vec![task(None, None)]));
-    check_json(
+    read_only("pinned-http-report-least", &heartbeat(vec![]));
+    read_only("pinned-http-report-least-task", &heartbeat(vec![task(None, None)]));
+    json(
         "pinned-http-report-nulls",
         &heartbeat(vec![task(Some(ExitCause::GangMemberLost), Some(false))]),
     );
@@ -101,10 +101,10 @@
 #[test]
 fn command_json_matches_fixtures_for_every_command() {
     let task = || "req-000412/4".to_owned();
-    check_json("pinned-command-run", &Command::Run { task: task(), attempt: 2 });
-    check_json("pinned-command-kill", &Command::Kill { task: task(), attempt: 2, grace_s: 0.0 });
-    check_json("pinned-command-reap", &Command::Reap { task: task(), attempt: 2 });
-    check_json(
+    json("pinned-command-run", &Command::Run { task: task(), attempt: 2 });
+    json("pinned-command-kill", &Command::Kill { task: task(), attempt: 2, grace_s: 0.0 });
+    json("pinned-command-reap", &Command::Reap { task: task(), attempt: 2 });
+    json(
         "pinned-http-report-answer-empty",
         &HeartbeatResponse { fencing_token: 41, commands: vec![] },
     );
@@ -115,31 +115,19 @@
     let value = serde_json::json!([1, "a", null]);
     let pair =
         KeyValue { key: "a/b".into(), value: value.clone(), mod_revision: 412, lease_id: None };
-    check_json("pinned-store-pair-null", &pair);
-    check_reading("pinned-store-pair-least", &pair);
-    check_reading(
-        "pinned-store-page-least",
-        &KeyPage { pairs: vec![], has_next: false, revision: 9 },
-    );
-    check_json("pinned-store-commit-empty", &Transaction::default());
-    check_reading("pinned-store-commit-least", &Transaction::default());
-    check_reading(
-        "pinned-store-commit-answer-least",
-        &CommitResponse { failed: vec![], revision: 9 },
-    );
-    check_reading("pinned-store-watch-least", &WatchResponse { revision: 9, events: vec![] });
-    check_json("pinned-store-put", &Operation::put("a/b", value.clone()));
+    json("pinned-store-pair-null", &pair);
+    read_only("pinned-store-pair-least", &pair);
+    read_only("pinned-store-page-least", &KeyPage { pairs: vec![], has_next: false, revision: 9 });
+    json("pinned-store-commit-empty", &Transaction::default());
+    read_only("pinned-store-commit-least", &Transaction::default());
+    read_only("pinned-store-commit-answer-least", &CommitResponse { failed: vec![], revision: 9 });
+    read_only("pinned-store-watch-least", &WatchResponse { revision: 9, events: vec![] });
+    json("pinned-store-put", &Operation::put("a/b", value.clone()));
     let leased = Operation::Put { key: "a/b".into(), value: value.clone(), lease_id: Some(7) };
-    check_json("pinned-store-put-leased", &leased);
-    check_json("pinned-store-delete", &Operation::delete("a/b"));
-    check_json(
-        "pinned-store-event-put",
-        &WatchEvent::Put { key: "a/b".into(), value, mod_revision: 9 },
-    );
-    check_json(
-        "pinned-store-event-delete",
-        &WatchEvent::Delete { key: "a/b".into(), mod_revision: 9 },
-    );
+    json("pinned-store-put-leased", &leased);
+    json("pinned-store-delete", &Operation::delete("a/b"));
+    json("pinned-store-event-put", &WatchEvent::Put { key: "a/b".into(), value, mod_revision: 9 });
+    json("pinned-store-event-delete", &WatchEvent::Delete { key: "a/b".into(), mod_revision: 9 });
 }
 
 #[test]
@@ -157,8 +145,8 @@
         zones: vec![],
     };
     let types = MachineTypes { machine_types: vec![machine_type] };
-    check_json("pinned-cloud-flavors-nulls", &types);
-    check_reading("pinned-cloud-flavors-least", &types);
+    json("pinned-cloud-flavors-nulls", &types);
+    read_only("pinned-cloud-flavors-least", &types);
     let listed = ListedMachine {
         name: "m-000231".into(),
         address: None,
@@ -169,23 +157,23 @@
         age_s: 0.0,
     };
     let list = MachineList { machines: vec![listed], has_next: false };
-    check_json("pinned-cloud-list-nulls", &list);
-    check_reading("pinned-cloud-list-least", &list);
-    check_json("pinned-cloud-hosts-empty", &MachineNames { machines: vec![] });
+    json("pinned-cloud-list-nulls", &list);
+    read_only("pinned-cloud-list-least", &list);
+    json("pinned-cloud-hosts-empty", &MachineNames { machines: vec![] });
     for (state, name) in [
         (MachineState::Booting, "booting"),
         (MachineState::Running, "running"),
         (MachineState::Failed, "failed"),
         (MachineState::Other, "other"),
     ] {
-        check_json(&format!("pinned-machine-{name}"), &state);
+        json(&format!("pinned-machine-{name}"), &state);
     }
-    check_reading("pinned-machine-of-a-later-version", &MachineState::Other);
+    read_only("pinned-machine-of-a-later-version", &MachineState::Other);
 }
 
 #[test]
 fn replication_status_json_matches_fixtures() {
-    check_json("pinned-http-replication-bare", &ReplicationStatus::default());
+    json("pinned-http-replication-bare", &ReplicationStatus::default());
     let durations = |count| DurationStatus {
         count,
         p50_ms: count + 1,
@@ -214,5 +202,5 @@
         resyncs: 7,
         failover,
     };
-    check_json("pinned-http-replication", &status);
+    json("pinned-http-replication", &status);
 }
