--- a/crates/controller/src/cluster_state/placed_task.rs
+++ b/crates/controller/src/cluster_state/placed_task.rs
@@ -28,7 +28,7 @@
 
     /// Whether the task is known to have made no progress yet: it is planned, fetches its image or
     /// waits for its gang. A start that was sent but is not reported does not count.
-    pub fn has_made_no_progress(self) -> bool {
+    pub fn is_known_without_progress(self) -> bool {
         matches!(
             self,
             Self::Planned | Self::Reported(TaskState::FetchingImage | TaskState::WaitingForGang)
@@ -69,7 +69,8 @@
     pub running_since: Option<MonotonicTime>,
     /// When this leader placed or adopted the attempt.
     pub placed_at: MonotonicTime,
-    /// Adopted from a heartbeat instead of placed by this leader: when it started is unknown.
+    /// Adopted from a heartbeat, or from the response to a state probe or to direct commands, instead
+    /// of placed by this leader: when it started is unknown.
     pub adopted: bool,
 }
 
