--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -1,8 +1,8 @@
-//! Messages of the cloud's API: machine types, scale-out and delete requests, the machine list.
+//! Messages of the cloud's API: machine types, scale-out and delete requests, and the machine list.
 
 use serde::{Deserialize, Serialize};
 
-/// How a machine is bought.
+/// The terms under which a machine is rented.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PurchaseOption {
     /// At a fixed price, until it is deleted.
@@ -12,7 +12,7 @@
 }
 
 impl PurchaseOption {
-    /// The option of a machine by the `spot` field of its messages.
+    /// Returns the option that the `spot` field of a message stands for.
     pub fn from_spot(spot: bool) -> Self {
         if spot { Self::Spot } else { Self::OnDemand }
     }
@@ -28,13 +28,13 @@
     /// Number of virtual CPUs.
     #[serde(rename = "Vcpus")]
     pub cpus: f64,
-    /// Number of GPUs.
+    /// Number of GPUs; 0 for a machine type without GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Memory in GB.
+    /// Memory, in GB.
     #[serde(rename = "RamGb")]
     pub memory_gb: f64,
-    /// Size of the local image cache in GB.
+    /// Size of the local image cache, in GB.
     #[serde(default)]
     #[serde(rename = "LocalGb")]
     pub cache_gb: f64,
@@ -44,12 +44,11 @@
     /// Price of an on-demand machine per hour, in the cloud's currency.
     #[serde(rename = "Hourly")]
     pub price_per_hour: f64,
-    /// Current price of a spot machine per hour; if `None`, the on-demand
-    /// price applies.
+    /// Current price of a spot machine per hour; if `None`, the on-demand price applies.
     #[serde(default)]
     #[serde(rename = "MarketPrice")]
     pub spot_price: Option<f64>,
-    /// Nominal boot time in seconds.
+    /// Nominal time from the creation of a machine until it runs, in seconds.
     #[serde(rename = "ReadyS")]
     pub boot_s: f64,
     /// Names of the zones that offer this machine type.
@@ -58,12 +57,12 @@
 }
 
 impl MachineType {
-    /// Nominal time in seconds to fetch an image of `image_gb` GB.
+    /// Returns the nominal time to fetch an image of `image_gb` GB, in seconds.
     pub fn fetch_s(&self, image_gb: f64) -> f64 {
         if self.fetch_gb_per_s > 0.0 { image_gb / self.fetch_gb_per_s } else { 0.0 }
     }
 
-    /// Current price of a machine per hour.
+    /// Returns the current price of a machine per hour, in the cloud's currency.
     pub fn price(&self, option: PurchaseOption) -> f64 {
         match option {
             PurchaseOption::OnDemand => self.price_per_hour,
@@ -91,7 +90,7 @@
     /// Name of the machine type.
     #[serde(rename = "Flavor")]
     pub machine_type: String,
-    /// Name of the zone.
+    /// Name of the zone in which the machines are created.
     #[serde(rename = "Yard")]
     pub zone: String,
     /// `true` for spot machines, `false` for on-demand machines.
@@ -106,7 +105,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct MachineNames {
-    /// Names of the machines.
+    /// Names of the created machines, or of those to delete.
     #[serde(rename = "Hosts")]
     pub machines: Vec<String>,
 }
@@ -115,13 +114,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// Created, but not yet known to be running.
+    /// The machine was created, but is not yet known to be running.
     Booting,
-    /// Running.
+    /// The machine is running.
     Running,
-    /// Stopped without a delete request.
+    /// The machine stopped without a delete request.
     Failed,
-    /// Any state that this version does not know.
+    /// Any state that this version of hookway does not know.
     #[serde(other)]
     Other,
 }
@@ -133,7 +132,7 @@
     /// Unique name of the machine.
     #[serde(rename = "NameId")]
     pub id: String,
-    /// Address (`host:port`) of the machine's worker; `None` before it is known.
+    /// Address (`host:port`) of the machine's worker; `None` while the cloud does not know it.
     #[serde(default)]
     pub addr: Option<String>,
     /// Name of the machine type.
@@ -145,7 +144,7 @@
     /// `true` for spot machines, `false` for on-demand machines.
     #[serde(rename = "Loaners")]
     pub spot: bool,
-    /// Lifecycle state.
+    /// Lifecycle state of the machine, which may be older than the response.
     pub status: MachineState,
     /// Time since the scale-out request, in seconds.
     #[serde(default)]
@@ -156,7 +155,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct MachineList {
-    /// The machines of this page, in the order of their names.
+    /// The machines of this page, sorted by name.
     #[serde(rename = "Hosts")]
     pub machines: Vec<ListedMachine>,
     /// Whether there is a next page.
--- a/crates/wire/src/job.rs
+++ b/crates/wire/src/job.rs
@@ -20,7 +20,7 @@
         is_valid.then(|| Self(text.to_owned()))
     }
 
-    /// The id as text.
+    /// Returns the id as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -64,8 +64,8 @@
     /// A gang: all tasks run at the same time, or none.
     #[serde(rename = "group")]
     Gang,
-    /// Independent tasks that run until their user cancels the job. The protocol page does not
-    /// describe this kind, but `fleetbench real` submits it (see docs/questions.md).
+    /// Replicas that run until the user cancels the job. The protocol page does not describe this kind,
+    /// but `fleetbench real` submits it (see docs/questions.md).
     Daemon,
 }
 
@@ -73,13 +73,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Lowest priority.
+    /// The lowest priority.
     Low,
-    /// The ordinary priority.
+    /// Above [`Priority::Low`].
     Normal,
     /// Above [`Priority::Normal`].
     High,
-    /// Highest priority.
+    /// The highest priority, above [`Priority::High`].
     Production,
 }
 
@@ -96,10 +96,10 @@
     /// Name of the team that submits the job; never empty.
     #[serde(rename = "Owner")]
     pub team: String,
-    /// How the tasks depend on each other.
+    /// Whether the tasks are independent, a gang, or replicas of a daemon.
     #[serde(rename = "Shape")]
     pub kind: JobKind,
-    /// Scheduling priority.
+    /// Priority, by which the scheduler orders and preempts jobs.
     #[serde(rename = "Rank")]
     pub priority: Priority,
     /// Number of tasks, from 1 to [`MAX_TASKS`].
@@ -108,15 +108,15 @@
     /// Virtual CPUs requested for each task; above 0.
     #[serde(rename = "Vcpus")]
     pub cpus: f64,
-    /// GPUs requested for each task.
+    /// GPUs requested for each task; not negative, and 0 for tasks without GPUs.
     pub gpus: f64,
-    /// Memory requested for each task, in GB.
+    /// Memory requested for each task, in GB; not negative.
     #[serde(rename = "RamGb")]
     pub memory_gb: f64,
     /// Name of the image that a machine needs to run the tasks; never empty.
     #[serde(rename = "Bundle")]
     pub image: String,
-    /// Size of the image in GB.
+    /// Size of the image, in GB.
     pub image_gb: f64,
     /// Names of the allowed machine types; `None` allows every type.
     #[serde(default)]
@@ -131,26 +131,26 @@
     pub one_zone: bool,
     /// Whether at most half of the tasks (rounded up) may run in one zone.
     pub spread: bool,
-    /// Whether tasks may run on spot machines.
+    /// Whether tasks may run on spot machines as well as on on-demand machines.
     #[serde(rename = "Loaners")]
     pub spot: bool,
-    /// The team's estimate of the run time of each task, in seconds.
+    /// Run time of each task as estimated by the team, in seconds.
     #[serde(rename = "GuessS")]
     pub estimate_s: f64,
-    /// Checkpoint interval in seconds; 0 if the tasks write no checkpoints.
+    /// Interval between two checkpoints of a task, in seconds; 0 if the tasks write no checkpoints.
     #[serde(rename = "SnapshotEveryS")]
     pub checkpoint_every_s: f64,
-    /// Time that a task takes to write a checkpoint when it is stopped, in seconds.
+    /// Time that a task needs to write a checkpoint when it is stopped, in seconds.
     #[serde(rename = "SnapshotS")]
     pub checkpoint_s: f64,
-    /// Deadline in seconds after submission; `None` for no deadline.
+    /// Deadline, in seconds after the submission; `None` for no deadline.
     #[serde(default)]
     #[serde(rename = "DueS")]
     pub deadline_s: Option<f64>,
 }
 
-/// Why the body of a submission is not a valid job. The texts are part of the API: they name fields
-/// as the protocol spells them.
+/// Why the body of a submission is not a valid job. The texts are part of the API and use the field names
+/// of the protocol.
 #[derive(Debug, thiserror::Error)]
 pub enum JobSpecError {
     /// The body is not JSON.
@@ -159,7 +159,7 @@
     /// The body is JSON, but not an object.
     #[error("the body is not a JSON object")]
     NotAnObject,
-    /// A field is missing, duplicate or of the wrong type.
+    /// A field is missing, duplicated or of the wrong type.
     #[error("the job is invalid: {0}")]
     InvalidField(#[source] serde_json::Error),
     /// The job's id does not have the form of a [`JobId`].
@@ -171,16 +171,16 @@
     /// The CPUs requested for each task are not a finite number above 0.
     #[error("Vcpus must be a number above 0")]
     InvalidCpus,
-    /// An amount is not finite or below 0.
+    /// An amount is negative or not finite.
     #[error("{field} must be a number and not negative")]
     InvalidAmount {
-        /// Name of the field, as the protocol spells it.
+        /// Name of the field in the protocol.
         field: &'static str,
     },
-    /// A text that identifies something is empty.
+    /// The name of a class, team or image is empty.
     #[error("{field} must not be empty")]
     EmptyText {
-        /// Name of the field, as the protocol spells it.
+        /// Name of the field in the protocol.
         field: &'static str,
     },
 }
@@ -197,7 +197,7 @@
         if !value.is_object() {
             return Err(JobSpecError::NotAnObject);
         }
-        // Parses the text again rather than the value, so that a duplicate field is rejected.
+        // Parses the body again instead of converting the value, so that a duplicate field is rejected.
         let spec: Self = serde_json::from_slice(body).map_err(JobSpecError::InvalidField)?;
         spec.validate()?;
         Ok(spec)
@@ -236,27 +236,27 @@
         Ok(())
     }
 
-    /// Whether this is a gang.
+    /// Whether all tasks run at the same time, or none.
     pub fn is_gang(&self) -> bool {
         self.kind == JobKind::Gang
     }
 
-    /// Whether the tasks run until the job is cancelled.
+    /// Whether the job runs until it is cancelled.
     pub fn is_daemon(&self) -> bool {
         self.kind == JobKind::Daemon
     }
 
-    /// Whether all tasks have to run at the same time, as those of a gang or a daemon.
+    /// Whether all tasks should run at the same time, as in a gang or a daemon.
     pub fn needs_all_tasks_at_once(&self) -> bool {
         self.is_gang() || self.is_daemon()
     }
 
-    /// Maximum number of tasks that may run in one zone at the same time.
+    /// Returns the maximum number of tasks that may run in one zone at the same time.
     pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread { self.tasks.div_ceil(2) } else { self.tasks }
     }
 
-    /// Whether tasks write checkpoints, and so keep their progress when they are stopped.
+    /// Whether the tasks write checkpoints, so that they keep their progress when they are stopped.
     pub fn checkpoints(&self) -> bool {
         self.checkpoint_every_s > 0.0
     }
@@ -270,7 +270,7 @@
     Queued,
     /// At least one task is running.
     Running,
-    /// All tasks are completed.
+    /// All tasks have completed.
     Done,
     /// The user cancelled the job.
     #[serde(rename = "withdrawn")]
@@ -278,7 +278,7 @@
 }
 
 impl fmt::Display for JobState {
-    /// Writes the state as the protocol spells it.
+    /// Writes the name of the state in the protocol.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.serialize(f)
     }
@@ -294,10 +294,10 @@
 /// The response to a submission, a status request or a cancellation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobStatus {
-    /// Id of the job.
+    /// Id of the job that was submitted, requested or cancelled.
     #[serde(rename = "NameId")]
     pub id: JobId,
-    /// State of the job.
+    /// State of the job at the time of the response.
     #[serde(rename = "Status")]
     pub state: JobState,
     /// Number of completed tasks.
--- a/crates/wire/src/job/tests.rs
+++ b/crates/wire/src/job/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A valid job description.
+/// A valid submission with every field of the protocol and an unknown one (`Extra`).
 const VALID_JOB: &str = r#"{"NameId":"req-000412","Lane":"train","Owner":"vision","Shape":"group","Rank":"high","Pieces":16,
      "Vcpus":8.0,"Gpus":1,"RamGb":64.0,"Bundle":"img-07","ImageGb":6.2,
      "Flavors":["g8"],"Yard":null,"Together":true,"Spread":false,"Loaners":true,"Extra":[1],
@@ -42,14 +42,14 @@
 }
 
 #[test]
-fn job_state_is_displayed_in_wire_spelling() {
+fn job_state_is_displayed_as_in_protocol() {
     for state in [JobState::Queued, JobState::Running, JobState::Done, JobState::Cancelled] {
         assert_eq!(serde_json::to_value(state).unwrap(), state.to_string());
     }
 }
 
 #[test]
-fn rejection_names_the_field_as_the_protocol_spells_it() {
+fn rejection_names_field_as_in_protocol() {
     for (valid, invalid, expected) in [
         ("req-000412", "job-1", "NameId must have the form req-000412"),
         ("\"Pieces\":16", "\"Pieces\":100001", "Pieces must be from 1 to 100000"),
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,9 +1,9 @@
-//! Wire formats of hookway: the JSON messages exchanged with users, workers, the cloud, the state
-//! service and operators.
+//! Wire formats of hookway: the JSON messages exchanged with users, workers, the cloud, the store and
+//! operators.
 //!
-//! The spellings of the protocol stand in `serde` attributes; the Rust names are the standard terms.
+//! The names that the protocol uses are in `serde` attributes; the Rust names are the standard terms.
 //! Parsing is strict: a field of the wrong type or out of range is rejected. Unknown fields are
-//! ignored, as the protocol demands.
+//! ignored, as the protocol requires.
 
 mod cloud;
 mod job;
@@ -22,6 +22,6 @@
 /// The body of every error response.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct ErrorBody {
-    /// Description of the error for the client.
+    /// Why the request was rejected, as a text for the client.
     pub error: String,
 }
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -1,4 +1,4 @@
-//! Messages of the state service: keys, transactions, leases and watches.
+//! Messages of the store: keys, transactions, leases and watches.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -7,15 +7,16 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct KeyValue {
-    /// The key.
+    /// Unique name of the pair, for example `lead/now`.
     pub key: String,
-    /// The value stored under the key.
+    /// Any JSON value; its format depends on the prefix of the key.
     #[serde(rename = "V")]
     pub value: Value,
-    /// Revision at which the key was last modified.
+    /// Revision of the store at which the key was last modified.
     #[serde(rename = "Stamp")]
     pub mod_revision: u64,
-    /// Id of the lease that the key is attached to: the key is deleted when the lease expires.
+    /// Id of the lease that the key is attached to; `None` without a lease. The key is deleted when the lease
+    /// expires or is released.
     #[serde(rename = "Permit", default)]
     pub lease_id: Option<u64>,
 }
@@ -24,7 +25,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct KeyPage {
-    /// The key-value pairs of this page, in the order of their keys.
+    /// The key-value pairs of this page, sorted by key.
     pub pairs: Vec<KeyValue>,
     /// Whether there is a next page.
     #[serde(default)]
@@ -38,7 +39,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Precondition {
-    /// The key that is checked.
+    /// The key whose revision is checked.
     pub key: String,
     /// Required revision of the key's last modification; 0 if the key must not exist.
     #[serde(rename = "Stamp")]
@@ -52,20 +53,20 @@
     /// Sets the value of a key.
     #[serde(rename_all = "PascalCase")]
     Put {
-        /// The key.
+        /// The key that is created or overwritten.
         #[serde(rename = "Put")]
         key: String,
-        /// The new value.
+        /// The value after the operation.
         #[serde(rename = "V")]
         value: Value,
-        /// Id of the lease to attach the key to, if any.
+        /// Id of the lease to attach the key to; `None` for a key without a lease.
         #[serde(rename = "Permit", default, skip_serializing_if = "Option::is_none")]
         lease_id: Option<u64>,
     },
     /// Deletes a key.
     #[serde(rename_all = "PascalCase")]
     Delete {
-        /// The key.
+        /// The key that is deleted.
         #[serde(rename = "Delete")]
         key: String,
     },
@@ -82,7 +83,7 @@
         Self::Delete { key: key.into() }
     }
 
-    /// The key that the operation writes.
+    /// Returns the key that the operation sets or deletes.
     pub fn key(&self) -> &str {
         match self {
             Self::Put { key, .. } | Self::Delete { key } => key,
@@ -97,7 +98,7 @@
     /// Preconditions; if any of them fails, no operation is applied.
     #[serde(rename = "Guards")]
     pub preconditions: Vec<Precondition>,
-    /// The write operations.
+    /// The write operations; all of them are applied, or none.
     #[serde(rename = "Apply", default)]
     pub operations: Vec<Operation>,
 }
@@ -125,7 +126,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct LeaseGrant {
-    /// Id of the granted lease.
+    /// Id of the granted lease, by which it is extended and released.
     #[serde(rename = "Permit")]
     pub lease_id: u64,
 }
@@ -137,23 +138,23 @@
     /// The value of a key was set.
     #[serde(rename_all = "PascalCase")]
     Put {
-        /// The key.
+        /// The key that was created or overwritten.
         #[serde(rename = "Put")]
         key: String,
-        /// The new value.
+        /// The value after the change.
         #[serde(rename = "V")]
         value: Value,
-        /// Revision of the write.
+        /// Revision of the store after the write.
         #[serde(rename = "Stamp")]
         mod_revision: u64,
     },
     /// A key was deleted.
     #[serde(rename_all = "PascalCase")]
     Delete {
-        /// The key.
+        /// The deleted key.
         #[serde(rename = "Delete")]
         key: String,
-        /// Revision of the deletion.
+        /// Revision of the store after the deletion.
         #[serde(rename = "Stamp")]
         mod_revision: u64,
     },
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -6,18 +6,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
-    /// The task's image is being fetched.
+    /// The machine is fetching the task's image.
     #[serde(rename = "pulling")]
     FetchingImage,
-    /// Ready, and waiting for the other tasks of its gang.
+    /// The task is ready to run, and waits for the other tasks of its gang.
     #[serde(rename = "waiting")]
     WaitingForGang,
-    /// Running.
+    /// The task is running.
     Running,
-    /// Writing a checkpoint before stopping.
+    /// The task is writing a checkpoint before it stops.
     #[serde(rename = "saving")]
     Checkpointing,
-    /// Ended; [`TaskStatus::cause`] says why.
+    /// The task has ended; [`TaskStatus::cause`] says why.
     Ended,
 }
 
@@ -25,34 +25,34 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitCause {
-    /// Completed.
+    /// The task completed.
     Done,
-    /// Stopped by a [`Command::Kill`].
+    /// The task was stopped by a [`Command::Kill`].
     Stopped,
-    /// Stopped because another task of the gang was lost.
+    /// The task was stopped because another task of its gang was lost.
     #[serde(rename = "peers")]
     GangMemberLost,
-    /// Stopped because the gang was not complete in time.
+    /// The task was stopped because not all tasks of its gang were ready in time.
     #[serde(rename = "incomplete")]
     GangIncomplete,
     /// The task or its machine failed.
     Error,
-    /// Start refused: the machine lacks the resources.
+    /// The worker refused the start: the free resources of the machine do not suffice.
     #[serde(rename = "no_room")]
     InsufficientResources,
-    /// Start refused: another attempt of the task is on the machine.
+    /// The worker refused the start: another attempt of the task is on the machine.
     #[serde(rename = "busy")]
     AttemptConflict,
-    /// Start refused: the worker does not find the job.
+    /// The worker refused the start: it did not find the job.
     #[serde(rename = "unknown")]
     UnknownJob,
-    /// Any cause that this version does not know.
+    /// Any cause that this version of hookway does not know.
     #[serde(other)]
     Other,
 }
 
 impl ExitCause {
-    /// Description of the cause for the notes of a job; follows the name of the task.
+    /// Returns a description of the cause for the notes of a job, which continues a sentence that begins with the task.
     pub fn description(self) -> &'static str {
         match self {
             Self::Done => "completed",
@@ -75,13 +75,13 @@
     /// Id of the task in the form `req-000412/3` (see [`TaskId`](crate::TaskId)).
     #[serde(rename = "Piece")]
     pub task: String,
-    /// Number of the attempt.
+    /// Number of the attempt; no two leaders use the same number.
     #[serde(rename = "Try")]
     pub attempt: u64,
-    /// State of the attempt.
+    /// What the attempt is doing.
     #[serde(rename = "Status")]
     pub state: TaskState,
-    /// Why the attempt ended; set when the state is [`TaskState::Ended`].
+    /// Why the attempt ended; `None` unless the state is [`TaskState::Ended`].
     #[serde(default)]
     pub cause: Option<ExitCause>,
     /// Whether a checkpoint was written before the attempt ended; `None` if the worker does not say.
@@ -93,43 +93,43 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Heartbeat {
-    /// Name of the machine.
+    /// Unique name of the machine.
     #[serde(rename = "Host")]
     pub machine: String,
     /// Address (`host:port`) of the worker.
     pub addr: String,
-    /// Name of the machine type.
+    /// Name of the type of the machine.
     #[serde(rename = "Flavor")]
     pub machine_type: String,
-    /// Name of the zone.
+    /// Name of the zone that the machine is in.
     #[serde(rename = "Yard")]
     pub zone: String,
     /// `true` for a spot machine, `false` for an on-demand machine.
     #[serde(rename = "Loaners")]
     pub spot: bool,
-    /// Incarnation of the worker: increases each time the worker starts without tasks.
+    /// Incarnation of the worker, which increases each time the worker starts without tasks.
     #[serde(rename = "Tenure")]
     pub incarnation: u64,
-    /// Sequence number of the heartbeat, increasing within the incarnation.
+    /// Sequence number of the heartbeat, which increases within the incarnation.
     #[serde(rename = "Tick")]
     pub sequence: u64,
     /// Highest fencing token that the worker has received; it refuses commands with a lower one.
     #[serde(rename = "Baton", default)]
     pub fencing_token: u64,
-    /// Time until the cloud reclaims the machine, in seconds; `None` without interruption notice.
+    /// Time until the cloud reclaims the machine, in seconds; `None` without an interruption notice.
     #[serde(rename = "EvictionS", default)]
     pub interruption_notice_s: Option<f64>,
-    /// Status of all tasks on the machine.
+    /// Status of all tasks on the machine, including ended ones that no [`Command::Reap`] has removed.
     #[serde(default)]
     #[serde(rename = "Pieces")]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// A command to a worker.
+/// A command of the leader to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "Verb", rename_all = "lowercase")]
 pub enum Command {
-    /// Starts an attempt of a task.
+    /// Starts a new attempt of a task.
     #[serde(rename_all = "PascalCase")]
     Run {
         /// Id of the task in the form `req-000412/3`.
@@ -148,7 +148,7 @@
         /// Number of the attempt.
         #[serde(rename = "Try")]
         attempt: u64,
-        /// Time that the task has to write a checkpoint, in seconds.
+        /// Time that the task is given to write a checkpoint, in seconds.
         #[serde(rename = "WindDownS")]
         grace_s: f64,
     },
@@ -168,34 +168,34 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct HeartbeatResponse {
-    /// Fencing token of the leader that responds.
+    /// Fencing token of the responding leader.
     #[serde(rename = "Baton")]
     pub fencing_token: u64,
-    /// Commands, in the order of their execution.
+    /// Commands in the order in which the worker executes them.
     #[serde(rename = "Orders")]
     pub commands: Vec<Command>,
 }
 
-/// Commands sent directly to a worker, without waiting for its heartbeat.
+/// Commands in direct dispatch: sent to a worker without waiting for its heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct DirectCommands {
     /// Fencing token of the leader that sends the commands.
     #[serde(rename = "Baton")]
     pub fencing_token: u64,
-    /// Incarnation of the worker that the commands are for; any other incarnation refuses them.
+    /// Incarnation of the worker that the commands are for; a worker with another incarnation refuses them.
     #[serde(rename = "Tenure")]
     pub incarnation: u64,
-    /// Commands, in the order of their execution.
+    /// Commands in the order in which the worker executes them.
     #[serde(rename = "Orders")]
     pub commands: Vec<Command>,
 }
 
-/// The response of a controller that is not the leader.
+/// The response to a heartbeat from a controller that is not the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct HeartbeatRedirect {
-    /// Name of the leader, which takes the heartbeats, if it is known.
+    /// Name of the leader, to which the worker should send its heartbeats; `None` if it is unknown.
     #[serde(rename = "Foreman", skip_serializing_if = "Option::is_none")]
     pub leader: Option<String>,
 }
